--- a/bench/src/main/java/ridgemill/bench/DecideCost.java
+++ b/bench/src/main/java/ridgemill/bench/DecideCost.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Actions;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Availability;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.Request;
-import ridgemill.policy.Router.Rules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 
 /**
  * What the decisions on one request cost, by the number of nodes: that it came, and that its one attempt was a hit. Time
@@ -58,24 +58,24 @@
                 1,
                 "a",
                 1,
-                List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, Group.ALL, 0, false)),
+                List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false)),
                 List.of(),
                 1,
                 false,
-                new Limits(6, true, false, false, true, 1000, false, 150),
-                new Rules(2000, 0.21, 6000, 2.5, 2000, 20, 10_000),
+                new PlatformLimits(6, true, false, false, true, 1000, false, 150),
+                new PlatformRules(2000, 0.21, 6000, 2.5, 2000, 20, 10_000),
                 false,
-                Weights.NONE,
+                WeightMode.NONE,
                 "origin");
-        Decide decide = new Decide(settings, 7);
+        BalancingRouter decide = new BalancingRouter(settings, 7);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             nodes.add(new Node("c" + i, "std", "a", 0, 1, 0, Availability.UP));
         }
         nodes.add(new Node("db", "origin", "a", 0, 1, 0, Availability.UP));
         double now = 1e6;
-        decide.started(now, this);
-        decide.nodes(now, ListKind.FULL, 1, nodes, this);
+        decide.onStart(now, this);
+        decide.onNodeList(now, ListUpdateKind.FULL, 1, nodes, this);
         com.sun.management.ThreadMXBean threads = (com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean();
         long id = Thread.currentThread().getId();
         double nextStep = now;
@@ -84,16 +84,17 @@
         long done = 0;
         for (long n = 0; System.nanoTime() - start < SECONDS * 1e9; n++, now += GAP_MS) {
             if (now >= nextStep) {
-                decide.timer(now, "step", this);
+                decide.onTimer(now, "step", this);
                 nextStep = now + 100;
             }
-            decide.request(
+            decide.onRequest(
                     now, new Request("r" + n, "read", "t", n * 0x9e3779b97f4a7c15L >>> 1, 0, 1500, false, false), this);
             while (sent.size() > OUT) {
                 Sent s = sent.remove(0);
-                decide.attemptEnded(
+                decide.onAttemptEnded(
                         now,
-                        new AttemptEnd(s.request(), s.attempt(), s.node(), Outcome.OK, OUT * GAP_MS, true, 1, Map.of()),
+                        new AttemptResult(
+                                s.request(), s.attempt(), s.node(), Outcome.OK, OUT * GAP_MS, true, 1, Map.of()),
                         this);
                 done++;
             }
@@ -125,7 +126,7 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {}
+    public void setTimer(double atMs, String token) {}
 
     @Override
     public void subscribe() {}
@@ -134,8 +135,8 @@
     public void probe(String node) {}
 
     @Override
-    public void tell(byte[] contents) {}
+    public void broadcast(byte[] contents) {}
 
     @Override
-    public void close(String node) {}
+    public void closeIdleConnections(String node) {}
 }
--- a/bench/src/main/java/ridgemill/bench/EurekaDrain.java
+++ b/bench/src/main/java/ridgemill/bench/EurekaDrain.java
@@ -17,7 +17,7 @@
 import ridgemill.gateway.Config;
 import ridgemill.gateway.net.Addresses;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Testbed;
 import ridgemill.testbed.load.Load;
 import ridgemill.testbed.load.LoadProfile;
@@ -88,7 +88,7 @@
                         + "\"sockets\":1024},\"known\":{\"seq\":1,\"whole\":true,\"hosts\":[]},\"settings\":" + SETTINGS
                         + "}",
                 Map.of());
-        return Operated.start(config, file.toString(), new Decide(config.settings(), 1));
+        return Operated.start(config, file.toString(), new BalancingRouter(config.settings(), 1));
     }
 
     private static void others(RegistryStandIn registry, int count, String status) {
--- a/bench/src/main/java/ridgemill/bench/LimitAccuracy.java
+++ b/bench/src/main/java/ridgemill/bench/LimitAccuracy.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.locks.LockSupport;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.HttpText;
 
 /** How closely an operator file's limits hold on the wire, and how a limit is shared among tenants that ask too much. */
@@ -110,7 +110,7 @@
                             + "\"127.0.0.1:" + node.getPort() + "\",\"health\":\"up\"}]},\"settings\":" + SETTINGS
                             + "}",
                     Map.of());
-            operated = Operated.start(config, file.toString(), new Decide(config.settings(), 1));
+            operated = Operated.start(config, file.toString(), new BalancingRouter(config.settings(), 1));
             // A play of its own before the one that counts: the code is cold at first, and slow clients ask too little.
             ask(operated.service().listening(), List.of(new Tenant("warm-up", 2, 50)), 2);
             return ask(operated.service().listening(), tenants, SECONDS);
--- a/bench/src/main/java/ridgemill/bench/Profile.java
+++ b/bench/src/main/java/ridgemill/bench/Profile.java
@@ -49,7 +49,7 @@
         OWNERS.put("sun.nio.ch.SocketChannelImpl", "reads and writes of sockets");
         OWNERS.put("sun.nio.ch.FileDispatcherImpl", "reads and writes of sockets");
         OWNERS.put("sun.nio.ch", "waiting for sockets (epoll)");
-        OWNERS.put("ridgemill.policy", "decisions (Decide)");
+        OWNERS.put("ridgemill.policy", "decisions (BalancingRouter)");
         OWNERS.put("ridgemill.core", "dispatcher, intake, gate");
         OWNERS.put("ridgemill.gateway.front", "front");
         OWNERS.put("ridgemill.gateway.back", "back");
--- a/bench/src/main/java/ridgemill/bench/RouteCost.java
+++ b/bench/src/main/java/ridgemill/bench/RouteCost.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import ridgemill.route.Conditions;
 import ridgemill.route.PathPattern;
-import ridgemill.route.Query;
 import ridgemill.route.Route;
+import ridgemill.route.RouteQuery;
 import ridgemill.route.RouteTable;
 
 /** What finding a route costs, by the number of routes: it is to stay flat. The naive way stands beside it. */
@@ -27,9 +27,9 @@
             long start = System.nanoTime();
             RouteTable<Integer> table = new RouteTable<>(routes);
             double compiled = (System.nanoTime() - start) / 1e6;
-            Query[] queries = queries(count);
+            RouteQuery[] queries = queries(count);
             double matched = 0;
-            for (Query q : queries) {
+            for (RouteQuery q : queries) {
                 matched += table.match(q).isPresent() ? 1 : 0;
             }
             System.out.printf(
@@ -44,17 +44,17 @@
     }
 
     private interface Look {
-        boolean found(Query q);
+        boolean found(RouteQuery q);
     }
 
-    private static double median(Query[] queries, Look look) {
+    private static double median(RouteQuery[] queries, Look look) {
         double[] each = new double[ROUNDS];
         int sink = 0;
         for (int round = 0; round < ROUNDS; round++) {
             long start = System.nanoTime();
             long n = 0;
             while (System.nanoTime() - start < SECONDS * 1e9) {
-                for (Query q : queries) {
+                for (RouteQuery q : queries) {
                     sink += look.found(q) ? 1 : 0;
                 }
                 n += queries.length;
@@ -68,12 +68,12 @@
         return each[ROUNDS / 2];
     }
 
-    private static double naive(List<Route<Integer>> routes, Query[] queries, int some) {
-        Query[] few = java.util.Arrays.copyOf(queries, some);
+    private static double naive(List<Route<Integer>> routes, RouteQuery[] queries, int some) {
+        RouteQuery[] few = java.util.Arrays.copyOf(queries, some);
         return median(
                 few,
                 q -> routes.stream()
-                        .filter(r -> r.takes(q))
+                        .filter(r -> r.matches(q))
                         .max(Route::compareSpecificity)
                         .isPresent());
     }
@@ -92,12 +92,12 @@
         return routes;
     }
 
-    private static Query[] queries(int count) {
+    private static RouteQuery[] queries(int count) {
         SplittableRandom random = new SplittableRandom(1);
-        Query[] queries = new Query[QUERIES];
+        RouteQuery[] queries = new RouteQuery[QUERIES];
         for (int i = 0; i < QUERIES; i++) {
             int route = random.nextInt(count);
-            queries[i] = new Query(
+            queries[i] = new RouteQuery(
                     "GET",
                     switch (route % 3) {
                         case 0 -> "/api/s" + route + "/balance";
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -2,7 +2,7 @@
 
 import java.util.Collection;
 import java.util.List;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /**
  * Picks the instance for a request: of the two best by rendezvous hash of its key, the one with fewer requests in
@@ -88,7 +88,7 @@
     private InstanceStats best(
             double nowMs, long key, Collection<InstanceStats> tried, boolean local, boolean anyHealth) {
         double meanMs = meanMs();
-        long mixed = Rendezvous.mix(key);
+        long mixed = RendezvousHash.mix(key);
         InstanceStats first = null;
         InstanceStats second = null;
         double firstScore = 0;
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -1,7 +1,7 @@
 package ridgemill.cdn.edge;
 
 import ridgemill.cdn.instances.Instance;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /** What this proxy knows of one instance: its own requests there, how they fared, and the load that answers told. */
 public final class InstanceStats {
@@ -49,7 +49,7 @@
 
     public InstanceStats(Instance instance) {
         this.instance = instance;
-        this.hash = Rendezvous.mix(Rendezvous.hashText(instance.id()));
+        this.hash = RendezvousHash.mix(RendezvousHash.hashText(instance.id()));
     }
 
     /**
@@ -117,7 +117,7 @@
 
     /** A draw that depends on the instance and a key alone. */
     double draw(long key) {
-        return Rendezvous.unit(hash ^ key);
+        return RendezvousHash.unitInterval(hash ^ key);
     }
 
     /** The usual time of an answered attempt, in milliseconds; not a number before the first. */
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ServiceAdmission.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ServiceAdmission.java
@@ -1,7 +1,7 @@
 package ridgemill.cdn.edge;
 
 import ridgemill.policy.AdmissionLevel;
-import ridgemill.policy.TokenBank;
+import ridgemill.policy.PriorityTokenBucket;
 
 /**
  * Whether a request that has to go to a service is let on or refused at once. A hysteresis level, stepped once an
@@ -19,7 +19,7 @@
     private static final double SMOOTH = 0.02;
 
     private final AdmissionLevel level = new AdmissionLevel();
-    private final TokenBank bank = new TokenBank(TokenBank.FEW);
+    private final PriorityTokenBucket bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
     private double stepAtMs;
     private double meanPriority = Double.NaN;
 
@@ -36,22 +36,22 @@
     public boolean draw(double nowMs, int priorityLevel) {
         meanPriority =
                 Double.isNaN(meanPriority) ? priorityLevel : meanPriority + SMOOTH * (priorityLevel - meanPriority);
-        return level.level() == 0 || bank.draw(nowMs, priorityLevel > meanPriority);
+        return level.level() == 0 || bank.tryAcquire(nowMs, priorityLevel > meanPriority);
     }
 
     /** Draws a token for work that no client waits for, which has the lowest worth. Returns false if there is none. */
     public boolean drawForNobody(double nowMs) {
-        return level.level() == 0 || bank.draw(nowMs, true);
+        return level.level() == 0 || bank.tryAcquire(nowMs, true);
     }
 
     /** Counts the outcome of an attempt; good if it was answered with success within the route's target. */
     public void count(boolean good) {
-        level.count(good);
+        level.recordFetch(good);
     }
 
     /** Counts an attempt whose connection broke. */
     public void countBroken() {
-        level.countBroken();
+        level.recordBrokenFetch();
     }
 
     /** Whether an interval has ended and {@link #step} is due. */
@@ -65,9 +65,9 @@
      * @param usualBreaks the share of attempts whose connections break for reasons other than the service's load
      */
     public void step(double nowMs, double usualBreaks) {
-        level.judgeBroken(usualBreaks);
-        level.step(INTERVAL_MS, bank.refusals());
-        bank.rate(nowMs, level.rate());
+        level.classifyBrokenFetches(usualBreaks);
+        level.endInterval(INTERVAL_MS, bank.refusals());
+        bank.setRate(nowMs, level.allowedPerSecond());
         stepAtMs = Math.max(stepAtMs + INTERVAL_MS, nowMs + INTERVAL_MS / 2);
     }
 
@@ -89,6 +89,6 @@
     /** Goes on where an earlier life of the process was. */
     public void restore(AdmissionLevel.Snapshot kept, double nowMs) {
         level.restore(kept);
-        bank.rate(nowMs, level.rate());
+        bank.setRate(nowMs, level.allowedPerSecond());
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -6,7 +6,7 @@
 import ridgemill.cdn.proxy.control.OperationRegister.ClaimOutcome;
 import ridgemill.cdn.proxy.control.OperationRegister.RecordedAnswer;
 import ridgemill.core.Timers;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /**
  * A request of a keyed operation. It runs only under a claim of the register; the claim is given back only where
@@ -133,7 +133,7 @@
             return;
         }
         claim = given;
-        long place = Rendezvous.hashText(request().attemptId());
+        long place = RendezvousHash.hashText(request().attemptId());
         OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
         delivery = new Delivery(context(), service, route(), outgoing, false, deadlineMs(), this::delivered);
         delivery.start();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetches.java
@@ -15,7 +15,7 @@
 import ridgemill.cdn.proxy.ProxyMeters.ReadSource;
 import ridgemill.cdn.proxy.control.ControlListener;
 import ridgemill.cdn.proxy.http.Headers;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /** Copies of objects and the fetches that bring them: one fetch at a time for each object, for all that ask for it. */
 final class ObjectFetches implements ControlListener {
@@ -105,7 +105,7 @@
         OutgoingRequest outgoing = OutgoingRequest.fetch(
                 exchange.request(),
                 fetch.older() == null ? null : fetch.older().etag(),
-                Rendezvous.hashText(fetch.key()),
+                RendezvousHash.hashText(fetch.key()),
                 exchange.route().targetLatencyMs());
         boolean overCaches = context.caches().isAny();
         ServiceState service = exchange.service();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/PassingExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/PassingExchange.java
@@ -2,7 +2,7 @@
 
 import ridgemill.cdn.config.Route;
 import ridgemill.cdn.edge.RefusalReason;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /** A request that is passed to an instance and whose answer is passed back. */
 final class PassingExchange extends Exchange {
@@ -23,7 +23,7 @@
             refuse(RefusalReason.ADMISSION, service.admission().waitMs());
             return;
         }
-        long place = Rendezvous.hashText(request().attemptId());
+        long place = RendezvousHash.hashText(request().attemptId());
         OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
         delivery = new Delivery(
                 context(), service, route(), outgoing, route().kind().isRepeatable(), deadlineMs(), this::answer);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
@@ -2,7 +2,7 @@
 
 import ridgemill.cdn.config.Route;
 import ridgemill.cdn.config.RouteKind;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /** Finds the route and the service of each request, and makes the exchange that its route's kind asks for. */
 final class RequestRouter implements Router {
@@ -39,7 +39,7 @@
             client.answer(null, FinalAnswer.own(400, request.attemptId()));
             return null;
         }
-        double draw = 1 - Rendezvous.unit(Rendezvous.hashText(request.attemptId()));
+        double draw = 1 - RendezvousHash.unitInterval(RendezvousHash.hashText(request.attemptId()));
         ServiceState service = context.service(route.destination(draw));
         service.budget().countRequest(context.now());
         return switch (route.kind()) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
@@ -13,7 +13,7 @@
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
 import ridgemill.cdn.settings.Bounds;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /** All that this process keeps for one service: admission, budgets, instances and their connections. */
 final class ServiceState implements Upstream {
@@ -46,7 +46,8 @@
         this.context = context;
         this.name = name;
         Bounds bounds = context.settings().bounds();
-        double phase = Rendezvous.unit(Rendezvous.hashText(context.settings().nodeName() + "/" + name));
+        double phase = RendezvousHash.unitInterval(
+                RendezvousHash.hashText(context.settings().nodeName() + "/" + name));
         double ratio = bounds.retryBudgetRatio() * (context.isSharedCache() ? CACHE_RETRIES : 1);
         this.admission = new ServiceAdmission(phase, context.now());
         this.budget = new RetryBudget(ratio, bounds.retryBudgetSlack(), bounds.retryWindowMs());
--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -17,9 +17,9 @@
 import ridgemill.deadline.Verdict;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Actions;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
@@ -116,7 +116,7 @@
 
     /** Comes first: tells the module that it has started. */
     public void start() {
-        tell(now -> router.started(now, this), () -> { });
+        tell(now -> router.onStart(now, this), () -> { });
     }
 
     /** Requests that have no final answer yet. */
@@ -131,7 +131,7 @@
     // Events from fronts, backs and the outside.
 
     /** The node list, or news of it; the back must know the nodes before the module may choose one. */
-    public void nodes(ListKind kind, long version, List<Node> nodes) {
+    public void nodes(ListUpdateKind kind, long version, List<Node> nodes) {
         for (Node n : nodes) {
             if (settings.originModel() != null && settings.originModel().equals(n.model())) {
                 stores.add(n.id());
@@ -139,22 +139,22 @@
                 stores.remove(n.id());
             }
         }
-        if (kind == ListKind.REFUSED) {
+        if (kind == ListUpdateKind.REFUSED) {
             acts.unlisted(timers.now(), group);
-        } else if (kind != ListKind.REMEMBERED) {
+        } else if (kind != ListUpdateKind.REMEMBERED) {
             list = version;
             acts.listed(timers.now(), group, list);
         }
-        tell(now -> router.nodes(now, kind, version, nodes, this), () -> { });
+        tell(now -> router.onNodeList(now, kind, version, nodes, this), () -> { });
     }
 
     /** A call to discovery failed, or the subscription broke. */
     public void discoveryRefused() {
-        nodes(ListKind.REFUSED, 0, List.of());
+        nodes(ListUpdateKind.REFUSED, 0, List.of());
     }
 
     public void peerMessage(int from, byte[] contents) {
-        tell(now -> router.peerMessage(now, from, contents, this), () -> { });
+        tell(now -> router.onPeerMessage(now, from, contents, this), () -> { });
     }
 
     /** Whether a request with this id is open: its answer and another's could not be told apart. */
@@ -165,33 +165,33 @@
     /** Other classes hold from now on, for requests that come. */
     public void classes(List<ServiceClass> classes) {
         classes.forEach(c -> effects.put(c.name(), c.effect()));
-        tell(now -> router.classes(now, classes), () -> { });
+        tell(now -> router.onClassesChanged(now, classes), () -> { });
     }
 
     /** Takes a request, whose id must not be open; {@code client} gets its one final answer, maybe before this returns. */
     public void request(Request in, Command<C> command, Client<C> client) {
         double cameAt = timers.now();
         tally.took();
-        Acts.Under under = acts.begins(cameAt, in.id(), in.service(), group, list);
+        Acts.Under under = acts.begins(cameAt, in.id(), in.serviceClass(), group, list);
         if (calls.size() >= maxOpen) {
             // Beyond what the settings allow the module is not asked; nothing ran, so this promise is true.
-            tally.ended(in.service(), Tally.End.REFUSED);
-            under.ended(cameAt, in.service(), Tally.End.REFUSED, Reason.TOO_MANY_OPEN);
-            tally.because(in.service(), Reason.TOO_MANY_OPEN);
-            settled.accept(in.service());
+            tally.ended(in.serviceClass(), Tally.End.REFUSED);
+            under.ended(cameAt, in.serviceClass(), Tally.End.REFUSED, Reason.TOO_MANY_OPEN);
+            tally.because(in.serviceClass(), Reason.TOO_MANY_OPEN);
+            settled.accept(in.serviceClass());
             client.because(Reason.TOO_MANY_OPEN);
             client.refused(0);
             return;
         }
-        Call<C> call = new Call<>(in, command, client, cameAt, times.of(in.service()), under);
+        Call<C> call = new Call<>(in, command, client, cameAt, times.of(in.serviceClass()), under);
         calls.put(in.id(), call);
         owed++;
-        if (in.open()) {
+        if (in.uploading()) {
             call.deadline = Double.POSITIVE_INFINITY;
         } else {
             watch(call);
         }
-        tell(now -> router.request(now, in, this), () -> answerInstead(call));
+        tell(now -> router.onRequest(now, in, this), () -> answerInstead(call));
     }
 
     private void watch(Call<C> call) {
@@ -217,7 +217,7 @@
             count(call, Tally.End.GONE);
             call.kind.left(timers.now(), timers.now() - call.bornMs);
             settle(call);
-            tell(now -> router.clientGone(now, id, this), () -> { });
+            tell(now -> router.onClientDisconnected(now, id, this), () -> { });
         }
     }
 
@@ -236,13 +236,13 @@
             if (call.out != null) {
                 call.out.cancel();
             }
-            tell(now -> router.clientGone(now, id, this), () -> { });
+            tell(now -> router.onClientDisconnected(now, id, this), () -> { });
         }
     }
 
     /** A final answer that nobody decided on: a refusal where it is a true promise. */
     private void endNow(Call<C> call) {
-        if (call.proven && call.out == null || effects.get(call.in.service()) == Effect.SAFE) {
+        if (call.proven && call.out == null || effects.get(call.in.serviceClass()) == Effect.SAFE) {
             refuseNow(call, 0);
         } else {
             failNow(call);
@@ -259,7 +259,7 @@
         call.begunMs = now;
         call.kind.answered(now, now - call.since(call.out.sentMs), call.out.atStore, call.out.fresh);
         call.client.served(answer);
-        tell(at -> router.streamStarted(at, call.in.id(), attempt, node, this), () -> { });
+        tell(at -> router.onStreamStarted(at, call.in.id(), attempt, node, this), () -> { });
         return true;
     }
 
@@ -308,8 +308,8 @@
         if (call != null) {
             forgetIfDone(call);
         }
-        AttemptEnd end = new AttemptEnd(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
-        tell(now -> router.attemptEnded(now, end, this), call == null ? () -> { } : () -> answerInstead(call));
+        AttemptResult end = new AttemptResult(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
+        tell(now -> router.onAttemptEnded(now, end, this), call == null ? () -> { } : () -> answerInstead(call));
     }
 
     // The module's calls, one at a time.
@@ -371,7 +371,7 @@
         } else {
             failNow(call);
         }
-        tell(now -> router.clientGone(now, call.in.id(), this), () -> { });
+        tell(now -> router.onClientDisconnected(now, call.in.id(), this), () -> { });
     }
 
     /** The module owes an answer before this; without one the request would be lost. */
@@ -414,7 +414,7 @@
     }
 
     @Override
-    public void because(String request, Reason why) {
+    public void reportReason(String request, Reason why) {
         actions.add(() -> ifOpen(request, call -> call.why = why));
     }
 
@@ -424,7 +424,7 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {
+    public void setTimer(double atMs, String token) {
         actions.add(() -> timerNow(atMs, token));
     }
 
@@ -439,19 +439,19 @@
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void broadcast(byte[] contents) {
         // The module may use its array again before this is sent.
         byte[] copy = Arrays.copyOf(contents, contents.length);
         actions.add(() -> tell.accept(copy));
     }
 
     @Override
-    public void close(String node) {
+    public void closeIdleConnections(String node) {
         actions.add(() -> back.closeIdle(node));
     }
 
     @Override
-    public double leastMs(String request) {
+    public double minAnswerMs(String request) {
         Call<C> call = calls.get(request);
         return call == null ? 0 : call.kind.backOffMs(timers.now());
     }
@@ -464,12 +464,12 @@
     }
 
     private void count(Call<C> call, Tally.End end) {
-        tally.ended(call.in.service(), end);
-        call.under.ended(timers.now(), call.in.service(), end, call.why);
+        tally.ended(call.in.serviceClass(), end);
+        call.under.ended(timers.now(), call.in.serviceClass(), end, call.why);
     }
 
     private void say(Call<C> call) {
-        tally.because(call.in.service(), call.why);
+        tally.because(call.in.serviceClass(), call.why);
         call.client.because(call.why);
     }
 
@@ -496,7 +496,7 @@
     private void settle(Call<C> call) {
         call.over = true;
         owed--;
-        settled.accept(call.in.service());
+        settled.accept(call.in.serviceClass());
         call.unwatch();
         forgetIfDone(call);
     }
@@ -508,7 +508,7 @@
     }
 
     private void timerNow(double atMs, String token) {
-        timers.at(atMs, () -> tell(now -> router.timer(now, token, this),
+        timers.at(atMs, () -> tell(now -> router.onTimer(now, token, this),
                 () -> timerNow(timers.now() + RETRY_TIMER_MS, token)));
     }
 
@@ -553,7 +553,7 @@
 
     /** A probe has ended: one that the decisions asked for, or one that another proxy made. */
     public void probed(String node, Outcome outcome, double tookMs) {
-        tell(at -> router.probed(at, node, outcome, tookMs, Map.of(), this), () -> { });
+        tell(at -> router.onProbeResult(at, node, outcome, tookMs, Map.of(), this), () -> { });
     }
 
     private void probeNow(String node) {
@@ -620,7 +620,7 @@
 
         @Override
         public boolean isOpen() {
-            return call.in.open();
+            return call.in.uploading();
         }
 
         @Override
@@ -676,7 +676,7 @@
             this.client = client;
             this.bornMs = bornMs;
             this.deadline = bornMs + in.budgetMs();
-            this.completeMs = in.open() ? Double.POSITIVE_INFINITY : bornMs;
+            this.completeMs = in.uploading() ? Double.POSITIVE_INFINITY : bornMs;
             this.kind = kind;
         }
 
--- a/core/src/main/java/ridgemill/core/Gate.java
+++ b/core/src/main/java/ridgemill/core/Gate.java
@@ -2,7 +2,7 @@
 
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.ServiceClass;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /**
  * Stands before the decisions on every front: says which class a request is of and how long it has, or that it goes no
@@ -20,7 +20,7 @@
      * @param bodyBytes the size of its body
      * @param budgetMs how long its client still waits
      */
-    record Arrival(String id, Query query, String named, boolean retry, long bodyBytes, double budgetMs) { }
+    record Arrival(String id, RouteQuery query, String named, boolean retry, long bodyBytes, double budgetMs) { }
 
     /** What becomes of it. */
     sealed interface Entry { }
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -208,14 +208,14 @@
         if (dispatcher == null || times(go).mayGoOn(from, timers.now(), in.budgetMs()) != Verdict.GO) {
             // Dropped since the gate decided, or too late for any answer; nothing ran.
             Reason why = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
-            turnedAway(in.service(), why);
-            settled(in.service());
+            turnedAway(in.serviceClass(), why);
+            settled(in.serviceClass());
             client.because(why);
             client.refused(0);
             return;
         }
         if (recorder != null && command.write() && go.service().effect() == Effect.KEYED && command.idempotencyKey() != null) {
-            Client<C> waits = recorder.enter(in, command, go.service().repeatWindowMs(), client, () -> settled(in.service()));
+            Client<C> waits = recorder.enter(in, command, go.service().deduplicationWindowMs(), client, () -> settled(in.serviceClass()));
             if (waits == null) {
                 return;
             }
@@ -250,7 +250,7 @@
                 Waiting<C> w = line.remove(id);
                 w.patience().cancel();
                 double left = w.in().budgetMs() - (timers.now() - w.sinceMs());
-                start(w.go(), w.in().within(left), w.command(), w.client(), Place.LINE);
+                start(w.go(), w.in().withBudget(left), w.command(), w.client(), Place.LINE);
             }
         } finally {
             advancing = false;
@@ -263,7 +263,7 @@
         if (w != null) {
             w.patience().cancel();
             double retryAfterMs = gate.withdrawn(timers.now(), id);
-            turnedAway(w.in().service(), Reason.LIMIT);
+            turnedAway(w.in().serviceClass(), Reason.LIMIT);
             w.client().because(Reason.LIMIT);
             w.client().limited(retryAfterMs);
         }
@@ -285,7 +285,7 @@
         if (w != null) {
             w.patience().cancel();
             gate.withdrawn(timers.now(), id);
-            count(w.in().service(), Tally.End.GONE);
+            count(w.in().serviceClass(), Tally.End.GONE);
         } else if (recorder == null || !recorder.clientGone(id, () -> mayHaveRun(id))) {
             leave(id);
         }
--- a/core/src/main/java/ridgemill/core/Recorder.java
+++ b/core/src/main/java/ridgemill/core/Recorder.java
@@ -90,7 +90,7 @@
     }
 
     private void settle(Request in, Runnable settled, Tally.End end, Runnable answer) {
-        tally.ended(in.service(), end);
+        tally.ended(in.serviceClass(), end);
         settled.run();
         answer.run();
     }
--- a/core/src/main/java/ridgemill/core/Tally.java
+++ b/core/src/main/java/ridgemill/core/Tally.java
@@ -73,7 +73,7 @@
             Map<String, Long> of = new TreeMap<>();
             for (Reason r : Reason.values()) {
                 if (counts[r.ordinal()] > 0) {
-                    of.put(r.word(), counts[r.ordinal()]);
+                    of.put(r.code(), counts[r.ordinal()]);
                 }
             }
             all.put(service, of);
@@ -144,7 +144,7 @@
         return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed() + " gone="
                 + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
                 .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" ")) + (reasons.isEmpty() ? "" : " reasons: "
-                + Arrays.stream(Reason.values()).filter(r -> because(r) > 0).map(r -> r.word() + "=" + because(r))
+                + Arrays.stream(Reason.values()).filter(r -> because(r) > 0).map(r -> r.code() + "=" + because(r))
                 .collect(Collectors.joining(" ")));
     }
 }
--- a/core/src/main/java/ridgemill/halls/Halls.java
+++ b/core/src/main/java/ridgemill/halls/Halls.java
@@ -220,7 +220,7 @@
         }
         if (p.isKeyed()) {
             RepeatLedger.Entry e = ledger.find(nowMs, p.key());
-            if (e == null && p.isRetry() && p.trail().isForeign() && isNew(nowMs, p.service().repeatWindowMs())) {
+            if (e == null && p.isRetry() && p.trail().isForeign() && isNew(nowMs, p.service().deduplicationWindowMs())) {
                 // The gateway before this one may have promised that it does not run here.
                 return new Refuse(COME_BACK_MS, true);
             }
@@ -325,7 +325,7 @@
             }
         }
         if (ran != null && !ran.hall().equals(policy.hall())) {
-            ledger.note(nowMs, p.key(), ran.hall(), nowMs - ran.agoMs(), p.service().repeatWindowMs());
+            ledger.note(nowMs, p.key(), ran.hall(), nowMs - ran.agoMs(), p.service().deduplicationWindowMs());
         }
         RepeatLedger.Entry e = ledger.find(nowMs, p.key());
         if (e != null && e.fence() && e.firstMs() >= p.askedAt) {
@@ -363,7 +363,7 @@
         if (p.isKeyed()) {
             RepeatLedger.Entry before = ledger.find(nowMs, p.key());
             boolean isNew = before == null || before.fence();
-            RepeatLedger.Entry e = ledger.note(nowMs, p.key(), policy.hall(), nowMs, p.service().repeatWindowMs());
+            RepeatLedger.Entry e = ledger.note(nowMs, p.key(), policy.hall(), nowMs, p.service().deduplicationWindowMs());
             p.made = isNew ? e : null;
         }
         p.wentHome = true;
@@ -451,7 +451,7 @@
         if (p.isKeyed()) {
             RepeatLedger.Entry before = ledger.find(nowMs, p.key());
             RepeatLedger.Entry e = ledger.note(nowMs, p.key(), g.hall, before == null ? nowMs : before.firstMs(),
-                    p.service().repeatWindowMs());
+                    p.service().deduplicationWindowMs());
             if (e == null) {
                 return null;
             }
--- a/core/src/main/java/ridgemill/watch/Callers.java
+++ b/core/src/main/java/ridgemill/monitoring/BoundedConnections.java
@@ -1,4 +1,4 @@
-package ridgemill.watch;
+package ridgemill.monitoring;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -9,25 +9,25 @@
  *
  * @param <T> a caller
  */
-public final class Callers<T> {
+public final class BoundedConnections<T> {
 
     private final Deque<T> there = new ArrayDeque<>();
     private final int most;
 
     /** So many at most, at least 1. */
-    public Callers(int most) {
+    public BoundedConnections(int most) {
         this.most = most;
     }
 
     /** Takes one in; returns who goes for it, or null. */
-    public T come(T caller) {
+    public T add(T caller) {
         T goes = there.size() >= most ? there.pollFirst() : null;
         there.addLast(caller);
         return goes;
     }
 
     /** One has gone. */
-    public void gone(T caller) {
+    public void remove(T caller) {
         there.remove(caller);
     }
 
--- a/core/src/main/java/ridgemill/watch/Figures.java
+++ b/core/src/main/java/ridgemill/monitoring/ProxyMetrics.java
@@ -1,4 +1,4 @@
-package ridgemill.watch;
+package ridgemill.monitoring;
 
 import java.util.Collection;
 import java.util.Map;
@@ -10,17 +10,17 @@
 /**
  * What operators read of a proxy, counted since its start.
  *
- * @param passed requests served, by class
- * @param dropped requests refused, by class
+ * @param served requests served, by class
+ * @param refused requests refused, by class
  * @param failed requests that failed, by class
- * @param tries attempts whose last byte was written to a node
+ * @param sentAttempts attempts whose last byte was written to a node
  * @param inProgress requests that were taken and have no final answer yet
  * @param knownNodes cache nodes that the list names
- * @param skippedNodes those of them that get nothing now
- * @param more counts of what is on beside all this, by the names that operators know
+ * @param excludedNodes those of them that get nothing now
+ * @param extraCounts counts of what is on beside all this, by the names that operators know
  */
-public record Figures(Map<String, Long> passed, Map<String, Long> dropped, Map<String, Long> failed, long tries,
-                      int inProgress, int knownNodes, int skippedNodes, Map<String, Long> more) {
+public record ProxyMetrics(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed, long sentAttempts,
+                      int inProgress, int knownNodes, int excludedNodes, Map<String, Long> extraCounts) {
 
     /**
      * Reads them off.
@@ -30,9 +30,9 @@
      * @param avoided whether the decisions avoid one
      * @param more counts of what is on beside
      */
-    public static Figures of(Tally tally, Collection<String> classes, int inProgress, Collection<String> nodes,
+    public static ProxyMetrics of(Tally tally, Collection<String> classes, int inProgress, Collection<String> nodes,
                              Predicate<String> avoided, Map<String, Long> more) {
-        return new Figures(by(tally, classes, End.SERVED), by(tally, classes, End.REFUSED), by(tally, classes, End.FAILED),
+        return new ProxyMetrics(by(tally, classes, End.SERVED), by(tally, classes, End.REFUSED), by(tally, classes, End.FAILED),
                 tally.written(), inProgress, nodes.size(), (int) nodes.stream().filter(avoided).count(), more);
     }
 
--- a/core/src/main/java/ridgemill/watch/Readiness.java
+++ b/core/src/main/java/ridgemill/monitoring/Readiness.java
@@ -1,4 +1,4 @@
-package ridgemill.watch;
+package ridgemill.monitoring;
 
 /** Where a process stands between its start and its end. It never goes back. */
 public enum Readiness {
@@ -28,12 +28,12 @@
     }
 
     /** What an operator reads. */
-    public String words() {
+    public String description() {
         return words;
     }
 
     /** The later one of two: news of an earlier step that comes late changes nothing. */
-    public Readiness then(Readiness next) {
+    public Readiness advanceTo(Readiness next) {
         return next.ordinal() > ordinal() ? next : this;
     }
 }
--- a/core/src/main/java/ridgemill/watch/package-info.java
+++ b/core/src/main/java/ridgemill/monitoring/package-info.java
@@ -1,2 +1,2 @@
 /** What a proxy says of itself to those who run it: whether it serves, and its figures. Free of I/O, clocks and threads. */
-package ridgemill.watch;
+package ridgemill.monitoring;
--- a/core/src/main/java/ridgemill/policy/AdmissionLevel.java
+++ b/core/src/main/java/ridgemill/policy/AdmissionLevel.java
@@ -39,7 +39,7 @@
     private int good, bad, broken, spans, learned;
 
     /** What outlives a restart: level, base, its smoothed rate a second, and intervals learned from. */
-    public record Snapshot(int level, double base, double rate, int learned) { }
+    public record Snapshot(int level, double baselinePerSecond, double smoothedPerSecond, int learnedIntervals) { }
 
     /** The level; 0 is unthrottled. */
     public int level() {
@@ -54,19 +54,19 @@
     /** Goes on where another life of this process was. */
     public void restore(Snapshot kept) {
         level = Math.max(0, Math.min(kept.level, LADDER.length));
-        base = Math.max(floor, kept.base);
-        rate = kept.rate;
-        learned = kept.learned;
+        base = Math.max(floor, kept.baselinePerSecond);
+        rate = kept.smoothedPerSecond;
+        learned = kept.learnedIntervals;
     }
 
     /** Counts an outcome of one of our own fetches. */
-    public void count(boolean wasGood) {
+    public void recordFetch(boolean wasGood) {
         good += wasGood ? 1 : 0;
         bad += wasGood ? 0 : 1;
     }
 
     /** Counts a fetch whose connection broke, to be judged before the next step. */
-    public void countBroken() {
+    public void recordBrokenFetch() {
         broken++;
     }
 
@@ -76,14 +76,14 @@
      * origin's load, while an origin that cuts off what it can't take must still be throttled. Could
      * harm where origin and caches are overrun alike: late answers and time-outs alone then throttle.
      */
-    public void judgeBroken(double usualBreaks) {
+    public void classifyBrokenFetches(double usualBreaks) {
         double expected = usualBreaks * (good + bad + broken);
         bad += (int) Math.ceil(Math.max(0, broken - expected - CHANCE * Math.sqrt(expected)));
         broken = 0;
     }
 
     /** Ends an interval of so many milliseconds in which the bank refused so many. */
-    public void step(double intervalMs, int refusals) {
+    public void endInterval(double intervalMs, int refusals) {
         int all = good + bad;
         if (level == 0) {
             double perS = good * 1000 / intervalMs;
@@ -109,7 +109,7 @@
     }
 
     /** How many fetches a second the level allows; infinite at level 0. */
-    public double rate() {
+    public double allowedPerSecond() {
         return level == 0 ? Double.POSITIVE_INFINITY : base * LADDER[level - 1];
     }
 }
--- a/core/src/main/java/ridgemill/policy/Decide.java
+++ b/core/src/main/java/ridgemill/policy/BalancingRouter.java
@@ -11,14 +11,14 @@
 
 /**
  * Every decision of ridgemill; its events, actions and types stand in Router.java beside this file, the
- * level, the bank and the hashing in AdmissionLevel.java, TokenBank.java and Rendezvous.java.
+ * level, the bank and the hashing in AdmissionLevel.java, PriorityTokenBucket.java and RendezvousHash.java.
  *
  * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it draws a
  * token and fetches from the origin. A write draws on arrival. One hysteresis level, stepped once an interval
  * from the outcomes of our own fetches, sets how fast the token bank refills; an empty bank refuses at once
  * and its last token is kept for higher worth. Everything else below is health, time and the rules.
  */
-public final class Decide implements Router {
+public final class BalancingRouter implements Router {
 
     /** Length of a control interval: long enough for a sample, short against an overload of seconds. */
     static final double INTERVAL_MS = 1000;
@@ -123,7 +123,7 @@
     private final Map<String, Held> requests = new LinkedHashMap<>();
     private final Map<Long, Double> missing = new LinkedHashMap<>();
     private final AdmissionLevel control = new AdmissionLevel();
-    private final TokenBank bank = new TokenBank(TokenBank.FEW);
+    private final PriorityTokenBucket bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
     private final double guardMs;
     private final double shortestAim;
     private final ServiceClass unknown;
@@ -158,74 +158,74 @@
     private boolean subscribed;
     private int seen, refusedCalls;
 
-    public Decide(Settings settings, long seed) {
+    public BalancingRouter(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        Connections c = settings.connections();
-        this.closesIdle = c.heldPrice() * settings.proxies() > c.openingPrice() * PRICED_TABLE;
-        this.peers = settings.limits().peers() && settings.proxies() > 1;
+        ConnectionCosts c = settings.connectionCosts();
+        this.closesIdle = c.holdingCost() * settings.proxyCount() > c.openingCost() * PRICED_TABLE;
+        this.peers = settings.limits().peerMessagesAllowed() && settings.proxyCount() > 1;
         this.news = ByteBuffer.allocate((peers ? KEYS_TOLD : 1) * Integer.BYTES);
         this.lately = new int[peers ? LATELY_TOLD : LATELY];
         this.hasOrigin = settings.originModel() != null;
         this.guardMs = 2 * settings.tickMs();
-        this.shortestAim = settings.classes().stream().mapToDouble(ServiceClass::aimMs).min().orElse(1);
+        this.shortestAim = settings.classes().stream().mapToDouble(ServiceClass::targetLatencyMs).min().orElse(1);
         this.urgency = 1 / Math.max(1, shortestAim);
         double soonest = settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
         // A class that the settings do not name is taken to be worth little and never safe to repeat.
-        this.unknown = new ServiceClass("", soonest, 0, soonest, 0, 0, Effect.UNSAFE, Group.ALL, 0, false);
+        this.unknown = new ServiceClass("", soonest, 0, soonest, 0, 0, Effect.UNSAFE, DeduplicationScope.ALL, 0, false);
         settings.classes().forEach(s -> classes.put(s.name(), s));
-        int proxies = Math.max(1, settings.proxies());
+        int proxies = Math.max(1, settings.proxyCount());
         settings.tenants().forEach(t -> quotas.put(t.name(), t.quotaPerS() / proxies));
     }
 
     @Override
-    public int level() {
+    public int admissionLevel() {
         return control.level();
     }
 
     @Override
-    public boolean avoids(double now, String node) {
+    public boolean isExcluded(double now, String node) {
         NodeView n = nodes.get(node);
         return n == null || !n.listed || now < n.sparedUntil;
     }
 
     @Override
-    public List<String> listed() {
+    public List<String> listedNodes() {
         return nodes.values().stream().filter(n -> n.listed).map(n -> n.entry.id()).toList();
     }
 
     @Override
-    public List<String> gone(double now) {
+    public List<String> unreachableNodes(double now) {
         return nodes.values().stream().filter(n -> n.listed && n.gone && now < n.sparedUntil)
                 .map(n -> n.entry.id()).toList();
     }
 
     @Override
-    public void classes(double now, List<ServiceClass> next) {
+    public void onClassesChanged(double now, List<ServiceClass> next) {
         classes.clear();
         next.forEach(s -> classes.put(s.name(), s));
     }
 
     @Override
-    public void started(double now, Actions out) {
+    public void onStart(double now, Actions out) {
         intervalEnd = now + INTERVAL_MS;
-        out.timer(intervalEnd, "step");
+        out.setTimer(intervalEnd, "step");
         if (settings.mustSubscribe()) {
-            out.timer(now + random.nextDouble() * INTERVAL_MS, "subscribe");
+            out.setTimer(now + random.nextDouble() * INTERVAL_MS, "subscribe");
         }
     }
 
     @Override
-    public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) {
-        if (kind == ListKind.REFUSED) {
+    public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) {
+        if (kind == ListUpdateKind.REFUSED) {
             subscribed = false;
             refusedCalls++;
             double wait = INTERVAL_MS * Math.min(8, 1 << Math.min(3, refusedCalls));
-            out.timer(now + wait * (0.5 + random.nextDouble()), "subscribe");
+            out.setTimer(now + wait * (0.5 + random.nextDouble()), "subscribe");
             return;
         }
-        refusedCalls = kind == ListKind.REMEMBERED ? refusedCalls : 0;
-        if (kind != ListKind.CHANGES) {
+        refusedCalls = kind == ListUpdateKind.REMEMBERED ? refusedCalls : 0;
+        if (kind != ListUpdateKind.CHANGES) {
             nodes.values().forEach(n -> n.listed = false);
         }
         for (Node entry : entries) {
@@ -235,16 +235,16 @@
     }
 
     @Override
-    public void request(double now, Request in, Actions out) {
-        Held r = new Held(in, classes.getOrDefault(in.service(), unknown), now, guardMs);
+    public void onRequest(double now, Request in, Actions out) {
+        Held r = new Held(in, classes.getOrDefault(in.serviceClass(), unknown), now, guardMs);
         requests.put(in.id(), r);
         heat(r, out);
         asked.add(now, 1);
         r.worth = worth(now, in, r.service);
         meanWorth = meanWorth == 0 ? r.worth : meanWorth + SMOOTH / 10 * (r.worth - meanWorth);
         r.low = r.worth < meanWorth;
-        urgency += SMOOTH / 10 * (1 / Math.max(1, r.service.aimMs()) - urgency);
-        out.timer(r.guard, "r" + in.id());
+        urgency += SMOOTH / 10 * (1 / Math.max(1, r.service.targetLatencyMs()) - urgency);
+        out.setTimer(r.guard, "r" + in.id());
         if (!hasTime(now, r)) {
             // A try may come with no time left at all: a timer would answer it too late.
             end(now, r, out, Reason.OUT_OF_TIME);
@@ -254,7 +254,7 @@
             return;
         } else if (in.write() && hasOrigin) {
             fetch(now, r, out);
-        } else if (r.draw > goOn || in.write() && !bank.draw(now, r.low)) {
+        } else if (r.draw > goOn || in.write() && !bank.tryAcquire(now, r.low)) {
             end(now, r, out, r.draw > goOn ? Reason.FLEET_SILENT : Reason.NO_TOKEN);
         } else {
             lookUp(now, r, out);
@@ -262,7 +262,7 @@
     }
 
     @Override
-    public void streamStarted(double now, String request, int attempt, String node, Actions out) {
+    public void onStreamStarted(double now, String request, int attempt, String node, Actions out) {
         Held r = requests.get(request);
         NodeView at = nodes.get(node);
         if (r == null || r.streaming) {
@@ -274,10 +274,10 @@
         r.fetches = false;
         if (at != null) {
             double elapsed = now - r.sentAt;
-            at.ended(now, new AttemptEnd(request, attempt, node, Outcome.OK, elapsed, false, 0,
+            at.ended(now, new AttemptResult(request, attempt, node, Outcome.OK, elapsed, false, 0,
                     Map.of()), caches);
-            if (at.isOrigin() && !r.overdue && !r.in.open()) {
-                control.count(elapsed <= r.service.aimMs());
+            if (at.isOrigin() && !r.overdue && !r.in.uploading()) {
+                control.recordFetch(elapsed <= r.service.targetLatencyMs());
             } else if (!at.isOrigin()) {
                 cacheAnswers.add(now, 1);
             }
@@ -286,7 +286,7 @@
     }
 
     @Override
-    public void attemptEnded(double now, AttemptEnd end, Actions out) {
+    public void onAttemptEnded(double now, AttemptResult end, Actions out) {
         Held r = requests.get(end.request());
         if (r != null && r.streaming) {
             requests.remove(r.in.id());
@@ -297,7 +297,7 @@
         if (node != null) {
             node.ended(now, end, caches);
             if (closesIdle && node.inFlight == 0) {
-                out.close(end.node());
+                out.closeIdleConnections(end.node());
             }
             boolean answered = switch (end.outcome()) {
                 case OK, MISS, ERROR -> true;
@@ -310,13 +310,13 @@
                 cacheSends.add(now, -1);
             }
         }
-        if (fetched || !hasOrigin && end.note() > 1) {
-            double aim = r == null ? INTERVAL_MS : r.service.aimMs();
+        if (fetched || !hasOrigin && end.cacheStatus() > 1) {
+            double aim = r == null ? INTERVAL_MS : r.service.targetLatencyMs();
             boolean called = end.outcome() == Outcome.CANCELLED || neverThere(end.outcome());
             if (!called && (r == null || !r.overdue) && broke(end.outcome())) {
-                control.countBroken();
+                control.recordBrokenFetch();
             } else if (!called && (r == null || !r.overdue)) {
-                control.count(end.outcome() == Outcome.OK && end.elapsedMs() <= aim);
+                control.recordFetch(end.outcome() == Outcome.OK && end.elapsedMs() <= aim);
             }
         }
         if (r == null) {
@@ -327,7 +327,7 @@
         r.failed += end.outcome() == Outcome.OK || end.outcome() == Outcome.MISS ? 0 : 1;
         List<Held> waiting = fetched && r.fetches ? fetching.remove(r.in.key()) : null;
         r.fetches = false;
-        if (end.finished()) {
+        if (end.requestFinished()) {
             requests.remove(r.in.id());
         } else if (fetched) {
             afterFetch(now, r, end.outcome(), out);
@@ -341,7 +341,7 @@
     }
 
     @Override
-    public void clientGone(double now, String request, Actions out) {
+    public void onClientDisconnected(double now, String request, Actions out) {
         Held r = requests.get(request);
         if (r == null || r.out && r.fetches && isAwaited(r)) {
             // Others wait for what it fetches: a new fetch for them would cost the origin the same once more.
@@ -364,10 +364,10 @@
     }
 
     @Override
-    public void timer(double now, String token, Actions out) {
+    public void onTimer(double now, String token, Actions out) {
         if (token.equals("step")) {
             step(now);
-            out.timer(intervalEnd, "step");
+            out.setTimer(intervalEnd, "step");
         } else if (token.equals("room")) {
             recallRoom(now, out);
         } else if (token.equals("subscribe")) {
@@ -389,7 +389,7 @@
     }
 
     @Override
-    public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+    public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                        Actions out) {
         NodeView n = nodes.get(node);
         if (n != null) {
@@ -398,7 +398,7 @@
     }
 
     @Override
-    public void peerMessage(double now, int from, byte[] contents, Actions out) {
+    public void onPeerMessage(double now, int from, byte[] contents, Actions out) {
         learn(ByteBuffer.wrap(contents));
     }
 
@@ -419,15 +419,15 @@
         if (node != null) {
             double left = r.guard - now;
             boolean more = r.attempts + 2 < settings.limits().maxAttempts() && r.in.key() >= 0;
-            double first = node.loses(r.service.aimMs()) && !r.hurried
-                    ? Math.min(SOONEST * r.service.aimMs(), left * FIRST_TRY) : left * FIRST_TRY;
+            double first = node.loses(r.service.targetLatencyMs()) && !r.hurried
+                    ? Math.min(SOONEST * r.service.targetLatencyMs(), left * FIRST_TRY) : left * FIRST_TRY;
             r.hurried = true;
             send(now, r, node, more ? first : left, out);
         } else if (!r.missed.isEmpty() && hasOrigin) {
             fetch(now, r, out);
         } else if (r.crowded && now < r.patience) {
             if (room.isEmpty()) {
-                out.timer(now + guardMs, "room");
+                out.setTimer(now + guardMs, "room");
             }
             room.add(r);
         } else {
@@ -498,7 +498,7 @@
     }
 
     private boolean draw(double now, Held r) {
-        r.hasToken = r.hasToken || control.level() == 0 || bank.draw(now, r.low);
+        r.hasToken = r.hasToken || control.level() == 0 || bank.tryAcquire(now, r.low);
         return r.hasToken;
     }
 
@@ -516,7 +516,7 @@
         if (outcome == Outcome.NO_PLACE && !r.in.write() && r.fetchTries++ == 0 && mayRepeat(now, r)
                 && now + PLACE_MS + guardMs < r.guard) {
             r.refetches = true;
-            out.timer(now + PLACE_MS, "w" + r.in.id());
+            out.setTimer(now + PLACE_MS, "w" + r.in.id());
             return;
         }
         boolean again = outcome != Outcome.OK && outcome != Outcome.TIMEOUT
@@ -532,14 +532,14 @@
 
     /** Repeats after the wait of its class; one whose time ends before that has its final answer now. */
     private void again(double now, Held r, boolean fetches, Actions out) {
-        double wait = r.service.retry().waitMs(r.failed);
+        double wait = r.service.retry().backoffMs(r.failed);
         r.refetches = fetches;
         if (wait <= 0) {
             repeat(now, r, out);
-        } else if (now + wait + Math.max(guardMs, out.leastMs(r.in.id())) >= r.guard) {
+        } else if (now + wait + Math.max(guardMs, out.minAnswerMs(r.in.id())) >= r.guard) {
             end(now, r, out, Reason.OUT_OF_TIME);
         } else {
-            out.timer(now + wait, "w" + r.in.id());
+            out.setTimer(now + wait, "w" + r.in.id());
         }
     }
 
@@ -589,9 +589,9 @@
         double secondScore = 0;
         // A draw below this can't reach the second score with a usual share: it needs no logarithm.
         double least = 0;
-        long key = Rendezvous.mix(r.place);
+        long key = RendezvousHash.mix(r.place);
         for (NodeView n : caches) {
-            double draw = Rendezvous.unit(n.hash ^ key);
+            double draw = RendezvousHash.unitInterval(n.hash ^ key);
             if (draw < least && n.share(now) <= 1 || !n.usable(now)) {
                 continue;
             }
@@ -623,7 +623,7 @@
      * again by luck: it costs a miss for each pair.
      */
     private void heat(Held r, Actions out) {
-        int key = (int) Rendezvous.mix(r.in.key());
+        int key = (int) RendezvousHash.mix(r.in.key());
         int known = Math.min(seen, lately.length);
         int same = 0;
         for (int i = 0; i < known; i++) {
@@ -633,8 +633,8 @@
         if (!peers) {
             learn(news);
         } else if (!news.hasRemaining()) {
-            if (random.nextDouble() * settings.proxies() < HEARD_BY) {
-                out.tell(news.array());
+            if (random.nextDouble() * settings.proxyCount() < HEARD_BY) {
+                out.broadcast(news.array());
                 learn(news);
             }
             news.clear();
@@ -642,10 +642,10 @@
         r.heat = Math.max(same, UNSEEN) / Math.max(known, 1);
         if (same > 0 && r.in.key() >= 0) {
             double share = same / Math.max(known, LATELY / 2.0);
-            double most = HOT_SPREAD * Math.min(caches.size(), settings.proxies());
+            double most = HOT_SPREAD * Math.min(caches.size(), settings.proxyCount());
             r.variants = 1 + (int) Math.min(caches.size() / 2.0, share * most);
-            int variant = (int) (Rendezvous.unit(r.place ^ Double.doubleToLongBits(r.draw)) * r.variants);
-            r.place = variant == 0 ? r.place : Rendezvous.mix(r.place + variant);
+            int variant = (int) (RendezvousHash.unitInterval(r.place ^ Double.doubleToLongBits(r.draw)) * r.variants);
+            r.place = variant == 0 ? r.place : RendezvousHash.mix(r.place + variant);
         }
     }
 
@@ -666,21 +666,21 @@
         if (!node.isOrigin()) {
             cacheSends.add(now, 1);
         }
-        out.send(r.in.id(), node.entry.id(), Math.max(1, r.service.retry().bounded(timeoutMs)));
+        out.send(r.in.id(), node.entry.id(), Math.max(1, r.service.retry().boundTimeout(timeoutMs)));
     }
 
     /** The one final answer that we give: a refusal where it is a true promise, else a failure. */
     private void end(double now, Held r, Actions out, Reason why) {
-        out.because(r.in.id(), why);
+        out.reportReason(r.in.id(), why);
         requests.remove(r.in.id());
         letGo(now, r, out);
         boolean harmless = switch (r.service.effect()) {
             case SAFE -> true;
-            case KEYED -> r.proven && !r.out || r.service.group() == Group.ALL;
+            case KEYED -> r.proven && !r.out || r.service.deduplicationScope() == DeduplicationScope.ALL;
             case UNSAFE -> r.proven && !r.out;
         };
         if (harmless) {
-            boolean free = control.level() == 0 || !settings.limits().retryAfter();
+            boolean free = control.level() == 0 || !settings.limits().retryAfterAllowed();
             double wait = free ? 0 : 1000 / bank.ratePerS();
             out.refuse(r.in.id(), Math.min(wait, settings.limits().maxRetryAfterMs()));
         } else {
@@ -690,7 +690,7 @@
 
     /** Stops what is still out for a request that is over, and lets others fetch its key. */
     private void letGo(double now, Held r, Actions out) {
-        if (r.out && settings.limits().cancel()) {
+        if (r.out && settings.limits().cancelAllowed()) {
             out.cancel(r.in.id(), r.attempts - 1);
         }
         if (r.fetches) {
@@ -700,12 +700,12 @@
     }
 
     private boolean mayRepeat(double now, Held r) {
-        boolean can = hasTime(now, r) && !r.in.open();
-        return can && r.service.retry().allows(r.failed) && switch (r.service.effect()) {
+        boolean can = hasTime(now, r) && !r.in.uploading();
+        return can && r.service.retry().allowsAnother(r.failed) && switch (r.service.effect()) {
             case SAFE -> true;
             case UNSAFE -> r.proven;
-            case KEYED -> r.proven || r.service.group() == Group.ALL
-                    && now - r.firstSent < r.service.repeatWindowMs() - guardMs;
+            case KEYED -> r.proven || r.service.deduplicationScope() == DeduplicationScope.ALL
+                    && now - r.firstSent < r.service.deduplicationWindowMs() - guardMs;
         };
     }
 
@@ -718,12 +718,12 @@
             return;
         }
         countOverdue(now);
-        control.floor = AdmissionLevel.BASE_FLOOR * Math.min(1, caches.size() / (double) settings.proxies());
+        control.floor = AdmissionLevel.BASE_FLOOR * Math.min(1, caches.size() / (double) settings.proxyCount());
         double[] broken = caches.stream().mapToDouble(n -> n.broken).sorted().toArray();
         usualBreaks = broken.length == 0 ? 0 : broken[(broken.length - 1) / 2];
-        control.judgeBroken(usualBreaks);
-        control.step(INTERVAL_MS, bank.refusals());
-        bank.rate(now, control.rate());
+        control.classifyBrokenFetches(usualBreaks);
+        control.endInterval(INTERVAL_MS, bank.refusals());
+        bank.setRate(now, control.allowedPerSecond());
         weighModels();
         double answered = cacheAnswers.perS(now) + TRIAL_PER_S;
         // Young attempts tell nothing yet; a balancer with few requests would refuse on their account.
@@ -741,10 +741,10 @@
      */
     private void countOverdue(double now) {
         for (Held r : requests.values()) {
-            if (r.out && !r.overdue && !r.streaming && !r.in.open()
-                    && r.at == origin && now - r.sentAt > r.service.aimMs()) {
+            if (r.out && !r.overdue && !r.streaming && !r.in.uploading()
+                    && r.at == origin && now - r.sentAt > r.service.targetLatencyMs()) {
                 r.overdue = true;
-                control.count(false);
+                control.recordFetch(false);
             }
         }
     }
@@ -755,7 +755,7 @@
      * models from being crowded while fast ones idle; could harm where a model is slow for a short while.
      */
     private void weighModels() {
-        if (settings.weights() == Weights.SIZE) {
+        if (settings.weightMode() == WeightMode.SIZE) {
             return;
         }
         Map<String, double[]> models = new LinkedHashMap<>();
@@ -774,13 +774,13 @@
 
     /** Class gain, by work where value is, cut for what a tenant sends beyond its quota. */
     private double worth(double now, Request in, ServiceClass service) {
-        double worth = service.gain();
-        worth *= settings.worthByWork() && in.workMs() > 0 ? in.workMs() : 1;
+        double worth = service.value();
+        worth *= settings.valueByWork() && in.workMs() > 0 ? in.workMs() : 1;
         Double quota = quotas.get(in.tenant());
         if (quota != null) {
             Meter meter = tenants.computeIfAbsent(in.tenant(), t -> new Meter());
             meter.add(now, 1);
-            worth *= meter.perS(now) > quota ? settings.overShareWorth() : 1;
+            worth *= meter.perS(now) > quota ? settings.overQuotaFactor() : 1;
         }
         return worth;
     }
@@ -799,7 +799,7 @@
         }
         list.sort(Comparator.comparing(n -> n.entry.id()));
         caches = list;
-        if (settings.weights() == Weights.SIZE) {
+        if (settings.weightMode() == WeightMode.SIZE) {
             takeSizes();
         }
     }
@@ -842,15 +842,15 @@
         Held(Request in, ServiceClass service, double now, double guardMs) {
             this.in = in;
             this.service = service;
-            double budget = in.open() ? OPEN_MS : in.budgetMs() >= 0 ? in.budgetMs() : service.deadlineMs();
-            this.draw = Rendezvous.unit(Rendezvous.hashText(in.id()));
-            this.place = in.key() >= 0 ? in.key() : Rendezvous.hashText(in.id());
+            double budget = in.uploading() ? OPEN_MS : in.budgetMs() >= 0 ? in.budgetMs() : service.deadlineMs();
+            this.draw = RendezvousHash.unitInterval(RendezvousHash.hashText(in.id()));
+            this.place = in.key() >= 0 ? in.key() : RendezvousHash.hashText(in.id());
             this.guard = now + Math.max(0, budget - guardMs);
-            this.patience = now + PATIENCE * Math.min(service.aimMs(), budget);
+            this.patience = now + PATIENCE * Math.min(service.targetLatencyMs(), budget);
         }
 
         boolean young(double now) {
-            return out && !at.isOrigin() && 2 * (now - sentAt) < service.aimMs();
+            return out && !at.isOrigin() && 2 * (now - sentAt) < service.targetLatencyMs();
         }
     }
 
@@ -895,7 +895,7 @@
 
         NodeView(Node entry) {
             this.entry = entry;
-            this.hash = Rendezvous.mix(Rendezvous.hashText(entry.id()));
+            this.hash = RendezvousHash.mix(RendezvousHash.hashText(entry.id()));
             this.eachMs = FIRST_GUESS * shortestAim;
         }
 
@@ -933,17 +933,17 @@
         }
 
         private double places() {
-            double p = Math.max(1, settings.proxies());
+            double p = Math.max(1, settings.proxyCount());
             return CROWD / urgency / Math.max(1, eachMs) / Math.pow(p, OTHERS);
         }
 
         double share(double now) {
             double age = now - coldSince;
-            double coldMs = settings.rules().coldMs();
+            double coldMs = settings.rules().warmUpMs();
             if (age >= coldMs) {
                 return weight;
             }
-            double from = settings.rules().coldFrom();
+            double from = settings.rules().coldStartShare();
             return weight * (from + (1 - from) * Math.max(0, age) / coldMs);
         }
 
@@ -956,14 +956,14 @@
          * be hot; fewer of those known, less of it goes here. Could harm where keys look hot by luck.
          */
         boolean admits(double now, Held r) {
-            if (now - coldSince >= settings.rules().coldMs()) {
+            if (now - coldSince >= settings.rules().warmUpMs()) {
                 return true;
             }
             double due = share(now) / totalShare * r.variants;
             return r.draw < coldChance * Math.min(1, due / r.heat);
         }
 
-        void ended(double now, AttemptEnd end, List<NodeView> peers) {
+        void ended(double now, AttemptResult end, List<NodeView> peers) {
             inFlight = Math.max(0, inFlight - 1);
             lastEnd = now;
             gone = broke(end.outcome());
--- a/core/src/main/java/ridgemill/policy/TokenBank.java
+++ b/core/src/main/java/ridgemill/policy/PriorityTokenBucket.java
@@ -1,10 +1,10 @@
 package ridgemill.policy;
 
 /** Refills evenly, holds a few tokens, refuses at once and keeps its last token for higher worth. */
-public final class TokenBank {
+public final class PriorityTokenBucket {
 
     /** Tokens the bank holds: a few, so that a pause buys no burst. */
-    public static final double FEW = 4;
+    public static final double DEFAULT_CAPACITY = 4;
 
     double tokens;
     private final double capacity;
@@ -13,13 +13,13 @@
     private int refusals;
 
     /** A full bank that holds so many tokens and is unthrottled. */
-    public TokenBank(double capacity) {
+    public PriorityTokenBucket(double capacity) {
         this.capacity = capacity;
         this.tokens = capacity;
     }
 
     /** Refills at so many tokens a second from now on, and counts refusals anew. */
-    public void rate(double now, double perS) {
+    public void setRate(double now, double perS) {
         fill(now);
         ratePerS = perS;
         refusals = 0;
@@ -36,7 +36,7 @@
     }
 
     /** Takes a token; low worth only while more than one is there. */
-    public boolean draw(double now, boolean low) {
+    public boolean tryAcquire(double now, boolean low) {
         fill(now);
         if (tokens < (low ? 2 : 1)) {
             refusals++;
--- a/core/src/main/java/ridgemill/policy/Reason.java
+++ b/core/src/main/java/ridgemill/policy/Reason.java
@@ -49,12 +49,12 @@
     }
 
     /** The stable name. */
-    public String word() {
+    public String code() {
         return word;
     }
 
     /** What it means, for people. */
-    public String text() {
+    public String description() {
         return text;
     }
 }
--- a/core/src/main/java/ridgemill/policy/Rendezvous.java
+++ b/core/src/main/java/ridgemill/policy/RendezvousHash.java
@@ -1,9 +1,9 @@
 package ridgemill.policy;
 
 /** The hashing by which a key and a node meet: every process computes the same draw for the same pair. */
-public final class Rendezvous {
+public final class RendezvousHash {
 
-    private Rendezvous() { }
+    private RendezvousHash() { }
 
     /** A hash of a text. */
     public static long hashText(String text) {
@@ -15,7 +15,7 @@
     }
 
     /** A number in (0, 1] that depends on {@code z} alone. */
-    public static double unit(long z) {
+    public static double unitInterval(long z) {
         return ((mix(z) >>> 11) + 1) * 0x1.0p-53;
     }
 
--- a/core/src/main/java/ridgemill/policy/Router.java
+++ b/core/src/main/java/ridgemill/policy/Router.java
@@ -21,13 +21,13 @@
     }
 
     /** Which nodes discard each other's repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum DeduplicationScope { ALL, ZONE, CELL }
 
     /** What the server list says of a node. */
     enum Availability { UP, DRAINING, GONE }
 
     /** What a delivery of the server list holds. */
-    enum ListKind {
+    enum ListUpdateKind {
         /** Only entries that changed. */
         CHANGES,
         /** Every node; one that is not named is gone. */
@@ -39,7 +39,7 @@
     }
 
     /** How a node's weight is meant. */
-    enum Weights { NONE, SIZE, LIVE }
+    enum WeightMode { NONE, SIZE, LIVE }
 
     /**
      * How an attempt ended. {@code NO_PLACE} is a rejection on a connection that was opened for the attempt: as a rule the
@@ -62,15 +62,15 @@
     }
 
     /** A request class: its aim, the time its clients wait, its worth and what repeating it does. */
-    record ServiceClass(String name, double aimMs, double aimStretch, double deadlineMs, double gain,
-                        double lateShare, Effect effect, Group group, double repeatWindowMs, boolean stream,
-                        Retry retry) {
+    record ServiceClass(String name, double targetLatencyMs, double targetStretch, double deadlineMs, double value,
+                        double lateValueShare, Effect effect, DeduplicationScope deduplicationScope, double deduplicationWindowMs, boolean streaming,
+                        RetryPolicy retry) {
 
         /** A class whose attempts the platform's settings alone bound. */
         public ServiceClass(String name, double aimMs, double aimStretch, double deadlineMs, double gain,
-                            double lateShare, Effect effect, Group group, double repeatWindowMs, boolean stream) {
+                            double lateShare, Effect effect, DeduplicationScope group, double repeatWindowMs, boolean stream) {
             this(name, aimMs, aimStretch, deadlineMs, gain, lateShare, effect, group, repeatWindowMs, stream,
-                    Retry.PLATFORM);
+                    RetryPolicy.PLATFORM_DEFAULT);
         }
     }
 
@@ -79,24 +79,24 @@
      * given up, 0 for no bound; and how long to wait before the next, which grows by the factor up to the bound. A miss
      * is no failure, and the fetch that follows it waits for nothing.
      */
-    record Retry(int attempts, double attemptMs, double firstWaitMs, double waitFactor, double mostWaitMs) {
+    record RetryPolicy(int maxAttempts, double attemptTimeoutMs, double initialBackoffMs, double backoffFactor, double maxBackoffMs) {
 
         /** No bounds beside the platform's. */
-        public static final Retry PLATFORM = new Retry(0, 0, 0, 1, 0);
+        public static final RetryPolicy PLATFORM_DEFAULT = new RetryPolicy(0, 0, 0, 1, 0);
 
         /** Whether another attempt may follow so many that failed. */
-        public boolean allows(int failed) {
-            return attempts == 0 || failed < attempts;
+        public boolean allowsAnother(int failed) {
+            return maxAttempts == 0 || failed < maxAttempts;
         }
 
         /** The wait after so many attempts that failed. */
-        public double waitMs(int failed) {
-            return Math.min(mostWaitMs, firstWaitMs * Math.pow(waitFactor, failed - 1.0));
+        public double backoffMs(int failed) {
+            return Math.min(maxBackoffMs, initialBackoffMs * Math.pow(backoffFactor, failed - 1.0));
         }
 
         /** The time of one attempt that would have so much else. */
-        public double bounded(double timeoutMs) {
-            return attemptMs > 0 ? Math.min(attemptMs, timeoutMs) : timeoutMs;
+        public double boundTimeout(double timeoutMs) {
+            return attemptTimeoutMs > 0 ? Math.min(attemptTimeoutMs, timeoutMs) : timeoutMs;
         }
     }
 
@@ -104,35 +104,35 @@
     record Tenant(String name, double quotaPerS) { }
 
     /** What the site permits. */
-    record Limits(int maxAttempts, boolean cancel, boolean probes, boolean peers, boolean retryAfter,
-                  double maxRetryAfterMs, boolean secondCopies, double connectTimeoutMs) { }
+    record PlatformLimits(int maxAttempts, boolean cancelAllowed, boolean probesAllowed, boolean peerMessagesAllowed, boolean retryAfterAllowed,
+                  double maxRetryAfterMs, boolean hedgingAllowed, double connectTimeoutMs) { }
 
     /** The figures behind the rules. */
-    record Rules(double drainGraceMs, double coldFrom, double coldMs, double fallMultiple, double fallMs,
-                 double answerSlackMs, double askWithinMs) { }
+    record PlatformRules(double drainGraceMs, double coldStartShare, double warmUpMs, double overloadMultiple, double overloadWindowMs,
+                 double answerSlackMs, double subscribeWithinMs) { }
 
     /**
      * Connections: after how long idle ones close by themselves, the price of 100 open ones a node all day,
      * and the price of opening one for every request.
      */
-    record Connections(double idleMs, double heldPrice, double openingPrice) {
+    record ConnectionCosts(double idleTimeoutMs, double holdingCost, double openingCost) {
 
         /** Idle ones stay and none has a price. */
-        public static final Connections FREE = new Connections(Double.POSITIVE_INFINITY, 0, 0);
+        public static final ConnectionCosts FREE = new ConnectionCosts(Double.POSITIVE_INFINITY, 0, 0);
     }
 
     /** What a router is told before its first event. {@code originModel} is null where no node is the origin. */
-    record Settings(int index, int proxies, String zone, double tickMs, List<ServiceClass> classes,
-                    List<Tenant> tenants, double overShareWorth, boolean worthByWork, Limits limits,
-                    Rules rules, boolean mustSubscribe, Weights weights, String originModel,
-                    Connections connections) {
+    record Settings(int proxyIndex, int proxyCount, String zone, double tickMs, List<ServiceClass> classes,
+                    List<Tenant> tenants, double overQuotaFactor, boolean valueByWork, PlatformLimits limits,
+                    PlatformRules rules, boolean mustSubscribe, WeightMode weightMode, String originModel,
+                    ConnectionCosts connectionCosts) {
 
         /** Settings of a site where connections have no price. */
         public Settings(int index, int proxies, String zone, double tickMs, List<ServiceClass> classes,
-                        List<Tenant> tenants, double overShareWorth, boolean worthByWork, Limits limits,
-                        Rules rules, boolean mustSubscribe, Weights weights, String originModel) {
+                        List<Tenant> tenants, double overShareWorth, boolean worthByWork, PlatformLimits limits,
+                        PlatformRules rules, boolean mustSubscribe, WeightMode weights, String originModel) {
             this(index, proxies, zone, tickMs, classes, tenants, overShareWorth, worthByWork, limits, rules,
-                    mustSubscribe, weights, originModel, Connections.FREE);
+                    mustSubscribe, weights, originModel, ConnectionCosts.FREE);
         }
 
         /** Refuses settings without which nothing can be decided, naming the field. */
@@ -159,8 +159,8 @@
      * {@code budgetMs}, the time until the client gives up this try, is negative where only the class tells. Of one that is
      * {@code open} the body is still coming: one attempt alone can carry it, and its time begins with its last byte.
      */
-    record Request(String id, String service, String tenant, long key, double workMs, double budgetMs,
-                   boolean write, boolean repeat, boolean open) {
+    record Request(String id, String serviceClass, String tenant, long key, double workMs, double budgetMs,
+                   boolean write, boolean retry, boolean uploading) {
 
         /** One that has come whole. */
         public Request(String id, String service, String tenant, long key, double workMs, double budgetMs,
@@ -169,14 +169,14 @@
         }
 
         /** The same with another budget, as when part of it was spent before. */
-        public Request within(double otherBudgetMs) {
-            return new Request(id, service, tenant, key, workMs, otherBudgetMs, write, repeat, open);
+        public Request withBudget(double otherBudgetMs) {
+            return new Request(id, serviceClass, tenant, key, workMs, otherBudgetMs, write, retry, uploading);
         }
     }
 
     /** How an attempt ended. {@code finished} says that the request has its final answer already. */
-    record AttemptEnd(String request, int attempt, String node, Outcome outcome, double elapsedMs,
-                      boolean finished, int note, Map<String, Double> load) { }
+    record AttemptResult(String request, int attempt, String node, Outcome outcome, double elapsedMs,
+                      boolean requestFinished, int cacheStatus, Map<String, Double> load) { }
 
     /** Where a router's wishes go. */
     interface Actions {
@@ -193,8 +193,8 @@
         /** Final answer: failed, with no promise about its effect. */
         void fail(String request);
 
-        /** Asks for {@link Router#timer} at a clock time. */
-        void timer(double atMs, String token);
+        /** Asks for {@link Router#onTimer} at a clock time. */
+        void setTimer(double atMs, String token);
 
         /** Asks discovery to send changes from now on. */
         void subscribe();
@@ -203,70 +203,70 @@
         void probe(String node);
 
         /** Sends a short message to every other proxy; it may be lost. */
-        void tell(byte[] contents);
+        void broadcast(byte[] contents);
 
         /** Closes this proxy's idle connections to a node. */
-        void close(String node);
+        void closeIdleConnections(String node);
 
         /** Says why the final answer that is asked for next is what it is. */
-        default void because(String request, Reason why) { }
+        default void reportReason(String request, Reason why) { }
 
         /** The least time in which an answer to a request like this one may be hoped for; 0 where that is not known. */
-        default double leastMs(String request) {
+        default double minAnswerMs(String request) {
             return 0;
         }
     }
 
     /** The present level of throttling, for whoever watches; 0 for none. */
-    default int level() {
+    default int admissionLevel() {
         return 0;
     }
 
     /** Whether a node that the list names gets nothing now, for whoever watches. */
-    default boolean avoids(double now, String node) {
+    default boolean isExcluded(double now, String node) {
         return false;
     }
 
     /** The nodes that are listed as up. */
-    default List<String> listed() {
+    default List<String> listedNodes() {
         return List.of();
     }
 
     /** Those of them that get nothing now as they could not be reached: those that a probe may bring back sooner. */
-    default List<String> gone(double now) {
+    default List<String> unreachableNodes(double now) {
         return List.of();
     }
 
     /** The proxy has started; comes first. */
-    void started(double now, Actions out);
+    void onStart(double now, Actions out);
 
     /**
      * Other classes hold from now on, for requests that come; one that came before keeps the class that it came under,
      * whatever becomes of that name.
      */
-    default void classes(double now, List<ServiceClass> classes) { }
+    default void onClassesChanged(double now, List<ServiceClass> classes) { }
 
     /** The server list, or news of it. */
-    void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out);
+    void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out);
 
     /** A request came in; exactly one final answer is owed from here on. */
-    void request(double now, Request request, Actions out);
+    void onRequest(double now, Request request, Actions out);
 
     /** The first part of a streamed answer has reached the client. */
-    void streamStarted(double now, String request, int attempt, String node, Actions out);
+    void onStreamStarted(double now, String request, int attempt, String node, Actions out);
 
     /** An attempt ended. */
-    void attemptEnded(double now, AttemptEnd end, Actions out);
+    void onAttemptEnded(double now, AttemptResult end, Actions out);
 
     /** The client is gone; nothing is owed any more. */
-    void clientGone(double now, String request, Actions out);
+    void onClientDisconnected(double now, String request, Actions out);
 
     /** A timer that was asked for is due. */
-    void timer(double now, String token, Actions out);
+    void onTimer(double now, String token, Actions out);
 
     /** A probe's result. */
-    void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load, Actions out);
+    void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load, Actions out);
 
     /** A message from another proxy. */
-    void peerMessage(double now, int from, byte[] contents, Actions out);
+    void onPeerMessage(double now, int from, byte[] contents, Actions out);
 }
--- a/core/src/main/java/ridgemill/route/Conditions.java
+++ b/core/src/main/java/ridgemill/route/Conditions.java
@@ -9,9 +9,9 @@
  * @param method the operation, such as GET; null for any
  * @param tenant the tenant; null for any
  * @param headers values that headers must have, by lower-case name
- * @param keys the keys; null for any
+ * @param keyRange the keys; null for any
  */
-public record Conditions(String method, String tenant, Map<String, String> headers, KeyRange keys) {
+public record Conditions(String method, String tenant, Map<String, String> headers, KeyRange keyRange) {
 
     /** Every request. */
     public static final Conditions NONE = new Conditions(null, null, Map.of(), null);
@@ -26,17 +26,17 @@
         }
 
         /** Whether a key lies in it. */
-        public boolean holds(String key) {
+        public boolean contains(String key) {
             return (from == null || key.compareTo(from) >= 0) && (to == null || key.compareTo(to) < 0);
         }
 
-        boolean meets(KeyRange other) {
+        boolean overlaps(KeyRange other) {
             return (to == null || other.from == null || other.from.compareTo(to) < 0)
                     && (other.to == null || from == null || from.compareTo(other.to) < 0);
         }
 
         /** A key that lies in both. */
-        String common(KeyRange other) {
+        String commonKey(KeyRange other) {
             if (from == null) {
                 return other.from == null ? "" : other.from;
             }
@@ -49,9 +49,9 @@
     }
 
     /** Whether a request meets them. */
-    public boolean hold(Query q) {
+    public boolean matches(RouteQuery q) {
         if (method != null && !method.equals(q.method()) || tenant != null && !tenant.equals(q.tenant())
-                || keys != null && !keys.holds(q.key())) {
+                || keyRange != null && !keyRange.contains(q.key())) {
             return false;
         }
         for (Map.Entry<String, String> wanted : headers.entrySet()) {
@@ -68,17 +68,17 @@
      */
     public int compareSpecificity(Conditions other) {
         int byTenant = Boolean.compare(tenant != null, other.tenant != null);
-        int byKeys = Boolean.compare(keys != null, other.keys != null);
+        int byKeys = Boolean.compare(keyRange != null, other.keyRange != null);
         int byHeaders = Integer.compare(headers.size(), other.headers.size());
         int byMethod = Boolean.compare(method != null, other.method != null);
         return byTenant != 0 ? byTenant : byKeys != 0 ? byKeys : byHeaders != 0 ? byHeaders : byMethod;
     }
 
     /** Whether some request may meet both. */
-    public boolean meets(Conditions other) {
+    public boolean overlaps(Conditions other) {
         boolean methods = method == null || other.method == null || method.equals(other.method);
         boolean tenants = tenant == null || other.tenant == null || tenant.equals(other.tenant);
-        boolean ranges = keys == null || other.keys == null || keys.meets(other.keys);
+        boolean ranges = keyRange == null || other.keyRange == null || keyRange.overlaps(other.keyRange);
         boolean common = headers.entrySet().stream().allMatch(h -> Optional.ofNullable(other.headers.get(h.getKey()))
                 .map(v -> v.equals(h.getValue())).orElse(true));
         return methods && tenants && ranges && common;
--- a/core/src/main/java/ridgemill/route/PathPattern.java
+++ b/core/src/main/java/ridgemill/route/PathPattern.java
@@ -15,9 +15,9 @@
  *
  * @param text as it was written
  * @param segments literals, and {@code null} for any one segment
- * @param open whether every path below is taken too
+ * @param prefix whether every path below is taken too
  */
-public record PathPattern(String text, List<String> segments, boolean open) {
+public record PathPattern(String text, List<String> segments, boolean prefix) {
 
     /** More segments than this are no path that anyone means. */
     public static final int MAX_SEGMENTS = 32;
@@ -72,9 +72,9 @@
     }
 
     /** Whether a path is one of these; the slow way, by which the compiled table is checked. */
-    public boolean takes(String path) {
+    public boolean matches(String path) {
         List<String> parts = split(path);
-        if (open ? parts.size() < segments.size() : parts.size() != segments.size()) {
+        if (prefix ? parts.size() < segments.size() : parts.size() != segments.size()) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
@@ -110,11 +110,11 @@
         if (segments.size() != other.segments.size()) {
             return Integer.compare(segments.size(), other.segments.size());
         }
-        return Boolean.compare(other.open, open);
+        return Boolean.compare(other.prefix, prefix);
     }
 
     /** Whether some path is taken by both. */
-    public boolean meets(PathPattern other) {
+    public boolean overlaps(PathPattern other) {
         int common = Math.min(segments.size(), other.segments.size());
         for (int i = 0; i < common; i++) {
             String a = segments.get(i);
@@ -124,6 +124,6 @@
                 return false;
             }
         }
-        return segments.size() == other.segments.size() || (segments.size() < other.segments.size() ? open : other.open);
+        return segments.size() == other.segments.size() || (segments.size() < other.segments.size() ? prefix : other.prefix);
     }
 }
--- a/core/src/main/java/ridgemill/route/Route.java
+++ b/core/src/main/java/ridgemill/route/Route.java
@@ -4,16 +4,16 @@
  * One way for requests to go.
  *
  * @param name as the operator calls it, unique in its table
- * @param paths the paths that it takes
+ * @param pathPattern the paths that it takes
  * @param conditions what must hold beside the path
  * @param target where it leads; opaque here
  * @param <T> the type of targets
  */
-public record Route<T>(String name, PathPattern paths, Conditions conditions, T target) {
+public record Route<T>(String name, PathPattern pathPattern, Conditions conditions, T target) {
 
     /** Whether it takes a request. */
-    public boolean takes(Query q) {
-        return paths.takes(q.path()) && conditions.hold(q);
+    public boolean matches(RouteQuery q) {
+        return pathPattern.matches(q.path()) && conditions.matches(q);
     }
 
     /**
@@ -21,22 +21,22 @@
      * path first; where these are equal, the more specific conditions.
      */
     public int compareSpecificity(Route<?> other) {
-        int byPath = paths.compareSpecificity(other.paths);
+        int byPath = pathPattern.compareSpecificity(other.pathPattern);
         return byPath != 0 ? byPath : conditions.compareSpecificity(other.conditions);
     }
 
     /** Whether some request is taken by both and neither wins. */
-    public boolean conflicts(Route<?> other) {
-        return compareSpecificity(other) == 0 && paths.meets(other.paths) && conditions.meets(other.conditions);
+    public boolean conflictsWith(Route<?> other) {
+        return compareSpecificity(other) == 0 && pathPattern.overlaps(other.pathPattern) && conditions.overlaps(other.conditions);
     }
 
     /** A request that both of two routes that conflict take, in words that an operator can try. */
-    public String exampleWith(Route<?> other) {
+    public String conflictExample(Route<?> other) {
         Conditions a = conditions;
         Conditions b = other.conditions;
-        String path = both(paths, other.paths);
-        if (a.keys() != null && b.keys() != null) {
-            path = path.substring(0, path.lastIndexOf('/') + 1) + a.keys().common(b.keys());
+        String path = both(pathPattern, other.pathPattern);
+        if (a.keyRange() != null && b.keyRange() != null) {
+            path = path.substring(0, path.lastIndexOf('/') + 1) + a.keyRange().commonKey(b.keyRange());
         }
         String method = a.method() != null ? a.method() : b.method() != null ? b.method() : "GET";
         String tenant = a.tenant() != null ? a.tenant() : b.tenant();
--- a/core/src/main/java/ridgemill/route/Query.java
+++ b/core/src/main/java/ridgemill/route/RouteQuery.java
@@ -8,18 +8,18 @@
  * @param method the operation, such as GET
  * @param path the path, without its query, from {@code /} on
  * @param tenant null where it names none
- * @param headers looks a header up by its lower-case name; null where there is none
+ * @param headerLookup looks a header up by its lower-case name; null where there is none
  */
-public record Query(String method, String path, String tenant, UnaryOperator<String> headers) {
+public record RouteQuery(String method, String path, String tenant, UnaryOperator<String> headerLookup) {
 
     /** A request without headers. */
-    public Query(String method, String path, String tenant) {
+    public RouteQuery(String method, String path, String tenant) {
         this(method, path, tenant, name -> null);
     }
 
     /** The value of a header; null where it has none. */
     public String header(String name) {
-        return headers.apply(name);
+        return headerLookup.apply(name);
     }
 
     /** The key: the last segment of the path. */
--- a/core/src/main/java/ridgemill/route/RouteTable.java
+++ b/core/src/main/java/ridgemill/route/RouteTable.java
@@ -65,16 +65,16 @@
             ofTenant = Map.copyOf(named);
         }
 
-        Route<T> best(Query q) {
+        Route<T> best(RouteQuery q) {
             Route<T> own = ofTenant.isEmpty() || q.tenant() == null ? null
                     : first(ofTenant.getOrDefault(q.tenant(), List.of()), q);
             Route<T> common = first(ofAny, q);
             return own == null || common != null && common.compareSpecificity(own) > 0 ? common : own;
         }
 
-        private Route<T> first(List<Route<T>> routes, Query q) {
+        private Route<T> first(List<Route<T>> routes, RouteQuery q) {
             for (Route<T> route : routes) {
-                if (route.conditions().hold(q)) {
+                if (route.conditions().matches(q)) {
                     return route;
                 }
             }
@@ -92,8 +92,8 @@
                 Route<T> a = sorted.get(i);
                 for (int j = i + 1; j < sorted.size() && a.compareSpecificity(sorted.get(j)) == 0; j++) {
                     Route<T> b = sorted.get(j);
-                    if (a.conflicts(b) && seen.add(List.of(a.name(), b.name()))) {
-                        found.add(new Conflict<>(a, b, a.exampleWith(b)));
+                    if (a.conflictsWith(b) && seen.add(List.of(a.name(), b.name()))) {
+                        found.add(new Conflict<>(a, b, a.conflictExample(b)));
                     }
                 }
             }
@@ -128,7 +128,7 @@
 
     private static <T> void plant(Node<T> tree, Route<T> route) {
         Node<T> node = tree;
-        for (String segment : route.paths().segments()) {
+        for (String segment : route.pathPattern().segments()) {
             if (segment != null) {
                 node = node.literals.computeIfAbsent(segment, s -> new Node<>());
             } else {
@@ -136,7 +136,7 @@
                 node = node.any;
             }
         }
-        (route.paths().open() ? node.open : node.closed).add(route);
+        (route.pathPattern().prefix() ? node.open : node.closed).add(route);
     }
 
     /** {@code shared} has the candidates that are made already: most places end in the same few. */
@@ -174,7 +174,7 @@
     }
 
     /** The route that a request takes; empty if none takes it. */
-    public Optional<Route<T>> match(Query q) {
+    public Optional<Route<T>> match(RouteQuery q) {
         String path = q.path();
         Place<T> place = root;
         int from = 1;
--- a/core/src/main/java/ridgemill/classes/PlatformFacts.java
+++ b/core/src/main/java/ridgemill/serviceclass/PlatformConstraints.java
@@ -1,4 +1,4 @@
-package ridgemill.classes;
+package ridgemill.serviceclass;
 
 import java.util.Map;
 import ridgemill.policy.Router.ServiceClass;
@@ -9,21 +9,21 @@
  *
  * @param classes the platform's classes, by name; empty where no platform is known, as in a check at a desk
  * @param maxAttempts attempts that it allows; 0 where it is not known
- * @param largestBody the largest body that it carries, in bytes
+ * @param maxBodyBytes the largest body that it carries, in bytes
  */
-public record PlatformFacts(Map<String, ServiceClass> classes, int maxAttempts, long largestBody) {
+public record PlatformConstraints(Map<String, ServiceClass> classes, int maxAttempts, long maxBodyBytes) {
 
     private static final long BODY = 64 * 1024;
     /** Nothing is known but what the program itself can do. */
-    public static final PlatformFacts UNKNOWN = new PlatformFacts(Map.of(), 0, BODY);
+    public static final PlatformConstraints UNKNOWN = new PlatformConstraints(Map.of(), 0, BODY);
 
-    public PlatformFacts {
+    public PlatformConstraints {
         classes = Map.copyOf(classes);
     }
 
     /** The facts in a proxy's settings. */
-    public static PlatformFacts of(Settings settings) {
-        return new PlatformFacts(settings.classes().stream().collect(java.util.stream.Collectors.toMap(ServiceClass::name,
+    public static PlatformConstraints of(Settings settings) {
+        return new PlatformConstraints(settings.classes().stream().collect(java.util.stream.Collectors.toMap(ServiceClass::name,
                 c -> c, (a, b) -> a)), settings.limits().maxAttempts(), BODY);
     }
 }
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -12,18 +12,18 @@
 import ridgemill.policy.Router.Actions;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 import ridgemill.policy.Router;
 
 /** Whatever the module asks for: one final answer a request, one attempt out at a time, none past its limits. */
@@ -32,9 +32,9 @@
     private static final int MAX_ATTEMPTS = 4;
     private static final double SLACK_MS = 20;
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1,
-            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, Group.ALL, 0, false)), List.of(), 1, false,
-            new Limits(MAX_ATTEMPTS, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, SLACK_MS, 0),
-            false, Weights.NONE, null);
+            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false)), List.of(), 1, false,
+            new PlatformLimits(MAX_ATTEMPTS, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, SLACK_MS, 0),
+            false, WeightMode.NONE, null);
 
     /** One exchange as a scripted back has it. */
     private final class Sent implements Back.Exchange {
@@ -115,50 +115,50 @@
 
     private final class ScriptedRouter implements Router {
         @Override
-        public void started(double now, Actions actions) { }
+        public void onStart(double now, Actions actions) { }
 
         @Override
-        public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions actions) { }
+        public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions actions) { }
 
         @Override
-        public void request(double now, Request request, Actions actions) {
+        public void onRequest(double now, Request request, Actions actions) {
             script.decide("request", request.id(), actions);
         }
 
         @Override
-        public void streamStarted(double now, String request, int attempt, String node, Actions actions) { }
+        public void onStreamStarted(double now, String request, int attempt, String node, Actions actions) { }
 
         @Override
-        public void attemptEnded(double now, AttemptEnd end, Actions actions) {
+        public void onAttemptEnded(double now, AttemptResult end, Actions actions) {
             ends.add(end);
-            script.decide(end.finished() ? "late" : end.outcome().name(), end.request(), actions);
+            script.decide(end.requestFinished() ? "late" : end.outcome().name(), end.request(), actions);
         }
 
         @Override
-        public void clientGone(double now, String request, Actions actions) {
+        public void onClientDisconnected(double now, String request, Actions actions) {
             script.decide("gone", request, actions);
         }
 
         @Override
-        public void timer(double now, String token, Actions actions) {
+        public void onTimer(double now, String token, Actions actions) {
             script.decide("timer", token, actions);
         }
 
         @Override
-        public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+        public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                            Actions actions) {
             script.decide("probed", node, actions);
         }
 
         @Override
-        public void peerMessage(double now, int from, byte[] contents, Actions actions) { }
+        public void onPeerMessage(double now, int from, byte[] contents, Actions actions) { }
     }
 
     private final ManualTimers timers = new ManualTimers();
     private final List<Sent> out = new ArrayList<>();
     private final List<Sent> all = new ArrayList<>();
     private final List<String> closed = new ArrayList<>();
-    private final List<AttemptEnd> ends = new ArrayList<>();
+    private final List<AttemptResult> ends = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
     private Script script = (event, request, actions) -> { };
     private final Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
@@ -196,8 +196,8 @@
         assertEquals(1, dispatcher.owed());
         out.get(0).end(Outcome.OK);
         assertEquals(List.of("served v"), told.answers);
-        assertTrue(ends.get(0).finished());
-        assertEquals(Answer.HIT, ends.get(0).note());
+        assertTrue(ends.get(0).requestFinished());
+        assertEquals(Answer.HIT, ends.get(0).cacheStatus());
         assertEquals(0, dispatcher.owed());
         timers.pass(5000);
         assertEquals(List.of("served v"), told.answers);
@@ -309,7 +309,7 @@
         assertEquals(List.of("refused 0.0"), late.answers, "at once, and nothing ran");
         assertEquals(sent, all.size());
         assertEquals(Outcome.NEVER_SENT, ends.get(ends.size() - 1).outcome());
-        assertTrue(ends.get(ends.size() - 1).finished());
+        assertTrue(ends.get(ends.size() - 1).requestFinished());
         assertEquals(0, timed.owed());
         assertEquals(1, deadlines.dropped());
     }
@@ -366,7 +366,7 @@
                     case 3 -> actions.refuse(id, random.nextInt(100));
                     case 4 -> actions.fail(id);
                     case 5 -> actions.cancel(id, random.nextInt(MAX_ATTEMPTS));
-                    case 6 -> actions.timer(timers.now() + 1 + random.nextInt(50), id);
+                    case 6 -> actions.setTimer(timers.now() + 1 + random.nextInt(50), id);
                     case 7 -> actions.probe("c0");
                     default -> {
                         if (random.nextInt(10) == 0) {
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -14,27 +14,27 @@
 import ridgemill.limit.Limiter;
 import ridgemill.limit.Limits;
 import ridgemill.policy.Router.Actions;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 import ridgemill.policy.Router;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /** Requests that wait in line have one final answer like all others, and keep to their turns, their time and their group. */
 class IntakeTest {
 
-    private static final ServiceClass READ = new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, Group.ALL, 0, false);
+    private static final ServiceClass READ = new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false);
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1, List.of(READ), List.of(), 1, false,
-            new Router.Limits(4, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, 20, 0), false,
-            Weights.NONE, null);
+            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
+            WeightMode.NONE, null);
 
     /** A gate of one limiter; the group is the first segment of the path. */
     private static final class LimiterGate implements Gate {
@@ -74,41 +74,41 @@
         private final List<Request> seen = new ArrayList<>();
 
         @Override
-        public void started(double now, Actions out) { }
+        public void onStart(double now, Actions out) { }
 
         @Override
-        public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) { }
+        public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) { }
 
         @Override
-        public void request(double now, Request request, Actions out) {
+        public void onRequest(double now, Request request, Actions out) {
             seen.add(request);
             out.send(request.id(), "n", 0);
         }
 
         @Override
-        public void streamStarted(double now, String request, int attempt, String node, Actions out) { }
+        public void onStreamStarted(double now, String request, int attempt, String node, Actions out) { }
 
         @Override
-        public void attemptEnded(double now, AttemptEnd end, Actions out) {
-            if (!end.finished()) {
+        public void onAttemptEnded(double now, AttemptResult end, Actions out) {
+            if (!end.requestFinished()) {
                 out.fail(end.request());
             }
         }
 
         @Override
-        public void clientGone(double now, String request, Actions out) {
+        public void onClientDisconnected(double now, String request, Actions out) {
             out.cancel(request, 0);
         }
 
         @Override
-        public void timer(double now, String token, Actions out) { }
+        public void onTimer(double now, String token, Actions out) { }
 
         @Override
-        public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+        public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                            Actions out) { }
 
         @Override
-        public void peerMessage(double now, int from, byte[] contents, Actions out) { }
+        public void onPeerMessage(double now, int from, byte[] contents, Actions out) { }
     }
 
     /** Attempts that are out, by request; each ends when the test says so or its time is up. */
@@ -193,7 +193,7 @@
 
     private Told ask(String id, String path, String tenant, double budgetMs) {
         Told told = new Told();
-        Gate.Entry entry = intake.enter(new Gate.Arrival(id, new Query("GET", path, tenant), "read", false, 0, budgetMs));
+        Gate.Entry entry = intake.enter(new Gate.Arrival(id, new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
         if (entry instanceof Gate.Refuse refuse) {
             intake.turnedAway(null);
             told.limited(refuse.retryAfterMs());
--- a/core/src/test/java/ridgemill/core/RecorderTest.java
+++ b/core/src/test/java/ridgemill/core/RecorderTest.java
@@ -17,27 +17,27 @@
 import ridgemill.outcome.Known;
 import ridgemill.outcome.MemoryOutcomes;
 import ridgemill.outcome.Outcomes;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 import ridgemill.policy.Router;
 
 /** Keyed writes whose clients leave, ask again or never come back, under the project's own decisions on passed-in time. */
 class RecorderTest {
 
-    private static final ServiceClass PAY = new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED, Group.ALL, 6000, false);
+    private static final ServiceClass PAY = new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED, DeduplicationScope.ALL, 6000, false);
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1, List.of(PAY), List.of(), 1, false,
-            new Router.Limits(4, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, 20, 0), false,
-            Weights.NONE, "origin");
+            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
+            WeightMode.NONE, "origin");
 
     /** A store that drops the repeats of a key for its window, and answers, resets or stays silent as it is told. */
     private final class StoreBack implements Back<String> {
@@ -62,7 +62,7 @@
         void run(String id) {
             String key = attempts.get(id).command().idempotencyKey();
             Double first = firstRan.get(key);
-            if (first == null || timers.now() - first >= PAY.repeatWindowMs()) {
+            if (first == null || timers.now() - first >= PAY.deduplicationWindowMs()) {
                 firstRan.put(key, timers.now());
                 effects.merge(key, 1, Integer::sum);
             }
@@ -129,7 +129,7 @@
                 open--;
             }
         }, new Deadlines(DeadlinePolicy.USUAL));
-        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new Decide(SETTINGS, 3), store, new Faults() {
+        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store, new Faults() {
             @Override
             public void fault(String what, Throwable cause) {
                 throw new AssertionError(what, cause);
@@ -143,7 +143,7 @@
         intake.group(Intake.PLATFORM, dispatcher);
         intake.recorder(new Recorder<>(timers, new Outcomes(kept, 60_000), c -> c.content().hashCode()));
         dispatcher.start();
-        dispatcher.nodes(ListKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
+        dispatcher.nodes(ListUpdateKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
                 new Node("c0", "std", "a", 0, 1, 0, Availability.UP)));
     }
 
@@ -229,7 +229,7 @@
         timers.pass(1100);
         assertEquals(1, a.answers.size());
         assertEquals(Known.State.UNKNOWN, intake.outcome("k", "acme").state());
-        timers.pass(PAY.repeatWindowMs());
+        timers.pass(PAY.deduplicationWindowMs());
         assertEquals(List.of("failed"), pay("late", "k", 1000).answers, "nodes have forgotten it: nobody can find out by running it");
         assertEquals(1, store.effects.get("k"));
         settled();
--- a/core/src/test/java/ridgemill/halls/HallsTest.java
+++ b/core/src/test/java/ridgemill/halls/HallsTest.java
@@ -23,14 +23,14 @@
 import ridgemill.halls.Halls.Refuse;
 import ridgemill.halls.Halls.Told;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.ServiceClass;
 
 /** The decisions between halls, one at a time, on passed-in time. */
 class HallsTest {
 
-    private static final ServiceClass READ = new ServiceClass("reading", 500, 0, 1000, 1, 0, Effect.SAFE, Group.ALL, 0, false);
-    private static final ServiceClass CREDIT = new ServiceClass("credit", 500, 0, 1000, 1, 0, Effect.KEYED, Group.ALL, 6000, false);
+    private static final ServiceClass READ = new ServiceClass("reading", 500, 0, 1000, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false);
+    private static final ServiceClass CREDIT = new ServiceClass("credit", 500, 0, 1000, 1, 0, Effect.KEYED, DeduplicationScope.ALL, 6000, false);
     private static final double LATER = 1_000_000;
     private int ids;
 
--- a/core/src/test/java/ridgemill/halls/ManyHallsTest.java
+++ b/core/src/test/java/ridgemill/halls/ManyHallsTest.java
@@ -18,7 +18,7 @@
 import ridgemill.halls.Halls.HomeEnd;
 import ridgemill.halls.Halls.Step;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.ServiceClass;
 
 /**
@@ -36,7 +36,7 @@
     private static final ServiceClass ONCE = service("once", Effect.UNSAFE);
 
     private static ServiceClass service(String name, Effect effect) {
-        return new ServiceClass(name, 500, 0, DEADLINE_MS, 1, 0, effect, Group.ALL, effect == Effect.KEYED ? WINDOW_MS : 0, false);
+        return new ServiceClass(name, 500, 0, DEADLINE_MS, 1, 0, effect, DeduplicationScope.ALL, effect == Effect.KEYED ? WINDOW_MS : 0, false);
     }
 
     private record Event(double atMs, long order, Runnable task) { }
--- a/core/src/test/java/ridgemill/policy/AdmissionTest.java
+++ b/core/src/test/java/ridgemill/policy/AdmissionTest.java
@@ -15,12 +15,12 @@
         var control = new AdmissionLevel();
         control.level = startLevel;
         for (int i = 0; i < good; i++) {
-            control.count(true);
+            control.recordFetch(true);
         }
         for (int i = 0; i < bad; i++) {
-            control.count(false);
+            control.recordFetch(false);
         }
-        control.step(1000, 0);
+        control.endInterval(1000, 0);
         return control;
     }
 
@@ -47,9 +47,9 @@
         var control = new AdmissionLevel();
         control.floor = AdmissionLevel.BASE_FLOOR / 2;
         control.level = 1;
-        control.count(false);
-        control.count(false);
-        control.step(1000, 0);
+        control.recordFetch(false);
+        control.recordFetch(false);
+        control.endInterval(1000, 0);
         return control;
     }
 
@@ -57,13 +57,13 @@
     void aThinSampleWithABadFetchWaitsToGrowAndThenCounts() {
         var control = outnumbering();
         assertEquals(1, control.level);
-        control.count(false);
-        control.count(false);
-        control.step(1000, 0);
+        control.recordFetch(false);
+        control.recordFetch(false);
+        control.endInterval(1000, 0);
         assertEquals(2, control.level);
         var alone = outnumbering();
         for (int i = 1; i < AdmissionLevel.SPAN; i++) {
-            alone.step(1000, 0);
+            alone.endInterval(1000, 0);
         }
         assertEquals(0, alone.level, "too old to wait for more");
     }
@@ -81,10 +81,10 @@
     void baseFollowsThePeakDecaysSlowlyAndIsHeldWhileThrottled() {
         var control = stepped(40, 0, 0);
         assertEquals(40, control.base);
-        control.step(1000, 0);
+        control.endInterval(1000, 0);
         assertEquals(40 * AdmissionLevel.BASE_DECAY, control.base, 1e-9);
         control.level = 3;
-        control.step(1000, 0);
+        control.endInterval(1000, 0);
         assertEquals(40 * AdmissionLevel.BASE_DECAY, control.base, 1e-9);
         assertEquals(1, stepped(0, 0, 0).base);
     }
@@ -95,34 +95,34 @@
         for (int i = 0; i < AdmissionLevel.LEARNED; i++) {
             assertEquals(0, control.level);
             for (int j = 0; j < AdmissionLevel.THIN; j++) {
-                control.count(false);
+                control.recordFetch(false);
             }
-            control.step(1000, 0);
+            control.endInterval(1000, 0);
         }
         assertTrue(control.level > 0);
     }
 
     @Test
     void bankRefillsEvenlyAndHoldsAFewTokens() {
-        var bank = new TokenBank(TokenBank.FEW);
-        bank.rate(0, 10);
-        for (int i = 0; i < TokenBank.FEW; i++) {
-            assertTrue(bank.draw(0, false));
+        var bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
+        bank.setRate(0, 10);
+        for (int i = 0; i < PriorityTokenBucket.DEFAULT_CAPACITY; i++) {
+            assertTrue(bank.tryAcquire(0, false));
         }
-        assertFalse(bank.draw(0, false));
-        assertFalse(bank.draw(99, false));
-        assertTrue(bank.draw(100, false));
-        bank.draw(1_000_000, false);
-        assertEquals(TokenBank.FEW - 1, bank.tokens, 1e-9);
+        assertFalse(bank.tryAcquire(0, false));
+        assertFalse(bank.tryAcquire(99, false));
+        assertTrue(bank.tryAcquire(100, false));
+        bank.tryAcquire(1_000_000, false);
+        assertEquals(PriorityTokenBucket.DEFAULT_CAPACITY - 1, bank.tokens, 1e-9);
     }
 
     @Test
     void theLastTokenIsKeptForHigherWorth() {
-        var bank = new TokenBank(TokenBank.FEW);
-        bank.rate(0, 1);
+        var bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
+        bank.setRate(0, 1);
         bank.tokens = 1;
-        assertFalse(bank.draw(0, true));
-        assertTrue(bank.draw(0, false));
+        assertFalse(bank.tryAcquire(0, true));
+        assertTrue(bank.tryAcquire(0, false));
     }
 
     @Test
@@ -181,16 +181,16 @@
         var control = new AdmissionLevel();
         for (int i = 0; i < AdmissionLevel.LEARNED; i++) {
             for (int j = 0; j < 40; j++) {
-                control.count(true);
+                control.recordFetch(true);
             }
-            control.step(1000, 0);
+            control.endInterval(1000, 0);
         }
         assertEquals(40, control.base, 1e-9);
         control.level = 1;
-        control.step(1000, 3);
+        control.endInterval(1000, 3);
         assertEquals(1, control.level);
         assertEquals(40 * AdmissionLevel.BASE_GROWTH, control.base, 1e-9);
-        control.step(1000, 0);
+        control.endInterval(1000, 0);
         assertEquals(0, control.level);
     }
 
@@ -199,7 +199,7 @@
         var s = Bench.settings(true, false);
         var tenants = List.of(new Router.Tenant("greedy", 10), new Router.Tenant("modest", 1000));
         Bench b = new Bench(new Router.Settings(0, 2, "z", 5, s.classes(), tenants, 0.05, false, s.limits(), s.rules(),
-                false, Router.Weights.NONE, "origin"));
+                false, Router.WeightMode.NONE, "origin"));
         b.list(4);
         for (int i = 1; i < AdmissionLevel.LEARNED; i++) {
             b.interval(5, 0);
@@ -209,7 +209,7 @@
         for (int i = 0; i < 200; i++) {
             String tenant = i % 2 == 0 ? "greedy" : "modest";
             String id = tenant + i;
-            b.router.request(b.now, new Router.Request(id, "dear", tenant, 70_000 + i, 0, 800, false, false), b.out);
+            b.router.onRequest(b.now, new Router.Request(id, "dear", tenant, 70_000 + i, 0, 800, false, false), b.out);
             while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
                 b.end(id, Outcome.MISS);
             }
--- a/core/src/test/java/ridgemill/policy/Bench.java
+++ b/core/src/test/java/ridgemill/policy/Bench.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
@@ -19,7 +19,7 @@
 final class Bench {
 
     static final double BUDGET = 1000;
-    static final Router.Rules RULES = new Router.Rules(1000, 0.25, 10_000, 2.5, 2000, 20, 10_000);
+    static final Router.PlatformRules RULES = new Router.PlatformRules(1000, 0.25, 10_000, 2.5, 2000, 20, 10_000);
 
     final Sink out = new Sink();
     final Router router;
@@ -32,18 +32,18 @@
     }
 
     Bench(Settings settings, long seed) {
-        router = new Decide(settings, seed);
-        router.started(now, out);
+        router = new BalancingRouter(settings, seed);
+        router.onStart(now, out);
     }
 
-    static ServiceClass service(String name, double gain, Effect effect, Group group) {
+    static ServiceClass service(String name, double gain, Effect effect, DeduplicationScope group) {
         return new ServiceClass(name, 300, 0, BUDGET, gain, 0.2, effect, group, 500, false);
     }
 
     static List<ServiceClass> services() {
-        return List.of(service("cheap", 1, Effect.SAFE, Group.ALL), service("dear", 5, Effect.SAFE, Group.ALL),
-                service("keyed", 2, Effect.KEYED, Group.ALL), service("zoned", 2, Effect.KEYED, Group.ZONE),
-                service("unsafe", 2, Effect.UNSAFE, Group.ALL));
+        return List.of(service("cheap", 1, Effect.SAFE, DeduplicationScope.ALL), service("dear", 5, Effect.SAFE, DeduplicationScope.ALL),
+                service("keyed", 2, Effect.KEYED, DeduplicationScope.ALL), service("zoned", 2, Effect.KEYED, DeduplicationScope.ZONE),
+                service("unsafe", 2, Effect.UNSAFE, DeduplicationScope.ALL));
     }
 
     static Settings settings(boolean withOrigin, boolean subscribe) {
@@ -51,9 +51,9 @@
     }
 
     static Settings settings(boolean withOrigin, boolean subscribe, int maxAttempts) {
-        var limits = new Router.Limits(maxAttempts, true, false, false, true, 500, false, 150);
+        var limits = new Router.PlatformLimits(maxAttempts, true, false, false, true, 500, false, 150);
         return new Settings(0, 2, "z", 5, services(), List.of(), 1, false, limits, RULES, subscribe,
-                Router.Weights.NONE, withOrigin ? "origin" : null);
+                Router.WeightMode.NONE, withOrigin ? "origin" : null);
     }
 
     /** A bench with an origin "db" and {@code caches} warm nodes c0, c1, ... */
@@ -69,7 +69,7 @@
             nodes.add(node("c" + i, 0, Availability.UP));
         }
         nodes.add(origin());
-        router.nodes(now, ListKind.FULL, 1, nodes, out);
+        router.onNodeList(now, ListUpdateKind.FULL, 1, nodes, out);
     }
 
     static Node node(String id, double startedAt, Availability availability) {
@@ -81,7 +81,7 @@
     }
 
     void change(Node... entries) {
-        router.nodes(now, ListKind.CHANGES, 2, List.of(entries), out);
+        router.onNodeList(now, ListUpdateKind.CHANGES, 2, List.of(entries), out);
     }
 
     String ask(String service, long key) {
@@ -90,7 +90,7 @@
 
     String ask(String service, long key, boolean write) {
         String id = "q" + next++;
-        router.request(now, new Request(id, service, null, key, 0, BUDGET, write, false), out);
+        router.onRequest(now, new Request(id, service, null, key, 0, BUDGET, write, false), out);
         return id;
     }
 
@@ -102,7 +102,7 @@
     void end(String id, Outcome outcome, double elapsed) {
         String node = nodeOf(id);
         int attempt = attempts.merge(id, 1, Integer::sum) - 1;
-        router.attemptEnded(now, new AttemptEnd(id, attempt, node, outcome, elapsed, outcome == Outcome.OK, 0,
+        router.onAttemptEnded(now, new AttemptResult(id, attempt, node, outcome, elapsed, outcome == Outcome.OK, 0,
                 Map.of()), out);
     }
 
@@ -130,7 +130,7 @@
             }
             out.timers.remove(due);
             now = Math.max(now, due.atMs());
-            router.timer(now, due.token(), out);
+            router.onTimer(now, due.token(), out);
         }
         now = until;
     }
--- a/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
+++ b/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.Outcome;
-import ridgemill.policy.Router.Retry;
+import ridgemill.policy.Router.RetryPolicy;
 import ridgemill.policy.Router.ServiceClass;
 
 /** What a class sets for its own attempts, and that a request keeps the class that it came under. */
 class ClassSettingsTest {
 
-    private static ServiceClass dear(Effect effect, Retry retry) {
-        return new ServiceClass("dear", 300, 0, Bench.BUDGET, 5, 0.2, effect, Group.ALL, 500, false, retry);
+    private static ServiceClass dear(Effect effect, RetryPolicy retry) {
+        return new ServiceClass("dear", 300, 0, Bench.BUDGET, 5, 0.2, effect, DeduplicationScope.ALL, 500, false, retry);
     }
 
     private static Bench under(ServiceClass... classes) {
         Bench b = Bench.withCaches(4);
-        b.router.classes(b.now, List.of(classes));
+        b.router.onClassesChanged(b.now, List.of(classes));
         return b;
     }
 
     @Test
     void oneAttemptIsNotRepeated() {
-        Bench b = under(dear(Effect.SAFE, new Retry(1, 0, 0, 1, 0)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
         String id = b.ask("dear", 1);
         b.end(id, Outcome.RESET);
         assertEquals(1, b.sendsOf(id));
@@ -39,7 +39,7 @@
 
     @Test
     void aMissIsNoFailureAndItsFetchGoesOut() {
-        Bench b = under(dear(Effect.SAFE, new Retry(1, 0, 0, 1, 0)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
         String id = b.ask("dear", 1);
         while (!b.nodeOf(id).equals("db")) {
             b.end(id, Outcome.MISS);
@@ -50,7 +50,7 @@
 
     @Test
     void anAttemptHasNoMoreThanItsTime() {
-        Bench b = under(dear(Effect.SAFE, new Retry(2, 120, 0, 1, 0)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(2, 120, 0, 1, 0)));
         String id = b.ask("dear", 1);
         assertEquals(120, b.out.sent.get(b.out.sent.size() - 1).timeoutMs());
         b.end(id, Outcome.RESET);
@@ -59,7 +59,7 @@
 
     @Test
     void theNextAttemptWaitsAndNothingGoesOutMeanwhile() {
-        Bench b = under(dear(Effect.SAFE, new Retry(3, 0, 80, 2, 1000)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 80, 2, 1000)));
         String id = b.ask("dear", 1);
         b.end(id, Outcome.RESET);
         b.advance(79);
@@ -71,7 +71,7 @@
 
     @Test
     void aWaitThatOutlastsTheClientIsAnsweredAtOnce() {
-        Bench b = under(dear(Effect.SAFE, new Retry(3, 0, 2000, 1, 2000)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 2000, 1, 2000)));
         String id = b.ask("dear", 1);
         b.end(id, Outcome.RESET);
         assertEquals(1, b.out.answers(id), "held back for nothing");
@@ -81,10 +81,10 @@
 
     @Test
     void aClientThatLeavesDuringTheWaitIsForgotten() {
-        Bench b = under(dear(Effect.SAFE, new Retry(3, 0, 80, 1, 80)));
+        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 80, 1, 80)));
         String id = b.ask("dear", 1);
         b.end(id, Outcome.RESET);
-        b.router.clientGone(b.now, id, b.out);
+        b.router.onClientDisconnected(b.now, id, b.out);
         b.advance(500);
         assertEquals(1, b.sendsOf(id));
         assertEquals(0, b.out.answers(id));
@@ -92,9 +92,9 @@
 
     @Test
     void aRequestKeepsTheClassThatItCameUnder() {
-        Bench b = under(dear(Effect.UNSAFE, Retry.PLATFORM));
+        Bench b = under(dear(Effect.UNSAFE, RetryPolicy.PLATFORM_DEFAULT));
         String unsafe = b.ask("dear", 1);
-        b.router.classes(b.now, List.of(dear(Effect.SAFE, Retry.PLATFORM)));
+        b.router.onClassesChanged(b.now, List.of(dear(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT)));
         String safe = b.ask("dear", 2);
         b.end(unsafe, Outcome.RESET);
         b.end(safe, Outcome.RESET);
@@ -105,9 +105,9 @@
 
     @Test
     void aClassThatIsTakenOutStillHoldsForWhatIsInFlight() {
-        Bench b = under(dear(Effect.SAFE, Retry.PLATFORM));
+        Bench b = under(dear(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT));
         String id = b.ask("dear", 1);
-        b.router.classes(b.now, List.of());
+        b.router.onClassesChanged(b.now, List.of());
         b.end(id, Outcome.RESET);
         assertEquals(2, b.sendsOf(id));
         b.advance(Bench.BUDGET);
--- a/core/src/test/java/ridgemill/policy/FleetTest.java
+++ b/core/src/test/java/ridgemill/policy/FleetTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
 
@@ -23,9 +23,9 @@
     private static final double STARTS_MS = 20_000;
 
     private static Settings settings(boolean subscribe) {
-        var limits = new Router.Limits(6, true, false, false, true, 500, false, 150);
+        var limits = new Router.PlatformLimits(6, true, false, false, true, 500, false, 150);
         return new Settings(0, PROXIES, "z", 5, Bench.services(), List.of(), 1, false, limits, Bench.RULES, subscribe,
-                Router.Weights.NONE, "origin", Router.Connections.FREE);
+                Router.WeightMode.NONE, "origin", Router.ConnectionCosts.FREE);
     }
 
     private static Bench proxy() {
@@ -44,7 +44,7 @@
         double origin = fleet.get(0).now;
         List<Double> toCold = new ArrayList<>();
         int next = 0;
-        for (double t = 0; t < STARTS_MS + Bench.RULES.coldMs(); t += EACH_MS) {
+        for (double t = 0; t < STARTS_MS + Bench.RULES.warmUpMs(); t += EACH_MS) {
             for (int i = 0; i < PROXIES; i++) {
                 double told = STARTS_MS + 200 * i;
                 if (t >= STARTS_MS && t < STARTS_MS + EACH_MS && i % 2 == 1) {
@@ -57,7 +57,7 @@
                     b.change(Bench.node("c0", origin + STARTS_MS, Availability.UP), Bench.node("c1", 0, Availability.DRAINING));
                 }
                 String id = "p" + i + "n" + next++;
-                b.router.request(b.now, new Router.Request(id, "dear", null, next % 3 == 0 ? 42 : next, 0, Bench.BUDGET, false,
+                b.router.onRequest(b.now, new Router.Request(id, "dear", null, next % 3 == 0 ? 42 : next, 0, Bench.BUDGET, false,
                         false), b.out);
                 if (b.sendsOf(id) > 0) {
                     String node = b.nodeOf(id);
@@ -72,14 +72,14 @@
         }
         // A warm node takes what a usual one is sent at least.
         double usualPerMs = PROXIES / EACH_MS / NODES;
-        for (double from = STARTS_MS; from + Bench.RULES.fallMs() < STARTS_MS + Bench.RULES.coldMs(); from += 100) {
+        for (double from = STARTS_MS; from + Bench.RULES.overloadWindowMs() < STARTS_MS + Bench.RULES.warmUpMs(); from += 100) {
             double begin = from;
-            double until = from + Bench.RULES.fallMs();
+            double until = from + Bench.RULES.overloadWindowMs();
             double age = from - STARTS_MS;
-            double share = Bench.RULES.coldFrom() + (1 - Bench.RULES.coldFrom()) * age / Bench.RULES.coldMs();
-            double most = Bench.RULES.fallMultiple() * share * usualPerMs * Bench.RULES.fallMs();
+            double share = Bench.RULES.coldStartShare() + (1 - Bench.RULES.coldStartShare()) * age / Bench.RULES.warmUpMs();
+            double most = Bench.RULES.overloadMultiple() * share * usualPerMs * Bench.RULES.overloadWindowMs();
             long sent = toCold.stream().filter(at -> at >= begin && at < until).count();
-            assertTrue(sent <= most, sent + " sends to the cold node within " + Bench.RULES.fallMs() + " ms from " + age + " ms on, at most " + most);
+            assertTrue(sent <= most, sent + " sends to the cold node within " + Bench.RULES.overloadWindowMs() + " ms from " + age + " ms on, at most " + most);
         }
         assertTrue(toCold.size() > PROXIES, "it is used: " + toCold.size());
     }
@@ -105,7 +105,7 @@
                     if (waiting.size() < waitMost) {
                         waiting.add(i);
                     } else {
-                        herd[i].router.nodes(herd[i].now, ListKind.REFUSED, 0, List.of(), herd[i].out);
+                        herd[i].router.onNodeList(herd[i].now, ListUpdateKind.REFUSED, 0, List.of(), herd[i].out);
                     }
                 }
             }
@@ -113,7 +113,7 @@
                 int served = waiting.remove();
                 has[served] = true;
                 free = t + serveMs;
-                herd[served].router.nodes(herd[served].now, ListKind.FULL, 9, List.of(Bench.node("c0", 0, Availability.UP)),
+                herd[served].router.onNodeList(herd[served].now, ListUpdateKind.FULL, 9, List.of(Bench.node("c0", 0, Availability.UP)),
                         herd[served].out);
             }
         }
--- a/core/src/test/java/ridgemill/policy/LimitsTest.java
+++ b/core/src/test/java/ridgemill/policy/LimitsTest.java
@@ -13,10 +13,10 @@
 class LimitsTest {
 
     private static final Path FOLDER = Path.of("src/main/java/ridgemill/policy");
-    private static final Path MODULE = FOLDER.resolve("Decide.java");
+    private static final Path MODULE = FOLDER.resolve("BalancingRouter.java");
     /** All files that hold the decision logic, as the deploy file lists them. */
     private static final List<Path> FILES = List.of(MODULE, FOLDER.resolve("AdmissionLevel.java"),
-            FOLDER.resolve("TokenBank.java"), FOLDER.resolve("Rendezvous.java"));
+            FOLDER.resolve("PriorityTokenBucket.java"), FOLDER.resolve("RendezvousHash.java"));
 
     private static List<String> lines() throws IOException {
         List<String> all = new ArrayList<>();
@@ -41,7 +41,7 @@
     @Test
     void moduleNamesItsInterfaceAndUsesTheJdkAlone() throws IOException {
         String text = Files.readString(MODULE);
-        assertTrue(text.indexOf("Router.java") < text.indexOf("class Decide"));
+        assertTrue(text.indexOf("Router.java") < text.indexOf("class BalancingRouter"));
         assertTrue(lines().stream().filter(l -> l.startsWith("import "))
                 .allMatch(l -> l.startsWith("import java.util.") || l.equals("import java.nio.ByteBuffer;")));
     }
--- a/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
+++ b/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
@@ -19,21 +19,21 @@
 
     private static final int PROXIES = 600;
 
-    private static Settings settings(boolean peers, Router.Connections connections) {
-        var limits = new Router.Limits(6, true, false, peers, true, 500, false, 150);
+    private static Settings settings(boolean peers, Router.ConnectionCosts connections) {
+        var limits = new Router.PlatformLimits(6, true, false, peers, true, 500, false, 150);
         return new Settings(0, PROXIES, "z", 5, Bench.services(), List.of(), 1, false, limits, Bench.RULES, false,
-                Router.Weights.NONE, "origin", connections);
+                Router.WeightMode.NONE, "origin", connections);
     }
 
     private static Bench bench(boolean peers, int caches) {
-        Bench b = new Bench(settings(peers, Router.Connections.FREE));
+        Bench b = new Bench(settings(peers, Router.ConnectionCosts.FREE));
         b.list(caches);
         return b;
     }
 
     @Test
     void anIdleConnectionIsClosedWhereOneFromEachWouldCostMoreThanOpeningThem() {
-        Bench b = new Bench(settings(false, new Router.Connections(60_000, 0.03, 0.03)));
+        Bench b = new Bench(settings(false, new Router.ConnectionCosts(60_000, 0.03, 0.03)));
         b.list(4);
         String id = b.ask("dear", 1);
         b.end(id, Outcome.OK);
@@ -75,7 +75,7 @@
         assertTrue(!teller.out.told.isEmpty() && teller.out.told.size() < 200, "a bounded sample");
         for (int round = 0; round < 6; round++) {
             for (byte[] news : teller.out.told) {
-                told.router.peerMessage(told.now, 5, news, told.out);
+                told.router.onPeerMessage(told.now, 5, news, told.out);
             }
         }
         assertEquals(1, nodesOf42(alone, 3).size());
@@ -150,7 +150,7 @@
                 }
                 // Half of the traffic is one key; the rest is spread.
                 String id = "f" + i + "n" + next++;
-                b.router.request(b.now, new Router.Request(id, "dear", null, next % 2 == 0 ? 42 : next, 0,
+                b.router.onRequest(b.now, new Router.Request(id, "dear", null, next % 2 == 0 ? 42 : next, 0,
                         Bench.BUDGET, false, false), b.out);
                 if (b.sendsOf(id) > 0) {
                     cold += listed && b.nodeOf(id).equals("c0") ? 1 : 0;
@@ -160,17 +160,17 @@
             }
         }
         double usualPerS = routers * 1000 / perRouterMs / 10;
-        double most = Bench.RULES.fallMultiple() * Bench.RULES.coldFrom() * usualPerS * 4;
+        double most = Bench.RULES.overloadMultiple() * Bench.RULES.coldStartShare() * usualPerS * 4;
         assertTrue(cold > 0 && cold < most, cold + " sends to the cold node, at most " + most);
     }
 
     @Test
     void aMessageThatIsNoListOfKeysDoesNoHarm() {
         Bench b = bench(true, 4);
-        b.router.peerMessage(b.now, 3, new byte[] {1, 2, 3}, b.out);
-        b.router.peerMessage(b.now, 3, new byte[0], b.out);
-        b.router.nodes(b.now, ListKind.CHANGES, 3, List.of(), b.out);
+        b.router.onPeerMessage(b.now, 3, new byte[] {1, 2, 3}, b.out);
+        b.router.onPeerMessage(b.now, 3, new byte[0], b.out);
+        b.router.onNodeList(b.now, ListUpdateKind.CHANGES, 3, List.of(), b.out);
         assertEquals(1, b.sendsOf(b.ask("dear", 1)));
-        b.router.probed(b.now, "c0", Outcome.OK, 1, Map.of(), b.out);
+        b.router.onProbeResult(b.now, "c0", Outcome.OK, 1, Map.of(), b.out);
     }
 }
--- a/core/src/test/java/ridgemill/policy/NoPlaceTest.java
+++ b/core/src/test/java/ridgemill/policy/NoPlaceTest.java
@@ -25,7 +25,7 @@
         long sends = b.sendsOf(id);
         b.end(id, Outcome.NO_PLACE);
         assertEquals(sends, b.sendsOf(id), "others need time to make room");
-        b.advance(Decide.PLACE_MS);
+        b.advance(BalancingRouter.PLACE_MS);
         assertEquals(sends + 1, b.sendsOf(id));
         assertEquals("db", b.nodeOf(id));
         b.end(id, Outcome.NO_PLACE);
@@ -46,7 +46,7 @@
     void oneWhoseTimeEndsBeforeThatIsAnsweredAtOnce() {
         Bench b = Bench.withCaches(4);
         String id = fetching(b, 1);
-        b.advance(Bench.BUDGET - Decide.PLACE_MS);
+        b.advance(Bench.BUDGET - BalancingRouter.PLACE_MS);
         b.end(id, Outcome.NO_PLACE);
         assertEquals(1, b.out.answers(id));
     }
@@ -62,12 +62,12 @@
                     continue;
                 }
                 b.end(id, Outcome.NO_PLACE);
-                b.advance(Decide.PLACE_MS);
+                b.advance(BalancingRouter.PLACE_MS);
                 b.end(id, Outcome.NO_PLACE);
             }
             b.advance(500);
         }
-        assertEquals(0, b.router.level());
+        assertEquals(0, b.router.admissionLevel());
     }
 
     /** It takes as many of them as tell of a node that drains and has not been said to. */
--- a/core/src/test/java/ridgemill/policy/PathTest.java
+++ b/core/src/test/java/ridgemill/policy/PathTest.java
@@ -44,14 +44,14 @@
         String waits = b.ask("dear", 7);
         assertEquals("db", b.nodeOf(first));
         assertEquals(0, b.sendsOf(waits));
-        b.router.clientGone(b.now, first, b.out);
+        b.router.onClientDisconnected(b.now, first, b.out);
         assertEquals(0, b.out.cancelled.size(), "one waits for it");
         b.end(first, Outcome.OK);
         assertEquals("c0", b.nodeOf(waits), "the value is there now");
         assertEquals(1, b.out.sentTo("db"));
         String alone = b.ask("dear", 8);
         b.end(alone, Outcome.MISS);
-        b.router.clientGone(b.now, alone, b.out);
+        b.router.onClientDisconnected(b.now, alone, b.out);
         assertEquals(java.util.List.of(alone), b.out.cancelled, "nobody waits for this one");
     }
 
@@ -232,7 +232,7 @@
                 sent++;
                 b.end(id, Outcome.OK, elapsed);
             } else {
-                b.router.clientGone(b.now, id, b.out);
+                b.router.onClientDisconnected(b.now, id, b.out);
             }
             b.advance(gap);
         }
--- a/core/src/test/java/ridgemill/policy/PlacementTest.java
+++ b/core/src/test/java/ridgemill/policy/PlacementTest.java
@@ -9,9 +9,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
@@ -60,21 +60,21 @@
         List<Node> all = new ArrayList<>(nodes);
         all.add(Bench.origin());
         Bench b = new Bench(Bench.settings(true, false));
-        b.router.nodes(b.now, ListKind.FULL, 1, all, b.out);
+        b.router.onNodeList(b.now, ListUpdateKind.FULL, 1, all, b.out);
         int met = 0;
         for (int i = 0; i < 3000; i++) {
             b.now += 10;
             long key = random.nextLong() >>> 1;
             String id = "r" + i;
             b.out.sent.clear();
-            b.router.request(b.now, new Request(id, "cheap", null, key, 0, 1000, false, false), b.out);
+            b.router.onRequest(b.now, new Request(id, "cheap", null, key, 0, 1000, false, false), b.out);
             if (b.out.sent.isEmpty()) {
                 continue;
             }
             String node = b.out.sent.get(0).node();
             assertEquals(naive(nodes, key), node, "seed " + seed + ", key " + key);
             met++;
-            b.router.attemptEnded(b.now, new AttemptEnd(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), b.out);
+            b.router.onAttemptEnded(b.now, new AttemptResult(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), b.out);
         }
         assertTrue(met > 1000, met + " were sent");
     }
--- a/core/src/test/java/ridgemill/policy/ProbedTest.java
+++ b/core/src/test/java/ridgemill/policy/ProbedTest.java
@@ -37,39 +37,39 @@
     }
 
     private void spare(Outcome outcome) {
-        for (int i = 0; i < 30 && !b.router.avoids(b.now, "c0"); i++) {
+        for (int i = 0; i < 30 && !b.router.isExcluded(b.now, "c0"); i++) {
             meets(outcome);
         }
-        assertTrue(b.router.avoids(b.now, "c0"));
+        assertTrue(b.router.isExcluded(b.now, "c0"));
     }
 
     private void probed(Outcome outcome) {
-        b.router.probed(b.now, "c0", outcome, 5, Map.of(), b.out);
+        b.router.onProbeResult(b.now, "c0", outcome, 5, Map.of(), b.out);
     }
 
     @Test
     void aNodeThatAnswersIsTriedAtOnce() {
         spare(Outcome.CONNECT_FAILED);
-        assertEquals(List.of("c0"), b.router.gone(b.now));
+        assertEquals(List.of("c0"), b.router.unreachableNodes(b.now));
         assertFalse(meets(Outcome.OK));
         probed(Outcome.OK);
-        assertEquals(List.of(), b.router.gone(b.now));
+        assertEquals(List.of(), b.router.unreachableNodes(b.now));
         assertTrue(meets(Outcome.OK));
     }
 
     @Test
     void nothingIsRiskedWhileItDoesNotButNotForEver() {
         spare(Outcome.CONNECT_FAILED);
-        for (double t = 0; t < 2 * Decide.SPARE_MOST_MS - Decide.SPARE_MS; t += 100) {
+        for (double t = 0; t < 2 * BalancingRouter.SPARE_MOST_MS - BalancingRouter.SPARE_MS; t += 100) {
             probed(Outcome.CONNECT_FAILED);
             b.advance(100);
-            assertTrue(b.router.avoids(b.now, "c0"), "after " + t);
+            assertTrue(b.router.isExcluded(b.now, "c0"), "after " + t);
         }
-        for (double t = 0; t < 2 * Decide.SPARE_MS; t += 100) {
+        for (double t = 0; t < 2 * BalancingRouter.SPARE_MS; t += 100) {
             probed(Outcome.CONNECT_FAILED);
             b.advance(100);
         }
-        assertFalse(b.router.avoids(b.now, "c0"), "the one that probes may be cut off from it itself");
+        assertFalse(b.router.isExcluded(b.now, "c0"), "the one that probes may be cut off from it itself");
     }
 
     /** The one that probes reaches it, and we do not: that costs one request, and not one a probe. */
@@ -78,30 +78,30 @@
         spare(Outcome.CONNECT_FAILED);
         probed(Outcome.OK);
         assertTrue(meets(Outcome.CONNECT_FAILED));
-        assertTrue(b.router.avoids(b.now, "c0"));
+        assertTrue(b.router.isExcluded(b.now, "c0"));
         for (int i = 0; i < 5; i++) {
             probed(Outcome.OK);
-            assertTrue(b.router.avoids(b.now, "c0"));
+            assertTrue(b.router.isExcluded(b.now, "c0"));
         }
-        b.advance(2 * Decide.SPARE_MOST_MS);
+        b.advance(2 * BalancingRouter.SPARE_MOST_MS);
         assertTrue(meets(Outcome.OK), "its time is over");
         spare(Outcome.CONNECT_FAILED);
         probed(Outcome.OK);
-        assertFalse(b.router.avoids(b.now, "c0"), "it has answered since");
+        assertFalse(b.router.isExcluded(b.now, "c0"), "it has answered since");
     }
 
     @Test
     void aNodeThatIsSilentIsJudgedByRequests() {
         spare(Outcome.TIMEOUT);
-        assertEquals(List.of(), b.router.gone(b.now));
+        assertEquals(List.of(), b.router.unreachableNodes(b.now));
         probed(Outcome.OK);
-        assertTrue(b.router.avoids(b.now, "c0"));
+        assertTrue(b.router.isExcluded(b.now, "c0"));
     }
 
     @Test
     void aProbeSparesNothing() {
         probed(Outcome.CONNECT_FAILED);
-        assertFalse(b.router.avoids(b.now, "c0"));
-        b.router.probed(b.now, "nobody", Outcome.OK, 5, Map.of(), b.out);
+        assertFalse(b.router.isExcluded(b.now, "c0"));
+        b.router.onProbeResult(b.now, "nobody", Outcome.OK, 5, Map.of(), b.out);
     }
 }
--- a/core/src/test/java/ridgemill/policy/ReasonsTest.java
+++ b/core/src/test/java/ridgemill/policy/ReasonsTest.java
@@ -21,8 +21,8 @@
 
     @Test
     void namesAreStableWordsAndEachIsItsOwn() {
-        assertEquals(Reason.values().length, new HashSet<>(Arrays.stream(Reason.values()).map(Reason::word).toList()).size());
-        assertTrue(Arrays.stream(Reason.values()).allMatch(r -> r.word().matches("[a-z]+(-[a-z]+)*") && !r.text().isEmpty()));
+        assertEquals(Reason.values().length, new HashSet<>(Arrays.stream(Reason.values()).map(Reason::code).toList()).size());
+        assertTrue(Arrays.stream(Reason.values()).allMatch(r -> r.code().matches("[a-z]+(-[a-z]+)*") && !r.description().isEmpty()));
     }
 
     /** A reason that operators can't look up is of no use to them. */
@@ -30,7 +30,7 @@
     void thePageHasEachReasonWithItsMeaning() throws IOException {
         String page = Files.readString(Path.of("..", "docs", "reasons.md"));
         for (Reason r : Reason.values()) {
-            assertTrue(page.contains("| `" + r.word() + "` | " + r.text() + " |"), r.word());
+            assertTrue(page.contains("| `" + r.code() + "` | " + r.description() + " |"), r.code());
         }
     }
 
@@ -84,7 +84,7 @@
         for (int i = 0; i < 4; i++) {
             b.interval(2, 18);
         }
-        assertTrue(b.router.level() > 0);
+        assertTrue(b.router.admissionLevel() > 0);
         assertTrue(b.out.reasons.containsValue(Reason.NO_TOKEN), b.out.reasons.values().toString());
     }
 
--- a/core/src/test/java/ridgemill/policy/RulesTest.java
+++ b/core/src/test/java/ridgemill/policy/RulesTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
 
@@ -35,7 +35,7 @@
     @Test
     void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
         Bench b = Bench.withCaches(3);
-        b.router.request(b.now, new Router.Request("late", "dear", null, 1, 0, 0, false, false), b.out);
+        b.router.onRequest(b.now, new Router.Request("late", "dear", null, 1, 0, 0, false, false), b.out);
         assertEquals(1, b.out.answers("late"));
         assertEquals(0, b.out.sent.size());
     }
@@ -54,7 +54,7 @@
         b.advance(Bench.BUDGET);
         int sent = b.out.sent.size();
         b.end(id, Outcome.CANCELLED);
-        b.router.clientGone(b.now, id, b.out);
+        b.router.onClientDisconnected(b.now, id, b.out);
         b.advance(2000);
         assertEquals(sent, b.out.sent.size());
         assertEquals(1, b.out.answers(id));
@@ -156,17 +156,17 @@
             b.advance(5);
         }
         long cold = b.out.sentTo("c0") - before;
-        double most = Bench.RULES.fallMultiple() * Bench.RULES.coldFrom() * usual * 2;
+        double most = Bench.RULES.overloadMultiple() * Bench.RULES.coldStartShare() * usual * 2;
         assertTrue(cold > 0 && cold < most, cold + " sends, at most " + most);
     }
 
     @Test
     void aRestartWithARememberedListAsksDiscoveryAndAsksAgainWhenRefused() {
         Bench b = new Bench(Bench.settings(true, true));
-        b.router.nodes(b.now, ListKind.REMEMBERED, 1, List.of(Bench.node("c0", 0, Availability.UP)), b.out);
+        b.router.onNodeList(b.now, ListUpdateKind.REMEMBERED, 1, List.of(Bench.node("c0", 0, Availability.UP)), b.out);
         b.advance(1500);
         assertEquals(1, b.out.subscriptions);
-        b.router.nodes(b.now, ListKind.REFUSED, 1, List.of(), b.out);
+        b.router.onNodeList(b.now, ListUpdateKind.REFUSED, 1, List.of(), b.out);
         b.advance(5000);
         assertEquals(2, b.out.subscriptions);
     }
@@ -175,11 +175,11 @@
     void settingsWithoutClassesOrDeadlinesAreRefusedByName() {
         Settings good = Bench.settings(true, false);
         var none = assertThrows(IllegalArgumentException.class, () -> new Settings(0, 1, "z", 5, List.of(), List.of(),
-                1, false, good.limits(), good.rules(), false, Router.Weights.NONE, null));
+                1, false, good.limits(), good.rules(), false, Router.WeightMode.NONE, null));
         assertTrue(none.getMessage().contains("classes"));
-        var timeless = new Router.ServiceClass("x", 1, 0, 0, 1, 0, Router.Effect.SAFE, Router.Group.ALL, 0, false);
+        var timeless = new Router.ServiceClass("x", 1, 0, 0, 1, 0, Router.Effect.SAFE, Router.DeduplicationScope.ALL, 0, false);
         var late = assertThrows(IllegalArgumentException.class, () -> new Settings(0, 1, "z", 5, List.of(timeless),
-                List.of(), 1, false, good.limits(), good.rules(), false, Router.Weights.NONE, null));
+                List.of(), 1, false, good.limits(), good.rules(), false, Router.WeightMode.NONE, null));
         assertTrue(late.getMessage().contains("deadlineMs"));
     }
 }
--- a/core/src/test/java/ridgemill/policy/Sink.java
+++ b/core/src/test/java/ridgemill/policy/Sink.java
@@ -42,7 +42,7 @@
     }
 
     @Override
-    public void because(String request, Reason why) {
+    public void reportReason(String request, Reason why) {
         reasons.put(request, why);
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {
+    public void setTimer(double atMs, String token) {
         log.add("timer " + atMs + " " + token);
         timers.add(new Due(atMs, token));
     }
@@ -70,13 +70,13 @@
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void broadcast(byte[] contents) {
         log.add("tell " + Arrays.toString(contents));
         told.add(contents);
     }
 
     @Override
-    public void close(String node) {
+    public void closeIdleConnections(String node) {
         log.add("close " + node);
         closed.add(node);
     }
--- a/core/src/test/java/ridgemill/route/RouteTableTest.java
+++ b/core/src/test/java/ridgemill/route/RouteTableTest.java
@@ -29,7 +29,7 @@
     }
 
     private static String match(List<Route<String>> routes, String method, String path, String tenant) {
-        return new RouteTable<>(routes).match(new Query(method, path, tenant)).map(Route::name).orElse("none");
+        return new RouteTable<>(routes).match(new RouteQuery(method, path, tenant)).map(Route::name).orElse("none");
     }
 
     @ParameterizedTest
@@ -60,7 +60,7 @@
         assertEquals("plain", match(routes, "GET", "/api/m6", "other"), "the upper bound is no part of the range");
         assertEquals("tenant", match(routes, "PUT", "/api/m55", "acme"));
         RouteTable<String> table = new RouteTable<>(routes);
-        assertEquals("header", table.match(new Query("PUT", "/api/m1", null, n -> n.equals("x-app") ? "till" : null))
+        assertEquals("header", table.match(new RouteQuery("PUT", "/api/m1", null, n -> n.equals("x-app") ? "till" : null))
                 .orElseThrow().name());
         assertTrue(table.conflicts().isEmpty());
     }
@@ -106,7 +106,7 @@
         }
         try {
             RouteTable<String> table = new RouteTable<>(routes);
-            routes.forEach(r -> assertTrue(table.match(new Query("GET", r.paths().example(), null)).isPresent()));
+            routes.forEach(r -> assertTrue(table.match(new RouteQuery("GET", r.pathPattern().example(), null)).isPresent()));
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage().contains("too many levels"));
         }
@@ -131,14 +131,14 @@
                     Route<String> b = routes.get(j);
                     boolean told = table.conflicts().stream().anyMatch(c -> c.first() == a && c.second() == b
                             || c.first() == b && c.second() == a);
-                    assertEquals(a.conflicts(b), told, a + " and " + b + ", seed " + seed);
+                    assertEquals(a.conflictsWith(b), told, a + " and " + b + ", seed " + seed);
                 }
             }
             for (int i = 0; i < 60; i++) {
                 boolean header = random.nextBoolean();
-                Query q = new Query(random.nextBoolean() ? "GET" : "PUT", path(random, false),
+                RouteQuery q = new RouteQuery(random.nextBoolean() ? "GET" : "PUT", path(random, false),
                         random.nextInt(3) == 0 ? null : "t" + random.nextInt(2), n -> header ? "1" : null);
-                List<Route<String>> taking = routes.stream().filter(r -> r.takes(q)).toList();
+                List<Route<String>> taking = routes.stream().filter(r -> r.matches(q)).toList();
                 Optional<Route<String>> matched = table.match(q);
                 assertEquals(taking.isEmpty(), matched.isEmpty(), q + ", seed " + seed);
                 matched.ifPresent(m -> {
@@ -157,8 +157,8 @@
         for (int i = 0; i < 60; i++) {
             routes.add(route("r" + i, path(random, true), conditions(random)));
         }
-        Query q = new Query("GET", "/a/b", "t0", n -> "1");
-        List<Route<String>> taking = new ArrayList<>(routes.stream().filter(r -> r.takes(q)).toList());
+        RouteQuery q = new RouteQuery("GET", "/a/b", "t0", n -> "1");
+        List<Route<String>> taking = new ArrayList<>(routes.stream().filter(r -> r.matches(q)).toList());
         taking.sort(Comparator.comparing(Route::name));
         for (Route<String> a : taking) {
             for (Route<String> b : taking) {
--- a/gateway/src/main/java/ridgemill/benchlink/Link.java
+++ b/gateway/src/main/java/ridgemill/benchlink/Link.java
@@ -8,11 +8,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
@@ -77,12 +77,12 @@
         long seed = f.longOr(0);
         Router router;
         try {
-            router = new Decide(SettingsReader.read(f.rest()), seed);
+            router = new BalancingRouter(SettingsReader.read(f.rest()), seed);
         } catch (IllegalArgumentException e) {
             throw new WireException(e.getMessage());
         }
         routers.put(instance, router);
-        guarded(actions, r -> r.started(now, actions), router);
+        guarded(actions, r -> r.onStart(now, actions), router);
     }
 
     private void down(int instance, Fields f) {
@@ -128,11 +128,11 @@
     }
 
     private Event topology(Fields f, Reply actions) throws IOException {
-        ListKind kind = switch (f.text()) {
-            case "changes" -> ListKind.CHANGES;
-            case "all" -> ListKind.FULL;
-            case "remembered" -> ListKind.REMEMBERED;
-            case "refused" -> ListKind.REFUSED;
+        ListUpdateKind kind = switch (f.text()) {
+            case "changes" -> ListUpdateKind.CHANGES;
+            case "all" -> ListUpdateKind.FULL;
+            case "remembered" -> ListUpdateKind.REMEMBERED;
+            case "refused" -> ListUpdateKind.REFUSED;
             default -> throw new WireException("TOPOLOGY: unknown mode");
         };
         long version = f.longOr(0);
@@ -141,7 +141,7 @@
         for (long i = 0; i < count; i++) {
             nodes.add(node(new Fields(next())));
         }
-        return r -> r.nodes(now, kind, version, nodes, actions);
+        return r -> r.onNodeList(now, kind, version, nodes, actions);
     }
 
     private static Node node(Fields f) {
@@ -175,7 +175,7 @@
         f.optional();
         Request request = new Request(id, service, tenant, key, (bits & HINT_VALID) != 0 ? work : 0, budget,
                 (bits & WRITE) != 0, (bits & REPEAT) != 0);
-        return r -> r.request(now, request, actions);
+        return r -> r.onRequest(now, request, actions);
     }
 
     private Event ended(Fields f, Reply actions) {
@@ -185,8 +185,8 @@
         Outcome outcome = outcome(f.integer());
         double elapsed = f.numberOr(0);
         boolean finished = f.flag();
-        AttemptEnd end = new AttemptEnd(id, attempt, node, outcome, elapsed, finished, (int) f.longOr(0), f.pairs());
-        return r -> r.attemptEnded(now, end, actions);
+        AttemptResult end = new AttemptResult(id, attempt, node, outcome, elapsed, finished, (int) f.longOr(0), f.pairs());
+        return r -> r.onAttemptEnded(now, end, actions);
     }
 
     private Event flowing(Fields f, Reply actions) {
@@ -194,17 +194,17 @@
         f.numberOr(0);
         int attempt = f.integer();
         String node = f.text();
-        return r -> r.streamStarted(now, id, attempt, node, actions);
+        return r -> r.onStreamStarted(now, id, attempt, node, actions);
     }
 
     private Event clientLeft(Fields f, Reply actions) {
         String id = f.text();
-        return r -> r.clientGone(now, id, actions);
+        return r -> r.onClientDisconnected(now, id, actions);
     }
 
     private Event wake(Fields f, Reply actions) {
         String token = f.rest();
-        return r -> r.timer(now, token, actions);
+        return r -> r.onTimer(now, token, actions);
     }
 
     private Event pingResult(Fields f, Reply actions) {
@@ -212,7 +212,7 @@
         String node = f.text();
         Outcome outcome = outcome(f.integer());
         Map<String, Double> load = f.pairs();
-        return r -> r.probed(now, node, outcome, elapsed, load, actions);
+        return r -> r.onProbeResult(now, node, outcome, elapsed, load, actions);
     }
 
     private Event inbox(Fields f, Reply actions) {
@@ -220,7 +220,7 @@
         String contents = f.optional();
         try {
             byte[] bytes = contents == null ? new byte[0] : Base64.getDecoder().decode(contents);
-            return r -> r.peerMessage(now, from, bytes, actions);
+            return r -> r.onPeerMessage(now, from, bytes, actions);
         } catch (IllegalArgumentException e) {
             throw new WireException("INBOX: not base64");
         }
--- a/gateway/src/main/java/ridgemill/benchlink/Reply.java
+++ b/gateway/src/main/java/ridgemill/benchlink/Reply.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void timer(double atMs, String token) {
+    public void setTimer(double atMs, String token) {
         begin("ARM").append(' ');
         millis(atMs).append(' ').append(token).append('\n');
     }
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public void tell(byte[] contents) {
+    public void broadcast(byte[] contents) {
         begin("ANNOUNCE").append(" -1 ").append(Base64.getEncoder().encodeToString(contents)).append('\n');
     }
 
     @Override
-    public void close(String node) {
+    public void closeIdleConnections(String node) {
         begin("HANG_UP").append(' ').append(node).append('\n');
     }
 
--- a/gateway/src/main/java/ridgemill/benchlink/SettingsReader.java
+++ b/gateway/src/main/java/ridgemill/benchlink/SettingsReader.java
@@ -7,15 +7,15 @@
 import com.google.gson.JsonParser;
 import java.util.ArrayList;
 import java.util.List;
-import ridgemill.policy.Router.Connections;
+import ridgemill.policy.Router.ConnectionCosts;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router.Tenant;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 
 /** Turns the settings of the wire into the module's; unknown keys are skipped, absent ones get a default. */
 public final class SettingsReader {
@@ -49,8 +49,8 @@
                 originModel(o), connections(object(o, "limits"), object(o, "tariffs")));
     }
 
-    private static Connections connections(JsonObject limits, JsonObject tariffs) {
-        return new Connections(number(limits, "idle_close_ms", Double.POSITIVE_INFINITY),
+    private static ConnectionCosts connections(JsonObject limits, JsonObject tariffs) {
+        return new ConnectionCosts(number(limits, "idle_close_ms", Double.POSITIVE_INFINITY),
                 number(tariffs, "connection", 0), number(tariffs, "handshake", 0));
     }
 
@@ -76,14 +76,14 @@
         return tenants;
     }
 
-    private static Limits limits(JsonObject o) {
-        return new Limits((int) number(o, "try_limit", 1), flag(o, "cancelling"), flag(o, "probing"),
+    private static PlatformLimits limits(JsonObject o) {
+        return new PlatformLimits((int) number(o, "try_limit", 1), flag(o, "cancelling"), flag(o, "probing"),
                 flag(o, "peers"), flag(o, "retry_after"), number(o, "max_retry_after_ms", 0),
                 flag(o, "second_copies"), number(o, "connect_timeout_ms", 100));
     }
 
-    private static Rules rules(JsonObject o) {
-        return new Rules(number(o, "stop_sending_within_ms", 0), number(o, "cold_from", 1),
+    private static PlatformRules rules(JsonObject o) {
+        return new PlatformRules(number(o, "stop_sending_within_ms", 0), number(o, "cold_from", 1),
                 number(o, "cold_ms", 0), number(o, "fall_multiple", 1), number(o, "fall_ms", 1000),
                 number(o, "answer_slack_ms", 0), number(o, "ask_within_ms", 10000));
     }
@@ -106,20 +106,20 @@
         };
     }
 
-    private static Group group(String word) {
+    private static DeduplicationScope group(String word) {
         return switch (word) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw new WireException("settings: services: unknown group " + word);
         };
     }
 
-    private static Weights weights(String word) {
+    private static WeightMode weights(String word) {
         return switch (word) {
-            case "nominal", "rough" -> Weights.SIZE;
-            case "live" -> Weights.LIVE;
-            default -> Weights.NONE;
+            case "nominal", "rough" -> WeightMode.SIZE;
+            case "live" -> WeightMode.LIVE;
+            default -> WeightMode.NONE;
         };
     }
 
--- a/gateway/src/main/java/ridgemill/cli/Commands.java
+++ b/gateway/src/main/java/ridgemill/cli/Commands.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine;
 import ridgemill.Main;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.ConfigException;
 import ridgemill.gateway.Service;
@@ -33,8 +33,8 @@
 import ridgemill.gateway.operator.OperatorConfig;
 import ridgemill.gateway.operator.OperatorFile;
 import ridgemill.gateway.operator.OperatorFileException;
-import ridgemill.policy.Decide;
-import ridgemill.route.Query;
+import ridgemill.policy.BalancingRouter;
+import ridgemill.route.RouteQuery;
 
 /**
  * The command line beyond the bare starts that a deployment makes. Those never come here: on part of a core, loading
@@ -126,7 +126,7 @@
         private Main.Started operated(Config config) throws ConfigException, IOException, InterruptedException {
             try {
                 Service.warmUp(config);
-                Operated operated = Operated.start(config, operatorFile, settings -> new Decide(settings, config.seed() + settings.index()));
+                Operated operated = Operated.start(config, operatorFile, settings -> new BalancingRouter(settings, config.seed() + settings.proxyIndex()));
                 Runtime.getRuntime().addShutdownHook(new Thread(operated::closeControl, "control"));
                 return new Main.Started(operated::awaitEnd, () -> {
                     operated.reloadConfiguration(System.getenv());
@@ -140,8 +140,8 @@
     }
 
     /** What the platform says, from the configuration that was named; what the program can do, if none was. */
-    private static PlatformFacts platform(String config) throws ConfigException {
-        return config == null ? PlatformFacts.UNKNOWN : PlatformFacts.of(Config.read(config, Map.of()).settings());
+    private static PlatformConstraints platform(String config) throws ConfigException {
+        return config == null ? PlatformConstraints.UNKNOWN : PlatformConstraints.of(Config.read(config, Map.of()).settings());
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true, description = {
@@ -222,8 +222,8 @@
             }
             Map<String, String> lower = new HashMap<>();
             headers.forEach((n, v) -> lower.put(n.toLowerCase(Locale.ROOT), v));
-            OperatorConfig config = OperatorFile.read(file, PlatformFacts.UNKNOWN);
-            Explanation.of(config, new Query(words[0], Targets.path(words[1]), tenant, lower::get), service).forEach(System.out::println);
+            OperatorConfig config = OperatorFile.read(file, PlatformConstraints.UNKNOWN);
+            Explanation.of(config, new RouteQuery(words[0], Targets.path(words[1]), tenant, lower::get), service).forEach(System.out::println);
             return 0;
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -17,7 +17,7 @@
 import ridgemill.benchlink.SettingsReader;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Addresses;
-import ridgemill.policy.Router.Limits;
+import ridgemill.policy.Router.PlatformLimits;
 import ridgemill.policy.Router.Settings;
 
 /**
@@ -44,13 +44,13 @@
      * @param reserved descriptors that are not divided
      */
     Config part(int loop, int loops, int reserved) {
-        Limits l = settings.limits();
-        Limits heard = new Limits(l.maxAttempts(), l.cancel(), l.probes(), true, l.retryAfter(), l.maxRetryAfterMs(),
-                l.secondCopies(), l.connectTimeoutMs());
-        Settings part = new Settings(settings.index() * loops + loop, settings.proxies() * loops, settings.zone(),
-                settings.tickMs(), settings.classes(), settings.tenants(), settings.overShareWorth(), settings.worthByWork(),
-                heard, settings.rules(), settings.mustSubscribe(), settings.weights(), settings.originModel(),
-                settings.connections());
+        PlatformLimits l = settings.limits();
+        PlatformLimits heard = new PlatformLimits(l.maxAttempts(), l.cancelAllowed(), l.probesAllowed(), true, l.retryAfterAllowed(), l.maxRetryAfterMs(),
+                l.hedgingAllowed(), l.connectTimeoutMs());
+        Settings part = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops, settings.zone(),
+                settings.tickMs(), settings.classes(), settings.tenants(), settings.overQuotaFactor(), settings.valueByWork(),
+                heard, settings.rules(), settings.mustSubscribe(), settings.weightMode(), settings.originModel(),
+                settings.connectionCosts());
         return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved, peerListen,
                 peers, peersAll, known, part, Math.max(1, maxOpen / loops), console);
     }
--- a/gateway/src/main/java/ridgemill/gateway/Crew.java
+++ b/gateway/src/main/java/ridgemill/gateway/Crew.java
@@ -25,7 +25,7 @@
 import ridgemill.gateway.net.SocketKind;
 import ridgemill.gateway.net.Transport;
 import ridgemill.loops.Dealing;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
 import ridgemill.succession.LeavePlan;
@@ -263,7 +263,7 @@
 
         @Override
         public void tell(byte[] contents) {
-            int from = config.settings().index() * members.size() + index;
+            int from = config.settings().proxyIndex() * members.size() + index;
             for (int i = 0; i < members.size(); i++) {
                 if (i != index) {
                     Service other = members.get(i);
@@ -287,7 +287,7 @@
     /** Passes on what discovery tells: the list is immutable, and each loop takes it in when its turn comes. */
     private final class Told implements Discovery.Listener {
         @Override
-        public void hosts(ListKind kind, HostList list) {
+        public void hosts(ListUpdateKind kind, HostList list) {
             each(m -> m.told(kind, list));
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/Peers.java
+++ b/gateway/src/main/java/ridgemill/gateway/Peers.java
@@ -33,7 +33,7 @@
         this.loop = loop;
         this.config = config;
         this.heard = heard;
-        this.self = config.settings().index();
+        this.self = config.settings().proxyIndex();
     }
 
     /** Listens for the others; {@code shared} where another process of this proxy may do so too. */
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -53,16 +53,16 @@
 import ridgemill.gateway.net.Transport;
 import ridgemill.gateway.succession.ServingMark;
 import ridgemill.outcome.Outcomes;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
 import ridgemill.succession.LeavePlan;
-import ridgemill.watch.Figures;
-import ridgemill.watch.Readiness;
+import ridgemill.monitoring.ProxyMetrics;
+import ridgemill.monitoring.Readiness;
 
 /** One running proxy: puts the parts together on one event loop, and takes them down without losing a request. */
 public final class Service {
@@ -120,7 +120,7 @@
         intake = new Intake<>(timers, gate, deadlines);
         nodeSockets = new Sockets(Math.max(1, sockets - clientSockets));
         pool = new NodePool(loop, Transport.TCP, HttpNodeConnection::new,
-                settings.limits().connectTimeoutMs(), settings.connections().idleMs(), nodeSockets);
+                settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeSockets);
         platform = upstream(Intake.PLATFORM, settings, router, pool, faults(outside));
         intake.group(Intake.PLATFORM, platform.dispatcher());
         clients = new ClientTable(clientSockets, gate::connectionsPerClient);
@@ -143,7 +143,7 @@
     /** Nodes that have no place for a connection of ours: the other proxies hear of it, if the settings let us speak. */
     private void callForRoom(Consumer<byte[]> tell) {
         RoomCalls calls = new RoomCalls();
-        if (config.settings().limits().peers()) {
+        if (config.settings().limits().peerMessagesAllowed()) {
             pool.onNoPlace(node -> {
                 byte[] call = calls.noPlace(node, timers.now());
                 if (call != null) {
@@ -230,7 +230,7 @@
     }
 
     /** What discovery told a crew; on the loop. */
-    void told(ListKind kind, HostList list) {
+    void told(ListUpdateKind kind, HostList list) {
         new Told().hosts(kind, list);
     }
 
@@ -296,17 +296,17 @@
 
         /** Its nodes, which the list names all. */
         public void nodes(HostList list) {
-            upstream.hosts(ListKind.FULL, list);
+            upstream.hosts(ListUpdateKind.FULL, list);
         }
 
         /** Its nodes that take work, as they are listed. */
         public List<String> listed() {
-            return upstream.router().listed();
+            return upstream.router().listedNodes();
         }
 
         /** Those of its nodes that get nothing now as they could not be reached. */
         public List<String> gone() {
-            return upstream.router().gone(timers.now());
+            return upstream.router().unreachableNodes(timers.now());
         }
 
         /** Its decisions are told what came of a probe, made here or by another proxy. */
@@ -354,7 +354,7 @@
 
     /** The decisions' present level of throttling for the platform's nodes; on the loop. */
     public int level() {
-        return platform.router().level();
+        return platform.router().admissionLevel();
     }
 
     /** The clients' connections of all fronts. */
@@ -401,7 +401,7 @@
      * when a whole fleet starts anew and asks at once, and the list that a restarted proxy knows has many that are gone.
      */
     public static Service start(Config config) throws IOException, InterruptedException {
-        return start(config, new Decide(config.settings(), config.seed()), () -> warmUp(config));
+        return start(config, new BalancingRouter(config.settings(), config.seed()), () -> warmUp(config));
     }
 
     /** The same with other decisions and another preparation. */
@@ -450,7 +450,7 @@
         // The module knows its list before the first client can come, and asks for a newer one.
         loop.submit(this::tellStart).sync();
         loop.execute(discovery::start);
-        loop.execute(() -> reached = reached.then(Readiness.WARMING_UP));
+        loop.execute(() -> reached = reached.advanceTo(Readiness.WARMING_UP));
         preparation.run();
         if (peers != null) {
             bound(peers.listen(isShared()), config.peerListen());
@@ -458,7 +458,7 @@
         listening = (InetSocketAddress) bound(front.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
         Log.info("listening on " + Addresses.text(listening));
         loop.execute(() -> {
-            reached = reached.then(Readiness.WAITING_FOR_LIST);
+            reached = reached.advanceTo(Readiness.WAITING_FOR_LIST);
             markServing();
         });
         clients.watch(loop);
@@ -533,14 +533,14 @@
     }
 
     /** On the loop. */
-    private Figures figures() {
+    private ProxyMetrics figures() {
         String store = config.settings().originModel();
         List<String> nodes = hosts.values().stream().filter(h -> store == null || !store.equals(h.node().model()))
                 .map(h -> h.node().id()).toList();
         Map<String, Long> all = new TreeMap<>();
         moreFigures.forEach(more -> all.putAll(more.get()));
-        return Figures.of(intake.tally(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.owed(),
-                nodes, id -> platform.router().avoids(timers.now(), id), all);
+        return ProxyMetrics.of(intake.tally(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.owed(),
+                nodes, id -> platform.router().isExcluded(timers.now(), id), all);
     }
 
     /** Counts that the console shows besides, by name; to be called on the loop, as what tells them is. */
@@ -728,7 +728,7 @@
         loop.scheduleWithFixedDelay(() -> deadlines.loop().beat(timers.now()), 0, (long) LoopWatch.BEAT_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
         if (config.known() != null) {
-            platform.hosts(ListKind.REMEMBERED, config.known());
+            platform.hosts(ListUpdateKind.REMEMBERED, config.known());
             know(config.known());
         }
     }
@@ -749,7 +749,7 @@
     /** Passes on what discovery tells. */
     private final class Told implements Discovery.Listener {
         @Override
-        public void hosts(ListKind kind, HostList list) {
+        public void hosts(ListUpdateKind kind, HostList list) {
             platform.hosts(kind, list);
             know(list);
             onHosts.run();
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -4,14 +4,14 @@
 import ridgemill.gateway.back.NodeBack;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Content;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router;
 
 /** One group of nodes: the decisions about it, and the connections to it. */
 record Upstream(Router router, NodeBack back, Dispatcher<Content> dispatcher) {
 
     /** The back first: it must know a node before the module may choose it. */
-    void hosts(ListKind kind, HostList list) {
+    void hosts(ListUpdateKind kind, HostList list) {
         back.list(list);
         dispatcher.nodes(kind, list.version(), list.nodes());
     }
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -47,9 +47,9 @@
 import ridgemill.gateway.net.LoopTimers;
 import ridgemill.gateway.net.SocketKind;
 import ridgemill.gateway.net.Transport;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Settings;
 
@@ -123,10 +123,10 @@
 
     private void start() throws InterruptedException {
         NodePool pool = new NodePool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
-                settings.connections().idleMs(), new Sockets(NODES * AT_ONCE));
+                settings.connectionCosts().idleTimeoutMs(), new Sockets(NODES * AT_ONCE));
         LoopTimers timers = new LoopTimers(loop, new Clock());
         Intake<Content> intake = new Intake<>(timers, new PlatformGate(settings));
-        Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new Decide(settings, 0), pool, new LogFaults(),
+        Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
                 intake::settled, AT_ONCE + 1);
         intake.group(Intake.PLATFORM, dispatcher);
         HttpFront clients = new HttpFront(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
@@ -141,7 +141,7 @@
             HostList list = new HostList(1, true, hosts);
             dispatcher.start();
             pool.list(list);
-            dispatcher.nodes(ListKind.FULL, list.version(), list.nodes());
+            dispatcher.nodes(ListUpdateKind.FULL, list.version(), list.nodes());
         }).sync();
         SocketAddress front = clients.listen(transport, place()).sync().channel().localAddress();
         began = System.nanoTime();
--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -88,7 +88,7 @@
         this.loop = loop;
         this.timers = timers;
         this.peers = config.peerListen() == null ? List.of() : config.peers();
-        this.self = config.settings().index();
+        this.self = config.settings().proxyIndex();
         this.send = send;
         double now = timers.now();
         this.startedMs = (long) now;
@@ -202,7 +202,7 @@
         }
         o.add("attempts", sent);
         o.addProperty("end", trail.end() == null ? null : trail.end().name().toLowerCase(Locale.ROOT));
-        o.addProperty("why", trail.why().word());
+        o.addProperty("why", trail.why().code());
         o.addProperty("took_ms", trail.end() == null ? null : trail.overMs() - trail.fromMs());
         return o;
     }
--- a/gateway/src/main/java/ridgemill/gateway/console/Console.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/Console.java
@@ -7,9 +7,9 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 import ridgemill.gateway.net.Transport;
-import ridgemill.watch.Callers;
-import ridgemill.watch.Figures;
-import ridgemill.watch.Readiness;
+import ridgemill.monitoring.BoundedConnections;
+import ridgemill.monitoring.ProxyMetrics;
+import ridgemill.monitoring.Readiness;
 
 /**
  * The address for operators alone: HTTP/1.1, one call to a connection. It answers from the loop's own state, from before the
@@ -21,12 +21,12 @@
     public static final int PLACES = 16;
 
     private final EventLoop loop;
-    private final Callers<Channel> callers = new Callers<>(PLACES);
+    private final BoundedConnections<Channel> callers = new BoundedConnections<>(PLACES);
     private final Supplier<Readiness> readiness;
-    private final Supplier<Figures> figures;
+    private final Supplier<ProxyMetrics> figures;
 
     /** A console that reads what it tells when it is asked. */
-    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<Figures> figures) {
+    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> figures) {
         this.loop = loop;
         this.readiness = readiness;
         this.figures = figures;
@@ -44,8 +44,8 @@
 
     private void take(Channel channel) {
         ConsoleCall.install(channel, this);
-        Channel goes = callers.come(channel);
-        channel.closeFuture().addListener(f -> callers.gone(channel));
+        Channel goes = callers.add(channel);
+        channel.closeFuture().addListener(f -> callers.remove(channel));
         if (goes != null) {
             goes.close();
         }
@@ -55,7 +55,7 @@
         return readiness.get();
     }
 
-    Figures figures() {
+    ProxyMetrics figures() {
         return figures.get();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/console/ConsoleCall.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/ConsoleCall.java
@@ -22,7 +22,7 @@
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.StrictHttp;
 import ridgemill.gateway.net.Targets;
-import ridgemill.watch.Readiness;
+import ridgemill.monitoring.Readiness;
 
 /** One call of an operator. The first head that is whole is answered, and the connection's end follows. */
 final class ConsoleCall extends SimpleChannelInboundHandler<HttpObject> {
@@ -82,7 +82,7 @@
     private static String status(Readiness now) {
         JsonObject o = new JsonObject();
         o.addProperty("ready", now.serves());
-        o.addProperty("state", now.words());
+        o.addProperty("state", now.description());
         return o.toString();
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/console/FigureText.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/FigureText.java
@@ -2,23 +2,23 @@
 
 import com.google.gson.JsonObject;
 import java.util.Map;
-import ridgemill.watch.Figures;
+import ridgemill.monitoring.ProxyMetrics;
 
 /** Figures as the operators' page names them. */
 final class FigureText {
 
     private FigureText() { }
 
-    static String json(Figures figures) {
+    static String json(ProxyMetrics figures) {
         JsonObject o = new JsonObject();
-        o.add("passed", byClass(figures.passed()));
-        o.add("dropped", byClass(figures.dropped()));
+        o.add("passed", byClass(figures.served()));
+        o.add("dropped", byClass(figures.refused()));
         o.add("bad_gateway", byClass(figures.failed()));
-        o.addProperty("upstream_tries", figures.tries());
+        o.addProperty("upstream_tries", figures.sentAttempts());
         o.addProperty("in_progress", figures.inProgress());
         o.addProperty("known_cache_nodes", figures.knownNodes());
-        o.addProperty("skipped_cache_nodes", figures.skippedNodes());
-        figures.more().forEach(o::addProperty);
+        o.addProperty("skipped_cache_nodes", figures.excludedNodes());
+        figures.extraCounts().forEach(o::addProperty);
         return o.toString();
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -600,7 +600,7 @@
 
         @Override
         public void because(Reason reason) {
-            why = front.terms().tellsWhy() ? "\r\nx-reason: " + reason.word() : null;
+            why = front.terms().tellsWhy() ? "\r\nx-reason: " + reason.code() : null;
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequests.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequests.java
@@ -25,7 +25,7 @@
 import ridgemill.gateway.net.StrictHttp;
 import ridgemill.gateway.net.Targets;
 import ridgemill.policy.Router.Request;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /** Reads what an HTTP request asks for: a call, a look at whether the proxy is up, or nothing that can be made sense of. */
 final class HttpRequests {
@@ -204,7 +204,7 @@
         boolean write = method.equals(PUT);
         boolean retry = "1".equals(headers.get("X-Again"));
         String tenant = headers.get("X-Caller");
-        Gate.Entry entry = gate.apply(new Gate.Arrival(id, new Query(method, path, tenant, headers::get),
+        Gate.Entry entry = gate.apply(new Gate.Arrival(id, new RouteQuery(method, path, tenant, headers::get),
                 headers.get("X-Call-Class"), retry, size(body, rest),
                 Double.isInfinite(saidMs) ? Double.MAX_VALUE : left.applyAsDouble(saidMs)));
         if (entry instanceof Gate.Refuse refuse) {
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -36,7 +36,7 @@
 import ridgemill.gateway.net.resp.RespException;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Request;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /**
  * One client's RESP connection. Commands are carried out side by side and answered in their order; one that names a key
@@ -275,7 +275,7 @@
         Deadlines deadlines = front.intake().deadlines();
         double budget = options.deadlineMs() > 0 ? deadlines.leftMs(options.deadlineMs(), passedMs, front.wayBack()) : Double.MAX_VALUE;
         String path = Targets.path(target);
-        Gate.Entry entry = front.intake().enter(new Gate.Arrival(id, new Query(method(action), path, session.tenant(),
+        Gate.Entry entry = front.intake().enter(new Gate.Arrival(id, new RouteQuery(method(action), path, session.tenant(),
                 NO_HEADERS), options.service(), options.again(), value.readableBytes(), budget));
         if (entry instanceof Gate.Refuse refused) {
             front.intake().turnedAway(options.service());
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/Slot.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/Slot.java
@@ -217,7 +217,7 @@
 
     /** An error, with the reason behind it where clients are told. */
     private void writeError(Resp.Err error) {
-        write(why == null || !connection.tellsWhy() ? error : new Resp.Err(error.text() + " [" + why.word() + "]"));
+        write(why == null || !connection.tellsWhy() ? error : new Resp.Err(error.text() + " [" + why.code() + "]"));
     }
 
     private void finish() {
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
@@ -256,7 +256,7 @@
             this.in = in;
             this.command = command;
             this.client = client;
-            this.passing = new Passing(in.id(), service, command.idempotencyKey(), in.repeat(), trail,
+            this.passing = new Passing(in.id(), service, command.idempotencyKey(), in.retry(), trail,
                     timers.now() + in.budgetMs());
         }
 
@@ -292,15 +292,15 @@
             atHome = true;
             away--;
             double left = Math.max(0, passing.deadlineMs() - timers.now() - reserveMs);
-            home.request(in.within(left), command, this);
+            home.request(in.withBudget(left), command, this);
         }
 
         private void cross(Halls.Across a) {
             crossing = true;
             HallLink link = links.get(a.gateway());
             double left = link == null ? 0 : a.timeoutMs() - link.leastMs() - reserveMs(a, link);
-            times = deadlines.group("hall " + a.hall()).of(in.service());
-            if (link == null || times.mayGoOn(Place.CROSSING, timers.now(), left) != Verdict.GO || !HallWire.fits(command, in.service(), in.tenant())) {
+            times = deadlines.group("hall " + a.hall()).of(in.serviceClass());
+            if (link == null || times.mayGoOn(Place.CROSSING, timers.now(), left) != Verdict.GO || !HallWire.fits(command, in.serviceClass(), in.tenant())) {
                 loop.execute(() -> crossed(Reply.of(CrossingEnd.UNSENT)));
                 return;
             }
@@ -309,7 +309,7 @@
                 out.cancel();
                 crossed(Reply.of(CrossingEnd.LOST));
             });
-            out = link.call(new HallWire.Call(in.id(), left, in.service(), in.tenant(), in.repeat(), in.workMs(),
+            out = link.call(new HallWire.Call(in.id(), left, in.serviceClass(), in.tenant(), in.retry(), in.workMs(),
                     passing.onward(settings.policy().hall()), command), this::crossed);
         }
 
@@ -355,7 +355,7 @@
             whom = a.gateways();
             timer = timers.at(timers.now() + a.patienceMs(), this::allAsked);
             for (String gateway : whom) {
-                links.get(gateway).askKey(passing.key(), passing.service().repeatWindowMs(), word -> {
+                links.get(gateway).askKey(passing.key(), passing.service().deduplicationWindowMs(), word -> {
                     if (whom != null) {
                         words.put(gateway, word);
                         if (words.size() == whom.size()) {
@@ -423,10 +423,10 @@
             halls.over(passing);
             if (homeCounted == null) {
                 tally.took();
-                tally.ended(in.service(), end);
-                settled.accept(in.service());
+                tally.ended(in.serviceClass(), end);
+                settled.accept(in.serviceClass());
             } else if (homeCounted != end) {
-                tally.changed(in.service(), homeCounted, end);
+                tally.changed(in.serviceClass(), homeCounted, end);
             }
             answer.run();
         }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
@@ -43,7 +43,7 @@
 import ridgemill.halls.Passing;
 import ridgemill.halls.TransitClock;
 import ridgemill.policy.Router.Request;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /**
  * Takes other halls' requests in. Each goes the way of any request from here on, through the gate and the decisions, with
@@ -393,7 +393,7 @@
             }
             Command<Content> command = call.command();
             String path = Targets.path(command.target());
-            Gate.Entry entry = intake.enter(new Gate.Arrival(call.id(), new Query(headers.method().toString(), path, call.tenant(),
+            Gate.Entry entry = intake.enter(new Gate.Arrival(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
                     name -> null), call.service(), call.again(), command.content().bytes().readableBytes(), left));
             if (entry instanceof Gate.Refuse refuse) {
                 intake.turnedAway(call.service());
--- a/gateway/src/main/java/ridgemill/gateway/membership/Discovery.java
+++ b/gateway/src/main/java/ridgemill/gateway/membership/Discovery.java
@@ -27,7 +27,7 @@
 import java.util.concurrent.TimeUnit;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Transport;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 
 /**
  * The watch on the list of hosts. Where lists are pushed it is kept up from the start; where discovery is asked, each
@@ -39,7 +39,7 @@
     public interface Listener {
 
         /** The whole list, or what changed. */
-        void hosts(ListKind kind, HostList list);
+        void hosts(ListUpdateKind kind, HostList list);
 
         /** A call failed, or the watch broke, where discovery is asked. */
         void refused();
@@ -151,7 +151,7 @@
                 HostList list = HostList.parse(JsonParser.parseString(line).getAsJsonObject());
                 version = list.version();
                 Log.info(list.summary());
-                listener.hosts(list.whole() ? ListKind.FULL : ListKind.CHANGES, list);
+                listener.hosts(list.whole() ? ListUpdateKind.FULL : ListUpdateKind.CHANGES, list);
             } catch (RuntimeException e) {
                 log.odd("a line of discovery was dropped: " + e.getMessage());
             }
