--- a/gateway/src/main/java/ridgemill/gateway/operator/ClassesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/ClassesSection.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ridgemill.classes.Backoff;
-import ridgemill.classes.ClassPolicy;
-import ridgemill.classes.ClassRules;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.Backoff;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.serviceclass.ServiceClassValidator;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.policy.Router.Effect;
 
 /** {@code [defaults]} and {@code [classes.NAME]}: what holds for each class of requests. */
@@ -48,25 +48,25 @@
 
     private ClassesSection() { }
 
-    static Map<String, ClassPolicy> read(Section root, PlatformFacts platform) {
+    static Map<String, ServiceClassPolicy> read(Section root, PlatformConstraints platform) {
         Given defaults = root.table("defaults").map(s -> {
             Given given = Given.read(s);
             s.done();
             return given;
         }).orElse(Given.NOTHING);
-        Map<String, ClassPolicy> classes = new LinkedHashMap<>();
+        Map<String, ServiceClassPolicy> classes = new LinkedHashMap<>();
         root.table("classes").ifPresent(all -> {
             for (Section s : all.tables()) {
-                ClassPolicy policy = policy(s, Given.read(s).or(defaults));
+                ServiceClassPolicy policy = policy(s, Given.read(s).or(defaults));
                 s.done();
-                ClassRules.check(policy, platform).forEach(f -> s.problem(f.key(), f.rule(), f.reason(), f.wayOut()));
+                ServiceClassValidator.validate(policy, platform).forEach(f -> s.problem(f.key(), f.rule(), f.reason(), f.remedy()));
                 classes.put(policy.name(), policy);
             }
         });
         return classes;
     }
 
-    private static ClassPolicy policy(Section s, Given given) {
+    private static ServiceClassPolicy policy(Section s, Given given) {
         double total = given.total().orElse(DEFAULT_TOTAL_MS);
         int attempts = given.attempts().orElse(DEFAULT_ATTEMPTS);
         double wanted = given.wanted().orElse(total);
@@ -85,12 +85,12 @@
         }
         double waits = 0;
         for (int i = 2; i <= attempts; i++) {
-            waits += backoff.beforeMs(i);
+            waits += backoff.delayBeforeMs(i);
         }
         double attempt = given.attempt().orElse(Math.max(1, (Math.min(wanted, total) - waits) / attempts));
-        return new ClassPolicy(s.ownName(), total, wanted, attempt, attempts, backoff, given.next().orElse(0.0),
+        return new ServiceClassPolicy(s.ownName(), total, wanted, attempt, attempts, backoff, given.next().orElse(0.0),
                 given.secondCopy().orElse(false), effect.map(e -> Effect.valueOf(e.toUpperCase(java.util.Locale.ROOT)))
                 .orElse(Effect.UNSAFE), s.duration("repeat-window").orElse(0.0), given.worth().orElse(1.0),
-                given.body().orElse(PlatformFacts.UNKNOWN.largestBody()));
+                given.body().orElse(PlatformConstraints.UNKNOWN.maxBodyBytes()));
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Explanation.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Explanation.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Optional;
-import ridgemill.classes.ClassPolicy;
-import ridgemill.classes.ClassRules;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.serviceclass.ServiceClassValidator;
 import ridgemill.gateway.operator.OperatorConfig.Resolved;
 import ridgemill.gateway.operator.OperatorConfig.Target;
 import ridgemill.limit.Limits;
 import ridgemill.limit.Rate;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 import ridgemill.route.Route;
 
 /** Says in lines what a request gets under an operator file, and why. */
@@ -19,13 +19,13 @@
     private Explanation() { }
 
     /** The lines; {@code named} is the class that the request names itself, or null. */
-    public static List<String> of(OperatorConfig config, Query query, String named) {
+    public static List<String> of(OperatorConfig config, RouteQuery query, String named) {
         List<String> lines = new ArrayList<>();
         Resolved got = config.resolve(query, named);
-        lines.add(got.route().map(r -> "route   " + r.name() + ": " + r.paths().text() + conditions(r))
+        lines.add(got.route().map(r -> "route   " + r.name() + ": " + r.pathPattern().text() + conditions(r))
                 .orElse("route   none: the platform's settings alone hold"));
-        config.routes().routes().stream().filter(r -> r.takes(query) && !got.route().map(r::equals).orElse(false))
-                .forEach(r -> lines.add("        " + r.name() + " takes it too, and is less specific: " + r.paths().text()
+        config.routes().routes().stream().filter(r -> r.matches(query) && !got.route().map(r::equals).orElse(false))
+                .forEach(r -> lines.add("        " + r.name() + " takes it too, and is less specific: " + r.pathPattern().text()
                         + conditions(r)));
         String service = got.service();
         String from = got.route().map(Route::target).map(Target::service).isPresent() ? "from the route"
@@ -50,18 +50,18 @@
         Optional.ofNullable(r.conditions().method()).ifPresent(m -> text.append(", method ").append(m));
         Optional.ofNullable(r.conditions().tenant()).ifPresent(t -> text.append(", tenant ").append(t));
         r.conditions().headers().forEach((n, v) -> text.append(", header ").append(n).append(" ").append(v));
-        Optional.ofNullable(r.conditions().keys()).ifPresent(k -> text.append(", keys from ")
+        Optional.ofNullable(r.conditions().keyRange()).ifPresent(k -> text.append(", keys from ")
                 .append(k.from() == null ? "the first" : k.from()).append(" to before ")
                 .append(k.to() == null ? "the end" : k.to()));
         return text.toString();
     }
 
-    private static void policy(ClassPolicy p, List<String> lines) {
-        lines.add("        %s to repeat; answered within %s, wanted within %s".formatted(ClassRules.word(p.effect()),
-                ms(p.totalMs()), ms(p.wantedMs())));
-        for (int i = 1; i <= p.attempts(); i++) {
+    private static void policy(ServiceClassPolicy p, List<String> lines) {
+        lines.add("        %s to repeat; answered within %s, wanted within %s".formatted(ServiceClassValidator.configName(p.effect()),
+                ms(p.totalTimeoutMs()), ms(p.targetLatencyMs())));
+        for (int i = 1; i <= p.maxAttempts(); i++) {
             lines.add("        attempt %d of %d begins after %s at the latest and is given up after %s".formatted(i,
-                    p.attempts(), ms(p.latestStartMs(i)), ms(p.attemptMs())));
+                    p.maxAttempts(), ms(p.latestStartMs(i)), ms(p.attemptTimeoutMs())));
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import ridgemill.classes.ClassPolicy;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.halls.HallSecurity;
 import ridgemill.gateway.halls.HallSettings;
 import ridgemill.gateway.net.Addresses;
@@ -35,11 +35,11 @@
 
     private HallsSection() { }
 
-    static HallSettings read(Section root, Map<String, ClassPolicy> classes, PlatformFacts platform) {
+    static HallSettings read(Section root, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
         return root.table("halls").map(s -> settings(s, classes, platform)).orElse(null);
     }
 
-    private static HallSettings settings(Section s, Map<String, ClassPolicy> classes, PlatformFacts platform) {
+    private static HallSettings settings(Section s, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
         String name = s.text("name").orElse("");
         if (!HallPolicy.isName(name)) {
             s.problem(s.has("name") ? "name" : null, s.has("name") ? "bad-name" : "missing", s.has("name") ? "\"" + name
--- a/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import ridgemill.classes.ClassPolicy;
+import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.limit.Limits;
 import ridgemill.limit.Rate;
 import ridgemill.limit.RetryBudget;
@@ -24,11 +24,11 @@
 
     private LimitsSection() { }
 
-    static Limits read(Section root, Map<String, ClassPolicy> policies) {
+    static Limits read(Section root, Map<String, ServiceClassPolicy> policies) {
         return root.table("limits").map(s -> limits(s, policies)).orElse(Limits.NONE);
     }
 
-    private static Limits limits(Section s, Map<String, ClassPolicy> policies) {
+    private static Limits limits(Section s, Map<String, ServiceClassPolicy> policies) {
         Set<String> classes = policies.keySet();
         Optional<Integer> inFlight = s.count("in-flight", 1, MOST_IN_FLIGHT);
         Map<String, Integer> classInFlight = new HashMap<>();
@@ -75,15 +75,15 @@
                 retries.orElse(null), queue.orElse(null), perClient.orElse(Integer.MAX_VALUE));
     }
 
-    private static Limits.Queue queue(Section s, Optional<Integer> inFlight, Map<String, ClassPolicy> policies) {
+    private static Limits.Queue queue(Section s, Optional<Integer> inFlight, Map<String, ServiceClassPolicy> policies) {
         int places = s.count("places", 1, MOST_IN_FLIGHT).orElse(DEFAULT_PLACES);
         double wait = s.duration("wait").orElse(DEFAULT_WAIT_MS);
         if (inFlight.isEmpty()) {
             s.problem(null, "never-reached", "nobody ever waits: limits has no in-flight", "set in-flight, or leave it out");
         }
-        policies.values().stream().filter(p -> wait >= p.wantedMs()).findFirst().ifPresent(p -> s.problem("wait",
+        policies.values().stream().filter(p -> wait >= p.targetLatencyMs()).findFirst().ifPresent(p -> s.problem("wait",
                 "wait-too-long", "one of class " + p.name() + " that waited so long is past its wanted time",
-                "lower it to well below " + (long) p.wantedMs() + "ms"));
+                "lower it to well below " + (long) p.targetLatencyMs() + "ms"));
         s.done();
         return new Limits.Queue(places, wait);
     }
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -32,13 +32,13 @@
 import ridgemill.membership.Membership;
 import ridgemill.membership.MembershipPolicy;
 import ridgemill.membership.Status;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.Limits;
+import ridgemill.policy.Router.PlatformLimits;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 
 /**
  * The groups of nodes of the operator file that holds, each with decisions of its own. Who is in a group is decided by its
@@ -104,7 +104,7 @@
                 there = null;
             }
             if (there == null) {
-                there = new Live(next, service.group(next.name(), settings(next), new Decide(settings(next), seed), back(next)));
+                there = new Live(next, service.group(next.name(), settings(next), new BalancingRouter(settings(next), seed), back(next)));
                 live.put(next.name(), there);
             }
             if (next.eureka() == null || !next.eureka().equals(there.from.eureka())) {
@@ -254,7 +254,7 @@
 
     private NodeBack back(NodeGroup g) {
         double connectMs = settings.limits().connectTimeoutMs();
-        double idleMs = settings.connections().idleMs();
+        double idleMs = settings.connectionCosts().idleTimeoutMs();
         boolean missIsAnswer = g.store() == null;
         if (g.resp() == null) {
             return new NodePool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
@@ -299,10 +299,10 @@
 
     /** The platform's settings for nodes that are all listed, of one size, and about which no peer tells. */
     private Settings settings(NodeGroup g) {
-        Limits l = settings.limits();
-        return new Settings(settings.index(), settings.proxies(), settings.zone(), settings.tickMs(), settings.classes(),
-                settings.tenants(), settings.overShareWorth(), settings.worthByWork(), new Limits(l.maxAttempts(), l.cancel(),
-                l.probes(), false, l.retryAfter(), l.maxRetryAfterMs(), l.secondCopies(), l.connectTimeoutMs()),
-                settings.rules(), false, Weights.NONE, g.store() == null ? null : STORE, settings.connections());
+        PlatformLimits l = settings.limits();
+        return new Settings(settings.proxyIndex(), settings.proxyCount(), settings.zone(), settings.tickMs(), settings.classes(),
+                settings.tenants(), settings.overQuotaFactor(), settings.valueByWork(), new PlatformLimits(l.maxAttempts(), l.cancelAllowed(),
+                l.probesAllowed(), false, l.retryAfterAllowed(), l.maxRetryAfterMs(), l.hedgingAllowed(), l.connectTimeoutMs()),
+                settings.rules(), false, WeightMode.NONE, g.store() == null ? null : STORE, settings.connectionCosts());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.Crew;
 import ridgemill.gateway.Service;
@@ -61,7 +61,7 @@
     public record Reload(boolean taken, String summary, List<Problem> problems, List<String> notes) { }
 
     private final String file;
-    private final PlatformFacts platform;
+    private final PlatformConstraints platform;
     private final Clock clock = new Clock();
     private final Config config;
     /** One for each loop; a single one where the file asks for no more. */
@@ -135,7 +135,7 @@
         this.file = file;
         this.config = config;
         this.holds = operator;
-        this.platform = PlatformFacts.of(config.settings());
+        this.platform = PlatformConstraints.of(config.settings());
         this.rolled = new RolledFile(file, platform, turns, this::take);
     }
 
@@ -153,7 +153,7 @@
      */
     public static Operated start(Config config, String file, Function<Settings, Router> routers)
             throws OperatorFileException, IOException, InterruptedException {
-        OperatorConfig operator = OperatorFile.read(file, PlatformFacts.of(config.settings()));
+        OperatorConfig operator = OperatorFile.read(file, PlatformConstraints.of(config.settings()));
         Operated operated = new Operated(file, config, operator);
         if (operator.audit() != null) {
             // Before anything listens, as it takes a while.
@@ -290,7 +290,7 @@
         // The file's checks let no leases through beside several loops.
         Service service = service();
         leases = new LeaseService(service.loop(), new LoopTimers(service.loop(), clock), config.name(), config.peers(),
-                config.settings().index(), config.seed(), ServingMark.directory(), holds.leases(), service::tellPeer);
+                config.settings().proxyIndex(), config.seed(), ServingMark.directory(), holds.leases(), service::tellPeer);
         if (audit != null) {
             leases.tells(audit::lease);
         }
@@ -300,7 +300,7 @@
     private void beginRollout(String shared) {
         Service service = service();
         rollout = new RolloutService(service.loop(), leases, audit, service.intake()::tally, holds.rollout(),
-                config.peers().stream().map(LeaseSettings::number).toList(), config.settings().index(), rolled);
+                config.peers().stream().map(LeaseSettings::number).toList(), config.settings().proxyIndex(), rolled);
         rollout.actsUnder(RolledFile.stamp(holds, shared), shared);
         seats.get(0).gate.aside(rollout::isOut);
         service.clients().aside(rollout::isOut);
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorConfig.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorConfig.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ridgemill.classes.ClassPolicy;
+import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.gateway.halls.HallSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaRegistration;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
 import ridgemill.gateway.rollout.RolloutSettings;
 import ridgemill.limit.Limits;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 import ridgemill.route.Route;
 import ridgemill.route.RouteTable;
 
@@ -38,7 +38,7 @@
  * @param audit how it is kept what requests were decided under; null for not at all
  * @param process how many cores are used, and for how long clients' connections are kept
  */
-public record OperatorConfig(Map<String, ClassPolicy> classes, RouteTable<Target> routes, Limits limits,
+public record OperatorConfig(Map<String, ServiceClassPolicy> classes, RouteTable<Target> routes, Limits limits,
                              Map<String, NodeGroup> groups, List<Listener> listeners, Map<String, String> passwords,
                              EurekaSettings eureka, EurekaRegistration.Self register, Path control, HallSettings halls, DeadlineSettings deadlines,
                              OutcomeSettings outcomes, LeaseSettings leases, RolloutSettings rollout, long version, String digest, AuditSettings audit,
@@ -54,7 +54,7 @@
      * What a request gets: the route that takes it, if one does; the name of its class, from the route or else from the
      * request, null if neither names one; and what the file says of that class, if it defines it.
      */
-    public record Resolved(Optional<Route<Target>> route, String service, Optional<ClassPolicy> policy) { }
+    public record Resolved(Optional<Route<Target>> route, String service, Optional<ServiceClassPolicy> policy) { }
 
     public OperatorConfig {
         classes = Map.copyOf(classes);
@@ -64,7 +64,7 @@
     }
 
     /** Finds what holds for a request; {@code named} is the class that it names itself, or null. */
-    public Resolved resolve(Query query, String named) {
+    public Resolved resolve(RouteQuery query, String named) {
         Optional<Route<Target>> route = routes.match(query);
         String service = route.map(r -> r.target().service()).orElse(named);
         return new Resolved(route, service, Optional.ofNullable(service == null ? null : classes.get(service)));
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
@@ -16,8 +16,8 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import ridgemill.classes.ClassPolicy;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.halls.HallSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
@@ -38,7 +38,7 @@
     private OperatorFile() { }
 
     /** Reads a file; throws with every problem that it has. */
-    public static OperatorConfig read(String file, PlatformFacts platform) throws OperatorFileException {
+    public static OperatorConfig read(String file, PlatformConstraints platform) throws OperatorFileException {
         try {
             return parse(file, Files.readString(Path.of(file)), platform);
         } catch (IOException | InvalidPathException e) {
@@ -48,7 +48,7 @@
     }
 
     /** Reads a file's text; throws with every problem that it has. */
-    public static OperatorConfig parse(String file, String text, PlatformFacts platform) throws OperatorFileException {
+    public static OperatorConfig parse(String file, String text, PlatformConstraints platform) throws OperatorFileException {
         TomlParseResult parsed = Toml.parse(text);
         List<Problem> problems = new ArrayList<>();
         parsed.errors().forEach(e -> problems.add(new Problem(file, e.position().line(), e.position().column(), "syntax",
@@ -132,8 +132,8 @@
         return String.valueOf(message).lines().findFirst().orElse("can't be read").replaceAll(" \\(line \\d+, column \\d+\\)", "");
     }
 
-    private static OperatorConfig sections(Section root, PlatformFacts platform, String digest) {
-        Map<String, ClassPolicy> classes = ClassesSection.read(root, platform);
+    private static OperatorConfig sections(Section root, PlatformConstraints platform, String digest) {
+        Map<String, ServiceClassPolicy> classes = ClassesSection.read(root, platform);
         EurekaSettings eureka = EurekaSection.read(root);
         Map<String, NodeGroup> groups = GroupsSection.read(root, eureka);
         RouteTable<Target> routes = RoutesSection.read(root, classes, groups);
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
-import ridgemill.classes.ClassPolicy;
+import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.core.Gate;
 import ridgemill.core.Intake;
 import ridgemill.gateway.operator.OperatorConfig.Resolved;
 import ridgemill.gateway.operator.OperatorConfig.Target;
 import ridgemill.limit.Limiter;
 import ridgemill.limit.LoopShare;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Retry;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.RetryPolicy;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 import ridgemill.route.Route;
@@ -64,10 +64,10 @@
         return new ArrayList<>(classes.values());
     }
 
-    private static ServiceClass service(ClassPolicy p, ServiceClass there) {
-        return new ServiceClass(p.name(), p.wantedMs(), 0, p.totalMs(), p.worth(), there == null ? 0 : there.lateShare(),
-                p.effect(), there == null ? Group.ALL : there.group(), p.repeatWindowMs(), false, new Retry(p.attempts(),
-                p.attemptMs(), p.backoff().firstMs(), p.backoff().factor(), p.backoff().mostMs()));
+    private static ServiceClass service(ServiceClassPolicy p, ServiceClass there) {
+        return new ServiceClass(p.name(), p.targetLatencyMs(), 0, p.totalTimeoutMs(), p.value(), there == null ? 0 : there.lateValueShare(),
+                p.effect(), there == null ? DeduplicationScope.ALL : there.deduplicationScope(), p.deduplicationWindowMs(), false, new RetryPolicy(p.maxAttempts(),
+                p.attemptTimeoutMs(), p.backoff().initialMs(), p.backoff().factor(), p.backoff().maxMs()));
     }
 
     /** While this is so all are turned away: this proxy does not act as the fleet does. */
@@ -85,8 +85,8 @@
         if (service == null) {
             return new Unfit(Reason.UNKNOWN_CLASS);
         }
-        ClassPolicy policy = got.policy().orElse(null);
-        if (policy != null && a.bodyBytes() > policy.largestBody()) {
+        ServiceClassPolicy policy = got.policy().orElse(null);
+        if (policy != null && a.bodyBytes() > policy.maxBodyBytes()) {
             return new Unfit(Reason.TOO_LARGE);
         }
         double budgetMs = Math.min(a.budgetMs(), service.deadlineMs());
--- a/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.rollout.RolledText;
@@ -35,11 +35,11 @@
     private static final int MOST_PROBLEM = 64;
 
     private final String file;
-    private final PlatformFacts platform;
+    private final PlatformConstraints platform;
     private final Executor turns;
     private final Taker taker;
 
-    RolledFile(String file, PlatformFacts platform, Executor turns, Taker taker) {
+    RolledFile(String file, PlatformConstraints platform, Executor turns, Taker taker) {
         this.file = file;
         this.platform = platform;
         this.turns = turns;
--- a/gateway/src/main/java/ridgemill/gateway/operator/RoutesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/RoutesSection.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import ridgemill.classes.ClassPolicy;
+import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.gateway.operator.OperatorConfig.Target;
 import ridgemill.policy.Router.Effect;
 import ridgemill.route.Conditions.KeyRange;
@@ -27,7 +27,7 @@
 
     private RoutesSection() { }
 
-    static RouteTable<Target> read(Section root, Map<String, ClassPolicy> policies, Map<String, NodeGroup> groups) {
+    static RouteTable<Target> read(Section root, Map<String, ServiceClassPolicy> policies, Map<String, NodeGroup> groups) {
         List<Route<Target>> routes = new ArrayList<>();
         Map<String, Section> sections = new HashMap<>();
         for (Section s : root.list("route")) {
@@ -49,13 +49,13 @@
             root.problem("route", "too-many-templates", e.getMessage(), "use prefixes in place of some templates");
         }
         table.conflicts().forEach(c -> sections.get(c.second().name()).problem("path", "ambiguous",
-                "takes " + c.example() + " as \"" + c.first().name() + "\" does (" + c.first().paths().text() + "), and "
+                "takes " + c.example() + " as \"" + c.first().name() + "\" does (" + c.first().pathPattern().text() + "), and "
                 + "neither is more specific", "add a condition to one of them, or take one out"));
         unreachable(routes, sections);
         return table;
     }
 
-    private static Optional<Route<Target>> route(Section s, Map<String, ClassPolicy> policies,
+    private static Optional<Route<Target>> route(Section s, Map<String, ServiceClassPolicy> policies,
                                                  Map<String, NodeGroup> groups) {
         Set<String> classes = policies.keySet();
         Optional<String> name = s.text("name");
@@ -78,12 +78,12 @@
                 "no group has the name \"" + g + "\"", "define it under [groups." + g + "]"));
         group.map(groups::get).filter(g -> g.resp() != null && g.resp().plain())
                 .ifPresent(g -> plain(s, g, service, policies));
-        path.filter(p -> !p.meets(TAKEN)).ifPresent(p -> s.problem("path", "unreachable",
+        path.filter(p -> !p.overlaps(TAKEN)).ifPresent(p -> s.problem("path", "unreachable",
                 "no request has such a path: all begin with /api/", "begin it with /api/"));
         if (path.isPresent() && keys.isPresent()) {
             List<String> segments = path.get().segments();
-            String last = path.get().open() || segments.isEmpty() ? null : segments.get(segments.size() - 1);
-            if (last != null && !keys.get().holds(last)) {
+            String last = path.get().prefix() || segments.isEmpty() ? null : segments.get(segments.size() - 1);
+            if (last != null && !keys.get().contains(last)) {
                 s.problem("keys", "unreachable", "the path's last segment, \"" + last + "\", is the key, and it lies outside",
                         "use a template such as {meter} in its place, or leave keys out");
             }
@@ -96,16 +96,16 @@
     }
 
     /** Nodes that drop no repeats take keyed writes only where the store remembers their keys for long enough. */
-    private static void plain(Section s, NodeGroup g, Optional<String> service, Map<String, ClassPolicy> policies) {
-        ClassPolicy policy = service.map(policies::get).orElse(null);
+    private static void plain(Section s, NodeGroup g, Optional<String> service, Map<String, ServiceClassPolicy> policies) {
+        ServiceClassPolicy policy = service.map(policies::get).orElse(null);
         double guardMs = g.resp().guardMs();
         if (service.isEmpty()) {
             s.problem("group", "plain-group", "nodes of \"" + g.name() + "\" drop no repeats, and requests may name a class "
                     + "that is keyed", "name a class for the route");
-        } else if (policy != null && policy.effect() == Effect.KEYED && guardMs < policy.repeatWindowMs()) {
+        } else if (policy != null && policy.effect() == Effect.KEYED && guardMs < policy.deduplicationWindowMs()) {
             s.problem("class", "plain-group", "nodes of \"" + g.name() + "\" drop no repeats" + (guardMs > 0
                     ? " after " + (long) guardMs + "ms" : "") + ", which the class counts on for "
-                    + (long) policy.repeatWindowMs() + "ms", "set guard = \"" + (long) policy.repeatWindowMs() + "ms\" or more in [groups."
+                    + (long) policy.deduplicationWindowMs() + "ms", "set guard = \"" + (long) policy.deduplicationWindowMs() + "ms\" or more in [groups."
                     + g.name() + "], or route it to nodes that do");
         }
     }
@@ -149,10 +149,10 @@
     /** A route whose every request is taken by ranges of keys of others that are more specific. */
     private static void unreachable(List<Route<Target>> routes, Map<String, Section> sections) {
         Map<String, List<Route<Target>>> ranged = new HashMap<>();
-        routes.stream().filter(r -> r.conditions().keys() != null && r.conditions().method() == null
+        routes.stream().filter(r -> r.conditions().keyRange() != null && r.conditions().method() == null
                 && r.conditions().tenant() == null && r.conditions().headers().isEmpty())
                 .forEach(r -> ranged.computeIfAbsent(shape(r), p -> new ArrayList<>()).add(r));
-        routes.stream().filter(r -> r.conditions().keys() == null && r.conditions().tenant() == null).forEach(r -> {
+        routes.stream().filter(r -> r.conditions().keyRange() == null && r.conditions().tenant() == null).forEach(r -> {
             List<Route<Target>> over = ranged.getOrDefault(shape(r), List.of());
             if (!over.isEmpty() && coversAll(over)) {
                 sections.get(r.name()).problem("path", "unreachable", "the ranges of keys of "
@@ -163,11 +163,11 @@
     }
 
     private static String shape(Route<?> r) {
-        return r.paths().segments() + (r.paths().open() ? "/**" : "");
+        return r.pathPattern().segments() + (r.pathPattern().prefix() ? "/**" : "");
     }
 
     private static boolean coversAll(List<Route<Target>> routes) {
-        List<KeyRange> ranges = routes.stream().map(r -> r.conditions().keys()).sorted((a, b) -> a.from() == null ? -1
+        List<KeyRange> ranges = routes.stream().map(r -> r.conditions().keyRange()).sorted((a, b) -> a.from() == null ? -1
                 : b.from() == null ? 1 : a.from().compareTo(b.from())).toList();
         if (ranges.get(0).from() != null && !ranges.get(0).from().isEmpty()) {
             return false;
--- a/gateway/src/test/java/ridgemill/gateway/ClientTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/ClientTest.java
@@ -94,7 +94,7 @@
         assertEquals("id0", Scripted.next(site.router.gone));
         var end = Scripted.next(site.router.ends);
         assertEquals(Outcome.CANCELLED, end.outcome());
-        assertTrue(end.finished());
+        assertTrue(end.requestFinished());
         assertNull(site.node.next().text(), "the node sees that nobody waits");
     }
 
@@ -115,7 +115,7 @@
         sent.wire().answer(200, "late");
         var end = Scripted.next(site.router.ends);
         assertEquals(Outcome.OK, end.outcome());
-        assertTrue(end.finished());
+        assertTrue(end.requestFinished());
         site.router.onRequest = (request, out) -> out.refuse(request.id(), 0);
         client.write(site.get(Site.LONG_S));
         assertEquals(503, Site.status(client.read()), "neither the late answer nor a second final one came between");
@@ -165,7 +165,7 @@
     @Test
     void aTimerThatFailsComesAgain() throws Exception {
         site.router.onRequest = (request, out) -> {
-            out.timer(0, "tick");
+            out.setTimer(0, "tick");
             out.refuse(request.id(), 0);
         };
         site.router.onTimer = () -> {
--- a/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
@@ -161,7 +161,7 @@
         assertEquals(502, Site.status(client.read()));
         var end = Scripted.next(site.router.ends);
         assertEquals(Outcome.NEVER_SENT, end.outcome());
-        assertTrue(end.finished());
+        assertTrue(end.requestFinished());
         site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
         client.write(site.get(Site.LONG_S));
         Peer.Message next = site.node.next();
@@ -262,7 +262,7 @@
     void anAnswerSaysWhyWhereTheFileSaysSo() throws Exception {
         start(new HttpTerms(Set.of(Form.SECONDS), false, false, 1, true));
         site.router.onRequest = (request, out) -> {
-            out.because(request.id(), Reason.CROWDED);
+            out.reportReason(request.id(), Reason.CROWDED);
             out.refuse(request.id(), 0);
         };
         client.write(site.get(Site.LONG_S));
--- a/gateway/src/test/java/ridgemill/gateway/DiscoveryTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DiscoveryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 
 /** The watch: what it tells is applied line by line, and it comes back from where it broke. */
 class DiscoveryTest {
@@ -54,13 +54,13 @@
             told.add(Scripted.next(site.router.lists));
             told.add(Scripted.next(site.router.lists));
         });
-        assertEquals(List.of(ListKind.REMEMBERED, ListKind.FULL), told.stream().map(Scripted.Told::kind).toList());
+        assertEquals(List.of(ListUpdateKind.REMEMBERED, ListUpdateKind.FULL), told.stream().map(Scripted.Told::kind).toList());
     }
 
     @Test
     void linesApplyAtOnceAndBadOnesAreDropped() throws Exception {
         site.start("automatic", "60000", "");
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
+        assertEquals(ListUpdateKind.REMEMBERED, Scripted.next(site.router.lists).kind());
         Peer.Wire watch = watch(7);
         watch.write(HEAD);
         line(watch, "");
@@ -68,7 +68,7 @@
         line(watch, "not json");
         line(watch, Site.list(9, false, Site.host("c1", "127.0.0.1:9", "draining", 5)));
         Scripted.Told told = Scripted.next(site.router.lists);
-        assertEquals(ListKind.CHANGES, told.kind());
+        assertEquals(ListUpdateKind.CHANGES, told.kind());
         assertEquals(9, told.version());
         assertEquals(Availability.DRAINING, told.entries().get(0).availability());
         assertEquals(5, told.entries().get(0).startedAtMs());
@@ -76,7 +76,7 @@
         Peer.Wire again = watch(9);
         again.write(HEAD);
         line(again, Site.list(12, true, Site.host("c1", "127.0.0.1:9", "up", 0)));
-        assertEquals(ListKind.FULL, Scripted.next(site.router.lists).kind());
+        assertEquals(ListUpdateKind.FULL, Scripted.next(site.router.lists).kind());
     }
 
     @Test
@@ -131,10 +131,10 @@
     void whereItIsAskedABrokenWatchIsReportedAndTheRouterDecides() throws Exception {
         site.router.subscribes = true;
         site.start("subscribe", "60000", "");
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
+        assertEquals(ListUpdateKind.REMEMBERED, Scripted.next(site.router.lists).kind());
         Peer.Wire watch = watch(7);
         watch.write("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(ListKind.REFUSED, Scripted.next(site.router.lists).kind());
+        assertEquals(ListUpdateKind.REFUSED, Scripted.next(site.router.lists).kind());
         assertNull(site.discovery.next().text());
         assertTrue(site.discovery.heardNothing());
     }
--- a/gateway/src/test/java/ridgemill/gateway/Fleet.java
+++ b/gateway/src/test/java/ridgemill/gateway/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router;
 
 /** A proxy with the project's own decisions, cache nodes and an origin that answer by a script, and one client. */
@@ -66,7 +66,7 @@
         Config config = Config.parse("{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"" + discovery.dial()
                 + "\",\"limits\":{\"sockets\":256},\"known\":" + Site.list(7, true, hosts.toArray(String[]::new))
                 + ",\"settings\":" + SETTINGS.formatted(aimMs) + "}", Map.of());
-        service = Service.start(config, new Watched(new Decide(config.settings(), 7)));
+        service = Service.start(config, new Watched(new BalancingRouter(config.settings(), 7)));
         client = Peer.connect(service.listening());
     }
 
@@ -141,52 +141,52 @@
         }
 
         @Override
-        public void started(double now, Actions out) {
-            inner.started(now, out);
+        public void onStart(double now, Actions out) {
+            inner.onStart(now, out);
         }
 
         @Override
-        public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) {
-            inner.nodes(now, kind, version, entries, out);
+        public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) {
+            inner.onNodeList(now, kind, version, entries, out);
         }
 
         @Override
-        public void request(double now, Request request, Actions out) {
-            inner.request(now, request, out);
+        public void onRequest(double now, Request request, Actions out) {
+            inner.onRequest(now, request, out);
         }
 
         @Override
-        public void streamStarted(double now, String request, int attempt, String node, Actions out) {
-            inner.streamStarted(now, request, attempt, node, out);
+        public void onStreamStarted(double now, String request, int attempt, String node, Actions out) {
+            inner.onStreamStarted(now, request, attempt, node, out);
         }
 
         @Override
-        public void attemptEnded(double now, AttemptEnd end, Actions out) {
-            inner.attemptEnded(now, end, out);
+        public void onAttemptEnded(double now, AttemptResult end, Actions out) {
+            inner.onAttemptEnded(now, end, out);
         }
 
         @Override
-        public void clientGone(double now, String request, Actions out) {
-            inner.clientGone(now, request, out);
+        public void onClientDisconnected(double now, String request, Actions out) {
+            inner.onClientDisconnected(now, request, out);
         }
 
         @Override
-        public void timer(double now, String token, Actions out) {
+        public void onTimer(double now, String token, Actions out) {
             if (token.equals("step")) {
                 steps.add(token);
             }
-            inner.timer(now, token, out);
+            inner.onTimer(now, token, out);
         }
 
         @Override
-        public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+        public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                            Actions out) {
-            inner.probed(now, node, outcome, elapsedMs, load, out);
+            inner.onProbeResult(now, node, outcome, elapsedMs, load, out);
         }
 
         @Override
-        public void peerMessage(double now, int from, byte[] contents, Actions out) {
-            inner.peerMessage(now, from, contents, out);
+        public void onPeerMessage(double now, int from, byte[] contents, Actions out) {
+            inner.onPeerMessage(now, from, contents, out);
         }
     }
 }
--- a/gateway/src/test/java/ridgemill/gateway/MixedAnswersTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/MixedAnswersTest.java
@@ -24,7 +24,7 @@
         site.router.onEnd = (end, out) -> {
             if (end.request().equals("id0")) {
                 out.send("id1", "c0", 0);
-            } else if (!end.finished()) {
+            } else if (!end.requestFinished()) {
                 out.fail(end.request());
             }
         };
--- a/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
@@ -31,7 +31,7 @@
 import ridgemill.gateway.control.ControlClient;
 import ridgemill.gateway.operator.Operated;
 import ridgemill.gateway.operator.OperatorFileException;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router;
 
 /** A proxy under an operator file, asked over its sockets: the control socket, groups, listeners and what is refused. */
@@ -69,7 +69,7 @@
         site = site == null ? new Site() : site;
         Files.writeString(file(), text);
         Config config = site.config("automatic", "60000", "");
-        operated = Operated.start(config, file().toString(), router == null ? new Decide(config.settings(), 7) : router);
+        operated = Operated.start(config, file().toString(), router == null ? new BalancingRouter(config.settings(), 7) : router);
         site.service = operated.service();
     }
 
--- a/gateway/src/test/java/ridgemill/gateway/OutcomeTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/OutcomeTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import ridgemill.gateway.net.Content;
-import ridgemill.policy.Router.AttemptEnd;
+import ridgemill.policy.Router.AttemptResult;
 import ridgemill.policy.Router.Outcome;
 
 /** What a node's connection shows becomes the outcome that the protocol names, and the pool stays clean. */
@@ -128,7 +128,7 @@
         assertEquals("w1", put.header("X-Call-Id"));
         put.wire().answer(200, "done", "X-Hit: miss");
         assertEquals("done", new Peer.Message(client.read(), client).body());
-        assertEquals(2, Scripted.next(site.router.ends).note());
+        assertEquals(2, Scripted.next(site.router.ends).cacheStatus());
         // A connection rests for a moment before its next request; those that come meanwhile open others.
         Set<Integer> opened = new HashSet<>(Set.of(put.wire().number()));
         boolean kept = false;
@@ -168,7 +168,7 @@
             site.node.next().wire().answer(404, "");
         }
         assertEquals(502, Site.status(client.read()));
-        AttemptEnd last = null;
+        AttemptResult last = null;
         for (int i = 0; i < 4; i++) {
             last = Scripted.next(site.router.ends);
         }
--- a/gateway/src/test/java/ridgemill/gateway/PeersTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/PeersTest.java
@@ -51,8 +51,8 @@
 
             byte[] reused = "old".getBytes(StandardCharsets.US_ASCII);
             site.router.onRequest = (request, out) -> {
-                out.tell(new byte[Peers.MAX_MESSAGE + 1]);
-                out.tell(reused);
+                out.broadcast(new byte[Peers.MAX_MESSAGE + 1]);
+                out.broadcast(reused);
                 reused[0] = 'X';
                 out.refuse(request.id(), 0);
             };
--- a/gateway/src/test/java/ridgemill/gateway/ReloadTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/ReloadTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 
 /** SIGHUP: discovery moves, and what can't be read changes nothing. */
 class ReloadTest {
@@ -35,7 +35,7 @@
         site.start("automatic", "60000", "");
         oldWatch = site.discovery.next();
         oldWatch.wire().write(HEAD);
-        assertEquals(ListKind.REMEMBERED, Scripted.next(site.router.lists).kind());
+        assertEquals(ListUpdateKind.REMEMBERED, Scripted.next(site.router.lists).kind());
     }
 
     @AfterEach
@@ -68,7 +68,7 @@
         assertTrue(site.router.lists.isEmpty(), "the old list stays meanwhile");
         watch.wire().write(HEAD + chunk(Site.list(3, true, Site.host("c0", site.node.dial(), "up", 0))));
         Scripted.Told told = Scripted.next(site.router.lists);
-        assertEquals(ListKind.FULL, told.kind());
+        assertEquals(ListUpdateKind.FULL, told.kind());
         assertEquals(3, told.version());
     }
 
--- a/gateway/src/test/java/ridgemill/gateway/RespTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/RespTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Reservation;
 
 /** RESP clients and RESP nodes on the wire: what is hard about commands behind one another, pushes, late and lost replies. */
@@ -120,7 +120,7 @@
         site.maxOpen = 1000;
         site.node.close();
         Config config = site.config("automatic", "60000", "");
-        operated = Operated.start(config, file.toString(), new Decide(config.settings(), 7));
+        operated = Operated.start(config, file.toString(), new BalancingRouter(config.settings(), 7));
         site.service = operated.service();
     }
 
--- a/gateway/src/test/java/ridgemill/gateway/Scripted.java
+++ b/gateway/src/test/java/ridgemill/gateway/Scripted.java
@@ -17,14 +17,14 @@
     }
 
     interface OnEnd {
-        void decide(AttemptEnd end, Actions out);
+        void decide(AttemptResult end, Actions out);
     }
 
-    record Told(ListKind kind, long version, List<Node> entries) { }
+    record Told(ListUpdateKind kind, long version, List<Node> entries) { }
 
     record Heard(int from, byte[] contents) { }
 
-    final BlockingQueue<AttemptEnd> ends = new LinkedBlockingQueue<>();
+    final BlockingQueue<AttemptResult> ends = new LinkedBlockingQueue<>();
     final BlockingQueue<Told> lists = new LinkedBlockingQueue<>();
     final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
     final BlockingQueue<String> gone = new LinkedBlockingQueue<>();
@@ -33,7 +33,7 @@
     final List<Request> requests = Collections.synchronizedList(new ArrayList<>());
     volatile OnRequest onRequest = (request, out) -> out.send(request.id(), "c0", 0);
     volatile OnEnd onEnd = (end, out) -> {
-        if (!end.finished()) {
+        if (!end.requestFinished()) {
             out.fail(end.request());
         }
     };
@@ -50,52 +50,52 @@
     }
 
     @Override
-    public void started(double now, Actions out) {
+    public void onStart(double now, Actions out) {
         if (subscribes) {
             out.subscribe();
         }
     }
 
     @Override
-    public void nodes(double now, ListKind kind, long version, List<Node> entries, Actions out) {
+    public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) {
         lists.add(new Told(kind, version, entries));
     }
 
     @Override
-    public void request(double now, Request request, Actions out) {
+    public void onRequest(double now, Request request, Actions out) {
         requests.add(request);
         onRequest.decide(request, out);
     }
 
     @Override
-    public void streamStarted(double now, String request, int attempt, String node, Actions out) { }
+    public void onStreamStarted(double now, String request, int attempt, String node, Actions out) { }
 
     @Override
-    public void attemptEnded(double now, AttemptEnd end, Actions out) {
+    public void onAttemptEnded(double now, AttemptResult end, Actions out) {
         ends.add(end);
         onEnd.decide(end, out);
     }
 
     @Override
-    public void clientGone(double now, String request, Actions out) {
+    public void onClientDisconnected(double now, String request, Actions out) {
         gone.add(request);
-        onGone.decide(new AttemptEnd(request, 0, "", Outcome.CANCELLED, 0, true, 0, Map.of()), out);
+        onGone.decide(new AttemptResult(request, 0, "", Outcome.CANCELLED, 0, true, 0, Map.of()), out);
     }
 
     @Override
-    public void timer(double now, String token, Actions out) {
+    public void onTimer(double now, String token, Actions out) {
         timers.add(token);
         onTimer.run();
     }
 
     @Override
-    public void probed(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+    public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                        Actions out) {
         probes.add(outcome);
     }
 
     @Override
-    public void peerMessage(double now, int from, byte[] contents, Actions out) {
+    public void onPeerMessage(double now, int from, byte[] contents, Actions out) {
         heard.add(new Heard(from, contents));
     }
 }
--- a/gateway/src/test/java/ridgemill/gateway/operator/BadFilesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/BadFilesTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.ServiceClass;
 
 /** A table of bad files: each is refused at its place, by its rule, with a reason and a way out. */
@@ -56,7 +56,7 @@
     @MethodSource("table")
     void isRefused(Bad bad) {
         OperatorFileException refused = assertThrows(OperatorFileException.class,
-                () -> OperatorFile.parse("f.toml", bad.text(), PlatformFacts.UNKNOWN));
+                () -> OperatorFile.parse("f.toml", bad.text(), PlatformConstraints.UNKNOWN));
         List<Problem> fitting = refused.problems().stream().filter(p -> p.rule().equals(bad.rule())
                 && p.reason().concat("; ").concat(p.wayOut()).contains(bad.part())).toList();
         assertFalse(fitting.isEmpty(), refused.getMessage());
@@ -79,15 +79,15 @@
                 [[route]]
                 name = "r"
                 path = "x"
-                """, PlatformFacts.UNKNOWN)).problems();
+                """, PlatformConstraints.UNKNOWN)).problems();
         assertEquals(List.of(3, 4, 6, 9), problems.stream().map(Problem::line).collect(Collectors.toList()));
         assertEquals("f.toml:3", problems.get(0).place().substring(0, 8));
     }
 
     @Test
     void thePlatformIsNotContradicted() {
-        PlatformFacts platform = new PlatformFacts(Map.of("pay", new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED,
-                Group.ALL, 6000, false)), 3, 65536);
+        PlatformConstraints platform = new PlatformConstraints(Map.of("pay", new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED,
+                DeduplicationScope.ALL, 6000, false)), 3, 65536);
         List<Problem> problems = assertThrows(OperatorFileException.class, () -> OperatorFile.parse("f.toml", """
                 [classes.pay]
                 effect = "safe"
@@ -109,7 +109,7 @@
     @Test
     void aFileThatIsNotThereIsNamed() {
         assertTrue(assertThrows(OperatorFileException.class, () -> OperatorFile.read("/nowhere/x.toml",
-                PlatformFacts.UNKNOWN)).getMessage().startsWith("/nowhere/x.toml: cannot be read"));
+                PlatformConstraints.UNKNOWN)).getMessage().startsWith("/nowhere/x.toml: cannot be read"));
     }
 
     /** What an operator is handed as an example must be taken as it is. */
@@ -121,7 +121,7 @@
                     .filter(f -> !f.endsWith("balancer.toml") && !f.endsWith("system.toml")).toList();
             assertTrue(all.size() >= 4, all.toString());
             for (Path file : all) {
-                OperatorFile.read(file.toString(), PlatformFacts.UNKNOWN);
+                OperatorFile.read(file.toString(), PlatformConstraints.UNKNOWN);
             }
         }
     }
--- a/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.core.Gate.Arrival;
 import ridgemill.core.Gate.Entry;
 import ridgemill.core.Gate.Go;
@@ -15,23 +15,23 @@
 import ridgemill.core.Gate.Refuse;
 import ridgemill.core.Gate.Unfit;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
-import ridgemill.route.Query;
+import ridgemill.policy.Router.WeightMode;
+import ridgemill.route.RouteQuery;
 
 /** What a request gets under a file: its class, its time, its size, its limits; and all of it from one file. */
 class OperatorGateTest {
 
     private static final double NOW = 5000;
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1,
-            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, Group.ALL, 0, false),
-                    new ServiceClass("pay", 500, 0, 1500, 1, 0.25, Effect.KEYED, Group.ALL, 6000, false)), List.of(), 1,
-            false, new Limits(4, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, 0, 0), false,
-            Weights.NONE, null);
+            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, DeduplicationScope.ALL, 0, false),
+                    new ServiceClass("pay", 500, 0, 1500, 1, 0.25, Effect.KEYED, DeduplicationScope.ALL, 6000, false)), List.of(), 1,
+            false, new PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 0, 0), false,
+            WeightMode.NONE, null);
     private static final String FILE = """
             [classes.read]
             effect = "safe"
@@ -56,11 +56,11 @@
             """;
 
     private static OperatorConfig config(String text) throws OperatorFileException {
-        return OperatorFile.parse("f.toml", text, PlatformFacts.of(SETTINGS));
+        return OperatorFile.parse("f.toml", text, PlatformConstraints.of(SETTINGS));
     }
 
     private static Arrival arrival(String path, String named, long bytes, double budget) {
-        return new Arrival("id", new Query("GET", path, "t"), named, false, bytes, budget);
+        return new Arrival("id", new RouteQuery("GET", path, "t"), named, false, bytes, budget);
     }
 
     private static Go go(Entry entry) {
@@ -88,9 +88,9 @@
         assertEquals("read", read.service().name());
         assertEquals(800, read.budgetMs(), "no more than the class's total");
         assertEquals(300, go(gate.enter(NOW, arrival("/api/m1", "read", 0, 300))).budgetMs());
-        assertEquals(2, read.service().retry().attempts());
-        assertEquals(200, read.service().retry().attemptMs());
-        assertEquals(400, read.service().aimMs());
+        assertEquals(2, read.service().retry().maxAttempts());
+        assertEquals(200, read.service().retry().attemptTimeoutMs());
+        assertEquals(400, read.service().targetLatencyMs());
         assertEquals("pay", go(gate.enter(NOW, arrival("/api/m1", "pay", 0, 1000))).service().name(),
                 "a class of the platform's that the file does not name holds as it is");
     }
--- a/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
@@ -9,21 +9,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 
 /** What operators want rolled, and the way back. */
 class RolledFileTest {
 
-    private static final PlatformFacts PLATFORM = PlatformFacts.of(new Settings(0, 1, "a", 1,
-            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, Group.ALL, 0, false)), List.of(), 1, false,
-            new Limits(4, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, 0, 0), false, Weights.NONE, null));
+    private static final PlatformConstraints PLATFORM = PlatformConstraints.of(new Settings(0, 1, "a", 1,
+            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, DeduplicationScope.ALL, 0, false)), List.of(), 1, false,
+            new PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 0, 0), false, WeightMode.NONE, null));
     private static final String OWN = "[control]\nsocket = \"/run/p0.sock\"\n";
 
     @TempDir
--- a/lab/src/main/java/ridgemill/lab/DeadlinesMeasured.java
+++ b/lab/src/main/java/ridgemill/lab/DeadlinesMeasured.java
@@ -20,7 +20,7 @@
 import ridgemill.lab.TwoHalls.Plan;
 import ridgemill.outcome.MemoryOutcomes;
 import ridgemill.outcome.Outcomes;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Protocol;
 import ridgemill.testbed.Reservation;
 import ridgemill.testbed.Testbed;
@@ -201,7 +201,7 @@
             json.getAsJsonObject("limits").addProperty("sockets", 4096);
             json.getAsJsonObject("settings").getAsJsonObject("limits").addProperty("cancelling", way != Way.NOTHING);
             Config config = Config.parse(json.toString(), Map.of());
-            Operated operated = Operated.start(config, file.toString(), new Decide(config.settings(), seed));
+            Operated operated = Operated.start(config, file.toString(), new BalancingRouter(config.settings(), seed));
             bed.load(profile, Map.of("p0", in == Protocol.HTTP ? operated.listening() : port.address()), in).start()
                     .get(120, TimeUnit.SECONDS);
             while (bed.fleet().store().inHand() > 0) {
--- a/lab/src/main/java/ridgemill/lab/InProcessProxy.java
+++ b/lab/src/main/java/ridgemill/lab/InProcessProxy.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.Service;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 
 /** A proxy inside this process: starts in no time, and can't be killed without a word. */
 final class InProcessProxy implements ProxyUnderTest {
@@ -33,7 +33,7 @@
     @Override
     public void start() throws Exception {
         Config read = Config.parse(config.toString(), Map.of());
-        service = Service.start(read, new Decide(read.settings(), read.seed()));
+        service = Service.start(read, new BalancingRouter(read.settings(), read.seed()));
         address = service.listening();
     }
 
--- a/lab/src/main/java/ridgemill/lab/TwoHalls.java
+++ b/lab/src/main/java/ridgemill/lab/TwoHalls.java
@@ -19,7 +19,7 @@
 import ridgemill.gateway.Config;
 import ridgemill.gateway.net.Addresses;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Protocol;
 import ridgemill.testbed.Reservation;
 import ridgemill.testbed.Testbed;
@@ -306,7 +306,7 @@
                 running.put(of, new Outside(process, control));
             } else {
                 Config read = Config.parse(config.toString(), Map.of());
-                running.put(of, new Inside(Operated.start(read, file.toString(), new Decide(read.settings(), plan.seed()))));
+                running.put(of, new Inside(Operated.start(read, file.toString(), new BalancingRouter(read.settings(), plan.seed()))));
             }
         }
     }
--- a/lab/src/test/java/ridgemill/lab/BeforeClientsTest.java
+++ b/lab/src/test/java/ridgemill/lab/BeforeClientsTest.java
@@ -13,7 +13,7 @@
 import ridgemill.core.PlatformGate;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.Service;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Reservation;
 import ridgemill.testbed.Testbed;
 import ridgemill.testbed.load.LoadProfile;
@@ -28,7 +28,7 @@
             Config config = Config.parse(ProxyConfig.of("p0", 0, 1, port.address(), bed.place("p0"), LoadProfile.USUAL, NodeProfile.CACHE, null,
                     List.of(), 5).toString(), Map.of());
             List<Service> before = new ArrayList<>();
-            Service service = Service.start(config, new Decide(config.settings(), 5), new PlatformGate(config.settings()), s -> {
+            Service service = Service.start(config, new BalancingRouter(config.settings(), 5), new PlatformGate(config.settings()), s -> {
                 before.add(s);
                 assertThrows(ConnectException.class, () -> connect(port));
             });
--- a/lab/src/test/java/ridgemill/lab/LoopsTest.java
+++ b/lab/src/test/java/ridgemill/lab/LoopsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import ridgemill.gateway.Service;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
 import ridgemill.testbed.HttpText;
@@ -48,7 +48,7 @@
     private static final double SLACK_MS = 250;
     private static final long PATIENCE_MS = 20_000;
     private static final int MOST_ASKED = 20;
-    private static final Function<Settings, Router> OURS = settings -> new Decide(settings, 5 + settings.index());
+    private static final Function<Settings, Router> OURS = settings -> new BalancingRouter(settings, 5 + settings.proxyIndex());
 
     @TempDir
     private Path directory;
@@ -291,7 +291,7 @@
         AtomicInteger seen = new AtomicInteger();
         Function<Settings, Router> routers = settings -> {
             Router inner = OURS.apply(settings);
-            return settings.index() != 1 ? inner : (Router) Proxy.newProxyInstance(getClass().getClassLoader(),
+            return settings.proxyIndex() != 1 ? inner : (Router) Proxy.newProxyInstance(getClass().getClassLoader(),
                     new Class<?>[] {Router.class}, (proxy, method, args) -> {
                         if (method.getName().equals("request") && seen.incrementAndGet() >= 100) {
                             throw new NoClassDefFoundError("on purpose");
--- a/lab/src/test/java/ridgemill/lab/Operating.java
+++ b/lab/src/test/java/ridgemill/lab/Operating.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.operator.Operated;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
 import ridgemill.testbed.Testbed;
@@ -23,7 +23,7 @@
 
     /** A proxy p0 on an address of its own, for clients of this load. */
     static Operated start(Testbed bed, Path file, LoadProfile profile) throws Exception {
-        return start(bed, file, profile, settings -> new Decide(settings, SEED + settings.index()));
+        return start(bed, file, profile, settings -> new BalancingRouter(settings, SEED + settings.proxyIndex()));
     }
 
     /** The same with decisions of the caller's, made for each loop. */
