--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
@@ -29,7 +29,7 @@
         for (int i = 0; i < 10; i++) {
             interval((int) (BASE * ServiceAdmission.INTERVAL_MS / 1_000), 0);
         }
-        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE);
+        assertThat(admission.snapshot().baseline()).isEqualTo(BASE);
     }
 
     private void rise(int level) {
@@ -107,7 +107,7 @@
             interval(4, 1);
         }
         assertThat(admission.level()).isEqualTo(TOP);
-        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE);
+        assertThat(admission.snapshot().baseline()).isEqualTo(BASE);
     }
 
     @Test
--- a/core/src/main/java/ridgemill/policy/BalancingRouter.java
+++ b/core/src/main/java/ridgemill/policy/BalancingRouter.java
@@ -10,183 +10,182 @@
 import java.util.SplittableRandom;
 
 /**
- * Every decision of ridgemill; its events, actions and types stand in Router.java beside this file, the
- * level, the bank and the hashing in AdmissionLevel.java, PriorityTokenBucket.java and RendezvousHash.java.
+ * Selects nodes, retries, and admits or refuses requests. Router.java defines the events, actions and types;
+ * AdmissionLevel.java, PriorityTokenBucket.java and RendezvousHash.java hold admission control and hashing.
  *
- * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hash; on a miss it draws a
- * token and fetches from the origin. A write draws on arrival. One hysteresis level, stepped once an interval
- * from the outcomes of our own fetches, sets how fast the token bank refills; an empty bank refuses at once
- * and its last token is kept for higher worth. Everything else below is health, time and the rules.
+ * <p>A read goes to the less busy of its key's two top cache nodes by rendezvous hashing; on a miss it takes
+ * a token and fetches from the origin. A write takes a token on arrival. An admission level with hysteresis,
+ * updated every control interval from the outcomes of this proxy's own fetches, sets the token refill rate.
+ * Without a token a request is refused at once; the last token is kept for high priority.
  */
 public final class BalancingRouter implements Router {
 
-    /** Length of a control interval: long enough for a sample, short against an overload of seconds. */
-    static final double INTERVAL_MS = 1000;
-    /** Weight of a new value in running means; faster at nodes that are paced. */
-    static final double SMOOTH = 0.1;
-    static final double PACED_SMOOTH = 0.3;
-    /** Failures in a row before a node is spared, and how long, doubling up to the last. */
-    static final int STRIKES = 2;
+    /** Control interval: long enough for a sample, short compared with an overload, which lasts seconds. */
+    static final double CONTROL_INTERVAL_MS = 1000;
+    /** Weight of a new value in running means; higher for paced nodes, which get fewer attempts. */
+    static final double SMOOTHING = 0.1;
+    static final double PACED_SMOOTHING = 0.3;
+    /** Consecutive failures after which a node is ejected. */
+    static final int FAILURES_TO_EJECT = 2;
     /**
-     * What a node without a place for our connection counts as failures in a row: one that drains unsaid
-     * turns us away in the same way, while one whose table is full still answers those who have a place.
+     * Failure weight of a connection that the node had no slot for. A node that drains before the list shows
+     * it rejects connections in the same way, while one whose connection table is full still serves others.
      */
-    static final double NO_PLACE_STRIKE = 0.5;
-    /** After how long a fetch that found no place is tried once more: others hear our call meanwhile. */
-    static final double PLACE_MS = 50;
+    static final double NO_PLACE_FAILURE_WEIGHT = 0.5;
+    /** Delay before a fetch that found no connection slot is retried: other proxies free slots meanwhile. */
+    static final double NO_PLACE_RETRY_MS = 50;
     /**
-     * Running share of errors above which a node is spared though it answers, and the weight of an outcome:
-     * one that spoils half of its answers has no failures in a row. Prevents a repeat for each of them; could
-     * harm where errors come from the requests and not the node.
+     * Running error share above which an answering node is ejected, and the weight of one outcome: errors
+     * in half its answers cost a retry each but are no failures in a row. Wrong if requests cause the errors.
      */
-    static final double SPOILING = 0.35;
-    static final double SPOILT_SMOOTH = 0.1;
-    /** Weight of an attempt in a node's running share of broken connections: about two seconds' worth. */
-    static final double BROKEN_SMOOTH = 0.02;
-    /** Share of connections that break at the median cache node from which on the network is at fault. */
-    static final double BREAKING = 0.01;
-    /** How unlikely a run of broken connections must be by the fleet's usual share to tell of its node. */
-    static final double LUCK = 1e-5;
-    /** Part of the usual aim that a node's queue may take. */
-    static final double CROWD = 0.6;
-    /** Power of their number by which balancers share a node's queue; over a half, as jams must end. */
-    static final double OTHERS = 0.58;
-    /** How long a refused key is taken to be still missing, and how many such keys are kept. */
-    static final double MISSING_MS = 3000;
-    static final int MISSING_KEYS = 1024;
-    /** How far from the middle a listed size may go, and a model's learned weight. */
-    static final double SIZE_SPAN = 4;
-    static final double MODEL_SPAN = 2;
-    /** Part of its aim that a read may wait for a place at a crowded pair. */
-    static final double PATIENCE = 0.25;
-    /** A new node is taken to need this part of the shortest aim for a request until it has answered some. */
-    static final double FIRST_GUESS = 0.2;
+    static final double MAX_ERROR_SHARE = 0.35;
+    static final double ERROR_SMOOTHING = 0.1;
+    /** Weight of an attempt in a node's running share of broken connections: covers about two seconds. */
+    static final double BROKEN_SMOOTHING = 0.02;
+    /** Broken share at the median cache node above which breaks are attributed to the network. */
+    static final double NETWORK_FAULT_SHARE = 0.01;
+    /** A run of breaks counts against a node only if it is less likely than this at the median share. */
+    static final double CHANCE_LIMIT = 1e-5;
+    /** Part of the mean target latency that a node's queue may take. */
+    static final double QUEUE_SHARE_OF_TARGET = 0.6;
+    /** Proxies share a node's queue by this power of their number; above 0.5 so that overloads clear. */
+    static final double SHARING_EXPONENT = 0.58;
+    /** How long a key whose fetch was refused is assumed to be uncached, and how many such keys are kept. */
+    static final double KNOWN_MISS_MS = 3000;
+    static final int MAX_KNOWN_MISSES = 1024;
+    /** Bounds on a listed size relative to the median, and on the learned weight of a model. */
+    static final double MAX_SIZE_RATIO = 4;
+    static final double MAX_MODEL_RATIO = 2;
+    /** Part of its target latency that a read may wait while both of its nodes are at capacity. */
+    static final double QUEUE_WAIT_SHARE = 0.25;
+    /** Initial estimate of a node's service time, as a part of the shortest target latency. */
+    static final double INITIAL_TIME_SHARE = 0.2;
     /**
-     * One of so many nodes may be spared at once. With half of them spared the others took twice their load,
-     * turned slow and stayed so, while some of the spared still answered most of what they got. Could harm
-     * where more nodes than that are dead: requests go on trying them.
+     * At most one node in this many is ejected at once: with half ejected the rest took twice the load and
+     * stayed slow, while some ejected ones answered most requests. Dead nodes beyond that are still tried.
      */
-    static final int SPARED_PART = 3;
-    static final double SPARE_MS = 500;
-    static final double SPARE_MOST_MS = 4000;
-    /** Of a cache attempt's remaining time, the part it may use while another attempt is still possible. */
-    static final double FIRST_TRY = 0.6;
-    /** Part of the aim after which a request is taken for lost, where answers come sooner but for losses. */
-    static final double SOONEST = 0.4;
-    /** Mean deviations by which an answer may be late and still be usual, as in TCP. */
-    static final double DEVIATIONS = 4;
-    /** A request whose body is still coming may take so long: its sender's pace is judged elsewhere. */
-    static final double OPEN_MS = 600_000;
-    /** Weight of an attempt in a node's running share of silence; shares that count as losses and as dead. */
-    static final double SILENT_SMOOTH = 0.2;
-    static final double SILENT = 0.5;
-    static final double LOSING = 0.05;
-    /** Open connections a node that cost the held price. */
-    static final double PRICED_TABLE = 100;
-    /** Keys of the latest requests, ours or told by peers, that are remembered, to tell a hot key. */
-    static final int LATELY = 64;
-    static final int LATELY_TOLD = 256;
-    /** How many peers hear of a request's key on average: a sample of all requests, at a bounded price. */
-    static final double HEARD_BY = 24;
-    /** Keys told at once, as each message has a price of its own. */
-    static final int KEYS_TOLD = 4;
-    /** More than a logarithm and an exponential are off together. */
-    private static final double ROUNDING = 1e-9;
+    static final int NODES_PER_EJECTION = 3;
+    /** First ejection time, doubled for each further failure up to the maximum. */
+    static final double EJECTION_MS = 500;
+    static final double MAX_EJECTION_MS = 4000;
+    /** Part of the remaining time that a cache attempt may use while another attempt is still possible. */
+    static final double FIRST_ATTEMPT_SHARE = 0.6;
+    /** Part of the target latency after which a request to a quick but lossy node is considered lost. */
+    static final double LOST_AFTER_SHARE = 0.4;
+    /** Mean deviations above the mean within which an answer still counts as usual, as in TCP. */
+    static final double LATE_DEVIATIONS = 4;
+    /** Time limit of a request whose body is still arriving; the sender's pace is limited elsewhere. */
+    static final double UPLOAD_BUDGET_MS = 600_000;
+    /** Weight of an attempt in a node's running timeout share; shares that mark it as dead and as lossy. */
+    static final double TIMEOUT_SMOOTHING = 0.2;
+    static final double DEAD_TIMEOUT_SHARE = 0.5;
+    static final double LOSSY_TIMEOUT_SHARE = 0.05;
+    /** Open connections at a node that {@link ConnectionCosts#holdingCost} is the cost of. */
+    static final double HOLDING_COST_CONNECTIONS = 100;
+    /** Number of recent keys remembered to detect hot keys, without and with keys sent by peers. */
+    static final int RECENT_KEYS = 64;
+    static final int RECENT_KEYS_WITH_PEERS = 256;
+    /** Mean number of peers that receive a request's key: samples the requests at a bounded cost. */
+    static final double PEERS_PER_KEY = 24;
+    /** Keys sent in one message, as each message has a cost of its own. */
+    static final int KEYS_PER_MESSAGE = 4;
+    /** Larger than the combined rounding error of a logarithm and an exponential. */
+    private static final double ROUNDING_MARGIN = 1e-9;
     /**
-     * Sends to cache nodes, as a multiple of those answered, beyond which requests are turned away, and how
-     * steeply. Prevents collapse, where time-outs bring repeats that bring time-outs; failed connections do
-     * not count. Could harm where a few nodes alone answer nothing for long: all pay a little.
+     * Ratio of sent to answered cache attempts above which requests are refused, and how steeply. Prevents
+     * a collapse in which timeouts cause retries that cause timeouts; failed connections do not count. Costs
+     * all requests a little where only a few nodes fail to answer for long.
      */
-    static final double PUSH = 1.1;
-    static final double PUSH_POWER = 3;
+    static final double OVERSEND_RATIO = 1.1;
+    static final double OVERSEND_EXPONENT = 3;
     /**
-     * Part of the requests that goes on however little is answered. Without it a start whose first attempts
-     * all come too late refuses for ten seconds: too little goes out to outweigh the first silence.
+     * Share of requests admitted however little is answered. Without it a proxy whose first attempts all time
+     * out refuses for ten seconds, as too few attempts go out to outweigh those timeouts.
      */
-    static final double GO_ON_LEAST = 0.3;
-    /** Answers a second that are taken for granted, so that a fleet that answers none is tried again. */
-    static final double TRIAL_PER_S = 0.05;
-    /** Part of its due that a cold node gets, for what the stated warm-up and our view leave out. */
-    static final double COLD_CARE = 0.7;
-    /** Times a key that we did not see is taken to have come, as it may be hot for others, at a cold node. */
-    static final double UNSEEN = 0.25;
-    /** Pairs a hot key is given, for each node's worth of our requests that ask for it. */
-    static final double HOT_SPREAD = 2;
+    static final double MIN_ADMIT_SHARE = 0.3;
+    /** Added to the answer rate, so that nodes that answer nothing are tried again. */
+    static final double ASSUMED_ANSWERS_PER_SECOND = 0.05;
+    /** Part of its share that a cold node gets: the configured warm-up and this proxy's view are inexact. */
+    static final double COLD_SAFETY_FACTOR = 0.7;
+    /** Assumed count of an unseen key at a cold node, as the key may be hot at other proxies. */
+    static final double UNSEEN_KEY_COUNT = 0.25;
+    /** Node pairs given to a hot key per node's share of this proxy's requests that the key takes. */
+    static final double HOT_KEY_SPREAD = 2;
 
     private final Settings settings;
     private final SplittableRandom random;
-    private final Map<String, ServiceClass> classes = new HashMap<>();
-    private final Map<String, Meter> tenants = new HashMap<>();
+    private final Map<String, ServiceClass> serviceClasses = new HashMap<>();
+    private final Map<String, RateMeter> tenantRates = new HashMap<>();
     private final Map<String, Double> quotas = new HashMap<>();
-    private final Map<String, NodeView> nodes = new LinkedHashMap<>();
-    private final Map<Long, List<Held>> fetching = new HashMap<>();
-    private final Map<String, Held> requests = new LinkedHashMap<>();
-    private final Map<Long, Double> missing = new LinkedHashMap<>();
-    private final AdmissionLevel control = new AdmissionLevel();
-    private final PriorityTokenBucket bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
-    private final double guardMs;
-    private final double shortestAim;
-    private final ServiceClass unknown;
+    private final Map<String, NodeState> nodes = new LinkedHashMap<>();
+    private final Map<Long, List<PendingRequest>> fetchWaiters = new HashMap<>();
+    private final Map<String, PendingRequest> requests = new LinkedHashMap<>();
+    private final Map<Long, Double> knownMisses = new LinkedHashMap<>();
+    private final AdmissionLevel admission = new AdmissionLevel();
+    private final PriorityTokenBucket tokens = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
+    private final double marginMs;
+    private final double shortestTargetMs;
+    private final ServiceClass unknownClass;
     private final boolean hasOrigin;
-    private List<NodeView> caches = List.of();
-    private NodeView origin;
-    private List<Held> room = new ArrayList<>();
+    private List<NodeState> cacheNodes = List.of();
+    private NodeState origin;
+    private List<PendingRequest> waitQueue = new ArrayList<>();
     private double intervalEnd;
-    private double meanWorth;
-    /** Running mean of 1 / aim over requests: the usual aim is harmonic, as short aims suffer first. */
-    private double urgency;
-    private final int[] lately;
-    private final boolean peers;
-    /**
-     * Whether a connection from each balancer would cost a node more than opening one for each request: gaps
-     * between uses have no memory, so then none is worth holding. Prevents full tables, which refuse, and the
-     * work that they take; could harm where opening is far dearer than its price.
-     */
+    private double meanPriority;
+    /** Running mean of 1 / target latency: a harmonic mean, as short targets are missed first. */
+    private double inverseTarget;
+    private final int[] recentKeys;
+    private final boolean sharesKeys;
+    // Whether holding a connection from each proxy costs a node more than opening one per request. Gaps
+    // between uses are memoryless, so then no idle connection is worth keeping. Prevents full connection
+    // tables, which reject, and their overhead. May harm where opening costs far more than configured.
     private final boolean closesIdle;
-    private final ByteBuffer news;
-    private final Meter cacheSends = new Meter();
-    private final Meter cacheAnswers = new Meter();
-    private final Meter asked = new Meter();
-    private double answeredShare = 1, goOn = 1, totalShare = 1, coldChance = COLD_CARE;
-    /**
-     * Share of attempts whose connection breaks at the median cache node. What breaks everywhere is the
-     * network's doing (short idle times, a lossy middlebox, resets) and tells nothing of a node or of the
-     * origin's load, so neither is judged by it; a node or an origin that breaks more than that still is.
-     * Could harm where one cause overruns all nodes at once and they cut connections instead of waiting.
-     */
-    private double usualBreaks;
+    private final ByteBuffer outgoingKeys;
+    private final RateMeter cacheSends = new RateMeter();
+    private final RateMeter cacheAnswers = new RateMeter();
+    private final RateMeter arrivals = new RateMeter();
+    private double answeredShare = 1, admitShare = 1, totalWeight = 1, coldProbability = COLD_SAFETY_FACTOR;
+    // Share of attempts whose connection breaks at the median cache node. Breaks that occur everywhere come
+    // from the network (short idle timeouts, a lossy middlebox, resets) and say nothing of a node's health or
+    // the origin's load: only breaks beyond that share count against them. May harm where one cause overloads
+    // all nodes at once and they cut connections instead of delaying answers.
+    private double medianBrokenShare;
     private boolean subscribed;
-    private int seen, refusedCalls;
+    private int recordedKeys, failedSubscriptions;
 
+    /** Creates the router of one proxy; routers with the same settings, seed and events act alike. */
     public BalancingRouter(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        ConnectionCosts c = settings.connectionCosts();
-        this.closesIdle = c.holdingCost() * settings.proxyCount() > c.openingCost() * PRICED_TABLE;
-        this.peers = settings.limits().peerMessagesAllowed() && settings.proxyCount() > 1;
-        this.news = ByteBuffer.allocate((peers ? KEYS_TOLD : 1) * Integer.BYTES);
-        this.lately = new int[peers ? LATELY_TOLD : LATELY];
+        ConnectionCosts costs = settings.connectionCosts();
+        this.closesIdle = costs.holdingCost() * settings.proxyCount()
+                > costs.openingCost() * HOLDING_COST_CONNECTIONS;
+        this.sharesKeys = settings.limits().peerMessagesAllowed() && settings.proxyCount() > 1;
+        this.outgoingKeys = ByteBuffer.allocate((sharesKeys ? KEYS_PER_MESSAGE : 1) * Integer.BYTES);
+        this.recentKeys = new int[sharesKeys ? RECENT_KEYS_WITH_PEERS : RECENT_KEYS];
         this.hasOrigin = settings.originModel() != null;
-        this.guardMs = 2 * settings.tickMs();
-        this.shortestAim = settings.classes().stream().mapToDouble(ServiceClass::targetLatencyMs).min().orElse(1);
-        this.urgency = 1 / Math.max(1, shortestAim);
-        double soonest = settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
-        // A class that the settings do not name is taken to be worth little and never safe to repeat.
-        this.unknown = new ServiceClass("", soonest, 0, soonest, 0, 0, Effect.UNSAFE, DeduplicationScope.ALL, 0, false);
-        settings.classes().forEach(s -> classes.put(s.name(), s));
+        this.marginMs = 2 * settings.tickMs();
+        this.shortestTargetMs = settings.classes().stream().mapToDouble(ServiceClass::targetLatencyMs).min()
+                .orElse(1);
+        this.inverseTarget = 1 / Math.max(1, shortestTargetMs);
+        double deadline = settings.classes().stream().mapToDouble(ServiceClass::deadlineMs).min().orElse(1);
+        // A class that the settings do not name has no value and must not be executed twice.
+        this.unknownClass = new ServiceClass("", deadline, 0, deadline, 0, 0, Effect.UNSAFE,
+                DeduplicationScope.ALL, 0, false);
+        settings.classes().forEach(c -> serviceClasses.put(c.name(), c));
         int proxies = Math.max(1, settings.proxyCount());
         settings.tenants().forEach(t -> quotas.put(t.name(), t.quotaPerS() / proxies));
     }
 
     @Override
     public int admissionLevel() {
-        return control.level();
+        return admission.level();
     }
 
     @Override
     public boolean isExcluded(double now, String node) {
-        NodeView n = nodes.get(node);
-        return n == null || !n.listed || now < n.sparedUntil;
+        NodeState n = nodes.get(node);
+        return n == null || !n.listed || now < n.ejectedUntil;
     }
 
     @Override
@@ -196,22 +195,22 @@
 
     @Override
     public List<String> unreachableNodes(double now) {
-        return nodes.values().stream().filter(n -> n.listed && n.gone && now < n.sparedUntil)
+        return nodes.values().stream().filter(n -> n.listed && n.unreachable && now < n.ejectedUntil)
                 .map(n -> n.entry.id()).toList();
     }
 
     @Override
     public void onClassesChanged(double now, List<ServiceClass> next) {
-        classes.clear();
-        next.forEach(s -> classes.put(s.name(), s));
+        serviceClasses.clear();
+        next.forEach(c -> serviceClasses.put(c.name(), c));
     }
 
     @Override
     public void onStart(double now, Actions out) {
-        intervalEnd = now + INTERVAL_MS;
+        intervalEnd = now + CONTROL_INTERVAL_MS;
         out.setTimer(intervalEnd, "step");
         if (settings.mustSubscribe()) {
-            out.setTimer(now + random.nextDouble() * INTERVAL_MS, "subscribe");
+            out.setTimer(now + random.nextDouble() * CONTROL_INTERVAL_MS, "subscribe");
         }
     }
 
@@ -219,83 +218,85 @@
     public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) {
         if (kind == ListUpdateKind.REFUSED) {
             subscribed = false;
-            refusedCalls++;
-            double wait = INTERVAL_MS * Math.min(8, 1 << Math.min(3, refusedCalls));
+            failedSubscriptions++;
+            double wait = CONTROL_INTERVAL_MS * Math.min(8, 1 << Math.min(3, failedSubscriptions));
             out.setTimer(now + wait * (0.5 + random.nextDouble()), "subscribe");
             return;
         }
-        refusedCalls = kind == ListUpdateKind.REMEMBERED ? refusedCalls : 0;
+        failedSubscriptions = kind == ListUpdateKind.REMEMBERED ? failedSubscriptions : 0;
         if (kind != ListUpdateKind.CHANGES) {
             nodes.values().forEach(n -> n.listed = false);
         }
         for (Node entry : entries) {
-            nodes.computeIfAbsent(entry.id(), id -> new NodeView(entry)).learn(entry);
+            nodes.computeIfAbsent(entry.id(), id -> new NodeState(entry)).update(entry);
         }
-        relist();
+        rebuildNodeLists();
     }
 
     @Override
-    public void onRequest(double now, Request in, Actions out) {
-        Held r = new Held(in, classes.getOrDefault(in.serviceClass(), unknown), now, guardMs);
-        requests.put(in.id(), r);
-        heat(r, out);
-        asked.add(now, 1);
-        r.worth = worth(now, in, r.service);
-        meanWorth = meanWorth == 0 ? r.worth : meanWorth + SMOOTH / 10 * (r.worth - meanWorth);
-        r.low = r.worth < meanWorth;
-        urgency += SMOOTH / 10 * (1 / Math.max(1, r.service.targetLatencyMs()) - urgency);
-        out.setTimer(r.guard, "r" + in.id());
+    public void onRequest(double now, Request request, Actions out) {
+        PendingRequest r = new PendingRequest(request,
+                serviceClasses.getOrDefault(request.serviceClass(), unknownClass), now, marginMs);
+        requests.put(request.id(), r);
+        trackKey(r, out);
+        arrivals.add(now, 1);
+        r.priority = priority(now, request, r.serviceClass);
+        meanPriority = meanPriority == 0 ? r.priority
+                : meanPriority + SMOOTHING / 10 * (r.priority - meanPriority);
+        r.lowPriority = r.priority < meanPriority;
+        inverseTarget += SMOOTHING / 10 * (1 / Math.max(1, r.serviceClass.targetLatencyMs()) - inverseTarget);
+        out.setTimer(r.answerBy, "r" + request.id());
         if (!hasTime(now, r)) {
-            // A try may come with no time left at all: a timer would answer it too late.
-            end(now, r, out, Reason.OUT_OF_TIME);
-        } else if (knownMissing(now, r) && !hold(r) && !draw(now, r)) {
-            end(now, r, out, Reason.NO_TOKEN);
-        } else if (r.heldOnce) {
+            // A request may arrive with no time left; waiting for its timer would answer it too late.
+            finish(now, r, out, Reason.OUT_OF_TIME);
+        } else if (isKnownMiss(now, r) && !joinFetch(r) && !acquireToken(now, r)) {
+            finish(now, r, out, Reason.NO_TOKEN);
+        } else if (r.coalesced) {
             return;
-        } else if (in.write() && hasOrigin) {
-            fetch(now, r, out);
-        } else if (r.draw > goOn || in.write() && !bank.tryAcquire(now, r.low)) {
-            end(now, r, out, r.draw > goOn ? Reason.FLEET_SILENT : Reason.NO_TOKEN);
+        } else if (request.write() && hasOrigin) {
+            fetchFromOrigin(now, r, out);
+        } else if (r.uniformDraw > admitShare || request.write() && !tokens.tryAcquire(now, r.lowPriority)) {
+            finish(now, r, out, r.uniformDraw > admitShare ? Reason.FLEET_SILENT : Reason.NO_TOKEN);
         } else {
-            lookUp(now, r, out);
+            readFromCache(now, r, out);
         }
     }
 
     @Override
-    public void onStreamStarted(double now, String request, int attempt, String node, Actions out) {
-        Held r = requests.get(request);
-        NodeView at = nodes.get(node);
+    public void onStreamStarted(double now, String request, int attempt, String nodeId, Actions out) {
+        PendingRequest r = requests.get(request);
+        NodeState node = nodes.get(nodeId);
         if (r == null || r.streaming) {
             return;
         }
-        // The node has done its work: how long the rest takes is its client's doing as much as its own.
+        // The node has done its work: the time of the rest depends on the client as much as on the node.
         r.streaming = true;
-        List<Held> waiting = r.fetches ? fetching.remove(r.in.key()) : null;
-        r.fetches = false;
-        if (at != null) {
+        List<PendingRequest> waiting = r.leadsFetch ? fetchWaiters.remove(r.request.key()) : null;
+        r.leadsFetch = false;
+        if (node != null) {
             double elapsed = now - r.sentAt;
-            at.ended(now, new AttemptResult(request, attempt, node, Outcome.OK, elapsed, false, 0,
-                    Map.of()), caches);
-            if (at.isOrigin() && !r.overdue && !r.in.uploading()) {
-                control.recordFetch(elapsed <= r.service.targetLatencyMs());
-            } else if (!at.isOrigin()) {
+            node.attemptEnded(now, new AttemptResult(request, attempt, nodeId, Outcome.OK, elapsed, false, 0,
+                    Map.of()), cacheNodes);
+            if (node.isOrigin() && !r.overdue && !r.request.uploading()) {
+                admission.recordFetch(elapsed <= r.serviceClass.targetLatencyMs());
+            } else if (!node.isOrigin()) {
                 cacheAnswers.add(now, 1);
             }
         }
-        release(now, waiting, true, out);
+        releaseWaiters(now, waiting, true, out);
     }
 
     @Override
     public void onAttemptEnded(double now, AttemptResult end, Actions out) {
-        Held r = requests.get(end.request());
+        PendingRequest r = requests.get(end.request());
         if (r != null && r.streaming) {
-            requests.remove(r.in.id());
+            requests.remove(r.request.id());
             return;
         }
-        NodeView node = nodes.get(end.node());
+        NodeState node = nodes.get(end.node());
         boolean fetched = node != null && node.isOrigin();
         if (node != null) {
-            node.ended(now, end, caches);
+            node.attemptEnded(now, end, cacheNodes);
             if (closesIdle && node.inFlight == 0) {
                 out.closeIdleConnections(end.node());
             }
@@ -304,59 +305,59 @@
                 default -> false;
             };
             if (!fetched && answered) {
-                // An error too is an answer: a node that spoils some of its own is no fleet that is overrun.
+                // An error is an answer too: one node with errors does not mean that the fleet is overloaded.
                 cacheAnswers.add(now, 1);
-            } else if (!fetched && (broke(end.outcome()) || neverThere(end.outcome()))) {
+            } else if (!fetched && (isBroken(end.outcome()) || didNotReachNode(end.outcome()))) {
                 cacheSends.add(now, -1);
             }
         }
         if (fetched || !hasOrigin && end.cacheStatus() > 1) {
-            double aim = r == null ? INTERVAL_MS : r.service.targetLatencyMs();
-            boolean called = end.outcome() == Outcome.CANCELLED || neverThere(end.outcome());
-            if (!called && (r == null || !r.overdue) && broke(end.outcome())) {
-                control.recordBrokenFetch();
-            } else if (!called && (r == null || !r.overdue)) {
-                control.recordFetch(end.outcome() == Outcome.OK && end.elapsedMs() <= aim);
+            double target = r == null ? CONTROL_INTERVAL_MS : r.serviceClass.targetLatencyMs();
+            boolean ignored = end.outcome() == Outcome.CANCELLED || didNotReachNode(end.outcome());
+            if (!ignored && (r == null || !r.overdue) && isBroken(end.outcome())) {
+                admission.recordBrokenFetch();
+            } else if (!ignored && (r == null || !r.overdue)) {
+                admission.recordFetch(end.outcome() == Outcome.OK && end.elapsedMs() <= target);
             }
         }
         if (r == null) {
             return;
         }
-        r.out = false;
-        r.proven &= end.outcome().provesNotRun();
-        r.failed += end.outcome() == Outcome.OK || end.outcome() == Outcome.MISS ? 0 : 1;
-        List<Held> waiting = fetched && r.fetches ? fetching.remove(r.in.key()) : null;
-        r.fetches = false;
+        r.inFlight = false;
+        r.provenNotRun &= end.outcome().provesNotRun();
+        r.failedAttempts += end.outcome() == Outcome.OK || end.outcome() == Outcome.MISS ? 0 : 1;
+        List<PendingRequest> waiting = fetched && r.leadsFetch ? fetchWaiters.remove(r.request.key()) : null;
+        r.leadsFetch = false;
         if (end.requestFinished()) {
-            requests.remove(r.in.id());
+            requests.remove(r.request.id());
         } else if (fetched) {
             afterFetch(now, r, end.outcome(), out);
         } else {
-            afterLookUp(now, r, node, end.outcome(), out);
+            afterCacheRead(now, r, node, end.outcome(), out);
         }
         if (fetched && end.outcome() == Outcome.OK) {
-            missing.remove(r.in.key());
+            knownMisses.remove(r.request.key());
         }
-        release(now, waiting, end.outcome() == Outcome.OK, out);
+        releaseWaiters(now, waiting, end.outcome() == Outcome.OK, out);
     }
 
     @Override
     public void onClientDisconnected(double now, String request, Actions out) {
-        Held r = requests.get(request);
-        if (r == null || r.out && r.fetches && isAwaited(r)) {
-            // Others wait for what it fetches: a new fetch for them would cost the origin the same once more.
+        PendingRequest r = requests.get(request);
+        if (r == null || r.inFlight && r.leadsFetch && hasWaiters(r)) {
+            // Other requests wait for this fetch; a new one for them would cost the origin the same again.
             return;
         }
         if (!r.streaming) {
             requests.remove(request);
         }
-        letGo(now, r, out);
+        abandon(now, r, out);
     }
 
-    /** Whether one that still has its answer to come waits for this one's fetch. */
-    private boolean isAwaited(Held r) {
-        for (Held waiting : fetching.getOrDefault(r.in.key(), List.of())) {
-            if (requests.get(waiting.in.id()) == waiting && !waiting.out) {
+    /** Whether an unanswered request waits for the fetch of this one. */
+    private boolean hasWaiters(PendingRequest r) {
+        for (PendingRequest waiting : fetchWaiters.getOrDefault(r.request.key(), List.of())) {
+            if (requests.get(waiting.request.id()) == waiting && !waiting.inFlight) {
                 return true;
             }
         }
@@ -366,431 +367,444 @@
     @Override
     public void onTimer(double now, String token, Actions out) {
         if (token.equals("step")) {
-            step(now);
+            endInterval(now);
             out.setTimer(intervalEnd, "step");
         } else if (token.equals("room")) {
-            recallRoom(now, out);
+            drainWaitQueue(now, out);
         } else if (token.equals("subscribe")) {
             if (!subscribed) {
                 subscribed = true;
                 out.subscribe();
             }
         } else if (token.startsWith("r")) {
-            Held r = requests.get(token.substring(1));
+            PendingRequest r = requests.get(token.substring(1));
             if (r != null && !r.streaming) {
-                end(now, r, out, Reason.OUT_OF_TIME);
+                finish(now, r, out, Reason.OUT_OF_TIME);
             }
         } else if (token.startsWith("w")) {
-            Held r = requests.get(token.substring(1));
-            if (r != null && !r.out) {
-                repeat(now, r, out);
+            PendingRequest r = requests.get(token.substring(1));
+            if (r != null && !r.inFlight) {
+                retry(now, r, out);
             }
         }
     }
 
     @Override
-    public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
-                       Actions out) {
-        NodeView n = nodes.get(node);
+    public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs,
+                              Map<String, Double> load, Actions out) {
+        NodeState n = nodes.get(node);
         if (n != null) {
-            n.probed(now, outcome);
+            n.recordProbe(now, outcome);
         }
     }
 
     @Override
     public void onPeerMessage(double now, int from, byte[] contents, Actions out) {
-        learn(ByteBuffer.wrap(contents));
+        recordKeys(ByteBuffer.wrap(contents));
     }
 
-    /** Takes in told keys; a message that is no whole number of keys loses its rest. */
-    private void learn(ByteBuffer keys) {
+    /** Records keys, from a peer or from this proxy; trailing bytes that are not a whole key are ignored. */
+    private void recordKeys(ByteBuffer keys) {
         for (keys.rewind(); keys.remaining() >= Integer.BYTES;) {
-            lately[seen++ % lately.length] = keys.getInt();
+            recentKeys[recordedKeys++ % recentKeys.length] = keys.getInt();
         }
         keys.rewind();
     }
 
-    /** Sends a read to the less busy of its two top nodes, or holds it while we fetch its key. */
-    private void lookUp(double now, Held r, Actions out) {
-        if (hold(r)) {
+    /** Sends a read to the less busy of its two top nodes, or lets it wait for a fetch of its key. */
+    private void readFromCache(double now, PendingRequest r, Actions out) {
+        if (joinFetch(r)) {
             return;
         }
-        NodeView node = pick(now, r);
+        NodeState node = pickNode(now, r);
         if (node != null) {
-            double left = r.guard - now;
-            boolean more = r.attempts + 2 < settings.limits().maxAttempts() && r.in.key() >= 0;
-            double first = node.loses(r.service.targetLatencyMs()) && !r.hurried
-                    ? Math.min(SOONEST * r.service.targetLatencyMs(), left * FIRST_TRY) : left * FIRST_TRY;
-            r.hurried = true;
+            double left = r.answerBy - now;
+            boolean more = r.attempts + 2 < settings.limits().maxAttempts() && r.request.key() >= 0;
+            double first = node.isLossy(r.serviceClass.targetLatencyMs()) && !r.hadShortTimeout
+                    ? Math.min(LOST_AFTER_SHARE * r.serviceClass.targetLatencyMs(),
+                            left * FIRST_ATTEMPT_SHARE) : left * FIRST_ATTEMPT_SHARE;
+            r.hadShortTimeout = true;
             send(now, r, node, more ? first : left, out);
         } else if (!r.missed.isEmpty() && hasOrigin) {
-            fetch(now, r, out);
-        } else if (r.crowded && now < r.patience) {
-            if (room.isEmpty()) {
-                out.setTimer(now + guardMs, "room");
+            fetchFromOrigin(now, r, out);
+        } else if (r.busy && now < r.queueUntil) {
+            if (waitQueue.isEmpty()) {
+                out.setTimer(now + marginMs, "room");
             }
-            room.add(r);
+            waitQueue.add(r);
         } else {
-            end(now, r, out, r.crowded ? Reason.CROWDED
+            finish(now, r, out, r.busy ? Reason.CROWDED
                     : r.tried.isEmpty() ? Reason.NO_NODE : Reason.NODES_FAILED);
         }
     }
 
     /**
-     * Reads that found their pair crowded wait here for a small part of their aim; higher worth first, then
-     * newest. Prevents refusals while nodes idle between bursts; a lasting overload costs each read the wait.
+     * Retries reads that waited as both of their nodes were at capacity: highest priority, then newest first.
+     * Prevents refusals while nodes are idle between bursts; in a lasting overload each read pays the wait.
      */
-    private void recallRoom(double now, Actions out) {
-        List<Held> waiting = room;
-        room = new ArrayList<>();
-        waiting.sort(Comparator.comparingDouble((Held r) -> -r.worth).thenComparingDouble(r -> -r.patience));
-        for (Held r : waiting) {
-            if (requests.get(r.in.id()) == r) {
-                lookUp(now, r, out);
+    private void drainWaitQueue(double now, Actions out) {
+        List<PendingRequest> waiting = waitQueue;
+        waitQueue = new ArrayList<>();
+        waiting.sort(Comparator.comparingDouble((PendingRequest r) -> -r.priority)
+                .thenComparingDouble(r -> -r.queueUntil));
+        for (PendingRequest r : waiting) {
+            if (requests.get(r.request.id()) == r) {
+                readFromCache(now, r, out);
             }
         }
     }
 
-    private void afterLookUp(double now, Held r, NodeView node, Outcome outcome, Actions out) {
-        boolean network = broke(outcome) && usualBreaks > BREAKING;
-        if (network && node != null && node.usable(now) && mayRepeat(now, r) && r.samePlace++ == 0) {
-            // The node is fine and may hold the key: another would miss, and a miss is one more fetch.
-            again(now, r, false, out);
+    private void afterCacheRead(double now, PendingRequest r, NodeState node, Outcome outcome, Actions out) {
+        boolean network = isBroken(outcome) && medianBrokenShare > NETWORK_FAULT_SHARE;
+        if (network && node != null && node.isUsable(now) && mayRetry(now, r) && r.sameNodeRetries++ == 0) {
+            // The node is healthy and may hold the key; another would miss, which costs one more fetch.
+            retryAfterBackoff(now, r, false, out);
             return;
         }
         r.tried.add(node);
         if (outcome == Outcome.MISS && node != null) {
             r.missed.add(node);
             if (r.missed.size() == 1 && r.pickedSecond) {
-                lookUp(now, r, out);
+                readFromCache(now, r, out);
             } else {
-                fetch(now, r, out);
+                fetchFromOrigin(now, r, out);
             }
-        } else if (mayRepeat(now, r) && r.tried.size() < 2
-                && (outcome != Outcome.TIMEOUT || r.draw < 2 * answeredShare - 1)) {
-            again(now, r, false, out);
+        } else if (mayRetry(now, r) && r.tried.size() < 2
+                && (outcome != Outcome.TIMEOUT || r.uniformDraw < 2 * answeredShare - 1)) {
+            retryAfterBackoff(now, r, false, out);
         } else {
-            end(now, r, out, mayRepeat(now, r) || r.tried.size() > 1 ? Reason.NODES_FAILED
+            finish(now, r, out, mayRetry(now, r) || r.tried.size() > 1 ? Reason.NODES_FAILED
                     : Reason.NO_REPEAT);
         }
     }
 
-    /** Fetches from the origin if a token is had; joins a fetch of ours that is out for the same key. */
-    private void fetch(double now, Held r, Actions out) {
+    /** Fetches from the origin if a token is available, or joins a fetch in flight for the same key. */
+    private void fetchFromOrigin(double now, PendingRequest r, Actions out) {
         if (origin == null || !origin.listed || !hasTime(now, r)) {
-            end(now, r, out, hasTime(now, r) ? Reason.NO_STORE : Reason.OUT_OF_TIME);
-        } else if (!r.in.write() && hold(r)) {
+            finish(now, r, out, hasTime(now, r) ? Reason.NO_STORE : Reason.OUT_OF_TIME);
+        } else if (!r.request.write() && joinFetch(r)) {
             return;
-        } else if (!draw(now, r)) {
-            missing.put(r.in.key(), now);
-            if (missing.size() > MISSING_KEYS) {
-                missing.remove(missing.keySet().iterator().next());
+        } else if (!acquireToken(now, r)) {
+            knownMisses.put(r.request.key(), now);
+            if (knownMisses.size() > MAX_KNOWN_MISSES) {
+                knownMisses.remove(knownMisses.keySet().iterator().next());
             }
-            end(now, r, out, Reason.NO_TOKEN);
+            finish(now, r, out, Reason.NO_TOKEN);
         } else {
             r.hasToken = false;
-            if (!r.in.write() && r.in.key() >= 0 && !fetching.containsKey(r.in.key())) {
-                fetching.put(r.in.key(), new ArrayList<>());
-                r.fetches = true;
+            if (!r.request.write() && r.request.key() >= 0 && !fetchWaiters.containsKey(r.request.key())) {
+                fetchWaiters.put(r.request.key(), new ArrayList<>());
+                r.leadsFetch = true;
             }
-            send(now, r, origin, r.guard - now, out);
+            send(now, r, origin, r.answerBy - now, out);
         }
     }
 
-    private boolean draw(double now, Held r) {
-        r.hasToken = r.hasToken || control.level() == 0 || bank.tryAcquire(now, r.low);
+    private boolean acquireToken(double now, PendingRequest r) {
+        r.hasToken = r.hasToken || admission.level() == 0 || tokens.tryAcquire(now, r.lowPriority);
         return r.hasToken;
     }
 
     /**
-     * Whether a read is all but sure to need a fetch: while throttled, its key was refused lately. It draws
-     * on arrival, so that clients' retries cost no further misses. Could harm where another has filled it.
+     * Whether a read almost surely needs a fetch: while throttled, one of its key was refused recently. Its
+     * token is taken on arrival, so that client retries cause no further misses. May refuse needlessly where
+     * another proxy has filled the key since.
      */
-    private boolean knownMissing(double now, Held r) {
-        Double at = r.in.write() || r.in.key() < 0 || control.level() == 0 ? null : missing.get(r.in.key());
-        return at != null && now - at < MISSING_MS;
+    private boolean isKnownMiss(double now, PendingRequest r) {
+        Double refusedAt = r.request.write() || r.request.key() < 0 || admission.level() == 0 ? null
+                : knownMisses.get(r.request.key());
+        return refusedAt != null && now - refusedAt < KNOWN_MISS_MS;
     }
 
-    private void afterFetch(double now, Held r, Outcome outcome, Actions out) {
-        // Not a write: a store that drains unsaid refuses in the same way.
-        if (outcome == Outcome.NO_PLACE && !r.in.write() && r.fetchTries++ == 0 && mayRepeat(now, r)
-                && now + PLACE_MS + guardMs < r.guard) {
-            r.refetches = true;
-            out.setTimer(now + PLACE_MS, "w" + r.in.id());
+    private void afterFetch(double now, PendingRequest r, Outcome outcome, Actions out) {
+        // Not for writes: an origin that drains before the list shows it rejects in the same way.
+        if (outcome == Outcome.NO_PLACE && !r.request.write() && r.fetchRetries++ == 0 && mayRetry(now, r)
+                && now + NO_PLACE_RETRY_MS + marginMs < r.answerBy) {
+            r.retryAtOrigin = true;
+            out.setTimer(now + NO_PLACE_RETRY_MS, "w" + r.request.id());
             return;
         }
-        boolean again = outcome != Outcome.OK && outcome != Outcome.TIMEOUT
+        boolean retryable = outcome != Outcome.OK && outcome != Outcome.TIMEOUT
                 && outcome != Outcome.REJECTED && outcome != Outcome.NO_PLACE;
-        // What the network breaks is repeated while throttled too: the token that it draws bounds the load.
-        boolean may = control.level() == 0 || broke(outcome) && usualBreaks > BREAKING;
-        if (again && may && r.fetchTries++ == 0 && mayRepeat(now, r)) {
-            again(now, r, true, out);
+        // Breaks by the network are retried even while throttled: the retry's token bounds the load.
+        boolean may = admission.level() == 0 || isBroken(outcome) && medianBrokenShare > NETWORK_FAULT_SHARE;
+        if (retryable && may && r.fetchRetries++ == 0 && mayRetry(now, r)) {
+            retryAfterBackoff(now, r, true, out);
         } else {
-            end(now, r, out, Reason.STORE_FAILED);
+            finish(now, r, out, Reason.STORE_FAILED);
         }
     }
 
-    /** Repeats after the wait of its class; one whose time ends before that has its final answer now. */
-    private void again(double now, Held r, boolean fetches, Actions out) {
-        double wait = r.service.retry().backoffMs(r.failed);
-        r.refetches = fetches;
-        if (wait <= 0) {
-            repeat(now, r, out);
-        } else if (now + wait + Math.max(guardMs, out.minAnswerMs(r.in.id())) >= r.guard) {
-            end(now, r, out, Reason.OUT_OF_TIME);
+    /** Retries after the backoff of the class; answers at once if the request's time ends before that. */
+    private void retryAfterBackoff(double now, PendingRequest r, boolean atOrigin, Actions out) {
+        double backoff = r.serviceClass.retry().backoffMs(r.failedAttempts);
+        r.retryAtOrigin = atOrigin;
+        if (backoff <= 0) {
+            retry(now, r, out);
+        } else if (now + backoff + Math.max(marginMs, out.minAnswerMs(r.request.id())) >= r.answerBy) {
+            finish(now, r, out, Reason.OUT_OF_TIME);
         } else {
-            out.setTimer(now + wait, "w" + r.in.id());
+            out.setTimer(now + backoff, "w" + r.request.id());
         }
     }
 
-    private void repeat(double now, Held r, Actions out) {
-        if (!mayRepeat(now, r)) {
-            end(now, r, out, hasTime(now, r) ? Reason.NO_REPEAT : Reason.OUT_OF_TIME);
-        } else if (r.refetches) {
-            fetch(now, r, out);
+    private void retry(double now, PendingRequest r, Actions out) {
+        if (!mayRetry(now, r)) {
+            finish(now, r, out, hasTime(now, r) ? Reason.NO_REPEAT : Reason.OUT_OF_TIME);
+        } else if (r.retryAtOrigin) {
+            fetchFromOrigin(now, r, out);
         } else {
-            lookUp(now, r, out);
+            readFromCache(now, r, out);
         }
     }
 
-    private boolean hold(Held r) {
-        List<Held> waiting = r.in.key() < 0 || r.in.write() ? null : fetching.get(r.in.key());
-        if (waiting == null || r.heldOnce) {
+    /** Lets a read wait, at most once, for a fetch of its key that is in flight. */
+    private boolean joinFetch(PendingRequest r) {
+        List<PendingRequest> waiting = r.request.key() < 0 || r.request.write() ? null
+                : fetchWaiters.get(r.request.key());
+        if (waiting == null || r.coalesced) {
             return false;
         }
-        r.heldOnce = true;
+        r.coalesced = true;
         waiting.add(r);
         return true;
     }
 
-    /** After a fetch, those held for it go to the filled node, or on as if they had come just now. */
-    private void release(double now, List<Held> waiting, boolean filled, Actions out) {
-        for (Held r : waiting == null ? List.<Held>of() : waiting) {
-            if (requests.get(r.in.id()) == r && !r.out) {
+    /** After a fetch, its waiters read from the filled node or, if it failed, continue as if just arrived. */
+    private void releaseWaiters(double now, List<PendingRequest> waiting, boolean filled, Actions out) {
+        for (PendingRequest r : waiting == null ? List.<PendingRequest>of() : waiting) {
+            if (requests.get(r.request.id()) == r && !r.inFlight) {
                 if (filled) {
                     r.tried.clear();
                     r.missed.clear();
                 } else {
-                    r.heldOnce = false;
+                    r.coalesced = false;
                 }
                 if (filled || r.missed.isEmpty()) {
-                    lookUp(now, r, out);
+                    readFromCache(now, r, out);
                 } else {
-                    fetch(now, r, out);
+                    fetchFromOrigin(now, r, out);
                 }
             }
         }
     }
 
-    private NodeView pick(double now, Held r) {
-        NodeView first = null;
-        NodeView second = null;
+    private NodeState pickNode(double now, PendingRequest r) {
+        NodeState first = null;
+        NodeState second = null;
         double firstScore = 0;
         double secondScore = 0;
-        // A draw below this can't reach the second score with a usual share: it needs no logarithm.
-        double least = 0;
-        long key = RendezvousHash.mix(r.place);
-        for (NodeView n : caches) {
+        // With a weight of at most 1 a draw below this cannot reach the second score: saves the logarithm.
+        double minDraw = 0;
+        long key = RendezvousHash.mix(r.hashKey);
+        for (NodeState n : cacheNodes) {
             double draw = RendezvousHash.unitInterval(n.hash ^ key);
-            if (draw < least && n.share(now) <= 1 || !n.usable(now)) {
+            if (draw < minDraw && n.effectiveWeight(now) <= 1 || !n.isUsable(now)) {
                 continue;
             }
-            double score = -n.share(now) / Math.log(draw);
-            if (score > firstScore && n.admits(now, r)) {
+            double score = -n.effectiveWeight(now) / Math.log(draw);
+            if (score > firstScore && n.admitsWhileCold(now, r)) {
                 second = first;
                 secondScore = firstScore;
                 first = n;
                 firstScore = score;
-            } else if (score > secondScore && score <= firstScore && n.admits(now, r)) {
+            } else if (score > secondScore && score <= firstScore && n.admitsWhileCold(now, r)) {
                 second = n;
                 secondScore = score;
             } else {
                 continue;
             }
-            least = Math.exp(-1 / secondScore) * (1 - ROUNDING);
+            minDraw = Math.exp(-1 / secondScore) * (1 - ROUNDING_MARGIN);
         }
-        boolean canFirst = first != null && !r.tried.contains(first) && first.open(now, r.low);
-        boolean canSecond = second != null && !r.tried.contains(second) && second.open(now, r.low);
+        boolean canFirst = first != null && !r.tried.contains(first) && first.hasCapacity(now, r.lowPriority);
+        boolean canSecond = second != null && !r.tried.contains(second)
+                && second.hasCapacity(now, r.lowPriority);
         r.pickedSecond = canSecond && (!canFirst || second.inFlight < first.inFlight);
-        r.crowded = first != null && !r.tried.contains(first) || second != null && !r.tried.contains(second);
+        r.busy = first != null && !r.tried.contains(first) || second != null && !r.tried.contains(second);
         return r.pickedSecond ? second : canFirst ? first : null;
     }
 
     /**
-     * A key that came again within our latest requests is hot: it counts as several keys, each with a pair of
-     * its own, as many as keep each node's part of it under a part of its usual work. Prevents jams where one
-     * key needs more than a pair and no balancer has enough in flight to see it. Could harm where a key comes
-     * again by luck: it costs a miss for each pair.
+     * A key found among the recent keys is hot: it is split into variants, each with its own node pair,
+     * enough to keep each node's part of it below a part of the node's usual load. Prevents overload if one
+     * key needs more than two nodes and no proxy has enough requests in flight to notice. A key that recurs
+     * by chance costs one miss per pair.
      */
-    private void heat(Held r, Actions out) {
-        int key = (int) RendezvousHash.mix(r.in.key());
-        int known = Math.min(seen, lately.length);
+    private void trackKey(PendingRequest r, Actions out) {
+        int key = (int) RendezvousHash.mix(r.request.key());
+        int known = Math.min(recordedKeys, recentKeys.length);
         int same = 0;
         for (int i = 0; i < known; i++) {
-            same += lately[i] == key ? 1 : 0;
-        }
-        news.putInt(key);
-        if (!peers) {
-            learn(news);
-        } else if (!news.hasRemaining()) {
-            if (random.nextDouble() * settings.proxyCount() < HEARD_BY) {
-                out.broadcast(news.array());
-                learn(news);
+            same += recentKeys[i] == key ? 1 : 0;
+        }
+        outgoingKeys.putInt(key);
+        if (!sharesKeys) {
+            recordKeys(outgoingKeys);
+        } else if (!outgoingKeys.hasRemaining()) {
+            if (random.nextDouble() * settings.proxyCount() < PEERS_PER_KEY) {
+                out.broadcast(outgoingKeys.array());
+                recordKeys(outgoingKeys);
             }
-            news.clear();
+            outgoingKeys.clear();
         }
-        r.heat = Math.max(same, UNSEEN) / Math.max(known, 1);
-        if (same > 0 && r.in.key() >= 0) {
-            double share = same / Math.max(known, LATELY / 2.0);
-            double most = HOT_SPREAD * Math.min(caches.size(), settings.proxyCount());
-            r.variants = 1 + (int) Math.min(caches.size() / 2.0, share * most);
-            int variant = (int) (RendezvousHash.unitInterval(r.place ^ Double.doubleToLongBits(r.draw)) * r.variants);
-            r.place = variant == 0 ? r.place : RendezvousHash.mix(r.place + variant);
+        r.keyShare = Math.max(same, UNSEEN_KEY_COUNT) / Math.max(known, 1);
+        if (same > 0 && r.request.key() >= 0) {
+            double share = same / Math.max(known, RECENT_KEYS / 2.0);
+            double most = HOT_KEY_SPREAD * Math.min(cacheNodes.size(), settings.proxyCount());
+            r.keyVariants = 1 + (int) Math.min(cacheNodes.size() / 2.0, share * most);
+            int variant = (int) (RendezvousHash.unitInterval(
+                    r.hashKey ^ Double.doubleToLongBits(r.uniformDraw)) * r.keyVariants);
+            r.hashKey = variant == 0 ? r.hashKey : RendezvousHash.mix(r.hashKey + variant);
         }
     }
 
-    private void send(double now, Held r, NodeView node, double timeoutMs, Actions out) {
+    private void send(double now, PendingRequest r, NodeState node, double timeoutMs, Actions out) {
         if (r.attempts >= settings.limits().maxAttempts() || !hasTime(now, r)) {
-            end(now, r, out, hasTime(now, r) ? Reason.NO_REPEAT : Reason.OUT_OF_TIME);
+            finish(now, r, out, hasTime(now, r) ? Reason.NO_REPEAT : Reason.OUT_OF_TIME);
             return;
         }
         r.attempts++;
-        r.out = true;
-        r.at = node;
+        r.inFlight = true;
+        r.node = node;
         r.overdue = false;
         r.sentAt = now;
-        if (r.proven) {
-            r.firstSent = now;
+        if (r.provenNotRun) {
+            r.firstSentAt = now;
         }
         node.inFlight++;
         if (!node.isOrigin()) {
             cacheSends.add(now, 1);
         }
-        out.send(r.in.id(), node.entry.id(), Math.max(1, r.service.retry().boundTimeout(timeoutMs)));
+        out.send(r.request.id(), node.entry.id(),
+                Math.max(1, r.serviceClass.retry().boundTimeout(timeoutMs)));
     }
 
-    /** The one final answer that we give: a refusal where it is a true promise, else a failure. */
-    private void end(double now, Held r, Actions out, Reason why) {
-        out.reportReason(r.in.id(), why);
-        requests.remove(r.in.id());
-        letGo(now, r, out);
-        boolean harmless = switch (r.service.effect()) {
+    /** Gives the final answer: a refusal if the request surely had no unsafe effect, otherwise a failure. */
+    private void finish(double now, PendingRequest r, Actions out, Reason reason) {
+        out.reportReason(r.request.id(), reason);
+        requests.remove(r.request.id());
+        abandon(now, r, out);
+        boolean harmless = switch (r.serviceClass.effect()) {
             case SAFE -> true;
-            case KEYED -> r.proven && !r.out || r.service.deduplicationScope() == DeduplicationScope.ALL;
-            case UNSAFE -> r.proven && !r.out;
+            case KEYED -> r.provenNotRun && !r.inFlight
+                    || r.serviceClass.deduplicationScope() == DeduplicationScope.ALL;
+            case UNSAFE -> r.provenNotRun && !r.inFlight;
         };
         if (harmless) {
-            boolean free = control.level() == 0 || !settings.limits().retryAfterAllowed();
-            double wait = free ? 0 : 1000 / bank.ratePerS();
-            out.refuse(r.in.id(), Math.min(wait, settings.limits().maxRetryAfterMs()));
+            boolean noAdvice = admission.level() == 0 || !settings.limits().retryAfterAllowed();
+            double retryAfterMs = noAdvice ? 0 : 1000 / tokens.ratePerS();
+            out.refuse(r.request.id(), Math.min(retryAfterMs, settings.limits().maxRetryAfterMs()));
         } else {
-            out.fail(r.in.id());
+            out.fail(r.request.id());
         }
     }
 
-    /** Stops what is still out for a request that is over, and lets others fetch its key. */
-    private void letGo(double now, Held r, Actions out) {
-        if (r.out && settings.limits().cancelAllowed()) {
-            out.cancel(r.in.id(), r.attempts - 1);
+    /** Cancels the attempt in flight of a request that has ended, and lets others fetch its key. */
+    private void abandon(double now, PendingRequest r, Actions out) {
+        if (r.inFlight && settings.limits().cancelAllowed()) {
+            out.cancel(r.request.id(), r.attempts - 1);
         }
-        if (r.fetches) {
-            r.fetches = false;
-            release(now, fetching.remove(r.in.key()), false, out);
+        if (r.leadsFetch) {
+            r.leadsFetch = false;
+            releaseWaiters(now, fetchWaiters.remove(r.request.key()), false, out);
         }
     }
 
-    private boolean mayRepeat(double now, Held r) {
-        boolean can = hasTime(now, r) && !r.in.uploading();
-        return can && r.service.retry().allowsAnother(r.failed) && switch (r.service.effect()) {
+    private boolean mayRetry(double now, PendingRequest r) {
+        boolean can = hasTime(now, r) && !r.request.uploading();
+        return can && r.serviceClass.retry().allowsAnother(r.failedAttempts)
+                && switch (r.serviceClass.effect()) {
             case SAFE -> true;
-            case UNSAFE -> r.proven;
-            case KEYED -> r.proven || r.service.deduplicationScope() == DeduplicationScope.ALL
-                    && now - r.firstSent < r.service.deduplicationWindowMs() - guardMs;
+            case UNSAFE -> r.provenNotRun;
+            case KEYED -> r.provenNotRun || r.serviceClass.deduplicationScope() == DeduplicationScope.ALL
+                    && now - r.firstSentAt < r.serviceClass.deduplicationWindowMs() - marginMs;
         };
     }
 
-    private boolean hasTime(double now, Held r) {
-        return r.guard - now > guardMs;
+    private boolean hasTime(double now, PendingRequest r) {
+        return r.answerBy - now > marginMs;
     }
 
-    private void step(double now) {
+    private void endInterval(double now) {
         if (now < intervalEnd) {
             return;
         }
         countOverdue(now);
-        control.floor = AdmissionLevel.BASE_FLOOR * Math.min(1, caches.size() / (double) settings.proxyCount());
-        double[] broken = caches.stream().mapToDouble(n -> n.broken).sorted().toArray();
-        usualBreaks = broken.length == 0 ? 0 : broken[(broken.length - 1) / 2];
-        control.classifyBrokenFetches(usualBreaks);
-        control.endInterval(INTERVAL_MS, bank.refusals());
-        bank.setRate(now, control.allowedPerSecond());
-        weighModels();
-        double answered = cacheAnswers.perS(now) + TRIAL_PER_S;
-        // Young attempts tell nothing yet; a balancer with few requests would refuse on their account.
-        double young = requests.values().stream().filter(r -> r.young(now)).count() * 1000 / Meter.MEMORY_MS;
-        answeredShare = Math.min(1, answered / Math.max(1e-9, cacheSends.perS(now) - young));
-        goOn = Math.max(GO_ON_LEAST, Math.pow(PUSH * answeredShare, PUSH_POWER));
-        coldChance = COLD_CARE * Math.min(answeredShare, answered / asked.perS(now));
-        totalShare = caches.stream().mapToDouble(n -> n.share(now)).sum();
-        intervalEnd = now + INTERVAL_MS;
+        admission.minBaseline = AdmissionLevel.MIN_BASELINE
+                * Math.min(1, cacheNodes.size() / (double) settings.proxyCount());
+        double[] broken = cacheNodes.stream().mapToDouble(n -> n.brokenShare).sorted().toArray();
+        medianBrokenShare = broken.length == 0 ? 0 : broken[(broken.length - 1) / 2];
+        admission.classifyBrokenFetches(medianBrokenShare);
+        admission.endInterval(CONTROL_INTERVAL_MS, tokens.refusals());
+        tokens.setRate(now, admission.allowedPerSecond());
+        updateModelWeights();
+        double answered = cacheAnswers.perSecond(now) + ASSUMED_ANSWERS_PER_SECOND;
+        // Recent attempts may still be answered; a proxy with few requests would refuse because of them.
+        double recent = requests.values().stream().filter(r -> r.isRecent(now)).count() * 1000
+                / RateMeter.DECAY_MS;
+        answeredShare = Math.min(1, answered / Math.max(1e-9, cacheSends.perSecond(now) - recent));
+        admitShare = Math.max(MIN_ADMIT_SHARE, Math.pow(OVERSEND_RATIO * answeredShare, OVERSEND_EXPONENT));
+        coldProbability = COLD_SAFETY_FACTOR * Math.min(answeredShare, answered / arrivals.perSecond(now));
+        totalWeight = cacheNodes.stream().mapToDouble(n -> n.effectiveWeight(now)).sum();
+        intervalEnd = now + CONTROL_INTERVAL_MS;
     }
 
     /**
-     * A fetch that is out past its aim is bad already; waiting for its end would tell of a full origin only
-     * once its queue has been as long as the clients' patience. Also tells of an origin that has stopped.
+     * Counts fetches in flight for longer than their target latency as bad. Waiting for them to end would
+     * detect an overloaded origin only once its queue is as long as clients wait, and a stopped one never.
      */
     private void countOverdue(double now) {
-        for (Held r : requests.values()) {
-            if (r.out && !r.overdue && !r.streaming && !r.in.uploading()
-                    && r.at == origin && now - r.sentAt > r.service.targetLatencyMs()) {
+        for (PendingRequest r : requests.values()) {
+            if (r.inFlight && !r.overdue && !r.streaming && !r.request.uploading()
+                    && r.node == origin && now - r.sentAt > r.serviceClass.targetLatencyMs()) {
                 r.overdue = true;
-                control.recordFetch(false);
+                admission.recordFetch(false);
             }
         }
     }
 
     /**
-     * Where the list tells no sizes, nodes of a model that answers slower get fewer keys. By model and
-     * slowly, so that all balancers come to nearly the same weights and keys keep their nodes. Prevents slow
-     * models from being crowded while fast ones idle; could harm where a model is slow for a short while.
+     * Without sizes in the node list, nodes of a slower model get fewer keys. Weights are learned per model
+     * and slowly, so that all proxies reach nearly the same ones and keys keep their nodes. Prevents overload
+     * of slow models while fast ones are idle; may harm where a model is slow for a short time.
      */
-    private void weighModels() {
+    private void updateModelWeights() {
         if (settings.weightMode() == WeightMode.SIZE) {
             return;
         }
         Map<String, double[]> models = new LinkedHashMap<>();
-        double all = caches.stream().mapToDouble(n -> n.eachMs).average().orElse(1);
-        for (NodeView n : caches) {
+        double mean = cacheNodes.stream().mapToDouble(n -> n.serviceTimeMs).average().orElse(1);
+        for (NodeState n : cacheNodes) {
             double[] sum = models.computeIfAbsent(String.valueOf(n.entry.model()), m -> new double[2]);
-            sum[0] += n.eachMs;
+            sum[0] += n.serviceTimeMs;
             sum[1]++;
         }
-        for (NodeView n : caches) {
+        for (NodeState n : cacheNodes) {
             double[] sum = models.get(String.valueOf(n.entry.model()));
-            double target = Math.min(MODEL_SPAN, Math.max(1 / MODEL_SPAN, all * sum[1] / sum[0]));
-            n.weight += SMOOTH * (target - n.weight);
+            double target = Math.min(MAX_MODEL_RATIO, Math.max(1 / MAX_MODEL_RATIO, mean * sum[1] / sum[0]));
+            n.weight += SMOOTHING * (target - n.weight);
         }
     }
 
-    /** Class gain, by work where value is, cut for what a tenant sends beyond its quota. */
-    private double worth(double now, Request in, ServiceClass service) {
-        double worth = service.value();
-        worth *= settings.valueByWork() && in.workMs() > 0 ? in.workMs() : 1;
-        Double quota = quotas.get(in.tenant());
+    /** The value of the class, times the work if so configured, reduced for a tenant over its quota. */
+    private double priority(double now, Request request, ServiceClass serviceClass) {
+        double priority = serviceClass.value();
+        priority *= settings.valueByWork() && request.workMs() > 0 ? request.workMs() : 1;
+        Double quota = quotas.get(request.tenant());
         if (quota != null) {
-            Meter meter = tenants.computeIfAbsent(in.tenant(), t -> new Meter());
+            RateMeter meter = tenantRates.computeIfAbsent(request.tenant(), t -> new RateMeter());
             meter.add(now, 1);
-            worth *= meter.perS(now) > quota ? settings.overQuotaFactor() : 1;
+            priority *= meter.perSecond(now) > quota ? settings.overQuotaFactor() : 1;
         }
-        return worth;
+        return priority;
     }
 
-    private void relist() {
-        // Ids that left never come back, and on a long day there is no end to new ones.
+    private void rebuildNodeLists() {
+        // Ids of removed nodes do not return; without this the map would grow without bound.
         nodes.values().removeIf(n -> !n.listed && n.inFlight == 0);
-        List<NodeView> list = new ArrayList<>();
+        List<NodeState> list = new ArrayList<>();
         origin = null;
-        for (NodeView n : nodes.values()) {
+        for (NodeState n : nodes.values()) {
             if (n.listed && n.isOrigin()) {
                 origin = n;
             } else if (n.listed) {
@@ -798,112 +812,114 @@
             }
         }
         list.sort(Comparator.comparing(n -> n.entry.id()));
-        caches = list;
+        cacheNodes = list;
         if (settings.weightMode() == WeightMode.SIZE) {
-            takeSizes();
+            applyListedSizes();
         }
     }
 
-    /** Listed sizes, kept within a span of their median, so that an absurd one shuts no node out. */
-    private void takeSizes() {
-        double[] sizes = caches.stream().mapToDouble(n -> n.entry.weight())
+    /** Uses listed sizes as weights, bounded around their median, so that an absurd size excludes no node. */
+    private void applyListedSizes() {
+        double[] sizes = cacheNodes.stream().mapToDouble(n -> n.entry.weight())
                 .filter(w -> w > 0 && w < Double.POSITIVE_INFINITY).sorted().toArray();
         double median = sizes.length == 0 ? 1 : sizes[sizes.length / 2];
-        for (NodeView n : caches) {
+        for (NodeState n : cacheNodes) {
             double size = n.entry.weight() > 0 ? n.entry.weight() / median : 1;
-            n.weight = Math.min(SIZE_SPAN, Math.max(1 / SIZE_SPAN, size));
+            n.weight = Math.min(MAX_SIZE_RATIO, Math.max(1 / MAX_SIZE_RATIO, size));
         }
     }
 
-    /** A request that we owe an answer. */
-    private static final class Held {
-        final Request in;
-        final ServiceClass service;
-        final double guard;
-        final double patience;
-        final double draw;
-        /** What a rendezvous is held for: the key, or for a hot one, one of the keys that it counts as. */
-        long place;
-        double heat;
-        int variants = 1;
-        final List<NodeView> tried = new ArrayList<>(2);
-        final List<NodeView> missed = new ArrayList<>(2);
-        NodeView at;
-        double worth, sentAt, firstSent;
+    /** A request without a final answer. */
+    private static final class PendingRequest {
+        final Request request;
+        final ServiceClass serviceClass;
+        final double answerBy;
+        final double queueUntil;
+        final double uniformDraw;
+        /** The key that is hashed: the request's key or, for a hot key, one of its variants. */
+        long hashKey;
+        double keyShare;
+        int keyVariants = 1;
+        final List<NodeState> tried = new ArrayList<>(2);
+        final List<NodeState> missed = new ArrayList<>(2);
+        NodeState node;
+        double priority, sentAt, firstSentAt;
         int attempts;
-        int failed;
-        int fetchTries;
-        int samePlace;
-        boolean proven = true;
-        boolean low, out, overdue, streaming, pickedSecond, crowded, heldOnce, hasToken, fetches, refetches;
-        /** Had an attempt with the short time: the next one gets the usual, as many may be slow at once. */
-        boolean hurried;
-
-        Held(Request in, ServiceClass service, double now, double guardMs) {
-            this.in = in;
-            this.service = service;
-            double budget = in.uploading() ? OPEN_MS : in.budgetMs() >= 0 ? in.budgetMs() : service.deadlineMs();
-            this.draw = RendezvousHash.unitInterval(RendezvousHash.hashText(in.id()));
-            this.place = in.key() >= 0 ? in.key() : RendezvousHash.hashText(in.id());
-            this.guard = now + Math.max(0, budget - guardMs);
-            this.patience = now + PATIENCE * Math.min(service.targetLatencyMs(), budget);
-        }
-
-        boolean young(double now) {
-            return out && !at.isOrigin() && 2 * (now - sentAt) < service.targetLatencyMs();
+        int failedAttempts;
+        int fetchRetries;
+        int sameNodeRetries;
+        boolean provenNotRun = true;
+        boolean lowPriority, inFlight, overdue, streaming, pickedSecond, busy, coalesced, hasToken,
+                leadsFetch, retryAtOrigin;
+        /** Had an attempt with the short timeout; the next gets the usual: many nodes may be slow at once. */
+        boolean hadShortTimeout;
+
+        PendingRequest(Request request, ServiceClass serviceClass, double now, double deadlineMarginMs) {
+            this.request = request;
+            this.serviceClass = serviceClass;
+            double budget = request.uploading() ? UPLOAD_BUDGET_MS
+                    : request.budgetMs() >= 0 ? request.budgetMs() : serviceClass.deadlineMs();
+            this.uniformDraw = RendezvousHash.unitInterval(RendezvousHash.hashText(request.id()));
+            this.hashKey = request.key() >= 0 ? request.key() : RendezvousHash.hashText(request.id());
+            this.answerBy = now + Math.max(0, budget - deadlineMarginMs);
+            this.queueUntil = now + QUEUE_WAIT_SHARE * Math.min(serviceClass.targetLatencyMs(), budget);
+        }
+
+        boolean isRecent(double now) {
+            return inFlight && !node.isOrigin() && 2 * (now - sentAt) < serviceClass.targetLatencyMs();
         }
     }
 
-    /** An exponentially forgetting rate. */
-    private static final class Meter {
-        private static final double MEMORY_MS = 3000;
-        private double since = -1, sum, at;
+    /** An event rate with exponential decay. */
+    private static final class RateMeter {
+        private static final double DECAY_MS = 3000;
+        private double startedAt = -1, sum, updatedAt;
 
         void add(double now, int amount) {
-            perS(now);
+            perSecond(now);
             sum = Math.max(0, sum + amount);
         }
 
-        double perS(double now) {
-            sum *= Math.exp(-(now - at) / MEMORY_MS);
-            at = now;
-            since = since < 0 ? now : since;
-            return sum / MEMORY_MS * 1000 / (1 - Math.exp(-Math.max(500, now - since) / MEMORY_MS));
+        double perSecond(double now) {
+            sum *= Math.exp(-(now - updatedAt) / DECAY_MS);
+            updatedAt = now;
+            startedAt = startedAt < 0 ? now : startedAt;
+            return sum / DECAY_MS * 1000 / (1 - Math.exp(-Math.max(500, now - startedAt) / DECAY_MS));
         }
     }
 
-    /** What we know of a node. */
-    private final class NodeView {
+    /** The state of a node as this proxy sees it. */
+    private final class NodeState {
         final long hash;
         Node entry;
         boolean listed;
         double weight = 1;
         int inFlight;
-        double strikes;
-        double eachMs, spoilt, broken, silent;
-        /** Usual time of an answered attempt and its mean deviation. */
-        double usualMs, deviationMs;
-        int ejections;
-        double lastEnd = Double.NEGATIVE_INFINITY;
+        double failures;
+        double serviceTimeMs, errorShare, brokenShare, timeoutShare;
+        /** Running mean of the answer time and its mean deviation. */
+        double meanMs, deviationMs;
+        int errorEjections;
+        double lastEndAt = Double.NEGATIVE_INFINITY;
         boolean onTrial;
-        double sparedFrom, sparedUntil;
-        /** Whether what came of it last was that it could not be reached. */
-        boolean gone;
-        /** Whether a probe has ended its sparing, and whether that proved wrong since it last answered. */
-        boolean recalled, misled;
+        double ejectedAt, ejectedUntil;
+        /** Whether the connection of its last attempt failed or broke. */
+        boolean unreachable;
+        /** Whether a probe ended its ejection, and whether that proved wrong since its last answer. */
+        boolean restoredByProbe, probeWasWrong;
         double coldSince = Double.NEGATIVE_INFINITY;
 
-        NodeView(Node entry) {
+        NodeState(Node entry) {
             this.entry = entry;
             this.hash = RendezvousHash.mix(RendezvousHash.hashText(entry.id()));
-            this.eachMs = FIRST_GUESS * shortestAim;
+            this.serviceTimeMs = INITIAL_TIME_SHARE * shortestTargetMs;
         }
 
-        void learn(Node e) {
+        void update(Node e) {
             if (e.startedAtMs() > Math.max(0, coldSince)) {
-                strikes = 0;
+                failures = 0;
                 onTrial = false;
-                sparedUntil = 0;
+                ejectedUntil = 0;
                 coldSince = e.startedAtMs();
             }
             entry = e;
@@ -914,172 +930,170 @@
             return hasOrigin && settings.originModel().equals(entry.model());
         }
 
-        boolean usable(double now) {
-            return now >= sparedUntil && (!onTrial || inFlight == 0);
+        boolean isUsable(double now) {
+            return now >= ejectedUntil && (!onTrial || inFlight == 0);
         }
 
         /**
-         * Whether it may take one more of ours now. Prevents jams: a node that holds too many turns slow and
-         * stays so. A queue most of the usual aim long is shared among the balancers by a power of their
-         * number, as their bursts seldom meet. Less than one place means a pause after each: a jammed node
-         * gets its rest also from many balancers that each send little. Low worth leaves the last of
-         * several places free. Could harm where one balancer carries nearly all traffic: it then refuses
-         * sooner than the node needs.
+         * Whether the node may take one more attempt of this proxy now: a node with too many turns slow and
+         * stays slow. Its queue, most of the mean target latency long, is divided among the proxies by a
+         * power of their number, as their bursts seldom coincide. A capacity below one means a pause after
+         * each attempt, so that a node recovers even if many proxies each send little. Low priority leaves
+         * the last of several slots free. A proxy with nearly all traffic refuses sooner than the node needs.
          */
-        boolean open(double now, boolean low) {
-            double places = low ? Math.max(places() - 1, Math.min(places(), 1)) : places();
-            return places >= 1 ? inFlight < places
-                    : inFlight == 0 && now - lastEnd >= eachMs * (1 / places - 1);
+        boolean hasCapacity(double now, boolean lowPriority) {
+            double slots = lowPriority ? Math.max(capacity() - 1, Math.min(capacity(), 1)) : capacity();
+            return slots >= 1 ? inFlight < slots
+                    : inFlight == 0 && now - lastEndAt >= serviceTimeMs * (1 / slots - 1);
         }
 
-        private double places() {
-            double p = Math.max(1, settings.proxyCount());
-            return CROWD / urgency / Math.max(1, eachMs) / Math.pow(p, OTHERS);
+        private double capacity() {
+            double proxies = Math.max(1, settings.proxyCount());
+            return QUEUE_SHARE_OF_TARGET / inverseTarget / Math.max(1, serviceTimeMs)
+                    / Math.pow(proxies, SHARING_EXPONENT);
         }
 
-        double share(double now) {
+        double effectiveWeight(double now) {
             double age = now - coldSince;
-            double coldMs = settings.rules().warmUpMs();
-            if (age >= coldMs) {
+            double warmUpMs = settings.rules().warmUpMs();
+            if (age >= warmUpMs) {
                 return weight;
             }
-            double from = settings.rules().coldStartShare();
-            return weight * (from + (1 - from) * Math.max(0, age) / coldMs);
+            double startShare = settings.rules().coldStartShare();
+            return weight * (startShare + (1 - startShare) * Math.max(0, age) / warmUpMs);
         }
 
         /**
-         * Whether a cold node may take this request. Its cut weight already bounds the chance that a key is
-         * sent there; this bounds it for what a weight cannot: a key hotter than the node's part of all keys,
-         * and a crowd of requests and repeats that the fleet does not answer and that all see a free place at
-         * once. A chance and not a count, as counts round up and the balancers are many; drawn from the
-         * request's id, so that waiting buys no second draw. A key that none of our requests named may still
-         * be hot; fewer of those known, less of it goes here. Could harm where keys look hot by luck.
+         * Whether a cold node may take this request. Its reduced weight limits which keys are sent to it, but
+         * not a key hotter than the node's share of keys, nor many unanswered requests and retries that all
+         * see a free slot at once. A probability, as counts round up and there are many proxies; derived from
+         * the request id, so that waiting gives no second chance. A key unseen here may be hot elsewhere: the
+         * fewer keys are recorded, the less of it is sent. Too strict for a key that seems hot by chance.
          */
-        boolean admits(double now, Held r) {
+        boolean admitsWhileCold(double now, PendingRequest r) {
             if (now - coldSince >= settings.rules().warmUpMs()) {
                 return true;
             }
-            double due = share(now) / totalShare * r.variants;
-            return r.draw < coldChance * Math.min(1, due / r.heat);
+            double fairShare = effectiveWeight(now) / totalWeight * r.keyVariants;
+            return r.uniformDraw < coldProbability * Math.min(1, fairShare / r.keyShare);
         }
 
-        void ended(double now, AttemptResult end, List<NodeView> peers) {
+        void attemptEnded(double now, AttemptResult end, List<NodeState> peers) {
             inFlight = Math.max(0, inFlight - 1);
-            lastEnd = now;
-            gone = broke(end.outcome());
-            if (end.outcome() != Outcome.CANCELLED && !neverThere(end.outcome())) {
-                broken += BROKEN_SMOOTH * ((broke(end.outcome()) ? 1 : 0) - broken);
+            lastEndAt = now;
+            unreachable = isBroken(end.outcome());
+            if (end.outcome() != Outcome.CANCELLED && !didNotReachNode(end.outcome())) {
+                brokenShare += BROKEN_SMOOTHING * ((isBroken(end.outcome()) ? 1 : 0) - brokenShare);
             }
             switch (end.outcome()) {
                 case OK, MISS -> {
-                    onTrial = recalled = misled = false;
-                    strikes = 0;
-                    spoilt -= SPOILT_SMOOTH * spoilt;
-                    silent -= SILENT_SMOOTH * silent;
-                    answered(end.elapsedMs());
-                    ejections = spoilt < SPOILT_SMOOTH ? 0 : ejections;
-                    timed(end.elapsedMs());
+                    onTrial = restoredByProbe = probeWasWrong = false;
+                    failures = 0;
+                    errorShare -= ERROR_SMOOTHING * errorShare;
+                    timeoutShare -= TIMEOUT_SMOOTHING * timeoutShare;
+                    recordAnswerTime(end.elapsedMs());
+                    errorEjections = errorShare < ERROR_SMOOTHING ? 0 : errorEjections;
+                    recordServiceTime(end.elapsedMs());
                 }
-                case CONNECT_FAILED, RESET -> strike(now, peers, STRIKES / runOfBreaks());
-                case REJECTED -> strike(now, peers, 1);
-                case NO_PLACE -> strike(now, peers, NO_PLACE_STRIKE);
+                case CONNECT_FAILED, RESET -> recordFailure(now, peers, FAILURES_TO_EJECT / breaksToEject());
+                case REJECTED -> recordFailure(now, peers, 1);
+                case NO_PLACE -> recordFailure(now, peers, NO_PLACE_FAILURE_WEIGHT);
                 case TIMEOUT -> {
-                    timed(Math.max(end.elapsedMs(), eachMs * (inFlight + 1)));
-                    silent += SILENT_SMOOTH * (1 - silent);
-                    // A node that drops one request in four often drops two in a row and is of use.
-                    strike(now, peers, silent > SILENT ? 1 : 0);
+                    recordServiceTime(Math.max(end.elapsedMs(), serviceTimeMs * (inFlight + 1)));
+                    timeoutShare += TIMEOUT_SMOOTHING * (1 - timeoutShare);
+                    // A node that drops one request in four often drops two in a row but is still useful.
+                    recordFailure(now, peers, timeoutShare > DEAD_TIMEOUT_SHARE ? 1 : 0);
                 }
                 case ERROR -> {
-                    spoilt += SPOILT_SMOOTH * (1 - spoilt);
-                    if (spoilt > SPOILING && now >= sparedUntil) {
-                        spare(now, peers, ejections++);
+                    errorShare += ERROR_SMOOTHING * (1 - errorShare);
+                    if (errorShare > MAX_ERROR_SHARE && now >= ejectedUntil) {
+                        eject(now, peers, errorEjections++);
                     }
                 }
                 default -> { }
             }
         }
 
-        private void answered(double elapsedMs) {
+        private void recordAnswerTime(double elapsedMs) {
             if (elapsedMs >= 0) {
-                deviationMs += SMOOTH * (Math.abs(elapsedMs - usualMs) - deviationMs);
-                usualMs += SMOOTH * (elapsedMs - usualMs);
+                deviationMs += SMOOTHING * (Math.abs(elapsedMs - meanMs) - deviationMs);
+                meanMs += SMOOTHING * (elapsedMs - meanMs);
             }
         }
 
         /**
-         * Whether it answers quickly or not at all: then silence means that the request is lost, and it is
-         * repeated elsewhere within its aim. Guards against machines and links that drop some of what they
-         * are sent while the list calls them fine. A node that is slow answers late before it falls silent,
-         * and keeps its time. Could harm where a few requests take far longer than all others.
+         * Whether the node answers quickly or not at all. A missing answer then means a lost request, which
+         * is retried elsewhere within its target latency. Guards against nodes and links that drop requests
+         * while listed as healthy. A slow node answers late before it stops answering, and keeps the usual
+         * timeout. May harm where a few requests take far longer than all others.
          */
-        boolean loses(double aimMs) {
-            return silent > LOSING && usualMs + DEVIATIONS * deviationMs < SOONEST * aimMs;
+        boolean isLossy(double targetMs) {
+            return timeoutShare > LOSSY_TIMEOUT_SHARE
+                    && meanMs + LATE_DEVIATIONS * deviationMs < LOST_AFTER_SHARE * targetMs;
         }
 
-        /** Learns from an attempt's time; faster while paced, as few attempts are left to learn from. */
-        private void timed(double elapsedMs) {
-            double each = elapsedMs >= 0 ? elapsedMs / (inFlight + 1) : eachMs;
-            eachMs += (places() < 1 ? PACED_SMOOTH : SMOOTH) * (each - eachMs);
+        /** Updates the service time; faster for a paced node, as it gets few attempts. */
+        private void recordServiceTime(double elapsedMs) {
+            double sampleMs = elapsedMs >= 0 ? elapsedMs / (inFlight + 1) : serviceTimeMs;
+            serviceTimeMs += (capacity() < 1 ? PACED_SMOOTHING : SMOOTHING) * (sampleMs - serviceTimeMs);
         }
 
         /**
-         * Spares a node after failures in a row, whatever their kind: silent, cut off, full or stalled, while
-         * the list still calls it fine. Never more than a part of the nodes, or those left would be overrun.
-         * Could harm where time-outs come from the requests and not the node.
+         * Ejects a node after consecutive failures of any kind while it is listed as healthy, but never more
+         * than a part of the nodes. May eject wrongly where the requests cause the timeouts.
          */
-        private void strike(double now, List<NodeView> peers, double weight) {
-            strikes += weight;
-            if (strikes >= STRIKES) {
-                spare(now, peers, (int) strikes - STRIKES);
+        private void recordFailure(double now, List<NodeState> peers, double weight) {
+            failures += weight;
+            if (failures >= FAILURES_TO_EJECT) {
+                eject(now, peers, (int) failures - FAILURES_TO_EJECT);
             }
         }
 
         /**
-         * A probe, ours or one that another proxy made for all. A node that was spared as it could not be
-         * reached is back on trial once one is answered, and no request is risked there while none is, for
-         * so long. What was spared for silence or errors is judged by requests alone, as a probe asks less
-         * of it; and where a probe was wrong once, as it was made by one that can reach it when we can't,
-         * none brings it back before a request has.
+         * Records a probe by this proxy or by another one for all. An answer puts a node ejected as
+         * unreachable on trial; a failure extends its ejection, up to twice the maximum time. A node ejected
+         * for timeouts or errors is judged by requests alone, as a probe demands less. After a wrong probe
+         * (its sender reaches the node, this proxy does not) none restores it until it answers a request.
          */
-        void probed(double now, Outcome outcome) {
-            if (gone && now < sparedUntil && !(misled && outcome == Outcome.OK)) {
-                recalled = outcome == Outcome.OK;
-                double most = Math.min(now + SPARE_MS, sparedFrom + 2 * SPARE_MOST_MS);
-                sparedUntil = recalled ? now : Math.max(sparedUntil, most);
+        void recordProbe(double now, Outcome outcome) {
+            if (unreachable && now < ejectedUntil && !(probeWasWrong && outcome == Outcome.OK)) {
+                restoredByProbe = outcome == Outcome.OK;
+                double extended = Math.min(now + EJECTION_MS, ejectedAt + 2 * MAX_EJECTION_MS);
+                ejectedUntil = restoredByProbe ? now : Math.max(ejectedUntil, extended);
             }
         }
 
         /**
-         * Broken connections in a row that tell of this node and not of luck. Where a twelfth of all
-         * breaks, a fleet sees two in a row every second, and sparing for them moves keys to where they miss.
-         * Could harm where a node dies while the network breaks: a few more attempts then break at once.
+         * Consecutive breaks that chance does not explain. If one connection in twelve breaks, a fleet sees
+         * two in a row every second, and ejections for them move keys to nodes that miss. If a node dies
+         * while the network breaks connections, a few more attempts fail before its ejection.
          */
-        private double runOfBreaks() {
-            return usualBreaks <= 0 ? STRIKES
-                    : Math.max(STRIKES, Math.ceil(Math.log(LUCK) / Math.log(Math.min(0.5, usualBreaks))));
+        private double breaksToEject() {
+            return medianBrokenShare <= 0 ? FAILURES_TO_EJECT : Math.max(FAILURES_TO_EJECT,
+                    Math.ceil(Math.log(CHANCE_LIMIT) / Math.log(Math.min(0.5, medianBrokenShare))));
         }
 
-        private void spare(double now, List<NodeView> peers, int times) {
+        private void eject(double now, List<NodeState> peers, int times) {
             if (isOrigin()) {
                 return;
             }
-            long spared = peers.stream().filter(n -> now < n.sparedUntil).count();
-            if (SPARED_PART * (spared + 1) <= peers.size()) {
-                sparedFrom = now;
-                misled |= recalled;
-                recalled = false;
-                sparedUntil = now + Math.min(SPARE_MOST_MS, SPARE_MS * Math.pow(2, times));
+            long ejected = peers.stream().filter(n -> now < n.ejectedUntil).count();
+            if (NODES_PER_EJECTION * (ejected + 1) <= peers.size()) {
+                ejectedAt = now;
+                probeWasWrong |= restoredByProbe;
+                restoredByProbe = false;
+                ejectedUntil = now + Math.min(MAX_EJECTION_MS, EJECTION_MS * Math.pow(2, times));
                 onTrial = true;
             }
         }
     }
 
-    /** The attempt met nothing of the node's: its load, its queue and its health remain unknown. */
-    private static boolean neverThere(Outcome outcome) {
+    /** Whether the attempt did not reach the node, so that it shows nothing of its load or health. */
+    private static boolean didNotReachNode(Outcome outcome) {
         return outcome == Outcome.NEVER_SENT || outcome == Outcome.NO_PLACE;
     }
 
-    private static boolean broke(Outcome outcome) {
+    private static boolean isBroken(Outcome outcome) {
         return outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
     }
 }
--- a/core/src/main/java/ridgemill/policy/PriorityTokenBucket.java
+++ b/core/src/main/java/ridgemill/policy/PriorityTokenBucket.java
@@ -1,9 +1,9 @@
 package ridgemill.policy;
 
-/** Refills evenly, holds a few tokens, refuses at once and keeps its last token for higher worth. */
+/** Token bucket that refuses at once when it is empty and keeps its last token for high priority. */
 public final class PriorityTokenBucket {
 
-    /** Tokens the bank holds: a few, so that a pause buys no burst. */
+    /** Capacity in tokens; small, so that a pause does not allow a burst. */
     public static final double DEFAULT_CAPACITY = 4;
 
     double tokens;
@@ -12,33 +12,33 @@
     private double filledAt;
     private int refusals;
 
-    /** A full bank that holds so many tokens and is unthrottled. */
+    /** Creates a full bucket without a rate limit. */
     public PriorityTokenBucket(double capacity) {
         this.capacity = capacity;
         this.tokens = capacity;
     }
 
-    /** Refills at so many tokens a second from now on, and counts refusals anew. */
-    public void setRate(double now, double perS) {
-        fill(now);
-        ratePerS = perS;
+    /** Sets the refill rate in tokens per second and resets the count of refusals. */
+    public void setRate(double now, double newRatePerS) {
+        refill(now);
+        ratePerS = newRatePerS;
         refusals = 0;
     }
 
-    /** The tokens that it gains in a second. */
+    /** The refill rate in tokens per second; infinite without a limit. */
     public double ratePerS() {
         return ratePerS;
     }
 
-    /** Draws refused since the rate was last set. */
+    /** Number of tokens refused since the rate was last set. */
     public int refusals() {
         return refusals;
     }
 
-    /** Takes a token; low worth only while more than one is there. */
-    public boolean tryAcquire(double now, boolean low) {
-        fill(now);
-        if (tokens < (low ? 2 : 1)) {
+    /** Takes a token if one is available; at low priority only if a second one remains. */
+    public boolean tryAcquire(double now, boolean lowPriority) {
+        refill(now);
+        if (tokens < (lowPriority ? 2 : 1)) {
             refusals++;
             return false;
         }
@@ -46,7 +46,7 @@
         return true;
     }
 
-    private void fill(double now) {
+    private void refill(double now) {
         double gained = ratePerS == Double.POSITIVE_INFINITY ? capacity : (now - filledAt) * ratePerS / 1000;
         tokens = Math.min(capacity, tokens + gained);
         filledAt = now;
--- a/core/src/main/java/ridgemill/policy/Reason.java
+++ b/core/src/main/java/ridgemill/policy/Reason.java
@@ -40,21 +40,21 @@
     /** The decisions failed; a fault of ours. */
     FAULT("fault", "the decisions failed");
 
-    private final String word;
-    private final String text;
+    private final String code;
+    private final String description;
 
     Reason(String word, String text) {
-        this.word = word;
-        this.text = text;
+        this.code = word;
+        this.description = text;
     }
 
     /** The stable name. */
     public String code() {
-        return word;
+        return code;
     }
 
     /** What it means, for people. */
     public String description() {
-        return text;
+        return description;
     }
 }
--- a/core/src/main/java/ridgemill/policy/RendezvousHash.java
+++ b/core/src/main/java/ridgemill/policy/RendezvousHash.java
@@ -1,25 +1,25 @@
 package ridgemill.policy;
 
-/** The hashing by which a key and a node meet: every process computes the same draw for the same pair. */
+/** Hash functions for rendezvous hashing; every process computes the same draw for a key and a node. */
 public final class RendezvousHash {
 
     private RendezvousHash() { }
 
-    /** A hash of a text. */
+    /** A 64-bit FNV-1a hash over the text's UTF-16 code units. */
     public static long hashText(String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
         }
-        return h;
+        return hash;
     }
 
-    /** A number in (0, 1] that depends on {@code z} alone. */
-    public static double unitInterval(long z) {
-        return ((mix(z) >>> 11) + 1) * 0x1.0p-53;
+    /** Maps a value to a pseudo-random number in (0, 1]. */
+    public static double unitInterval(long value) {
+        return ((mix(value) >>> 11) + 1) * 0x1.0p-53;
     }
 
-    /** Spreads every bit over all others. */
+    /** The 64-bit finalizer of MurmurHash3, in which each input bit affects all output bits. */
     public static long mix(long z) {
         z = (z ^ (z >>> 33)) * 0xff51afd7ed558ccdL;
         z = (z ^ (z >>> 33)) * 0xc4ceb9fe1a85ec53L;
--- a/core/src/test/java/ridgemill/policy/AdmissionTest.java
+++ b/core/src/test/java/ridgemill/policy/AdmissionTest.java
@@ -40,12 +40,12 @@
     void levelFallsOnAThinSampleAndStaysInBounds() {
         assertEquals(1, stepped(3, 0, 2).level);
         assertEquals(0, stepped(0, 0, 0).level);
-        assertEquals(AdmissionLevel.LADDER.length, stepped(0, 50, AdmissionLevel.LADDER.length).level);
+        assertEquals(AdmissionLevel.LEVEL_FACTORS.length, stepped(0, 50, AdmissionLevel.LEVEL_FACTORS.length).level);
     }
 
     private static AdmissionLevel outnumbering() {
         var control = new AdmissionLevel();
-        control.floor = AdmissionLevel.BASE_FLOOR / 2;
+        control.minBaseline = AdmissionLevel.MIN_BASELINE / 2;
         control.level = 1;
         control.recordFetch(false);
         control.recordFetch(false);
@@ -62,7 +62,7 @@
         control.endInterval(1000, 0);
         assertEquals(2, control.level);
         var alone = outnumbering();
-        for (int i = 1; i < AdmissionLevel.SPAN; i++) {
+        for (int i = 1; i < AdmissionLevel.MAX_SAMPLE_INTERVALS; i++) {
             alone.endInterval(1000, 0);
         }
         assertEquals(0, alone.level, "too old to wait for more");
@@ -70,31 +70,31 @@
 
     @Test
     void ladderStartsAboveTheBaseAndEndsBelow() {
-        assertTrue(AdmissionLevel.LADDER[0] > 1);
-        for (int i = 1; i < AdmissionLevel.LADDER.length; i++) {
-            assertTrue(AdmissionLevel.LADDER[i] < AdmissionLevel.LADDER[i - 1]);
+        assertTrue(AdmissionLevel.LEVEL_FACTORS[0] > 1);
+        for (int i = 1; i < AdmissionLevel.LEVEL_FACTORS.length; i++) {
+            assertTrue(AdmissionLevel.LEVEL_FACTORS[i] < AdmissionLevel.LEVEL_FACTORS[i - 1]);
         }
-        assertTrue(AdmissionLevel.LADDER[AdmissionLevel.LADDER.length - 1] < 1);
+        assertTrue(AdmissionLevel.LEVEL_FACTORS[AdmissionLevel.LEVEL_FACTORS.length - 1] < 1);
     }
 
     @Test
     void baseFollowsThePeakDecaysSlowlyAndIsHeldWhileThrottled() {
         var control = stepped(40, 0, 0);
-        assertEquals(40, control.base);
+        assertEquals(40, control.baseline);
         control.endInterval(1000, 0);
-        assertEquals(40 * AdmissionLevel.BASE_DECAY, control.base, 1e-9);
+        assertEquals(40 * AdmissionLevel.BASELINE_DECAY, control.baseline, 1e-9);
         control.level = 3;
         control.endInterval(1000, 0);
-        assertEquals(40 * AdmissionLevel.BASE_DECAY, control.base, 1e-9);
-        assertEquals(1, stepped(0, 0, 0).base);
+        assertEquals(40 * AdmissionLevel.BASELINE_DECAY, control.baseline, 1e-9);
+        assertEquals(1, stepped(0, 0, 0).baseline);
     }
 
     @Test
     void theLevelWaitsUntilTheBaseIsLearned() {
         var control = new AdmissionLevel();
-        for (int i = 0; i < AdmissionLevel.LEARNED; i++) {
+        for (int i = 0; i < AdmissionLevel.MIN_LEARNED; i++) {
             assertEquals(0, control.level);
-            for (int j = 0; j < AdmissionLevel.THIN; j++) {
+            for (int j = 0; j < AdmissionLevel.MIN_SAMPLE; j++) {
                 control.recordFetch(false);
             }
             control.endInterval(1000, 0);
@@ -127,94 +127,94 @@
 
     @Test
     void anEmptyBankRefusesAtOnceWithAdviceAndLowWorthGoesFirst() {
-        Bench b = Bench.withCaches(4);
-        for (int i = 1; i < AdmissionLevel.LEARNED; i++) {
-            b.interval(5, 0);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
+        for (int i = 1; i < AdmissionLevel.MIN_LEARNED; i++) {
+            b.runInterval(5, 0);
         }
-        b.interval(3, 4);
-        int before = b.out.refused.size();
+        b.runInterval(3, 4);
+        int before = b.actions.refusedRequests.size();
         int cheapFetches = 0;
         int dearFetches = 0;
         for (int i = 0; i < 40; i++) {
             boolean cheap = i % 2 == 0;
-            String id = b.ask(cheap ? "cheap" : "dear", 5000 + i);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+            String id = b.request(cheap ? "cheap" : "dear", 5000 + i);
+            while (b.actions.finalAnswers(id) == 0 && !b.nodeOf(id).equals("db")) {
+                b.endAttempt(id, Outcome.MISS);
             }
-            if (b.out.answers(id) == 0) {
-                b.end(id, Outcome.OK);
+            if (b.actions.finalAnswers(id) == 0) {
+                b.endAttempt(id, Outcome.OK);
                 cheapFetches += cheap ? 1 : 0;
                 dearFetches += cheap ? 0 : 1;
             }
             b.advance(10);
         }
-        assertTrue(b.out.refused.size() > before);
+        assertTrue(b.actions.refusedRequests.size() > before);
         assertTrue(dearFetches > cheapFetches, dearFetches + " dear, " + cheapFetches + " cheap");
-        assertTrue(b.out.log.stream().anyMatch(l -> l.matches("refuse q\\d+ [1-9].*")));
+        assertTrue(b.actions.log.stream().anyMatch(l -> l.matches("refuse q\\d+ [1-9].*")));
     }
 
     @Test
     void aRefusedReadThatComesBackCostsNoFurtherMissWhileThrottled() {
-        Bench b = Bench.withCaches(4);
-        for (int i = 1; i < AdmissionLevel.LEARNED; i++) {
-            b.interval(5, 0);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
+        for (int i = 1; i < AdmissionLevel.MIN_LEARNED; i++) {
+            b.runInterval(5, 0);
         }
-        b.interval(3, 4);
+        b.runInterval(3, 4);
         String refused = null;
         long key = 8000;
         while (refused == null) {
-            String id = b.ask("dear", ++key);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+            String id = b.request("dear", ++key);
+            while (b.actions.finalAnswers(id) == 0 && !b.nodeOf(id).equals("db")) {
+                b.endAttempt(id, Outcome.MISS);
             }
-            refused = b.out.answers(id) > 0 ? id : null;
+            refused = b.actions.finalAnswers(id) > 0 ? id : null;
         }
-        String retry = b.ask("dear", key);
-        assertEquals(1, b.out.answers(retry));
-        assertEquals(0, b.sendsOf(retry));
+        String retry = b.request("dear", key);
+        assertEquals(1, b.actions.finalAnswers(retry));
+        assertEquals(0, b.sendCount(retry));
         b.advance(500);
-        assertEquals(1, b.sendsOf(b.ask("dear", key)));
+        assertEquals(1, b.sendCount(b.request("dear", key)));
     }
 
     @Test
     void theLastLevelIsLeftOnlyOnceTheBankRefusesNoMore() {
         var control = new AdmissionLevel();
-        for (int i = 0; i < AdmissionLevel.LEARNED; i++) {
+        for (int i = 0; i < AdmissionLevel.MIN_LEARNED; i++) {
             for (int j = 0; j < 40; j++) {
                 control.recordFetch(true);
             }
             control.endInterval(1000, 0);
         }
-        assertEquals(40, control.base, 1e-9);
+        assertEquals(40, control.baseline, 1e-9);
         control.level = 1;
         control.endInterval(1000, 3);
         assertEquals(1, control.level);
-        assertEquals(40 * AdmissionLevel.BASE_GROWTH, control.base, 1e-9);
+        assertEquals(40 * AdmissionLevel.BASELINE_GROWTH, control.baseline, 1e-9);
         control.endInterval(1000, 0);
         assertEquals(0, control.level);
     }
 
     @Test
     void aTenantPastItsQuotaIsTurnedAwayBeforeOneWithinIt() {
-        var s = Bench.settings(true, false);
+        var s = RouterHarness.settings(true, false);
         var tenants = List.of(new Router.Tenant("greedy", 10), new Router.Tenant("modest", 1000));
-        Bench b = new Bench(new Router.Settings(0, 2, "z", 5, s.classes(), tenants, 0.05, false, s.limits(), s.rules(),
+        RouterHarness b = new RouterHarness(new Router.Settings(0, 2, "z", 5, s.classes(), tenants, 0.05, false, s.limits(), s.rules(),
                 false, Router.WeightMode.NONE, "origin"));
-        b.list(4);
-        for (int i = 1; i < AdmissionLevel.LEARNED; i++) {
-            b.interval(5, 0);
+        b.listNodes(4);
+        for (int i = 1; i < AdmissionLevel.MIN_LEARNED; i++) {
+            b.runInterval(5, 0);
         }
-        b.interval(3, 4);
+        b.runInterval(3, 4);
         int[] fetched = new int[2];
         for (int i = 0; i < 200; i++) {
             String tenant = i % 2 == 0 ? "greedy" : "modest";
             String id = tenant + i;
-            b.router.onRequest(b.now, new Router.Request(id, "dear", tenant, 70_000 + i, 0, 800, false, false), b.out);
-            while (b.out.answers(id) == 0 && !b.nodeOf(id).equals("db")) {
-                b.end(id, Outcome.MISS);
+            b.router.onRequest(b.now, new Router.Request(id, "dear", tenant, 70_000 + i, 0, 800, false, false), b.actions);
+            while (b.actions.finalAnswers(id) == 0 && !b.nodeOf(id).equals("db")) {
+                b.endAttempt(id, Outcome.MISS);
             }
-            if (b.out.answers(id) == 0) {
-                b.end(id, Outcome.OK);
+            if (b.actions.finalAnswers(id) == 0) {
+                b.endAttempt(id, Outcome.OK);
                 fetched[i % 2]++;
             }
             b.advance(5);
--- a/core/src/test/java/ridgemill/policy/SpoilingTest.java
+++ b/core/src/test/java/ridgemill/policy/ErrorEjectionTest.java
@@ -8,25 +8,25 @@
 import ridgemill.policy.Router.Outcome;
 
 /** A node that spoils every second answer never fails twice in a row; it is spared all the same. */
-class SpoilingTest {
+class ErrorEjectionTest {
 
     @Test
     void aNodeThatSpoilsHalfOfItsAnswersIsSpared() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         String bad = null;
         Map<Boolean, Integer> sends = new HashMap<>();
         int answers = 0;
         for (int i = 0; i < 400; i++) {
-            String id = b.ask("dear", 1000 + i);
-            if (b.out.answers(id) == 0) {
+            String id = b.request("dear", 1000 + i);
+            if (b.actions.finalAnswers(id) == 0) {
                 String node = b.nodeOf(id);
                 bad = bad == null ? node : bad;
                 if (node.equals(bad)) {
                     sends.merge(i < 200, 1, Integer::sum);
                 }
-                b.end(id, node.equals(bad) && answers++ % 2 == 0 ? Outcome.ERROR : Outcome.OK);
-                if (b.out.answers(id) == 0) {
-                    b.end(id, Outcome.OK);
+                b.endAttempt(id, node.equals(bad) && answers++ % 2 == 0 ? Outcome.ERROR : Outcome.OK);
+                if (b.actions.finalAnswers(id) == 0) {
+                    b.endAttempt(id, Outcome.OK);
                 }
             }
             b.advance(2);
--- a/core/src/test/java/ridgemill/policy/NoPlaceTest.java
+++ b/core/src/test/java/ridgemill/policy/NoPlaceTest.java
@@ -10,60 +10,60 @@
 /** A node or a store that has no place for one more connection is neither overloaded nor dead. */
 class NoPlaceTest {
 
-    private static String fetching(Bench b, long key) {
-        String id = b.ask("dear", key);
+    private static String fetching(RouterHarness b, long key) {
+        String id = b.request("dear", key);
         while (!b.nodeOf(id).equals("db")) {
-            b.end(id, Outcome.MISS);
+            b.endAttempt(id, Outcome.MISS);
         }
         return id;
     }
 
     @Test
     void aFetchWithoutAPlaceIsTriedOnceMoreALittleLater() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         String id = fetching(b, 1);
-        long sends = b.sendsOf(id);
-        b.end(id, Outcome.NO_PLACE);
-        assertEquals(sends, b.sendsOf(id), "others need time to make room");
-        b.advance(BalancingRouter.PLACE_MS);
-        assertEquals(sends + 1, b.sendsOf(id));
+        long sends = b.sendCount(id);
+        b.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(sends, b.sendCount(id), "others need time to make room");
+        b.advance(BalancingRouter.NO_PLACE_RETRY_MS);
+        assertEquals(sends + 1, b.sendCount(id));
         assertEquals("db", b.nodeOf(id));
-        b.end(id, Outcome.NO_PLACE);
-        assertEquals(1, b.out.answers(id), "a second refusal ends it, at once");
+        b.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(1, b.actions.finalAnswers(id), "a second refusal ends it, at once");
     }
 
     @Test
     void aWriteIsRefusedAtOnceAndHasNotRun() {
-        Bench b = Bench.withCaches(4);
-        String id = b.ask("keyed", 1, true);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
+        String id = b.request("keyed", 1, true);
         assertEquals("db", b.nodeOf(id));
-        b.end(id, Outcome.NO_PLACE);
-        assertTrue(b.out.refused.contains(id));
-        assertEquals(1, b.sendsOf(id));
+        b.endAttempt(id, Outcome.NO_PLACE);
+        assertTrue(b.actions.refusedRequests.contains(id));
+        assertEquals(1, b.sendCount(id));
     }
 
     @Test
     void oneWhoseTimeEndsBeforeThatIsAnsweredAtOnce() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         String id = fetching(b, 1);
-        b.advance(Bench.BUDGET - BalancingRouter.PLACE_MS);
-        b.end(id, Outcome.NO_PLACE);
-        assertEquals(1, b.out.answers(id));
+        b.advance(RouterHarness.BUDGET_MS - BalancingRouter.NO_PLACE_RETRY_MS);
+        b.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(1, b.actions.finalAnswers(id));
     }
 
     @Test
     void aStoreWhoseTableIsFullIsNotThrottled() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         for (int s = 0; s < 8; s++) {
             for (int i = 0; i < 20; i++) {
                 String id = fetching(b, 1000 + 20 * s + i);
                 if (i % 2 == 0) {
-                    b.end(id, Outcome.OK);
+                    b.endAttempt(id, Outcome.OK);
                     continue;
                 }
-                b.end(id, Outcome.NO_PLACE);
-                b.advance(BalancingRouter.PLACE_MS);
-                b.end(id, Outcome.NO_PLACE);
+                b.endAttempt(id, Outcome.NO_PLACE);
+                b.advance(BalancingRouter.NO_PLACE_RETRY_MS);
+                b.endAttempt(id, Outcome.NO_PLACE);
             }
             b.advance(500);
         }
@@ -77,20 +77,20 @@
     }
 
     private static long triesBeforeSpared(Outcome outcome) {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         int since = 0;
         for (int i = 0; i < 200; i++) {
-            String id = b.ask("dear", i);
+            String id = b.request("dear", i);
             if (b.nodeOf(id).equals("c0")) {
                 since = i;
-                b.end(id, outcome);
+                b.endAttempt(id, outcome);
                 assertNotEquals("c0", b.nodeOf(id), "its other node is asked");
             }
-            b.end(id, Outcome.OK);
+            b.endAttempt(id, Outcome.OK);
             if (i - since > 40) {
                 break;
             }
         }
-        return b.out.sentTo("c0");
+        return b.actions.sentTo("c0");
     }
 }
--- a/core/src/test/java/ridgemill/policy/PlacementTest.java
+++ b/core/src/test/java/ridgemill/policy/PlacementTest.java
@@ -55,26 +55,26 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            nodes.add(Bench.node("n" + random.nextInt(1_000_000) + "-" + i, 0, Availability.UP));
+            nodes.add(RouterHarness.node("n" + random.nextInt(1_000_000) + "-" + i, 0, Availability.UP));
         }
         List<Node> all = new ArrayList<>(nodes);
-        all.add(Bench.origin());
-        Bench b = new Bench(Bench.settings(true, false));
-        b.router.onNodeList(b.now, ListUpdateKind.FULL, 1, all, b.out);
+        all.add(RouterHarness.origin());
+        RouterHarness b = new RouterHarness(RouterHarness.settings(true, false));
+        b.router.onNodeList(b.now, ListUpdateKind.FULL, 1, all, b.actions);
         int met = 0;
         for (int i = 0; i < 3000; i++) {
             b.now += 10;
             long key = random.nextLong() >>> 1;
             String id = "r" + i;
-            b.out.sent.clear();
-            b.router.onRequest(b.now, new Request(id, "cheap", null, key, 0, 1000, false, false), b.out);
-            if (b.out.sent.isEmpty()) {
+            b.actions.sentAttempts.clear();
+            b.router.onRequest(b.now, new Request(id, "cheap", null, key, 0, 1000, false, false), b.actions);
+            if (b.actions.sentAttempts.isEmpty()) {
                 continue;
             }
-            String node = b.out.sent.get(0).node();
+            String node = b.actions.sentAttempts.get(0).node();
             assertEquals(naive(nodes, key), node, "seed " + seed + ", key " + key);
             met++;
-            b.router.onAttemptEnded(b.now, new AttemptResult(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), b.out);
+            b.router.onAttemptEnded(b.now, new AttemptResult(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), b.actions);
         }
         assertTrue(met > 1000, met + " were sent");
     }
--- a/core/src/test/java/ridgemill/policy/ProbedTest.java
+++ b/core/src/test/java/ridgemill/policy/ProbeTest.java
@@ -12,22 +12,22 @@
 
 /** What a probe says of a spared node, and what it does not. */
 @Timeout(20)
-class ProbedTest {
+class ProbeTest {
 
     private static final int CACHES = 6;
-    private final Bench b = Bench.withCaches(CACHES);
+    private final RouterHarness b = RouterHarness.withCacheNodes(CACHES);
     private int key = 1;
 
     /** Asks until the node c0 is asked, whose attempt ends so; returns whether it was asked at all. */
     private boolean meets(Outcome outcome) {
         for (int i = 0; i < 60; i++) {
-            String id = b.ask("dear", key++);
-            while (b.isOut(id)) {
+            String id = b.request("dear", key++);
+            while (b.isInFlight(id)) {
                 boolean there = b.nodeOf(id).equals("c0");
-                b.end(id, there ? outcome : Outcome.OK);
+                b.endAttempt(id, there ? outcome : Outcome.OK);
                 if (there) {
-                    while (b.isOut(id)) {
-                        b.end(id, Outcome.OK);
+                    while (b.isInFlight(id)) {
+                        b.endAttempt(id, Outcome.OK);
                     }
                     return true;
                 }
@@ -44,7 +44,7 @@
     }
 
     private void probed(Outcome outcome) {
-        b.router.onProbeResult(b.now, "c0", outcome, 5, Map.of(), b.out);
+        b.router.onProbeResult(b.now, "c0", outcome, 5, Map.of(), b.actions);
     }
 
     @Test
@@ -60,12 +60,12 @@
     @Test
     void nothingIsRiskedWhileItDoesNotButNotForEver() {
         spare(Outcome.CONNECT_FAILED);
-        for (double t = 0; t < 2 * BalancingRouter.SPARE_MOST_MS - BalancingRouter.SPARE_MS; t += 100) {
+        for (double t = 0; t < 2 * BalancingRouter.MAX_EJECTION_MS - BalancingRouter.EJECTION_MS; t += 100) {
             probed(Outcome.CONNECT_FAILED);
             b.advance(100);
             assertTrue(b.router.isExcluded(b.now, "c0"), "after " + t);
         }
-        for (double t = 0; t < 2 * BalancingRouter.SPARE_MS; t += 100) {
+        for (double t = 0; t < 2 * BalancingRouter.EJECTION_MS; t += 100) {
             probed(Outcome.CONNECT_FAILED);
             b.advance(100);
         }
@@ -83,7 +83,7 @@
             probed(Outcome.OK);
             assertTrue(b.router.isExcluded(b.now, "c0"));
         }
-        b.advance(2 * BalancingRouter.SPARE_MOST_MS);
+        b.advance(2 * BalancingRouter.MAX_EJECTION_MS);
         assertTrue(meets(Outcome.OK), "its time is over");
         spare(Outcome.CONNECT_FAILED);
         probed(Outcome.OK);
@@ -102,6 +102,6 @@
     void aProbeSparesNothing() {
         probed(Outcome.CONNECT_FAILED);
         assertFalse(b.router.isExcluded(b.now, "c0"));
-        b.router.onProbeResult(b.now, "nobody", Outcome.OK, 5, Map.of(), b.out);
+        b.router.onProbeResult(b.now, "nobody", Outcome.OK, 5, Map.of(), b.actions);
     }
 }
--- a/core/src/test/java/ridgemill/policy/ReasonsTest.java
+++ b/core/src/test/java/ridgemill/policy/ReasonsTest.java
@@ -36,56 +36,56 @@
 
     @Test
     void aCrowdedPairIsTheReasonOfWhatItCannotTake() {
-        Bench b = Bench.withCaches(2);
+        RouterHarness b = RouterHarness.withCacheNodes(2);
         for (int i = 0; i < 60; i++) {
-            b.ask("dear", i);
+            b.request("dear", i);
         }
         b.advance(150);
-        assertTrue(b.out.refused.size() > 40);
-        b.out.refused.forEach(id -> assertEquals(Reason.CROWDED, b.out.reasons.get(id)));
+        assertTrue(b.actions.refusedRequests.size() > 40);
+        b.actions.refusedRequests.forEach(id -> assertEquals(Reason.CROWDED, b.actions.reasons.get(id)));
     }
 
     @Test
     void aMissWithoutAStoreSaysSo() {
-        Bench b = Bench.withCaches(3);
-        b.change(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
-        String id = b.ask("dear", 5);
-        while (b.out.answers(id) == 0) {
-            b.end(id, Outcome.MISS);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        b.updateNodes(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
+        String id = b.request("dear", 5);
+        while (b.actions.finalAnswers(id) == 0) {
+            b.endAttempt(id, Outcome.MISS);
         }
-        assertEquals(Reason.NO_STORE, b.out.reasons.get(id));
+        assertEquals(Reason.NO_STORE, b.actions.reasons.get(id));
     }
 
     @Test
     void timeThatRunsOutAndAttemptsThatMayNotBeRepeatedAreToldApart() {
-        Bench b = Bench.withCaches(3);
-        String waits = b.ask("dear", 5);
-        b.advance(Bench.BUDGET);
-        assertEquals(Reason.OUT_OF_TIME, b.out.reasons.get(waits));
-        b = Bench.withCaches(3);
-        String unsafe = b.ask("unsafe", 6);
-        b.end(unsafe, Outcome.RESET);
-        assertEquals(Reason.NO_REPEAT, b.out.reasons.get(unsafe));
-        b = Bench.withCaches(3);
-        String store = b.ask("dear", 7);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String waits = b.request("dear", 5);
+        b.advance(RouterHarness.BUDGET_MS);
+        assertEquals(Reason.OUT_OF_TIME, b.actions.reasons.get(waits));
+        b = RouterHarness.withCacheNodes(3);
+        String unsafe = b.request("unsafe", 6);
+        b.endAttempt(unsafe, Outcome.RESET);
+        assertEquals(Reason.NO_REPEAT, b.actions.reasons.get(unsafe));
+        b = RouterHarness.withCacheNodes(3);
+        String store = b.request("dear", 7);
         while (!b.nodeOf(store).equals("db")) {
-            b.end(store, Outcome.MISS);
+            b.endAttempt(store, Outcome.MISS);
         }
-        b.end(store, Outcome.TIMEOUT);
-        assertEquals(Reason.STORE_FAILED, b.out.reasons.get(store));
+        b.endAttempt(store, Outcome.TIMEOUT);
+        assertEquals(Reason.STORE_FAILED, b.actions.reasons.get(store));
     }
 
     @Test
     void aThrottledStoreIsTheReasonOfWhatGotNoToken() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         for (int i = 0; i < 8; i++) {
-            b.interval(20, 0);
+            b.runInterval(20, 0);
         }
         for (int i = 0; i < 4; i++) {
-            b.interval(2, 18);
+            b.runInterval(2, 18);
         }
         assertTrue(b.router.admissionLevel() > 0);
-        assertTrue(b.out.reasons.containsValue(Reason.NO_TOKEN), b.out.reasons.values().toString());
+        assertTrue(b.actions.reasons.containsValue(Reason.NO_TOKEN), b.actions.reasons.values().toString());
     }
 
     /** Whatever happens, nobody is turned away without a reason. */
@@ -94,19 +94,19 @@
         long seed = System.nanoTime();
         System.out.println("ReasonsTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         List<String> open = new ArrayList<>();
         String[] classes = {"cheap", "dear", "keyed", "unsafe"};
         Outcome[] outcomes = {Outcome.OK, Outcome.OK, Outcome.MISS, Outcome.MISS, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR,
             Outcome.REJECTED, Outcome.CONNECT_FAILED};
         for (int i = 0; i < 4000; i++) {
             String service = classes[random.nextInt(classes.length)];
-            open.add(b.ask(service, random.nextInt(50), service.equals("keyed")));
+            open.add(b.request(service, random.nextInt(50), service.equals("keyed")));
             for (int n = random.nextInt(4); n > 0; n--) {
                 String id = open.get(random.nextInt(open.size()));
-                long sends = b.sendsOf(id);
-                if (b.out.answers(id) == 0 && sends > 0 && b.isOut(id)) {
-                    b.end(id, outcomes[random.nextInt(outcomes.length)]);
+                long sends = b.sendCount(id);
+                if (b.actions.finalAnswers(id) == 0 && sends > 0 && b.isInFlight(id)) {
+                    b.endAttempt(id, outcomes[random.nextInt(outcomes.length)]);
                 }
             }
             if (open.size() > 40) {
@@ -114,10 +114,10 @@
             }
             b.advance(random.nextInt(12));
         }
-        b.advance(Bench.BUDGET);
-        assertTrue(b.out.refused.size() + b.out.failed.size() > 100);
-        for (List<String> answered : List.of(b.out.refused, b.out.failed)) {
-            answered.forEach(id -> assertNotEquals(Reason.UNSAID, b.out.reasons.getOrDefault(id, Reason.UNSAID), id + ", seed " + seed));
+        b.advance(RouterHarness.BUDGET_MS);
+        assertTrue(b.actions.refusedRequests.size() + b.actions.failedRequests.size() > 100);
+        for (List<String> answered : List.of(b.actions.refusedRequests, b.actions.failedRequests)) {
+            answered.forEach(id -> assertNotEquals(Reason.UNSAID, b.actions.reasons.getOrDefault(id, Reason.UNSAID), id + ", seed " + seed));
         }
     }
 }
--- a/core/src/test/java/ridgemill/policy/Sink.java
+++ b/core/src/test/java/ridgemill/policy/RecordingActions.java
@@ -6,39 +6,39 @@
 import java.util.Map;
 
 /** A fake sink that writes down every action, and a small harness around one router. */
-final class Sink implements Router.Actions {
+final class RecordingActions implements Router.Actions {
 
-    record Sent(String request, String node, double timeoutMs) { }
+    record SentAttempt(String request, String node, double timeoutMs) { }
 
-    record Due(double atMs, String token) { }
+    record DueTimer(double atMs, String token) { }
 
     final List<String> log = new ArrayList<>();
-    final List<Sent> sent = new ArrayList<>();
-    final List<Due> timers = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
-    final List<String> failed = new ArrayList<>();
-    final List<String> cancelled = new ArrayList<>();
-    final List<String> closed = new ArrayList<>();
-    final List<byte[]> told = new ArrayList<>();
+    final List<SentAttempt> sentAttempts = new ArrayList<>();
+    final List<DueTimer> timers = new ArrayList<>();
+    final List<String> refusedRequests = new ArrayList<>();
+    final List<String> failedRequests = new ArrayList<>();
+    final List<String> cancelledRequests = new ArrayList<>();
+    final List<String> closedNodes = new ArrayList<>();
+    final List<byte[]> broadcasts = new ArrayList<>();
     final java.util.Map<String, Reason> reasons = new java.util.HashMap<>();
-    int subscriptions;
+    int subscribeCalls;
 
     @Override
     public void send(String request, String node, double timeoutMs) {
         log.add("send " + request + " " + node + " " + timeoutMs);
-        sent.add(new Sent(request, node, timeoutMs));
+        sentAttempts.add(new SentAttempt(request, node, timeoutMs));
     }
 
     @Override
     public void cancel(String request, int attempt) {
         log.add("cancel " + request + " " + attempt);
-        cancelled.add(request);
+        cancelledRequests.add(request);
     }
 
     @Override
     public void refuse(String request, double retryAfterMs) {
         log.add("refuse " + request + " " + retryAfterMs);
-        refused.add(request);
+        refusedRequests.add(request);
     }
 
     @Override
@@ -49,19 +49,19 @@
     @Override
     public void fail(String request) {
         log.add("fail " + request);
-        failed.add(request);
+        failedRequests.add(request);
     }
 
     @Override
     public void setTimer(double atMs, String token) {
         log.add("timer " + atMs + " " + token);
-        timers.add(new Due(atMs, token));
+        timers.add(new DueTimer(atMs, token));
     }
 
     @Override
     public void subscribe() {
         log.add("subscribe");
-        subscriptions++;
+        subscribeCalls++;
     }
 
     @Override
@@ -72,24 +72,24 @@
     @Override
     public void broadcast(byte[] contents) {
         log.add("tell " + Arrays.toString(contents));
-        told.add(contents);
+        broadcasts.add(contents);
     }
 
     @Override
     public void closeIdleConnections(String node) {
         log.add("close " + node);
-        closed.add(node);
+        closedNodes.add(node);
     }
 
-    Sent last() {
-        return sent.get(sent.size() - 1);
+    SentAttempt lastSent() {
+        return sentAttempts.get(sentAttempts.size() - 1);
     }
 
     long sentTo(String node) {
-        return sent.stream().filter(s -> s.node().equals(node)).count();
+        return sentAttempts.stream().filter(s -> s.node().equals(node)).count();
     }
 
-    long answers(String request) {
-        return refused.stream().filter(request::equals).count() + failed.stream().filter(request::equals).count();
+    long finalAnswers(String request) {
+        return refusedRequests.stream().filter(request::equals).count() + failedRequests.stream().filter(request::equals).count();
     }
 }
--- a/core/src/test/java/ridgemill/policy/RulesTest.java
+++ b/core/src/test/java/ridgemill/policy/RulesTest.java
@@ -16,164 +16,164 @@
 
     @Test
     void everyRequestIsAnsweredOnceBeforeItsDeadline() {
-        Bench b = Bench.withCaches(3);
-        String silent = b.ask("dear", 1);
-        String held = b.ask("dear", 2);
-        b.end(held, Outcome.MISS);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String silent = b.request("dear", 1);
+        String held = b.request("dear", 2);
+        b.endAttempt(held, Outcome.MISS);
         if (!b.nodeOf(held).equals("db")) {
-            b.end(held, Outcome.MISS);
+            b.endAttempt(held, Outcome.MISS);
         }
-        String second = b.ask("dear", 2);
-        b.advance(Bench.BUDGET);
+        String second = b.request("dear", 2);
+        b.advance(RouterHarness.BUDGET_MS);
         for (String id : List.of(silent, held, second)) {
-            assertEquals(1, b.out.answers(id), id);
+            assertEquals(1, b.actions.finalAnswers(id), id);
         }
         b.advance(5000);
-        assertEquals(1, b.out.answers(silent));
+        assertEquals(1, b.actions.finalAnswers(silent));
     }
 
     @Test
     void aTryThatComesWithNoTimeLeftIsAnsweredAtOnce() {
-        Bench b = Bench.withCaches(3);
-        b.router.onRequest(b.now, new Router.Request("late", "dear", null, 1, 0, 0, false, false), b.out);
-        assertEquals(1, b.out.answers("late"));
-        assertEquals(0, b.out.sent.size());
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        b.router.onRequest(b.now, new Router.Request("late", "dear", null, 1, 0, 0, false, false), b.actions);
+        assertEquals(1, b.actions.finalAnswers("late"));
+        assertEquals(0, b.actions.sentAttempts.size());
     }
 
     @Test
     void noNodesMeansAnAnswerAtOnce() {
-        Bench b = new Bench(Bench.settings(true, false));
-        assertEquals(1, b.out.answers(b.ask("dear", 1)));
-        assertEquals(1, b.out.answers(b.ask("unsafe", 1, true)));
+        RouterHarness b = new RouterHarness(RouterHarness.settings(true, false));
+        assertEquals(1, b.actions.finalAnswers(b.request("dear", 1)));
+        assertEquals(1, b.actions.finalAnswers(b.request("unsafe", 1, true)));
     }
 
     @Test
     void nothingFollowsAFinalAnswer() {
-        Bench b = Bench.withCaches(3);
-        String id = b.ask("dear", 1);
-        b.advance(Bench.BUDGET);
-        int sent = b.out.sent.size();
-        b.end(id, Outcome.CANCELLED);
-        b.router.onClientDisconnected(b.now, id, b.out);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String id = b.request("dear", 1);
+        b.advance(RouterHarness.BUDGET_MS);
+        int sent = b.actions.sentAttempts.size();
+        b.endAttempt(id, Outcome.CANCELLED);
+        b.router.onClientDisconnected(b.now, id, b.actions);
         b.advance(2000);
-        assertEquals(sent, b.out.sent.size());
-        assertEquals(1, b.out.answers(id));
+        assertEquals(sent, b.actions.sentAttempts.size());
+        assertEquals(1, b.actions.finalAnswers(id));
     }
 
     @Test
     void unsafeWorkThatMayHaveRunIsFailedAndNeverRepeated() {
-        Bench b = Bench.withCaches(3);
-        String id = b.ask("unsafe", 1, true);
-        b.end(id, Outcome.ERROR);
-        assertEquals(1, b.sendsOf(id));
-        assertEquals(List.of(id), b.out.failed);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String id = b.request("unsafe", 1, true);
+        b.endAttempt(id, Outcome.ERROR);
+        assertEquals(1, b.sendCount(id));
+        assertEquals(List.of(id), b.actions.failedRequests);
     }
 
     @Test
     void unsafeWorkThatNeverRanIsRefused() {
-        Bench b = Bench.withCaches(3);
-        String id = b.ask("unsafe", 1, true);
-        b.end(id, Outcome.REJECTED);
-        assertEquals(List.of(id), b.out.refused);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String id = b.request("unsafe", 1, true);
+        b.endAttempt(id, Outcome.REJECTED);
+        assertEquals(List.of(id), b.actions.refusedRequests);
     }
 
     @Test
     void keyedWorkOfAZoneIsNotRefusedOnceItMayHaveRun() {
-        Bench b = Bench.withCaches(3);
-        String id = b.ask("zoned", 1, true);
-        b.end(id, Outcome.TIMEOUT);
-        assertEquals(List.of(id), b.out.failed);
-        assertEquals(1, b.sendsOf(id));
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String id = b.request("zoned", 1, true);
+        b.endAttempt(id, Outcome.TIMEOUT);
+        assertEquals(List.of(id), b.actions.failedRequests);
+        assertEquals(1, b.sendCount(id));
     }
 
     @Test
     void keyedWorkIsRepeatedOnlyInsideItsWindow() {
-        Bench b = Bench.withCaches(3);
-        String early = b.ask("keyed", 1, true);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        String early = b.request("keyed", 1, true);
         b.advance(100);
-        b.end(early, Outcome.ERROR);
-        assertEquals(2, b.sendsOf(early));
-        String late = b.ask("keyed", 2, true);
+        b.endAttempt(early, Outcome.ERROR);
+        assertEquals(2, b.sendCount(early));
+        String late = b.request("keyed", 2, true);
         b.advance(600);
-        b.end(late, Outcome.ERROR);
-        assertEquals(1, b.sendsOf(late));
+        b.endAttempt(late, Outcome.ERROR);
+        assertEquals(1, b.sendCount(late));
     }
 
     @Test
     void oneAttemptIsOutAtATimeAndNoMoreThanTheLimit() {
-        Bench b = new Bench(Bench.settings(true, false, 2));
-        b.list(4);
-        String id = b.ask("dear", 1);
-        for (int i = 0; i < 4 && b.out.answers(id) == 0; i++) {
-            assertEquals(i + 1, b.sendsOf(id));
-            b.end(id, Outcome.MISS);
+        RouterHarness b = new RouterHarness(RouterHarness.settings(true, false, 2));
+        b.listNodes(4);
+        String id = b.request("dear", 1);
+        for (int i = 0; i < 4 && b.actions.finalAnswers(id) == 0; i++) {
+            assertEquals(i + 1, b.sendCount(id));
+            b.endAttempt(id, Outcome.MISS);
         }
-        assertTrue(b.sendsOf(id) <= 2);
-        assertEquals(1, b.out.answers(id));
+        assertTrue(b.sendCount(id) <= 2);
+        assertEquals(1, b.actions.finalAnswers(id));
     }
 
     @Test
     void drainingAndGoneNodesGetNothing() {
-        Bench b = Bench.withCaches(3);
-        b.change(Bench.node("c0", 0, Availability.DRAINING), Bench.node("c1", 0, Availability.GONE));
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        b.updateNodes(RouterHarness.node("c0", 0, Availability.DRAINING), RouterHarness.node("c1", 0, Availability.GONE));
         for (int key = 0; key < 50; key++) {
-            b.ask("dear", key);
+            b.request("dear", key);
         }
-        assertEquals(0, b.out.sentTo("c0") + b.out.sentTo("c1"));
+        assertEquals(0, b.actions.sentTo("c0") + b.actions.sentTo("c1"));
     }
 
     @Test
     void aNodeMissingFromAFullListIsGone() {
-        Bench b = Bench.withCaches(3);
-        b.list(2);
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        b.listNodes(2);
         for (int key = 0; key < 50; key++) {
-            b.ask("dear", key);
+            b.request("dear", key);
         }
-        assertEquals(0, b.out.sentTo("c2"));
+        assertEquals(0, b.actions.sentTo("c2"));
     }
 
     @Test
     void aDrainingOriginGetsNothing() {
-        Bench b = Bench.withCaches(3);
-        b.change(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
-        String id = b.ask("keyed", 1, true);
-        assertEquals(0, b.out.sentTo("db"));
-        assertEquals(1, b.out.answers(id));
+        RouterHarness b = RouterHarness.withCacheNodes(3);
+        b.updateNodes(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
+        String id = b.request("keyed", 1, true);
+        assertEquals(0, b.actions.sentTo("db"));
+        assertEquals(1, b.actions.finalAnswers(id));
     }
 
     @Test
     void coldNodesGetNoMoreThanTheirBudgetInAnySpan() {
-        Bench b = Bench.withCaches(4);
+        RouterHarness b = RouterHarness.withCacheNodes(4);
         for (int i = 0; i < 4000; i++) {
-            b.end(b.ask("dear", i), Outcome.OK);
+            b.endAttempt(b.request("dear", i), Outcome.OK);
             b.advance(5);
         }
-        double usual = b.out.sent.size() / 4.0 / 20;
-        b.change(Bench.node("c0", b.now, Availability.UP));
-        int before = (int) b.out.sentTo("c0");
+        double usual = b.actions.sentAttempts.size() / 4.0 / 20;
+        b.updateNodes(RouterHarness.node("c0", b.now, Availability.UP));
+        int before = (int) b.actions.sentTo("c0");
         for (int i = 0; i < 400; i++) {
-            b.end(b.ask("dear", 10_000 + i), Outcome.OK);
+            b.endAttempt(b.request("dear", 10_000 + i), Outcome.OK);
             b.advance(5);
         }
-        long cold = b.out.sentTo("c0") - before;
-        double most = Bench.RULES.overloadMultiple() * Bench.RULES.coldStartShare() * usual * 2;
+        long cold = b.actions.sentTo("c0") - before;
+        double most = RouterHarness.RULES.overloadMultiple() * RouterHarness.RULES.coldStartShare() * usual * 2;
         assertTrue(cold > 0 && cold < most, cold + " sends, at most " + most);
     }
 
     @Test
     void aRestartWithARememberedListAsksDiscoveryAndAsksAgainWhenRefused() {
-        Bench b = new Bench(Bench.settings(true, true));
-        b.router.onNodeList(b.now, ListUpdateKind.REMEMBERED, 1, List.of(Bench.node("c0", 0, Availability.UP)), b.out);
+        RouterHarness b = new RouterHarness(RouterHarness.settings(true, true));
+        b.router.onNodeList(b.now, ListUpdateKind.REMEMBERED, 1, List.of(RouterHarness.node("c0", 0, Availability.UP)), b.actions);
         b.advance(1500);
-        assertEquals(1, b.out.subscriptions);
-        b.router.onNodeList(b.now, ListUpdateKind.REFUSED, 1, List.of(), b.out);
+        assertEquals(1, b.actions.subscribeCalls);
+        b.router.onNodeList(b.now, ListUpdateKind.REFUSED, 1, List.of(), b.actions);
         b.advance(5000);
-        assertEquals(2, b.out.subscriptions);
+        assertEquals(2, b.actions.subscribeCalls);
     }
 
     @Test
     void settingsWithoutClassesOrDeadlinesAreRefusedByName() {
-        Settings good = Bench.settings(true, false);
+        Settings good = RouterHarness.settings(true, false);
         var none = assertThrows(IllegalArgumentException.class, () -> new Settings(0, 1, "z", 5, List.of(), List.of(),
                 1, false, good.limits(), good.rules(), false, Router.WeightMode.NONE, null));
         assertTrue(none.getMessage().contains("classes"));
--- a/core/src/test/java/ridgemill/policy/LimitsTest.java
+++ b/core/src/test/java/ridgemill/policy/SourceLimitsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Whoever is on call must be able to read the module at night. */
-class LimitsTest {
+class SourceLimitsTest {
 
     private static final Path FOLDER = Path.of("src/main/java/ridgemill/policy");
     private static final Path MODULE = FOLDER.resolve("BalancingRouter.java");
