--- a/core/src/main/java/ridgemill/policy/Router.java
+++ b/core/src/main/java/ridgemill/policy/Router.java
@@ -4,46 +4,47 @@
 import java.util.Map;
 
 /**
- * What a proxy tells its router, and what the router asks of its proxy. One router serves one proxy; a call
- * reports one event, and everything the router wants done goes to the {@link Actions} sink before it returns.
- * Routers keep no clock and no threads: {@code now} is the proxy's clock in milliseconds and never runs back.
+ * The interface between a proxy and its routing decisions. One router serves one proxy. Each call reports one event;
+ * the router passes every action that it requests to the {@link Actions} sink before the call returns. Routers have no
+ * clock and no threads: {@code now} is the proxy's clock in milliseconds and never goes backwards. Nodes, requests and
+ * service classes are identified by text.
  */
 public interface Router {
 
-    /** What repeating a request does. */
+    /** What happens if a request is executed more than once. */
     enum Effect {
-        /** May be repeated and refused freely. */
+        /** May be retried and refused freely. */
         SAFE,
-        /** Carries a key by which a group of nodes discards repeats for a while. */
+        /** Carries a key by which a set of nodes discards duplicates for a limited time. */
         KEYED,
-        /** Must never run twice. */
+        /** Must never be executed twice. */
         UNSAFE
     }
 
-    /** Which nodes discard each other's repeats of a keyed request. */
+    /** The set of nodes within which duplicates of a keyed request are discarded. */
     enum DeduplicationScope { ALL, ZONE, CELL }
 
-    /** What the server list says of a node. */
+    /** State of a node in the node list. */
     enum Availability { UP, DRAINING, GONE }
 
-    /** What a delivery of the server list holds. */
+    /** Content of an update of the node list. */
     enum ListUpdateKind {
-        /** Only entries that changed. */
+        /** Only the entries that changed. */
         CHANGES,
-        /** Every node; one that is not named is gone. */
+        /** All nodes; a node that is missing has been removed. */
         FULL,
-        /** Every node as this proxy last knew them before a restart; may be stale. */
+        /** All nodes as this proxy knew them before a restart; may be stale. */
         REMEMBERED,
-        /** A call to discovery failed or the subscription broke; no entries. */
+        /** A call to service discovery failed or the subscription broke; no entries. */
         REFUSED
     }
 
-    /** How a node's weight is meant. */
+    /** Meaning of a node's weight in the list: unused, its size, or a live value. */
     enum WeightMode { NONE, SIZE, LIVE }
 
     /**
-     * How an attempt ended. {@code NO_PLACE} is a rejection on a connection that was opened for the attempt: as a rule the
-     * node has as many as it takes, which says nothing of its load or health.
+     * How an attempt ended. {@code NO_PLACE} is a rejection on a connection that was opened for the attempt: usually
+     * the node has reached its connection limit, which says nothing of its load or health.
      */
     enum Outcome {
         OK(false), ERROR(false), REJECTED(true), TIMEOUT(false), CONNECT_FAILED(true), RESET(false),
@@ -55,87 +56,144 @@
             this.provesNotRun = provesNotRun;
         }
 
-        /** Whether this outcome shows that the request had no effect at the node. */
+        /** Whether this outcome proves that the node did not execute the request. */
         public boolean provesNotRun() {
             return provesNotRun;
         }
     }
 
-    /** A request class: its aim, the time its clients wait, its worth and what repeating it does. */
+    /**
+     * A class of requests.
+     *
+     * @param targetLatencyMs time within which an answer has its full value, in milliseconds
+     * @param targetStretch as in the platform's settings; not used by the router
+     * @param deadlineMs how long clients wait, in milliseconds; greater than 0
+     * @param value of an answer within the target latency
+     * @param lateValueShare part of the value that a later answer has; not used by the router
+     * @param deduplicationScope within which nodes discard duplicates of a keyed request
+     * @param deduplicationWindowMs for how long they do, in milliseconds
+     * @param streaming whether answers are streamed
+     */
     record ServiceClass(String name, double targetLatencyMs, double targetStretch, double deadlineMs, double value,
-                        double lateValueShare, Effect effect, DeduplicationScope deduplicationScope, double deduplicationWindowMs, boolean streaming,
-                        RetryPolicy retry) {
-
-        /** A class whose attempts the platform's settings alone bound. */
-        public ServiceClass(String name, double aimMs, double aimStretch, double deadlineMs, double gain,
-                            double lateShare, Effect effect, DeduplicationScope group, double repeatWindowMs, boolean stream) {
-            this(name, aimMs, aimStretch, deadlineMs, gain, lateShare, effect, group, repeatWindowMs, stream,
-                    RetryPolicy.PLATFORM_DEFAULT);
+                        double lateValueShare, Effect effect, DeduplicationScope deduplicationScope,
+                        double deduplicationWindowMs, boolean streaming, RetryPolicy retry) {
+
+        /** Creates a class whose attempts are limited by the platform's settings alone. */
+        public ServiceClass(String name, double targetLatencyMs, double targetStretch, double deadlineMs, double value,
+                            double lateValueShare, Effect effect, DeduplicationScope deduplicationScope,
+                            double deduplicationWindowMs, boolean streaming) {
+            this(name, targetLatencyMs, targetStretch, deadlineMs, value, lateValueShare, effect, deduplicationScope,
+                    deduplicationWindowMs, streaming, RetryPolicy.PLATFORM_DEFAULT);
         }
     }
 
     /**
-     * A class's own bounds on attempts: how many may fail, 0 for as many as the platform allows; after how long one is
-     * given up, 0 for no bound; and how long to wait before the next, which grows by the factor up to the bound. A miss
-     * is no failure, and the fetch that follows it waits for nothing.
+     * The limits of a service class on its attempts. A cache miss is not a failure, and the fetch that follows it
+     * starts without a wait.
+     *
+     * @param maxAttempts attempts that may fail; 0 for as many as the platform allows
+     * @param attemptTimeoutMs timeout of one attempt; 0 for no limit
+     * @param initialBackoffMs wait after the first failed attempt
+     * @param backoffFactor growth of the wait with each further failure
+     * @param maxBackoffMs upper limit of the wait
      */
-    record RetryPolicy(int maxAttempts, double attemptTimeoutMs, double initialBackoffMs, double backoffFactor, double maxBackoffMs) {
+    record RetryPolicy(int maxAttempts, double attemptTimeoutMs, double initialBackoffMs, double backoffFactor,
+                       double maxBackoffMs) {
 
-        /** No bounds beside the platform's. */
+        /** No limits beyond the platform's. */
         public static final RetryPolicy PLATFORM_DEFAULT = new RetryPolicy(0, 0, 0, 1, 0);
 
-        /** Whether another attempt may follow so many that failed. */
-        public boolean allowsAnother(int failed) {
-            return maxAttempts == 0 || failed < maxAttempts;
+        /** Whether another attempt may follow after this number of failed attempts. */
+        public boolean allowsAnother(int failedAttempts) {
+            return maxAttempts == 0 || failedAttempts < maxAttempts;
         }
 
-        /** The wait after so many attempts that failed. */
-        public double backoffMs(int failed) {
-            return Math.min(maxBackoffMs, initialBackoffMs * Math.pow(backoffFactor, failed - 1.0));
+        /** The wait before the next attempt after this number of failed attempts, in milliseconds. */
+        public double backoffMs(int failedAttempts) {
+            return Math.min(maxBackoffMs, initialBackoffMs * Math.pow(backoffFactor, failedAttempts - 1.0));
         }
 
-        /** The time of one attempt that would have so much else. */
+        /** The given attempt timeout, limited by that of the class. */
         public double boundTimeout(double timeoutMs) {
             return attemptTimeoutMs > 0 ? Math.min(attemptTimeoutMs, timeoutMs) : timeoutMs;
         }
     }
 
-    /** A tenant and the request rate, over all proxies, that stays inside its share. */
+    /** A tenant and its quota: the request rate over all proxies up to which its requests keep their full priority. */
     record Tenant(String name, double quotaPerS) { }
 
-    /** What the site permits. */
-    record PlatformLimits(int maxAttempts, boolean cancelAllowed, boolean probesAllowed, boolean peerMessagesAllowed, boolean retryAfterAllowed,
-                  double maxRetryAfterMs, boolean hedgingAllowed, double connectTimeoutMs) { }
+    /**
+     * Limits and permissions of the platform.
+     *
+     * @param maxAttempts per request
+     * @param cancelAllowed whether attempts may be cancelled
+     * @param probesAllowed whether nodes may be probed
+     * @param peerMessagesAllowed whether proxies may send messages to each other
+     * @param retryAfterAllowed whether a refusal may advise when to retry, by at most {@code maxRetryAfterMs}
+     * @param hedgingAllowed whether a second attempt may be started while the first one is in flight
+     * @param connectTimeoutMs timeout for opening a connection to a node
+     */
+    record PlatformLimits(int maxAttempts, boolean cancelAllowed, boolean probesAllowed, boolean peerMessagesAllowed,
+                          boolean retryAfterAllowed, double maxRetryAfterMs, boolean hedgingAllowed,
+                          double connectTimeoutMs) { }
 
-    /** The figures behind the rules. */
-    record PlatformRules(double drainGraceMs, double coldStartShare, double warmUpMs, double overloadMultiple, double overloadWindowMs,
-                 double answerSlackMs, double subscribeWithinMs) { }
+    /**
+     * Parameters of the rules that the platform sets.
+     *
+     * @param drainGraceMs time after the start of a drain within which requests to the node must stop
+     * @param coldStartShare part of its usual load that a node can take right after its start, rising to 1
+     * @param warmUpMs how long a node takes to warm up
+     * @param overloadMultiple multiple of its current share that overloads a cold node
+     * @param overloadWindowMs period over which the load of a cold node is measured
+     * @param answerSlackMs how far past its deadline a request may be answered
+     * @param subscribeWithinMs within which a proxy subscribes to service discovery after its start
+     */
+    record PlatformRules(double drainGraceMs, double coldStartShare, double warmUpMs, double overloadMultiple,
+                         double overloadWindowMs, double answerSlackMs, double subscribeWithinMs) { }
 
     /**
-     * Connections: after how long idle ones close by themselves, the price of 100 open ones a node all day,
-     * and the price of opening one for every request.
+     * Lifetime and cost of connections to nodes.
+     *
+     * @param idleTimeoutMs after which nodes close idle connections
+     * @param holdingCost cost of 100 connections open at a node all day
+     * @param openingCost cost of opening a connection for every request
      */
     record ConnectionCosts(double idleTimeoutMs, double holdingCost, double openingCost) {
 
-        /** Idle ones stay and none has a price. */
+        /** Idle connections stay open and have no cost. */
         public static final ConnectionCosts FREE = new ConnectionCosts(Double.POSITIVE_INFINITY, 0, 0);
     }
 
-    /** What a router is told before its first event. {@code originModel} is null where no node is the origin. */
+    /**
+     * Settings of a router.
+     *
+     * @param proxyIndex index of this proxy among all
+     * @param proxyCount number of proxies
+     * @param zone of this proxy
+     * @param tickMs resolution of the proxy's timers, in milliseconds
+     * @param overQuotaFactor factor on the priority of requests of a tenant that exceeds its quota
+     * @param valueByWork whether the value of a class is per unit of work and not per request
+     * @param mustSubscribe whether node list updates come only after {@link Actions#subscribe}
+     * @param originModel node model that marks the origin; null if no node is the origin
+     */
     record Settings(int proxyIndex, int proxyCount, String zone, double tickMs, List<ServiceClass> classes,
                     List<Tenant> tenants, double overQuotaFactor, boolean valueByWork, PlatformLimits limits,
                     PlatformRules rules, boolean mustSubscribe, WeightMode weightMode, String originModel,
                     ConnectionCosts connectionCosts) {
 
-        /** Settings of a site where connections have no price. */
-        public Settings(int index, int proxies, String zone, double tickMs, List<ServiceClass> classes,
-                        List<Tenant> tenants, double overShareWorth, boolean worthByWork, PlatformLimits limits,
-                        PlatformRules rules, boolean mustSubscribe, WeightMode weights, String originModel) {
-            this(index, proxies, zone, tickMs, classes, tenants, overShareWorth, worthByWork, limits, rules,
-                    mustSubscribe, weights, originModel, ConnectionCosts.FREE);
+        /** Creates settings for a site where connections have no cost. */
+        public Settings(int proxyIndex, int proxyCount, String zone, double tickMs, List<ServiceClass> classes,
+                        List<Tenant> tenants, double overQuotaFactor, boolean valueByWork, PlatformLimits limits,
+                        PlatformRules rules, boolean mustSubscribe, WeightMode weightMode, String originModel) {
+            this(proxyIndex, proxyCount, zone, tickMs, classes, tenants, overQuotaFactor, valueByWork, limits, rules,
+                    mustSubscribe, weightMode, originModel, ConnectionCosts.FREE);
         }
 
-        /** Refuses settings without which nothing can be decided, naming the field. */
+        /**
+         * Checks the service classes.
+         *
+         * @throws IllegalArgumentException naming the field, if there is no class or one without a deadline
+         */
         public Settings {
             if (classes == null || classes.isEmpty()) {
                 throw new IllegalArgumentException("settings: classes: at least one is needed");
@@ -150,123 +208,142 @@
         }
     }
 
-    /** One entry of the server list; {@code startedAtMs} is 0 for a node that started long ago. */
+    /** An entry of the node list; {@code startedAtMs} is 0 for a node that started long ago. */
     record Node(String id, String model, String zone, int cell, double weight, double startedAtMs,
                 Availability availability) { }
 
     /**
-     * A client's request. {@code key} is negative where it names none; {@code workMs} is 0 without a hint;
-     * {@code budgetMs}, the time until the client gives up this try, is negative where only the class tells. Of one that is
-     * {@code open} the body is still coming: one attempt alone can carry it, and its time begins with its last byte.
+     * A client's request.
+     *
+     * @param serviceClass name of its service class
+     * @param tenant may be null
+     * @param key of the object it reads or writes; negative if it has none
+     * @param workMs expected work in milliseconds; 0 without a hint
+     * @param budgetMs time until the client gives up; negative if only the deadline of the class applies
+     * @param write whether it changes the object
+     * @param retry whether the client sent it before
+     * @param uploading whether the body is still arriving: it can be sent in only one attempt, and its time starts with
+     *     its last byte
      */
     record Request(String id, String serviceClass, String tenant, long key, double workMs, double budgetMs,
                    boolean write, boolean retry, boolean uploading) {
 
-        /** One that has come whole. */
-        public Request(String id, String service, String tenant, long key, double workMs, double budgetMs,
-                       boolean write, boolean repeat) {
-            this(id, service, tenant, key, workMs, budgetMs, write, repeat, false);
+        /** Creates a request that has arrived completely. */
+        public Request(String id, String serviceClass, String tenant, long key, double workMs, double budgetMs,
+                       boolean write, boolean retry) {
+            this(id, serviceClass, tenant, key, workMs, budgetMs, write, retry, false);
         }
 
-        /** The same with another budget, as when part of it was spent before. */
-        public Request withBudget(double otherBudgetMs) {
-            return new Request(id, serviceClass, tenant, key, workMs, otherBudgetMs, write, retry, uploading);
+        /** The same request with another budget, such as after part of it was spent elsewhere. */
+        public Request withBudget(double newBudgetMs) {
+            return new Request(id, serviceClass, tenant, key, workMs, newBudgetMs, write, retry, uploading);
         }
     }
 
-    /** How an attempt ended. {@code finished} says that the request has its final answer already. */
+    /**
+     * The result of an attempt.
+     *
+     * @param request id of the request
+     * @param attempt number of the attempt within the request, from 0
+     * @param node id of the node
+     * @param elapsedMs time from sending to the end
+     * @param requestFinished whether the request has its final answer already
+     * @param cacheStatus how the node's cache answered a read: 0 unknown, 1 hit, 2 miss, 3 miss with a fetch in flight
+     * @param load load values that the node reported, by name
+     */
     record AttemptResult(String request, int attempt, String node, Outcome outcome, double elapsedMs,
-                      boolean requestFinished, int cacheStatus, Map<String, Double> load) { }
+                         boolean requestFinished, int cacheStatus, Map<String, Double> load) { }
 
-    /** Where a router's wishes go. */
+    /** Receives the actions that a router requests. */
     interface Actions {
 
-        /** Starts the request's next attempt. */
+        /** Starts the request's next attempt; the timeout is in milliseconds. */
         void send(String request, String node, double timeoutMs);
 
-        /** Stops waiting for an attempt. */
+        /** Cancels an attempt. */
         void cancel(String request, int attempt);
 
-        /** Final answer: turned away, harmless to try again; 0 gives no advice on when. */
+        /** Gives the final answer: refused and safe to retry, after the given time; 0 gives no advice on when. */
         void refuse(String request, double retryAfterMs);
 
-        /** Final answer: failed, with no promise about its effect. */
+        /** Gives the final answer: failed; it may or may not have been executed. */
         void fail(String request);
 
-        /** Asks for {@link Router#onTimer} at a clock time. */
+        /** Requests a call of {@link Router#onTimer} with this token at a clock time. */
         void setTimer(double atMs, String token);
 
-        /** Asks discovery to send changes from now on. */
+        /** Subscribes to changes of the node list at service discovery. */
         void subscribe();
 
-        /** Asks a node for its load. */
+        /** Probes a node; {@link Router#onProbeResult} reports the result. */
         void probe(String node);
 
-        /** Sends a short message to every other proxy; it may be lost. */
+        /** Sends a short message to all other proxies; delivery is not guaranteed. */
         void broadcast(byte[] contents);
 
-        /** Closes this proxy's idle connections to a node. */
+        /** Closes the idle connections of this proxy to a node. */
         void closeIdleConnections(String node);
 
-        /** Says why the final answer that is asked for next is what it is. */
-        default void reportReason(String request, Reason why) { }
+        /** Reports the reason of the final answer that is given next. */
+        default void reportReason(String request, Reason reason) { }
 
-        /** The least time in which an answer to a request like this one may be hoped for; 0 where that is not known. */
+        /** The shortest time in which an answer to such a request can be expected, in milliseconds; 0 if unknown. */
         default double minAnswerMs(String request) {
             return 0;
         }
     }
 
-    /** The present level of throttling, for whoever watches; 0 for none. */
+    /** The current throttling level, for monitoring; 0 for none. */
     default int admissionLevel() {
         return 0;
     }
 
-    /** Whether a node that the list names gets nothing now, for whoever watches. */
+    /** Whether a node currently gets no requests, for monitoring. */
     default boolean isExcluded(double now, String node) {
         return false;
     }
 
-    /** The nodes that are listed as up. */
+    /** The ids of the nodes that are listed as up. */
     default List<String> listedNodes() {
         return List.of();
     }
 
-    /** Those of them that get nothing now as they could not be reached: those that a probe may bring back sooner. */
+    /** The listed nodes that are ejected as unreachable; an answered probe may restore them early. */
     default List<String> unreachableNodes(double now) {
         return List.of();
     }
 
-    /** The proxy has started; comes first. */
+    /** The proxy has started; the first event. */
     void onStart(double now, Actions out);
 
     /**
-     * Other classes hold from now on, for requests that come; one that came before keeps the class that it came under,
-     * whatever becomes of that name.
+     * The service classes have changed. They apply to requests that arrive from now on; earlier requests keep the class
+     * that they arrived with, even if it was removed.
      */
     default void onClassesChanged(double now, List<ServiceClass> classes) { }
 
-    /** The server list, or news of it. */
+    /** The node list or changes to it have arrived. */
     void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out);
 
-    /** A request came in; exactly one final answer is owed from here on. */
+    /** A request has arrived; the router must give it exactly one final answer. */
     void onRequest(double now, Request request, Actions out);
 
     /** The first part of a streamed answer has reached the client. */
     void onStreamStarted(double now, String request, int attempt, String node, Actions out);
 
-    /** An attempt ended. */
+    /** An attempt has ended. */
     void onAttemptEnded(double now, AttemptResult end, Actions out);
 
-    /** The client is gone; nothing is owed any more. */
+    /** The client has disconnected; the request needs no answer any more. */
     void onClientDisconnected(double now, String request, Actions out);
 
-    /** A timer that was asked for is due. */
+    /** A timer set by {@link Actions#setTimer} is due. */
     void onTimer(double now, String token, Actions out);
 
-    /** A probe's result. */
-    void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load, Actions out);
+    /** A probe by this proxy, or by another one on behalf of all, has ended. */
+    void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
+                       Actions out);
 
-    /** A message from another proxy. */
+    /** A message from another proxy has arrived. */
     void onPeerMessage(double now, int from, byte[] contents, Actions out);
 }
