--- a/core/src/main/java/ridgemill/serviceclass/Backoff.java
+++ b/core/src/main/java/ridgemill/serviceclass/Backoff.java
@@ -1,25 +1,26 @@
 package ridgemill.serviceclass;
 
 /**
- * How long a request waits between two of its attempts: so long at first, and each time so many times longer, up to a
- * bound.
+ * Exponential backoff between the attempts of a request.
  *
- * @param initialMs before the second attempt, in milliseconds; 0 or more
- * @param factor 1 or more
- * @param maxMs the bound, in milliseconds; no less than the first
+ * @param initialMs wait before the second attempt, in milliseconds; 0 or more
+ * @param factor growth of the wait with each further attempt; 1 or more
+ * @param maxMs upper limit of the wait, in milliseconds; at least {@code initialMs}
  */
 public record Backoff(double initialMs, double factor, double maxMs) {
 
-    /** The next attempt goes out at once. */
+    /** No wait: the next attempt starts at once. */
     public static final Backoff NONE = new Backoff(0, 1, 0);
 
+    /** Checks the ranges. */
     public Backoff {
         if (!(initialMs >= 0) || !(factor >= 1) || !(maxMs >= initialMs)) {
-            throw new IllegalArgumentException("a backoff is 0 or more, grows by 1 or more, and has a bound that is no less");
+            throw new IllegalArgumentException(
+                    "backoff: initialMs must be at least 0, factor at least 1, and maxMs at least initialMs");
         }
     }
 
-    /** The wait before an attempt, in milliseconds; attempts count from 1, and the first waits for nothing. */
+    /** The wait before an attempt, in milliseconds. Attempts are numbered from 1; the first has no wait. */
     public double delayBeforeMs(int attempt) {
         return attempt <= 1 ? 0 : Math.min(maxMs, initialMs * Math.pow(factor, attempt - 2.0));
     }
--- a/core/src/main/java/ridgemill/serviceclass/ServiceClassPolicy.java
+++ b/core/src/main/java/ridgemill/serviceclass/ServiceClassPolicy.java
@@ -3,35 +3,35 @@
 import ridgemill.policy.Router.Effect;
 
 /**
- * What holds for a class of requests. Times are milliseconds.
+ * The operator's settings for a service class. Times are in milliseconds.
  *
- * @param name as clients and routes call it
- * @param totalTimeoutMs within which a request has its final answer
- * @param targetLatencyMs within which its answer is worth most
- * @param attemptTimeoutMs after which one attempt is given up
- * @param maxAttempts at most, the first included
+ * @param name by which clients and routes refer to the class
+ * @param totalTimeoutMs time within which a request gets its final answer
+ * @param targetLatencyMs time within which an answer has its full value
+ * @param attemptTimeoutMs timeout of one attempt
+ * @param maxAttempts maximum number of attempts, including the first
  * @param backoff between two attempts
- * @param nextAttemptDelayMs when the next attempt may begin, from the start of the one before; 0 is when that has ended
- * @param hedged whether a second copy may go out beside the first
- * @param effect what repeating a request does
- * @param deduplicationWindowMs for how long nodes drop a keyed request's repeats; 0 for other classes
- * @param value of one answer in time
- * @param maxBodyBytes in bytes
+ * @param nextAttemptDelayMs earliest start of the next attempt, from the start of the previous one; 0 means at its end
+ * @param hedged whether a second attempt may run in parallel to the first
+ * @param effect what happens if a request is executed more than once
+ * @param deduplicationWindowMs how long nodes discard duplicates of a keyed request; 0 for other classes
+ * @param value of one answer within the target latency
+ * @param maxBodyBytes largest request body
  */
-public record ServiceClassPolicy(String name, double totalTimeoutMs, double targetLatencyMs, double attemptTimeoutMs, int maxAttempts, Backoff backoff,
-                          double nextAttemptDelayMs, boolean hedged, Effect effect, double deduplicationWindowMs, double value,
-                          long maxBodyBytes) {
+public record ServiceClassPolicy(String name, double totalTimeoutMs, double targetLatencyMs, double attemptTimeoutMs,
+                                 int maxAttempts, Backoff backoff, double nextAttemptDelayMs, boolean hedged,
+                                 Effect effect, double deduplicationWindowMs, double value, long maxBodyBytes) {
 
-    /** When an attempt begins at the latest if each before it ran into its time-out, from the start of the first. */
+    /** The latest start of an attempt, from the start of the first: all attempts before it run into their timeout. */
     public double latestStartMs(int attempt) {
-        double at = 0;
+        double startMs = 0;
         for (int i = 2; i <= attempt; i++) {
-            at += Math.max(nextAttemptDelayMs, attemptTimeoutMs) + backoff.delayBeforeMs(i);
+            startMs += Math.max(nextAttemptDelayMs, attemptTimeoutMs) + backoff.delayBeforeMs(i);
         }
-        return at;
+        return startMs;
     }
 
-    /** How long all attempts take if each runs into its time-out. */
+    /** The duration of all attempts if each runs into its timeout. */
     public double worstCaseMs() {
         return latestStartMs(maxAttempts) + attemptTimeoutMs;
     }
--- a/core/src/main/java/ridgemill/serviceclass/ServiceClassValidator.java
+++ b/core/src/main/java/ridgemill/serviceclass/ServiceClassValidator.java
@@ -6,98 +6,115 @@
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.ServiceClass;
 
-/** The checks of one class: what would break a rule, or could never do what it says. */
+/** Validates a service class: finds settings that violate a rule or that can never take effect. */
 public final class ServiceClassValidator {
 
-    /** One thing that is wrong: at which key, which rule, why, and what to do. */
+    /** A violation: the key of the setting, the rule, the reason, and what to do about it. */
     public record Violation(String key, String rule, String reason, String remedy) { }
 
     private ServiceClassValidator() { }
 
-    /** All findings; empty if the class keeps the rules. */
-    public static List<Violation> validate(ServiceClassPolicy c, PlatformConstraints platform) {
-        List<Violation> found = new ArrayList<>();
-        if (c.hedged() && c.effect() != Effect.SAFE) {
-            found.add(new Violation("second-copy", "second-copy", "a second copy of a class that is "
-                    + configName(c.effect()) + " could take effect twice", "leave it out, or the class must be safe to repeat"));
-        } else if (c.hedged()) {
-            found.add(new Violation("second-copy", "one-attempt", "two attempts of a request are never out at once",
+    /** All violations; empty if the class is valid. */
+    public static List<Violation> validate(ServiceClassPolicy policy, PlatformConstraints platform) {
+        List<Violation> violations = new ArrayList<>();
+        if (policy.hedged() && policy.effect() != Effect.SAFE) {
+            violations.add(new Violation("second-copy", "second-copy", "a second copy of a class that is "
+                    + configName(policy.effect()) + " could take effect twice",
+                    "leave it out, or the class must be safe to repeat"));
+        } else if (policy.hedged()) {
+            violations.add(new Violation("second-copy", "one-attempt", "two attempts of a request are never out at once",
                     "leave it out; a shorter attempt-timeout asks another node sooner"));
         }
-        if (c.targetLatencyMs() > c.totalTimeoutMs()) {
-            found.add(new Violation("wanted", "wanted-beyond-total", "wanted within " + ms(c.targetLatencyMs()) + ", but given up after "
-                    + ms(c.totalTimeoutMs()), "lower wanted or raise total"));
+        if (policy.targetLatencyMs() > policy.totalTimeoutMs()) {
+            violations.add(new Violation("wanted", "wanted-beyond-total",
+                    "wanted within " + ms(policy.targetLatencyMs()) + ", but given up after "
+                    + ms(policy.totalTimeoutMs()), "lower wanted or raise total"));
         }
-        if (c.nextAttemptDelayMs() > 0 && c.nextAttemptDelayMs() < c.attemptTimeoutMs()) {
-            found.add(new Violation("next-attempt-after", "attempts-overlap", "the next attempt may begin after "
-                    + ms(c.nextAttemptDelayMs()) + ", while the one before is out for up to " + ms(c.attemptTimeoutMs()),
-                    "raise next-attempt-after to " + ms(c.attemptTimeoutMs()) + " or lower attempt-timeout"));
+        if (policy.nextAttemptDelayMs() > 0 && policy.nextAttemptDelayMs() < policy.attemptTimeoutMs()) {
+            violations.add(new Violation("next-attempt-after", "attempts-overlap", "the next attempt may begin after "
+                    + ms(policy.nextAttemptDelayMs()) + ", while the one before is out for up to "
+                    + ms(policy.attemptTimeoutMs()),
+                    "raise next-attempt-after to " + ms(policy.attemptTimeoutMs()) + " or lower attempt-timeout"));
         }
-        times(c, found);
-        repeats(c, found);
-        contradictions(c, platform, found);
-        return found;
+        checkAttemptTimes(policy, violations);
+        checkDeduplicationWindow(policy, violations);
+        checkPlatform(policy, platform, violations);
+        return violations;
     }
 
-    private static void times(ServiceClassPolicy c, List<Violation> found) {
-        double worst = c.worstCaseMs();
-        if (worst > c.totalTimeoutMs()) {
-            found.add(new Violation("attempts", "attempts-exceed-total", c.maxAttempts() + " attempts take up to " + ms(worst)
-                    + ", and the request has " + ms(c.totalTimeoutMs()), "use fewer or shorter attempts, or raise total"));
-        } else if (worst > c.targetLatencyMs() && c.targetLatencyMs() <= c.totalTimeoutMs()) {
-            found.add(new Violation("attempts", "attempts-exceed-wanted", c.maxAttempts() + " attempts take up to " + ms(worst)
-                    + ", and the answer is wanted within " + ms(c.targetLatencyMs()),
+    private static void checkAttemptTimes(ServiceClassPolicy policy, List<Violation> violations) {
+        double worstCaseMs = policy.worstCaseMs();
+        if (worstCaseMs > policy.totalTimeoutMs()) {
+            violations.add(new Violation("attempts", "attempts-exceed-total",
+                    policy.maxAttempts() + " attempts take up to " + ms(worstCaseMs)
+                    + ", and the request has " + ms(policy.totalTimeoutMs()),
+                    "use fewer or shorter attempts, or raise total"));
+        } else if (worstCaseMs > policy.targetLatencyMs() && policy.targetLatencyMs() <= policy.totalTimeoutMs()) {
+            violations.add(new Violation("attempts", "attempts-exceed-wanted",
+                    policy.maxAttempts() + " attempts take up to " + ms(worstCaseMs)
+                    + ", and the answer is wanted within " + ms(policy.targetLatencyMs()),
                     "use fewer or shorter attempts, or raise wanted"));
         }
     }
 
-    private static void repeats(ServiceClassPolicy c, List<Violation> found) {
-        if (c.effect() != Effect.KEYED) {
-            if (c.deduplicationWindowMs() > 0) {
-                found.add(new Violation("repeat-window", "window-without-key", "only a keyed class has a window in which "
+    private static void checkDeduplicationWindow(ServiceClassPolicy policy, List<Violation> violations) {
+        if (policy.effect() != Effect.KEYED) {
+            if (policy.deduplicationWindowMs() > 0) {
+                violations.add(new Violation("repeat-window", "window-without-key",
+                        "only a keyed class has a window in which "
                         + "repeats are dropped", "leave it out, or set effect = \"keyed\""));
             }
             return;
         }
-        double last = c.latestStartMs(c.maxAttempts());
-        if (c.deduplicationWindowMs() <= 0) {
-            found.add(new Violation("repeat-window", "window-missing", "a keyed class needs the time for which nodes drop its "
+        double lastStartMs = policy.latestStartMs(policy.maxAttempts());
+        if (policy.deduplicationWindowMs() <= 0) {
+            violations.add(new Violation("repeat-window", "window-missing",
+                    "a keyed class needs the time for which nodes drop its "
                     + "repeats", "set repeat-window to what the nodes keep, such as \"6s\""));
-        } else if (last >= c.deduplicationWindowMs()) {
-            found.add(new Violation("repeat-window", "window-too-short", "an attempt may go out " + ms(last)
-                    + " after the first, and repeats are dropped for " + ms(c.deduplicationWindowMs()),
+        } else if (lastStartMs >= policy.deduplicationWindowMs()) {
+            violations.add(new Violation("repeat-window", "window-too-short", "an attempt may go out " + ms(lastStartMs)
+                    + " after the first, and repeats are dropped for " + ms(policy.deduplicationWindowMs()),
                     "use fewer or shorter attempts, or a longer window if the nodes keep one"));
         }
     }
 
-    private static void contradictions(ServiceClassPolicy c, PlatformConstraints platform, List<Violation> found) {
-        if (c.maxBodyBytes() > platform.maxBodyBytes()) {
-            found.add(new Violation("largest-body", "platform", "bodies of " + c.maxBodyBytes() + " bytes, but no more than "
+    private static void checkPlatform(ServiceClassPolicy policy, PlatformConstraints platform,
+                                      List<Violation> violations) {
+        if (policy.maxBodyBytes() > platform.maxBodyBytes()) {
+            violations.add(new Violation("largest-body", "platform",
+                    "bodies of " + policy.maxBodyBytes() + " bytes, but no more than "
                     + platform.maxBodyBytes() + " are carried", "lower it to \"64KiB\""));
         }
-        if (platform.maxAttempts() > 0 && c.maxAttempts() > platform.maxAttempts()) {
-            found.add(new Violation("attempts", "platform", c.maxAttempts() + " attempts, but the platform allows "
+        if (platform.maxAttempts() > 0 && policy.maxAttempts() > platform.maxAttempts()) {
+            violations.add(new Violation("attempts", "platform",
+                    policy.maxAttempts() + " attempts, but the platform allows "
                     + platform.maxAttempts(), "lower attempts"));
         }
-        ServiceClass there = platform.classes().get(c.name());
-        if (there == null) {
+        ServiceClass platformClass = platform.classes().get(policy.name());
+        if (platformClass == null) {
             return;
         }
-        if (c.effect().ordinal() < there.effect().ordinal()) {
-            found.add(new Violation("effect", "platform", "the platform says that this class is " + configName(there.effect())
-                    + ", the file that it is " + configName(c.effect()), "set effect = \"" + configName(there.effect()) + "\""));
+        if (policy.effect().ordinal() < platformClass.effect().ordinal()) {
+            violations.add(new Violation("effect", "platform",
+                    "the platform says that this class is " + configName(platformClass.effect())
+                    + ", the file that it is " + configName(policy.effect()),
+                    "set effect = \"" + configName(platformClass.effect()) + "\""));
         }
-        if (c.totalTimeoutMs() > there.deadlineMs()) {
-            found.add(new Violation("total", "platform", "total is " + ms(c.totalTimeoutMs()) + ", but clients wait "
-                    + ms(there.deadlineMs()), "lower total"));
+        if (policy.totalTimeoutMs() > platformClass.deadlineMs()) {
+            violations.add(new Violation("total", "platform",
+                    "total is " + ms(policy.totalTimeoutMs()) + ", but clients wait "
+                    + ms(platformClass.deadlineMs()), "lower total"));
         }
-        if (c.effect() == Effect.KEYED && there.effect() == Effect.KEYED && c.deduplicationWindowMs() > there.deduplicationWindowMs()) {
-            found.add(new Violation("repeat-window", "platform", "the file counts on " + ms(c.deduplicationWindowMs())
-                    + ", but nodes drop repeats for " + ms(there.deduplicationWindowMs()), "lower repeat-window"));
+        if (policy.effect() == Effect.KEYED && platformClass.effect() == Effect.KEYED
+                && policy.deduplicationWindowMs() > platformClass.deduplicationWindowMs()) {
+            violations.add(new Violation("repeat-window", "platform",
+                    "the file counts on " + ms(policy.deduplicationWindowMs())
+                    + ", but nodes drop repeats for " + ms(platformClass.deduplicationWindowMs()),
+                    "lower repeat-window"));
         }
     }
 
-    /** The file's word for an effect. */
+    /** The name of an effect in the operator file. */
     public static String configName(Effect effect) {
         return effect.name().toLowerCase(Locale.ROOT);
     }
--- a/core/src/main/java/ridgemill/serviceclass/package-info.java
+++ b/core/src/main/java/ridgemill/serviceclass/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an operator sets for a class of requests, its schedule of attempts, and the checks that keep the rules. Free of
- * I/O and time.
+ * The settings of a service class in the operator file, its schedule of attempts, and their validation. Uses no I/O and
+ * no clock.
  */
 package ridgemill.serviceclass;
