--- a/bench/src/main/java/ridgemill/bench/ChangeCost.java
+++ b/bench/src/main/java/ridgemill/bench/ChangeCost.java
@@ -12,8 +12,8 @@
 import ridgemill.cdn.agreement.AgreementEnvironment;
 import ridgemill.cdn.agreement.AgreementMessage;
 import ridgemill.cdn.agreement.AgreementNode;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.agreement.NodeSettings;
-import ridgemill.cdn.agreement.OrderResult;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
@@ -111,10 +111,10 @@
                 .filter(AgreementNode::isLeading)
                 .findFirst()
                 .orElseThrow();
-        OrderResult[] result = new OrderResult[1];
-        leader.order(items, false, nowMs, nowMs + 1_000, decided -> result[0] = decided);
+        ChangeResult[] result = new ChangeResult[1];
+        leader.submit(items, false, nowMs, nowMs + 1_000, decided -> result[0] = decided);
         deliver();
-        if (result[0] == null || result[0].outcome() != OrderResult.Outcome.CONFIRMED) {
+        if (result[0] == null || result[0].outcome() != ChangeResult.Outcome.CONFIRMED) {
             throw new IllegalStateException("not decided: " + result[0]);
         }
     }
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void decided(List<Item> changed, VoterSet voters) {}
+        public void onDecided(List<Item> changed, VoterSet voters) {}
 
         @Override
         public double random() {
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
@@ -23,7 +23,7 @@
     private final AgreementEnvironment environment;
     private ControlState state = new ControlState();
     private Ballot promised = Ballot.NONE;
-    private Stamp durable = Stamp.NONE;
+    private StateId durable = StateId.NONE;
 
     Acceptor(AgreementEnvironment environment) {
         this.environment = environment;
@@ -38,7 +38,7 @@
 
     /** All that was promised and accepted, as far as it is in memory. */
     AcceptorRecord record() {
-        return new AcceptorRecord(promised, state.stamp(), state.voters(), List.copyOf(state.items()), true);
+        return new AcceptorRecord(promised, state.id(), state.voters(), List.copyOf(state.items()), true);
     }
 
     /** The newest accepted state. Only this class changes it. */
@@ -51,7 +51,7 @@
     }
 
     /** The newest accepted state that is on disk. */
-    Stamp durable() {
+    StateId durable() {
         return durable;
     }
 
@@ -66,17 +66,17 @@
     }
 
     /** Accepts a proposed step if its ballot is the highest and it fits. */
-    Outcome accept(Step step, Runnable whenDurable) {
-        Stamp stamp = step.stamp();
-        if (!isHeeded(stamp)) {
+    Outcome accept(StateDelta step, Runnable whenDurable) {
+        StateId stamp = step.stateId();
+        if (!isPermitted(stamp)) {
             return Outcome.REFUSED;
         }
         promised = stamp.ballot();
-        if (stamp.leadsTo(state.stamp())) {
+        if (stamp.isAtOrBefore(state.id())) {
             persist(List.of(), false, whenDurable);
             return Outcome.ACCEPTED;
         }
-        if (!step.base().equals(state.stamp())) {
+        if (!step.base().equals(state.id())) {
             return Outcome.BEHIND;
         }
         state.apply(step);
@@ -89,39 +89,39 @@
      * what is held is as new.
      */
     boolean install(ControlState whole, boolean decided, Runnable whenDurable) {
-        if (!isHeeded(whole.stamp()) && !decided || whole.stamp().compareTo(state.stamp()) <= 0) {
+        if (!isPermitted(whole.id()) && !decided || whole.id().compareTo(state.id()) <= 0) {
             return false;
         }
         state = whole;
-        promised = Ballot.max(promised, whole.stamp().ballot());
+        promised = Ballot.max(promised, whole.id().ballot());
         persist(List.copyOf(whole.items()), true, whenDurable);
         return true;
     }
 
     /** Goes a step further that was learned from another store, under the same conditions as {@link #install}. */
-    boolean follow(Step step, boolean decided, Runnable whenDurable) {
-        if (!isHeeded(step.stamp()) && !decided || !step.base().equals(state.stamp())) {
+    boolean applyDelta(StateDelta step, boolean decided, Runnable whenDurable) {
+        if (!isPermitted(step.stateId()) && !decided || !step.base().equals(state.id())) {
             return false;
         }
         state.apply(step);
-        promised = Ballot.max(promised, step.stamp().ballot());
+        promised = Ballot.max(promised, step.stateId().ballot());
         persist(step.items(), false, whenDurable);
         return true;
     }
 
     /** Whether no higher ballot than a state's own was promised. */
-    private boolean isHeeded(Stamp stamp) {
+    private boolean isPermitted(StateId stamp) {
         return stamp.ballot().compareTo(promised) >= 0;
     }
 
     /** Begins with the first voters, before anything was decided. */
-    void form(Stamp stamp, VoterSet voters, Runnable whenDurable) {
+    void bootstrap(StateId stamp, VoterSet voters, Runnable whenDurable) {
         state = new ControlState(stamp, voters, List.of());
         persist(List.of(), true, whenDurable);
     }
 
     private void persist(List<VersionedItem> items, boolean replaces, Runnable whenDurable) {
-        Stamp accepted = state.stamp();
+        StateId accepted = state.id();
         environment.persist(new AcceptorRecord(promised, accepted, state.voters(), items, replaces), () -> {
             durable = accepted;
             whenDurable.run();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AcceptorRecord.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AcceptorRecord.java
@@ -14,11 +14,11 @@
  * @param replaces whether the items take the place of all that were there
  */
 public record AcceptorRecord(
-        Ballot promised, Stamp accepted, VoterSet voters, List<VersionedItem> items, boolean replaces) {
+        Ballot promised, StateId accepted, VoterSet voters, List<VersionedItem> items, boolean replaces) {
 
     /** What an empty disk holds. */
     public static final AcceptorRecord EMPTY =
-            new AcceptorRecord(Ballot.NONE, Stamp.NONE, VoterSet.UNKNOWN, List.of(), false);
+            new AcceptorRecord(Ballot.NONE, StateId.NONE, VoterSet.UNKNOWN, List.of(), false);
 
     public AcceptorRecord {
         items = List.copyOf(items);
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementEnvironment.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementEnvironment.java
@@ -18,7 +18,7 @@
     void persist(AcceptorRecord record, Runnable durable);
 
     /** States were decided: these items changed, and these are the voters. Never called for what is not decided. */
-    void decided(List<Item> changed, VoterSet voters);
+    void onDecided(List<Item> changed, VoterSet voters);
 
     /** A number from 0 (inclusive) to 1 (exclusive), drawn at random. */
     double random();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
@@ -32,7 +32,7 @@
      * @param decided the newest state that it knows to be decided
      * @param voters the voters of the newest state that it accepted
      * @param completeEpoch the newest epoch for which it has all operation keys on disk; 0 for none
-     * @param known the IP addresses of the stores that it has heard lately
+     * @param knownAddresses the IP addresses of the stores that it has heard lately
      */
     record Status(
             Voter from,
@@ -41,27 +41,27 @@
             boolean leaving,
             boolean leading,
             Ballot promised,
-            Stamp accepted,
-            Stamp decided,
+            StateId accepted,
+            StateId decided,
             VoterSet voters,
             long completeEpoch,
-            List<String> known)
+            List<String> knownAddresses)
             implements AgreementMessage {}
 
     /** Asks for the promise to accept nothing of a lower ballot. */
     record Prepare(Voter from, Ballot ballot) implements ToAcceptor {}
 
     /** The promise, and what was accepted before it. */
-    record Promise(Voter from, Ballot ballot, Stamp accepted, VoterSet voters) implements ToProposer {}
+    record Promise(Voter from, Ballot ballot, StateId accepted, VoterSet voters) implements ToProposer {}
 
     /** Proposes a state as a difference. Its ballot is that of the step's stamp. */
-    record Accept(Voter from, Step step) implements ToAcceptor {}
+    record Accept(Voter from, StateDelta step) implements ToAcceptor {}
 
     /** A state, and under the same ballot all before it, is accepted and on disk. */
-    record Accepted(Voter from, Stamp stamp) implements ToProposer {}
+    record Accepted(Voter from, StateId stateId) implements ToProposer {}
 
     /** A ballot came too late: a higher one was promised. */
-    record Refused(Voter from, Ballot asked, Ballot promised) implements ToProposer {}
+    record Refused(Voter from, Ballot refused, Ballot promised) implements ToProposer {}
 
     /** Asks whether a ballot is still the highest one. */
     record Confirm(Voter from, Ballot ballot, long number) implements ToAcceptor {}
@@ -72,33 +72,33 @@
     /**
      * Asks for a page of the accepted state.
      *
-     * @param transfer names the transfer among those of this sender
-     * @param have the state that the asking store holds
+     * @param transferId names the transfer among those of this sender
+     * @param heldStateId the state that the asking store holds
      * @param page the number of the page, from 0
      */
-    record Pull(Voter from, String transfer, Stamp have, int page) implements Transfer {}
+    record Pull(Voter from, String transferId, StateId heldStateId, int page) implements Transfer {}
 
     /** Answers {@link Pull} with the steps that are missing, where they are few. */
-    record Difference(Voter from, String transfer, Stamp decided, List<Step> steps) implements Transfer {}
+    record Difference(Voter from, String transferId, StateId decided, List<StateDelta> deltas) implements Transfer {}
 
     /**
      * Answers {@link Pull} with a page of a snapshot.
      *
      * @param decided the newest state that the sender knows to be decided
      * @param page the number of the page, from 0
-     * @param pages how many there are
-     * @param stamp the state that the snapshot is of
+     * @param pageCount how many there are
+     * @param stateId the state that the snapshot is of
      * @param voters its voters
      * @param items the items of this page
      * @param digest {@link ControlState#digest} of the whole snapshot
      */
     record Page(
             Voter from,
-            String transfer,
-            Stamp decided,
+            String transferId,
+            StateId decided,
             int page,
-            int pages,
-            Stamp stamp,
+            int pageCount,
+            StateId stateId,
             VoterSet voters,
             List<VersionedItem> items,
             long digest)
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -21,19 +21,19 @@
 
     private static final double STATUS_INTERVAL_MS = 400;
     /** After so long without a leader a voter tries to lead: the first one in order first, in milliseconds. */
-    private static final double LEADERLESS_MS = 1_000;
+    private static final double ELECTION_TIMEOUT_MS = 1_000;
 
-    private static final double LEADERLESS_STEP_MS = 200;
+    private static final double ELECTION_STAGGER_MS = 200;
     /** A store that was promised a ballot within this time is not outbid, in milliseconds. */
-    private static final double CANDIDATE_MS = 400;
+    private static final double CANDIDATE_HOLD_OFF_MS = 400;
     /** A leader that was heard within this time is the one to ask, in milliseconds. */
     private static final double LEADER_FRESH_MS = 1_000;
     /** A leader that was heard within this time keeps leading although somebody could not reach it, in milliseconds. */
-    private static final double LEADER_KEPT_MS = 600;
+    private static final double LEADER_INSIST_FRESH_MS = 600;
     /** How long a pull of a newer state waits for the usual messages to bring it, in milliseconds. */
-    private static final double BEHIND_PATIENCE_MS = 250;
+    private static final double PULL_DELAY_MS = 250;
     /** How long a change of the voters keeps off the next one, in milliseconds. */
-    private static final double VOTERS_PAUSE_MS = 300;
+    private static final double VOTER_CHANGE_INTERVAL_MS = 300;
 
     private final NodeSettings settings;
     private final Voter self;
@@ -44,8 +44,8 @@
     private final StateSource source;
     private final StatePull pull;
     private final Peers peers;
-    private final DiskWatch disks = new DiskWatch();
-    private final VoterPlan plan;
+    private final StalledDiskDetector stalledDisks = new StalledDiskDetector();
+    private final VoterPlanner voterPlanner;
     private boolean leaving;
     private long completeEpoch;
     private double statusAtMs = Double.NEGATIVE_INFINITY;
@@ -54,16 +54,16 @@
     private double votersChangedAtMs = Double.NEGATIVE_INFINITY;
     private double electionJitterMs;
     /** A state of the present epoch, which newcomers have to hold; newer ones come all the time. */
-    private Stamp changeStamp = Stamp.NONE;
+    private StateId changeStateId = StateId.NONE;
 
     private long changeEpoch;
     /** The change of the voters that is to be proposed next; null if there is none. */
-    private VoterSet wantedVoters;
+    private VoterSet nextVoters;
     /** The store that was promised a ballot last, and when. */
-    private String candidate = "";
+    private String candidateAddress = "";
 
     private double candidateAtMs = Double.NEGATIVE_INFINITY;
-    private Stamp announced = Stamp.NONE;
+    private StateId lastAnnounced = StateId.NONE;
 
     /** A node that begins with {@link #start}. */
     public AgreementNode(NodeSettings settings, AgreementEnvironment environment, ChangeRules rules) {
@@ -72,23 +72,23 @@
         this.environment = environment;
         this.acceptor = new Acceptor(environment);
         this.view = new DecidedView(environment);
-        this.leadership = new Leadership(self, settings.lifeId(), environment, acceptor, view, rules);
+        this.leadership = new Leadership(self, settings.incarnationId(), environment, acceptor, view, rules);
         this.source = new StateSource(self, acceptor, view);
-        this.pull = new StatePull(self, settings.lifeId(), environment);
+        this.pull = new StatePull(self, settings.incarnationId(), environment);
         this.peers = new Peers(self, settings.seeds());
-        this.plan = new VoterPlan(peers, disks, settings.toleratedLosses());
+        this.voterPlanner = new VoterPlanner(peers, stalledDisks, settings.toleratedLosses());
     }
 
     /** Begins with what the disk held. */
     public void start(AcceptorRecord record, double nowMs) {
         acceptor.restore(record);
-        if (!record.accepted().equals(Stamp.NONE)) {
-            view.installed(acceptor.state());
+        if (!record.accepted().equals(StateId.NONE)) {
+            view.reset(acceptor.state());
         }
-        leadership.roundSeen(record.promised().round());
+        leadership.observeRound(record.promised().round());
         peers.start(nowMs);
         leaderHeardAtMs = nowMs;
-        electionJitterMs = environment.random() * LEADERLESS_STEP_MS;
+        electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
         sendStatus(nowMs);
     }
 
@@ -123,9 +123,9 @@
     }
 
     /** Whether this store may vote on operation keys: as a newcomer only once it holds all of them. */
-    public boolean mayVoteOnKeys() {
+    public boolean canVoteOnKeys() {
         VoterSet voters = voters();
-        boolean whole = !voters.newcomers().contains(self) || completeEpoch >= voters.epoch();
+        boolean whole = !voters.addedVoters().contains(self) || completeEpoch >= voters.epoch();
         return voters.contains(self) && whole;
     }
 
@@ -133,14 +133,14 @@
      * The change of voters for which this store still has to fetch the operation keys, once that change is decided; null
      * if there is none.
      */
-    public VoterSet changeThatNeedsKeys() {
+    public VoterSet voterChangeAwaitingKeys() {
         VoterSet voters = view.voters();
-        boolean wanted = voters.newcomers().contains(self) && completeEpoch < voters.epoch();
+        boolean wanted = voters.addedVoters().contains(self) && completeEpoch < voters.epoch();
         return wanted && voters.equals(voters()) ? voters : null;
     }
 
     /** All operation keys of an epoch are on disk here. */
-    public void keysComplete(long epoch, double nowMs) {
+    public void onKeysComplete(long epoch, double nowMs) {
         completeEpoch = Math.max(completeEpoch, epoch);
         sendStatus(nowMs);
     }
@@ -152,24 +152,24 @@
     }
 
     /** Whether this store may end without harm: it votes no more, or nobody could take its place. */
-    public boolean mayEnd(double nowMs) {
+    public boolean canStop(double nowMs) {
         boolean out = !voters().contains(self) && !view.voters().contains(self);
-        return out || !plan.hasCandidate(voters(), status(nowMs), nowMs);
+        return out || !voterPlanner.hasCandidate(voters(), status(nowMs), nowMs);
     }
 
     /**
-     * Decides an order, see {@link OrderResult}. With {@code insist}, which says that the leader could not be reached, this
+     * Decides an order, see {@link ChangeResult}. With {@code insist}, which says that the leader could not be reached, this
      * store tries to lead unless it has just heard that leader itself.
      */
-    public void order(
-            List<Item> items, boolean insist, double nowMs, double deadlineMs, Consumer<OrderResult> callback) {
+    public void submit(
+            List<Item> items, boolean insist, double nowMs, double deadlineMs, Consumer<ChangeResult> callback) {
         String leader = otherLeader(insist, nowMs);
         if (leader != null) {
-            callback.accept(OrderResult.notLeader(leader));
+            callback.accept(ChangeResult.notLeader(leader));
             return;
         }
-        leadership.order(items, deadlineMs, callback);
-        goOn(nowMs);
+        leadership.enqueueChange(items, deadlineMs, callback);
+        advance(nowMs);
     }
 
     /** Reads the newest decided items; the callback is told null if no majority confirms in time that they are. */
@@ -184,9 +184,9 @@
             other.accept(leader);
             return;
         }
-        leadership.confirm(
+        leadership.enqueueConfirmation(
                 () -> callback.accept(new ArrayList<>(view.items().all())), () -> callback.accept(null), deadlineMs);
-        goOn(nowMs);
+        advance(nowMs);
     }
 
     /** The store to ask in this one's place, empty if none is known; null if this one leads or begins to. */
@@ -194,20 +194,20 @@
         if (!leadership.isFollowing()) {
             return null;
         }
-        AgreementMessage.Status leader = leader(insist ? LEADER_KEPT_MS : LEADER_FRESH_MS, nowMs);
+        AgreementMessage.Status leader = leader(insist ? LEADER_INSIST_FRESH_MS : LEADER_FRESH_MS, nowMs);
         if (!isVoter() || leaving) {
             return leader == null ? "" : leader.from().address();
         }
         if (leader != null) {
             return leader.from().address();
         }
-        if (nowMs - candidateAtMs < CANDIDATE_MS) {
-            return candidate;
+        if (nowMs - candidateAtMs < CANDIDATE_HOLD_OFF_MS) {
+            return candidateAddress;
         }
-        if (!hearsMajority(nowMs)) {
+        if (!isMajorityReachable(nowMs)) {
             return "";
         }
-        leadership.begin(nowMs);
+        leadership.startElection(nowMs);
         return null;
     }
 
@@ -215,13 +215,14 @@
      * Whether a majority of the voters was heard lately. A store that was cut off, or frozen, hears first what has become
      * of the voters, and does not outbid the one that leads them.
      */
-    private boolean hearsMajority(double nowMs) {
-        return voters().isMajority(voter -> voter.equals(self) || peers.of(voter, Peers.FRESH_MS, nowMs) != null);
+    private boolean isMajorityReachable(double nowMs) {
+        return voters().hasQuorum(
+                        voter -> voter.equals(self) || peers.recentStatus(voter, Peers.FRESH_MS, nowMs) != null);
     }
 
     private AgreementMessage.Status leader(double freshMs, double nowMs) {
         AgreementMessage.Status best = null;
-        for (AgreementMessage.Status status : peers.within(freshMs, nowMs)) {
+        for (AgreementMessage.Status status : peers.recentStatuses(freshMs, nowMs)) {
             if (status.leading() && (best == null || status.promised().compareTo(best.promised()) > 0)) {
                 best = status;
             }
@@ -235,40 +236,40 @@
             return;
         }
         if (message instanceof AgreementMessage.Status status) {
-            heard(status, nowMs);
+            receiveStatus(status, nowMs);
         } else if (message instanceof AgreementMessage.ToAcceptor asked) {
-            acceptorMessage(asked, nowMs);
+            handleAcceptorMessage(asked, nowMs);
         } else if (message instanceof AgreementMessage.ToProposer answer) {
-            proposerMessage(answer, nowMs);
+            handleProposerMessage(answer, nowMs);
         } else if (message instanceof AgreementMessage.Transfer transfer) {
-            transferMessage(transfer, nowMs);
+            handleTransferMessage(transfer, nowMs);
         }
-        leadership.checkPromised();
-        goOn(nowMs);
+        leadership.stepDownIfOutbid();
+        advance(nowMs);
     }
 
-    private void heard(AgreementMessage.Status status, double nowMs) {
-        peers.heard(status, nowMs);
-        leadership.roundSeen(status.promised().round());
+    private void receiveStatus(AgreementMessage.Status status, double nowMs) {
+        peers.record(status, nowMs);
+        leadership.observeRound(status.promised().round());
         if (status.leading()) {
             leaderHeardAtMs = nowMs;
         }
         view.decide(status.decided());
-        disks.seen(status.from(), status.accepted(), view.decided(), nowMs);
-        decideIfAllHoldTheSame(nowMs);
-        formIfSeedsAreEmpty(nowMs);
+        stalledDisks.record(status.from(), status.accepted(), view.decided(), nowMs);
+        decideIfMajorityAccepted(nowMs);
+        bootstrapIfSeedsAreEmpty(nowMs);
     }
 
     /** After a restart of all nobody knows what was decided: what a majority has accepted is. */
-    private void decideIfAllHoldTheSame(double nowMs) {
-        Stamp own = acceptor.durable();
+    private void decideIfMajorityAccepted(double nowMs) {
+        StateId own = acceptor.durable();
         if (own.revision() < 1
                 || own.compareTo(view.decided()) <= 0
-                || !own.equals(acceptor.state().stamp())) {
+                || !own.equals(acceptor.state().id())) {
             return;
         }
-        boolean decided = voters().isMajority(voter -> {
-            AgreementMessage.Status status = peers.of(voter, Peers.GONE_MS, nowMs);
+        boolean decided = voters().hasQuorum(voter -> {
+            AgreementMessage.Status status = peers.recentStatus(voter, Peers.GONE_MS, nowMs);
             return voter.equals(self) || status != null && status.accepted().equals(own);
         });
         if (decided && isVoter()) {
@@ -280,13 +281,13 @@
      * The first voters are the seeds, once all of them have said that nothing was ever decided there. Each has its disk's
      * name on disk before it says so; so a kill at any moment leaves either nothing or a state that goes on.
      */
-    private void formIfSeedsAreEmpty(double nowMs) {
-        if (acceptor.state().stamp().revision() > 0 || !peers.seeds().contains(self.address())) {
+    private void bootstrapIfSeedsAreEmpty(double nowMs) {
+        if (acceptor.state().id().revision() > 0 || !peers.seeds().contains(self.address())) {
             return;
         }
         List<Voter> founders = new ArrayList<>();
         founders.add(self);
-        for (AgreementMessage.Status status : peers.within(Peers.GONE_MS, nowMs)) {
+        for (AgreementMessage.Status status : peers.recentStatuses(Peers.GONE_MS, nowMs)) {
             if (status.accepted().revision() > 0 || status.voters().epoch() > 1) {
                 return;
             }
@@ -300,22 +301,22 @@
         founders.sort(null);
         VoterSet first = new VoterSet(1, founders, List.of());
         if (!first.equals(voters())) {
-            Stamp stamp = new Stamp(new Ballot(0, founders.toString()), 0);
-            acceptor.form(stamp, first, () -> {});
-            view.installed(acceptor.state());
+            StateId stamp = new StateId(new Ballot(0, founders.toString()), 0);
+            acceptor.bootstrap(stamp, first, () -> {});
+            view.reset(acceptor.state());
             sendStatus(nowMs);
         }
     }
 
-    private void acceptorMessage(AgreementMessage.ToAcceptor message, double nowMs) {
+    private void handleAcceptorMessage(AgreementMessage.ToAcceptor message, double nowMs) {
         String address = message.from().address();
         if (message instanceof AgreementMessage.Prepare prepare) {
-            leadership.roundSeen(prepare.ballot().round());
-            Stamp accepted = acceptor.state().stamp();
+            leadership.observeRound(prepare.ballot().round());
+            StateId accepted = acceptor.state().id();
             VoterSet voters = acceptor.state().voters();
             AgreementMessage.Promise promise = new AgreementMessage.Promise(self, prepare.ballot(), accepted, voters);
             if (acceptor.promise(prepare.ballot(), () -> environment.send(address, promise))) {
-                candidate = address;
+                candidateAddress = address;
                 candidateAtMs = nowMs;
                 leaderHeardAtMs = nowMs;
             } else {
@@ -337,107 +338,107 @@
     }
 
     private void accept(AgreementMessage.Accept accept, double nowMs) {
-        Step step = accept.step();
-        leadership.roundSeen(step.stamp().ballot().round());
-        Stamp before = acceptor.state().stamp();
-        Acceptor.Outcome outcome = acceptor.accept(step, sayAccepted(accept.from(), step.stamp()));
+        StateDelta step = accept.step();
+        leadership.observeRound(step.stateId().ballot().round());
+        StateId before = acceptor.state().id();
+        Acceptor.Outcome outcome = acceptor.accept(step, acceptedReply(accept.from(), step.stateId()));
         switch (outcome) {
-            case REFUSED -> refuse(accept.from().address(), step.stamp().ballot());
+            case REFUSED -> refuse(accept.from().address(), step.stateId().ballot());
             case BEHIND -> pullFrom(accept.from(), nowMs);
             case ACCEPTED -> {
-                if (!before.equals(acceptor.state().stamp())) {
-                    view.accepted(step);
-                    view.decide(view.heard());
+                if (!before.equals(acceptor.state().id())) {
+                    view.addAccepted(step);
+                    view.decide(view.newestKnownDecided());
                 }
             }
         }
     }
 
-    private Runnable sayAccepted(Voter leader, Stamp stamp) {
+    private Runnable acceptedReply(Voter leader, StateId stamp) {
         return () -> environment.send(leader.address(), new AgreementMessage.Accepted(self, stamp));
     }
 
     private void pullFrom(Voter store, double nowMs) {
         if (!pull.isActive()) {
-            pull.begin(store, acceptor.state().stamp(), nowMs);
+            pull.begin(store, acceptor.state().id(), nowMs);
         }
     }
 
-    private void proposerMessage(AgreementMessage.ToProposer message, double nowMs) {
+    private void handleProposerMessage(AgreementMessage.ToProposer message, double nowMs) {
         if (message instanceof AgreementMessage.Promise promise) {
-            leadership.promised(promise, nowMs);
+            leadership.onPromise(promise, nowMs);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
-            leadership.accepted(accepted, nowMs);
+            leadership.onAccepted(accepted, nowMs);
         } else if (message instanceof AgreementMessage.Confirmed confirmed) {
-            leadership.confirmed(confirmed, nowMs);
+            leadership.onConfirmed(confirmed, nowMs);
         } else if (message instanceof AgreementMessage.Refused refused) {
-            leadership.refused(refused);
+            leadership.onRefused(refused);
         }
     }
 
-    private void transferMessage(AgreementMessage.Transfer message, double nowMs) {
+    private void handleTransferMessage(AgreementMessage.Transfer message, double nowMs) {
         if (message instanceof AgreementMessage.Pull asked) {
             environment.send(asked.from().address(), source.answer(asked, nowMs));
         } else if (message instanceof AgreementMessage.Difference difference) {
-            pull.take(difference).ifPresent(pulled -> follow(pulled));
-            leadership.fetch().take(difference).ifPresent(pulled -> leadership.fetched(pulled, nowMs));
+            pull.receive(difference).ifPresent(pulled -> applyPulled(pulled));
+            leadership.fetch().receive(difference).ifPresent(pulled -> leadership.onFetched(pulled, nowMs));
         } else if (message instanceof AgreementMessage.Page page) {
-            pull.take(page, nowMs).ifPresent(pulled -> follow(pulled));
-            leadership.fetch().take(page, nowMs).ifPresent(pulled -> leadership.fetched(pulled, nowMs));
+            pull.receive(page, nowMs).ifPresent(pulled -> applyPulled(pulled));
+            leadership.fetch().receive(page, nowMs).ifPresent(pulled -> leadership.onFetched(pulled, nowMs));
         }
     }
 
     /** Takes over what another store holds, as far as it is decided or its ballot is the highest. */
-    private void follow(Pulled pulled) {
+    private void applyPulled(PulledState pulled) {
         behindSinceMs = Double.NaN;
         if (pulled.whole() != null) {
-            Stamp stamp = pulled.whole().stamp();
-            boolean decided = stamp.leadsTo(pulled.decided());
-            if (acceptor.install(pulled.whole(), decided, sayAccepted(pulled.source(), stamp))) {
-                view.installed(pulled.whole());
+            StateId stamp = pulled.whole().id();
+            boolean decided = stamp.isAtOrBefore(pulled.decided());
+            if (acceptor.install(pulled.whole(), decided, acceptedReply(pulled.source(), stamp))) {
+                view.reset(pulled.whole());
             }
         }
         int settled = 0;
-        for (int i = 0; i < pulled.steps().size(); i++) {
-            settled = pulled.steps().get(i).stamp().leadsTo(pulled.decided()) ? i + 1 : settled;
+        for (int i = 0; i < pulled.deltas().size(); i++) {
+            settled = pulled.deltas().get(i).stateId().isAtOrBefore(pulled.decided()) ? i + 1 : settled;
         }
-        for (int i = 0; i < pulled.steps().size(); i++) {
-            Step step = pulled.steps().get(i);
-            if (acceptor.follow(step, i < settled, sayAccepted(pulled.source(), step.stamp()))) {
-                view.accepted(step);
+        for (int i = 0; i < pulled.deltas().size(); i++) {
+            StateDelta step = pulled.deltas().get(i);
+            if (acceptor.applyDelta(step, i < settled, acceptedReply(pulled.source(), step.stateId()))) {
+                view.addAccepted(step);
             }
         }
         view.decide(pulled.decided());
-        view.decide(view.heard());
+        view.decide(view.newestKnownDecided());
     }
 
     /** Goes on as time passes; to be called every {@link #TICK_MS}. */
     public void tick(double nowMs) {
         peers.tick(nowMs);
-        disks.seen(self, acceptor.durable(), view.decided(), nowMs);
+        stalledDisks.record(self, acceptor.durable(), view.decided(), nowMs);
         source.tick(nowMs);
         pull.tick(nowMs);
         leadership.tick(nowMs);
-        formIfSeedsAreEmpty(nowMs);
+        bootstrapIfSeedsAreEmpty(nowMs);
         pullIfBehind(nowMs);
-        leadIfNobodyDoes(nowMs);
+        startElectionIfLeaderless(nowMs);
         planVoters(nowMs);
-        goOn(nowMs);
+        advance(nowMs);
         if (nowMs - statusAtMs >= STATUS_INTERVAL_MS) {
             sendStatus(nowMs);
         }
     }
 
     private void pullIfBehind(double nowMs) {
-        if (view.heard().compareTo(acceptor.state().stamp()) <= 0) {
+        if (view.newestKnownDecided().compareTo(acceptor.state().id()) <= 0) {
             behindSinceMs = Double.NaN;
             return;
         }
         if (Double.isNaN(behindSinceMs)) {
             behindSinceMs = nowMs;
-        } else if (nowMs - behindSinceMs > BEHIND_PATIENCE_MS && !pull.isActive()) {
-            for (AgreementMessage.Status status : peers.within(Peers.FRESH_MS, nowMs)) {
-                if (status.decided().compareTo(acceptor.state().stamp()) > 0) {
+        } else if (nowMs - behindSinceMs > PULL_DELAY_MS && !pull.isActive()) {
+            for (AgreementMessage.Status status : peers.recentStatuses(Peers.FRESH_MS, nowMs)) {
+                if (status.decided().compareTo(acceptor.state().id()) > 0) {
                     pullFrom(status.from(), nowMs);
                     return;
                 }
@@ -445,74 +446,74 @@
         }
     }
 
-    private void leadIfNobodyDoes(double nowMs) {
+    private void startElectionIfLeaderless(double nowMs) {
         int rank = voters().members().indexOf(self);
         if (rank < 0 || leaving || !leadership.isFollowing()) {
             return;
         }
-        double patienceMs = LEADERLESS_MS + rank * LEADERLESS_STEP_MS + electionJitterMs;
-        boolean begins = acceptor.state().stamp().revision() == 0 && rank == 0;
-        if ((begins || nowMs - leaderHeardAtMs > patienceMs) && hearsMajority(nowMs)) {
+        double patienceMs = ELECTION_TIMEOUT_MS + rank * ELECTION_STAGGER_MS + electionJitterMs;
+        boolean begins = acceptor.state().id().revision() == 0 && rank == 0;
+        if ((begins || nowMs - leaderHeardAtMs > patienceMs) && isMajorityReachable(nowMs)) {
             leaderHeardAtMs = nowMs;
-            electionJitterMs = environment.random() * LEADERLESS_STEP_MS;
-            leadership.begin(nowMs);
+            electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
+            leadership.startElection(nowMs);
         }
     }
 
     /** The one that leads changes the voters: first a joint set, then, once its newcomers hold all, the new one alone. */
     private void planVoters(double nowMs) {
-        wantedVoters = null;
-        if (!leadership.isLeading() || nowMs - votersChangedAtMs < VOTERS_PAUSE_MS) {
+        nextVoters = null;
+        if (!leadership.isLeading() || nowMs - votersChangedAtMs < VOTER_CHANGE_INTERVAL_MS) {
             return;
         }
         VoterSet current = voters();
         if (current.epoch() != changeEpoch) {
             changeEpoch = current.epoch();
-            changeStamp = acceptor.state().stamp();
+            changeStateId = acceptor.state().id();
         }
-        Optional<List<Voter>> next = plan.next(current, status(nowMs), nowMs);
+        Optional<List<Voter>> next = voterPlanner.nextVoters(current, status(nowMs), nowMs);
         if (next.isPresent()) {
-            wantedVoters = current.changedTo(next.get());
-        } else if (current.isJoint() && current.newcomers().stream().allMatch(voter -> isWhole(voter, nowMs))) {
-            wantedVoters = current.settled();
+            nextVoters = current.changedTo(next.get());
+        } else if (current.isJoint() && current.addedVoters().stream().allMatch(voter -> isCaughtUp(voter, nowMs))) {
+            nextVoters = current.completed();
         }
     }
 
     /** Serves what waits; a change of the voters goes before orders, which would keep it off for ever. */
-    private void serve(double nowMs) {
-        if (wantedVoters != null && leadership.isFree() && wantedVoters.epoch() == voters().epoch() + 1) {
-            VoterSet wanted = wantedVoters;
-            wantedVoters = null;
+    private void proposePending(double nowMs) {
+        if (nextVoters != null && leadership.isIdle() && nextVoters.epoch() == voters().epoch() + 1) {
+            VoterSet wanted = nextVoters;
+            nextVoters = null;
             votersChangedAtMs = nowMs;
             leadership.proposeVoters(wanted, nowMs);
         }
-        leadership.serve(nowMs);
+        leadership.proposePending(nowMs);
     }
 
-    private boolean isWhole(Voter newcomer, double nowMs) {
+    private boolean isCaughtUp(Voter newcomer, double nowMs) {
         long epoch = voters().epoch();
         if (newcomer.equals(self)) {
             return completeEpoch >= epoch;
         }
-        AgreementMessage.Status status = peers.of(newcomer, Peers.FRESH_MS, nowMs);
+        AgreementMessage.Status status = peers.recentStatus(newcomer, Peers.FRESH_MS, nowMs);
         return status != null
                 && status.completeEpoch() >= epoch
-                && status.accepted().compareTo(changeStamp) >= 0;
+                && status.accepted().compareTo(changeStateId) >= 0;
     }
 
     /** Serves what waits, and tells the others at once of what was decided. */
-    private void goOn(double nowMs) {
-        serve(nowMs);
-        if (leadership.isLeading() && !view.decided().equals(announced)) {
-            announced = view.decided();
+    private void advance(double nowMs) {
+        proposePending(nowMs);
+        if (leadership.isLeading() && !view.decided().equals(lastAnnounced)) {
+            lastAnnounced = view.decided();
             sendStatus(nowMs);
-            serve(nowMs);
+            proposePending(nowMs);
         }
     }
 
     /** Goes on after the disk has answered. */
-    public void persisted(double nowMs) {
-        goOn(nowMs);
+    public void onPersisted(double nowMs) {
+        advance(nowMs);
     }
 
     private AgreementMessage.Status status(double nowMs) {
@@ -527,18 +528,18 @@
                 view.decided(),
                 acceptor.state().voters(),
                 completeEpoch,
-                peers.known(nowMs));
+                peers.knownAddresses(nowMs));
     }
 
     /** How far this store is, for logs. */
     public String describe() {
         return "leading=" + leadership.isLeading() + " following=" + leadership.isFollowing() + " accepted="
-                + acceptor.state().stamp() + " decided=" + view.decided() + " promised=" + acceptor.promised()
+                + acceptor.state().id() + " decided=" + view.decided() + " promised=" + acceptor.promised()
                 + " epoch=" + voters().epoch() + " complete_epoch=" + completeEpoch;
     }
 
     /** Tells a store how far this one is, as messages reach it from now on. */
-    public void reached(String address, double nowMs) {
+    public void onConnected(String address, double nowMs) {
         environment.send(address, status(nowMs));
     }
 
@@ -546,7 +547,7 @@
     public void sendStatus(double nowMs) {
         statusAtMs = nowMs;
         AgreementMessage.Status status = status(nowMs);
-        for (String address : peers.addresses(acceptor.state().voters(), view.voters())) {
+        for (String address : peers.statusRecipients(acceptor.state().voters(), view.voters())) {
             environment.send(address, status);
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/OrderEvaluator.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeEvaluator.java
@@ -15,7 +15,7 @@
  * each name the highest version stands; a lower one changes nothing, and its content is remembered, so that no other
  * content is confirmed under the same number later.
  */
-final class OrderEvaluator {
+final class ChangeEvaluator {
 
     /** All items together take no more, so that a message can hold them. */
     static final long MAX_CHARACTERS = 4 << 20;
@@ -26,56 +26,56 @@
     private long addedCharacters;
 
     /** Evaluates orders on top of a state, which is not changed. */
-    OrderEvaluator(ControlState state, ChangeRules rules) {
+    ChangeEvaluator(ControlState state, ChangeRules rules) {
         this.state = state;
         this.rules = rules;
     }
 
     /** The items that changed through all orders that were taken. */
-    Collection<VersionedItem> changed() {
+    Collection<VersionedItem> changedItems() {
         return changed.values();
     }
 
     /** Takes an order, or says why it can't be taken. */
-    OrderResult take(List<Item> order) {
+    ChangeResult evaluate(List<Item> order) {
         Map<ItemName, VersionedItem> entries = new LinkedHashMap<>();
         Map<ItemName, Item> newer = new LinkedHashMap<>();
         for (Item item : order) {
             VersionedItem held = entries.getOrDefault(item.name(), held(item.name()));
             if (held != null && held.conflictsWith(item)) {
-                return refused(OrderResult.Outcome.CONFLICT, describe(item) + " is held with other content");
+                return refused(ChangeResult.Outcome.CONFLICT, describe(item) + " is held with other content");
             }
             if (held == null) {
                 entries.put(item.name(), VersionedItem.first(item));
                 newer.put(item.name(), item);
             } else if (item.version() > held.item().version()) {
-                entries.put(item.name(), held.overtakenBy(item));
+                entries.put(item.name(), held.supersededBy(item));
                 newer.put(item.name(), item);
-            } else if (!held.remembers(item)) {
-                entries.put(item.name(), held.confirming(item));
+            } else if (!held.hasRecorded(item)) {
+                entries.put(item.name(), held.withConfirmed(item));
             }
         }
-        return newer.isEmpty() ? taken(entries, newer.values()) : check(entries, newer.values());
+        return newer.isEmpty() ? accept(entries, newer.values()) : check(entries, newer.values());
     }
 
-    private OrderResult check(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
+    private ChangeResult check(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
         long added =
                 entries.values().stream().mapToLong(ControlState::charactersOf).sum();
         if (state.characters() + addedCharacters + added > MAX_CHARACTERS) {
-            return refused(OrderResult.Outcome.INVALID, "the configuration would be too large");
+            return refused(ChangeResult.Outcome.INVALID, "the configuration would be too large");
         }
-        Optional<String> fault = rules.fault(newer);
+        Optional<String> fault = rules.validate(newer);
         if (fault.isPresent()) {
-            return refused(OrderResult.Outcome.INVALID, fault.get());
+            return refused(ChangeResult.Outcome.INVALID, fault.get());
         }
         addedCharacters += added;
-        return taken(entries, newer);
+        return accept(entries, newer);
     }
 
-    private OrderResult taken(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
+    private ChangeResult accept(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
         changed.putAll(entries);
-        rules.changed(new ArrayList<>(newer));
-        return OrderResult.CONFIRMED;
+        rules.apply(new ArrayList<>(newer));
+        return ChangeResult.CONFIRMED;
     }
 
     private VersionedItem held(ItemName name) {
@@ -83,8 +83,8 @@
         return own == null ? state.get(name) : own;
     }
 
-    private static OrderResult refused(OrderResult.Outcome outcome, String reason) {
-        return new OrderResult(outcome, reason);
+    private static ChangeResult refused(ChangeResult.Outcome outcome, String reason) {
+        return new ChangeResult(outcome, reason);
     }
 
     private static String describe(Item item) {
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/OrderResult.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeResult.java
@@ -7,7 +7,7 @@
  * @param detail the item and the reason where it was refused; the IP address of the store to ask where another one leads;
  *     else empty
  */
-public record OrderResult(Outcome outcome, String detail) {
+public record ChangeResult(Outcome outcome, String detail) {
 
     /** What became of an order. */
     public enum Outcome {
@@ -24,13 +24,13 @@
     }
 
     /** The order is decided. */
-    public static final OrderResult CONFIRMED = new OrderResult(Outcome.CONFIRMED, "");
+    public static final ChangeResult CONFIRMED = new ChangeResult(Outcome.CONFIRMED, "");
 
     /** Nothing is known of the order. */
-    public static final OrderResult UNKNOWN = new OrderResult(Outcome.UNKNOWN, "");
+    public static final ChangeResult UNKNOWN = new ChangeResult(Outcome.UNKNOWN, "");
 
     /** Another store leads; empty if none is known. */
-    public static OrderResult notLeader(String address) {
-        return new OrderResult(Outcome.NOT_LEADER, address);
+    public static ChangeResult notLeader(String address) {
+        return new ChangeResult(Outcome.NOT_LEADER, address);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeRules.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeRules.java
@@ -11,7 +11,7 @@
     void reset(Collection<Item> items);
 
     /** Items have changed. */
-    void changed(Collection<Item> items);
+    void apply(Collection<Item> items);
 
     /**
      * Why items can't be changed so.
@@ -19,5 +19,5 @@
      * @param items newer versions, each name once
      * @return the item and the reason in plain words; empty if the change is valid
      */
-    Optional<String> fault(Collection<Item> items);
+    Optional<String> validate(Collection<Item> items);
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
@@ -14,28 +14,28 @@
 /** A whole state: the items of the configuration and the voters. */
 public final class ControlState {
 
-    private static final int ITEM_OVERHEAD = 40;
+    private static final int ITEM_OVERHEAD_CHARACTERS = 40;
 
     private final TreeMap<ItemName, VersionedItem> items = new TreeMap<>();
-    private Stamp stamp;
+    private StateId id;
     private VoterSet voters;
     private long characters;
 
     /** The state before any. */
     public ControlState() {
-        this(Stamp.NONE, VoterSet.UNKNOWN, List.of());
+        this(StateId.NONE, VoterSet.UNKNOWN, List.of());
     }
 
     /** A state from its parts. */
-    public ControlState(Stamp stamp, VoterSet voters, Collection<VersionedItem> items) {
-        this.stamp = stamp;
+    public ControlState(StateId stamp, VoterSet voters, Collection<VersionedItem> items) {
+        this.id = stamp;
         this.voters = voters;
         items.forEach(this::put);
     }
 
     /** Names this state. */
-    public Stamp stamp() {
-        return stamp;
+    public StateId id() {
+        return id;
     }
 
     /** The voters in this state. */
@@ -59,12 +59,12 @@
     }
 
     /** Goes one step further. The step must start from this state. */
-    public void apply(Step step) {
-        if (!step.base().equals(stamp)) {
-            throw new IllegalArgumentException("a step from " + step.base() + " does not fit " + stamp);
+    public void apply(StateDelta step) {
+        if (!step.base().equals(id)) {
+            throw new IllegalArgumentException("a step from " + step.base() + " does not fit " + id);
         }
         step.items().forEach(this::put);
-        stamp = step.stamp();
+        id = step.stateId();
         voters = step.voters();
     }
 
@@ -75,7 +75,7 @@
 
     /** A copy that changes independently. */
     public ControlState copy() {
-        return new ControlState(stamp, voters, items.values());
+        return new ControlState(id, voters, items.values());
     }
 
     /** A checksum over all that the state holds but its stamp, by which a transfer is checked. */
@@ -100,7 +100,7 @@
     /** How many characters an item takes in a message, roughly. */
     static long charactersOf(VersionedItem entry) {
         Item item = entry.item();
-        int content = item.isDrop() ? 0 : item.content().length();
-        return ITEM_OVERHEAD + item.name().name().length() + content;
+        int content = item.isTombstone() ? 0 : item.content().length();
+        return ITEM_OVERHEAD_CHARACTERS + item.name().name().length() + content;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
@@ -17,21 +17,21 @@
 final class DecidedView {
 
     /** How many steps, and characters in them, are kept for stores that are behind. */
-    private static final int KEPT_STEPS = 256;
+    private static final int MAX_KEPT_DELTAS = 256;
 
-    private static final long KEPT_CHARACTERS = 1 << 20;
+    private static final long MAX_KEPT_CHARACTERS = 1 << 20;
 
     private final AgreementEnvironment environment;
     private final ItemSet items = new ItemSet();
-    /** The newest decided steps in their order; the first one may be a whole state, whose base is {@link Stamp#NONE}. */
-    private final Deque<Step> settled = new ArrayDeque<>();
+    /** The newest decided steps in their order; the first one may be a whole state, whose base is {@link StateId#NONE}. */
+    private final Deque<StateDelta> decidedDeltas = new ArrayDeque<>();
     /** The accepted steps behind them that are not known to be decided. */
-    private final Deque<Step> open = new ArrayDeque<>();
+    private final Deque<StateDelta> undecidedDeltas = new ArrayDeque<>();
 
     private VoterSet voters = VoterSet.UNKNOWN;
-    private Stamp decided = Stamp.NONE;
+    private StateId decided = StateId.NONE;
     /** The newest decided state that was heard of, which this store may not hold yet. */
-    private Stamp heard = Stamp.NONE;
+    private StateId newestKnownDecided = StateId.NONE;
 
     private long keptCharacters;
 
@@ -50,51 +50,51 @@
     }
 
     /** The newest state that is known to be decided and is held. */
-    Stamp decided() {
+    StateId decided() {
         return decided;
     }
 
     /** The newest state that is known to be decided, held or not. */
-    Stamp heard() {
-        return heard;
+    StateId newestKnownDecided() {
+        return newestKnownDecided;
     }
 
     /** A whole state was accepted. */
-    void installed(ControlState state) {
-        settled.clear();
-        open.clear();
+    void reset(ControlState state) {
+        decidedDeltas.clear();
+        undecidedDeltas.clear();
         keptCharacters = 0;
-        accepted(new Step(Stamp.NONE, state.stamp(), state.voters(), List.copyOf(state.items())));
+        addAccepted(new StateDelta(StateId.NONE, state.id(), state.voters(), List.copyOf(state.items())));
     }
 
     /** A step was accepted. */
-    void accepted(Step step) {
-        open.add(step);
+    void addAccepted(StateDelta step) {
+        undecidedDeltas.add(step);
         keptCharacters += step.characters();
-        while (!settled.isEmpty() && isOverfull()) {
-            keptCharacters -= settled.poll().characters();
+        while (!decidedDeltas.isEmpty() && exceedsLimits()) {
+            keptCharacters -= decidedDeltas.poll().characters();
         }
     }
 
-    private boolean isOverfull() {
-        return settled.size() + open.size() > KEPT_STEPS || keptCharacters > KEPT_CHARACTERS;
+    private boolean exceedsLimits() {
+        return decidedDeltas.size() + undecidedDeltas.size() > MAX_KEPT_DELTAS || keptCharacters > MAX_KEPT_CHARACTERS;
     }
 
     /** A state is decided; all that it was made from is so too. */
-    void decide(Stamp stamp) {
-        heard = Stamp.max(heard, stamp);
+    void decide(StateId stamp) {
+        newestKnownDecided = StateId.max(newestKnownDecided, stamp);
         if (stamp.compareTo(decided) > 0) {
-            publish(settledBy(stamp));
+            publish(countDecidedBy(stamp));
         }
     }
 
     /** How many of the open steps a decided state settles. */
-    private int settledBy(Stamp stamp) {
+    private int countDecidedBy(StateId stamp) {
         int settles = 0;
         int position = 0;
-        for (Step step : open) {
+        for (StateDelta step : undecidedDeltas) {
             position++;
-            if (step.stamp().leadsTo(stamp)) {
+            if (step.stateId().isAtOrBefore(stamp)) {
                 settles = position;
             }
         }
@@ -107,25 +107,25 @@
         }
         List<Item> changed = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Step step = open.poll();
-            settled.add(step);
+            StateDelta step = undecidedDeltas.poll();
+            decidedDeltas.add(step);
             for (VersionedItem entry : step.items()) {
                 if (items.merge(entry.item())) {
                     changed.add(entry.item());
                 }
             }
             voters = step.voters();
-            decided = step.stamp();
+            decided = step.stateId();
         }
-        environment.decided(changed, voters);
+        environment.onDecided(changed, voters);
     }
 
     /** The steps that lead from a state to the newest accepted one; null if they are not kept. */
-    List<Step> stepsFrom(Stamp base) {
-        if (base.equals(Stamp.NONE)) {
+    List<StateDelta> deltasFrom(StateId base) {
+        if (base.equals(StateId.NONE)) {
             return null;
         }
-        List<Step> missing = Stream.concat(settled.stream(), open.stream())
+        List<StateDelta> missing = Stream.concat(decidedDeltas.stream(), undecidedDeltas.stream())
                 .dropWhile(step -> !step.base().equals(base))
                 .toList();
         return missing.isEmpty() ? null : missing;
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
@@ -23,10 +23,10 @@
  */
 final class Leadership {
 
-    private static final double PREPARE_TIMEOUT_MS = 900;
-    private static final double SEND_AGAIN_MS = 200;
+    private static final double ELECTION_TIMEOUT_MS = 900;
+    private static final double RETRANSMIT_INTERVAL_MS = 200;
     /** A leader without a majority for so long leads no more, in milliseconds. */
-    private static final double LOST_MAJORITY_MS = 2_000;
+    private static final double MAJORITY_LOSS_TIMEOUT_MS = 2_000;
 
     private enum Role {
         FOLLOWING,
@@ -38,15 +38,15 @@
     }
 
     private final Voter self;
-    private final String lifeId;
+    private final String incarnationId;
     private final AgreementEnvironment environment;
     private final Acceptor acceptor;
     private final DecidedView view;
     private final ChangeRules rules;
     private final StatePull fetch;
     private final Map<Voter, AgreementMessage.Promise> promises = new HashMap<>();
-    private final Set<Voter> asked = new HashSet<>();
-    private final Deque<PendingOrder> orders = new ArrayDeque<>();
+    private final Set<Voter> prepareSentTo = new HashSet<>();
+    private final Deque<PendingChange> pendingChanges = new ArrayDeque<>();
     private final Deque<PendingAnswer> unconfirmed = new ArrayDeque<>();
     private final List<PendingAnswer> confirming = new ArrayList<>();
     private final Set<Voter> confirmedBy = new HashSet<>();
@@ -55,24 +55,24 @@
     private Proposal proposal;
     private boolean ready;
     private long highestRound;
-    private long confirmation;
-    private double beganAtMs;
+    private long confirmationNumber;
+    private double electionStartedAtMs;
     private double sentAtMs;
     private double majorityAtMs;
 
-    private record PendingOrder(List<Item> items, double deadlineMs, Consumer<OrderResult> callback) {}
+    private record PendingChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {}
 
     /** An answer that may be given once a majority has agreed; at its deadline the other one is given. */
-    private record PendingAnswer(Runnable answer, Runnable unknown, double deadlineMs) {}
+    private record PendingAnswer(Runnable onMajority, Runnable onUnknown, double deadlineMs) {}
 
     private static final class Proposal {
 
-        private final Step step;
+        private final StateDelta delta;
         private final List<PendingAnswer> answers;
-        private final Set<Voter> accepted = new HashSet<>();
+        private final Set<Voter> acceptedBy = new HashSet<>();
 
-        Proposal(Step step, List<PendingAnswer> answers) {
-            this.step = step;
+        Proposal(StateDelta step, List<PendingAnswer> answers) {
+            this.delta = step;
             this.answers = answers;
         }
     }
@@ -85,7 +85,7 @@
             DecidedView view,
             ChangeRules rules) {
         this.self = self;
-        this.lifeId = lifeId;
+        this.incarnationId = lifeId;
         this.environment = environment;
         this.acceptor = acceptor;
         this.view = view;
@@ -103,63 +103,63 @@
     }
 
     /** Whether nothing is being decided, so that a change of the voters may be proposed. */
-    boolean isFree() {
+    boolean isIdle() {
         return isLeading() && proposal == null;
     }
 
     /** A round that another store has used: the next ballot is higher. */
-    void roundSeen(long round) {
+    void observeRound(long round) {
         highestRound = Math.max(highestRound, round);
     }
 
     /** Asks for promises under a new ballot. Only a voter may. */
-    void begin(double nowMs) {
+    void startElection(double nowMs) {
         if (!acceptor.state().voters().contains(self)) {
             return;
         }
-        roundSeen(acceptor.promised().round());
-        ballot = new Ballot(highestRound + 1, lifeId);
-        roundSeen(ballot.round());
+        observeRound(acceptor.promised().round());
+        ballot = new Ballot(highestRound + 1, incarnationId);
+        observeRound(ballot.round());
         role = Role.PREPARING;
         ready = false;
         promises.clear();
-        asked.clear();
-        beganAtMs = nowMs;
+        prepareSentTo.clear();
+        electionStartedAtMs = nowMs;
         sentAtMs = nowMs;
         Ballot own = ballot;
-        asked.add(self);
-        Stamp accepted = acceptor.state().stamp();
+        prepareSentTo.add(self);
+        StateId accepted = acceptor.state().id();
         VoterSet voters = acceptor.state().voters();
-        acceptor.promise(own, () -> promised(new AgreementMessage.Promise(self, own, accepted, voters), nowMs));
-        askMembers(voters);
+        acceptor.promise(own, () -> onPromise(new AgreementMessage.Promise(self, own, accepted, voters), nowMs));
+        sendPrepare(voters);
     }
 
-    private void askMembers(VoterSet voters) {
+    private void sendPrepare(VoterSet voters) {
         for (Voter member : voters.members()) {
-            if (asked.add(member)) {
+            if (prepareSentTo.add(member)) {
                 environment.send(member.address(), new AgreementMessage.Prepare(self, ballot));
             }
         }
     }
 
     /** Takes a promise. Those that are needed depend on the voters of the newest state that was accepted anywhere. */
-    void promised(AgreementMessage.Promise promise, double nowMs) {
+    void onPromise(AgreementMessage.Promise promise, double nowMs) {
         if (role != Role.PREPARING || !promise.ballot().equals(ballot)) {
             return;
         }
         promises.put(promise.from(), promise);
         AgreementMessage.Promise newest = newestPromise();
-        askMembers(newest.voters());
-        boolean own = acceptor.state().voters().isMajority(promises::containsKey);
-        if (!own || !newest.voters().isMajority(promises::containsKey)) {
+        sendPrepare(newest.voters());
+        boolean own = acceptor.state().voters().hasQuorum(promises::containsKey);
+        if (!own || !newest.voters().hasQuorum(promises::containsKey)) {
             return;
         }
-        if (newest.accepted().compareTo(acceptor.state().stamp()) <= 0) {
-            lead(nowMs, null);
+        if (newest.accepted().compareTo(acceptor.state().id()) <= 0) {
+            takeOver(nowMs, null);
         } else {
             role = Role.FETCHING;
-            beganAtMs = nowMs;
-            fetch.begin(newest.from(), acceptor.state().stamp(), nowMs);
+            electionStartedAtMs = nowMs;
+            fetch.begin(newest.from(), acceptor.state().id(), nowMs);
         }
     }
 
@@ -174,23 +174,23 @@
     }
 
     /** Takes what was fetched: the newest accepted state, from which this store goes on. */
-    void fetched(Pulled pulled, double nowMs) {
+    void onFetched(PulledState pulled, double nowMs) {
         if (role != Role.FETCHING) {
             return;
         }
         ControlState state = pulled.whole();
         if (state == null) {
             state = acceptor.state().copy();
-            for (Step step : pulled.steps()) {
-                if (!step.base().equals(state.stamp())) {
+            for (StateDelta step : pulled.deltas()) {
+                if (!step.base().equals(state.id())) {
                     stepDown();
                     return;
                 }
                 state.apply(step);
             }
         }
-        if (state.stamp().equals(newestPromise().accepted())) {
-            lead(nowMs, state);
+        if (state.id().equals(newestPromise().accepted())) {
+            takeOver(nowMs, state);
         } else {
             stepDown();
         }
@@ -201,40 +201,40 @@
     }
 
     /** Goes on from a state: from this store's own if none is given. */
-    private void lead(double nowMs, ControlState fetchedState) {
+    private void takeOver(double nowMs, ControlState fetchedState) {
         role = Role.LEADING;
         majorityAtMs = nowMs;
-        confirmation = 0;
+        confirmationNumber = 0;
         ControlState base = fetchedState == null ? acceptor.state() : fetchedState;
         rules.reset(base.items().stream().map(VersionedItem::item).toList());
-        Step step = new Step(base.stamp(), base.stamp().next(ballot), base.voters(), List.of());
+        StateDelta step = new StateDelta(base.id(), base.id().next(ballot), base.voters(), List.of());
         if (fetchedState == null) {
             propose(step, List.of(), nowMs);
             return;
         }
-        ControlState own = new ControlState(step.stamp(), base.voters(), base.items());
+        ControlState own = new ControlState(step.stateId(), base.voters(), base.items());
         proposal = new Proposal(step, List.of());
-        if (!acceptor.install(own, false, acceptedHere(step.stamp(), nowMs))) {
+        if (!acceptor.install(own, false, onAcceptedLocally(step.stateId(), nowMs))) {
             stepDown();
             return;
         }
-        view.installed(own);
+        view.reset(own);
         sendProposal(nowMs);
     }
 
-    private void propose(Step step, List<PendingAnswer> answers, double nowMs) {
+    private void propose(StateDelta step, List<PendingAnswer> answers, double nowMs) {
         proposal = new Proposal(step, answers);
-        Acceptor.Outcome outcome = acceptor.accept(step, acceptedHere(step.stamp(), nowMs));
+        Acceptor.Outcome outcome = acceptor.accept(step, onAcceptedLocally(step.stateId(), nowMs));
         if (outcome != Acceptor.Outcome.ACCEPTED) {
             stepDown();
             return;
         }
-        view.accepted(step);
+        view.addAccepted(step);
         sendProposal(nowMs);
     }
 
-    private Runnable acceptedHere(Stamp stamp, double nowMs) {
-        return () -> accepted(new AgreementMessage.Accepted(self, stamp), nowMs);
+    private Runnable onAcceptedLocally(StateId stamp, double nowMs) {
+        return () -> onAccepted(new AgreementMessage.Accepted(self, stamp), nowMs);
     }
 
     private void sendProposal(double nowMs) {
@@ -244,40 +244,42 @@
         }
         Proposal current = proposal;
         for (Voter member : acceptor.state().voters().members()) {
-            if (!member.equals(self) && !current.accepted.contains(member)) {
-                environment.send(member.address(), new AgreementMessage.Accept(self, current.step));
+            if (!member.equals(self) && !current.acceptedBy.contains(member)) {
+                environment.send(member.address(), new AgreementMessage.Accept(self, current.delta));
             }
         }
     }
 
     /** Counts a store that has accepted the proposed state. */
-    void accepted(AgreementMessage.Accepted message, double nowMs) {
-        if (proposal == null || role != Role.LEADING || !proposal.step.stamp().leadsTo(message.stamp())) {
+    void onAccepted(AgreementMessage.Accepted message, double nowMs) {
+        if (proposal == null
+                || role != Role.LEADING
+                || !proposal.delta.stateId().isAtOrBefore(message.stateId())) {
             return;
         }
-        proposal.accepted.add(message.from());
-        if (proposal.step.voters().isMajority(proposal.accepted::contains)) {
-            decided(nowMs);
+        proposal.acceptedBy.add(message.from());
+        if (proposal.delta.voters().hasQuorum(proposal.acceptedBy::contains)) {
+            onDecided(nowMs);
         }
     }
 
-    private void decided(double nowMs) {
+    private void onDecided(double nowMs) {
         Proposal done = proposal;
         proposal = null;
         ready = true;
         majorityAtMs = nowMs;
-        view.decide(done.step.stamp());
-        done.answers.forEach(pending -> pending.answer().run());
-        if (!done.step.voters().contains(self)) {
+        view.decide(done.delta.stateId());
+        done.answers.forEach(pending -> pending.onMajority().run());
+        if (!done.delta.voters().contains(self)) {
             // It was replaced, and has finished what it found: those that vote go on.
             stepDown();
         }
     }
 
     /** A higher ballot was promised: this store leads no more, and what it had under way is not known. */
-    void refused(AgreementMessage.Refused message) {
-        roundSeen(message.promised().round());
-        if (role != Role.FOLLOWING && message.asked().equals(ballot)) {
+    void onRefused(AgreementMessage.Refused message) {
+        observeRound(message.promised().round());
+        if (role != Role.FOLLOWING && message.refused().equals(ballot)) {
             stepDown();
         }
     }
@@ -286,7 +288,7 @@
     void stepDown() {
         role = Role.FOLLOWING;
         ready = false;
-        fetch.giveUp();
+        fetch.cancel();
         List<PendingAnswer> open = new ArrayList<>(unconfirmed);
         open.addAll(confirming);
         if (proposal != null) {
@@ -295,95 +297,95 @@
         proposal = null;
         unconfirmed.clear();
         confirming.clear();
-        List<PendingOrder> waiting = new ArrayList<>(orders);
-        orders.clear();
-        open.forEach(pending -> pending.unknown().run());
-        waiting.forEach(order -> order.callback().accept(OrderResult.UNKNOWN));
+        List<PendingChange> waiting = new ArrayList<>(pendingChanges);
+        pendingChanges.clear();
+        open.forEach(pending -> pending.onUnknown().run());
+        waiting.forEach(order -> order.callback().accept(ChangeResult.UNKNOWN));
     }
 
     /** Steps down if this store itself has promised a ballot of another one. */
-    void checkPromised() {
+    void stepDownIfOutbid() {
         if (role != Role.FOLLOWING && !acceptor.promised().equals(ballot)) {
             stepDown();
         }
     }
 
     /** Queues an order. */
-    void order(List<Item> items, double deadlineMs, Consumer<OrderResult> callback) {
-        orders.add(new PendingOrder(items, deadlineMs, callback));
+    void enqueueChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {
+        pendingChanges.add(new PendingChange(items, deadlineMs, callback));
     }
 
     /** Queues an answer that needs a majority to confirm that nobody else leads. */
-    void confirm(Runnable answer, Runnable unknown, double deadlineMs) {
+    void enqueueConfirmation(Runnable answer, Runnable unknown, double deadlineMs) {
         unconfirmed.add(new PendingAnswer(answer, unknown, deadlineMs));
     }
 
     /** Proposes other voters. */
     void proposeVoters(VoterSet next, double nowMs) {
-        Stamp base = acceptor.state().stamp();
-        propose(new Step(base, base.next(ballot), next, List.of()), List.of(), nowMs);
+        StateId base = acceptor.state().id();
+        propose(new StateDelta(base, base.next(ballot), next, List.of()), List.of(), nowMs);
     }
 
     /** Goes on with what waits. */
-    void serve(double nowMs) {
+    void proposePending(double nowMs) {
         if (!isLeading()) {
             return;
         }
-        if (proposal == null && !orders.isEmpty()) {
-            decideOrders(nowMs);
+        if (proposal == null && !pendingChanges.isEmpty()) {
+            proposePendingChanges(nowMs);
         }
         if (confirming.isEmpty() && !unconfirmed.isEmpty()) {
-            confirmation++;
+            confirmationNumber++;
             confirming.addAll(unconfirmed);
             unconfirmed.clear();
             confirmedBy.clear();
             sendConfirm();
-            confirmed(new AgreementMessage.Confirmed(self, ballot, confirmation), nowMs);
+            onConfirmed(new AgreementMessage.Confirmed(self, ballot, confirmationNumber), nowMs);
         }
     }
 
     /** Decides all orders that wait as one state: judged one after the other, confirmed together. */
-    private void decideOrders(double nowMs) {
-        OrderEvaluator evaluator = new OrderEvaluator(acceptor.state(), rules);
+    private void proposePendingChanges(double nowMs) {
+        ChangeEvaluator evaluator = new ChangeEvaluator(acceptor.state(), rules);
         List<PendingAnswer> answers = new ArrayList<>();
-        for (PendingOrder order : orders) {
-            OrderResult result = evaluator.take(order.items());
+        for (PendingChange order : pendingChanges) {
+            ChangeResult result = evaluator.evaluate(order.items());
             answers.add(new PendingAnswer(
                     () -> order.callback().accept(result),
-                    () -> order.callback().accept(OrderResult.UNKNOWN),
+                    () -> order.callback().accept(ChangeResult.UNKNOWN),
                     order.deadlineMs()));
         }
-        orders.clear();
-        Collection<VersionedItem> changed = evaluator.changed();
+        pendingChanges.clear();
+        Collection<VersionedItem> changed = evaluator.changedItems();
         if (changed.isEmpty()) {
             unconfirmed.addAll(answers);
             return;
         }
-        Stamp base = acceptor.state().stamp();
+        StateId base = acceptor.state().id();
         VoterSet voters = acceptor.state().voters();
-        propose(new Step(base, base.next(ballot), voters, new ArrayList<>(changed)), answers, nowMs);
+        propose(new StateDelta(base, base.next(ballot), voters, new ArrayList<>(changed)), answers, nowMs);
     }
 
     private void sendConfirm() {
         for (Voter member : acceptor.state().voters().members()) {
             if (!member.equals(self) && !confirmedBy.contains(member)) {
-                environment.send(member.address(), new AgreementMessage.Confirm(self, ballot, confirmation));
+                environment.send(member.address(), new AgreementMessage.Confirm(self, ballot, confirmationNumber));
             }
         }
     }
 
     /** Counts a store that has promised no higher ballot. */
-    void confirmed(AgreementMessage.Confirmed message, double nowMs) {
-        boolean current = message.ballot().equals(ballot) && message.number() == confirmation;
+    void onConfirmed(AgreementMessage.Confirmed message, double nowMs) {
+        boolean current = message.ballot().equals(ballot) && message.number() == confirmationNumber;
         if (role != Role.LEADING || !current || confirming.isEmpty()) {
             return;
         }
         confirmedBy.add(message.from());
-        if (acceptor.state().voters().isMajority(confirmedBy::contains)) {
+        if (acceptor.state().voters().hasQuorum(confirmedBy::contains)) {
             majorityAtMs = nowMs;
             List<PendingAnswer> answers = new ArrayList<>(confirming);
             confirming.clear();
-            answers.forEach(pending -> pending.answer().run());
+            answers.forEach(pending -> pending.onMajority().run());
         }
     }
 
@@ -392,31 +394,31 @@
         fetch.tick(nowMs);
         boolean starting = role == Role.PREPARING || role == Role.FETCHING;
         boolean waiting = proposal != null || !confirming.isEmpty();
-        if (starting && nowMs - beganAtMs > PREPARE_TIMEOUT_MS
+        if (starting && nowMs - electionStartedAtMs > ELECTION_TIMEOUT_MS
                 || role == Role.FETCHING && !fetch.isActive()
-                || role == Role.LEADING && waiting && nowMs - majorityAtMs > LOST_MAJORITY_MS) {
+                || role == Role.LEADING && waiting && nowMs - majorityAtMs > MAJORITY_LOSS_TIMEOUT_MS) {
             stepDown();
         }
         if (!waiting) {
             majorityAtMs = nowMs;
         }
-        if (nowMs - sentAtMs >= SEND_AGAIN_MS) {
-            sendAgain(nowMs);
+        if (nowMs - sentAtMs >= RETRANSMIT_INTERVAL_MS) {
+            retransmit(nowMs);
         }
         expire(nowMs);
     }
 
-    private void sendAgain(double nowMs) {
+    private void retransmit(double nowMs) {
         sentAtMs = nowMs;
         if (role == Role.PREPARING) {
-            for (Voter member : asked) {
+            for (Voter member : prepareSentTo) {
                 if (!member.equals(self) && !promises.containsKey(member)) {
                     environment.send(member.address(), new AgreementMessage.Prepare(self, ballot));
                 }
             }
         } else if (role == Role.LEADING) {
-            if (proposal != null && !proposal.accepted.contains(self)) {
-                acceptor.accept(proposal.step, acceptedHere(proposal.step.stamp(), nowMs));
+            if (proposal != null && !proposal.acceptedBy.contains(self)) {
+                acceptor.accept(proposal.delta, onAcceptedLocally(proposal.delta.stateId(), nowMs));
             }
             sendProposal(nowMs);
             if (!confirming.isEmpty()) {
@@ -427,12 +429,12 @@
 
     private void expire(double nowMs) {
         List<Runnable> late = new ArrayList<>();
-        orders.removeIf(order ->
-                order.deadlineMs() <= nowMs && late.add(() -> order.callback().accept(OrderResult.UNKNOWN)));
-        unconfirmed.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.unknown()));
-        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.unknown()));
+        pendingChanges.removeIf(order ->
+                order.deadlineMs() <= nowMs && late.add(() -> order.callback().accept(ChangeResult.UNKNOWN)));
+        unconfirmed.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
+        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
         if (proposal != null && !proposal.answers.isEmpty()) {
-            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.unknown()));
+            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
         }
         late.forEach(Runnable::run);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -17,12 +17,12 @@
     /** A store that was not heard for so long is not chosen as a voter, in milliseconds. */
     static final double FRESH_MS = 1_500;
     /** A store that was not heard for so long is forgotten, in milliseconds. */
-    private static final double FORGET_MS = 30_000;
+    private static final double RETENTION_MS = 30_000;
 
     private final Voter self;
     private final List<String> seeds;
-    private final Map<String, Heard> heard = new HashMap<>();
-    private final TreeSet<String> told = new TreeSet<>();
+    private final Map<String, Heard> lastHeard = new HashMap<>();
+    private final TreeSet<String> reportedAddresses = new TreeSet<>();
     private double startedAtMs;
 
     private record Heard(AgreementMessage.Status status, double atMs) {}
@@ -42,22 +42,22 @@
     }
 
     /** Takes what a store says of itself. */
-    void heard(AgreementMessage.Status status, double nowMs) {
-        heard.put(status.from().address(), new Heard(status, nowMs));
-        told.addAll(status.known());
+    void record(AgreementMessage.Status status, double nowMs) {
+        lastHeard.put(status.from().address(), new Heard(status, nowMs));
+        reportedAddresses.addAll(status.knownAddresses());
     }
 
     /** Forgets stores that were not heard for long. */
     void tick(double nowMs) {
-        if (heard.values().removeIf(entry -> nowMs - entry.atMs() > FORGET_MS)) {
-            told.retainAll(heard.keySet());
+        if (lastHeard.values().removeIf(entry -> nowMs - entry.atMs() > RETENTION_MS)) {
+            reportedAddresses.retainAll(lastHeard.keySet());
         }
     }
 
     /** The newest statuses of the stores that were heard within a time. */
-    Collection<AgreementMessage.Status> within(double boundMs, double nowMs) {
+    Collection<AgreementMessage.Status> recentStatuses(double boundMs, double nowMs) {
         List<AgreementMessage.Status> fresh = new ArrayList<>();
-        for (Heard entry : heard.values()) {
+        for (Heard entry : lastHeard.values()) {
             if (nowMs - entry.atMs() <= boundMs) {
                 fresh.add(entry.status());
             }
@@ -66,15 +66,15 @@
     }
 
     /** What a store said last, if it was heard within a time; else null. A lost disk is another store. */
-    AgreementMessage.Status of(Voter voter, double boundMs, double nowMs) {
-        Heard entry = heard.get(voter.address());
+    AgreementMessage.Status recentStatus(Voter voter, double boundMs, double nowMs) {
+        Heard entry = lastHeard.get(voter.address());
         boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= boundMs;
         return fresh ? entry.status() : null;
     }
 
     /** Whether a voter is gone: silent for long, about to end, or its machine has another disk now. */
     boolean isGone(Voter voter, double nowMs) {
-        Heard entry = heard.get(voter.address());
+        Heard entry = lastHeard.get(voter.address());
         if (entry == null) {
             return nowMs - startedAtMs > GONE_MS;
         }
@@ -85,19 +85,19 @@
     }
 
     /** Everybody to tell of this store's status. */
-    List<String> addresses(VoterSet accepted, VoterSet decided) {
+    List<String> statusRecipients(VoterSet accepted, VoterSet decided) {
         TreeSet<String> addresses = new TreeSet<>(seeds);
         addresses.addAll(accepted.addresses());
         addresses.addAll(decided.addresses());
-        addresses.addAll(heard.keySet());
-        addresses.addAll(told);
+        addresses.addAll(lastHeard.keySet());
+        addresses.addAll(reportedAddresses);
         addresses.remove(self.address());
         return List.copyOf(addresses);
     }
 
     /** The IP addresses of the stores heard lately. */
-    List<String> known(double nowMs) {
-        return within(GONE_MS, nowMs).stream()
+    List<String> knownAddresses(double nowMs) {
+        return recentStatuses(GONE_MS, nowMs).stream()
                 .map(status -> status.from().address())
                 .sorted()
                 .toList();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Pulled.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/PulledState.java
@@ -8,7 +8,7 @@
  *
  * @param source the store
  * @param decided the newest state that it knows to be decided
- * @param steps the steps that lead to its state, or empty if it sent the whole state
+ * @param deltas the steps that lead to its state, or empty if it sent the whole state
  * @param whole its whole state, or null if it sent steps
  */
-record Pulled(Voter source, Stamp decided, List<Step> steps, ControlState whole) {}
+record PulledState(Voter source, StateId decided, List<StateDelta> deltas, ControlState whole) {}
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/DiskWatch.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StalledDiskDetector.java
@@ -8,17 +8,17 @@
  * Sees whose disks write nothing more, as they are full or hang: what such a store has on disk stays the same while others
  * decide on. It can't accept anything, so it is no better than one that is gone.
  */
-final class DiskWatch {
+final class StalledDiskDetector {
 
     /** A disk that lags for so long without writing anything counts as stuck, in milliseconds. */
-    private static final double STUCK_MS = 2_500;
+    private static final double STALLED_AFTER_MS = 2_500;
 
     private final Map<Voter, Lag> lags = new HashMap<>();
 
-    private record Lag(Stamp onDisk, double sinceMs) {}
+    private record Lag(StateId onDisk, double sinceMs) {}
 
     /** A store has said what it has on disk, while so much is known to be decided. */
-    void seen(Voter store, Stamp onDisk, Stamp decided, double nowMs) {
+    void record(Voter store, StateId onDisk, StateId decided, double nowMs) {
         if (onDisk.compareTo(decided) >= 0) {
             lags.remove(store);
             return;
@@ -30,8 +30,8 @@
     }
 
     /** Whether a store's disk is stuck. */
-    boolean isStuck(Voter store, double nowMs) {
+    boolean isStalled(Voter store, double nowMs) {
         Lag lag = lags.get(store);
-        return lag != null && nowMs - lag.sinceMs() > STUCK_MS;
+        return lag != null && nowMs - lag.sinceMs() > STALLED_AFTER_MS;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Step.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateDelta.java
@@ -8,13 +8,13 @@
  * How a state differs from the one before it.
  *
  * @param base the state before
- * @param stamp the state after
+ * @param stateId the state after
  * @param voters the voters after
  * @param items the items that changed
  */
-public record Step(Stamp base, Stamp stamp, VoterSet voters, List<VersionedItem> items) {
+public record StateDelta(StateId base, StateId stateId, VoterSet voters, List<VersionedItem> items) {
 
-    public Step {
+    public StateDelta {
         items = List.copyOf(items);
     }
 
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Stamp.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateId.java
@@ -8,31 +8,31 @@
  * @param ballot the ballot under which the state was proposed
  * @param revision how many states came before it; 0 for the first
  */
-public record Stamp(Ballot ballot, long revision) implements Comparable<Stamp> {
+public record StateId(Ballot ballot, long revision) implements Comparable<StateId> {
 
     /** Lower than all stamps: no state. */
-    public static final Stamp NONE = new Stamp(Ballot.NONE, -1);
+    public static final StateId NONE = new StateId(Ballot.NONE, -1);
 
-    private static final Comparator<Stamp> ORDER =
-            Comparator.comparing(Stamp::ballot).thenComparingLong(Stamp::revision);
+    private static final Comparator<StateId> ORDER =
+            Comparator.comparing(StateId::ballot).thenComparingLong(StateId::revision);
 
     @Override
-    public int compareTo(Stamp other) {
+    public int compareTo(StateId other) {
         return ORDER.compare(this, other);
     }
 
     /** The stamp of the state that a ballot makes out of this one. */
-    public Stamp next(Ballot under) {
-        return new Stamp(under, revision + 1);
+    public StateId next(Ballot under) {
+        return new StateId(under, revision + 1);
     }
 
     /** The later one of two. */
-    public static Stamp max(Stamp one, Stamp other) {
+    public static StateId max(StateId one, StateId other) {
         return one.compareTo(other) >= 0 ? one : other;
     }
 
     /** Whether a state with this stamp is the other one or came before it under the same ballot. */
-    public boolean leadsTo(Stamp other) {
+    public boolean isAtOrBefore(StateId other) {
         return ballot.equals(other.ballot) && revision <= other.revision;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
@@ -10,31 +10,31 @@
 final class StatePull {
 
     /** A page that did not come is asked for again after so long, in milliseconds. */
-    private static final double ASK_AGAIN_MS = 300;
+    private static final double RETRY_INTERVAL_MS = 300;
     /** A transfer that brings nothing for so long is given up, in milliseconds. */
-    private static final double GIVE_UP_MS = 1_500;
+    private static final double STALL_TIMEOUT_MS = 1_500;
 
     private final Voter self;
-    private final String lifeId;
+    private final String transferIdPrefix;
     private final AgreementEnvironment environment;
     private final List<VersionedItem> items = new ArrayList<>();
-    private long transfers;
+    private long transferCount;
     private Voter source;
-    private String transfer;
-    private Stamp have;
-    private Stamp stamp;
+    private String transferId;
+    private StateId heldStateId;
+    private StateId stateId;
     private int page;
-    private double askedAtMs;
-    private double cameAtMs;
+    private double requestedAtMs;
+    private double lastReceivedAtMs;
 
     /**
      * A pull without a transfer under way.
      *
-     * @param lifeId names this life and this user of transfers, so that answers to earlier ones are not taken
+     * @param transferIdPrefix names this life and this user of transfers, so that answers to earlier ones are not taken
      */
     StatePull(Voter self, String lifeId, AgreementEnvironment environment) {
         this.self = self;
-        this.lifeId = lifeId;
+        this.transferIdPrefix = lifeId;
         this.environment = environment;
     }
 
@@ -48,28 +48,28 @@
     }
 
     /** Begins a transfer; one that is under way is given up. */
-    void begin(Voter from, Stamp held, double nowMs) {
+    void begin(Voter from, StateId held, double nowMs) {
         source = from;
-        have = held;
-        transfer = lifeId + "-" + ++transfers;
+        heldStateId = held;
+        transferId = transferIdPrefix + "-" + ++transferCount;
         restart();
-        cameAtMs = nowMs;
-        ask(nowMs);
+        lastReceivedAtMs = nowMs;
+        requestPage(nowMs);
     }
 
-    void giveUp() {
+    void cancel() {
         source = null;
     }
 
     private void restart() {
         page = 0;
-        stamp = null;
+        stateId = null;
         items.clear();
     }
 
-    private void ask(double nowMs) {
-        askedAtMs = nowMs;
-        environment.send(source.address(), new AgreementMessage.Pull(self, transfer, have, page));
+    private void requestPage(double nowMs) {
+        requestedAtMs = nowMs;
+        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, page));
     }
 
     /** Asks again for what did not come, or gives up. */
@@ -77,50 +77,50 @@
         if (!isActive()) {
             return;
         }
-        if (nowMs - cameAtMs > GIVE_UP_MS) {
-            giveUp();
-        } else if (nowMs - askedAtMs > ASK_AGAIN_MS) {
-            ask(nowMs);
+        if (nowMs - lastReceivedAtMs > STALL_TIMEOUT_MS) {
+            cancel();
+        } else if (nowMs - requestedAtMs > RETRY_INTERVAL_MS) {
+            requestPage(nowMs);
         }
     }
 
     private boolean isExpected(Voter from, String name) {
-        return isActive() && source.equals(from) && transfer.equals(name);
+        return isActive() && source.equals(from) && transferId.equals(name);
     }
 
     /** Takes a difference. Returns what was pulled if it is of the transfer under way. */
-    Optional<Pulled> take(AgreementMessage.Difference difference) {
-        if (!isExpected(difference.from(), difference.transfer())) {
+    Optional<PulledState> receive(AgreementMessage.Difference difference) {
+        if (!isExpected(difference.from(), difference.transferId())) {
             return Optional.empty();
         }
-        giveUp();
-        return Optional.of(new Pulled(difference.from(), difference.decided(), difference.steps(), null));
+        cancel();
+        return Optional.of(new PulledState(difference.from(), difference.decided(), difference.deltas(), null));
     }
 
     /** Takes a page. Returns what was pulled once all pages are there and match their digest. */
-    Optional<Pulled> take(AgreementMessage.Page received, double nowMs) {
-        if (!isExpected(received.from(), received.transfer())) {
+    Optional<PulledState> receive(AgreementMessage.Page received, double nowMs) {
+        if (!isExpected(received.from(), received.transferId())) {
             return Optional.empty();
         }
-        if (stamp != null && !received.stamp().equals(stamp)) {
+        if (stateId != null && !received.stateId().equals(stateId)) {
             restart();
         }
         if (received.page() != page) {
             return Optional.empty();
         }
-        cameAtMs = nowMs;
-        stamp = received.stamp();
+        lastReceivedAtMs = nowMs;
+        stateId = received.stateId();
         items.addAll(received.items());
         page++;
-        if (page < received.pages()) {
-            ask(nowMs);
+        if (page < received.pageCount()) {
+            requestPage(nowMs);
             return Optional.empty();
         }
-        ControlState whole = new ControlState(received.stamp(), received.voters(), items);
-        giveUp();
+        ControlState whole = new ControlState(received.stateId(), received.voters(), items);
+        cancel();
         boolean intact = whole.digest() == received.digest();
         return intact
-                ? Optional.of(new Pulled(received.from(), received.decided(), List.of(), whole))
+                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), whole))
                 : Optional.empty();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
@@ -14,11 +14,11 @@
     /** A page ends once its items have so many characters. */
     private static final long PAGE_CHARACTERS = 128 << 10;
     /** A difference of more characters is not sent; the snapshot's pages are. */
-    private static final long DIFFERENCE_CHARACTERS = 512 << 10;
+    private static final long MAX_DIFFERENCE_CHARACTERS = 512 << 10;
     /** For how long a snapshot is kept after its last page was asked for, in milliseconds. */
-    private static final double KEPT_MS = 5_000;
+    private static final double SNAPSHOT_RETENTION_MS = 5_000;
 
-    private static final int KEPT_SNAPSHOTS = 8;
+    private static final int MAX_SNAPSHOTS = 8;
 
     private final Voter self;
     private final Acceptor acceptor;
@@ -27,14 +27,14 @@
 
     private static final class Snapshot {
 
-        private final Stamp stamp;
+        private final StateId stateId;
         private final VoterSet voters;
         private final long digest;
         private final List<List<VersionedItem>> pages;
-        private double askedAtMs;
+        private double requestedAtMs;
 
         Snapshot(ControlState state) {
-            stamp = state.stamp();
+            stateId = state.id();
             voters = state.voters();
             digest = state.digest();
             pages = pagesOf(state);
@@ -49,43 +49,44 @@
 
     /** The answer to a store that asks. */
     AgreementMessage answer(AgreementMessage.Pull pull, double nowMs) {
-        Snapshot kept = snapshots.get(pull.transfer());
+        Snapshot kept = snapshots.get(pull.transferId());
         if (kept == null) {
-            List<Step> steps = difference(pull.have());
+            List<StateDelta> steps = missingDeltas(pull.heldStateId());
             if (steps != null) {
-                return new AgreementMessage.Difference(self, pull.transfer(), view.decided(), steps);
+                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), steps);
             }
             kept = new Snapshot(acceptor.state());
-            snapshots.put(pull.transfer(), kept);
+            snapshots.put(pull.transferId(), kept);
         }
-        kept.askedAtMs = nowMs;
+        kept.requestedAtMs = nowMs;
         int page = Math.min(pull.page(), kept.pages.size() - 1);
         return new AgreementMessage.Page(
                 self,
-                pull.transfer(),
+                pull.transferId(),
                 view.decided(),
                 page,
                 kept.pages.size(),
-                kept.stamp,
+                kept.stateId,
                 kept.voters,
                 kept.pages.get(page),
                 kept.digest);
     }
 
-    private List<Step> difference(Stamp have) {
-        if (have.equals(acceptor.state().stamp())) {
+    private List<StateDelta> missingDeltas(StateId have) {
+        if (have.equals(acceptor.state().id())) {
             return List.of();
         }
-        List<Step> steps = view.stepsFrom(have);
-        long characters =
-                steps == null ? 0 : steps.stream().mapToLong(Step::characters).sum();
-        return characters > DIFFERENCE_CHARACTERS ? null : steps;
+        List<StateDelta> steps = view.deltasFrom(have);
+        long characters = steps == null
+                ? 0
+                : steps.stream().mapToLong(StateDelta::characters).sum();
+        return characters > MAX_DIFFERENCE_CHARACTERS ? null : steps;
     }
 
     /** Forgets snapshots that nobody asks for any more. */
     void tick(double nowMs) {
-        snapshots.values().removeIf(snapshot -> nowMs - snapshot.askedAtMs > KEPT_MS);
-        while (snapshots.size() > KEPT_SNAPSHOTS) {
+        snapshots.values().removeIf(snapshot -> nowMs - snapshot.requestedAtMs > SNAPSHOT_RETENTION_MS);
+        while (snapshots.size() > MAX_SNAPSHOTS) {
             snapshots.remove(snapshots.keySet().iterator().next());
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlan.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlanner.java
@@ -13,24 +13,24 @@
  * Who should vote. A voter that is gone gives way to a store that follows already; there are as many voters as the losses
  * that are tolerated need, an odd number, spread over the zones.
  */
-final class VoterPlan {
+final class VoterPlanner {
 
     /** There are no fewer voters where there are as many stores. */
-    private static final int LEAST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     private final Peers peers;
-    private final DiskWatch disks;
-    private final int wanted;
+    private final StalledDiskDetector stalledDisks;
+    private final int targetSize;
 
     /**
      * A plan.
      *
      * @param toleratedLosses how many counted machines may be lost at once
      */
-    VoterPlan(Peers peers, DiskWatch disks, int toleratedLosses) {
+    VoterPlanner(Peers peers, StalledDiskDetector disks, int toleratedLosses) {
         this.peers = peers;
-        this.disks = disks;
-        this.wanted = Math.max(LEAST_VOTERS, 2 * toleratedLosses + 1);
+        this.stalledDisks = disks;
+        this.targetSize = Math.max(MIN_VOTERS, 2 * toleratedLosses + 1);
     }
 
     /**
@@ -39,11 +39,11 @@
      * @param own what this store says of itself
      * @return the voters, or nothing if the present ones, or the change that is under way, will do
      */
-    Optional<List<Voter>> next(VoterSet current, AgreementMessage.Status own, double nowMs) {
-        if (current.isJoint() && current.newcomers().stream().noneMatch(voter -> isGone(voter, own, nowMs))) {
+    Optional<List<Voter>> nextVoters(VoterSet current, AgreementMessage.Status own, double nowMs) {
+        if (current.isJoint() && current.addedVoters().stream().noneMatch(voter -> isGone(voter, own, nowMs))) {
             return Optional.empty();
         }
-        List<Voter> standing = current.standing();
+        List<Voter> standing = current.baseVoters();
         List<AgreementMessage.Status> candidates = candidates(standing, own, nowMs);
         Map<Voter, String> zones = zones(own, nowMs);
         List<Voter> next = new ArrayList<>();
@@ -61,7 +61,7 @@
                 lost--;
             }
         }
-        int grown = Math.min(wanted, next.size() + candidates.size());
+        int grown = Math.min(targetSize, next.size() + candidates.size());
         fill(next, grown % 2 == 1 || grown <= next.size() ? grown : grown - 1, candidates, zones);
         boolean same = lost == 0 && next.size() == standing.size();
         return same && !current.isJoint() ? Optional.empty() : Optional.of(List.copyOf(next));
@@ -88,7 +88,7 @@
     private Map<Voter, String> zones(AgreementMessage.Status own, double nowMs) {
         Map<Voter, String> zones = new HashMap<>();
         zones.put(own.from(), own.zone());
-        for (AgreementMessage.Status status : peers.within(Double.MAX_VALUE, nowMs)) {
+        for (AgreementMessage.Status status : peers.recentStatuses(Double.MAX_VALUE, nowMs)) {
             zones.put(status.from(), status.zone());
         }
         return zones;
@@ -96,10 +96,10 @@
 
     private List<AgreementMessage.Status> candidates(List<Voter> standing, AgreementMessage.Status own, double nowMs) {
         List<AgreementMessage.Status> candidates = new ArrayList<>();
-        List<AgreementMessage.Status> all = new ArrayList<>(peers.within(Peers.FRESH_MS, nowMs));
+        List<AgreementMessage.Status> all = new ArrayList<>(peers.recentStatuses(Peers.FRESH_MS, nowMs));
         all.add(own);
         for (AgreementMessage.Status status : all) {
-            boolean able = status.eligible() && !status.leaving() && !disks.isStuck(status.from(), nowMs);
+            boolean able = status.eligible() && !status.leaving() && !stalledDisks.isStalled(status.from(), nowMs);
             if (able && !standing.contains(status.from())) {
                 candidates.add(status);
             }
@@ -109,12 +109,12 @@
 
     /** Whether another store could take this one's place. */
     boolean hasCandidate(VoterSet current, AgreementMessage.Status own, double nowMs) {
-        return candidates(current.standing(), own, nowMs).stream()
+        return candidates(current.baseVoters(), own, nowMs).stream()
                 .anyMatch(status -> !status.from().equals(own.from()));
     }
 
     private boolean isGone(Voter voter, AgreementMessage.Status own, double nowMs) {
-        if (disks.isStuck(voter, nowMs)) {
+        if (stalledDisks.isStalled(voter, nowMs)) {
             return true;
         }
         return voter.equals(own.from()) ? own.leaving() : peers.isGone(voter, nowMs);
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Item.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Item.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether this version removes the item. */
-    public boolean isDrop() {
+    public boolean isTombstone() {
         return content == null;
     }
 
@@ -30,7 +30,7 @@
 
     /** A 64-bit digest (FNV-1a) of what this version sets, or that it drops the item; the same in every process. */
     public long contentDigest() {
-        if (isDrop()) {
+        if (isTombstone()) {
             return 0;
         }
         long hash = DIGEST_BASIS;
--- a/cdn-core/src/main/java/ridgemill/cdn/config/ItemSet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/ItemSet.java
@@ -64,7 +64,7 @@
             hash = Checksum.mix(hash, item.name().name().hashCode());
             hash = Checksum.mix(hash, item.version());
             hash = Checksum.mix(
-                    hash, item.isDrop() ? 0 : 1 + (long) item.content().hashCode());
+                    hash, item.isTombstone() ? 0 : 1 + (long) item.content().hashCode());
         }
         return hash;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/config/RouteKind.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/RouteKind.java
@@ -23,7 +23,7 @@
     }
 
     /** Whether a request of this kind may be sent again although an earlier attempt may have run. */
-    public boolean isRepeatable() {
+    public boolean isRetryable() {
         return this == CACHEABLE || this == IDEMPOTENT;
     }
 
--- a/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
@@ -14,15 +14,15 @@
 
     private final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
     private final Map<String, Service> services = new HashMap<>();
-    private final Set<String> servicesWithObjects = new HashSet<>();
-    private final Set<String> servicesWithOthers = new HashSet<>();
+    private final Set<String> cacheableServices = new HashSet<>();
+    private final Set<String> uncacheableServices = new HashSet<>();
     private final Limits limits;
 
     public RoutingTable(Collection<Route> routes, Collection<Service> services, Limits limits) {
         for (Route route : routes) {
             Map<String, Route> byPrefix = routesByHost.computeIfAbsent(route.hostname(), host -> new HashMap<>());
             byPrefix.merge(route.pathPrefix(), route, RoutingTable::newer);
-            Set<String> kind = route.kind() == RouteKind.CACHEABLE ? servicesWithObjects : servicesWithOthers;
+            Set<String> kind = route.kind() == RouteKind.CACHEABLE ? cacheableServices : uncacheableServices;
             route.destinations().forEach(destination -> kind.add(destination.service()));
         }
         for (Service service : services) {
@@ -65,13 +65,13 @@
     }
 
     /** Whether a route leads there whose answers may be cached. */
-    public boolean hasObjects(String service) {
-        return servicesWithObjects.contains(service);
+    public boolean hasCacheableRoute(String service) {
+        return cacheableServices.contains(service);
     }
 
     /** Whether a route leads there whose answers may not be cached. */
-    public boolean hasOthers(String service) {
-        return servicesWithOthers.contains(service);
+    public boolean hasUncacheableRoute(String service) {
+        return uncacheableServices.contains(service);
     }
 
     /** All services. */
--- a/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
@@ -9,12 +9,12 @@
  * confirmed under a number that was used.
  *
  * @param item the newest version
- * @param past lower versions that were confirmed, in order, {@value #KEPT} at most: the highest ones are kept
+ * @param past lower versions that were confirmed, in order, {@value #MAX_PAST_VERSIONS} at most: the highest ones are kept
  */
 public record VersionedItem(Item item, List<PastVersion> past) {
 
     /** How many lower versions of an item are remembered. */
-    public static final int KEPT = 16;
+    public static final int MAX_PAST_VERSIONS = 16;
 
     public VersionedItem {
         past = List.copyOf(past);
@@ -26,12 +26,12 @@
     }
 
     /** This item after a newer version has taken its place. */
-    public VersionedItem overtakenBy(Item newer) {
+    public VersionedItem supersededBy(Item newer) {
         return new VersionedItem(newer, withPast(new PastVersion(item.version(), item.contentDigest())));
     }
 
     /** This item after a lower version, which changes nothing, was confirmed. */
-    public VersionedItem confirming(Item lower) {
+    public VersionedItem withConfirmed(Item lower) {
         return new VersionedItem(item, withPast(new PastVersion(lower.version(), lower.contentDigest())));
     }
 
@@ -39,7 +39,7 @@
         List<PastVersion> all = new ArrayList<>(past);
         all.add(added);
         all.sort(Comparator.comparingLong(PastVersion::version));
-        return all.size() <= KEPT ? all : all.subList(all.size() - KEPT, all.size());
+        return all.size() <= MAX_PAST_VERSIONS ? all : all.subList(all.size() - MAX_PAST_VERSIONS, all.size());
     }
 
     /** Whether a version was confirmed with other content. */
@@ -56,11 +56,13 @@
     }
 
     /** Whether nothing has to be remembered to confirm a version: it is held, or known, or too low to be remembered. */
-    public boolean remembers(Item other) {
+    public boolean hasRecorded(Item other) {
         if (other.version() == item.version()) {
             return true;
         }
         boolean known = past.stream().anyMatch(version -> version.version() == other.version());
-        return known || past.size() >= KEPT && other.version() < past.get(0).version();
+        return known
+                || past.size() >= MAX_PAST_VERSIONS
+                        && other.version() < past.get(0).version();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/Verdict.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package ridgemill.cdn.edge;
 
 /** How an attempt at an instance ended, and with it whether the request may have run there. */
-public enum Verdict {
+public enum AttemptOutcome {
     /** A whole answer came that does not say the request was turned away. */
     ANSWERED(true),
     /** The instance says that it has not run the request. */
@@ -23,7 +23,7 @@
 
     private final boolean mayHaveRun;
 
-    Verdict(boolean mayHaveRun) {
+    AttemptOutcome(boolean mayHaveRun) {
         this.mayHaveRun = mayHaveRun;
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Whether the connection is what failed. */
-    public boolean brokeConnection() {
+    public boolean isConnectionFailure() {
         return this == CONNECT_FAILED || this == NEVER_WRITTEN || this == RESET;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ByteRange.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ByteRange.java
@@ -9,7 +9,7 @@
 public record ByteRange(long first, long last) {
 
     private static final String UNIT = "bytes=";
-    private static final int MOST_DIGITS = 18;
+    private static final int MAX_DIGITS = 18;
 
     /** Reads a Range header; null if it is absent, malformed or asks for something else, which is then ignored. */
     public static ByteRange parse(String header) {
@@ -27,16 +27,16 @@
     }
 
     /** Whether an object of this length has the first byte. */
-    public boolean isWithin(long length) {
+    public boolean isSatisfiable(long length) {
         return first < length;
     }
 
     /** The last byte in an object of this length. */
-    public long lastWithin(long length) {
+    public long lastByteWithin(long length) {
         return Math.min(last, length - 1);
     }
 
     private static long number(String text) {
-        return Digits.parse(text, MOST_DIGITS);
+        return Digits.parse(text, MAX_DIGITS);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/CachedObject.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/CachedObject.java
@@ -12,7 +12,7 @@
  * @param body its bytes
  * @param fetchStartedMs when the fetch from an instance that brought or confirmed it began, in milliseconds; its age counts
  *     from there
- * @param checkedMs from when on this process has to have heard of all purges of it: when it asked for it, also where the
+ * @param purgeCoverageSinceMs from when on this process has to have heard of all purges of it: when it asked for it, also where the
  *     answer was a copy of another process that had heard of all before, in milliseconds
  */
 public record CachedObject(
@@ -22,7 +22,7 @@
         List<String> tags,
         byte[] body,
         double fetchStartedMs,
-        double checkedMs) {
+        double purgeCoverageSinceMs) {
 
     /** A copy that this process fetched from an instance itself. */
     public CachedObject(
@@ -31,15 +31,15 @@
     }
 
     /** What a copy costs besides its body, in bytes, roughly. */
-    private static final int OVERHEAD = 1_024;
+    private static final int OVERHEAD_BYTES = 1_024;
     /** The part of the time that a copy is kept for after which it may be fetched anew. */
-    private static final double AHEAD_PART = 0.85;
+    private static final double REFRESH_AFTER_FRACTION = 0.85;
     /** Uses of a copy from which on it is asked for often: more than one is due in the part that is left. */
-    private static final int OFTEN = 8;
+    private static final int MIN_USES_FOR_REFRESH = 8;
 
     /** The memory it takes, in bytes, roughly. */
-    public long size() {
-        return OVERHEAD + body.length;
+    public long sizeBytes() {
+        return OVERHEAD_BYTES + body.length;
     }
 
     /** Whether it may be given out at this time on a route that keeps copies so long. */
@@ -53,17 +53,17 @@
      *
      * @param uses how often it was given out since it was fetched
      */
-    public boolean isDueAhead(double nowMs, long cacheTtlMs, int uses) {
-        return uses >= OFTEN && nowMs - fetchStartedMs >= AHEAD_PART * cacheTtlMs;
+    public boolean isDueForRefresh(double nowMs, long cacheTtlMs, int uses) {
+        return uses >= MIN_USES_FOR_REFRESH && nowMs - fetchStartedMs >= REFRESH_AFTER_FRACTION * cacheTtlMs;
     }
 
     /** The same copy after a fetch from an instance that began then found it unchanged. */
-    public CachedObject confirmed(double startedMs) {
-        return confirmed(startedMs, startedMs);
+    public CachedObject revalidated(double startedMs) {
+        return revalidated(startedMs, startedMs);
     }
 
     /** The same copy after it was found unchanged, see the parameters of the copy. */
-    public CachedObject confirmed(double startedMs, double checkMs) {
+    public CachedObject revalidated(double startedMs, double checkMs) {
         return new CachedObject(key, headers, etag, tags, body, startedMs, checkMs);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
@@ -17,7 +17,7 @@
         while (start <= header.length()) {
             int comma = header.indexOf(',', start);
             int end = comma < 0 ? header.length() : comma;
-            if (strong(header.substring(start, end).trim()).equals(strong(etag))) {
+            if (opaqueTag(header.substring(start, end).trim()).equals(opaqueTag(etag))) {
                 return true;
             }
             start = end + 1;
@@ -25,7 +25,7 @@
         return false;
     }
 
-    private static String strong(String tag) {
+    private static String opaqueTag(String tag) {
         return tag.startsWith("W/") ? tag.substring(2) : tag;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -12,7 +12,7 @@
 public final class InstancePicker {
 
     /** One of so many instances may be left alone at once. */
-    private static final int SPARED_PART = 2;
+    private static final int MIN_INSTANCES_PER_EJECTION = 2;
 
     /** What a pick came to. */
     public sealed interface Pick {
@@ -21,16 +21,16 @@
         record Chosen(InstanceStats instance) implements Pick {}
 
         /** All that could run it hold as many requests as they should. */
-        record Crowded() implements Pick {}
+        record Saturated() implements Pick {}
 
         /** There is none left to try. */
         record None() implements Pick {}
     }
 
-    private static final Pick CROWDED = new Pick.Crowded();
+    private static final Pick SATURATED = new Pick.Saturated();
     private static final Pick NONE = new Pick.None();
 
-    private final boolean two;
+    private final boolean twoCandidates;
     private List<InstanceStats> instances = List.of();
 
     /** Picks the one with fewer requests of the two best. */
@@ -39,14 +39,14 @@
     }
 
     private InstancePicker(boolean two) {
-        this.two = two;
+        this.twoCandidates = two;
     }
 
     /**
      * Picks the best one always, whatever its speed, so that each key has one place for all that pick, as long as that
      * place can take it.
      */
-    public static InstancePicker ofOne() {
+    public static InstancePicker singleCandidate() {
         return new InstancePicker(false);
     }
 
@@ -70,7 +70,7 @@
         boolean anyUsable = false;
         boolean anyLeft = false;
         for (InstanceStats instance : instances) {
-            boolean left = !tried.contains(instance) && !instance.isGone(nowMs);
+            boolean left = !tried.contains(instance) && !instance.isReplaced(nowMs);
             anyLeft |= left;
             anyUsable |= left && instance.isUsable(nowMs);
         }
@@ -82,12 +82,12 @@
         if (best == null) {
             best = best(nowMs, key, tried, false, !anyUsable);
         }
-        return best == null ? CROWDED : new Pick.Chosen(best);
+        return best == null ? SATURATED : new Pick.Chosen(best);
     }
 
     private InstanceStats best(
             double nowMs, long key, Collection<InstanceStats> tried, boolean local, boolean anyHealth) {
-        double meanMs = meanMs();
+        double meanMs = meanLatencyMs();
         long mixed = RendezvousHash.mix(key);
         InstanceStats first = null;
         InstanceStats second = null;
@@ -96,11 +96,11 @@
         for (InstanceStats instance : instances) {
             boolean fit = instance.isLocal() == local
                     && (anyHealth || instance.isUsable(nowMs))
-                    && instance.isOpen(nowMs)
-                    && !instance.isGone(nowMs)
+                    && instance.hasCapacity(nowMs)
+                    && !instance.isReplaced(nowMs)
                     && !tried.contains(instance);
-            double share = two && fit ? instance.share(nowMs, meanMs) : 1;
-            double score = fit ? -share / Math.log(instance.draw(mixed)) : 0;
+            double share = twoCandidates && fit ? instance.weight(nowMs, meanMs) : 1;
+            double score = fit ? -share / Math.log(instance.rendezvousDraw(mixed)) : 0;
             if (fit && score > firstScore) {
                 second = first;
                 secondScore = firstScore;
@@ -111,15 +111,15 @@
                 secondScore = score;
             }
         }
-        return two && second != null && second.load(nowMs) < first.load(nowMs) ? second : first;
+        return twoCandidates && second != null && second.load(nowMs) < first.load(nowMs) ? second : first;
     }
 
-    private double meanMs() {
+    private double meanLatencyMs() {
         double sum = 0;
         int known = 0;
         for (InstanceStats instance : instances) {
-            if (!Double.isNaN(instance.usualMs())) {
-                sum += instance.usualMs();
+            if (!Double.isNaN(instance.meanLatencyMs())) {
+                sum += instance.meanLatencyMs();
                 known++;
             }
         }
@@ -127,19 +127,19 @@
     }
 
     /** Whether one more instance may be left alone without the others being overrun. */
-    public boolean maySpare(double nowMs) {
+    public boolean mayEject(double nowMs) {
         int spared = 0;
         for (InstanceStats instance : instances) {
             spared += instance.isUsable(nowMs) ? 0 : 1;
         }
-        return SPARED_PART * (spared + 1) <= instances.size();
+        return MIN_INSTANCES_PER_EJECTION * (spared + 1) <= instances.size();
     }
 
     /** Whether connections broke lately at most instances; what breaks at a few alone is not the service's load. */
-    public boolean isBreakingWidely(double nowMs, double withinMs) {
+    public boolean hasWidespreadConnectionFailures(double nowMs, double withinMs) {
         int broken = 0;
         for (InstanceStats instance : instances) {
-            broken += nowMs - instance.lastBrokenMs() <= withinMs ? 1 : 0;
+            broken += nowMs - instance.lastConnectionFailureMs() <= withinMs ? 1 : 0;
         }
         return 2 * broken > instances.size();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -7,45 +7,45 @@
 public final class InstanceStats {
 
     /** Failures in a row before an instance is spared, and for how long, doubling up to the last. */
-    static final double STRIKES = 2;
+    static final double FAILURES_BEFORE_EJECTION = 2;
 
-    static final double SPARE_MS = 500;
-    static final double SPARE_MOST_MS = 4_000;
+    static final double EJECTION_MS = 500;
+    static final double MAX_EJECTION_MS = 4_000;
     /** How long an instance is left alone after another one answered at its address. */
-    static final double MISDIRECTED_MS = 5_000;
+    static final double REPLACED_MS = 5_000;
     /** How long an instance that turned a request away is taken to be full: about until a slot is free again. */
     private static final double FULL_MS = 50;
 
-    private static final double SMOOTH = 0.1;
+    private static final double SMOOTHING = 0.1;
     /** A running share of spoilt answers beyond this spares an instance though it answers. */
-    private static final double SPOILING = 0.35;
+    private static final double MAX_ERROR_RATE = 0.35;
     /** How long a told load counts. */
-    private static final double LOAD_MS = 250;
+    private static final double LOAD_VALIDITY_MS = 250;
     /** What a cold instance gets of its share at its start. */
-    private static final double COLD_SHARE = 0.35;
+    private static final double COLD_WEIGHT = 0.35;
 
-    private static final double SLOWEST_SHARE = 0.2;
+    private static final double MIN_LATENCY_WEIGHT = 0.2;
     /** Requests beyond its slots that an instance is sent. */
-    private static final int QUEUE = 1;
+    private static final int QUEUE_SLOTS = 1;
 
     private final long hash;
     private Instance instance;
     private boolean local;
-    private int places;
+    private int maxInFlight;
     private int inFlight;
-    private double strikes;
-    private double spoilt;
+    private double consecutiveFailures;
+    private double errorRate;
     private int ejections;
-    private double sparedUntilMs;
-    private double goneUntilMs;
+    private double ejectedUntilMs;
+    private double replacedUntilMs;
     private double fullUntilMs;
-    private double lastBrokenMs = Double.NEGATIVE_INFINITY;
+    private double lastConnectionFailureMs = Double.NEGATIVE_INFINITY;
     private boolean onTrial;
-    private double usualMs = Double.NaN;
-    private double deviationMs;
-    private double loadToldMs = Double.NEGATIVE_INFINITY;
-    private int toldBusy;
-    private int toldSlots;
+    private double meanLatencyMs = Double.NaN;
+    private double latencyDeviationMs;
+    private double loadReportedAtMs = Double.NEGATIVE_INFINITY;
+    private int reportedBusy;
+    private int reportedSlots;
 
     public InstanceStats(Instance instance) {
         this.instance = instance;
@@ -58,10 +58,10 @@
      * @param inOwnRegion whether it is in this proxy's region
      * @param connections how many connections this proxy may have there
      */
-    public void learn(Instance told, boolean inOwnRegion, int connections) {
+    public void update(Instance told, boolean inOwnRegion, int connections) {
         instance = told;
         local = inOwnRegion;
-        places = Math.max(1, Math.min(connections, told.slots() + QUEUE));
+        maxInFlight = Math.max(1, Math.min(connections, told.slots() + QUEUE_SLOTS));
     }
 
     /** The instance as the control plane last described it. */
@@ -75,8 +75,8 @@
     }
 
     /** How many requests it may be sent at once. */
-    public int places() {
-        return places;
+    public int maxInFlight() {
+        return maxInFlight;
     }
 
     /** This proxy's requests there that have not ended. */
@@ -86,69 +86,73 @@
 
     /** Whether it has not failed so recently that it is left alone. */
     public boolean isUsable(double nowMs) {
-        return nowMs >= sparedUntilMs && (!onTrial || inFlight == 0);
+        return nowMs >= ejectedUntilMs && (!onTrial || inFlight == 0);
     }
 
     /** Whether another instance answered at its address lately. */
-    public boolean isGone(double nowMs) {
-        return nowMs < goneUntilMs;
+    public boolean isReplaced(double nowMs) {
+        return nowMs < replacedUntilMs;
     }
 
     /** Whether it may take one more request of this proxy now. */
-    public boolean isOpen(double nowMs) {
-        if (inFlight >= places || nowMs < fullUntilMs) {
+    public boolean hasCapacity(double nowMs) {
+        if (inFlight >= maxInFlight || nowMs < fullUntilMs) {
             return false;
         }
-        return nowMs - loadToldMs > LOAD_MS || toldBusy < toldSlots + QUEUE;
+        return nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedBusy < reportedSlots + QUEUE_SLOTS;
     }
 
     /** Requests there as far as known: this proxy's, and what it told lately. */
     double load(double nowMs) {
-        double told = nowMs - loadToldMs > LOAD_MS || toldSlots == 0 ? 0 : (double) toldBusy / toldSlots;
+        double told = nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedSlots == 0
+                ? 0
+                : (double) reportedBusy / reportedSlots;
         return inFlight + Math.min(told, 0.99);
     }
 
     /** Its share of keys: less while cold and where it is slower than the others. */
-    double share(double nowMs, double othersMs) {
-        double cold = nowMs < instance.coldUntilMs() ? COLD_SHARE : 1;
-        double slow = Double.isNaN(usualMs) || Double.isNaN(othersMs) || usualMs <= 0 ? 1 : othersMs / usualMs;
-        return cold * Math.max(SLOWEST_SHARE, Math.min(1, slow * slow));
+    double weight(double nowMs, double othersMs) {
+        double cold = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
+        double slow = Double.isNaN(meanLatencyMs) || Double.isNaN(othersMs) || meanLatencyMs <= 0
+                ? 1
+                : othersMs / meanLatencyMs;
+        return cold * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, slow * slow));
     }
 
     /** A draw that depends on the instance and a key alone. */
-    double draw(long key) {
+    double rendezvousDraw(long key) {
         return RendezvousHash.unitInterval(hash ^ key);
     }
 
     /** The usual time of an answered attempt, in milliseconds; not a number before the first. */
-    public double usualMs() {
-        return usualMs;
+    public double meanLatencyMs() {
+        return meanLatencyMs;
     }
 
     /** A time by which nearly every attempt is answered, in milliseconds; not a number before the first. */
-    public double lateMs() {
-        return usualMs + 4 * deviationMs;
+    public double highLatencyMs() {
+        return meanLatencyMs + 4 * latencyDeviationMs;
     }
 
     /** When a connection to it last broke, in milliseconds. */
-    public double lastBrokenMs() {
-        return lastBrokenMs;
+    public double lastConnectionFailureMs() {
+        return lastConnectionFailureMs;
     }
 
     /** A request of this proxy goes there. */
-    public void began() {
+    public void requestStarted() {
         inFlight++;
     }
 
     /** It told its load with an answer: requests running and waiting, and its slots. */
-    public void toldLoad(double nowMs, int running, int waiting, int slots) {
-        loadToldMs = nowMs;
-        toldBusy = Math.max(0, running + waiting);
-        toldSlots = slots;
+    public void loadReported(double nowMs, int running, int waiting, int slots) {
+        loadReportedAtMs = nowMs;
+        reportedBusy = Math.max(0, running + waiting);
+        reportedSlots = slots;
     }
 
     /** A request of this proxy was taken back before anything of it could be judged. */
-    public void withdrawn() {
+    public void requestWithdrawn() {
         inFlight = Math.max(0, inFlight - 1);
     }
 
@@ -159,62 +163,63 @@
      * @param failedInside whether it was answered with a 5xx of the instance's own
      * @param maySpare whether enough others are left to leave this one alone
      */
-    public void ended(double nowMs, Verdict verdict, double elapsedMs, boolean failedInside, boolean maySpare) {
+    public void requestEnded(
+            double nowMs, AttemptOutcome verdict, double elapsedMs, boolean failedInside, boolean maySpare) {
         inFlight = Math.max(0, inFlight - 1);
         switch (verdict) {
-            case ANSWERED -> answered(nowMs, elapsedMs, failedInside, maySpare);
+            case ANSWERED -> countAnswer(nowMs, elapsedMs, failedInside, maySpare);
             case DECLINED -> fullUntilMs = nowMs + FULL_MS;
-            case REFUSED_BY_CACHE -> answered(nowMs, elapsedMs, false, maySpare);
-            case MISDIRECTED -> goneUntilMs = nowMs + MISDIRECTED_MS;
-            case SILENT -> strike(nowMs, 1, maySpare);
-            case GARBLED -> spoil(nowMs, maySpare);
+            case REFUSED_BY_CACHE -> countAnswer(nowMs, elapsedMs, false, maySpare);
+            case MISDIRECTED -> replacedUntilMs = nowMs + REPLACED_MS;
+            case SILENT -> countFailure(nowMs, 1, maySpare);
+            case GARBLED -> countError(nowMs, maySpare);
             case CONNECT_FAILED, RESET, NEVER_WRITTEN -> {
-                lastBrokenMs = nowMs;
-                strike(nowMs, verdict == Verdict.CONNECT_FAILED ? STRIKES : 1, maySpare);
+                lastConnectionFailureMs = nowMs;
+                countFailure(nowMs, verdict == AttemptOutcome.CONNECT_FAILED ? FAILURES_BEFORE_EJECTION : 1, maySpare);
             }
             default -> throw new IllegalArgumentException(verdict.name());
         }
     }
 
-    private void answered(double nowMs, double elapsedMs, boolean failedInside, boolean maySpare) {
+    private void countAnswer(double nowMs, double elapsedMs, boolean failedInside, boolean maySpare) {
         onTrial = false;
-        strikes = 0;
-        time(elapsedMs);
+        consecutiveFailures = 0;
+        updateLatency(elapsedMs);
         if (failedInside) {
-            spoil(nowMs, maySpare);
+            countError(nowMs, maySpare);
         } else {
-            spoilt -= SMOOTH * spoilt;
-            ejections = spoilt < SMOOTH ? 0 : ejections;
+            errorRate -= SMOOTHING * errorRate;
+            ejections = errorRate < SMOOTHING ? 0 : ejections;
         }
     }
 
-    private void time(double elapsedMs) {
-        if (Double.isNaN(usualMs)) {
-            usualMs = elapsedMs;
-            deviationMs = elapsedMs / 2;
+    private void updateLatency(double elapsedMs) {
+        if (Double.isNaN(meanLatencyMs)) {
+            meanLatencyMs = elapsedMs;
+            latencyDeviationMs = elapsedMs / 2;
         } else {
-            deviationMs += SMOOTH * (Math.abs(elapsedMs - usualMs) - deviationMs);
-            usualMs += SMOOTH * (elapsedMs - usualMs);
+            latencyDeviationMs += SMOOTHING * (Math.abs(elapsedMs - meanLatencyMs) - latencyDeviationMs);
+            meanLatencyMs += SMOOTHING * (elapsedMs - meanLatencyMs);
         }
     }
 
-    private void spoil(double nowMs, boolean maySpare) {
-        spoilt += SMOOTH * (1 - spoilt);
-        if (spoilt > SPOILING && nowMs >= sparedUntilMs) {
-            spare(nowMs, ejections++, maySpare);
+    private void countError(double nowMs, boolean maySpare) {
+        errorRate += SMOOTHING * (1 - errorRate);
+        if (errorRate > MAX_ERROR_RATE && nowMs >= ejectedUntilMs) {
+            eject(nowMs, ejections++, maySpare);
         }
     }
 
-    private void strike(double nowMs, double weight, boolean maySpare) {
-        strikes += weight;
-        if (strikes >= STRIKES) {
-            spare(nowMs, (int) (strikes - STRIKES), maySpare);
+    private void countFailure(double nowMs, double weight, boolean maySpare) {
+        consecutiveFailures += weight;
+        if (consecutiveFailures >= FAILURES_BEFORE_EJECTION) {
+            eject(nowMs, (int) (consecutiveFailures - FAILURES_BEFORE_EJECTION), maySpare);
         }
     }
 
-    private void spare(double nowMs, int times, boolean maySpare) {
+    private void eject(double nowMs, int times, boolean maySpare) {
         if (maySpare) {
-            sparedUntilMs = nowMs + Math.min(SPARE_MOST_MS, SPARE_MS * Math.pow(2, times));
+            ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, EJECTION_MS * Math.pow(2, times));
             onTrial = true;
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
@@ -10,43 +10,43 @@
 public final class ObjectCache {
 
     /** An object may take this part of the memory at most. */
-    private static final int LARGEST_PART = 4;
+    private static final int MAX_OBJECT_DIVISOR = 4;
 
     /** A copy and how often it was used. */
-    private static final class Kept {
+    private static final class Entry {
         private final CachedObject copy;
         private int uses;
 
-        private Kept(CachedObject copy) {
+        private Entry(CachedObject copy) {
             this.copy = copy;
         }
     }
 
-    private final long capacity;
-    private final LinkedHashMap<String, Kept> byKey = new LinkedHashMap<>(64, 0.75f, true);
+    private final long capacityBytes;
+    private final LinkedHashMap<String, Entry> byKey = new LinkedHashMap<>(64, 0.75f, true);
     private final Map<String, Set<String>> keysByTag = new HashMap<>();
-    private long size;
+    private long sizeBytes;
 
     /** An empty cache that takes so many bytes at most, roughly. */
     public ObjectCache(long capacityBytes) {
-        this.capacity = capacityBytes;
+        this.capacityBytes = capacityBytes;
     }
 
     /** The copy under a key; null if there is none. */
     public CachedObject get(String key) {
-        Kept kept = byKey.get(key);
+        Entry kept = byKey.get(key);
         return kept == null ? null : kept.copy;
     }
 
     /** Counts a use of the copy under a key and returns how many there were; 0 if there is no copy. */
-    public int use(String key) {
-        Kept kept = byKey.get(key);
+    public int countUse(String key) {
+        Entry kept = byKey.get(key);
         return kept == null ? 0 : ++kept.uses;
     }
 
     /** Counts the uses of the copy under a key anew. */
-    public void forgetUses(String key) {
-        Kept kept = byKey.get(key);
+    public void resetUses(String key) {
+        Entry kept = byKey.get(key);
         if (kept != null) {
             kept.uses = 0;
         }
@@ -55,27 +55,27 @@
     /** Keeps a copy in place of an older one. A copy that is too large is not kept, and the older one goes too. */
     public void put(CachedObject copy) {
         remove(copy.key());
-        if (copy.size() > capacity / LARGEST_PART) {
+        if (copy.sizeBytes() > capacityBytes / MAX_OBJECT_DIVISOR) {
             return;
         }
-        byKey.put(copy.key(), new Kept(copy));
-        size += copy.size();
+        byKey.put(copy.key(), new Entry(copy));
+        sizeBytes += copy.sizeBytes();
         for (String tag : copy.tags()) {
             keysByTag.computeIfAbsent(tag, t -> new HashSet<>()).add(copy.key());
         }
-        while (size > capacity) {
+        while (sizeBytes > capacityBytes) {
             remove(byKey.values().iterator().next().copy.key());
         }
     }
 
     /** Drops the copy under a key. */
     public void remove(String key) {
-        Kept kept = byKey.remove(key);
+        Entry kept = byKey.remove(key);
         if (kept == null) {
             return;
         }
         CachedObject copy = kept.copy;
-        size -= copy.size();
+        sizeBytes -= copy.sizeBytes();
         for (String tag : copy.tags()) {
             Set<String> keys = keysByTag.get(tag);
             if (keys != null && keys.remove(key) && keys.isEmpty()) {
@@ -85,7 +85,7 @@
     }
 
     /** Drops all copies that carry a tag. */
-    public void removeTagged(String tag) {
+    public void removeByTag(String tag) {
         Set<String> keys = keysByTag.remove(tag);
         if (keys != null) {
             for (String key : keys) {
@@ -95,8 +95,8 @@
     }
 
     /** The memory that is used, in bytes, roughly. */
-    public long size() {
-        return size;
+    public long sizeBytes() {
+        return sizeBytes;
     }
 
     /** How many copies there are. */
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
@@ -13,27 +13,27 @@
     /** The burst, as seconds' worth of the share. */
     private static final double BURST_SECONDS = 0.35;
 
-    private static final double LEAST_BURST = 1;
+    private static final double MIN_BURST = 1;
     private static final double MS_PER_SECOND = 1_000;
     /** Left of the share, as clocks and counts differ. */
-    private static final double USED = 0.98;
+    private static final double USED_FRACTION = 0.98;
 
     /** What a client is told to wait where this process has no share, in milliseconds: others have one. */
     private static final double CLOSED_WAIT_MS = 100;
 
-    private static final double LEAST_RATE = 0.01;
+    private static final double MIN_RATE_PER_SECOND = 0.01;
     /** The part of the burst that is kept for clients who wait. */
-    private static final double CLIENTS_PART = 0.5;
+    private static final double CLIENT_BURST_FRACTION = 0.5;
 
     private final double overage;
     private final double windowSeconds;
     private double perSecond;
     private TokenBucket bucket;
     private boolean closed;
-    private final ArrivalWindow window;
-    private int lastWindow;
-    private double mostInWindow = Double.POSITIVE_INFINITY;
-    private double mostUntilMs;
+    private final SlidingWindowCounter window;
+    private int sentInWindow;
+    private double windowLimit = Double.POSITIVE_INFINITY;
+    private double windowLimitUntilMs;
 
     /**
      * A share that is not bounded yet.
@@ -44,34 +44,34 @@
     public OriginShare(double overage, double windowMs) {
         this.overage = overage;
         this.windowSeconds = windowMs / MS_PER_SECOND;
-        this.window = new ArrivalWindow(windowMs);
+        this.window = new SlidingWindowCounter(windowMs);
     }
 
     /** Whether no more was sent in the last window than the greatest part that was set in it allows. */
-    public boolean isWithinPart() {
-        return lastWindow <= mostInWindow;
+    public boolean isWithinShare() {
+        return sentInWindow <= windowLimit;
     }
 
-    private void raiseMost(double most, double nowMs) {
+    private void updateWindowLimit(double most, double nowMs) {
         // Until the window has passed, what an earlier, greater part allowed may be in it.
-        if (most >= mostInWindow || nowMs >= mostUntilMs || Double.isInfinite(mostInWindow)) {
-            mostInWindow = most;
-            mostUntilMs = nowMs + windowSeconds * MS_PER_SECOND;
+        if (most >= windowLimit || nowMs >= windowLimitUntilMs || Double.isInfinite(windowLimit)) {
+            windowLimit = most;
+            windowLimitUntilMs = nowMs + windowSeconds * MS_PER_SECOND;
         }
     }
 
     /** Sets the share to a part of the service's rate. */
-    public void setPart(RateDivision.Part part, double nowMs) {
-        if (part instanceof RateDivision.Part.Bounded bounded) {
+    public void assign(RateDivision.Share part, double nowMs) {
+        if (part instanceof RateDivision.Share.Bounded bounded) {
             perSecond = bounded.perSecond();
             closed = false;
             limit(new Rate(bounded.perSecond(), bounded.burst()), nowMs);
-            raiseMost(bounded.perSecond() * windowSeconds + bounded.burst() + 1, nowMs);
+            updateWindowLimit(bounded.perSecond() * windowSeconds + bounded.burst() + 1, nowMs);
         } else {
             perSecond = 0;
             bucket = null;
-            mostInWindow = Double.POSITIVE_INFINITY;
-            closed = part instanceof RateDivision.Part.None;
+            windowLimit = Double.POSITIVE_INFINITY;
+            closed = part instanceof RateDivision.Share.None;
         }
     }
 
@@ -86,10 +86,11 @@
             bucket = null;
             return;
         }
-        double burst = Math.max(LEAST_BURST, BURST_SECONDS * USED * requestsPerSecond);
+        double burst = Math.max(MIN_BURST, BURST_SECONDS * USED_FRACTION * requestsPerSecond);
         // A burst of one is more than its part of a small share: many proxies' bursts together would pass the ceiling.
         double beyondBurst = overage * requestsPerSecond - burst / windowSeconds;
-        Rate rate = new Rate(Math.max(LEAST_RATE, Math.min(USED * requestsPerSecond, beyondBurst)), burst);
+        Rate rate = new Rate(
+                Math.max(MIN_RATE_PER_SECOND, Math.min(USED_FRACTION * requestsPerSecond, beyondBurst)), burst);
         limit(rate, nowMs);
     }
 
@@ -110,20 +111,20 @@
     public boolean tryTake(double nowMs) {
         boolean taken = !closed && (bucket == null || bucket.tryTake(nowMs));
         if (taken) {
-            lastWindow = window.add(1, nowMs);
+            sentInWindow = window.add(1, nowMs);
         }
         return taken;
     }
 
     /** Whether so much of the share is left that work may be done which no client waits for. */
-    public boolean hasSpare(double nowMs) {
+    public boolean hasBackgroundCapacity(double nowMs) {
         return !closed && bucket == null
-                || bucket != null && bucket.tokens(nowMs) >= 1 + bucket.rate().burst() * CLIENTS_PART;
+                || bucket != null && bucket.tokens(nowMs) >= 1 + bucket.rate().burst() * CLIENT_BURST_FRACTION;
     }
 
     /** Gives back an arrival that did not take place. */
     public void giveBack(double nowMs) {
-        lastWindow = window.add(-1, nowMs);
+        sentInWindow = window.add(-1, nowMs);
         if (bucket != null) {
             bucket.giveBack(nowMs);
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/PurgeLog.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/PurgeLog.java
@@ -10,38 +10,38 @@
 public final class PurgeLog {
 
     /** For how long a purge is remembered, in milliseconds: longer than any process that is in touch lags behind. */
-    public static final double MEMORY_MS = 10_000;
+    public static final double RETENTION_MS = 10_000;
 
-    private final Map<String, Double> pathsMs = new HashMap<>();
-    private final Map<String, Double> tagsMs = new HashMap<>();
+    private final Map<String, Double> pathPurgedAtMs = new HashMap<>();
+    private final Map<String, Double> tagPurgedAtMs = new HashMap<>();
 
     /** All copies of an object were purged. */
-    public void path(String key, double nowMs) {
-        pathsMs.put(key, nowMs);
+    public void recordPath(String key, double nowMs) {
+        pathPurgedAtMs.put(key, nowMs);
     }
 
     /** All copies that carry a tag were purged. */
-    public void tag(String tag, double nowMs) {
-        tagsMs.put(tag, nowMs);
+    public void recordTag(String tag, double nowMs) {
+        tagPurgedAtMs.put(tag, nowMs);
     }
 
     /** When the object was last purged; negative infinity if that is not known. */
-    public double lastMs(String key) {
-        return pathsMs.getOrDefault(key, Double.NEGATIVE_INFINITY);
+    public double lastPurgedMs(String key) {
+        return pathPurgedAtMs.getOrDefault(key, Double.NEGATIVE_INFINITY);
     }
 
     /** When a copy was last purged, by its path or one of its tags; negative infinity if that is not known. */
-    public double lastMs(CachedObject copy) {
-        double last = lastMs(copy.key());
+    public double lastPurgedMs(CachedObject copy) {
+        double last = lastPurgedMs(copy.key());
         for (String tag : copy.tags()) {
-            last = Math.max(last, tagsMs.getOrDefault(tag, Double.NEGATIVE_INFINITY));
+            last = Math.max(last, tagPurgedAtMs.getOrDefault(tag, Double.NEGATIVE_INFINITY));
         }
         return last;
     }
 
     /** Forgets what is too old to matter. */
-    public void forgetOld(double nowMs) {
-        pathsMs.values().removeIf(atMs -> nowMs - atMs > MEMORY_MS);
-        tagsMs.values().removeIf(atMs -> nowMs - atMs > MEMORY_MS);
+    public void removeExpired(double nowMs) {
+        pathPurgedAtMs.values().removeIf(atMs -> nowMs - atMs > RETENTION_MS);
+        tagPurgedAtMs.values().removeIf(atMs -> nowMs - atMs > RETENTION_MS);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
@@ -1,6 +1,6 @@
 package ridgemill.cdn.edge;
 
-import ridgemill.cdn.membership.CachePlace;
+import ridgemill.cdn.membership.CachePosition;
 import ridgemill.cdn.membership.FleetPosition;
 
 /**
@@ -11,13 +11,13 @@
 public final class RateDivision {
 
     /** What one process may send. */
-    public sealed interface Part {
+    public sealed interface Share {
 
         /** As much as it likes: the service has no bound. */
-        record Unbounded() implements Part {}
+        record Unbounded() implements Share {}
 
         /** Nothing. */
-        record None() implements Part {}
+        record None() implements Share {}
 
         /**
          * A rate with a burst.
@@ -25,21 +25,21 @@
          * @param perSecond requests a second in the long run
          * @param burst how many may be sent at once after a pause, 1 or more
          */
-        record Bounded(double perSecond, double burst) implements Part {}
+        record Bounded(double perSecond, double burst) implements Share {}
     }
 
-    private static final Part UNBOUNDED = new Part.Unbounded();
-    private static final Part NONE = new Part.None();
+    private static final Share UNBOUNDED = new Share.Unbounded();
+    private static final Share NONE = new Share.None();
     /** Left of the rate, as clocks and counts differ. */
-    private static final double USED = 0.98;
+    private static final double USED_FRACTION = 0.98;
     /** The burst of all together, as seconds' worth of the rate, where that is enough for one request of each. */
     private static final double BURST_SECONDS = 0.5;
     /** The part of a window's requests that bursts may take up where more members need one each. */
-    private static final double MOST_BURST_PART = 0.5;
+    private static final double MAX_BURST_FRACTION = 0.5;
     /** The part of the rate that shared caches have, where there are any; the rest is the proxies' for when none answers. */
-    private static final double CACHES_PART = 0.9;
+    private static final double CACHES_FRACTION = 0.9;
 
-    private static final double LEAST_RATE = 0.01;
+    private static final double MIN_RATE_PER_SECOND = 0.01;
     private static final double MS_PER_SECOND = 1_000;
 
     private final double overage;
@@ -62,8 +62,8 @@
      * @param whole the service's rate in requests a second; 0 or less where there is no bound
      * @param place its place among the shared caches
      */
-    public Part ofCache(double whole, CachePlace place) {
-        return divide(whole, CACHES_PART / place.region().size(), place.inRegion());
+    public Share forCache(double whole, CachePosition place) {
+        return divide(whole, CACHES_FRACTION / place.region().size(), place.inRegion());
     }
 
     /**
@@ -73,23 +73,23 @@
      * @param proxies its place among the edge proxies
      * @param besideCaches whether shared caches send too
      */
-    public Part ofProxy(double whole, FleetPosition proxies, boolean besideCaches) {
-        return divide(whole, besideCaches ? 1 - CACHES_PART : 1, proxies);
+    public Share forProxy(double whole, FleetPosition proxies, boolean besideCaches) {
+        return divide(whole, besideCaches ? 1 - CACHES_FRACTION : 1, proxies);
     }
 
-    private Part divide(double whole, double fraction, FleetPosition position) {
+    private Share divide(double whole, double fraction, FleetPosition position) {
         if (whole <= 0) {
             return UNBOUNDED;
         }
         double rate = whole * fraction;
         double mostInWindow = overage * rate * windowSeconds;
-        double bursts =
-                Math.max(BURST_SECONDS * USED * rate, Math.min(position.size(), MOST_BURST_PART * mostInWindow));
+        double bursts = Math.max(
+                BURST_SECONDS * USED_FRACTION * rate, Math.min(position.size(), MAX_BURST_FRACTION * mostInWindow));
         int members = (int) Math.max(1, Math.min(position.size(), Math.floor(bursts)));
         if (position.rank() >= members) {
             return NONE;
         }
-        double perSecond = Math.min(USED * rate, (mostInWindow - bursts) / windowSeconds) / members;
-        return new Part.Bounded(Math.max(LEAST_RATE, perSecond), Math.max(1, bursts / members));
+        double perSecond = Math.min(USED_FRACTION * rate, (mostInWindow - bursts) / windowSeconds) / members;
+        return new Share.Bounded(Math.max(MIN_RATE_PER_SECOND, perSecond), Math.max(1, bursts / members));
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
@@ -11,17 +11,17 @@
 public final class RetryBudget {
 
     /** What this proxy leaves of the bounds, as others count from other moments and on other clocks. */
-    private static final double RATIO_USED = 0.8;
+    private static final double USED_RATIO_FRACTION = 0.8;
 
-    private static final double SLACK_USED = 0.7;
-    private static final int SPANS = 20;
+    private static final double USED_SLACK_FRACTION = 0.7;
+    private static final int BUCKETS = 20;
 
     private final double ratio;
     private final double slack;
-    private final double spanMs;
-    private final int[] requests = new int[SPANS + 1];
-    private final int[] repeats = new int[SPANS + 1];
-    private long currentSpan = Long.MIN_VALUE;
+    private final double bucketMs;
+    private final int[] requests = new int[BUCKETS + 1];
+    private final int[] retries = new int[BUCKETS + 1];
+    private long currentBucket = Long.MIN_VALUE;
 
     /**
      * A budget in which nothing has been spent.
@@ -33,12 +33,12 @@
     public RetryBudget(double ratio, double slack, double windowMs) {
         this.ratio = ratio;
         this.slack = slack;
-        this.spanMs = windowMs / SPANS;
+        this.bucketMs = windowMs / BUCKETS;
     }
 
     /** Counts a request of a client for this service. */
     public void countRequest(double nowMs) {
-        requests[moveTo(nowMs)]++;
+        requests[advanceTo(nowMs)]++;
     }
 
     /**
@@ -47,49 +47,49 @@
      * @param proxyCount how many proxies share the bound
      * @return whether there was one left
      */
-    public boolean tryRepeat(double nowMs, int proxyCount) {
-        int span = moveTo(nowMs);
+    public boolean tryRetry(double nowMs, int proxyCount) {
+        int span = advanceTo(nowMs);
         int used = 0;
         int seen = 0;
-        for (int i = 0; i <= SPANS; i++) {
-            used += repeats[i];
-            seen += i == oldest(span) ? 0 : requests[i];
+        for (int i = 0; i <= BUCKETS; i++) {
+            used += retries[i];
+            seen += i == oldestBucket(span) ? 0 : requests[i];
         }
-        if (used + 1 > RATIO_USED * ratio * seen + SLACK_USED * slack / Math.max(1, proxyCount)) {
+        if (used + 1 > USED_RATIO_FRACTION * ratio * seen + USED_SLACK_FRACTION * slack / Math.max(1, proxyCount)) {
             return false;
         }
-        repeats[span]++;
+        retries[span]++;
         return true;
     }
 
     /** Gives back a further arrival that was taken and did not take place; in the span in which it was taken. */
     public void giveBack(double nowMs) {
-        int span = moveTo(nowMs);
-        repeats[span] = Math.max(0, repeats[span] - 1);
+        int span = advanceTo(nowMs);
+        retries[span] = Math.max(0, retries[span] - 1);
     }
 
-    private static int oldest(int span) {
-        return (span + 1) % (SPANS + 1);
+    private static int oldestBucket(int span) {
+        return (span + 1) % (BUCKETS + 1);
     }
 
     /** Empties the spans that have left the window and returns the place of the current one. */
-    private int moveTo(double nowMs) {
-        long span = (long) Math.floor(nowMs / spanMs);
-        if (currentSpan == Long.MIN_VALUE || span - currentSpan > SPANS) {
+    private int advanceTo(double nowMs) {
+        long span = (long) Math.floor(nowMs / bucketMs);
+        if (currentBucket == Long.MIN_VALUE || span - currentBucket > BUCKETS) {
             Arrays.fill(requests, 0);
-            Arrays.fill(repeats, 0);
-            currentSpan = span;
+            Arrays.fill(retries, 0);
+            currentBucket = span;
         }
-        while (currentSpan < span) {
-            currentSpan++;
-            int place = place(currentSpan);
+        while (currentBucket < span) {
+            currentBucket++;
+            int place = bucketOf(currentBucket);
             requests[place] = 0;
-            repeats[place] = 0;
+            retries[place] = 0;
         }
-        return place(currentSpan);
+        return bucketOf(currentBucket);
     }
 
-    private static int place(long span) {
-        return (int) Math.floorMod(span, SPANS + 1L);
+    private static int bucketOf(long span) {
+        return (int) Math.floorMod(span, BUCKETS + 1L);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ServiceAdmission.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ServiceAdmission.java
@@ -14,13 +14,13 @@
     /** Length of a control interval, in milliseconds: long enough for a sample at a few requests a second. */
     public static final double INTERVAL_MS = 1_500;
     /** The greatest wait that a refused client is told, in milliseconds. */
-    private static final double MOST_WAIT_MS = 1_000;
+    private static final double MAX_RETRY_AFTER_MS = 1_000;
 
-    private static final double SMOOTH = 0.02;
+    private static final double SMOOTHING = 0.02;
 
     private final AdmissionLevel level = new AdmissionLevel();
     private final PriorityTokenBucket bank = new PriorityTokenBucket(PriorityTokenBucket.DEFAULT_CAPACITY);
-    private double stepAtMs;
+    private double intervalEndMs;
     private double meanPriority = Double.NaN;
 
     /**
@@ -29,34 +29,34 @@
      * @param phase where in an interval its steps lie, from 0 to 1; proxies differ so that they do not move in unison
      */
     public ServiceAdmission(double phase, double nowMs) {
-        stepAtMs = nowMs + INTERVAL_MS * (0.5 + phase);
+        intervalEndMs = nowMs + INTERVAL_MS * (0.5 + phase);
     }
 
     /** Draws a token. Returns false if the request has to be refused. */
-    public boolean draw(double nowMs, int priorityLevel) {
+    public boolean tryAdmit(double nowMs, int priorityLevel) {
         meanPriority =
-                Double.isNaN(meanPriority) ? priorityLevel : meanPriority + SMOOTH * (priorityLevel - meanPriority);
+                Double.isNaN(meanPriority) ? priorityLevel : meanPriority + SMOOTHING * (priorityLevel - meanPriority);
         return level.level() == 0 || bank.tryAcquire(nowMs, priorityLevel > meanPriority);
     }
 
     /** Draws a token for work that no client waits for, which has the lowest worth. Returns false if there is none. */
-    public boolean drawForNobody(double nowMs) {
+    public boolean tryAdmitBackground(double nowMs) {
         return level.level() == 0 || bank.tryAcquire(nowMs, true);
     }
 
     /** Counts the outcome of an attempt; good if it was answered with success within the route's target. */
-    public void count(boolean good) {
+    public void countAttempt(boolean good) {
         level.recordFetch(good);
     }
 
     /** Counts an attempt whose connection broke. */
-    public void countBroken() {
+    public void countConnectionFailure() {
         level.recordBrokenFetch();
     }
 
-    /** Whether an interval has ended and {@link #step} is due. */
-    public boolean isDue(double nowMs) {
-        return nowMs >= stepAtMs;
+    /** Whether an interval has ended and {@link #endInterval} is due. */
+    public boolean isIntervalOver(double nowMs) {
+        return nowMs >= intervalEndMs;
     }
 
     /**
@@ -64,16 +64,16 @@
      *
      * @param usualBreaks the share of attempts whose connections break for reasons other than the service's load
      */
-    public void step(double nowMs, double usualBreaks) {
+    public void endInterval(double nowMs, double usualBreaks) {
         level.classifyBrokenFetches(usualBreaks);
         level.endInterval(INTERVAL_MS, bank.refusals());
         bank.setRate(nowMs, level.allowedPerSecond());
-        stepAtMs = Math.max(stepAtMs + INTERVAL_MS, nowMs + INTERVAL_MS / 2);
+        intervalEndMs = Math.max(intervalEndMs + INTERVAL_MS, nowMs + INTERVAL_MS / 2);
     }
 
     /** How long a refused client should wait before its next try, in milliseconds. */
-    public double waitMs() {
-        return level.level() == 0 ? 0 : Math.min(MOST_WAIT_MS, 1_000 / bank.ratePerS());
+    public double retryAfterMs() {
+        return level.level() == 0 ? 0 : Math.min(MAX_RETRY_AFTER_MS, 1_000 / bank.ratePerS());
     }
 
     /** The level; 0 is unthrottled. */
--- /dev/null
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
@@ -0,0 +1,37 @@
+package ridgemill.cdn.edge;
+
+/** Counts events of the last window, in steps of a part of it; those of the oldest step may be left out. */
+final class SlidingWindowCounter {
+
+    private static final int BUCKETS = 20;
+
+    private final double bucketMs;
+    private final int[] counts = new int[BUCKETS];
+    private long currentBucket = Long.MIN_VALUE;
+    private int sum;
+
+    SlidingWindowCounter(double windowMs) {
+        bucketMs = windowMs / BUCKETS;
+    }
+
+    /** Adds to the count of this moment, or takes from it. Returns the sum of the window. */
+    int add(int count, double nowMs) {
+        advanceTo((long) Math.floor(nowMs / bucketMs));
+        counts[(int) Math.floorMod(currentBucket, (long) BUCKETS)] += count;
+        sum += count;
+        return sum;
+    }
+
+    private void advanceTo(long step) {
+        if (currentBucket == Long.MIN_VALUE) {
+            currentBucket = step;
+        }
+        for (int passed = 0; currentBucket < step && passed < BUCKETS; passed++) {
+            currentBucket++;
+            int place = (int) Math.floorMod(currentBucket, (long) BUCKETS);
+            sum -= counts[place];
+            counts[place] = 0;
+        }
+        currentBucket = Math.max(currentBucket, step);
+    }
+}
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/package-info.java
@@ -4,7 +4,7 @@
  * <p>A request that needs a service passes these, in this order: {@code ServiceAdmission} (a level, a bank of tokens
  * and the ladder of its refill rates) lets it on or refuses it; {@code InstancePicker} picks one of the two best
  * instances of its key by what {@code InstanceStats} knows of them; {@code OriginShare} bounds arrivals a second,
- * {@code RetryBudget} those beyond each request's first; a {@code Verdict} says how an attempt ended and whether the
+ * {@code RetryBudget} those beyond each request's first; a {@code AttemptOutcome} says how an attempt ended and whether the
  * request may have run.
  *
  * <p>Reads of objects are answered from an {@code ObjectCache} of {@code CachedObject}s, whole, in a {@code ByteRange}
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/Instance.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/Instance.java
@@ -36,7 +36,7 @@
     }
 
     /** This instance after it has left. */
-    public Instance gone() {
+    public Instance asGone() {
         return new Instance(
                 id, service, address, zone, softwareVersion, slots, InstanceState.GONE, sequence, coldUntilMs);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
@@ -15,9 +15,9 @@
 public final class InstanceTable {
 
     /** For how long an instance that has left is remembered, in milliseconds. */
-    static final double FORGET_GONE_MS = 600_000;
+    static final double GONE_RETENTION_MS = 600_000;
     /** After how much silence an instance is taken to have left for good, in milliseconds. */
-    static final double FORGET_SILENT_MS = 120_000;
+    static final double SILENT_RETENTION_MS = 120_000;
 
     private final Map<String, Entry> entries = new HashMap<>();
 
@@ -42,12 +42,12 @@
     public List<Instance> merge(Instance instance, double nowMs) {
         Entry entry = entries.get(instance.id());
         if (entry == null) {
-            List<Instance> changed = endPredecessors(instance);
+            List<Instance> changed = markPredecessorsGone(instance);
             entries.put(instance.id(), new Entry(instance, nowMs));
             changed.add(instance);
             return changed;
         }
-        heard(instance.id(), instance.sequence(), nowMs);
+        recordHeartbeat(instance.id(), instance.sequence(), nowMs);
         if (!instance.supersedes(entry.instance)) {
             return List.of();
         }
@@ -57,7 +57,7 @@
     }
 
     /** An address belongs to one instance at a time: whoever had it before has ended, whether it said so or not. */
-    private List<Instance> endPredecessors(Instance newcomer) {
+    private List<Instance> markPredecessorsGone(Instance newcomer) {
         List<Instance> ended = new ArrayList<>();
         if (newcomer.state() == InstanceState.GONE) {
             return ended;
@@ -65,7 +65,7 @@
         for (Entry entry : entries.values()) {
             Instance other = entry.instance;
             if (other.state() != InstanceState.GONE && other.address().equals(newcomer.address())) {
-                entry.instance = other.gone();
+                entry.instance = other.asGone();
                 ended.add(entry.instance);
             }
         }
@@ -73,7 +73,7 @@
     }
 
     /** Notes that an instance was heard, by this process or by another one that says so. */
-    public void heard(String id, long sequence, double nowMs) {
+    public void recordHeartbeat(String id, long sequence, double nowMs) {
         Entry entry = entries.get(id);
         if (entry != null && sequence > entry.heardSequence) {
             entry.heardSequence = sequence;
@@ -97,7 +97,7 @@
     }
 
     /** Identifiers of the instances that have not left and were not heard for longer than a bound, in order. */
-    public List<String> silent(double boundMs, double nowMs) {
+    public List<String> unresponsive(double boundMs, double nowMs) {
         TreeSet<String> silent = new TreeSet<>();
         for (Entry entry : entries.values()) {
             if (entry.instance.state() != InstanceState.GONE && nowMs - entry.heardAtMs > boundMs) {
@@ -108,9 +108,9 @@
     }
 
     /** Forgets instances that left, or fell silent, long ago. */
-    public void forgetOld(double nowMs) {
+    public void removeExpired(double nowMs) {
         entries.values()
                 .removeIf(entry -> nowMs - entry.heardAtMs
-                        > (entry.instance.state() == InstanceState.GONE ? FORGET_GONE_MS : FORGET_SILENT_MS));
+                        > (entry.instance.state() == InstanceState.GONE ? GONE_RETENTION_MS : SILENT_RETENTION_MS));
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/ClaimVote.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/ClaimTally.java
@@ -11,7 +11,7 @@
  * Counts the votes of one claim. The claim is granted once a majority of the voters holds the key for it; as two
  * majorities share a voter, and a voter holds a key for one claim at a time, at most one claim is granted.
  */
-public final class ClaimVote {
+public final class ClaimTally {
 
     /** What the votes so far amount to. */
     public enum Result {
@@ -35,7 +35,7 @@
     private final Map<String, Set<Voter>> heldByOthers = new HashMap<>();
     private final Set<Voter> refused = new HashSet<>();
     private final Set<Voter> unavailable = new HashSet<>();
-    private boolean moved;
+    private boolean epochMismatch;
     private byte[] answer;
 
     /**
@@ -44,13 +44,13 @@
      * @param claimId the claim that is voted on
      * @param voters those that vote, in the epoch that the claim names
      */
-    public ClaimVote(String claimId, VoterSet voters) {
+    public ClaimTally(String claimId, VoterSet voters) {
         this.claimId = claimId;
         this.voters = voters;
     }
 
     /** Counts the vote of a voter; each voter's vote is counted once. */
-    public void vote(Voter voter, KeyState state, String holder, byte[] recordedAnswer) {
+    public void countVote(Voter voter, KeyState state, String holder, byte[] recordedAnswer) {
         if (state == KeyState.FINISHED) {
             answer = recordedAnswer;
         } else if (state == KeyState.HELD && holder.equals(claimId)) {
@@ -62,14 +62,14 @@
     }
 
     /** Counts a voter that can't vote or did not answer in time. */
-    public void unavailable(Voter voter) {
+    public void countUnavailable(Voter voter) {
         unavailable.add(voter);
     }
 
     /** Counts a voter that is in another epoch than the claim: the claim may be made anew in the newer one. */
-    public void moved(Voter voter) {
+    public void countEpochMismatch(Voter voter) {
         unavailable.add(voter);
-        moved = true;
+        epochMismatch = true;
     }
 
     /** The recorded answer if the result is {@link Result#FINISHED}. */
@@ -82,20 +82,20 @@
         if (answer != null) {
             return Result.FINISHED;
         }
-        if (voters.isMajority(granted::contains)) {
+        if (voters.hasQuorum(granted::contains)) {
             return Result.GRANTED;
         }
         for (Set<Voter> holders : heldByOthers.values()) {
-            if (voters.isMajority(holders::contains)) {
+            if (voters.hasQuorum(holders::contains)) {
                 return Result.HELD_BY_OTHER;
             }
         }
         boolean allVoted = voters.members().stream().allMatch(this::hasVoted);
-        boolean reachable = voters.isMajority(voter -> granted.contains(voter) || !hasVoted(voter));
+        boolean reachable = voters.hasQuorum(voter -> granted.contains(voter) || !hasVoted(voter));
         if (!allVoted && (reachable || !refused.isEmpty())) {
             return Result.OPEN;
         }
-        return refused.isEmpty() && !moved ? Result.UNAVAILABLE : Result.SPLIT;
+        return refused.isEmpty() && !epochMismatch ? Result.UNAVAILABLE : Result.SPLIT;
     }
 
     private boolean hasVoted(Voter voter) {
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyLimits.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyLimits.java
@@ -3,19 +3,19 @@
 /**
  * Bounds of a voter's register.
  *
- * @param keepMs how long a record is kept after its last change, in milliseconds
+ * @param retentionMs how long a record is kept after its last change, in milliseconds
  * @param maxRecords how many records are held before new keys are refused
  * @param maxBytes how many bytes of keys and answers are held before new keys are refused
  */
-public record KeyLimits(long keepMs, int maxRecords, long maxBytes) {
+public record KeyLimits(long retentionMs, int maxRecords, long maxBytes) {
 
     /** How many key windows a record is kept: far more than the clocks of two machines differ. */
-    private static final double KEPT_WINDOWS = 2.5;
+    private static final double RETENTION_WINDOWS = 2.5;
 
     private static final int MAX_RECORDS = 200_000;
 
     /** The limits for a key window in milliseconds and a bound in bytes. */
     public static KeyLimits forWindow(long keyWindowMs, long maxBytes) {
-        return new KeyLimits(Math.round(keyWindowMs * KEPT_WINDOWS), MAX_RECORDS, maxBytes);
+        return new KeyLimits(Math.round(keyWindowMs * RETENTION_WINDOWS), MAX_RECORDS, maxBytes);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
@@ -36,7 +36,7 @@
     public static KeyRecord of(Collection<KeyRecord> records) {
         KeyMerge merge = new KeyMerge(records.iterator().next().key());
         records.forEach(merge::add);
-        return merge.outcome();
+        return merge.result();
     }
 
     /** Adds what one voter knows. */
@@ -63,7 +63,7 @@
     }
 
     /** What the records collected so far, at least one, come to; as new as the newest of them. */
-    public KeyRecord outcome() {
+    public KeyRecord result() {
         if (finished != null) {
             return new KeyRecord(key, KeyState.FINISHED, finished.claimId(), finished.answer(), updatedAtMs);
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyReplica.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyReplica.java
@@ -99,12 +99,12 @@
      *
      * @return all records that are held afterwards
      */
-    public List<KeyRecord> join(Collection<KeyRecord> others) {
+    public List<KeyRecord> merge(Collection<KeyRecord> others) {
         Map<String, KeyMerge> merges = new TreeMap<>();
         Stream.concat(others.stream(), records.values().stream())
                 .forEach(record ->
                         merges.computeIfAbsent(record.key(), KeyMerge::new).add(record));
-        List<KeyRecord> joined = merges.values().stream().map(KeyMerge::outcome).toList();
+        List<KeyRecord> joined = merges.values().stream().map(KeyMerge::result).toList();
         restore(joined);
         return joined;
     }
@@ -188,7 +188,7 @@
     }
 
     private long expiresAt(KeyRecord record) {
-        return record.updatedAtMs() + limits.keepMs();
+        return record.updatedAtMs() + limits.retentionMs();
     }
 
     private static KeyRecord released(String key, String claimId, long nowMs) {
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/CachePlace.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/CachePosition.java
@@ -7,13 +7,13 @@
  * @param region its region's place among the regions that have shared caches
  * @param inRegion its place among the shared caches of its region
  */
-public record CachePlace(FleetPosition region, FleetPosition inRegion) {
+public record CachePosition(FleetPosition region, FleetPosition inRegion) {
 
     /** The only one. */
-    public static final CachePlace ALONE = new CachePlace(FleetPosition.ALONE, FleetPosition.ALONE);
+    public static final CachePosition ALONE = new CachePosition(FleetPosition.ALONE, FleetPosition.ALONE);
 
-    /** This place's part of a number of units, see {@link FleetPosition#part}; all places' add up to the whole. */
-    public int part(int units, int index) {
-        return inRegion.part(region.part(units, index), index);
+    /** This place's part of a number of units, see {@link FleetPosition#share}; all places' add up to the whole. */
+    public int share(int units, int index) {
+        return inRegion.share(region.share(units, index), index);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/CoreMembers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/ClusterMembers.java
@@ -8,10 +8,10 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /** What a process knows of the other processes: core machines, the voting stores, and edge proxies heard lately. */
-public final class CoreMembers {
+public final class ClusterMembers {
 
     /** For how long a proxy that is not heard counts among those that share limits, in milliseconds. */
-    static final double PROXY_MEMORY_MS = 15_000;
+    static final double PROXY_RETENTION_MS = 15_000;
 
     private final TreeSet<String> coreHosts = new TreeSet<>();
     private final Map<String, Double> proxyHeardAtMs = new HashMap<>();
@@ -28,7 +28,7 @@
     }
 
     /** Takes newer voters. Returns whether they are newer than those that were known. */
-    public boolean learnVoters(VoterSet learned) {
+    public boolean updateVoters(VoterSet learned) {
         if (!learned.isNewerThan(voters)) {
             return false;
         }
@@ -42,23 +42,23 @@
     }
 
     /** Notes that an edge proxy was heard. */
-    public void proxyHeard(String name, double nowMs) {
+    public void recordProxy(String name, double nowMs) {
         proxyHeardAtMs.put(name, nowMs);
     }
 
     /** The names of the edge proxies that were heard lately, in order. */
     public List<String> proxies(double nowMs) {
-        forgetOldProxies(nowMs);
+        removeExpiredProxies(nowMs);
         return proxyHeardAtMs.keySet().stream().sorted().toList();
     }
 
-    private void forgetOldProxies(double nowMs) {
-        proxyHeardAtMs.values().removeIf(heardAt -> nowMs - heardAt > PROXY_MEMORY_MS);
+    private void removeExpiredProxies(double nowMs) {
+        proxyHeardAtMs.values().removeIf(heardAt -> nowMs - heardAt > PROXY_RETENTION_MS);
     }
 
     /** How many edge proxies were heard lately; at least 1. */
     public int proxyCount(double nowMs) {
-        forgetOldProxies(nowMs);
+        removeExpiredProxies(nowMs);
         return Math.max(1, proxyHeardAtMs.size());
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/Fleet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/Fleet.java
@@ -20,7 +20,7 @@
     }
 
     /** How many processes send requests to instances. */
-    public int senders() {
+    public int senderCount() {
         return proxies.size() + caches.size();
     }
 
@@ -30,7 +30,7 @@
      * @param self the shared cache
      * @param regionOfZone the region of each zone
      */
-    public CachePlace cachePlace(CacheNode self, UnaryOperator<String> regionOfZone) {
+    public CachePosition cachePosition(CacheNode self, UnaryOperator<String> regionOfZone) {
         String region = regionOfZone.apply(self.zone());
         TreeSet<String> regions = new TreeSet<>(List.of(region));
         TreeSet<String> inRegion = new TreeSet<>(List.of(self.id()));
@@ -41,7 +41,7 @@
                 inRegion.add(cache.id());
             }
         }
-        return new CachePlace(
+        return new CachePosition(
                 new FleetPosition(regions.size(), regions.headSet(region).size()),
                 new FleetPosition(inRegion.size(), inRegion.headSet(self.id()).size()));
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
@@ -25,7 +25,7 @@
      * @param index numbers the bounds of one kind from 0: what can't be divided of each goes to the places that follow
      *     those which got it of the one before
      */
-    public int part(int units, int index) {
+    public int share(int units, int index) {
         int left = units % size;
         int turned = Math.floorMod(rank - (long) index * left, size);
         return units / size + (turned < left ? 1 : 0);
--- a/cdn-core/src/main/java/ridgemill/cdn/purge/PurgeCoverage.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/purge/PurgeCoverage.java
@@ -21,13 +21,13 @@
     }
 
     /** The news of a store begin again, with a possible gap before. */
-    public void restarted(Voter store, double nowMs) {
+    public void streamStarted(Voter store, double nowMs) {
         coveredSinceMs.put(store, nowMs);
     }
 
     /** Whether every purge that was acknowledged after a moment has been heard of, or will be on a held connection. */
     public boolean covers(double sinceMs) {
-        return voters.isMajority(voter -> {
+        return voters.hasQuorum(voter -> {
             Double since = coveredSinceMs.get(voter);
             return since != null && since <= sinceMs;
         });
--- a/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
@@ -57,18 +57,18 @@
     }
 
     /** Whether those that agree are enough to decide. */
-    public boolean isMajority(Predicate<Voter> agrees) {
+    public boolean hasQuorum(Predicate<Voter> agrees) {
         return isKnown() && isMajorityOf(voters, agrees) && (previous.isEmpty() || isMajorityOf(previous, agrees));
     }
 
-    /** Whether those that agree are a majority of the voters that a change starts from, see {@link #standing}. */
-    public boolean isMajorityOfStanding(Predicate<Voter> agrees) {
-        return isMajorityOf(standing(), agrees);
+    /** Whether those that agree are a majority of the voters that a change starts from, see {@link #baseVoters}. */
+    public boolean hasMajorityOfBase(Predicate<Voter> agrees) {
+        return isMajorityOf(baseVoters(), agrees);
     }
 
-    /** As {@link #isMajority}, counted by the machines that the voters run on. */
-    public boolean isMajorityOfAddresses(Predicate<String> agrees) {
-        return isMajority(voter -> agrees.test(voter.address()));
+    /** As {@link #hasQuorum}, counted by the machines that the voters run on. */
+    public boolean hasQuorumOfAddresses(Predicate<String> agrees) {
+        return hasQuorum(voter -> agrees.test(voter.address()));
     }
 
     private static boolean isMajorityOf(List<Voter> voters, Predicate<Voter> agrees) {
@@ -81,23 +81,23 @@
 
     /** The next epoch, in which other voters take the place of the ones that stand; joint unless these stay. */
     public VoterSet changedTo(List<Voter> next) {
-        List<Voter> standing = standing();
+        List<Voter> standing = baseVoters();
         boolean same = standing.size() == next.size() && standing.containsAll(next);
         return new VoterSet(epoch + 1, next, same ? List.of() : standing);
     }
 
     /** The voters that a change starts from: in a joint set those that are being replaced. */
-    public List<Voter> standing() {
+    public List<Voter> baseVoters() {
         return isJoint() ? previous : voters;
     }
 
     /** The next epoch, in which the voters that were replaced vote no more. */
-    public VoterSet settled() {
+    public VoterSet completed() {
         return new VoterSet(epoch + 1, voters, List.of());
     }
 
     /** The voters that were not among those before them; empty unless the set is joint. */
-    public List<Voter> newcomers() {
+    public List<Voter> addedVoters() {
         if (!isJoint()) {
             return List.of();
         }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ControlWorld.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
@@ -21,7 +21,7 @@
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
-import ridgemill.cdn.keys.ClaimVote;
+import ridgemill.cdn.keys.ClaimTally;
 import ridgemill.cdn.keys.KeyLimits;
 import ridgemill.cdn.keys.KeyRecord;
 import ridgemill.cdn.keys.KeyReplica;
@@ -34,7 +34,7 @@
  * frozen, killed, without power, wiped and replaced, while operators order and read and edge proxies claim keys. What
  * outsiders see is checked against what was confirmed. One seed gives one course of events.
  */
-final class ControlWorld {
+final class ClusterSimulation {
 
     /** Where nothing goes on any more. */
     static final class Stuck extends Broken {
@@ -64,7 +64,7 @@
     private static final KeyLimits LIMITS = new KeyLimits(1_000_000, 100_000, 1 << 24);
 
     final Random random;
-    private final Mutant mutant;
+    private final Mutation mutant;
     private final int tolerated;
     private final List<String> seeds;
     final Map<String, Machine> machines = new LinkedHashMap<>();
@@ -98,7 +98,7 @@
     final class Machine {
 
         final String address;
-        WorldDisk disk;
+        SimulatedDisk disk;
         Process process;
         boolean frozen;
         private final List<Runnable> held = new ArrayList<>();
@@ -107,7 +107,7 @@
 
         Machine(String address) {
             this.address = address;
-            this.disk = new WorldDisk("disk-" + ++diskCount);
+            this.disk = new SimulatedDisk("disk-" + ++diskCount);
         }
 
         void start() {
@@ -129,8 +129,8 @@
         }
 
         void wipe() {
-            boolean same = mutant == Mutant.WIPED_ONE_VOTES;
-            disk = new WorldDisk(same ? disk.diskId : "disk-" + ++diskCount);
+            boolean same = mutant == Mutation.WIPED_ONE_VOTES;
+            disk = new SimulatedDisk(same ? disk.diskId : "disk-" + ++diskCount);
         }
 
         void thaw() {
@@ -145,7 +145,7 @@
     final class Process implements AgreementEnvironment {
 
         private final Machine machine;
-        private final WorldDisk disk;
+        private final SimulatedDisk disk;
         final AgreementNode node;
         final KeyReplica keys = new KeyReplica(LIMITS);
         private VoterSet transferring = VoterSet.UNKNOWN;
@@ -156,7 +156,7 @@
             this.machine = machine;
             this.disk = machine.disk;
             Voter self = new Voter(machine.address, disk.diskId);
-            String life = mutant == Mutant.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
+            String life = mutant == Mutation.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
             NodeSettings settings =
                     new NodeSettings(self, life, "zone-" + machine.address, true, seedsNow(), tolerated);
             node = new AgreementNode(settings, this, new PlaceRules(mutant));
@@ -164,10 +164,10 @@
 
         void begin() {
             AcceptorRecord image = disk.read();
-            if (mutant == Mutant.BALLOT_REUSED) {
+            if (mutant == Mutation.BALLOT_REUSED) {
                 image = new AcceptorRecord(Ballot.NONE, image.accepted(), image.voters(), image.items(), true);
             }
-            if (mutant == Mutant.OLD_SNAPSHOT_TAKEN && machine.oldImage != null) {
+            if (mutant == Mutation.OLD_SNAPSHOT_TAKEN && machine.oldImage != null) {
                 image = machine.oldImage;
             }
             keys.restore(disk.keys.values());
@@ -199,8 +199,8 @@
         }
 
         private AgreementMessage mutated(AgreementMessage message) {
-            if (mutant == Mutant.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
-                Stamp none = new Stamp(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
+            if (mutant == Mutation.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
+                StateId none = new StateId(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
                 return new AgreementMessage.Promise(promise.from(), promise.ballot(), none, promise.voters());
             }
             return message;
@@ -208,16 +208,16 @@
 
         void receive(AgreementMessage message) {
             AgreementMessage taken = message;
-            if (mutant == Mutant.ANSWER_MATCHED_BY_NUMBER && message instanceof AgreementMessage.Accepted accepted) {
+            if (mutant == Mutation.ANSWER_MATCHED_BY_NUMBER && message instanceof AgreementMessage.Accepted accepted) {
                 // Whatever ballot is proposed here at present: only the number of the revision is compared.
                 Ballot own = disk.read().promised();
                 taken = new AgreementMessage.Accepted(
-                        accepted.from(), new Stamp(own, accepted.stamp().revision()));
+                        accepted.from(), new StateId(own, accepted.stateId().revision()));
             }
-            if (mutant == Mutant.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
+            if (mutant == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
                 return;
             }
-            if (mutant == Mutant.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
+            if (mutant == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
                 AgreementMessage yes = new AgreementMessage.Confirmed(
                         new Voter(machine.address, disk.diskId), confirm.ballot(), confirm.number());
                 send(confirm.from().address(), yes);
@@ -228,10 +228,10 @@
 
         @Override
         public void persist(AcceptorRecord record, Runnable durable) {
-            if (mutant == Mutant.PUSHES_BEFORE_DECIDED) {
+            if (mutant == Mutation.PUSHES_BEFORE_DECIDED) {
                 record.items().forEach(entry -> shown(entry.item()));
             }
-            boolean early = mutant == Mutant.CONFIRMS_BEFORE_SYNC;
+            boolean early = mutant == Mutation.CONFIRMS_BEFORE_SYNC;
             write(record, null, early ? () -> {} : durable);
             if (early) {
                 at(0, this, durable);
@@ -252,7 +252,7 @@
                 syncing = false;
                 if (disk.hasPending() && !disk.stuck) {
                     disk.sync().run();
-                    node.persisted(nowMs);
+                    node.onPersisted(nowMs);
                 }
                 if (disk.hasPending()) {
                     sync();
@@ -261,8 +261,8 @@
         }
 
         @Override
-        public void decided(List<Item> changed, VoterSet voters) {
-            changed.forEach(ControlWorld.this::shown);
+        public void onDecided(List<Item> changed, VoterSet voters) {
+            changed.forEach(ClusterSimulation.this::shown);
             trace(() -> machine.address + "/" + disk.diskId + " decided epoch=" + voters.epoch() + " voters="
                     + voters.voters() + " previous=" + voters.previous());
             for (int i = 0; i < EDGES; i++) {
@@ -286,19 +286,19 @@
 
         /** As the store program does it: from a majority of the voters before, each in the epoch of the change. */
         private void transferKeys() {
-            VoterSet wanted = node.changeThatNeedsKeys();
+            VoterSet wanted = node.voterChangeAwaitingKeys();
             if (wanted == null) {
                 return;
             }
-            if (mutant == Mutant.NEWCOMER_COUNTS_AT_ONCE) {
-                node.keysComplete(wanted.epoch(), nowMs);
+            if (mutant == Mutation.NEWCOMER_COUNTS_AT_ONCE) {
+                node.onKeysComplete(wanted.epoch(), nowMs);
                 return;
             }
             if (!wanted.equals(transferring)) {
                 transferring = wanted;
                 transferred.clear();
             }
-            for (Voter voter : wanted.standing()) {
+            for (Voter voter : wanted.baseVoters()) {
                 if (!transferred.containsKey(voter)) {
                     transmit(machine.address, voter.address(), () -> answerKeys(voter, wanted));
                 }
@@ -319,14 +319,14 @@
         }
 
         private void finishTransfer(VoterSet wanted) {
-            if (!wanted.isMajorityOfStanding(transferred::containsKey)) {
+            if (!wanted.hasMajorityOfBase(transferred::containsKey)) {
                 return;
             }
             List<KeyRecord> all = new ArrayList<>();
             transferred.values().forEach(all::addAll);
-            List<KeyRecord> merged = keys.join(all);
+            List<KeyRecord> merged = keys.merge(all);
             merged.forEach(record -> write(null, record, () -> {}));
-            write(null, null, () -> node.keysComplete(wanted.epoch(), nowMs));
+            write(null, null, () -> node.onKeysComplete(wanted.epoch(), nowMs));
         }
     }
 
@@ -334,9 +334,9 @@
     static final class PlaceRules implements ChangeRules {
 
         private final Map<ItemName, Item> items = new TreeMap<>();
-        private final Mutant mutant;
+        private final Mutation mutant;
 
-        PlaceRules(Mutant mutant) {
+        PlaceRules(Mutation mutant) {
             this.mutant = mutant;
         }
 
@@ -347,14 +347,14 @@
         }
 
         @Override
-        public void changed(Collection<Item> changed) {
-            if (mutant != Mutant.CHECKS_AGAINST_OLD_ITEMS) {
+        public void apply(Collection<Item> changed) {
+            if (mutant != Mutation.CHECKS_AGAINST_OLD_ITEMS) {
                 changed.forEach(item -> items.put(item.name(), item));
             }
         }
 
         @Override
-        public Optional<String> fault(Collection<Item> changed) {
+        public Optional<String> validate(Collection<Item> changed) {
             Map<ItemName, Item> next = new TreeMap<>(items);
             changed.forEach(item -> next.put(item.name(), item));
             return clash(next.values());
@@ -363,7 +363,7 @@
         static Optional<String> clash(Collection<Item> items) {
             Set<Character> places = new HashSet<>();
             for (Item item : items) {
-                if (!item.isDrop()
+                if (!item.isTombstone()
                         && item.content().charAt(0) != '-'
                         && !places.add(item.content().charAt(0))) {
                     return Optional.of("two at the place " + item.content().charAt(0));
@@ -373,7 +373,7 @@
         }
     }
 
-    ControlWorld(long seed, Mutant mutant, int stores, int tolerated) {
+    ClusterSimulation(long seed, Mutation mutant, int stores, int tolerated) {
         this.random = new Random(seed);
         this.mutant = mutant;
         this.tolerated = tolerated;
@@ -454,7 +454,7 @@
     }
 
     /** Runs until something holds. Returns false if it does not within a time. */
-    boolean runUntil(Predicate<ControlWorld> condition, double mostMs) {
+    boolean runUntil(Predicate<ClusterSimulation> condition, double mostMs) {
         double endMs = nowMs + mostMs;
         while (nowMs < endMs && !condition.test(this)) {
             run(100);
@@ -565,7 +565,7 @@
 
     /** A disk takes nothing for a while, as a full one does. Its machine does not count as lost. */
     void stick(String address, double forMs) {
-        WorldDisk disk = machines.get(address).disk;
+        SimulatedDisk disk = machines.get(address).disk;
         trace(() -> "stick " + address + " for " + forMs);
         disk.stuck = true;
         stuckSinceMs = nowMs;
@@ -624,7 +624,7 @@
         if (machine.process != null) {
             machine.process.node.leave(nowMs);
         }
-        if (machine.process == null || nowMs >= latestMs || machine.process.node.mayEnd(nowMs)) {
+        if (machine.process == null || nowMs >= latestMs || machine.process.node.canStop(nowMs)) {
             machine.stop(true);
             machines.remove(address);
         } else {
@@ -651,27 +651,27 @@
         return running.isEmpty() ? null : running.get(random.nextInt(running.size()));
     }
 
-    void order(List<Item> items, Consumer<OrderResult> callback) {
+    void order(List<Item> items, Consumer<ChangeResult> callback) {
         Machine machine = anyRunning();
         if (machine != null) {
             orderAt(machine, items, random.nextInt(3) == 0, callback);
         }
     }
 
-    void orderAt(Machine machine, List<Item> items, boolean insist, Consumer<OrderResult> callback) {
-        machine.process.node.order(items, insist, nowMs, nowMs + BUDGET_MS, result -> {
+    void orderAt(Machine machine, List<Item> items, boolean insist, Consumer<ChangeResult> callback) {
+        machine.process.node.submit(items, insist, nowMs, nowMs + BUDGET_MS, result -> {
             // The answer may be lost on its way.
-            if (result.outcome() == OrderResult.Outcome.CONFIRMED && random.nextInt(10) > 0) {
+            if (result.outcome() == ChangeResult.Outcome.CONFIRMED && random.nextInt(10) > 0) {
                 confirmed(items);
             }
             Machine leader = machines.get(result.detail());
-            boolean other = result.outcome() == OrderResult.Outcome.NOT_LEADER && leader != null;
+            boolean other = result.outcome() == ChangeResult.Outcome.NOT_LEADER && leader != null;
             if (other && leader.process != null && !leader.frozen && leader != machine) {
                 // As registries do: on to the store that leads, over a link that may be slow.
                 transmit(machine.address, leader.address, () -> {
                     if (leader.process != null) {
-                        leader.process.node.order(items, true, nowMs, nowMs + BUDGET_MS, again -> {
-                            if (again.outcome() == OrderResult.Outcome.CONFIRMED) {
+                        leader.process.node.submit(items, true, nowMs, nowMs + BUDGET_MS, again -> {
+                            if (again.outcome() == ChangeResult.Outcome.CONFIRMED) {
                                 confirmed(items);
                             }
                             callback.accept(again);
@@ -702,7 +702,7 @@
 
     private void readAt(Machine machine, boolean goOn) {
         Map<ItemName, Item> before = new TreeMap<>(confirmed);
-        if (mutant == Mutant.READS_AT_ONE) {
+        if (mutant == Mutation.READS_AT_ONE) {
             check(machine.process.node.decidedItems().all(), before);
             return;
         }
@@ -760,21 +760,24 @@
         private final String key;
         private final String claimId = "claim-" + ++eventCount;
         private final VoterSet voters;
-        private final ClaimVote vote;
+        private final ClaimTally vote;
         private final Set<Voter> counted = new HashSet<>();
         private boolean decided;
 
         Claim(String key, VoterSet voters) {
             this.key = key;
             this.voters = voters;
-            this.vote = new ClaimVote(claimId, voters);
+            this.vote = new ClaimTally(claimId, voters);
         }
 
         void begin() {
             for (Voter voter : voters.members()) {
                 transmit("edge", voter.address(), () -> ask(voter));
             }
-            at(BUDGET_MS, null, () -> voters.members().forEach(voter -> count(voter, () -> vote.unavailable(voter))));
+            at(
+                    BUDGET_MS,
+                    null,
+                    () -> voters.members().forEach(voter -> count(voter, () -> vote.countUnavailable(voter))));
         }
 
         private void ask(Voter voter) {
@@ -783,18 +786,18 @@
                 return;
             }
             boolean otherEpoch = store.node.voters().epoch() != voters.epoch();
-            if (otherEpoch && mutant != Mutant.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.moved(voter));
+            if (otherEpoch && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
+                reply(voter, () -> vote.countEpochMismatch(voter));
                 return;
             }
-            if (!store.node.mayVoteOnKeys() && mutant != Mutant.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.unavailable(voter));
+            if (!store.node.canVoteOnKeys() && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
+                reply(voter, () -> vote.countUnavailable(voter));
                 return;
             }
             KeyVote answer = store.keys.claim(key, claimId, (long) nowMs);
             KeyRecord record = answer.record();
             Runnable told =
-                    () -> reply(voter, () -> vote.vote(voter, record.state(), record.claimId(), record.answer()));
+                    () -> reply(voter, () -> vote.countVote(voter, record.state(), record.claimId(), record.answer()));
             if (answer.outcome() == KeyVote.Outcome.GRANTED) {
                 store.write(null, answer.changed() ? record : null, told);
             } else {
@@ -811,12 +814,12 @@
                 return;
             }
             voted.run();
-            ClaimVote.Result result = vote.result();
-            if (result == ClaimVote.Result.OPEN) {
+            ClaimTally.Result result = vote.result();
+            if (result == ClaimTally.Result.OPEN) {
                 return;
             }
             decided = true;
-            if (result == ClaimVote.Result.GRANTED) {
+            if (result == ClaimTally.Result.GRANTED) {
                 ran();
             } else {
                 release();
@@ -870,7 +873,7 @@
         for (int i = 0; i < 40 && !done[0]; i++) {
             order(List.of(last), result -> {
                 trace(() -> "last order: " + result);
-                done[0] |= result.outcome() == OrderResult.Outcome.CONFIRMED;
+                done[0] |= result.outcome() == ChangeResult.Outcome.CONFIRMED;
             });
             run(500);
         }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ControlWorldTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
@@ -11,7 +11,7 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /** Random courses of the control side under losses; {@code -Dwalks=N -Dfirst=N} plays others and more of them. */
-class ControlWorldTest {
+class ClusterSimulationTest {
 
     private static final int WALKS = Integer.getInteger("walks", 120);
     private static final int FIRST = Integer.getInteger("first", 0);
@@ -24,7 +24,7 @@
         long reads = 0;
         long grants = 0;
         for (int seed = FIRST; seed < FIRST + WALKS; seed++) {
-            ControlWorld world = play(seed, Mutant.NONE);
+            ClusterSimulation world = play(seed, Mutation.NONE);
             confirmations += world.confirmations;
             reads += world.reads;
             grants += world.grants;
@@ -36,10 +36,10 @@
         assertThat(grants).isGreaterThan(50L * WALKS);
     }
 
-    private static ControlWorld play(int seed, Mutant mutant) {
+    private static ClusterSimulation play(int seed, Mutation mutant) {
         try {
-            return new ControlWalk(seed, mutant, LENGTH_MS).run();
-        } catch (ControlWorld.Broken broken) {
+            return new SimulationRun(seed, mutant, LENGTH_MS).run();
+        } catch (ClusterSimulation.Broken broken) {
             throw new AssertionError("seed " + seed + ": " + broken.getMessage(), broken);
         }
     }
@@ -48,13 +48,13 @@
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NONE", "OLD_EPOCH_ACCEPTED", "ANSWER_MATCHED_BY_NUMBER"})
-    void eachMutantIsFound(Mutant mutant) {
+    void eachMutantIsFound(Mutation mutant) {
         for (int seed = 0; seed < MUTANT_WALKS; seed++) {
             try {
-                new ControlWalk(seed, mutant, LENGTH_MS).run();
-            } catch (ControlWorld.Stuck notTheFault) {
+                new SimulationRun(seed, mutant, LENGTH_MS).run();
+            } catch (ClusterSimulation.Stuck notTheFault) {
                 continue;
-            } catch (ControlWorld.Broken found) {
+            } catch (ClusterSimulation.Broken found) {
                 System.out.println("mutant=" + mutant + " seed=" + seed + " broke=\"" + found.getMessage() + "\"");
                 return;
             } catch (RuntimeException found) {
@@ -68,8 +68,8 @@
     /** A voter that was cut off from the other stores, and an edge proxy that still counts on it, decide nothing together. */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "OLD_EPOCH_ACCEPTED"})
-    void noKeyIsGrantedInTwoEpochs(Mutant mutant) {
-        ControlWorld world = new ControlWorld(5, mutant, 4, 1);
+    void noKeyIsGrantedInTwoEpochs(Mutation mutant) {
+        ClusterSimulation world = new ClusterSimulation(5, mutant, 4, 1);
         world.lossShare = 0;
         world.run(3_000);
         VoterSet before = world.edgeVoters(0);
@@ -87,33 +87,33 @@
                 world.run(50);
             }
             world.run(2_000);
-        } catch (ControlWorld.Broken twice) {
+        } catch (ClusterSimulation.Broken twice) {
             found = true;
         }
-        assertThat(found).isEqualTo(mutant == Mutant.OLD_EPOCH_ACCEPTED);
+        assertThat(found).isEqualTo(mutant == Mutation.OLD_EPOCH_ACCEPTED);
         assertThat(world.grants).isGreaterThan(0);
     }
 
     /** What was accepted under another ballot says nothing of the state that is proposed under this one. */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "ANSWER_MATCHED_BY_NUMBER"})
-    void anAnswerThatBelongsToAnotherBallotDoesNotCount(Mutant mutant) {
-        ControlWorld world = new ControlWorld(5, mutant, 3, 1);
+    void anAnswerThatBelongsToAnotherBallotDoesNotCount(Mutation mutant) {
+        ClusterSimulation world = new ClusterSimulation(5, mutant, 3, 1);
         world.lossShare = 0;
         world.run(3_000);
-        ControlWorld.Machine leader = world.leader();
+        ClusterSimulation.Machine leader = world.leader();
         world.cutFromStores(leader.address);
-        OrderResult.Outcome[] outcome = new OrderResult.Outcome[1];
+        ChangeResult.Outcome[] outcome = new ChangeResult.Outcome[1];
         world.orderAt(
-                leader, List.of(ControlWorld.route("r", 1, "-x")), false, result -> outcome[0] = result.outcome());
+                leader, List.of(ClusterSimulation.route("r", 1, "-x")), false, result -> outcome[0] = result.outcome());
         for (long revision = 0; revision < 10; revision++) {
             for (Voter voter : world.edgeVoters(0).voters()) {
-                Stamp other = new Stamp(new Ballot(99, "another life"), revision);
+                StateId other = new StateId(new Ballot(99, "another life"), revision);
                 leader.process.receive(new AgreementMessage.Accepted(voter, other));
             }
         }
         world.run(2_000);
-        boolean confirmed = outcome[0] == OrderResult.Outcome.CONFIRMED;
-        assertThat(confirmed).isEqualTo(mutant == Mutant.ANSWER_MATCHED_BY_NUMBER);
+        boolean confirmed = outcome[0] == ChangeResult.Outcome.CONFIRMED;
+        assertThat(confirmed).isEqualTo(mutant == Mutation.ANSWER_MATCHED_BY_NUMBER);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutant.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutation.java
@@ -1,7 +1,7 @@
 package ridgemill.cdn.agreement;
 
-/** Faults that are put into the stores of a {@link ControlWorld} one at a time, each of which its checks must find. */
-enum Mutant {
+/** Faults that are put into the stores of a {@link ClusterSimulation} one at a time, each of which its checks must find. */
+enum Mutation {
     NONE,
     /** Says that something is on disk before it is. */
     CONFIRMS_BEFORE_SYNC,
