--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseDurabilityTest.java
@@ -10,14 +10,14 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /** What a store has promised it heeds in all its lives. */
-class PromiseTest {
+class PromiseDurabilityTest {
 
     private static final Voter SELF = new Voter("10.0.0.4", "new");
     private static final Voter PROPOSER = new Voter("10.0.0.1", "d");
     private static final List<String> SEEDS = List.of("10.0.0.1", "10.0.0.2", "10.0.0.3");
 
     private final List<AgreementMessage> sent = new ArrayList<>();
-    private final WorldDisk disk = new WorldDisk(SELF.diskId());
+    private final SimulatedDisk disk = new SimulatedDisk(SELF.diskId());
 
     private final AgreementEnvironment environment = new AgreementEnvironment() {
         @Override
@@ -32,7 +32,7 @@
         }
 
         @Override
-        public void decided(List<Item> changed, VoterSet voters) {}
+        public void onDecided(List<Item> changed, VoterSet voters) {}
 
         @Override
         public double random() {
@@ -42,7 +42,7 @@
 
     private AgreementNode life(String lifeId) {
         NodeSettings settings = new NodeSettings(SELF, lifeId, "z", true, SEEDS, 1);
-        AgreementNode node = new AgreementNode(settings, environment, new ControlWorld.PlaceRules(Mutant.NONE));
+        AgreementNode node = new AgreementNode(settings, environment, new ClusterSimulation.PlaceRules(Mutation.NONE));
         node.start(disk.read(), 0);
         sent.clear();
         return node;
@@ -54,7 +54,7 @@
         Ballot higher = new Ballot(5, "leader");
         Ballot lower = new Ballot(3, "late");
         life("first").receive(new AgreementMessage.Prepare(PROPOSER, higher), 0);
-        assertThat(sent).containsExactly(new AgreementMessage.Promise(SELF, higher, Stamp.NONE, VoterSet.UNKNOWN));
+        assertThat(sent).containsExactly(new AgreementMessage.Promise(SELF, higher, StateId.NONE, VoterSet.UNKNOWN));
         life("second").receive(new AgreementMessage.Prepare(PROPOSER, lower), 0);
         assertThat(sent).containsExactly(new AgreementMessage.Refused(SELF, lower, higher));
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/WorldDisk.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulatedDisk.java
@@ -9,8 +9,8 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.keys.KeyRecord;
 
-/** A disk of a {@link ControlWorld}: what was synced, and what was written after that in its order. */
-final class WorldDisk {
+/** A disk of a {@link ClusterSimulation}: what was synced, and what was written after that in its order. */
+final class SimulatedDisk {
 
     private record Write(AcceptorRecord accepted, KeyRecord key, Runnable durable) {}
 
@@ -22,7 +22,7 @@
     /** Whether it takes nothing more at present. */
     boolean stuck;
 
-    WorldDisk(String diskId) {
+    SimulatedDisk(String diskId) {
         this.diskId = diskId;
     }
 
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ControlWalk.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulationRun.java
@@ -5,8 +5,8 @@
 import java.util.Random;
 import ridgemill.cdn.config.Item;
 
-/** One random course of a {@link ControlWorld}: orders, reads and claims all the time, and losses within what is tolerated. */
-final class ControlWalk {
+/** One random course of a {@link ClusterSimulation}: orders, reads and claims all the time, and losses within what is tolerated. */
+final class SimulationRun {
 
     private static final String PLACES = "abcdef------";
     private static final double FORMING_MS = 3_000;
@@ -15,23 +15,23 @@
     /** One confirmed order in so many is followed by a loss of power everywhere. */
     private static final int CONFIRMED_THEN_DARK = 150;
 
-    private final ControlWorld world;
+    private final ClusterSimulation world;
     private final Random random;
     private final double lengthMs;
     private int names;
     private final List<List<Item>> sent = new ArrayList<>();
 
-    ControlWalk(long seed, Mutant mutant, double lengthMs) {
+    SimulationRun(long seed, Mutation mutant, double lengthMs) {
         int tolerated = seed % 4 == 3 ? 2 : 1;
         int stores = tolerated == 2 ? 6 : 3 + (int) (seed % 3);
-        this.world = new ControlWorld(seed, mutant, stores, tolerated);
+        this.world = new ClusterSimulation(seed, mutant, stores, tolerated);
         this.random = world.random;
         world.lossShare = LOSS_SHARES[(int) (seed / 7 % LOSS_SHARES.length)];
         this.names = stores;
         this.lengthMs = lengthMs;
     }
 
-    ControlWorld run() {
+    ClusterSimulation run() {
         world.run(FORMING_MS);
         double nextFaultMs = world.nowMs;
         double endMs = world.nowMs + lengthMs;
@@ -77,17 +77,17 @@
         for (int i = 0; i < senders; i++) {
             String content = PLACES.charAt(random.nextInt(PLACES.length())) + "" + random.nextInt(1_000);
             List<Item> items = new ArrayList<>();
-            items.add(ControlWorld.route(name, version, random.nextInt(5) == 0 ? null : content));
+            items.add(ClusterSimulation.route(name, version, random.nextInt(5) == 0 ? null : content));
             if (random.nextInt(4) == 0) {
-                items.add(ControlWorld.route("s" + random.nextInt(4), version, "-" + random.nextInt(100)));
+                items.add(ClusterSimulation.route("s" + random.nextInt(4), version, "-" + random.nextInt(100)));
             }
             sent.add(items);
             world.order(items, this::answered);
         }
     }
 
-    private void answered(OrderResult result) {
-        boolean confirmed = result.outcome() == OrderResult.Outcome.CONFIRMED;
+    private void answered(ChangeResult result) {
+        boolean confirmed = result.outcome() == ChangeResult.Outcome.CONFIRMED;
         if (confirmed && random.nextInt(CONFIRMED_THEN_DARK) == 0 && world.nobodyIsLost()) {
             world.at(0, null, world::powerOffAll);
         }
--- a/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
@@ -23,7 +23,7 @@
         assertThat(items.merge(set("r", 5, "a"))).isTrue();
         assertThat(items.merge(set("r", 7, null))).isTrue();
         assertThat(items.merge(set("r", 6, "b"))).isFalse();
-        assertThat(items.get(new ItemName(ItemKind.ROUTE, "r")).isDrop()).isTrue();
+        assertThat(items.get(new ItemName(ItemKind.ROUTE, "r")).isTombstone()).isTrue();
         assertThat(items.merge(set("r", 8, "c"))).isTrue();
         assertThat(items.get(new ItemName(ItemKind.ROUTE, "r")).content()).isEqualTo("c");
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ByteRangeTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ByteRangeTest.java
@@ -39,9 +39,9 @@
     @Test
     void aRangeIsCutToTheObject() {
         ByteRange open = new ByteRange(5, Long.MAX_VALUE);
-        assertThat(open.isWithin(5)).isFalse();
-        assertThat(open.isWithin(6)).isTrue();
-        assertThat(open.lastWithin(10)).isEqualTo(9);
-        assertThat(new ByteRange(5, 7).lastWithin(10)).isEqualTo(7);
+        assertThat(open.isSatisfiable(5)).isFalse();
+        assertThat(open.isSatisfiable(6)).isTrue();
+        assertThat(open.lastByteWithin(10)).isEqualTo(9);
+        assertThat(new ByteRange(5, 7).lastByteWithin(10)).isEqualTo(7);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
@@ -23,7 +23,7 @@
         Instance instance =
                 new Instance(id, "s", "a:" + all.size(), "z", "v1", SLOTS, InstanceState.READY, 1, coldUntilMs);
         InstanceStats stats = new InstanceStats(instance);
-        stats.learn(instance, local, 100);
+        stats.update(instance, local, 100);
         all.add(stats);
         picker.instances(all);
         return stats;
@@ -35,16 +35,16 @@
 
     private static void fill(InstanceStats instance) {
         for (int i = 0; i < SLOTS + 1; i++) {
-            assertThat(instance.isOpen(NOW)).isTrue();
-            instance.began();
+            assertThat(instance.hasCapacity(NOW)).isTrue();
+            instance.requestStarted();
         }
     }
 
     /** Two requests go there and meet silence. */
     private void fail(InstanceStats instance, double nowMs) {
         for (int i = 0; i < 2; i++) {
-            instance.began();
-            instance.ended(nowMs, Verdict.SILENT, 100, false, true);
+            instance.requestStarted();
+            instance.requestEnded(nowMs, AttemptOutcome.SILENT, 100, false, true);
         }
     }
 
@@ -54,17 +54,17 @@
         for (int i = 0; i < 4; i++) {
             add("i" + i, true, 0);
         }
-        InstancePicker ofOne = InstancePicker.ofOne();
+        InstancePicker ofOne = InstancePicker.singleCandidate();
         ofOne.instances(all);
         List<InstanceStats> before = new ArrayList<>();
         for (long key = 0; key < 200; key++) {
             before.add(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance());
         }
-        all.get(0).began();
-        all.get(0).ended(NOW, Verdict.ANSWERED, 900, false, true);
-        all.get(1).began();
-        all.get(1).ended(NOW, Verdict.ANSWERED, 2, false, true);
-        all.get(2).began();
+        all.get(0).requestStarted();
+        all.get(0).requestEnded(NOW, AttemptOutcome.ANSWERED, 900, false, true);
+        all.get(1).requestStarted();
+        all.get(1).requestEnded(NOW, AttemptOutcome.ANSWERED, 2, false, true);
+        all.get(2).requestStarted();
         for (long key = 0; key < 200; key++) {
             assertThat(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance())
                     .isSameAs(before.get((int) key));
@@ -80,15 +80,15 @@
         for (long key = 0; key < 100; key++) {
             InstanceStats first = pick(NOW, key);
             assertThat(pick(NOW, key)).as("a tie goes to the first").isSameAs(first);
-            first.began();
+            first.requestStarted();
             InstanceStats second = pick(NOW, key);
             assertThat(second).isNotSameAs(first);
-            second.began();
-            second.began();
+            second.requestStarted();
+            second.requestStarted();
             assertThat(pick(NOW, key)).as("no third, though idle").isSameAs(first);
-            first.withdrawn();
-            second.withdrawn();
-            second.withdrawn();
+            first.requestWithdrawn();
+            second.requestWithdrawn();
+            second.requestWithdrawn();
         }
     }
 
@@ -97,7 +97,7 @@
         add("a", true, 0);
         add("b", true, 0);
         InstanceStats first = pick(NOW, 7);
-        first.toldLoad(NOW, 3, 0, SLOTS);
+        first.loadReported(NOW, 3, 0, SLOTS);
         assertThat(pick(NOW, 7)).isNotSameAs(first);
         assertThat(pick(NOW + 300, 7)).as("old news").isSameAs(first);
     }
@@ -127,10 +127,10 @@
             assertThat(pick(NOW + 400, key)).isNotSameAs(failing);
         }
         assertThat(failing.isUsable(NOW + 600)).isTrue();
-        failing.began();
+        failing.requestStarted();
         assertThat(failing.isUsable(NOW + 600)).as("one on trial is enough").isFalse();
-        failing.ended(NOW + 700, Verdict.ANSWERED, 100, false, true);
-        failing.began();
+        failing.requestEnded(NOW + 700, AttemptOutcome.ANSWERED, 100, false, true);
+        failing.requestStarted();
         assertThat(failing.isUsable(NOW + 700)).as("it is well again").isTrue();
         assertThat(other.isUsable(NOW)).isTrue();
     }
@@ -140,7 +140,7 @@
         fail(add("a", true, 0), NOW);
         assertThat(pick(NOW, 1)).isNotNull();
         fail(add("b", true, 0), NOW);
-        assertThat(picker.maySpare(NOW)).isFalse();
+        assertThat(picker.mayEject(NOW)).isFalse();
     }
 
     @Test
@@ -149,11 +149,11 @@
         InstanceStats two = add("b", true, 0);
         add("c", true, 0);
         add("d", true, 0);
-        assertThat(picker.maySpare(NOW)).isTrue();
+        assertThat(picker.mayEject(NOW)).isTrue();
         fail(one, NOW);
-        assertThat(picker.maySpare(NOW)).isTrue();
+        assertThat(picker.mayEject(NOW)).isTrue();
         fail(two, NOW);
-        assertThat(picker.maySpare(NOW)).isFalse();
+        assertThat(picker.mayEject(NOW)).isFalse();
     }
 
     @Test
@@ -177,21 +177,21 @@
     void aFullInstanceGetsNothingAndAllFullIsACrowd() {
         InstanceStats full = add("a", true, 0);
         fill(full);
-        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Saturated.class);
         InstanceStats other = add("b", true, 0);
         for (long key = 0; key < 20; key++) {
             assertThat(pick(NOW, key)).isSameAs(other);
         }
-        other.toldLoad(NOW, SLOTS, 1, SLOTS);
-        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        other.loadReported(NOW, SLOTS, 1, SLOTS);
+        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Saturated.class);
     }
 
     @Test
     void oneThatTurnedARequestAwayIsFullForAMoment() {
         InstanceStats full = add("a", true, 0);
-        full.began();
-        full.ended(NOW, Verdict.DECLINED, 1, false, true);
-        assertThat(picker.pick(NOW + 10, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        full.requestStarted();
+        full.requestEnded(NOW, AttemptOutcome.DECLINED, 1, false, true);
+        assertThat(picker.pick(NOW + 10, 1, List.of())).isInstanceOf(Pick.Saturated.class);
         assertThat(pick(NOW + 100, 1)).isSameAs(full);
     }
 
@@ -202,8 +202,8 @@
         for (long key = 0; key < 20; key++) {
             assertThat(pick(NOW, key, tried)).isSameAs(gone);
         }
-        gone.began();
-        gone.ended(NOW, Verdict.MISDIRECTED, 1, false, true);
+        gone.requestStarted();
+        gone.requestEnded(NOW, AttemptOutcome.MISDIRECTED, 1, false, true);
         assertThat(picker.pick(NOW + 4_900, 1, List.of(tried))).isInstanceOf(Pick.None.class);
         assertThat(pick(NOW + 5_100, 1, tried)).isSameAs(gone);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ObjectCacheTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ObjectCacheTest.java
@@ -14,7 +14,7 @@
 
     @Test
     void theLeastRecentlyUsedGoesFirst() {
-        long each = copy("x", 1_000).size();
+        long each = copy("x", 1_000).sizeBytes();
         ObjectCache cache = new ObjectCache(4 * each);
         for (String key : List.of("a", "b", "c", "d")) {
             cache.put(copy(key, 1_000));
@@ -34,16 +34,16 @@
         for (int i = 0; i < 10_000; i++) {
             cache.put(copy("k" + random.nextInt(60), random.nextInt(30_000), "t" + random.nextInt(9)));
             if (i % 17 == 0) {
-                cache.removeTagged("t" + random.nextInt(9));
+                cache.removeByTag("t" + random.nextInt(9));
             }
             long held = 0;
             for (int k = 0; k < 60; k++) {
                 CachedObject copy = cache.get("k" + k);
-                held += copy == null ? 0 : copy.size();
+                held += copy == null ? 0 : copy.sizeBytes();
             }
-            assertThat(cache.size()).isEqualTo(held).isLessThanOrEqualTo(capacity);
+            assertThat(cache.sizeBytes()).isEqualTo(held).isLessThanOrEqualTo(capacity);
         }
-        assertThat(cache.size()).as("the memory is used").isGreaterThan(capacity / 2);
+        assertThat(cache.sizeBytes()).as("the memory is used").isGreaterThan(capacity / 2);
     }
 
     @Test
@@ -52,7 +52,7 @@
         cache.put(copy("a", 10));
         cache.put(copy("a", 30_000));
         assertThat(cache.get("a")).isNull();
-        assertThat(cache.size()).isZero();
+        assertThat(cache.sizeBytes()).isZero();
     }
 
     @Test
@@ -61,39 +61,39 @@
         cache.put(copy("a", 10, "old", "both"));
         cache.put(copy("a", 10, "new", "both"));
         cache.put(copy("b", 10, "both"));
-        cache.removeTagged("old");
+        cache.removeByTag("old");
         assertThat(cache.count()).isEqualTo(2);
-        cache.removeTagged("new");
+        cache.removeByTag("new");
         assertThat(cache.get("a")).isNull();
-        cache.removeTagged("both");
+        cache.removeByTag("both");
         assertThat(cache.count()).isZero();
-        assertThat(cache.size()).isZero();
+        assertThat(cache.sizeBytes()).isZero();
     }
 
     @Test
     void usesCountForACopyAndBeginAnewWithTheNext() {
         ObjectCache cache = new ObjectCache(100_000);
-        assertThat(cache.use("a")).isZero();
+        assertThat(cache.countUse("a")).isZero();
         cache.put(copy("a", 10));
-        assertThat(cache.use("a")).isEqualTo(1);
-        assertThat(cache.use("a")).isEqualTo(2);
-        cache.forgetUses("a");
-        assertThat(cache.use("a")).isEqualTo(1);
+        assertThat(cache.countUse("a")).isEqualTo(1);
+        assertThat(cache.countUse("a")).isEqualTo(2);
+        cache.resetUses("a");
+        assertThat(cache.countUse("a")).isEqualTo(1);
         cache.put(copy("a", 10));
-        assertThat(cache.use("a")).isEqualTo(1);
+        assertThat(cache.countUse("a")).isEqualTo(1);
     }
 
     @Test
     void aCopyIsDueAheadNearItsEndIfItIsUsedOften() {
         CachedObject copy = copy("a", 1);
-        assertThat(copy.isDueAhead(900, 1_000, 8)).isTrue();
-        assertThat(copy.isDueAhead(900, 1_000, 7)).isFalse();
-        assertThat(copy.isDueAhead(800, 1_000, 100)).isFalse();
+        assertThat(copy.isDueForRefresh(900, 1_000, 8)).isTrue();
+        assertThat(copy.isDueForRefresh(900, 1_000, 7)).isFalse();
+        assertThat(copy.isDueForRefresh(800, 1_000, 100)).isFalse();
     }
 
     @Test
     void aCopyIsFreshFromTheStartOfItsFetch() {
-        CachedObject copy = copy("a", 1).confirmed(1_000);
+        CachedObject copy = copy("a", 1).revalidated(1_000);
         assertThat(copy.isFresh(1_499, 500)).isTrue();
         assertThat(copy.isFresh(1_500, 500)).isFalse();
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
@@ -93,14 +93,14 @@
     void halfOfTheBurstIsKeptForClientsWhoWait() {
         OriginShare share = share(100);
         int spare = 0;
-        while (spare < MANY && share.hasSpare(0)) {
+        while (spare < MANY && share.hasBackgroundCapacity(0)) {
             assertThat(share.tryTake(0)).isTrue();
             spare++;
         }
         assertThat(spare).isPositive();
         assertThat(empty(share)).isGreaterThanOrEqualTo(spare);
-        assertThat(share(1).hasSpare(0)).isFalse();
-        assertThat(share(0).hasSpare(0)).isTrue();
+        assertThat(share(1).hasBackgroundCapacity(0)).isFalse();
+        assertThat(share(0).hasBackgroundCapacity(0)).isTrue();
     }
 
     @Test
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/PurgeLogTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/PurgeLogTest.java
@@ -12,23 +12,23 @@
 
     @Test
     void theLastPurgeOfACopyIsThatOfItsPathOrOfOneOfItsTags() {
-        assertThat(log.lastMs(copy)).isEqualTo(Double.NEGATIVE_INFINITY);
-        log.tag("t2", 5);
-        log.tag("other", 9);
-        assertThat(log.lastMs(copy)).isEqualTo(5);
-        log.path("h/a", 7);
-        assertThat(log.lastMs(copy)).isEqualTo(7);
-        assertThat(log.lastMs("h/a")).isEqualTo(7);
-        assertThat(log.lastMs("h/b")).isEqualTo(Double.NEGATIVE_INFINITY);
+        assertThat(log.lastPurgedMs(copy)).isEqualTo(Double.NEGATIVE_INFINITY);
+        log.recordTag("t2", 5);
+        log.recordTag("other", 9);
+        assertThat(log.lastPurgedMs(copy)).isEqualTo(5);
+        log.recordPath("h/a", 7);
+        assertThat(log.lastPurgedMs(copy)).isEqualTo(7);
+        assertThat(log.lastPurgedMs("h/a")).isEqualTo(7);
+        assertThat(log.lastPurgedMs("h/b")).isEqualTo(Double.NEGATIVE_INFINITY);
     }
 
     @Test
     void purgesAreRememberedAsLongAsAnotherProcessMayLagBehind() {
-        log.path("h/a", 100);
-        log.tag("t1", 200);
-        log.forgetOld(100 + PurgeLog.MEMORY_MS);
-        assertThat(log.lastMs(copy)).isEqualTo(200);
-        log.forgetOld(201 + PurgeLog.MEMORY_MS);
-        assertThat(log.lastMs(copy)).isEqualTo(Double.NEGATIVE_INFINITY);
+        log.recordPath("h/a", 100);
+        log.recordTag("t1", 200);
+        log.removeExpired(100 + PurgeLog.RETENTION_MS);
+        assertThat(log.lastPurgedMs(copy)).isEqualTo(200);
+        log.removeExpired(201 + PurgeLog.RETENTION_MS);
+        assertThat(log.lastPurgedMs(copy)).isEqualTo(Double.NEGATIVE_INFINITY);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ridgemill.cdn.membership.CachePlace;
+import ridgemill.cdn.membership.CachePosition;
 import ridgemill.cdn.membership.FleetPosition;
 
 class RateDivisionTest {
@@ -20,29 +20,29 @@
     private static List<OriginShare> shares(double rate, int proxies, int caches) {
         List<OriginShare> shares = new ArrayList<>();
         for (int rank = 0; rank < caches; rank++) {
-            shares.add(share(DIVISION.ofCache(rate, place(caches, rank))));
+            shares.add(share(DIVISION.forCache(rate, place(caches, rank))));
         }
         for (int rank = 0; rank < proxies; rank++) {
-            shares.add(share(DIVISION.ofProxy(rate, new FleetPosition(proxies, rank), caches > 0)));
+            shares.add(share(DIVISION.forProxy(rate, new FleetPosition(proxies, rank), caches > 0)));
         }
         return shares;
     }
 
     /** Two regions where there is more than one shared cache, of unequal sizes. */
-    private static CachePlace place(int caches, int rank) {
+    private static CachePosition place(int caches, int rank) {
         if (caches == 1) {
-            return CachePlace.ALONE;
+            return CachePosition.ALONE;
         }
         int first = (2 * caches + 1) / 3;
         boolean inFirst = rank < first;
-        return new CachePlace(
+        return new CachePosition(
                 new FleetPosition(2, inFirst ? 0 : 1),
                 inFirst ? new FleetPosition(first, rank) : new FleetPosition(caches - first, rank - first));
     }
 
-    private static OriginShare share(RateDivision.Part part) {
+    private static OriginShare share(RateDivision.Share part) {
         OriginShare share = new OriginShare(OVERAGE, WINDOW_MS);
-        share.setPart(part, 0);
+        share.assign(part, 0);
         return share;
     }
 
@@ -101,8 +101,8 @@
     void sharedCachesMayUseMostOfTheRateHoweverManyProxiesThereAre(double rate, int proxies, int caches) {
         double sum = 0;
         for (int rank = 0; rank < caches; rank++) {
-            RateDivision.Part part = DIVISION.ofCache(rate, place(caches, rank));
-            sum += part instanceof RateDivision.Part.Bounded bounded ? bounded.perSecond() : 0;
+            RateDivision.Share part = DIVISION.forCache(rate, place(caches, rank));
+            sum += part instanceof RateDivision.Share.Bounded bounded ? bounded.perSecond() : 0;
         }
         assertThat(sum).isGreaterThan(0.85 * rate);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
@@ -15,7 +15,7 @@
 
     private static int takeAll(RetryBudget budget, double nowMs, int proxies) {
         int taken = 0;
-        while (taken < 1_000 && budget.tryRepeat(nowMs, proxies)) {
+        while (taken < 1_000 && budget.tryRetry(nowMs, proxies)) {
             taken++;
         }
         return taken;
@@ -45,8 +45,8 @@
         for (int i = 0; i < 100; i++) {
             budget.countRequest(0);
         }
-        assertThat(budget.tryRepeat(WINDOW_MS * 0.9, 1)).isTrue();
-        assertThat(budget.tryRepeat(WINDOW_MS, 1)).isFalse();
+        assertThat(budget.tryRetry(WINDOW_MS * 0.9, 1)).isTrue();
+        assertThat(budget.tryRetry(WINDOW_MS, 1)).isFalse();
     }
 
     @Test
@@ -88,7 +88,7 @@
                             budgets.get(i).countRequest(nowMs);
                             requests[step]++;
                         }
-                        repeats[step] += budgets.get(i).tryRepeat(nowMs, proxies) ? 1 : 0;
+                        repeats[step] += budgets.get(i).tryRetry(nowMs, proxies) ? 1 : 0;
                     }
                 }
             }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
@@ -17,11 +17,11 @@
 
     private void interval(int good, int bad) {
         for (int i = 0; i < good + bad; i++) {
-            admission.count(i < good);
+            admission.countAttempt(i < good);
         }
         nowMs += ServiceAdmission.INTERVAL_MS;
-        assertThat(admission.isDue(nowMs)).isTrue();
-        admission.step(nowMs, 0);
+        assertThat(admission.isIntervalOver(nowMs)).isTrue();
+        admission.endInterval(nowMs, 0);
     }
 
     /** Intervals from which the base becomes 20 a second. */
@@ -44,7 +44,7 @@
     private int drawn(double lastingMs) {
         int drawn = 0;
         for (double endMs = nowMs + lastingMs; nowMs < endMs; nowMs++) {
-            drawn += admission.draw(nowMs, 0) ? 1 : 0;
+            drawn += admission.tryAdmit(nowMs, 0) ? 1 : 0;
         }
         return drawn;
     }
@@ -114,69 +114,69 @@
     void lowWorthLeavesTheLastToken() {
         rise(TOP);
         nowMs += 10_000;
-        assertThat(admission.draw(nowMs, 0)).isTrue();
+        assertThat(admission.tryAdmit(nowMs, 0)).isTrue();
         int low = 0;
-        while (low < MANY && admission.draw(nowMs, 3)) {
+        while (low < MANY && admission.tryAdmit(nowMs, 3)) {
             low++;
         }
         assertThat(low).isEqualTo(2);
-        assertThat(admission.draw(nowMs, 0)).as("higher worth").isTrue();
-        assertThat(admission.draw(nowMs, 0)).as("higher worth, empty").isFalse();
+        assertThat(admission.tryAdmit(nowMs, 0)).as("higher worth").isTrue();
+        assertThat(admission.tryAdmit(nowMs, 0)).as("higher worth, empty").isFalse();
     }
 
     @Test
     void workForNobodyLeavesTheLastTokenToo() {
-        assertThat(admission.drawForNobody(nowMs)).isTrue();
+        assertThat(admission.tryAdmitBackground(nowMs)).isTrue();
         rise(TOP);
         nowMs += 10_000;
         int drawn = 0;
-        while (drawn < MANY && admission.drawForNobody(nowMs)) {
+        while (drawn < MANY && admission.tryAdmitBackground(nowMs)) {
             drawn++;
         }
         assertThat(drawn).isEqualTo(3);
-        assertThat(admission.draw(nowMs, 0)).isTrue();
+        assertThat(admission.tryAdmit(nowMs, 0)).isTrue();
     }
 
     @Test
     void anEmptyBankRefusesAtOnceAndTellsAWait() {
         rise(TOP);
         int drawn = 0;
-        while (drawn < MANY && admission.draw(nowMs, 0)) {
+        while (drawn < MANY && admission.tryAdmit(nowMs, 0)) {
             drawn++;
         }
         assertThat(drawn).isLessThan(MANY);
-        double waitMs = admission.waitMs();
+        double waitMs = admission.retryAfterMs();
         assertThat(waitMs).isEqualTo(1_000 / (0.3 * BASE));
-        assertThat(admission.draw(nowMs + waitMs * 0.9, 0)).isFalse();
-        assertThat(admission.draw(nowMs + waitMs * 1.01, 0)).isTrue();
+        assertThat(admission.tryAdmit(nowMs + waitMs * 0.9, 0)).isFalse();
+        assertThat(admission.tryAdmit(nowMs + waitMs * 1.01, 0)).isTrue();
     }
 
     @Test
     void nobodyIsToldToWaitLong() {
         admission.restore(new AdmissionLevel.Snapshot(TOP, 1, 1, 9), 0);
-        assertThat(admission.waitMs()).isEqualTo(1_000);
+        assertThat(admission.retryAfterMs()).isEqualTo(1_000);
     }
 
     @Test
     void levelZeroRefusesNothing() {
         for (int i = 0; i < 1_000; i++) {
-            assertThat(admission.draw(0, i % 4)).isTrue();
+            assertThat(admission.tryAdmit(0, i % 4)).isTrue();
         }
-        assertThat(admission.waitMs()).isZero();
+        assertThat(admission.retryAfterMs()).isZero();
     }
 
     @Test
     void brokenConnectionsCountUnlessTheyBreakAnyway() {
         learn();
         for (int i = 0; i < 50; i++) {
-            admission.countBroken();
+            admission.countConnectionFailure();
         }
-        admission.step(nowMs += ServiceAdmission.INTERVAL_MS, 1);
+        admission.endInterval(nowMs += ServiceAdmission.INTERVAL_MS, 1);
         assertThat(admission.level()).as("not the service's doing").isZero();
         for (int i = 0; i < 50; i++) {
-            admission.countBroken();
+            admission.countConnectionFailure();
         }
-        admission.step(nowMs += ServiceAdmission.INTERVAL_MS, 0);
+        admission.endInterval(nowMs += ServiceAdmission.INTERVAL_MS, 0);
         assertThat(admission.level()).isEqualTo(1);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/instances/InstanceTableTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/instances/InstanceTableTest.java
@@ -30,7 +30,7 @@
     @Test
     void anInstanceThatHasLeftDoesNotComeBack() {
         table.merge(beat("i", "a:1", InstanceState.READY, 1), 0);
-        assertThat(table.merge(table.get("i").gone(), 10)).hasSize(1);
+        assertThat(table.merge(table.get("i").asGone(), 10)).hasSize(1);
         assertThat(table.merge(beat("i", "a:1", InstanceState.READY, 9), 20)).isEmpty();
         assertThat(table.get("i").state()).isEqualTo(InstanceState.GONE);
     }
@@ -48,17 +48,17 @@
     void silenceCountsFromTheLastHeartbeatThatAnybodyHeard() {
         table.merge(beat("i", "a:1", InstanceState.READY, 1), 0);
         table.merge(beat("j", "a:2", InstanceState.READY, 1), 0);
-        table.heard("i", 2, 4000);
-        table.heard("j", 1, 4000);
-        assertThat(table.silent(5000, 5500)).containsExactly("j");
+        table.recordHeartbeat("i", 2, 4000);
+        table.recordHeartbeat("j", 1, 4000);
+        assertThat(table.unresponsive(5000, 5500)).containsExactly("j");
     }
 
     @Test
     void theDepartedAreForgottenInTheEnd() {
         table.merge(beat("i", "a:1", InstanceState.GONE, 1), 0);
-        table.forgetOld(InstanceTable.FORGET_GONE_MS);
+        table.removeExpired(InstanceTable.GONE_RETENTION_MS);
         assertThat(table.get("i")).isNotNull();
-        table.forgetOld(InstanceTable.FORGET_GONE_MS + 1);
+        table.removeExpired(InstanceTable.GONE_RETENTION_MS + 1);
         assertThat(table.get("i")).isNull();
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
@@ -38,7 +38,7 @@
         records.subList(0, cut).forEach(left::add);
         records.subList(cut, records.size()).forEach(right::add);
         left.addAll(right);
-        return left.outcome();
+        return left.result();
     }
 
     @Test
--- a/cdn-core/src/test/java/ridgemill/cdn/keys/KeyReplicaTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/keys/KeyReplicaTest.java
@@ -162,7 +162,7 @@
                 }
             }
             voters[lost] = new KeyReplica(LIMITS);
-            voters[lost].restore(merges.values().stream().map(KeyMerge::outcome).toList());
+            voters[lost].restore(merges.values().stream().map(KeyMerge::result).toList());
         }
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
@@ -17,7 +17,7 @@
             for (int index : new int[] {0, 1, 7, 309}) {
                 int sum = 0;
                 for (int rank = 0; rank < size; rank++) {
-                    sum += new FleetPosition(size, rank).part(units, index);
+                    sum += new FleetPosition(size, rank).share(units, index);
                 }
                 assertThat(sum).as("%d units, index %d", units, index).isEqualTo(units);
             }
@@ -29,7 +29,7 @@
         int size = 73;
         for (int rank = 0; rank < size; rank++) {
             FleetPosition position = new FleetPosition(size, rank);
-            assertThat(position.part(50, 0) + position.part(50, 1))
+            assertThat(position.share(50, 0) + position.share(50, 1))
                     .as("rank %d", rank)
                     .isPositive();
         }
@@ -42,13 +42,13 @@
         Fleet fleet = new Fleet(FleetPosition.ALONE, caches);
         int sum = 0;
         for (CacheNode cache : caches) {
-            CachePlace place = fleet.cachePlace(cache, zone -> zone.equals("z3") ? "south" : "north");
+            CachePosition place = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
             assertThat(place.region().size()).isEqualTo(2);
-            sum += place.part(25, 1);
+            sum += place.share(25, 1);
         }
         assertThat(sum).isEqualTo(25);
         CacheNode unheard = new CacheNode("d", "4", "z3");
-        assertThat(fleet.cachePlace(unheard, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
+        assertThat(fleet.cachePosition(unheard, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
     }
 
     @Test
--- a/cdn-core/src/test/java/ridgemill/cdn/purge/PurgeCoverageTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/purge/PurgeCoverageTest.java
@@ -21,9 +21,9 @@
     void nothingIsCoveredBeforeAMajorityIsFollowed() {
         assertThat(coverage.covers(100)).isFalse();
         coverage.setVoters(VOTERS);
-        coverage.restarted(A, 10);
+        coverage.streamStarted(A, 10);
         assertThat(coverage.covers(100)).isFalse();
-        coverage.restarted(B, 20);
+        coverage.streamStarted(B, 20);
         assertThat(coverage.covers(100)).isTrue();
         assertThat(coverage.covers(15)).isFalse();
     }
@@ -31,12 +31,12 @@
     @Test
     void aStoreThatStartsAnewIsMadeUpForByTheOthersUntilASecondOneDoes() {
         coverage.setVoters(VOTERS);
-        coverage.restarted(A, 0);
-        coverage.restarted(B, 0);
-        coverage.restarted(C, 0);
-        coverage.restarted(A, 50);
+        coverage.streamStarted(A, 0);
+        coverage.streamStarted(B, 0);
+        coverage.streamStarted(C, 0);
+        coverage.streamStarted(A, 50);
         assertThat(coverage.covers(10)).isTrue();
-        coverage.restarted(B, 60);
+        coverage.streamStarted(B, 60);
         assertThat(coverage.covers(10)).isFalse();
         assertThat(coverage.covers(55)).isTrue();
     }
@@ -44,26 +44,26 @@
     @Test
     void aStoreThatDoesNotVoteCoversNothing() {
         coverage.setVoters(VOTERS);
-        coverage.restarted(A, 0);
-        coverage.restarted(D, 0);
+        coverage.streamStarted(A, 0);
+        coverage.streamStarted(D, 0);
         assertThat(coverage.covers(10)).isFalse();
     }
 
     @Test
     void whileVotersAreReplacedBothSetsHaveToCover() {
         coverage.setVoters(VOTERS.changedTo(List.of(A, B, D)));
-        coverage.restarted(A, 0);
-        coverage.restarted(D, 0);
+        coverage.streamStarted(A, 0);
+        coverage.streamStarted(D, 0);
         assertThat(coverage.covers(10)).as("a majority of the new voters only").isFalse();
-        coverage.restarted(C, 0);
+        coverage.streamStarted(C, 0);
         assertThat(coverage.covers(10)).isTrue();
     }
 
     @Test
     void aMachineThatLostItsDiskCoversAsAnotherStore() {
         coverage.setVoters(VOTERS);
-        coverage.restarted(A, 0);
-        coverage.restarted(new Voter("b", "2"), 0);
+        coverage.streamStarted(A, 0);
+        coverage.streamStarted(new Voter("b", "2"), 0);
         assertThat(coverage.covers(10)).isFalse();
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
@@ -30,7 +30,7 @@
 
     private static boolean decides(VoterSet voters, int agreeing) {
         Set<Voter> who = Set.copyOf(of(agreeing));
-        return voters.isMajority(who::contains);
+        return voters.hasQuorum(who::contains);
     }
 
     @Test
@@ -51,7 +51,7 @@
             for (int after = 1; after < 1 << STORES; after += 5) {
                 VoterSet first = new VoterSet(1, of(before), List.of());
                 VoterSet joint = first.changedTo(of(after));
-                VoterSet last = joint.isJoint() ? joint.settled() : joint;
+                VoterSet last = joint.isJoint() ? joint.completed() : joint;
                 for (int agreeing = 0; agreeing < 1 << STORES; agreeing++) {
                     if (decides(joint, agreeing)) {
                         int others = ~agreeing & (1 << STORES) - 1;
@@ -68,7 +68,7 @@
     void aChangeThatIsGivenUpLeadsBackToTheVotersThatStood() {
         VoterSet first = new VoterSet(4, of(0b000111), List.of());
         VoterSet joint = first.changedTo(of(0b001011));
-        assertThat(joint.newcomers()).containsExactlyElementsOf(of(0b001000));
+        assertThat(joint.addedVoters()).containsExactlyElementsOf(of(0b001000));
         VoterSet other = joint.changedTo(of(0b010011));
         assertThat(other.previous()).isEqualTo(of(0b000111));
         VoterSet back = other.changedTo(of(0b000111));
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
@@ -108,7 +108,7 @@
         ObjectNode services = root.putObject(SERVICES);
         try {
             for (Item item : items) {
-                if (item.isDrop()) {
+                if (item.isTombstone()) {
                     continue;
                 }
                 JsonNode content = json.readTree(item.content());
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
@@ -31,7 +31,7 @@
     }
 
     private Option<InvalidChange> checkAlone(Item item) {
-        if (item.isDrop() || item.name().kind() != ItemKind.ROUTE) {
+        if (item.isTombstone() || item.name().kind() != ItemKind.ROUTE) {
             return Option.none();
         }
         Route route = ItemParser.route(item);
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
@@ -30,11 +30,11 @@
         routesAtPlace.clear();
         routesOfService.clear();
         services.clear();
-        changed(items);
+        apply(items);
     }
 
     @Override
-    public void changed(Collection<Item> items) {
+    public void apply(Collection<Item> items) {
         for (Item item : items) {
             if (item.name().kind() == ItemKind.ROUTE) {
                 forget(item.name(), routes.remove(item.name()));
@@ -43,7 +43,7 @@
                     add(item.name(), route);
                 }
             } else if (item.name().kind() == ItemKind.SERVICE) {
-                if (item.isDrop()) {
+                if (item.isTombstone()) {
                     services.remove(item.name().name());
                 } else {
                     services.add(item.name().name());
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public Optional<String> fault(Collection<Item> items) {
+    public Optional<String> validate(Collection<Item> items) {
         Change change = new Change(items);
         return change.routeFault().or(change::serviceFault);
     }
@@ -95,7 +95,7 @@
                 if (item.name().kind() == ItemKind.ROUTE) {
                     changedRoutes.put(item.name(), Optional.ofNullable(ItemParser.route(item)));
                 } else if (item.name().kind() == ItemKind.SERVICE) {
-                    changedServices.put(item.name().name(), !item.isDrop());
+                    changedServices.put(item.name().name(), !item.isTombstone());
                 }
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
@@ -29,7 +29,7 @@
         List<Service> services = new ArrayList<>();
         Limits limits = Limits.DEFAULT;
         for (Item item : items) {
-            if (item.isDrop()) {
+            if (item.isTombstone()) {
                 continue;
             }
             try {
@@ -49,7 +49,7 @@
 
     /** The typed form of an item that sets a route; null if it drops one or can't be read. */
     static Route route(Item item) {
-        if (item.isDrop()) {
+        if (item.isTombstone()) {
             return null;
         }
         try {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -1,9 +1,9 @@
 package ridgemill.cdn.proxy;
 
 import java.util.function.Consumer;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.edge.InstanceStats;
 import ridgemill.cdn.edge.Invariant;
-import ridgemill.cdn.edge.Verdict;
 import ridgemill.core.Timers;
 
 /**
@@ -26,7 +26,7 @@
     private double deadlineMs;
     private double endMs;
     private double sentAtMs = Double.NaN;
-    private Verdict verdict;
+    private AttemptOutcome verdict;
     private InstanceAnswer answer;
     private boolean over;
 
@@ -51,7 +51,7 @@
     }
 
     /** How it ended. */
-    Verdict verdict() {
+    AttemptOutcome verdict() {
         return verdict;
     }
 
@@ -62,7 +62,7 @@
 
     /** Whether the request was handed to a connection, so that it may have arrived. */
     boolean isSent() {
-        return !Double.isNaN(sentAtMs) && verdict != Verdict.NEVER_WRITTEN;
+        return !Double.isNaN(sentAtMs) && verdict != AttemptOutcome.NEVER_WRITTEN;
     }
 
     /**
@@ -74,7 +74,7 @@
     void start(double requestDeadlineMs, double silentUntilMs) {
         deadlineMs = requestDeadlineMs;
         endMs = silentUntilMs;
-        instance.began();
+        instance.requestStarted();
         pool.acquire(repeatable, this::connected);
     }
 
@@ -83,19 +83,19 @@
         if (over) {
             abandoned(given);
         } else if (given == null) {
-            end(Verdict.CONNECT_FAILED, null);
+            end(AttemptOutcome.CONNECT_FAILED, null);
         } else if (pool.isClosed() || deadlineMs - nowMs < LEAST_LEFT_MS) {
             // The instance began to leave while the connection came up, or this process stood still: what is sent now
             // would run too late.
             pool.release(given);
-            end(Verdict.NEVER_WRITTEN, null);
+            end(AttemptOutcome.NEVER_WRITTEN, null);
         } else {
             connection = given;
             sentAtMs = nowMs;
             upstream.meters().countSent();
             context.invariants()
                     .check(
-                            upstream.originShare().isWithinPart(),
+                            upstream.originShare().isWithinShare(),
                             Invariant.REQUESTS_WITHIN_PART,
                             instance.instance().service());
             if (endMs < Double.POSITIVE_INFINITY) {
@@ -112,7 +112,7 @@
 
     /** It was cancelled while its connection came up: the place that this held is free from now on. */
     private void abandoned(InstanceConnection given) {
-        instance.withdrawn();
+        instance.requestWithdrawn();
         if (given != null) {
             pool.release(given);
         }
@@ -122,7 +122,7 @@
     private void silent() {
         if (!over) {
             connection.abort();
-            end(Verdict.SILENT, null);
+            end(AttemptOutcome.SILENT, null);
         }
     }
 
@@ -137,10 +137,10 @@
             connection.abort();
         }
         if (isSent() && late) {
-            report(Verdict.SILENT);
+            report(AttemptOutcome.SILENT);
         } else {
             if (connection != null) {
-                instance.withdrawn();
+                instance.requestWithdrawn();
             }
             giveBackShare();
         }
@@ -148,11 +148,11 @@
     }
 
     @Override
-    public void ended(Verdict how, InstanceAnswer whole, String load) {
+    public void ended(AttemptOutcome how, InstanceAnswer whole, String load) {
         if (load != null) {
             LoadHeader.tell(instance, load, context.now());
         }
-        boolean broke = how == Verdict.RESET || how == Verdict.NEVER_WRITTEN;
+        boolean broke = how == AttemptOutcome.RESET || how == AttemptOutcome.NEVER_WRITTEN;
         if (broke && connection.idleBeforeMs() == 0) {
             upstream.meters().countBrokenUnused();
         }
@@ -160,7 +160,7 @@
         end(how, whole);
     }
 
-    private void end(Verdict how, InstanceAnswer whole) {
+    private void end(AttemptOutcome how, InstanceAnswer whole) {
         if (over) {
             return;
         }
@@ -168,8 +168,8 @@
         stopTimer();
         verdict = how;
         answer = whole;
-        if (connection == null && how == Verdict.NEVER_WRITTEN) {
-            instance.withdrawn();
+        if (connection == null && how == AttemptOutcome.NEVER_WRITTEN) {
+            instance.requestWithdrawn();
         } else {
             report(how);
         }
@@ -184,17 +184,18 @@
         }
     }
 
-    private void report(Verdict how) {
+    private void report(AttemptOutcome how) {
         double nowMs = context.now();
         double elapsedMs = nowMs - sentAtMs;
         boolean failedInside = answer != null && answer.isFailure();
         boolean timely = elapsedMs <= request.targetMs();
-        instance.ended(nowMs, how, elapsedMs, failedInside, upstream.picker().maySpare(nowMs));
+        instance.requestEnded(
+                nowMs, how, elapsedMs, failedInside, upstream.picker().mayEject(nowMs));
         switch (how) {
-            case ANSWERED -> upstream.admission().count(!failedInside && timely);
-            case SILENT, GARBLED -> upstream.admission().count(false);
-            case RESET, CONNECT_FAILED -> upstream.admission().countBroken();
-            case DECLINED -> upstream.admission().count(false);
+            case ANSWERED -> upstream.admission().countAttempt(!failedInside && timely);
+            case SILENT, GARBLED -> upstream.admission().countAttempt(false);
+            case RESET, CONNECT_FAILED -> upstream.admission().countConnectionFailure();
+            case DECLINED -> upstream.admission().countAttempt(false);
             case REFUSED_BY_CACHE, MISDIRECTED, NEVER_WRITTEN -> {}
             default -> throw new IllegalStateException(how.name());
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
@@ -1,6 +1,6 @@
 package ridgemill.cdn.proxy;
 
-import ridgemill.cdn.edge.Verdict;
+import ridgemill.cdn.edge.AttemptOutcome;
 
 /** Told how an exchange on a connection to an instance ended. */
 interface ConnectionListener {
@@ -11,5 +11,5 @@
      * @param answer what was read of an answer, if it is whole; else null
      * @param load the load that the answer told; null if it told none
      */
-    void ended(Verdict verdict, InstanceAnswer answer, String load);
+    void ended(AttemptOutcome verdict, InstanceAnswer answer, String load);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Delivery.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Delivery.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import ridgemill.cdn.config.Route;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.edge.InstancePicker.Pick;
 import ridgemill.cdn.edge.InstanceStats;
 import ridgemill.cdn.edge.RefusalReason;
-import ridgemill.cdn.edge.Verdict;
 import ridgemill.core.Timers;
 
 /**
@@ -133,11 +133,11 @@
         if (pick instanceof Pick.Chosen chosen) {
             stopWaiting();
             begin(chosen.instance(), nowMs);
-        } else if (pick instanceof Pick.Crowded && !outOfPatience) {
+        } else if (pick instanceof Pick.Saturated && !outOfPatience) {
             awaitRoom(nowMs);
         } else {
             stopWaiting();
-            RefusalReason reason = pick instanceof Pick.Crowded ? RefusalReason.CROWDED : RefusalReason.NO_INSTANCE;
+            RefusalReason reason = pick instanceof Pick.Saturated ? RefusalReason.CROWDED : RefusalReason.NO_INSTANCE;
             fail(reason, route.targetLatencyMs() * PATIENCE);
         }
     }
@@ -166,7 +166,7 @@
         if (!upstream.originShare().tryTake(nowMs)) {
             fail(RefusalReason.ORIGIN_RATE, upstream.originShare().waitMs(nowMs));
         } else if (sent > 0
-                && !upstream.budget().tryRepeat(nowMs, context.control().fleet().senders())) {
+                && !upstream.budget().tryRetry(nowMs, context.control().fleet().senderCount())) {
             upstream.originShare().giveBack(nowMs);
             fail(RefusalReason.RETRY_BUDGET, route.targetLatencyMs());
         } else {
@@ -178,10 +178,10 @@
     /** When a silent attempt is given up: at the deadline, or sooner if a repeat makes sense. */
     private double attemptEndMs(InstanceStats instance, double nowMs) {
         boolean last = !repeatable || sent + 1 >= route.maxAttempts() || context.isDraining();
-        if (last || Double.isNaN(instance.usualMs())) {
+        if (last || Double.isNaN(instance.meanLatencyMs())) {
             return Double.POSITIVE_INFINITY;
         }
-        double late = Math.max(route.targetLatencyMs(), LATE * instance.lateMs());
+        double late = Math.max(route.targetLatencyMs(), LATE * instance.highLatencyMs());
         double part = FIRST_PART * (deadlineMs - nowMs);
         return late < part ? nowMs + late : Double.POSITIVE_INFINITY;
     }
@@ -191,18 +191,18 @@
             return;
         }
         current = null;
-        Verdict verdict = attempt.verdict();
+        AttemptOutcome verdict = attempt.verdict();
         tried.add(attempt.instance());
         sent += attempt.isSent() ? 1 : 0;
         if (!attempt.isSent() && sent > 0) {
             upstream.budget().giveBack(context.now());
         }
         mayHaveRun |= verdict.mayHaveRun();
-        if (verdict == Verdict.REFUSED_BY_CACHE) {
+        if (verdict == AttemptOutcome.REFUSED_BY_CACHE) {
             refusedByCache(attempt.answer());
-        } else if (verdict == Verdict.ANSWERED) {
+        } else if (verdict == AttemptOutcome.ANSWERED) {
             answered(attempt.answer());
-        } else if (verdict == Verdict.CONNECT_FAILED && ++connectFailures >= MOST_CONNECT_FAILURES) {
+        } else if (verdict == AttemptOutcome.CONNECT_FAILED && ++connectFailures >= MOST_CONNECT_FAILURES) {
             fail(RefusalReason.CONNECT_FAILED, route.targetLatencyMs());
         } else {
             repeatOrFail();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/FinalAnswer.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/FinalAnswer.java
@@ -78,12 +78,12 @@
         }
         int length = copy.body().length;
         headers.add("Content-Range");
-        if (!range.isWithin(length)) {
+        if (!range.isSatisfiable(length)) {
             headers.add("bytes */" + length);
             return new FinalAnswer(416, headers, 0, EMPTY);
         }
         int from = (int) range.first();
-        int to = (int) range.lastWithin(length) + 1;
+        int to = (int) range.lastByteWithin(length) + 1;
         headers.add("bytes " + from + "-" + (to - 1) + "/" + length);
         return new FinalAnswer(206, headers, to - from, Arrays.copyOfRange(copy.body(), from, to));
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
@@ -7,7 +7,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.ByteToMessageDecoder;
-import ridgemill.cdn.edge.Verdict;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.proxy.http.AnswerReader;
 import ridgemill.cdn.proxy.http.BadMessageException;
 import ridgemill.cdn.proxy.http.Headers;
@@ -150,7 +150,7 @@
                 answered();
             }
         } catch (BadMessageException e) {
-            end(Verdict.GARBLED, null, null);
+            end(AttemptOutcome.GARBLED, null, null);
         }
         if (listener == null || !pending.isReadable()) {
             drop();
@@ -171,7 +171,7 @@
         if (!attemptId.equals(headers.get("X-Attempt-Id"))) {
             spent = true;
             if (++surplus > MOST_SURPLUS || !reader.isKeepAlive()) {
-                end(Verdict.GARBLED, null, null);
+                end(AttemptOutcome.GARBLED, null, null);
             } else {
                 reader.reset();
             }
@@ -184,18 +184,18 @@
         String load = headers.get("X-Server-Load");
         InstanceAnswer answer = new InstanceAnswer(reader.status(), headers.endToEnd(), length(headers), reader.body());
         boolean refused = pool.isOfCache() && headers.get(CacheHeaders.REFUSAL) != null;
-        end(refused ? Verdict.REFUSED_BY_CACHE : verdict(answer, headers), answer, load);
+        end(refused ? AttemptOutcome.REFUSED_BY_CACHE : verdict(answer, headers), answer, load);
     }
 
-    private static Verdict verdict(InstanceAnswer answer, Headers headers) {
+    private static AttemptOutcome verdict(InstanceAnswer answer, Headers headers) {
         if (answer.status() == MISDIRECTED) {
-            return Verdict.MISDIRECTED;
+            return AttemptOutcome.MISDIRECTED;
         }
         if (headers.get("X-Not-Executed") != null) {
-            return answer.isSuccess() ? Verdict.GARBLED : Verdict.DECLINED;
+            return answer.isSuccess() ? AttemptOutcome.GARBLED : AttemptOutcome.DECLINED;
         }
         boolean garbled = headers.get("Content-Encoding") != null || answer.isSuccess() && !answer.isSealed();
-        return garbled ? Verdict.GARBLED : Verdict.ANSWERED;
+        return garbled ? AttemptOutcome.GARBLED : AttemptOutcome.ANSWERED;
     }
 
     private static long length(Headers headers) {
@@ -220,15 +220,16 @@
     }
 
     /** What the end of a connection before a whole answer means: who began to answer may have run the request. */
-    private Verdict brokenOff() {
-        return written || answersEarly ? Verdict.RESET : Verdict.NEVER_WRITTEN;
+    private AttemptOutcome brokenOff() {
+        return written || answersEarly ? AttemptOutcome.RESET : AttemptOutcome.NEVER_WRITTEN;
     }
 
-    private void end(Verdict verdict, InstanceAnswer answer, String load) {
+    private void end(AttemptOutcome verdict, InstanceAnswer answer, String load) {
         ConnectionListener told = listener;
         listener = null;
-        boolean intact =
-                verdict == Verdict.ANSWERED || verdict == Verdict.DECLINED || verdict == Verdict.REFUSED_BY_CACHE;
+        boolean intact = verdict == AttemptOutcome.ANSWERED
+                || verdict == AttemptOutcome.DECLINED
+                || verdict == AttemptOutcome.REFUSED_BY_CACHE;
         if (!intact) {
             spent = true;
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -61,7 +61,7 @@
             pool.limit(part);
             ids.add(instance.id());
             if (part > 0) {
-                pool.stats().learn(instance, context.isLocal(instance), part);
+                pool.stats().update(instance, context.isLocal(instance), part);
                 ready.add(pool.stats());
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -51,8 +51,8 @@
     @Override
     void run() {
         double nowMs = context().now();
-        if (!service.admission().draw(nowMs, route().priorityLevel())) {
-            refuse(RefusalReason.ADMISSION, service.admission().waitMs());
+        if (!service.admission().tryAdmit(nowMs, route().priorityLevel())) {
+            refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
         leads = operations.lead(key, this);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
@@ -21,7 +21,7 @@
         int waiting = number(text.substring(first + 1, second).trim());
         int slots = number(text.substring(second + 1).trim());
         if (running >= 0 && waiting >= 0 && slots > 0) {
-            instance.toldLoad(nowMs, running, waiting, slots);
+            instance.loadReported(nowMs, running, waiting, slots);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetches.java
@@ -70,27 +70,27 @@
     /** Whether a copy may be given out: it is fresh, and every purge of it that was acknowledged is known here. */
     private boolean isGood(CachedObject copy, CachedExchange exchange, double nowMs) {
         return copy.isFresh(nowMs, exchange.route().cacheTtlMs())
-                && context.control().isCoveredSince(copy.checkedMs())
+                && context.control().isCoveredSince(copy.purgeCoverageSinceMs())
                 && (!context.isSharedCache() || context.control().hearsPurges());
     }
 
     /** Whether a copy is not older than a purge of it that was heard of before a moment. */
     boolean isAsNewAsPurges(CachedObject copy, double askedMs) {
-        double purgedMs = purges.lastMs(copy);
+        double purgedMs = purges.lastPurgedMs(copy);
         return copy.fetchStartedMs() >= purgedMs || purgedMs >= askedMs;
     }
 
     private ObjectFetch fetch(CachedExchange exchange, String key, CachedObject copy, double nowMs) {
         ServiceState service = exchange.service();
-        if (!service.admission().draw(nowMs, exchange.route().priorityLevel())) {
-            exchange.refuse(RefusalReason.ADMISSION, service.admission().waitMs());
+        if (!service.admission().tryAdmit(nowMs, exchange.route().priorityLevel())) {
+            exchange.refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return null;
         }
         CachedObject older = copy != null && copy.etag() != null ? copy : null;
         ObjectFetch fetch = new ObjectFetch(key, exchange, older, nowMs);
         double deadlineMs =
                 Math.max(exchange.deadlineMs(), nowMs + exchange.route().timeoutMs());
-        delivery(fetch, exchange, deadlineMs, nowMs - purges.lastMs(key)).start();
+        delivery(fetch, exchange, deadlineMs, nowMs - purges.lastPurgedMs(key)).start();
         return running.contains(fetch) ? fetch : null;
     }
 
@@ -158,17 +158,17 @@
      */
     private void fetchAhead(CachedExchange exchange, CachedObject copy, double nowMs) {
         ServiceState service = exchange.service();
-        int uses = cache.use(copy.key());
-        boolean due = copy.isDueAhead(nowMs, exchange.route().cacheTtlMs(), uses)
+        int uses = cache.countUse(copy.key());
+        boolean due = copy.isDueForRefresh(nowMs, exchange.route().cacheTtlMs(), uses)
                 && !joinable.containsKey(copy.key())
                 && !context.isDraining();
         if (!due
-                || !context.caches().isAny() && !service.originShare().hasSpare(nowMs)
-                || !service.admission().drawForNobody(nowMs)) {
+                || !context.caches().isAny() && !service.originShare().hasBackgroundCapacity(nowMs)
+                || !service.admission().tryAdmitBackground(nowMs)) {
             return;
         }
         // Should it fail, the next one needs as many uses again.
-        cache.forgetUses(copy.key());
+        cache.resetUses(copy.key());
         ObjectFetch fetch = new ObjectFetch(copy.key(), null, copy.etag() == null ? null : copy, nowMs);
         double maxAgeMs = AHEAD_MAX_AGE * exchange.route().cacheTtlMs();
         Delivery delivery = delivery(fetch, exchange, nowMs + exchange.route().timeoutMs(), maxAgeMs);
@@ -189,15 +189,15 @@
             failed(fetch, result);
             return;
         }
-        double staleMs = purges.lastMs(copy);
+        double staleMs = purges.lastPurgedMs(copy);
         if (fetch.isOfOther(copy) && copy.fetchStartedMs() < staleMs && staleMs < fetch.startedMs()) {
             // The other process had not heard of a purge yet: it is asked again for a newer one.
-            purges.path(copy.key(), staleMs);
+            purges.recordPath(copy.key(), staleMs);
             fetch.takeWaiters().forEach(waiter -> waiter.again(result));
             return;
         }
         CachedObject kept = cache.get(copy.key());
-        if (fetch.isStorable(copy) && (kept == null || kept.checkedMs() <= copy.checkedMs())) {
+        if (fetch.isStorable(copy) && (kept == null || kept.purgeCoverageSinceMs() <= copy.purgeCoverageSinceMs())) {
             cache.put(copy);
         }
         double purgedMs = fetch.purgedMs(copy);
@@ -228,7 +228,7 @@
         if (answer.status() == NOT_MODIFIED && fetch.older() != null) {
             String etag = answer.headers().get("ETag");
             boolean same = etag == null || etag.equals(fetch.older().etag());
-            return same ? fetch.older().confirmed(originMs(fetch, answer), fetch.startedMs()) : null;
+            return same ? fetch.older().revalidated(originMs(fetch, answer), fetch.startedMs()) : null;
         }
         if (answer.status() != OK || !answer.isSealed()) {
             return null;
@@ -266,13 +266,13 @@
 
     /** What is due from time to time. */
     void tick(double nowMs) {
-        purges.forgetOld(nowMs);
+        purges.removeExpired(nowMs);
     }
 
     @Override
     public void pathPurged(String hostname, String path) {
         String key = hostname.toLowerCase(Locale.ROOT) + path;
-        purges.path(key, context.now());
+        purges.recordPath(key, context.now());
         cache.remove(key);
         joinable.remove(key);
         for (ObjectFetch fetch : running) {
@@ -284,9 +284,9 @@
 
     @Override
     public void tagPurged(String tag) {
-        cache.removeTagged(tag);
+        cache.removeByTag(tag);
         double nowMs = context.now();
-        purges.tag(tag, nowMs);
+        purges.recordTag(tag, nowMs);
         for (ObjectFetch fetch : running) {
             fetch.purgeTag(tag, nowMs);
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/PassingExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/PassingExchange.java
@@ -19,14 +19,14 @@
     @Override
     void run() {
         double nowMs = context().now();
-        if (!service.admission().draw(nowMs, route().priorityLevel())) {
-            refuse(RefusalReason.ADMISSION, service.admission().waitMs());
+        if (!service.admission().tryAdmit(nowMs, route().priorityLevel())) {
+            refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
         long place = RendezvousHash.hashText(request().attemptId());
         OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
         delivery = new Delivery(
-                context(), service, route(), outgoing, route().kind().isRepeatable(), deadlineMs(), this::answer);
+                context(), service, route(), outgoing, route().kind().isRetryable(), deadlineMs(), this::answer);
         delivery.start();
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
@@ -9,7 +9,7 @@
 import ridgemill.cdn.edge.ObjectCache;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.membership.CachePlace;
+import ridgemill.cdn.membership.CachePosition;
 import ridgemill.cdn.proxy.control.ControlView;
 import ridgemill.cdn.proxy.control.OperationRegister;
 import ridgemill.cdn.settings.Settings;
@@ -107,8 +107,8 @@
     }
 
     /** The place of this shared cache among all. */
-    CachePlace cachePlace() {
-        return control.fleet().cachePlace(sharedCache.orElseThrow(), settings::regionOf);
+    CachePosition cachePlace() {
+        return control.fleet().cachePosition(sharedCache.orElseThrow(), settings::regionOf);
     }
 
     /** The shared caches that objects are read from. */
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
@@ -114,8 +114,8 @@
         instances.set(
                 ready,
                 context.isSharedCache()
-                        ? index -> context.cachePlace().part(connections, index)
-                        : index -> fleet.proxies().part(connections, index));
+                        ? index -> context.cachePlace().share(connections, index)
+                        : index -> fleet.proxies().share(connections, index));
     }
 
     private void shareRate(double rate, Fleet fleet) {
@@ -123,10 +123,10 @@
             originShare.setShare(lentShare, context.now());
             return;
         }
-        RateDivision.Part part = context.isSharedCache()
-                ? division.ofCache(rate, context.cachePlace())
-                : division.ofProxy(rate, fleet.proxies(), !fleet.caches().isEmpty());
-        originShare.setPart(part, context.now());
+        RateDivision.Share part = context.isSharedCache()
+                ? division.forCache(rate, context.cachePlace())
+                : division.forProxy(rate, fleet.proxies(), !fleet.caches().isEmpty());
+        originShare.assign(part, context.now());
     }
 
     /** How many connections the processes of this one's kind may have to one instance together. */
@@ -143,11 +143,11 @@
      */
     private int connectionsOfCaches(int all, Fleet fleet, int instanceCount) {
         RoutingTable routing = context.control().routing();
-        if (fleet.caches().isEmpty() || !routing.hasObjects(name)) {
+        if (fleet.caches().isEmpty() || !routing.hasCacheableRoute(name)) {
             return 0;
         }
         int half = (int) Math.floor(all * CACHE_CONNECTIONS);
-        if (!routing.hasOthers(name) || instanceCount == 0) {
+        if (!routing.hasUncacheableRoute(name) || instanceCount == 0) {
             return half;
         }
         int oneForEachProxy = (fleet.proxies().size() + instanceCount - 1) / instanceCount;
@@ -171,9 +171,9 @@
 
     /** What is due from time to time. */
     void tick(double nowMs) {
-        if (admission.isDue(nowMs)) {
+        if (admission.isIntervalOver(nowMs)) {
             int before = admission.level();
-            admission.step(nowMs, picker().isBreakingWidely(nowMs, BREAKS_WITHIN_MS) ? 0 : 1);
+            admission.endInterval(nowMs, picker().hasWidespreadConnectionFailures(nowMs, BREAKS_WITHIN_MS) ? 0 : 1);
             if (admission.level() != before) {
                 context.log().line("event=level service=" + name + " level=" + admission.level());
             }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
@@ -30,7 +30,7 @@
     SharedCaches(ProxyContext context) {
         this.context = context;
         this.meters = context.meters().service(NAME);
-        this.set = new InstanceSet(context, InstancePicker.ofOne(), meters, true);
+        this.set = new InstanceSet(context, InstancePicker.singleCandidate(), meters, true);
         this.unbounded = new OriginShare(
                 context.settings().bounds().originCeilingOverage(),
                 context.settings().bounds().originWindowMs());
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
@@ -19,7 +19,7 @@
 import ridgemill.cdn.instances.InstanceState;
 import ridgemill.cdn.instances.InstanceTable;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.membership.FleetPosition;
 import ridgemill.cdn.purge.Purge;
@@ -47,7 +47,7 @@
     private final SocketKind sockets;
     private final Clock clock;
     private final LinkMessages.Hello hello;
-    private final CoreMembers members = new CoreMembers();
+    private final ClusterMembers members = new ClusterMembers();
     private final Map<String, RegistryFeed> registries = new LinkedHashMap<>();
     private final Map<String, StoreFeed> stores = new LinkedHashMap<>();
     private final ItemSet items = new ItemSet();
@@ -150,7 +150,7 @@
     }
 
     private void learnVoters(VoterSet voters) {
-        if (!members.learnVoters(voters)) {
+        if (!members.updateVoters(voters)) {
             return;
         }
         LOG.log(
@@ -186,7 +186,7 @@
     @Override
     public void snapshotReceived(StoreFeed feed, VoterSet voters, List<Item> all) {
         learnVoters(voters);
-        coverage.restarted(feed.store(), clock.now());
+        coverage.streamStarted(feed.store(), clock.now());
         itemsReceived(all);
     }
 
@@ -333,7 +333,7 @@
 
     /** A majority of the voters has told its decided items: each order that was confirmed before is on one of them. */
     private boolean knowsNewestItems() {
-        return voters().isMajority(voter -> feedOf(voter) != null);
+        return voters().hasQuorum(voter -> feedOf(voter) != null);
     }
 
     @Override
@@ -343,7 +343,7 @@
 
     @Override
     public boolean hearsPurges() {
-        return voters().isMajority(
+        return voters().hasQuorum(
                         voter -> feedOf(voter) != null && feedOf(voter).isLive());
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import ridgemill.cdn.keys.ClaimVote;
+import ridgemill.cdn.keys.ClaimTally;
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.CallFailure;
@@ -107,7 +107,7 @@
 
         private void sendAgain() {
             boolean everywhere = control.voters().members().stream().allMatch(written::contains);
-            boolean enough = control.voters().isMajority(written::contains);
+            boolean enough = control.voters().hasQuorum(written::contains);
             if (!everywhere && rounds < (enough ? ROUNDS_WITH_MAJORITY : MOST_ROUNDS)) {
                 send();
             }
@@ -132,7 +132,7 @@
         private final VoterSet voters;
         private final Consumer<ClaimOutcome> callback;
         private final Claim claim;
-        private final ClaimVote vote;
+        private final ClaimTally vote;
         private boolean decided;
 
         Round(String key, double deadlineMs, VoterSet voters, Consumer<ClaimOutcome> callback) {
@@ -141,7 +141,7 @@
             this.voters = voters;
             this.callback = callback;
             this.claim = new Claim(key, lifeId + "-" + nextClaim++);
-            this.vote = new ClaimVote(claim.claimId(), voters);
+            this.vote = new ClaimTally(claim.claimId(), voters);
         }
 
         void begin() {
@@ -149,7 +149,7 @@
             for (Voter voter : voters.members()) {
                 StoreFeed feed = control.feedOf(voter);
                 if (feed == null) {
-                    vote.unavailable(voter);
+                    vote.countUnavailable(voter);
                 } else {
                     feed.call(
                             callId -> new StoreMessages.ClaimKey(callId, voters.epoch(), key, claim.claimId()),
@@ -166,7 +166,7 @@
             if (result.isRight() && result.get() instanceof StoreMessages.KeyStatus status) {
                 count(voter, status);
             } else {
-                vote.unavailable(voter);
+                vote.countUnavailable(voter);
             }
             if (!decided) {
                 decide();
@@ -175,15 +175,15 @@
 
         private void count(Voter voter, StoreMessages.KeyStatus status) {
             switch (status.availability()) {
-                case VOTES -> vote.vote(voter, status.state(), status.claimId(), status.answer());
-                case OTHER_EPOCH -> vote.moved(voter);
-                case UNAVAILABLE -> vote.unavailable(voter);
+                case VOTES -> vote.countVote(voter, status.state(), status.claimId(), status.answer());
+                case OTHER_EPOCH -> vote.countEpochMismatch(voter);
+                case UNAVAILABLE -> vote.countUnavailable(voter);
             }
         }
 
         private void decide() {
-            ClaimVote.Result result = vote.result();
-            if (result == ClaimVote.Result.OPEN) {
+            ClaimTally.Result result = vote.result();
+            if (result == ClaimTally.Result.OPEN) {
                 return;
             }
             decided = true;
--- a/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ridgemill.cdn.instances.Instance;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 
 /**
  * Waits until everybody that can be reached has a change of an instance's state, for a bounded time. The change is
@@ -20,7 +20,7 @@
 
     private final PeerRegistries peers;
     private final ProxyNews news;
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final Consumer<Boolean> callback;
     /** The machines whose registries have the change. */
     private final Set<String> registries = new HashSet<>();
@@ -30,7 +30,7 @@
     private boolean done;
 
     /** A confirmation that waits from {@link #begin} on. The callback is told once whether the change is confirmed. */
-    Confirmation(PeerRegistries peers, ProxyNews news, CoreMembers members, Consumer<Boolean> callback) {
+    Confirmation(PeerRegistries peers, ProxyNews news, ClusterMembers members, Consumer<Boolean> callback) {
         this.peers = peers;
         registries.add(peers.ownAddress());
         this.news = news;
@@ -67,7 +67,7 @@
     private void finish() {
         if (!done) {
             done = true;
-            callback.accept(members.voters().isMajorityOfAddresses(registries::contains));
+            callback.accept(members.voters().hasQuorumOfAddresses(registries::contains));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceTable;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
@@ -14,7 +14,7 @@
 /** Takes the messages that proxies and other registries send over links that they opened. */
 final class IncomingLinks implements LinkListener {
 
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final InstanceTable instances;
     private final ProxyNews news;
     private final PeerRegistries peers;
@@ -22,7 +22,7 @@
     private final Clock clock;
 
     IncomingLinks(
-            CoreMembers members,
+            ClusterMembers members,
             InstanceTable instances,
             ProxyNews news,
             PeerRegistries peers,
@@ -56,7 +56,7 @@
             link.send(new RegistryMessages.PeerUpdateTaken(update.callId()));
         } else if (message instanceof RegistryMessages.PeerBeats beats) {
             for (RegistryMessages.Beat beat : beats.beats()) {
-                instances.heard(beat.instanceId(), beat.sequence(), clock.now());
+                instances.recordHeartbeat(beat.instanceId(), beat.sequence(), clock.now());
             }
         }
     }
@@ -66,7 +66,7 @@
         peers.heardOf(update.registries());
         stores.learn(update.voters());
         for (String proxy : update.proxies()) {
-            members.proxyHeard(proxy, clock.now());
+            members.recordProxy(proxy, clock.now());
         }
         List<Instance> changed = new ArrayList<>();
         for (Instance instance : update.instances()) {
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
@@ -76,6 +76,6 @@
     /** An instance that leaves before it was ever heard is noted too: a heartbeat that comes late doesn't bring it back. */
     private Instance departure(String id) {
         Instance known = instances.get(id);
-        return known == null ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, 0) : known.gone();
+        return known == null ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, 0) : known.asGone();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceTable;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.wire.RegistryMessages;
 import ridgemill.gateway.net.Clock;
 
@@ -24,7 +24,7 @@
     private static final double RETELL_MS = 3_000;
 
     private final InstanceTable instances;
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final PeerRegistries peers;
     private final ProxyNews news;
     private final EventLoop loop;
@@ -34,7 +34,7 @@
 
     InstanceReports(
             InstanceTable instances,
-            CoreMembers members,
+            ClusterMembers members,
             PeerRegistries peers,
             ProxyNews news,
             EventLoop loop,
--- a/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
@@ -6,7 +6,7 @@
 import java.util.function.BiConsumer;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceTable;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
@@ -19,7 +19,7 @@
     private final String ownAddress;
     private final int port;
     private final LinkOpener opener;
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final InstanceTable instances;
     private final ProxyNews news;
     private final Map<String, HeldLink> links = new HashMap<>();
@@ -33,7 +33,7 @@
             String ownAddress,
             int port,
             LinkOpener opener,
-            CoreMembers members,
+            ClusterMembers members,
             InstanceTable instances,
             ProxyNews news) {
         this.ownAddress = ownAddress;
--- a/cdn/src/main/java/ridgemill/cdn/registry/ProxyNews.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ProxyNews.java
@@ -9,7 +9,7 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceTable;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.membership.FleetPosition;
 import ridgemill.cdn.wire.Link;
@@ -32,7 +32,7 @@
     /** Silence of a shared cache's link after which nobody is sent there, in milliseconds. */
     private static final long CACHE_SILENT_MS = 3_000;
 
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final InstanceTable instances;
     private final Subscribers subscribers;
     private final Clock clock;
@@ -51,7 +51,7 @@
      * @param lifeId names this life of the registry, in which the numbers of news count
      * @param heartbeatIntervalMs how often instances send heartbeats, in milliseconds
      */
-    ProxyNews(String lifeId, CoreMembers members, InstanceTable instances, Clock clock, long heartbeatIntervalMs) {
+    ProxyNews(String lifeId, ClusterMembers members, InstanceTable instances, Clock clock, long heartbeatIntervalMs) {
         this.members = members;
         this.instances = instances;
         this.subscribers = new Subscribers(lifeId);
@@ -76,7 +76,7 @@
     /** Sends a proxy all that is known, and news from now on. */
     void subscribe(Link link) {
         if (link.peer().program().equals(PROXY)) {
-            members.proxyHeard(link.peer().nodeName(), clock.now());
+            members.recordProxy(link.peer().nodeName(), clock.now());
         }
         subscribers.add(link, snapshot(link));
     }
@@ -145,7 +145,7 @@
         double runningMs = now - startedAtMs;
         boolean settledNow = settled || runningMs > settledAfterMs;
         // An instance that was heard in an earlier life only is not silent before this life could have heard it.
-        List<String> silentNow = runningMs > silentAfterMs ? instances.silent(silentAfterMs, now) : List.of();
+        List<String> silentNow = runningMs > silentAfterMs ? instances.unresponsive(silentAfterMs, now) : List.of();
         List<String> proxies = members.proxies(now);
         List<CacheNode> cachesNow = liveCaches();
         boolean sameFleet = proxies.equals(lastProxies) && cachesNow.equals(lastCaches);
--- a/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import ridgemill.cdn.http.CallServer;
 import ridgemill.cdn.instances.InstanceTable;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.settings.Settings;
 import ridgemill.cdn.wire.LinkMessages;
 import ridgemill.cdn.wire.LinkServer;
@@ -32,7 +32,7 @@
     private final SocketKind sockets;
     private final Clock clock;
     private final InstanceTable instances = new InstanceTable();
-    private final CoreMembers members = new CoreMembers();
+    private final ClusterMembers members = new ClusterMembers();
     private final StoreClient storeClient;
     private final ProxyNews news;
     private final PeerRegistries peers;
@@ -95,10 +95,10 @@
     private void gossip() {
         double now = clock.now();
         for (String proxy : news.proxyNames()) {
-            members.proxyHeard(proxy, now);
+            members.recordProxy(proxy, now);
         }
         peers.tell(reports.changedLately(), reports.drainNewBeats());
-        instances.forgetOld(now);
+        instances.removeExpired(now);
         news.refresh();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.purge.Purge;
 import ridgemill.cdn.quorum.Voter;
@@ -63,19 +63,19 @@
     }
 
     /** Orders a change. The callback is told what became of it. */
-    public void change(List<Item> items, Consumer<OrderResult> callback) {
+    public void change(List<Item> items, Consumer<ChangeResult> callback) {
         long patienceMs = ITEM_MS * items.size();
-        new Attempts<OrderResult>(
+        new Attempts<ChangeResult>(
                         patienceMs,
                         (callId, insist, leftMs) -> new StoreMessages.ChangeItems(callId, insist, leftMs, items),
                         StoreClient::resultOf,
                         result -> result,
-                        answer -> callback.accept(answer == null ? OrderResult.UNKNOWN : answer))
+                        answer -> callback.accept(answer == null ? ChangeResult.UNKNOWN : answer))
                 .next();
     }
 
-    private static OrderResult resultOf(Message.Reply reply) {
-        return reply instanceof StoreMessages.ItemsChanged changed ? changed.result() : OrderResult.UNKNOWN;
+    private static ChangeResult resultOf(Message.Reply reply) {
+        return reply instanceof StoreMessages.ItemsChanged changed ? changed.result() : ChangeResult.UNKNOWN;
     }
 
     /** Reads the newest decided items. The callback is told null if no majority confirmed them in time. */
@@ -84,7 +84,7 @@
                         0,
                         StoreMessages.ReadItems::new,
                         reply -> (StoreMessages.ItemsRead) reply,
-                        read -> new OrderResult(read.outcome(), read.leader()),
+                        read -> new ChangeResult(read.outcome(), read.leader()),
                         read -> callback.accept(read == null ? null : read.items()))
                 .next();
     }
@@ -102,7 +102,7 @@
         private final long patienceMs;
         private final CallMaker maker;
         private final Function<Message.Reply, R> reader;
-        private final Function<R, OrderResult> result;
+        private final Function<R, ChangeResult> result;
         private final Consumer<R> callback;
         private final Set<String> asked = new HashSet<>();
         private boolean insist;
@@ -111,7 +111,7 @@
                 long patienceMs,
                 CallMaker maker,
                 Function<Message.Reply, R> reader,
-                Function<R, OrderResult> result,
+                Function<R, ChangeResult> result,
                 Consumer<R> callback) {
             this.patienceMs = patienceMs;
             this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + patienceMs);
@@ -158,7 +158,7 @@
 
         private void answered(String host, Either<CallFailure, Message.Reply> reply) {
             R answer = reply.isRight() ? reader.apply(reply.get()) : null;
-            OrderResult told = answer == null ? OrderResult.UNKNOWN : result.apply(answer);
+            ChangeResult told = answer == null ? ChangeResult.UNKNOWN : result.apply(answer);
             switch (told.outcome()) {
                 case CONFIRMED, CONFLICT, INVALID -> {
                     leader = host;
@@ -230,7 +230,7 @@
         void answered(String address, Either<CallFailure, Message.Reply> reply) {
             if (reply.isRight() && reply.get() instanceof StoreMessages.Written written && written.durable()) {
                 succeeded.add(written.store());
-                if (voters.isMajority(succeeded::contains)) {
+                if (voters.hasQuorum(succeeded::contains)) {
                     decide(true);
                 }
             } else {
@@ -240,7 +240,7 @@
 
         void failed(String address) {
             failed.add(address);
-            if (!voters.isMajorityOfAddresses(voter -> !failed.contains(voter))) {
+            if (!voters.hasQuorumOfAddresses(voter -> !failed.contains(voter))) {
                 decide(false);
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
@@ -21,7 +21,7 @@
 
     private final int port;
     private final LinkOpener opener;
-    private final CoreMembers members;
+    private final ClusterMembers members;
     private final ProxyNews news;
     private final StoreClient client;
     private final Map<String, HeldLink> links = new HashMap<>();
@@ -32,7 +32,7 @@
      * @param port the port at which each store takes links
      * @param client given the links to the voters once they are known
      */
-    VotingStores(int port, LinkOpener opener, CoreMembers members, ProxyNews news, StoreClient client) {
+    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyNews news, StoreClient client) {
         this.port = port;
         this.opener = opener;
         this.members = members;
@@ -49,7 +49,7 @@
 
     /** Takes the voters if they are newer than those that are known. */
     void learn(VoterSet voters) {
-        if (!members.learnVoters(voters)) {
+        if (!members.updateVoters(voters)) {
             return;
         }
         LOG.log(
--- a/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
@@ -37,7 +37,7 @@
 
     /** Goes on with what can be done now; called again and again. */
     void step() {
-        VoterSet wanted = replica.agreement().changeThatNeedsKeys();
+        VoterSet wanted = replica.agreement().voterChangeAwaitingKeys();
         if (wanted == null) {
             return;
         }
@@ -47,7 +47,7 @@
             asking.clear();
             writing = false;
         }
-        for (Voter voter : change.standing()) {
+        for (Voter voter : change.baseVoters()) {
             if (!taken.containsKey(voter) && asking.add(voter)) {
                 ask(change, voter, "", new ArrayList<>());
             }
@@ -87,7 +87,7 @@
     }
 
     private void finishIfEnough() {
-        if (writing || !change.isMajorityOfStanding(taken::containsKey)) {
+        if (writing || !change.hasMajorityOfBase(taken::containsKey)) {
             return;
         }
         writing = true;
--- a/cdn/src/main/java/ridgemill/cdn/store/NewsHub.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/NewsHub.java
@@ -194,7 +194,7 @@
         long characters = 0;
         for (Item item : news.items()) {
             characters += item.name().name().length()
-                    + (item.isDrop() ? 0 : item.content().length());
+                    + (item.isTombstone() ? 0 : item.content().length());
         }
         return characters;
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
@@ -173,7 +173,7 @@
 
     private void endOnceReplaced(double latestMs, Runnable ended) {
         double nowMs = replica.steadyMs();
-        if (nowMs >= latestMs || replica.agreement().mayEnd(nowMs)) {
+        if (nowMs >= latestMs || replica.agreement().canStop(nowMs)) {
             ended.run();
         } else {
             loop.schedule(() -> endOnceReplaced(latestMs, ended), AgreementNode.TICK_MS, TimeUnit.MILLISECONDS);
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
@@ -64,7 +64,7 @@
         keys.restore(state.records());
         agreement = new AgreementNode(settings, this, rules);
         agreement.start(state.accepted(), steadyMs());
-        peers.whenReached(address -> agreement.reached(address, steadyMs()));
+        peers.whenReached(address -> agreement.onConnected(address, steadyMs()));
     }
 
     AgreementNode agreement() {
@@ -99,13 +99,13 @@
         disk.submit(DiskBatch.ofAccepted(record), written -> {
             if (written) {
                 durable.run();
-                agreement.persisted(steadyMs());
+                agreement.onPersisted(steadyMs());
             }
         });
     }
 
     @Override
-    public void decided(List<Item> changed, VoterSet voters) {
+    public void onDecided(List<Item> changed, VoterSet voters) {
         LOG.log(
                 Level.INFO,
                 "event=decided items=" + changed.size() + " epoch=" + voters.epoch() + " voters=" + voters.voters()
@@ -120,11 +120,11 @@
 
     /** Takes over the keys that other voters hold; this store votes on keys once all of them are on disk. */
     void keysPulled(List<KeyRecord> pulled, long epoch) {
-        List<KeyRecord> joined = keys.join(pulled);
+        List<KeyRecord> joined = keys.merge(pulled);
         disk.submit(DiskBatch.ofRecords(joined), written -> {
             LOG.log(Level.INFO, "event=keys_complete epoch=" + epoch + " keys=" + keys.size() + " durable=" + written);
             if (written) {
-                agreement.keysComplete(epoch, steadyMs());
+                agreement.onKeysComplete(epoch, steadyMs());
             }
         });
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.keys.KeyRecord;
 import ridgemill.cdn.keys.KeyState;
 import ridgemill.cdn.keys.KeyVote;
@@ -77,7 +77,7 @@
     private void change(Link link, StoreMessages.ChangeItems change) {
         double nowMs = replica.steadyMs();
         replica.agreement()
-                .order(
+                .submit(
                         change.items(),
                         change.insist(),
                         nowMs,
@@ -94,11 +94,11 @@
                         nowMs + read.budgetMs(),
                         items -> link.send(new StoreMessages.ItemsRead(
                                 read.callId(),
-                                items == null ? OrderResult.Outcome.UNKNOWN : OrderResult.Outcome.CONFIRMED,
+                                items == null ? ChangeResult.Outcome.UNKNOWN : ChangeResult.Outcome.CONFIRMED,
                                 "",
                                 items == null ? List.of() : List.copyOf(items))),
                         leader -> link.send(new StoreMessages.ItemsRead(
-                                read.callId(), OrderResult.Outcome.NOT_LEADER, leader, List.of())));
+                                read.callId(), ChangeResult.Outcome.NOT_LEADER, leader, List.of())));
     }
 
     /** Passes a purge on. It counts only if its caller asked the voters of this store's epoch. */
@@ -119,7 +119,7 @@
             link.send(notVoting(claim, StoreMessages.KeyStatus.Availability.OTHER_EPOCH));
             return;
         }
-        if (!replica.agreement().mayVoteOnKeys()) {
+        if (!replica.agreement().canVoteOnKeys()) {
             link.send(unavailable(claim));
             return;
         }
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import ridgemill.cdn.agreement.AgreementMessage;
 import ridgemill.cdn.agreement.Ballot;
-import ridgemill.cdn.agreement.Stamp;
-import ridgemill.cdn.agreement.Step;
+import ridgemill.cdn.agreement.StateDelta;
+import ridgemill.cdn.agreement.StateId;
 import ridgemill.cdn.config.PastVersion;
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.Voter;
@@ -48,10 +48,10 @@
             writeStep(accept.step(), out);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
             begin(Type.ACCEPTED, message, out);
-            writeStamp(accepted.stamp(), out);
+            writeStamp(accepted.stateId(), out);
         } else if (message instanceof AgreementMessage.Refused refused) {
             begin(Type.REFUSED, message, out);
-            writeBallot(refused.asked(), out);
+            writeBallot(refused.refused(), out);
             writeBallot(refused.promised(), out);
         } else if (message instanceof AgreementMessage.Confirm confirm) {
             begin(Type.CONFIRM, message, out);
@@ -77,26 +77,26 @@
         writeStamp(status.accepted(), out);
         writeStamp(status.decided(), out);
         writeVoterSet(status.voters(), out);
-        out.number(status.completeEpoch()).texts(status.known());
+        out.number(status.completeEpoch()).texts(status.knownAddresses());
     }
 
     private static void writeTransfer(AgreementMessage message, FieldWriter out) throws IOException {
         if (message instanceof AgreementMessage.Pull pull) {
             begin(Type.PULL, message, out);
-            out.text(pull.transfer());
-            writeStamp(pull.have(), out);
+            out.text(pull.transferId());
+            writeStamp(pull.heldStateId(), out);
             out.number(pull.page());
         } else if (message instanceof AgreementMessage.Difference difference) {
             begin(Type.DIFFERENCE, message, out);
-            out.text(difference.transfer());
+            out.text(difference.transferId());
             writeStamp(difference.decided(), out);
-            out.list(difference.steps(), AgreementCodec::writeStep);
+            out.list(difference.deltas(), AgreementCodec::writeStep);
         } else if (message instanceof AgreementMessage.Page page) {
             begin(Type.PAGE, message, out);
-            out.text(page.transfer());
+            out.text(page.transferId());
             writeStamp(page.decided(), out);
-            out.number(page.page()).number(page.pages());
-            writeStamp(page.stamp(), out);
+            out.number(page.page()).number(page.pageCount());
+            writeStamp(page.stateId(), out);
             writeVoterSet(page.voters(), out);
             out.list(page.items(), AgreementCodec::writeVersionedItem).number(page.digest());
         }
@@ -177,25 +177,26 @@
     }
 
     /** Writes the stamp of a state. */
-    public static void writeStamp(Stamp stamp, FieldWriter out) throws IOException {
+    public static void writeStamp(StateId stamp, FieldWriter out) throws IOException {
         writeBallot(stamp.ballot(), out);
         out.number(stamp.revision());
     }
 
     /** Reads the stamp of a state. */
-    public static Stamp readStamp(FieldReader in) throws IOException {
-        return new Stamp(readBallot(in), in.number());
+    public static StateId readStamp(FieldReader in) throws IOException {
+        return new StateId(readBallot(in), in.number());
     }
 
-    private static void writeStep(Step step, FieldWriter out) throws IOException {
+    private static void writeStep(StateDelta step, FieldWriter out) throws IOException {
         writeStamp(step.base(), out);
-        writeStamp(step.stamp(), out);
+        writeStamp(step.stateId(), out);
         writeVoterSet(step.voters(), out);
         out.list(step.items(), AgreementCodec::writeVersionedItem);
     }
 
-    private static Step readStep(FieldReader in) throws IOException {
-        return new Step(readStamp(in), readStamp(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
+    private static StateDelta readStep(FieldReader in) throws IOException {
+        return new StateDelta(
+                readStamp(in), readStamp(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
     }
 
     /** Writes an item with its history. */
--- a/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.List;
 import ridgemill.cdn.agreement.AgreementMessage;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.keys.KeyRecord;
 import ridgemill.cdn.keys.KeyState;
@@ -218,7 +218,7 @@
      * @param callId the number of the call
      * @param result what became of the order
      */
-    public record ItemsChanged(long callId, OrderResult result) implements Message.Reply {
+    public record ItemsChanged(long callId, ChangeResult result) implements Message.Reply {
 
         @Override
         public MessageKind kind() {
@@ -231,7 +231,7 @@
         }
 
         static ItemsChanged read(FieldReader in) throws IOException {
-            return new ItemsChanged(in.number(), new OrderResult(in.oneOf(OrderResult.Outcome.values()), in.text()));
+            return new ItemsChanged(in.number(), new ChangeResult(in.oneOf(ChangeResult.Outcome.values()), in.text()));
         }
     }
 
@@ -293,7 +293,7 @@
      * @param leader the IP address of the store that leads if another one does; else empty
      * @param items all items, drops included
      */
-    public record ItemsRead(long callId, OrderResult.Outcome outcome, String leader, List<Item> items)
+    public record ItemsRead(long callId, ChangeResult.Outcome outcome, String leader, List<Item> items)
             implements Message.Reply {
 
         @Override
@@ -308,7 +308,7 @@
 
         static ItemsRead read(FieldReader in) throws IOException {
             return new ItemsRead(
-                    in.number(), in.oneOf(OrderResult.Outcome.values()), in.text(), in.list(Fields::readItem));
+                    in.number(), in.oneOf(ChangeResult.Outcome.values()), in.text(), in.list(Fields::readItem));
         }
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
@@ -38,7 +38,7 @@
     private static String faultTogether(ConfigurationChange change, ItemSet current) {
         ConfigurationRules rules = new ConfigurationRules();
         rules.reset(current.all());
-        return rules.fault(current.copy().mergeAll(change.items())).orElse(null);
+        return rules.validate(current.copy().mergeAll(change.items())).orElse(null);
     }
 
     private ItemSet after(String change) {
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SendingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/SendingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import ridgemill.cdn.config.RouteKind;
-import ridgemill.cdn.edge.Verdict;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.proxy.http.Headers;
 import ridgemill.gateway.net.SocketKind;
 
@@ -118,7 +118,7 @@
     }
 
     /** An attempt of the proxy's own making; what is done with it right after its start comes before its connection. */
-    private Verdict attempt(StandInInstance instance, Runnable meanwhile) throws Exception {
+    private AttemptOutcome attempt(StandInInstance instance, Runnable meanwhile) throws Exception {
         CompletableFuture<Attempt> ended = new CompletableFuture<>();
         proxy.onLoop(() -> {
             ProxyContext context = new ProxyContext(
@@ -147,7 +147,7 @@
             meanwhile.run();
         });
         Attempt attempt = ended.get(5, TimeUnit.SECONDS);
-        assertThat(attempt.isSent()).isEqualTo(attempt.verdict() == Verdict.ANSWERED);
+        assertThat(attempt.isSent()).isEqualTo(attempt.verdict() == AttemptOutcome.ANSWERED);
         assertThat(attempt.instance().inFlight()).isZero();
         return attempt.verdict();
     }
@@ -197,9 +197,9 @@
     @Test
     void nothingIsSentOnAConnectionThatComesUpAfterTheDeadline() throws Exception {
         StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
-        assertThat(attempt(instance, () -> proxy.timers.jump(0))).isEqualTo(Verdict.ANSWERED);
+        assertThat(attempt(instance, () -> proxy.timers.jump(0))).isEqualTo(AttemptOutcome.ANSWERED);
         instance.take();
-        assertThat(attempt(instance, () -> proxy.timers.jump(1_000))).isEqualTo(Verdict.NEVER_WRITTEN);
+        assertThat(attempt(instance, () -> proxy.timers.jump(1_000))).isEqualTo(AttemptOutcome.NEVER_WRITTEN);
         assertThat(instance.received).isEmpty();
     }
 
@@ -210,7 +210,7 @@
                     proxy.control.instances = List.of();
                     proxy.control.listeners.forEach(l -> l.instancesChanged());
                 }))
-                .isEqualTo(Verdict.NEVER_WRITTEN);
+                .isEqualTo(AttemptOutcome.NEVER_WRITTEN);
         assertThat(instance.received).isEmpty();
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import ridgemill.cdn.agreement.AcceptorRecord;
 import ridgemill.cdn.agreement.Ballot;
-import ridgemill.cdn.agreement.Stamp;
+import ridgemill.cdn.agreement.StateId;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
@@ -144,9 +144,9 @@
     void whatWasPromisedAndAcceptedIsReadAsItWasWrittenLast() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
-        Stamp first = new Stamp(new Ballot(3, "p"), 1);
+        StateId first = new StateId(new Ballot(3, "p"), 1);
         disk.write(DiskBatch.ofAccepted(record(first, false, entry("r1", 1), entry("r2", 1))));
-        Stamp second = first.next(new Ballot(4, "q"));
+        StateId second = first.next(new Ballot(4, "q"));
         disk.write(DiskBatch.ofAccepted(record(second, false, entry("r1", 2))));
         disk.close();
         AcceptorRecord read = new JournalDisk(folder.resolve("live")).open().accepted();
@@ -160,7 +160,7 @@
     void aWholeStateTakesThePlaceOfAllItems() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
-        Stamp first = new Stamp(new Ballot(3, "p"), 1);
+        StateId first = new StateId(new Ballot(3, "p"), 1);
         PendingChanges joined = new PendingChanges();
         joined.add(DiskBatch.ofAccepted(record(first, false, entry("r1", 1), entry("r2", 1))));
         joined.add(DiskBatch.ofAccepted(record(first, true, entry("r3", 1))));
@@ -174,7 +174,7 @@
 
     private static final VoterSet VOTERS = new VoterSet(2, List.of(new Voter("a", "1")), List.of(new Voter("b", "2")));
 
-    private static AcceptorRecord record(Stamp accepted, boolean replaces, VersionedItem... entries) {
+    private static AcceptorRecord record(StateId accepted, boolean replaces, VersionedItem... entries) {
         return new AcceptorRecord(accepted.ballot(), accepted, VOTERS, List.of(entries), replaces);
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
@@ -125,7 +125,7 @@
         assertThat(claim(wiped, "c2").availability()).isNotEqualTo(StoreMessages.KeyStatus.Availability.VOTES);
         assertThat(change(wiped, true, item("r2", 1)).outcome())
                 .as("an order with one voter of three")
-                .isNotEqualTo(OrderResult.Outcome.CONFIRMED);
+                .isNotEqualTo(ChangeResult.Outcome.CONFIRMED);
         cluster.start(2, false);
         StoreCluster.Caller other = cluster.caller(1);
         other.send(new StoreMessages.FollowVoters());
@@ -148,11 +148,11 @@
         Item one = new Item(new ItemName(ItemKind.SERVICE, "s"), 4, "{\"version\":4,\"a\":1}");
         Item other = new Item(new ItemName(ItemKind.SERVICE, "s"), 4, "{\"version\":4,\"a\":2}");
         order(here, one);
-        assertThat(settled(there, other).outcome()).isEqualTo(OrderResult.Outcome.CONFLICT);
-        assertThat(settled(there, one).outcome()).isEqualTo(OrderResult.Outcome.CONFIRMED);
+        assertThat(settled(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(settled(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
         order(here, new Item(one.name(), 9, "{\"version\":9}"));
-        assertThat(settled(there, one).outcome()).isEqualTo(OrderResult.Outcome.CONFIRMED);
-        assertThat(settled(there, other).outcome()).isEqualTo(OrderResult.Outcome.CONFLICT);
+        assertThat(settled(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(settled(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
     }
 
     @ParameterizedTest
@@ -210,27 +210,27 @@
 
     /** Orders an item until it is confirmed, as an operator does that gets no clear answer. */
     private void order(StoreCluster.Caller caller, Item item) {
-        assertThat(settled(caller, item).outcome()).isEqualTo(OrderResult.Outcome.CONFIRMED);
+        assertThat(settled(caller, item).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
     }
 
     /** Goes on to the store that leads, or to another one, as a registry does. */
-    private OrderResult settled(StoreCluster.Caller caller, Item item) {
+    private ChangeResult settled(StoreCluster.Caller caller, Item item) {
         StoreCluster.Caller asked = caller;
-        OrderResult result = change(asked, false, item);
+        ChangeResult result = change(asked, false, item);
         for (int i = 0; i < MOST_ATTEMPTS && !isClear(result); i++) {
             boolean hint =
-                    result.outcome() == OrderResult.Outcome.NOT_LEADER && StoreCluster.HOSTS.contains(result.detail());
+                    result.outcome() == ChangeResult.Outcome.NOT_LEADER && StoreCluster.HOSTS.contains(result.detail());
             asked = hint ? cluster.caller(StoreCluster.HOSTS.indexOf(result.detail())) : caller;
             result = change(asked, !hint, item);
         }
         return result;
     }
 
-    private static boolean isClear(OrderResult result) {
-        return result.outcome() != OrderResult.Outcome.NOT_LEADER && result.outcome() != OrderResult.Outcome.UNKNOWN;
+    private static boolean isClear(ChangeResult result) {
+        return result.outcome() != ChangeResult.Outcome.NOT_LEADER && result.outcome() != ChangeResult.Outcome.UNKNOWN;
     }
 
-    private static OrderResult change(StoreCluster.Caller caller, boolean insist, Item item) {
+    private static ChangeResult change(StoreCluster.Caller caller, boolean insist, Item item) {
         return caller.call(
                         id -> new StoreMessages.ChangeItems(id, insist, BUDGET_MS, List.of(item)),
                         StoreMessages.ItemsChanged.class)
@@ -242,7 +242,7 @@
         for (int i = 0; i < MOST_ATTEMPTS; i++) {
             StoreMessages.ItemsRead read =
                     asked.call(id -> new StoreMessages.ReadItems(id, true, BUDGET_MS), StoreMessages.ItemsRead.class);
-            if (read.outcome() == OrderResult.Outcome.CONFIRMED) {
+            if (read.outcome() == ChangeResult.Outcome.CONFIRMED) {
                 return read.items();
             }
             int leader = StoreCluster.HOSTS.indexOf(read.leader());
--- a/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import ridgemill.cdn.agreement.AgreementMessage;
 import ridgemill.cdn.agreement.Ballot;
-import ridgemill.cdn.agreement.OrderResult;
-import ridgemill.cdn.agreement.Stamp;
-import ridgemill.cdn.agreement.Step;
+import ridgemill.cdn.agreement.ChangeResult;
+import ridgemill.cdn.agreement.StateDelta;
+import ridgemill.cdn.agreement.StateId;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
@@ -45,9 +45,9 @@
     private static final Voter VOTER = new Voter("10.0.0.1", "d1");
     private static final VoterSet VOTERS = new VoterSet(7, List.of(VOTER), List.of(new Voter("10.0.0.2", "d2")));
     private static final Ballot BALLOT = new Ballot(5, "life");
-    private static final Stamp STAMP = new Stamp(BALLOT, 12);
+    private static final StateId STAMP = new StateId(BALLOT, 12);
     private static final VersionedItem ENTRY = new VersionedItem(ITEMS.get(0), List.of(new PastVersion(3, -9)));
-    private static final Step STEP = new Step(STAMP, STAMP.next(BALLOT), VOTERS, List.of(ENTRY));
+    private static final StateDelta STEP = new StateDelta(STAMP, STAMP.next(BALLOT), VOTERS, List.of(ENTRY));
 
     private static Message agreement(AgreementMessage content) {
         return new StoreMessages.Agreement(content);
@@ -65,15 +65,15 @@
                 new StoreMessages.FollowVoters(),
                 new StoreMessages.VotersNow(VOTERS),
                 new StoreMessages.ChangeItems(1, true, 900, ITEMS),
-                new StoreMessages.ItemsChanged(1, new OrderResult(OrderResult.Outcome.CONFLICT, "r")),
+                new StoreMessages.ItemsChanged(1, new ChangeResult(ChangeResult.Outcome.CONFLICT, "r")),
                 new StoreMessages.Written(1, VOTER, true),
                 new StoreMessages.ReadItems(2, false, 800),
-                new StoreMessages.ItemsRead(2, OrderResult.Outcome.CONFIRMED, "", ITEMS),
+                new StoreMessages.ItemsRead(2, ChangeResult.Outcome.CONFIRMED, "", ITEMS),
                 new StoreMessages.WritePurge(3, 7, PURGE),
                 new StoreMessages.ClaimKey(4, 7, "k", "c"),
                 new StoreMessages.PullKeys(7, "k"),
                 agreement(new AgreementMessage.Status(
-                        VOTER, "z", true, false, true, BALLOT, STAMP, Stamp.NONE, VOTERS, 3, HOSTS)),
+                        VOTER, "z", true, false, true, BALLOT, STAMP, StateId.NONE, VOTERS, 3, HOSTS)),
                 agreement(new AgreementMessage.Prepare(VOTER, BALLOT)),
                 agreement(new AgreementMessage.Promise(VOTER, BALLOT, STAMP, VOTERS)),
                 agreement(new AgreementMessage.Accept(VOTER, STEP)),
