--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -99,7 +99,7 @@
                             Invariant.REQUESTS_WITHIN_PART,
                             instance.instance().service());
             if (endMs < Double.POSITIVE_INFINITY) {
-                timer = context.timers().at(endMs, this::silent);
+                timer = context.timers().scheduleAt(endMs, this::silent);
             }
             given.send(
                     request.bytes(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
--- a/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
@@ -194,7 +194,7 @@
     }
 
     private void scheduleTick() {
-        tick = context.timers().at(context.now() + TICK_MS, () -> {
+        tick = context.timers().scheduleAt(context.now() + TICK_MS, () -> {
             double nowMs = context.now();
             for (FrontConnection client : clients.all()) {
                 client.tick(nowMs);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Delivery.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Delivery.java
@@ -146,7 +146,7 @@
         upstream.await(this);
         if (patience == null) {
             double untilMs = Math.min(deadlineMs - LEAST_LEFT_MS, nowMs + PATIENCE * route.targetLatencyMs());
-            patience = context.timers().at(untilMs, () -> {
+            patience = context.timers().scheduleAt(untilMs, () -> {
                 outOfPatience = true;
                 upstream.forget(this);
                 roomAgain();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
@@ -47,7 +47,7 @@
             refuse(RefusalReason.OUT_OF_TIME, 0);
             return;
         }
-        deadline = context.timers().at(deadlineMs, this::deadlinePassed);
+        deadline = context.timers().scheduleAt(deadlineMs, this::deadlinePassed);
         run();
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -59,7 +59,7 @@
         if (leads) {
             claim();
         } else {
-            timer = context().timers().at(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
+            timer = context().timers().scheduleAt(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
         }
     }
 
@@ -143,7 +143,7 @@
     private void busy() {
         double nextMs = context().now() + CLAIM_AGAIN_MS;
         if (nextMs < patienceEndMs()) {
-            timer = context().timers().at(nextMs, this::claim);
+            timer = context().timers().scheduleAt(nextMs, this::claim);
         } else {
             answerBusy();
             stopLeading(null);
@@ -199,7 +199,7 @@
         delivery.stopRepeating();
         lingers = true;
         context().countInFlight(1);
-        timer = context().timers().at(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
+        timer = context().timers().scheduleAt(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
             lingers = false;
             context().countInFlight(-1);
             delivery.cancel(true);
--- a/cdn/src/test/java/ridgemill/cdn/proxy/JumpingTimers.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/JumpingTimers.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public Timer at(double atMs, Runnable task) {
-        return timers.at(atMs - jumpedMs, task);
+    public Timer scheduleAt(double atMs, Runnable task) {
+        return timers.scheduleAt(atMs - jumpedMs, task);
     }
 }
--- a/core/src/main/java/ridgemill/connections/RoomCalls.java
+++ b/core/src/main/java/ridgemill/connections/ConnectionReleaseRequests.java
@@ -14,10 +14,10 @@
  * <p>A call has five bytes, by which it can't be taken for one of the decisions' own messages, whose lengths are
  * multiples of four: a kind, and a hash of the node's name. Without I/O or a clock; times are milliseconds.
  */
-public final class RoomCalls {
+public final class ConnectionReleaseRequests {
 
     /** A connection that has been idle for longer than this is closed when its node is called for, in milliseconds. */
-    public static final double LONG_IDLE_MS = 300;
+    public static final double IDLE_THRESHOLD_MS = 300;
     /** The same node is called for again after so long: a call takes some time to be heard and to have its effect. */
     private static final double AGAIN_MS = 100;
     private static final byte KIND = 'R';
@@ -31,7 +31,7 @@
      * A node turned an attempt away on a connection that was opened for it; on a kept one it is not for want of places.
      * Returns the call to make, or null where none is due.
      */
-    public byte[] noPlace(String node, double nowMs) {
+    public byte[] connectionRejected(String node, double nowMs) {
         Double last = called.get(node);
         if (last != null && nowMs - last < AGAIN_MS) {
             return null;
@@ -44,13 +44,13 @@
     }
 
     /** Whether a message of a peer is such a call. */
-    public static boolean isCall(byte[] message) {
+    public static boolean isReleaseRequest(byte[] message) {
         return message.length == BYTES && message[0] == KIND;
     }
 
     /** Whether a call is for this node. */
-    public static boolean isFor(byte[] call, String node) {
-        return isCall(call) && ByteBuffer.wrap(call, 1, Integer.BYTES).getInt() == hash(node);
+    public static boolean isForNode(byte[] call, String node) {
+        return isReleaseRequest(call) && ByteBuffer.wrap(call, 1, Integer.BYTES).getInt() == hash(node);
     }
 
     private static int hash(String node) {
--- a/core/src/main/java/ridgemill/core/Attempt.java
+++ b/core/src/main/java/ridgemill/core/Attempt.java
@@ -21,12 +21,12 @@
     }
 
     /** Whether its content is still coming, so that it can be carried once, on a connection of its own. */
-    default boolean isOpen() {
+    default boolean hasStreamingBody() {
         return false;
     }
 
     /** Whether an answer may be given on before it is whole. */
-    default boolean takesParts() {
+    default boolean supportsStreaming() {
         return false;
     }
 
@@ -34,10 +34,10 @@
     default void connected(double ms) { }
 
     /** It is being written, on a connection that was opened for it or on one that was there. */
-    default void begun(boolean fresh) { }
+    default void writeStarted(boolean fresh) { }
 
     /** What its node is to be told of who sends it, and under which version; null for nothing. */
-    default String label() {
+    default String versionLabel() {
         return null;
     }
 
--- a/core/src/main/java/ridgemill/core/Back.java
+++ b/core/src/main/java/ridgemill/core/Backend.java
@@ -6,19 +6,19 @@
  * Carries attempts to nodes. A back sends nothing a second time by itself: each exchange ends once, with the outcome
  * that its own connection showed.
  */
-public interface Back<C> {
+public interface Backend<C> {
 
-    /** Takes how an exchange ended. It may be called before {@link Back#send} returns. */
-    interface Done<C> {
+    /** Takes how an exchange ended. It may be called before {@link Backend#send} returns. */
+    interface Listener<C> {
 
         /** {@code answer} is null where no whole answer came. */
-        void ended(Outcome outcome, Answer<C> answer);
+        void ended(Outcome outcome, NodeResponse<C> answer);
 
         /**
          * A good answer has begun, whose content comes by and by; {@link #ended} follows when it has ended or broken off, without
-         * an answer. Called only where {@link Attempt#takesParts}. Returns whether anybody takes it.
+         * an answer. Called only where {@link Attempt#supportsStreaming}. Returns whether anybody takes it.
          */
-        default boolean begun(Answer<C> answer) {
+        default boolean responseStarted(NodeResponse<C> answer) {
             return false;
         }
     }
@@ -33,17 +33,17 @@
          * Gives it up as {@link #cancel} does, but lets it run to its end where that spares the node a new connection: its
          * answer is dropped when it comes.
          */
-        default void leave() {
+        default void detach() {
             cancel();
         }
     }
 
     /** Starts an exchange with a node that is given up after {@code timeoutMs}. */
-    Exchange send(String node, Attempt<C> attempt, double timeoutMs, Done<C> done);
+    Exchange send(String node, Attempt<C> attempt, double timeoutMs, Listener<C> done);
 
     /** Asks a node whether it lives; {@code done} gets no answer with the outcome. */
-    void probe(String node, double timeoutMs, Done<C> done);
+    void probe(String node, double timeoutMs, Listener<C> done);
 
     /** Closes the idle connections to a node. */
-    void closeIdle(String node);
+    void closeIdleConnections(String node);
 }
--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -10,10 +10,10 @@
 import java.util.Queue;
 import java.util.Set;
 import java.util.function.Consumer;
-import ridgemill.deadline.ClassTimes;
+import ridgemill.deadline.ClassTimings;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
-import ridgemill.deadline.GroupTimes;
+import ridgemill.deadline.GroupTimings;
 import ridgemill.deadline.Verdict;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Actions;
@@ -54,19 +54,19 @@
     private final Timers timers;
     private final Settings settings;
     private final Router router;
-    private final Back<C> back;
-    private final Faults faults;
+    private final Backend<C> back;
+    private final FaultReporter faults;
     private final Consumer<String> settled;
     private final int maxOpen;
-    private final GroupTimes times;
+    private final GroupTimings times;
     private final Map<String, Effect> effects = new HashMap<>();
     private final Set<String> stores = new HashSet<>();
     private final Map<String, Call<C>> calls = new HashMap<>();
     private final Queue<Pending> events = new ArrayDeque<>();
     private final List<Runnable> actions = new ArrayList<>();
-    private final Tally tally = new Tally();
-    private Acts acts = Acts.NONE;
-    private String group = Intake.PLATFORM;
+    private final RequestCounters tally = new RequestCounters();
+    private VersionTracker acts = VersionTracker.NONE;
+    private String group = Intake.PLATFORM_GROUP;
     private long list;
     private Runnable subscribe = () -> { };
     private Consumer<byte[]> tell = contents -> { };
@@ -80,14 +80,14 @@
      * @param settled is told the class of each request that has its final answer or whose client has left
      * @param maxOpen how many may be open; the next are refused without asking the module
      */
-    public Dispatcher(Timers timers, Settings settings, Router router, Back<C> back, Faults faults,
+    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
                       Consumer<String> settled, int maxOpen) {
-        this(timers, settings, router, back, faults, settled, maxOpen, new Deadlines(DeadlinePolicy.OFF).group(Intake.PLATFORM));
+        this(timers, settings, router, back, faults, settled, maxOpen, new Deadlines(DeadlinePolicy.OFF).group(Intake.PLATFORM_GROUP));
     }
 
     /** The same, with what is known of its nodes' times. */
-    public Dispatcher(Timers timers, Settings settings, Router router, Back<C> back, Faults faults,
-                      Consumer<String> settled, int maxOpen, GroupTimes times) {
+    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
+                      Consumer<String> settled, int maxOpen, GroupTimings times) {
         this.timers = timers;
         this.settings = settings;
         this.router = router;
@@ -100,16 +100,16 @@
     }
 
     /** Requests that come from now on are kept there, as those of this group. */
-    public void acts(Acts to, String ofGroup) {
+    public void setVersionTracker(VersionTracker to, String ofGroup) {
         acts = to;
         group = ofGroup;
         if (list > 0) {
-            acts.listed(timers.now(), group, list);
+            acts.hostListConfirmed(timers.now(), group, list);
         }
     }
 
     /** Names what asks discovery and what tells peers; both may need this dispatcher to be made first. */
-    public void wire(Runnable asksDiscovery, Consumer<byte[]> tellsPeers) {
+    public void setCallbacks(Runnable asksDiscovery, Consumer<byte[]> tellsPeers) {
         subscribe = asksDiscovery;
         tell = tellsPeers;
     }
@@ -120,18 +120,18 @@
     }
 
     /** Requests that have no final answer yet. */
-    public int owed() {
+    public int pendingRequests() {
         return owed;
     }
 
-    public Tally tally() {
+    public RequestCounters counters() {
         return tally;
     }
 
     // Events from fronts, backs and the outside.
 
     /** The node list, or news of it; the back must know the nodes before the module may choose one. */
-    public void nodes(ListUpdateKind kind, long version, List<Node> nodes) {
+    public void updateNodes(ListUpdateKind kind, long version, List<Node> nodes) {
         for (Node n : nodes) {
             if (settings.originModel() != null && settings.originModel().equals(n.model())) {
                 stores.add(n.id());
@@ -140,17 +140,17 @@
             }
         }
         if (kind == ListUpdateKind.REFUSED) {
-            acts.unlisted(timers.now(), group);
+            acts.hostListUnavailable(timers.now(), group);
         } else if (kind != ListUpdateKind.REMEMBERED) {
             list = version;
-            acts.listed(timers.now(), group, list);
+            acts.hostListConfirmed(timers.now(), group, list);
         }
         tell(now -> router.onNodeList(now, kind, version, nodes, this), () -> { });
     }
 
     /** A call to discovery failed, or the subscription broke. */
-    public void discoveryRefused() {
-        nodes(ListUpdateKind.REFUSED, 0, List.of());
+    public void discoveryFailed() {
+        updateNodes(ListUpdateKind.REFUSED, 0, List.of());
     }
 
     public void peerMessage(int from, byte[] contents) {
@@ -163,27 +163,27 @@
     }
 
     /** Other classes hold from now on, for requests that come. */
-    public void classes(List<ServiceClass> classes) {
+    public void updateClasses(List<ServiceClass> classes) {
         classes.forEach(c -> effects.put(c.name(), c.effect()));
         tell(now -> router.onClassesChanged(now, classes), () -> { });
     }
 
     /** Takes a request, whose id must not be open; {@code client} gets its one final answer, maybe before this returns. */
-    public void request(Request in, Command<C> command, Client<C> client) {
+    public void submit(Request in, Command<C> command, ResponseHandler<C> client) {
         double cameAt = timers.now();
-        tally.took();
-        Acts.Under under = acts.begins(cameAt, in.id(), in.serviceClass(), group, list);
+        tally.requestStarted();
+        VersionTracker.RequestVersion under = acts.requestStarted(cameAt, in.id(), in.serviceClass(), group, list);
         if (calls.size() >= maxOpen) {
             // Beyond what the settings allow the module is not asked; nothing ran, so this promise is true.
-            tally.ended(in.serviceClass(), Tally.End.REFUSED);
-            under.ended(cameAt, in.serviceClass(), Tally.End.REFUSED, Reason.TOO_MANY_OPEN);
-            tally.because(in.serviceClass(), Reason.TOO_MANY_OPEN);
+            tally.requestEnded(in.serviceClass(), RequestCounters.RequestResult.REFUSED);
+            under.requestEnded(cameAt, in.serviceClass(), RequestCounters.RequestResult.REFUSED, Reason.TOO_MANY_OPEN);
+            tally.reasonCount(in.serviceClass(), Reason.TOO_MANY_OPEN);
             settled.accept(in.serviceClass());
-            client.because(Reason.TOO_MANY_OPEN);
+            client.reason(Reason.TOO_MANY_OPEN);
             client.refused(0);
             return;
         }
-        Call<C> call = new Call<>(in, command, client, cameAt, times.of(in.serviceClass()), under);
+        Call<C> call = new Call<>(in, command, client, cameAt, times.forClass(in.serviceClass()), under);
         calls.put(in.id(), call);
         owed++;
         if (in.uploading()) {
@@ -195,11 +195,11 @@
     }
 
     private void watch(Call<C> call) {
-        call.backstop = timers.at(call.deadline + settings.rules().answerSlackMs(), () -> overdue(call));
+        call.backstop = timers.scheduleAt(call.deadline + settings.rules().answerSlackMs(), () -> overdue(call));
     }
 
     /** The last byte of a request that came open is here: its time begins. */
-    public void complete(String id) {
+    public void bodyReceived(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over && call.isOpen()) {
             call.completeMs = timers.now();
@@ -214,8 +214,8 @@
     public void clientGone(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over) {
-            count(call, Tally.End.GONE);
-            call.kind.left(timers.now(), timers.now() - call.bornMs);
+            count(call, RequestCounters.RequestResult.GONE);
+            call.kind.clientLeft(timers.now(), timers.now() - call.bornMs);
             settle(call);
             tell(now -> router.onClientDisconnected(now, id, this), () -> { });
         }
@@ -228,7 +228,7 @@
     }
 
     /** An open request needs its final answer now; what is out for it is of no use any more. */
-    public void giveUp(String id) {
+    public void answerNow(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over && !call.hasBegun()) {
             call.why = Reason.HELD_UP_ANOTHER;
@@ -250,14 +250,14 @@
     }
 
     /** An answer has begun: it is the request's final one, however long its rest takes, and whether or not that comes. */
-    private boolean begun(Call<C> call, int attempt, String node, Answer<C> answer) {
+    private boolean begun(Call<C> call, int attempt, String node, NodeResponse<C> answer) {
         if (call.over) {
             return false;
         }
         double now = timers.now();
         call.unwatch();
         call.begunMs = now;
-        call.kind.answered(now, now - call.since(call.out.sentMs), call.out.atStore, call.out.fresh);
+        call.kind.attemptAnswered(now, now - call.since(call.out.sentMs), call.out.atStore, call.out.fresh);
         call.client.served(answer);
         tell(at -> router.onStreamStarted(at, call.in.id(), attempt, node, this), () -> { });
         return true;
@@ -265,21 +265,21 @@
 
     /** One that had begun has ended or broken off; its client has seen which. */
     private void endedBegun(Call<C> call, int attempt, String node, double sentAt, Outcome outcome) {
-        tally.count(outcome);
+        tally.attemptEnded(outcome);
         if (!call.over) {
             double now = timers.now();
-            count(call, outcome == Outcome.OK ? Tally.End.SERVED : Tally.End.FAILED);
-            call.kind.finished(now, call.begunMs - call.bornMs);
+            count(call, outcome == Outcome.OK ? RequestCounters.RequestResult.SERVED : RequestCounters.RequestResult.FAILED);
+            call.kind.requestAnswered(now, call.begunMs - call.bornMs);
             settle(call);
         }
-        report(call.in.id(), call, attempt, node, outcome, call.begunMs - call.since(sentAt), Answer.NO_NOTE);
+        report(call.in.id(), call, attempt, node, outcome, call.begunMs - call.since(sentAt), NodeResponse.NO_CACHE_STATUS);
     }
 
-    private void ended(Call<C> call, int attempt, String node, double sentAt, Outcome outcome, Answer<C> answer) {
+    private void ended(Call<C> call, int attempt, String node, double sentAt, Outcome outcome, NodeResponse<C> answer) {
         Sent<C> sent = call.out;
         call.out = null;
         double now = timers.now();
-        call.under.came(now, outcome);
+        call.under.attemptEnded(now, outcome);
         if (call.hasBegun()) {
             endedBegun(call, attempt, node, sentAt, outcome);
             return;
@@ -287,19 +287,19 @@
         call.proven &= outcome.provesNotRun();
         double since = Math.min(now, call.since(sentAt));
         if (outcome == Outcome.OK) {
-            call.kind.answered(now, now - since, sent.atStore, sent.fresh);
+            call.kind.attemptAnswered(now, now - since, sent.atStore, sent.fresh);
         } else if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMEOUT) {
-            call.kind.givenUp(now, now - since, sent.atStore);
+            call.kind.attemptAbandoned(now, now - since, sent.atStore);
         }
-        tally.count(outcome);
+        tally.attemptEnded(outcome);
         if (outcome == Outcome.OK && !call.over) {
-            count(call, Tally.End.SERVED);
-            call.kind.finished(now, now - call.bornMs);
+            count(call, RequestCounters.RequestResult.SERVED);
+            call.kind.requestAnswered(now, now - call.bornMs);
             settle(call);
             call.client.served(answer);
         }
         report(call.in.id(), call, attempt, node, outcome, timers.now() - since,
-                answer == null ? Answer.NO_NOTE : answer.note());
+                answer == null ? NodeResponse.NO_CACHE_STATUS : answer.cacheStatus());
     }
 
     private void report(String id, Call<C> call, int attempt, String node, Outcome outcome, double elapsedMs,
@@ -342,7 +342,7 @@
             action.run();
             return true;
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            faults.fault("a decision or its execution failed", e);
+            faults.error("a decision or its execution failed", e);
             return false;
         } catch (Error e) {
             abandon(e);
@@ -377,7 +377,7 @@
     /** The module owes an answer before this; without one the request would be lost. */
     private void overdue(Call<C> call) {
         if (!call.over) {
-            faults.odd("no answer was decided in time for " + call.in.id());
+            faults.warning("no answer was decided in time for " + call.in.id());
             if (call.out != null) {
                 call.out.cancel();
             }
@@ -400,7 +400,7 @@
                 return;
             }
             double now = timers.now();
-            if (call.over && !call.kind.closes(now, now - call.out.sentMs, call.out.atStore)) {
+            if (call.over && !call.kind.shouldCloseConnection(now, now - call.out.sentMs, call.out.atStore)) {
                 call.out.leave();
             } else {
                 call.out.cancel();
@@ -447,13 +447,13 @@
 
     @Override
     public void closeIdleConnections(String node) {
-        actions.add(() -> back.closeIdle(node));
+        actions.add(() -> back.closeIdleConnections(node));
     }
 
     @Override
     public double minAnswerMs(String request) {
         Call<C> call = calls.get(request);
-        return call == null ? 0 : call.kind.backOffMs(timers.now());
+        return call == null ? 0 : call.kind.minRemainingMs(timers.now());
     }
 
     private void ifOpen(String request, Consumer<Call<C>> action) {
@@ -463,31 +463,31 @@
         }
     }
 
-    private void count(Call<C> call, Tally.End end) {
-        tally.ended(call.in.serviceClass(), end);
-        call.under.ended(timers.now(), call.in.serviceClass(), end, call.why);
+    private void count(Call<C> call, RequestCounters.RequestResult end) {
+        tally.requestEnded(call.in.serviceClass(), end);
+        call.under.requestEnded(timers.now(), call.in.serviceClass(), end, call.why);
     }
 
     private void say(Call<C> call) {
-        tally.because(call.in.serviceClass(), call.why);
-        call.client.because(call.why);
+        tally.reasonCount(call.in.serviceClass(), call.why);
+        call.client.reason(call.why);
     }
 
     private void refuseNow(Call<C> call, double retryAfterMs) {
-        count(call, Tally.End.REFUSED);
-        call.kind.finished(timers.now(), timers.now() - call.bornMs);
+        count(call, RequestCounters.RequestResult.REFUSED);
+        call.kind.requestAnswered(timers.now(), timers.now() - call.bornMs);
         settle(call);
         say(call);
         if (call.proven && call.out == null) {
             call.client.refused(retryAfterMs);
         } else {
-            call.client.refusedUnproven(retryAfterMs);
+            call.client.refusedMayHaveRun(retryAfterMs);
         }
     }
 
     private void failNow(Call<C> call) {
-        count(call, Tally.End.FAILED);
-        call.kind.finished(timers.now(), timers.now() - call.bornMs);
+        count(call, RequestCounters.RequestResult.FAILED);
+        call.kind.requestAnswered(timers.now(), timers.now() - call.bornMs);
         settle(call);
         say(call);
         call.client.failed();
@@ -508,7 +508,7 @@
     }
 
     private void timerNow(double atMs, String token) {
-        timers.at(atMs, () -> tell(now -> router.onTimer(now, token, this),
+        timers.scheduleAt(atMs, () -> tell(now -> router.onTimer(now, token, this),
                 () -> timerNow(timers.now() + RETRY_TIMER_MS, token)));
     }
 
@@ -521,45 +521,45 @@
         // Nothing goes out for a request that is over or late, past the attempts allowed, or beside another of its own.
         if (call == null || call.over || call.out != null || wait <= 0
                 || attempt >= settings.limits().maxAttempts()) {
-            tally.count(Outcome.NEVER_SENT);
-            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, Answer.NO_NOTE);
+            tally.attemptEnded(Outcome.NEVER_SENT);
+            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
             return;
         }
         boolean atStore = stores.contains(node);
-        Verdict verdict = call.kind.maySend(now, now - call.bornMs, left, atStore, attempt == 0);
+        Verdict verdict = call.kind.checkSend(now, now - call.bornMs, left, atStore, attempt == 0);
         if (verdict != Verdict.GO) {
             // Nobody would be there to read it: its final answer is due now, and the module hears that it is over.
             call.why = verdict == Verdict.LATE ? Reason.TOO_LATE : Reason.UNREAD;
             endNow(call);
-            tally.count(Outcome.NEVER_SENT);
-            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, Answer.NO_NOTE);
+            tally.attemptEnded(Outcome.NEVER_SENT);
+            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
             return;
         }
         Sent<C> sent = new Sent<>(call, now, now + wait, timers, times, atStore, tally);
         call.out = sent;
-        call.under.sent(now, node);
-        sent.exchange = back.send(node, sent, wait, new Back.Done<>() {
+        call.under.attemptSent(now, node);
+        sent.exchange = back.send(node, sent, wait, new Backend.Listener<>() {
             @Override
-            public void ended(Outcome outcome, Answer<C> answer) {
+            public void ended(Outcome outcome, NodeResponse<C> answer) {
                 Dispatcher.this.ended(call, attempt, node, now, outcome, answer);
             }
 
             @Override
-            public boolean begun(Answer<C> answer) {
+            public boolean responseStarted(NodeResponse<C> answer) {
                 return Dispatcher.this.begun(call, attempt, node, answer);
             }
         });
     }
 
     /** A probe has ended: one that the decisions asked for, or one that another proxy made. */
-    public void probed(String node, Outcome outcome, double tookMs) {
+    public void probeEnded(String node, Outcome outcome, double tookMs) {
         tell(at -> router.onProbeResult(at, node, outcome, tookMs, Map.of(), this), () -> { });
     }
 
     private void probeNow(String node) {
         double now = timers.now();
         back.probe(node, settings.limits().connectTimeoutMs() * PROBE_CONNECTS,
-                (outcome, answer) -> probed(node, outcome, timers.now() - now));
+                (outcome, answer) -> probeEnded(node, outcome, timers.now() - now));
     }
 
     /** The attempt that is out; the back may end it before it has handed the exchange over. */
@@ -568,13 +568,13 @@
         private final double sentMs;
         private final double giveUpMs;
         private final Timers timers;
-        private final GroupTimes times;
+        private final GroupTimings times;
         private final boolean atStore;
-        private final Tally tally;
+        private final RequestCounters tally;
         private boolean fresh;
-        private Back.Exchange exchange;
+        private Backend.Exchange exchange;
 
-        Sent(Call<C> call, double sentMs, double giveUpMs, Timers timers, GroupTimes times, boolean atStore, Tally tally) {
+        Sent(Call<C> call, double sentMs, double giveUpMs, Timers timers, GroupTimings times, boolean atStore, RequestCounters tally) {
             this.call = call;
             this.sentMs = sentMs;
             this.giveUpMs = giveUpMs;
@@ -586,7 +586,7 @@
 
         void leave() {
             if (exchange != null) {
-                exchange.leave();
+                exchange.detach();
             }
         }
 
@@ -609,44 +609,44 @@
         @Override
         public double remainingMs() {
             double left = call.isOpen() ? call.in.budgetMs() : giveUpMs - timers.now();
-            return left - times.wayBackMs(left);
+            return left - times.returnReserveMs(left);
         }
 
         @Override
         public boolean mayBeWritten() {
             double now = timers.now();
-            return !call.over && call.kind.mayWrite(now, call.deadline - now, atStore) == Verdict.GO;
+            return !call.over && call.kind.checkWrite(now, call.deadline - now, atStore) == Verdict.GO;
         }
 
         @Override
-        public boolean isOpen() {
+        public boolean hasStreamingBody() {
             return call.in.uploading();
         }
 
         @Override
-        public boolean takesParts() {
-            return call.client.takesParts();
+        public boolean supportsStreaming() {
+            return call.client.supportsStreaming();
         }
 
         @Override
         public void connected(double ms) {
-            times.connected(ms);
+            times.recordConnectTime(ms);
         }
 
         @Override
-        public void begun(boolean onFresh) {
+        public void writeStarted(boolean onFresh) {
             fresh = onFresh;
         }
 
         @Override
         public void written() {
-            tally.wrote();
-            call.under.wrote();
+            tally.attemptWritten();
+            call.under.attemptWritten();
         }
 
         @Override
-        public String label() {
-            return call.under.label();
+        public String versionLabel() {
+            return call.under.versionLabel();
         }
     }
 
@@ -654,13 +654,13 @@
     private static final class Call<C> {
         final Request in;
         final Command<C> command;
-        final Client<C> client;
+        final ResponseHandler<C> client;
         final double bornMs;
         double deadline;
         /** When the last byte of its body came; infinite while one that came open is. */
         double completeMs;
-        final ClassTimes kind;
-        final Acts.Under under;
+        final ClassTimings kind;
+        final VersionTracker.RequestVersion under;
         Timers.Timer backstop;
         Sent<C> out;
         int attempts;
@@ -669,7 +669,7 @@
         boolean proven = true;
         boolean over;
 
-        Call(Request in, Command<C> command, Client<C> client, double bornMs, ClassTimes kind, Acts.Under under) {
+        Call(Request in, Command<C> command, ResponseHandler<C> client, double bornMs, ClassTimings kind, VersionTracker.RequestVersion under) {
             this.in = in;
             this.under = under;
             this.command = command;
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import ridgemill.deadline.ClassTimes;
+import ridgemill.deadline.ClassTimings;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
-import ridgemill.deadline.Place;
+import ridgemill.deadline.RequestStage;
 import ridgemill.deadline.Verdict;
-import ridgemill.outcome.Known;
+import ridgemill.idempotency.IdempotencyRecord;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.Request;
@@ -31,32 +31,32 @@
     /** Counted in place of a class that is not known. */
     private static final String NO_CLASS = "";
     /** The group of nodes that the platform lists. */
-    public static final String PLATFORM = "";
+    public static final String PLATFORM_GROUP = "";
 
     /** A request in line. */
-    private record Waiting<C>(Gate.Go go, Request in, Command<C> command, Client<C> client, double sinceMs,
+    private record Waiting<C>(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client, double sinceMs,
                               Timers.Timer patience) { }
 
     private final Timers timers;
-    private final Gate gate;
+    private final AdmissionController gate;
     private final Deadlines deadlines;
     private final Map<String, Dispatcher<C>> groups = new HashMap<>();
     /** Those of the groups, and of dropped ones that still owe an answer. */
     private final List<Dispatcher<C>> dispatchers = new ArrayList<>();
     private final Map<String, Waiting<C>> line = new HashMap<>();
-    private final Tally tally = new Tally();
-    private Acts acts = Acts.NONE;
-    private Detour<C> detour;
-    private Recorder<C> recorder;
+    private final RequestCounters tally = new RequestCounters();
+    private VersionTracker acts = VersionTracker.NONE;
+    private RequestForwarder<C> detour;
+    private WriteDeduplicator<C> recorder;
     private boolean advancing;
 
     /** An intake that makes nothing of deadlines but to tell nodes of them. */
-    public Intake(Timers timers, Gate gate) {
+    public Intake(Timers timers, AdmissionController gate) {
         this(timers, gate, new Deadlines(DeadlinePolicy.OFF));
     }
 
     /** An intake whose requests' time is judged. */
-    public Intake(Timers timers, Gate gate, Deadlines deadlines) {
+    public Intake(Timers timers, AdmissionController gate, Deadlines deadlines) {
         this.timers = timers;
         this.gate = gate;
         this.deadlines = deadlines;
@@ -73,56 +73,56 @@
     }
 
     /** From now on keyed writes go through this; null for none, which may not be while any is open. */
-    public void recorder(Recorder<C> through) {
+    public void setDeduplicator(WriteDeduplicator<C> through) {
         recorder = through;
     }
 
     /** Whether outcomes of keyed writes are recorded. */
-    public boolean records() {
+    public boolean deduplicates() {
         return recorder != null;
     }
 
     /** What is known of a key, for who gave it; null where nothing is. */
-    public Known outcome(String key, String tenant) {
-        return recorder == null ? null : recorder.outcomes().find(timers.now(), key, tenant);
+    public IdempotencyRecord findLocalOutcome(String key, String tenant) {
+        return recorder == null ? null : recorder.records().find(timers.now(), key, tenant);
     }
 
     /** The same, by asking other halls too where this one knows nothing; {@code found} is told once. */
-    public void findOutcome(String key, String tenant, Consumer<Known> found) {
-        Known known = outcome(key, tenant);
+    public void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found) {
+        IdempotencyRecord known = findLocalOutcome(key, tenant);
         if (known != null || recorder == null || detour == null) {
             found.accept(known);
         } else {
-            detour.outcome(key, tenant, found);
+            detour.findOutcome(key, tenant, found);
         }
     }
 
     /** Requests that go to this group are the dispatcher's from now on. */
-    public void group(String name, Dispatcher<C> dispatcher) {
+    public void addGroup(String name, Dispatcher<C> dispatcher) {
         groups.put(name, dispatcher);
         dispatchers.add(dispatcher);
-        dispatcher.acts(acts, name);
+        dispatcher.setVersionTracker(acts, name);
     }
 
     /** No request goes to this group any more; those that it has are answered. */
-    public void dropGroup(String name) {
+    public void removeGroup(String name) {
         groups.remove(name);
         for (Dispatcher<C> d : List.copyOf(dispatchers)) {
-            if (!groups.containsValue(d) && d.owed() == 0) {
+            if (!groups.containsValue(d) && d.pendingRequests() == 0) {
                 dispatchers.remove(d);
-                tally.plus(d.tally());
+                tally.add(d.counters());
             }
         }
     }
 
     /** Requests that come from now on are kept there, in all groups that there are and that come. */
-    public void acts(Acts to) {
+    public void setVersionTracker(VersionTracker to) {
         acts = to;
-        groups.forEach((name, dispatcher) -> dispatcher.acts(to, name));
+        groups.forEach((name, dispatcher) -> dispatcher.setVersionTracker(to, name));
     }
 
     /** From now on requests go through this; it may not change while any is open. */
-    public void detour(Detour<C> through) {
+    public void setForwarder(RequestForwarder<C> through) {
         detour = through;
     }
 
@@ -143,79 +143,79 @@
     }
 
     /**
-     * What becomes of a request that has come to a front. One that goes on must be handed to {@link #request}, or taken
-     * back by {@link #left}, before anything else.
+     * What becomes of a request that has come to a front. One that goes on must be handed to {@link #submit}, or taken
+     * back by {@link #withdraw}, before anything else.
      */
-    public Gate.Entry enter(Gate.Arrival arrival) {
-        return gate.enter(timers.now(), arrival);
+    public AdmissionController.Decision admit(AdmissionController.AdmissionRequest arrival) {
+        return gate.admit(timers.now(), arrival);
     }
 
     /** One that the gate let on was no request after all. */
-    public void left(Gate.Go go, String id) {
-        if (go.queueMs() > 0) {
-            gate.withdrawn(timers.now(), id);
+    public void withdraw(AdmissionController.Admitted go, String id) {
+        if (go.maxQueueMs() > 0) {
+            gate.withdraw(timers.now(), id);
         } else {
-            settled(go.service().name());
+            requestFinished(go.service().name());
         }
         displace(go);
     }
 
     /** A limit has turned a request of this class away; the front answers it. */
-    public void turnedAway(String service) {
-        count(service == null ? NO_CLASS : service, Tally.End.REFUSED);
+    public void countRejected(String service) {
+        count(service == null ? NO_CLASS : service, RequestCounters.RequestResult.REFUSED);
     }
 
     /** One that no dispatcher has had. */
-    private void count(String service, Tally.End end) {
-        tally.took();
-        tally.ended(service, end);
+    private void count(String service, RequestCounters.RequestResult end) {
+        tally.requestStarted();
+        tally.requestEnded(service, end);
         double now = timers.now();
-        acts.begins(now, null, service, PLATFORM, 0).ended(now, service, end, Reason.UNSAID);
+        acts.requestStarted(now, null, service, PLATFORM_GROUP, 0).requestEnded(now, service, end, Reason.UNSAID);
     }
 
-    private void turnedAway(String service, Reason why) {
-        turnedAway(service);
-        tally.because(service, why);
+    private void countRejected(String service, Reason why) {
+        countRejected(service);
+        tally.reasonCount(service, why);
     }
 
     /** Takes a request, whose id must not be open; {@code client} gets its one final answer, maybe before this returns. */
-    public void request(Gate.Go go, Request in, Command<C> command, Client<C> client) {
-        if (go.queueMs() > 0) {
+    public void submit(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client) {
+        if (go.maxQueueMs() > 0) {
             // One that could not be answered in time after its wait is turned away when that is certain.
-            double patience = Math.max(0, Math.min(go.queueMs(), in.budgetMs() - times(go).backOffMs(timers.now())));
+            double patience = Math.max(0, Math.min(go.maxQueueMs(), in.budgetMs() - times(go).minRemainingMs(timers.now())));
             line.put(in.id(), new Waiting<>(go, in, command, client, timers.now(),
-                    timers.at(timers.now() + patience, () -> turnAway(in.id()))));
+                    timers.scheduleAt(timers.now() + patience, () -> turnAway(in.id()))));
             // Room may have come between: an answer that was written while this one was read makes no other event.
             advance();
         } else {
-            start(go, in, command, client, Place.INTAKE);
+            start(go, in, command, client, RequestStage.INTAKE);
         }
         displace(go);
     }
 
-    private void displace(Gate.Go go) {
-        if (go.displaced() != null) {
-            turnAway(go.displaced());
+    private void displace(AdmissionController.Admitted go) {
+        if (go.displacedId() != null) {
+            turnAway(go.displacedId());
         }
     }
 
-    private ClassTimes times(Gate.Go go) {
-        return deadlines.group(go.group()).of(go.service().name());
+    private ClassTimings times(AdmissionController.Admitted go) {
+        return deadlines.group(go.group()).forClass(go.service().name());
     }
 
-    private void start(Gate.Go go, Request in, Command<C> command, Client<C> client, Place from) {
+    private void start(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client, RequestStage from) {
         Dispatcher<C> dispatcher = groups.get(go.group());
-        if (dispatcher == null || times(go).mayGoOn(from, timers.now(), in.budgetMs()) != Verdict.GO) {
+        if (dispatcher == null || times(go).checkStage(from, timers.now(), in.budgetMs()) != Verdict.GO) {
             // Dropped since the gate decided, or too late for any answer; nothing ran.
             Reason why = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
-            turnedAway(in.serviceClass(), why);
-            settled(in.serviceClass());
-            client.because(why);
+            countRejected(in.serviceClass(), why);
+            requestFinished(in.serviceClass());
+            client.reason(why);
             client.refused(0);
             return;
         }
         if (recorder != null && command.write() && go.service().effect() == Effect.KEYED && command.idempotencyKey() != null) {
-            Client<C> waits = recorder.enter(in, command, go.service().deduplicationWindowMs(), client, () -> settled(in.serviceClass()));
+            ResponseHandler<C> waits = recorder.submit(in, command, go.service().deduplicationWindowMs(), client, () -> requestFinished(in.serviceClass()));
             if (waits == null) {
                 return;
             }
@@ -225,17 +225,17 @@
         }
     }
 
-    private void hand(Dispatcher<C> dispatcher, Gate.Go go, Request in, Command<C> command, Client<C> client) {
+    private void hand(Dispatcher<C> dispatcher, AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client) {
         if (detour != null) {
-            detour.request(dispatcher, go.service(), in, command, client);
+            detour.submit(dispatcher, go.service(), in, command, client);
         } else {
-            dispatcher.request(in, command, client);
+            dispatcher.submit(in, command, client);
         }
     }
 
     /** A request of this class that a dispatcher had has its final answer, or its client has left. */
-    public void settled(String service) {
-        gate.ended(timers.now(), service);
+    public void requestFinished(String service) {
+        gate.requestEnded(timers.now(), service);
         advance();
     }
 
@@ -246,11 +246,11 @@
         }
         advancing = true;
         try {
-            for (String id = gate.next(); id != null; id = gate.next()) {
+            for (String id = gate.nextQueued(); id != null; id = gate.nextQueued()) {
                 Waiting<C> w = line.remove(id);
                 w.patience().cancel();
                 double left = w.in().budgetMs() - (timers.now() - w.sinceMs());
-                start(w.go(), w.in().withBudget(left), w.command(), w.client(), Place.LINE);
+                start(w.go(), w.in().withBudget(left), w.command(), w.client(), RequestStage.LINE);
             }
         } finally {
             advancing = false;
@@ -262,15 +262,15 @@
         Waiting<C> w = line.remove(id);
         if (w != null) {
             w.patience().cancel();
-            double retryAfterMs = gate.withdrawn(timers.now(), id);
-            turnedAway(w.in().serviceClass(), Reason.LIMIT);
-            w.client().because(Reason.LIMIT);
+            double retryAfterMs = gate.withdraw(timers.now(), id);
+            countRejected(w.in().serviceClass(), Reason.LIMIT);
+            w.client().reason(Reason.LIMIT);
             w.client().limited(retryAfterMs);
         }
     }
 
     /** Turns away those in line for which this holds, as when the class that they came under has changed. */
-    public void turnAwayIf(Predicate<Gate.Go> changed) {
+    public void rejectQueuedIf(Predicate<AdmissionController.Admitted> changed) {
         List.copyOf(line.values()).stream().filter(w -> changed.test(w.go())).forEach(w -> turnAway(w.in().id()));
     }
 
@@ -284,8 +284,8 @@
         Waiting<C> w = line.remove(id);
         if (w != null) {
             w.patience().cancel();
-            gate.withdrawn(timers.now(), id);
-            count(w.in().serviceClass(), Tally.End.GONE);
+            gate.withdraw(timers.now(), id);
+            count(w.in().serviceClass(), RequestCounters.RequestResult.GONE);
         } else if (recorder == null || !recorder.clientGone(id, () -> mayHaveRun(id))) {
             leave(id);
         }
@@ -298,13 +298,13 @@
     }
 
     /** The last byte of a request that came open is here. */
-    public void complete(String id) {
-        dispatchers.forEach(d -> d.complete(id));
+    public void bodyReceived(String id) {
+        dispatchers.forEach(d -> d.bodyReceived(id));
     }
 
     /** Whether a request's content may still be coming: who records or passes requests on to other halls looks at all of it. */
-    public boolean takesOpen(Gate.Go go) {
-        return recorder == null && detour == null && go.group().equals(PLATFORM);
+    public boolean acceptsStreamingBody(AdmissionController.Admitted go) {
+        return recorder == null && detour == null && go.group().equals(PLATFORM_GROUP);
     }
 
     private boolean mayHaveRun(String id) {
@@ -315,33 +315,33 @@
      * An open request needs its final answer now, as one behind it on its connection is due: it is given up, and refused where
      * that is a true promise.
      */
-    public void giveUp(String id) {
+    public void answerNow(String id) {
         if (line.containsKey(id)) {
             turnAway(id);
-        } else if (recorder != null && recorder.giveUp(id)) {
+        } else if (recorder != null && recorder.answerNow(id)) {
             return;
-        } else if (detour == null || !detour.giveUp(id)) {
-            dispatchers.forEach(d -> d.giveUp(id));
+        } else if (detour == null || !detour.answerNow(id)) {
+            dispatchers.forEach(d -> d.answerNow(id));
         }
     }
 
     /** Other classes hold from now on, for requests that come. */
-    public void classes(List<ServiceClass> classes) {
-        groups.values().forEach(d -> d.classes(classes));
+    public void updateClasses(List<ServiceClass> classes) {
+        groups.values().forEach(d -> d.updateClasses(classes));
     }
 
     /** Requests that have no final answer yet. */
-    public int owed() {
-        return line.size() + (recorder == null ? 0 : recorder.owed()) + dispatchers.stream().mapToInt(Dispatcher::owed).sum() + (detour == null ? 0 : detour.owed());
+    public int pendingRequests() {
+        return line.size() + (recorder == null ? 0 : recorder.pendingRequests()) + dispatchers.stream().mapToInt(Dispatcher::pendingRequests).sum() + (detour == null ? 0 : detour.pendingRequests());
     }
 
     /** Counts over all groups that there are, and over those in line. */
-    public Tally tally() {
-        Tally all = new Tally().plus(tally);
-        dispatchers.forEach(d -> all.plus(d.tally()));
+    public RequestCounters counters() {
+        RequestCounters all = new RequestCounters().add(tally);
+        dispatchers.forEach(d -> all.add(d.counters()));
         if (recorder != null) {
-            all.plus(recorder.tally());
+            all.add(recorder.counters());
         }
-        return detour == null ? all : all.plus(detour.tally());
+        return detour == null ? all : all.add(detour.counters());
     }
 }
--- a/core/src/main/java/ridgemill/core/PlatformGate.java
+++ b/core/src/main/java/ridgemill/core/PlatformAdmissionController.java
@@ -7,20 +7,20 @@
 import ridgemill.policy.Router.Settings;
 
 /** Lets every request on that names a class of the platform's, under that class. */
-public final class PlatformGate implements Gate {
+public final class PlatformAdmissionController implements AdmissionController {
 
     private final Map<String, ServiceClass> classes;
 
-    public PlatformGate(Settings settings) {
+    public PlatformAdmissionController(Settings settings) {
         classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity(), (a, b) -> b));
     }
 
     @Override
-    public Entry enter(double nowMs, Arrival arrival) {
-        ServiceClass service = arrival.named() == null ? null : classes.get(arrival.named());
-        return service == null ? new Unfit(Reason.UNKNOWN_CLASS) : new Go(service, arrival.budgetMs());
+    public Decision admit(double nowMs, AdmissionRequest arrival) {
+        ServiceClass service = arrival.requestedClass() == null ? null : classes.get(arrival.requestedClass());
+        return service == null ? new Invalid(InvalidReason.UNKNOWN_CLASS) : new Admitted(service, arrival.budgetMs());
     }
 
     @Override
-    public void ended(double nowMs, String service) { }
+    public void requestEnded(double nowMs, String service) { }
 }
--- a/core/src/main/java/ridgemill/core/Tally.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -9,7 +9,7 @@
 import ridgemill.policy.Router.Outcome;
 
 /** Counts since the start, for the log and for whoever watches. */
-public final class Tally {
+public final class RequestCounters {
 
     private final Map<String, long[]> reasons = new HashMap<>();
     private final Map<String, long[]> ends = new HashMap<>();
@@ -18,51 +18,51 @@
     private long written;
 
     /** How a request ended. */
-    public enum End { SERVED, REFUSED, FAILED, GONE }
+    public enum RequestResult { SERVED, REFUSED, FAILED, GONE }
 
     /** A request was taken. */
-    public void took() {
+    public void requestStarted() {
         requests++;
     }
 
     /** One of this class that was taken has ended so. */
-    public void ended(String service, End end) {
+    public void requestEnded(String service, RequestResult end) {
         add(service, end, 1);
     }
 
     /** One that was counted as ended in one way has ended in another. */
-    public void changed(String service, End from, End to) {
+    public void changeResult(String service, RequestResult from, RequestResult to) {
         add(service, from, -1);
         add(service, to, 1);
     }
 
-    private void add(String service, End end, int by) {
-        ends.computeIfAbsent(service, s -> new long[End.values().length])[end.ordinal()] += by;
+    private void add(String service, RequestResult end, int by) {
+        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()] += by;
     }
 
     /** The last byte of an attempt was written to its node. */
-    void wrote() {
+    void attemptWritten() {
         written++;
     }
 
     /** Attempts whose last byte was written to their node, however they ended. */
-    public long written() {
+    public long attemptsWritten() {
         return written;
     }
 
     /** Requests of a class that ended so. */
-    public long of(String service, End end) {
+    public long count(String service, RequestResult end) {
         long[] of = ends.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
     /** Requests of all classes that ended so. */
-    public long of(End end) {
+    public long count(RequestResult end) {
         return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
     /** One of this class was refused or has failed, and why. */
-    void because(String service, Reason why) {
+    void reasonCount(String service, Reason why) {
         reasons.computeIfAbsent(service, s -> new long[Reason.values().length])[why.ordinal()]++;
     }
 
@@ -82,16 +82,16 @@
     }
 
     /** How many were refused or have failed for a reason, of all classes. */
-    public long because(Reason why) {
+    public long reasonCount(Reason why) {
         return reasons.values().stream().mapToLong(c -> c[why.ordinal()]).sum();
     }
 
-    void count(Outcome outcome) {
+    void attemptEnded(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
     /** Adds what another counted. */
-    public Tally plus(Tally other) {
+    public RequestCounters add(RequestCounters other) {
         requests += other.requests;
         written += other.written;
         other.ends.forEach((service, counts) -> {
@@ -118,20 +118,20 @@
     }
 
     public long served() {
-        return of(End.SERVED);
+        return count(RequestResult.SERVED);
     }
 
     public long refused() {
-        return of(End.REFUSED);
+        return count(RequestResult.REFUSED);
     }
 
     public long failed() {
-        return of(End.FAILED);
+        return count(RequestResult.FAILED);
     }
 
     /** Requests whose client left before its answer. */
     public long gone() {
-        return of(End.GONE);
+        return count(RequestResult.GONE);
     }
 
     /** Attempts that ended so. */
@@ -144,7 +144,7 @@
         return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed() + " gone="
                 + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
                 .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" ")) + (reasons.isEmpty() ? "" : " reasons: "
-                + Arrays.stream(Reason.values()).filter(r -> because(r) > 0).map(r -> r.code() + "=" + because(r))
+                + Arrays.stream(Reason.values()).filter(r -> reasonCount(r) > 0).map(r -> r.code() + "=" + reasonCount(r))
                 .collect(Collectors.joining(" ")));
     }
 }
--- a/core/src/main/java/ridgemill/core/Detour.java
+++ b/core/src/main/java/ridgemill/core/RequestForwarder.java
@@ -1,7 +1,7 @@
 package ridgemill.core;
 
 import java.util.function.Consumer;
-import ridgemill.outcome.Known;
+import ridgemill.idempotency.IdempotencyRecord;
 import ridgemill.policy.Router.Request;
 import ridgemill.policy.Router.ServiceClass;
 
@@ -11,10 +11,10 @@
  *
  * @param <C> the type of contents that fronts and backs share
  */
-public interface Detour<C> {
+public interface RequestForwarder<C> {
 
     /** Takes a request of a class; {@code home} are the decisions that it would go to. */
-    void request(Dispatcher<C> home, ServiceClass service, Request in, Command<C> command, Client<C> client);
+    void submit(Dispatcher<C> home, ServiceClass service, Request in, Command<C> command, ResponseHandler<C> client);
 
     /** Whether a request with this id is open here, whether or not {@code home} has it too. */
     boolean isOpen(String id);
@@ -26,14 +26,14 @@
     boolean mayHaveRun(String id);
 
     /** An open request needs its final answer now; false where it is not open here. */
-    boolean giveUp(String id);
+    boolean answerNow(String id);
 
     /** Finds what a key came to elsewhere; {@code found} is told once, with null where nobody knows. */
-    void outcome(String key, String tenant, Consumer<Known> found);
+    void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found);
 
     /** Requests that have no final answer yet and are not at home. */
-    int owed();
+    int pendingRequests();
 
     /** What it adds to the counts of the groups: requests that never came to home, and ends that are other than home's. */
-    Tally tally();
+    RequestCounters counters();
 }
--- a/core/src/main/java/ridgemill/core/Client.java
+++ b/core/src/main/java/ridgemill/core/ResponseHandler.java
@@ -3,13 +3,13 @@
 import ridgemill.policy.Reason;
 
 /** The side of a front that waits for one request's final answer: exactly one of these is called, once. */
-public interface Client<C> {
+public interface ResponseHandler<C> {
 
     /** Served with the answer that a node made for this request; its content holds until this returns. */
-    void served(Answer<C> answer);
+    void served(NodeResponse<C> answer);
 
     /** Whether it takes an answer that is not whole yet; what breaks off then is told by the content itself. */
-    default boolean takesParts() {
+    default boolean supportsStreaming() {
         return false;
     }
 
@@ -26,7 +26,7 @@
      *
      * @param retryAfterMs when to come back, in milliseconds; 0 gives no advice
      */
-    default void refusedUnproven(double retryAfterMs) {
+    default void refusedMayHaveRun(double retryAfterMs) {
         refused(retryAfterMs);
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Comes right before a refusal or a failure and says why that is; nobody may have anything to say. */
-    default void because(Reason why) { }
+    default void reason(Reason why) { }
 
     /** Failed, with no promise about its effect. */
     void failed();
--- a/core/src/main/java/ridgemill/core/Acts.java
+++ b/core/src/main/java/ridgemill/core/VersionTracker.java
@@ -4,47 +4,47 @@
 import ridgemill.policy.Router.Outcome;
 
 /** Keeps under which version each request was decided: what holds when it begins holds to its last attempt. Used by one thread. */
-public interface Acts {
+public interface VersionTracker {
 
     /** Keeps nothing. */
-    Acts NONE = (nowMs, id, service, group, list) -> Under.NONE;
+    VersionTracker NONE = (nowMs, id, service, group, list) -> RequestVersion.NONE;
 
     /**
-     * A request has been taken; {@link Under#ended} is owed once.
+     * A request has been taken; {@link RequestVersion#requestEnded} is owed once.
      *
      * @param id of the request; null for one that was turned away before it had any
      * @param service its class
      * @param group of nodes that it goes to
      * @param list number of that group's host list, as it holds now; 0 before there is one
      */
-    Under begins(double nowMs, String id, String service, String group, long list);
+    RequestVersion requestStarted(double nowMs, String id, String service, String group, long list);
 
     /** A group's host list has come, or been confirmed: the one of this number holds. */
-    default void listed(double nowMs, String group, long list) { }
+    default void hostListConfirmed(double nowMs, String group, long list) { }
 
     /** Whoever gives a group's host list can't be asked: the one that holds may be late from now on. */
-    default void unlisted(double nowMs, String group) { }
+    default void hostListUnavailable(double nowMs, String group) { }
 
     /** The version that one request, among others, is decided under. */
-    interface Under {
+    interface RequestVersion {
 
         /** Nothing is kept. */
-        Under NONE = (nowMs, service, end, why) -> { };
+        RequestVersion NONE = (nowMs, service, end, why) -> { };
 
         /** The request, of this class, has ended so; {@link Reason#UNSAID} where there is nothing to say of why. */
-        void ended(double nowMs, String service, Tally.End end, Reason why);
+        void requestEnded(double nowMs, String service, RequestCounters.RequestResult end, Reason why);
 
         /** An attempt of it goes to a node. */
-        default void sent(double nowMs, String node) { }
+        default void attemptSent(double nowMs, String node) { }
 
         /** The attempt that was out has ended so. */
-        default void came(double nowMs, Outcome outcome) { }
+        default void attemptEnded(double nowMs, Outcome outcome) { }
 
         /** An attempt of it was written whole to a node. */
-        default void wrote() { }
+        default void attemptWritten() { }
 
         /** What nodes are told with each attempt; null for nothing. */
-        default String label() {
+        default String versionLabel() {
             return null;
         }
     }
--- a/core/src/main/java/ridgemill/core/Recorder.java
+++ b/core/src/main/java/ridgemill/core/WriteDeduplicator.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.ToLongFunction;
-import ridgemill.outcome.Known;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.IdempotencyRecord;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Request;
 
@@ -20,33 +20,33 @@
  *
  * @param <C> the type of contents that fronts and backs share
  */
-public final class Recorder<C> {
+public final class WriteDeduplicator<C> {
 
     private final Timers timers;
-    private final Outcomes outcomes;
+    private final IdempotencyRecords outcomes;
     private final ToLongFunction<Command<C>> fingerprint;
     private final Map<String, Run> runs = new HashMap<>();
     private final Map<String, Asker> waiting = new HashMap<>();
-    private final Tally tally = new Tally();
+    private final RequestCounters tally = new RequestCounters();
 
     /** {@code fingerprint} tells apart what is asked for. */
-    public Recorder(Timers timers, Outcomes outcomes, ToLongFunction<Command<C>> fingerprint) {
+    public WriteDeduplicator(Timers timers, IdempotencyRecords outcomes, ToLongFunction<Command<C>> fingerprint) {
         this.timers = timers;
         this.outcomes = outcomes;
         this.fingerprint = fingerprint;
     }
 
     /** What is decided on. */
-    public Outcomes outcomes() {
+    public IdempotencyRecords records() {
         return outcomes;
     }
 
     /** Requests that it answers by itself. */
-    Tally tally() {
+    RequestCounters counters() {
         return tally;
     }
 
-    int owed() {
+    int pendingRequests() {
         return waiting.size();
     }
 
@@ -61,11 +61,11 @@
      * @param settled is run when one that is answered here has its answer
      * @return who waits for the outcome in its client's place; null where it goes no further
      */
-    Client<C> enter(Request in, Command<C> command, double windowMs, Client<C> client, Runnable settled) {
+    ResponseHandler<C> submit(Request in, Command<C> command, double windowMs, ResponseHandler<C> client, Runnable settled) {
         double now = timers.now();
         String key = command.idempotencyKey();
-        Outcomes.Ask ask = outcomes.ask(now, key, in.id(), in.tenant(), fingerprint.applyAsLong(command), windowMs);
-        if (ask instanceof Outcomes.Run run) {
+        IdempotencyRecords.Decision ask = outcomes.begin(now, key, in.id(), in.tenant(), fingerprint.applyAsLong(command), windowMs);
+        if (ask instanceof IdempotencyRecords.Execute run) {
             if (!run.recorded()) {
                 return client;
             }
@@ -73,24 +73,24 @@
             runs.put(in.id(), open);
             return open;
         }
-        tally.took();
-        if (ask instanceof Outcomes.Join join && runs.containsKey(join.call())) {
-            Asker asker = new Asker(in, client, settled, runs.get(join.call()));
+        tally.requestStarted();
+        if (ask instanceof IdempotencyRecords.Join join && runs.containsKey(join.callId())) {
+            Asker asker = new Asker(in, client, settled, runs.get(join.callId()));
             asker.run.joined.add(asker);
             waiting.put(in.id(), asker);
-            asker.timeUp = timers.at(now + in.budgetMs(), () -> asker.end(Tally.End.REFUSED, () -> client.refusedUnproven(0)));
-        } else if (ask instanceof Outcomes.Tell tell && tell.known().state() == Known.State.RECORDED) {
-            settle(in, settled, Tally.End.SERVED, () -> client.recorded(tell.known().call()));
-        } else if (ask instanceof Outcomes.Conflict) {
-            settle(in, settled, Tally.End.FAILED, client::conflict);
+            asker.timeUp = timers.scheduleAt(now + in.budgetMs(), () -> asker.end(RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(0)));
+        } else if (ask instanceof IdempotencyRecords.Replay tell && tell.record().state() == IdempotencyRecord.State.RECORDED) {
+            settle(in, settled, RequestCounters.RequestResult.SERVED, () -> client.recorded(tell.record().callId()));
+        } else if (ask instanceof IdempotencyRecords.Conflict) {
+            settle(in, settled, RequestCounters.RequestResult.FAILED, client::conflict);
         } else {
-            settle(in, settled, Tally.End.FAILED, client::failed);
+            settle(in, settled, RequestCounters.RequestResult.FAILED, client::failed);
         }
         return null;
     }
 
-    private void settle(Request in, Runnable settled, Tally.End end, Runnable answer) {
-        tally.ended(in.serviceClass(), end);
+    private void settle(Request in, Runnable settled, RequestCounters.RequestResult end, Runnable answer) {
+        tally.requestEnded(in.serviceClass(), end);
         settled.run();
         answer.run();
     }
@@ -103,7 +103,7 @@
     boolean clientGone(String id, BooleanSupplier mayHaveRun) {
         Asker asker = waiting.get(id);
         if (asker != null) {
-            asker.end(Tally.End.GONE, () -> { });
+            asker.end(RequestCounters.RequestResult.GONE, () -> { });
             return true;
         }
         Run run = runs.get(id);
@@ -114,43 +114,43 @@
         if (!run.joined.isEmpty() || mayHaveRun.getAsBoolean()) {
             return true;
         }
-        run.end(Outcomes.End.NOTHING_RAN);
+        run.end(IdempotencyRecords.CallResult.NOTHING_RAN);
         return false;
     }
 
     /** A request needs its final answer now; its call, if it runs, goes on to its end. Returns whether that was given here. */
-    boolean giveUp(String id) {
+    boolean answerNow(String id) {
         Asker asker = waiting.get(id);
         if (asker != null) {
-            asker.end(Tally.End.REFUSED, () -> asker.client.refusedUnproven(0));
+            asker.end(RequestCounters.RequestResult.REFUSED, () -> asker.client.refusedMayHaveRun(0));
             return true;
         }
         Run run = runs.get(id);
         if (run == null || run.first == null) {
             return run != null;
         }
-        Client<C> first = run.first;
+        ResponseHandler<C> first = run.first;
         run.first = null;
-        first.refusedUnproven(0);
+        first.refusedMayHaveRun(0);
         return true;
     }
 
     /** One that waits for a call of another's. */
     private final class Asker {
         private final Request in;
-        private final Client<C> client;
+        private final ResponseHandler<C> client;
         private final Runnable settled;
         private final Run run;
         private Timers.Timer timeUp;
 
-        Asker(Request in, Client<C> client, Runnable settled, Run run) {
+        Asker(Request in, ResponseHandler<C> client, Runnable settled, Run run) {
             this.in = in;
             this.client = client;
             this.settled = settled;
             this.run = run;
         }
 
-        void end(Tally.End end, Runnable answer) {
+        void end(RequestCounters.RequestResult end, Runnable answer) {
             if (waiting.remove(in.id()) != null) {
                 run.joined.remove(this);
                 timeUp.cancel();
@@ -160,24 +160,24 @@
     }
 
     /** The one call of a key that is open, and all who wait for its outcome. */
-    private final class Run implements Client<C> {
+    private final class Run implements ResponseHandler<C> {
         private final String key;
         private final String id;
         private final List<Asker> joined = new ArrayList<>();
-        private Client<C> first;
+        private ResponseHandler<C> first;
 
-        Run(String key, String id, Client<C> first) {
+        Run(String key, String id, ResponseHandler<C> first) {
             this.key = key;
             this.id = id;
             this.first = first;
         }
 
-        void end(Outcomes.End how) {
+        void end(IdempotencyRecords.CallResult how) {
             runs.remove(id);
-            outcomes.ended(timers.now(), key, id, how);
+            outcomes.callEnded(timers.now(), key, id, how);
         }
 
-        private void tell(Outcomes.End how, Tally.End counted, java.util.function.Consumer<Client<C>> answer) {
+        private void tell(IdempotencyRecords.CallResult how, RequestCounters.RequestResult counted, java.util.function.Consumer<ResponseHandler<C>> answer) {
             end(how);
             if (first != null) {
                 answer.accept(first);
@@ -186,47 +186,47 @@
         }
 
         @Override
-        public void because(Reason why) {
+        public void reason(Reason why) {
             if (first != null) {
-                first.because(why);
+                first.reason(why);
             }
-            joined.forEach(a -> a.client.because(why));
+            joined.forEach(a -> a.client.reason(why));
         }
 
         @Override
-        public void served(Answer<C> answer) {
-            tell(Outcomes.End.SERVED, Tally.End.SERVED, c -> c.served(answer));
+        public void served(NodeResponse<C> answer) {
+            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED, c -> c.served(answer));
         }
 
         @Override
         public void recorded(String call) {
-            tell(Outcomes.End.SERVED, Tally.End.SERVED, c -> c.recorded(call));
+            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED, c -> c.recorded(call));
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            tell(Outcomes.End.NOTHING_RAN, Tally.End.REFUSED, c -> c.refused(retryAfterMs));
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED, c -> c.refused(retryAfterMs));
         }
 
         @Override
         public void limited(double retryAfterMs) {
-            tell(Outcomes.End.NOTHING_RAN, Tally.End.REFUSED, c -> c.limited(retryAfterMs));
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED, c -> c.limited(retryAfterMs));
         }
 
         @Override
-        public void refusedUnproven(double retryAfterMs) {
-            tell(Outcomes.End.MAY_HAVE_RUN, Tally.End.REFUSED, c -> c.refusedUnproven(retryAfterMs));
+        public void refusedMayHaveRun(double retryAfterMs) {
+            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.REFUSED, c -> c.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
         public void failed() {
-            tell(Outcomes.End.MAY_HAVE_RUN, Tally.End.FAILED, Client::failed);
+            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.FAILED, ResponseHandler::failed);
         }
 
         @Override
         public void conflict() {
             // Another gateway knows the key with another request: nothing of this one ran.
-            tell(Outcomes.End.NOTHING_RAN, Tally.End.FAILED, Client::conflict);
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.FAILED, ResponseHandler::conflict);
         }
     }
 }
--- a/core/src/main/java/ridgemill/deadline/CancelPrice.java
+++ b/core/src/main/java/ridgemill/deadline/CancellationCost.java
@@ -8,7 +8,7 @@
  * node the handshake of the next one; or left until the answer comes, which is then dropped. Closing must relieve the node of
  * more than it costs, and all handshakes that follow from cancels together may take a bounded part of the nodes' time.
  */
-final class CancelPrice {
+final class CancellationCost {
 
     /** Part of one core that handshakes after cancels may take, in milliseconds of work a second. */
     private static final double BUDGET_MS_PER_S = 100;
@@ -20,7 +20,7 @@
     private double freshMs = Double.NaN;
     private double keptMs = Double.NaN;
 
-    CancelPrice(double nowMs) {
+    CancellationCost(double nowMs) {
         budget = new TokenBucket(new Rate(BUDGET_MS_PER_S, BURST_MS), nowMs);
     }
 
@@ -44,15 +44,15 @@
      * @param elapsedMs since the attempt was sent
      * @param times of its kind
      */
-    boolean closes(double nowMs, double elapsedMs, AnswerTimes times) {
+    boolean shouldCloseConnection(double nowMs, double elapsedMs, ResponseTimes times) {
         double price = handshakeMs();
-        double usual = times.usualMs(nowMs);
-        if (price == 0 || usual == 0 || elapsedMs > times.lateMs(nowMs)) {
+        double usual = times.medianMs(nowMs);
+        if (price == 0 || usual == 0 || elapsedMs > times.p95Ms(nowMs)) {
             // Nothing is known of it, or it is so late that it may never come.
             return true;
         }
         // The work itself takes about as long as the quickest answers; what is beyond it waits, and stops for nothing.
-        double relieves = Math.min(times.leastMs(nowMs), Math.max(0, usual - elapsedMs));
+        double relieves = Math.min(times.minMs(nowMs), Math.max(0, usual - elapsedMs));
         return relieves > price && budget.tryTake(nowMs, price);
     }
 }
--- a/core/src/main/java/ridgemill/deadline/Patience.java
+++ b/core/src/main/java/ridgemill/deadline/ClientPatience.java
@@ -5,13 +5,13 @@
  * left in it. From that follows how likely it is that somebody is there to read an answer that comes later (the product-limit
  * estimate of Kaplan and Meier, over buckets of age; those that were answered are cut off at their answer's age).
  */
-final class Patience {
+final class ClientPatience {
 
     /** Fewer that left than this tell nothing: some clients always leave. */
     private static final int THIN = 12;
 
-    private final Generations ended = new Generations(AnswerTimes.FORGOTTEN_MS / 2);
-    private final Generations left = new Generations(AnswerTimes.FORGOTTEN_MS / 2);
+    private final SlidingHistogram ended = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
+    private final SlidingHistogram left = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
 
     /** A request of this age had its final answer. */
     void answered(double nowMs, double ageMs) {
@@ -19,26 +19,26 @@
     }
 
     /** The client of a request of this age left without one. */
-    void left(double nowMs, double ageMs) {
+    void clientLeft(double nowMs, double ageMs) {
         ended.add(nowMs, ageMs);
         left.add(nowMs, ageMs);
     }
 
     /** How likely it is that the client of a request of one age is there at another; 1 where nothing is known. */
-    double staysUntil(double nowMs, double ageMs, double laterMs) {
+    double probabilityOfStaying(double nowMs, double ageMs, double laterMs) {
         if (left.total(nowMs) < THIN) {
             return 1;
         }
         int atRisk = ended.total(nowMs);
-        int first = Generations.bucket(ageMs);
-        int last = Generations.bucket(laterMs);
+        int first = SlidingHistogram.bucketOf(ageMs);
+        int last = SlidingHistogram.bucketOf(laterMs);
         double stays = 1;
         // Past the few that are left in the end nothing can be told.
         for (int b = 0; b < last && atRisk >= THIN; b++) {
             if (b >= first) {
-                stays *= 1 - (double) left.at(b) / atRisk;
+                stays *= 1 - (double) left.count(b) / atRisk;
             }
-            atRisk -= ended.at(b);
+            atRisk -= ended.count(b);
         }
         return stays;
     }
--- a/core/src/main/java/ridgemill/deadline/TimeSaid.java
+++ b/core/src/main/java/ridgemill/deadline/ClientTimeout.java
@@ -9,16 +9,16 @@
  * 9110, section 5.3, allows one line for a field that is no list). Where several forms are used, the shortest holds, as each
  * hop on the way may have added its own.
  */
-public final class TimeSaid {
+public final class ClientTimeout {
 
     /** A time past this is a mistake, and as a timer would outlive the process. */
-    public static final double MOST_MS = 3_600_000;
+    public static final double MAX_MS = 3_600_000;
     private static final int MOST_TEXT = 32;
     /** The most digits that a number of {@code grpc-timeout} has. */
     private static final int GRPC_DIGITS = 8;
 
     /** How a time is written. */
-    public enum Form {
+    public enum Format {
         /** Seconds from when the client sent it, with decimals: {@code 0.480}. */
         SECONDS,
         /** Up to eight digits and a unit of {@code H M S m u n}, as gRPC over HTTP/2 has its {@code grpc-timeout}. */
@@ -28,49 +28,49 @@
     }
 
     /** A value of one form. */
-    public record Claim(Form form, String text) { }
+    public record RawValue(Format format, String text) { }
 
     /** What it comes to. */
-    public sealed interface Reading { }
+    public sealed interface Parsed { }
 
     /** So long from now, in milliseconds, 0 or more. */
-    public record Left(double ms) implements Reading { }
+    public record Remaining(double ms) implements Parsed { }
 
     /** Nothing was said. */
-    public record Unsaid() implements Reading { }
+    public record Absent() implements Parsed { }
 
     /** It makes no sense; {@code why} is for the client. */
-    public record Unfit(String why) implements Reading { }
+    public record Invalid(String reason) implements Parsed { }
 
-    private TimeSaid() { }
+    private ClientTimeout() { }
 
     /**
      * Judges all that a client said.
      *
      * @param unixMs the time now
      */
-    public static Reading read(List<Claim> claims, double unixMs) {
+    public static Parsed parse(List<RawValue> claims, double unixMs) {
         double least = Double.POSITIVE_INFINITY;
-        List<Form> seen = new ArrayList<>(claims.size());
-        for (Claim claim : claims) {
-            if (seen.contains(claim.form())) {
-                return new Unfit("the time left is said twice");
+        List<Format> seen = new ArrayList<>(claims.size());
+        for (RawValue claim : claims) {
+            if (seen.contains(claim.format())) {
+                return new Invalid("the time left is said twice");
             }
-            seen.add(claim.form());
-            double ms = switch (claim.form()) {
+            seen.add(claim.format());
+            double ms = switch (claim.format()) {
                 case SECONDS -> 1000 * decimal(claim.text());
                 case GRPC -> grpc(claim.text());
                 case UNIX_MS -> absolute(decimal(claim.text()), unixMs);
             };
             if (Double.isNaN(ms)) {
-                return new Unfit("the time left is no number");
+                return new Invalid("the time left is no number");
             }
-            if (ms < 0 || ms > MOST_MS) {
-                return new Unfit(ms < 0 ? "the time left is negative" : "the time left is over an hour");
+            if (ms < 0 || ms > MAX_MS) {
+                return new Invalid(ms < 0 ? "the time left is negative" : "the time left is over an hour");
             }
             least = Math.min(least, ms);
         }
-        return claims.isEmpty() ? new Unsaid() : new Left(least);
+        return claims.isEmpty() ? new Absent() : new Remaining(least);
     }
 
     /** A moment that has passed leaves nothing; one that is no time at all stays nonsense. */
--- a/core/src/main/java/ridgemill/deadline/Deadlines.java
+++ b/core/src/main/java/ridgemill/deadline/Deadlines.java
@@ -10,11 +10,11 @@
  */
 public final class Deadlines {
 
-    private final Map<String, GroupTimes> groups = new HashMap<>();
-    private final Map<String, WayBack> hops = new HashMap<>();
-    private final LoopWatch loop = new LoopWatch();
-    private final long[] late = new long[Place.values().length];
-    private final long[] unread = new long[Place.values().length];
+    private final Map<String, GroupTimings> groups = new HashMap<>();
+    private final Map<String, ReturnDelay> hops = new HashMap<>();
+    private final LoopStallDetector loop = new LoopStallDetector();
+    private final long[] late = new long[RequestStage.values().length];
+    private final long[] unread = new long[RequestStage.values().length];
     private DeadlinePolicy policy;
     private long closed;
     private long leftToRun;
@@ -30,23 +30,23 @@
     }
 
     /** Something else is made of them from now on; what was learned stays. */
-    public void changeTo(DeadlinePolicy next) {
+    public void setPolicy(DeadlinePolicy next) {
         policy = next;
     }
 
     /** Whether the loop turns. */
-    public LoopWatch loop() {
+    public LoopStallDetector loopStalls() {
         return loop;
     }
 
     /** A group of nodes, by its name. */
-    public GroupTimes group(String name) {
-        return groups.computeIfAbsent(name, n -> new GroupTimes(this));
+    public GroupTimings group(String name) {
+        return groups.computeIfAbsent(name, n -> new GroupTimings(this));
     }
 
     /** The way of answers over one hop in one direction, by a name such as {@code http} or {@code hall teku-hall}. */
-    public WayBack hop(String name) {
-        return hops.computeIfAbsent(name, n -> new WayBack());
+    public ReturnDelay returnDelay(String name) {
+        return hops.computeIfAbsent(name, n -> new ReturnDelay());
     }
 
     /**
@@ -56,12 +56,12 @@
      * @param eatenMs what of that passed here before it was read: in a stall, or behind others of its connection
      * @param back what its answer's way back takes
      */
-    public double leftMs(double saidMs, double eatenMs, WayBack back) {
+    public double remainingMs(double saidMs, double eatenMs, ReturnDelay back) {
         double left = Math.max(0, saidMs - Math.max(0, eatenMs));
-        return policy.drops() ? left - back.reserveMs(left, policy.mostReserve()) : left;
+        return policy.dropsLate() ? left - back.reserveMs(left, policy.maxReserveFraction()) : left;
     }
 
-    Verdict counted(Place place, Verdict verdict) {
+    Verdict counted(RequestStage place, Verdict verdict) {
         if (verdict == Verdict.LATE) {
             late[place.ordinal()]++;
         } else if (verdict == Verdict.UNREAD) {
@@ -78,22 +78,22 @@
     /** How many were dropped since the start because they came too late, or as nobody would read their answer. */
     public long dropped() {
         long sum = 0;
-        for (Place p : Place.values()) {
+        for (RequestStage p : RequestStage.values()) {
             sum += late[p.ordinal()] + unread[p.ordinal()];
         }
         return sum;
     }
 
     /** How it is, for whoever watches: what was dropped where, what is kept for each hop, the longest stall. */
-    public Map<String, Number> explain() {
+    public Map<String, Number> metrics() {
         Map<String, Number> all = new TreeMap<>();
-        for (Place p : Place.values()) {
+        for (RequestStage p : RequestStage.values()) {
             String name = p.name().toLowerCase(java.util.Locale.ROOT);
             all.put("late." + name, late[p.ordinal()]);
             all.put("unread." + name, unread[p.ordinal()]);
         }
         hops.forEach((name, hop) -> all.put("wayback." + name + ".ms", Math.round(1000 * hop.reserveMs()) / 1000.0));
-        all.put("stall.ms", Math.round(loop.worstMs()));
+        all.put("stall.ms", Math.round(loop.longestStallMs()));
         all.put("cancel.closed", closed);
         all.put("cancel.left", leftToRun);
         return all;
--- a/core/src/main/java/ridgemill/deadline/LoopWatch.java
+++ b/core/src/main/java/ridgemill/deadline/LoopStallDetector.java
@@ -7,14 +7,14 @@
  * moments after, as what came during a stall is not all read in one turn, and after a long one for a while: connections are
  * accepted a few a turn, and each that waited has a message to be read.
  */
-public final class LoopWatch {
+public final class LoopStallDetector {
 
     /** How often it wants to be told. */
-    public static final double BEAT_MS = 20;
+    public static final double TICK_INTERVAL_MS = 20;
     /** Beats that are less late than this are of a loop that turns. */
     private static final double USUAL_MS = 100;
     /** For how long after a stall what is read may still have come during it. */
-    private static final double AFTER_MS = 2 * BEAT_MS;
+    private static final double AFTER_MS = 2 * TICK_INTERVAL_MS;
 
     /** A stall as long as this, as of a process that was stopped, leaves so much unread that reading it takes a while itself. */
     private static final double LONG_MS = 500;
@@ -36,7 +36,7 @@
     private double worstMs;
 
     /** The loop turns. */
-    public void beat(double nowMs) {
+    public void tick(double nowMs) {
         double late = Double.isNaN(dueAt) ? 0 : nowMs - dueAt;
         if (late > USUAL_MS) {
             // One that follows another at once may still have to read what came during that; not what came before it, as the loop has
@@ -57,11 +57,11 @@
             lastUntil = nowMs;
             worstMs = Math.max(worstMs, late);
         }
-        dueAt = nowMs + BEAT_MS;
+        dueAt = nowMs + TICK_INTERVAL_MS;
     }
 
     /** How old, in milliseconds, a message that is read now may be at most without our having seen it. */
-    public double ageMs(double nowMs) {
+    public double maxAgeMs(double nowMs) {
         if (Double.isNaN(dueAt)) {
             return 0;
         }
@@ -73,7 +73,7 @@
     }
 
     /** The longest stall since the start. */
-    public double worstMs() {
+    public double longestStallMs() {
         return worstMs;
     }
 }
--- a/core/src/main/java/ridgemill/deadline/AnswerOrder.java
+++ b/core/src/main/java/ridgemill/deadline/PipelineDeadlines.java
@@ -13,7 +13,7 @@
  *
  * @param <T> what stands for a request
  */
-public final class AnswerOrder<T> {
+public final class PipelineDeadlines<T> {
 
     private static final class Entry<T> {
         private final T request;
@@ -33,7 +33,7 @@
     }
 
     /** The answer of one that is in it must leave by then, or earlier. */
-    public void due(T request, double dueMs) {
+    public void shorten(T request, double dueMs) {
         for (Iterator<Entry<T>> i = entries.descendingIterator(); i.hasNext();) {
             Entry<T> e = i.next();
             if (e.request == request) {
@@ -44,12 +44,12 @@
     }
 
     /** The first has left. */
-    public void left() {
+    public void removeFirst() {
         entries.removeFirst();
     }
 
     /** When to ask {@link #overdue}, in milliseconds; infinite where nobody holds anybody up. */
-    public double wakeMs() {
+    public double nextDeadlineMs() {
         if (entries.size() < 2) {
             return Double.POSITIVE_INFINITY;
         }
--- a/core/src/main/java/ridgemill/deadline/Place.java
+++ b/core/src/main/java/ridgemill/deadline/RequestStage.java
@@ -1,7 +1,7 @@
 package ridgemill.deadline;
 
 /** Where a request may wait, or begin something that takes time. */
-public enum Place {
+public enum RequestStage {
     /** In line for its turn. */
     LINE,
     /** Before its group's decisions. */
--- a/core/src/main/java/ridgemill/deadline/WayBack.java
+++ b/core/src/main/java/ridgemill/deadline/ReturnDelay.java
@@ -5,7 +5,7 @@
  * and four mean deviations, as TCP has its time-out (RFC 6298, section 2). Bounded to a part of the time that is left, so that
  * one stall of our own does not make every request one that comes too late.
  */
-public final class WayBack {
+public final class ReturnDelay {
 
     private static final double MEAN_GAIN = 1.0 / 8;
     private static final double DEVIATION_GAIN = 1.0 / 4;
@@ -16,7 +16,7 @@
     private boolean known;
 
     /** One took so long. */
-    public void took(double ms) {
+    public void record(double ms) {
         if (!(ms >= 0)) {
             return;
         }
--- a/core/src/main/java/ridgemill/deadline/Generations.java
+++ b/core/src/main/java/ridgemill/deadline/SlidingHistogram.java
@@ -6,7 +6,7 @@
  * integers, no object for a sample, and the oldest half forgotten at once; HdrHistogram would take 20 times the memory for a
  * precision that nobody here asks for.
  */
-final class Generations {
+final class SlidingHistogram {
 
     static final int BUCKETS = 72;
     private static final double PER_DOUBLING = 4;
@@ -20,23 +20,23 @@
     private int total;
 
     /** Forgets what is older than two of these. */
-    Generations(double ageMs) {
+    SlidingHistogram(double ageMs) {
         this.ageMs = ageMs;
     }
 
-    static int bucket(double ms) {
+    static int bucketOf(double ms) {
         return ms <= FIRST_MS ? 0 : (int) Math.min(BUCKETS - 1,
                 1 + PER_DOUBLING * Math.log(ms / FIRST_MS) / Math.log(2));
     }
 
     /** The shortest time that a bucket holds. */
-    static double from(int bucket) {
+    static double lowerBoundMs(int bucket) {
         return bucket == 0 ? 0 : FIRST_MS * Math.pow(2, (bucket - 1) / PER_DOUBLING);
     }
 
     void add(double nowMs, double ms) {
         turn(nowMs);
-        young[bucket(ms)]++;
+        young[bucketOf(ms)]++;
         total++;
     }
 
@@ -47,7 +47,7 @@
     }
 
     /** How many of a bucket; after {@link #total}, which forgets. */
-    int at(int bucket) {
+    int count(int bucket) {
         return young[bucket] + old[bucket];
     }
 
--- a/core/src/main/java/ridgemill/outcome/Known.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecord.java
@@ -1,17 +1,17 @@
-package ridgemill.outcome;
+package ridgemill.idempotency;
 
 /**
  * What is known of a key.
  *
  * @param state how it stands
- * @param call the id of the call that it ran for, or runs for
+ * @param callId the id of the call that it ran for, or runs for
  * @param tenant who asked first; null for nobody by name
  * @param fingerprint of what was asked for: another request under the same key has another one
- * @param firstMs when it was first sent on, from when nodes drop its repeats
+ * @param firstSentMs when it was first sent on, from when nodes drop its repeats
  * @param windowMs for how long they do
- * @param sinceMs when it came to stand so
+ * @param stateSinceMs when it came to stand so
  */
-public record Known(State state, String call, String tenant, long fingerprint, double firstMs, double windowMs, double sinceMs) {
+public record IdempotencyRecord(State state, String callId, String tenant, long fingerprint, double firstSentMs, double windowMs, double stateSinceMs) {
 
     /** How a key may stand. */
     public enum State {
@@ -30,11 +30,11 @@
         return state == State.RUNNING || state == State.RUNNING_AGAIN;
     }
 
-    Known now(State next, double nowMs) {
-        return new Known(next, call, tenant, fingerprint, firstMs, windowMs, nowMs);
+    IdempotencyRecord withState(State next, double nowMs) {
+        return new IdempotencyRecord(next, callId, tenant, fingerprint, firstSentMs, windowMs, nowMs);
     }
 
-    Known again(String otherCall, double nowMs) {
-        return new Known(State.RUNNING_AGAIN, otherCall, tenant, fingerprint, firstMs, windowMs, nowMs);
+    IdempotencyRecord rerunBy(String otherCall, double nowMs) {
+        return new IdempotencyRecord(State.RUNNING_AGAIN, otherCall, tenant, fingerprint, firstSentMs, windowMs, nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/outcome/Outcomes.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecords.java
@@ -1,31 +1,31 @@
-package ridgemill.outcome;
+package ridgemill.idempotency;
 
-import ridgemill.outcome.Known.State;
+import ridgemill.idempotency.IdempotencyRecord.State;
 
 /**
  * Decides what becomes of a keyed write by what is known of its key: it runs, it waits for the one that runs, or it is told.
  * At most one call of a key is open here at a time. One that may have run is sent again only while the nodes still drop its
  * repeats; later nobody can find out by running it, and it is told as unknown.
  */
-public final class Outcomes {
+public final class IdempotencyRecords {
 
     /** What becomes of one that asks. */
-    public sealed interface Ask { }
+    public sealed interface Decision { }
 
     /** It runs; its end is owed. {@code recorded} is false where there is no room, and then nobody will be told of it. */
-    public record Run(boolean recorded) implements Ask { }
+    public record Execute(boolean recorded) implements Decision { }
 
     /** It waits for the call that is open. */
-    public record Join(String call) implements Ask { }
+    public record Join(String callId) implements Decision { }
 
     /** It is told what is known; nothing of it runs. */
-    public record Tell(Known known) implements Ask { }
+    public record Replay(IdempotencyRecord record) implements Decision { }
 
     /** The key was given with another request, or by somebody else; nothing of it runs. */
-    public record Conflict() implements Ask { }
+    public record Conflict() implements Decision { }
 
     /** How a call of a key ended. */
-    public enum End {
+    public enum CallResult {
         /** It took effect, or a repeat of it was dropped. */
         SERVED,
         /** Nothing of this call ran. */
@@ -37,7 +37,7 @@
     /** A repeat is sent so much before the nodes forget, as it has a way to go. */
     private static final double MARGIN_MS = 200;
 
-    private final OutcomeStore store;
+    private final IdempotencyStore store;
     private double keepMs;
     private long unrecorded;
     private long told;
@@ -48,51 +48,51 @@
      *
      * @param keepMs for how long an outcome is told after it came about; the repeat window at least
      */
-    public Outcomes(OutcomeStore store, double keepMs) {
+    public IdempotencyRecords(IdempotencyStore store, double keepMs) {
         this.store = store;
         this.keepMs = keepMs;
     }
 
     /** Outcomes are kept for so long from now on. */
-    public void keep(double ms) {
+    public void setRetentionMs(double ms) {
         keepMs = ms;
     }
 
     /** A request with this key has come. */
-    public Ask ask(double nowMs, String key, String call, String tenant, long fingerprint, double windowMs) {
+    public Decision begin(double nowMs, String key, String call, String tenant, long fingerprint, double windowMs) {
         store.expire(nowMs - Math.max(keepMs, windowMs));
-        Known known = store.get(key);
+        IdempotencyRecord known = store.get(key);
         if (known == null) {
-            boolean kept = store.put(key, new Known(State.RUNNING, call, tenant, fingerprint, nowMs, windowMs, nowMs));
+            boolean kept = store.put(key, new IdempotencyRecord(State.RUNNING, call, tenant, fingerprint, nowMs, windowMs, nowMs));
             unrecorded += kept ? 0 : 1;
-            return new Run(kept);
+            return new Execute(kept);
         }
         if (known.fingerprint() != fingerprint || !java.util.Objects.equals(known.tenant(), tenant)) {
             return new Conflict();
         }
         if (known.isRunning()) {
             joined++;
-            return new Join(known.call());
+            return new Join(known.callId());
         }
-        if (known.state() == State.UNKNOWN && nowMs + MARGIN_MS < known.firstMs() + known.windowMs()) {
-            return new Run(store.put(key, known.again(call, nowMs)));
+        if (known.state() == State.UNKNOWN && nowMs + MARGIN_MS < known.firstSentMs() + known.windowMs()) {
+            return new Execute(store.put(key, known.rerunBy(call, nowMs)));
         }
         told++;
-        return new Tell(known);
+        return new Replay(known);
     }
 
     /** The call that runs under this key has ended. */
-    public void ended(double nowMs, String key, String call, End end) {
-        Known known = store.get(key);
-        if (known == null || !known.isRunning() || !known.call().equals(call)) {
+    public void callEnded(double nowMs, String key, String call, CallResult end) {
+        IdempotencyRecord known = store.get(key);
+        if (known == null || !known.isRunning() || !known.callId().equals(call)) {
             return;
         }
         switch (end) {
-            case SERVED -> store.put(key, known.now(State.RECORDED, nowMs));
-            case MAY_HAVE_RUN -> store.put(key, known.now(State.UNKNOWN, nowMs));
+            case SERVED -> store.put(key, known.withState(State.RECORDED, nowMs));
+            case MAY_HAVE_RUN -> store.put(key, known.withState(State.UNKNOWN, nowMs));
             case NOTHING_RAN -> {
                 if (known.state() == State.RUNNING_AGAIN) {
-                    store.put(key, known.now(State.UNKNOWN, nowMs));
+                    store.put(key, known.withState(State.UNKNOWN, nowMs));
                 } else {
                     store.remove(key);
                 }
@@ -101,15 +101,15 @@
     }
 
     /** What is known of a key, for who gave it; null where nothing is, or it is not theirs. */
-    public Known find(double nowMs, String key, String tenant) {
-        Known known = store.get(key);
+    public IdempotencyRecord find(double nowMs, String key, String tenant) {
+        IdempotencyRecord known = store.get(key);
         boolean expired = known != null && !known.isRunning()
-                && known.sinceMs() < nowMs - Math.max(keepMs, known.windowMs());
+                && known.stateSinceMs() < nowMs - Math.max(keepMs, known.windowMs());
         return known == null || expired || !java.util.Objects.equals(known.tenant(), tenant) ? null : known;
     }
 
     /** Counts since the start, for whoever watches. */
-    public String explain() {
+    public String summary() {
         return "outcomes kept=" + store.size() + " told=" + told + " joined=" + joined + " unrecorded=" + unrecorded;
     }
 }
--- a/core/src/main/java/ridgemill/outcome/MemoryOutcomes.java
+++ b/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
@@ -1,4 +1,4 @@
-package ridgemill.outcome;
+package ridgemill.idempotency;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -8,17 +8,17 @@
  * Outcomes in memory, so many at most, oldest first in the order of their last change. Where there is no room, one whose
  * repeats are dropped by the nodes no longer, and of which nothing is open, goes for the next; none within its window does.
  */
-public final class MemoryOutcomes implements OutcomeStore {
+public final class InMemoryIdempotencyStore implements IdempotencyStore {
 
     /** A look for room goes no further than this: those that can go are the oldest. */
     private static final int LOOKS = 64;
 
-    private final Map<String, Known> known = new LinkedHashMap<>();
+    private final Map<String, IdempotencyRecord> known = new LinkedHashMap<>();
     private final int most;
     private long evicted;
 
     /** One that keeps so many, at least 1. */
-    public MemoryOutcomes(int most) {
+    public InMemoryIdempotencyStore(int most) {
         if (most < 1) {
             throw new IllegalArgumentException("room for " + most + " outcomes");
         }
@@ -26,15 +26,15 @@
     }
 
     @Override
-    public Known get(String key) {
+    public IdempotencyRecord get(String key) {
         return known.get(key);
     }
 
     @Override
-    public boolean put(String key, Known next) {
+    public boolean put(String key, IdempotencyRecord next) {
         // Behind all others, as it changed last.
         boolean there = known.remove(key) != null;
-        if (!there && known.size() >= most && !makeRoom(next.sinceMs())) {
+        if (!there && known.size() >= most && !makeRoom(next.stateSinceMs())) {
             return false;
         }
         known.put(key, next);
@@ -42,10 +42,10 @@
     }
 
     private boolean makeRoom(double nowMs) {
-        Iterator<Known> oldest = known.values().iterator();
+        Iterator<IdempotencyRecord> oldest = known.values().iterator();
         for (int i = 0; i < LOOKS && oldest.hasNext(); i++) {
-            Known k = oldest.next();
-            if (!k.isRunning() && nowMs >= k.firstMs() + k.windowMs()) {
+            IdempotencyRecord k = oldest.next();
+            if (!k.isRunning() && nowMs >= k.firstSentMs() + k.windowMs()) {
                 oldest.remove();
                 evicted++;
                 return true;
@@ -61,10 +61,10 @@
 
     @Override
     public void expire(double beforeMs) {
-        Iterator<Known> oldest = known.values().iterator();
+        Iterator<IdempotencyRecord> oldest = known.values().iterator();
         while (oldest.hasNext()) {
-            Known k = oldest.next();
-            if (k.sinceMs() >= beforeMs) {
+            IdempotencyRecord k = oldest.next();
+            if (k.stateSinceMs() >= beforeMs) {
                 return;
             }
             if (!k.isRunning()) {
--- a/core/src/main/java/ridgemill/loops/Dealing.java
+++ b/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
@@ -6,7 +6,7 @@
  * so that a loop that a hot connection saturates, or that is stuck, takes no more clients with it. A loop that was retired
  * gets none for good. Times are milliseconds of any clock that never runs back.
  */
-public final class Dealing {
+public final class ConnectionDistributor {
 
     /** Nobody may be dealt a connection. */
     public static final int NONE = -1;
@@ -25,7 +25,7 @@
     private int last;
 
     /** As many loops as {@code most} has entries, each with the connections that it may have, at least 1. */
-    public Dealing(int[] most, double nowMs) {
+    public ConnectionDistributor(int[] most, double nowMs) {
         this.most = most.clone();
         this.open = new int[most.length];
         this.heardAt = new double[most.length];
@@ -40,7 +40,7 @@
     }
 
     /** Names the loop that the next connection goes to, or {@link #NONE} while each has what it may have. */
-    public int next(double nowMs) {
+    public int nextLoop(double nowMs) {
         int best = NONE;
         boolean bestKeepsUp = false;
         // From behind the last one on, so that equals take turns.
@@ -49,7 +49,7 @@
             if (retired[i] || open[i] >= most[i]) {
                 continue;
             }
-            boolean keepsUp = keepsUp(i, nowMs);
+            boolean keepsUp = isKeepingUp(i, nowMs);
             if (best == NONE || keepsUp && !bestKeepsUp || keepsUp == bestKeepsUp && open[i] < open[best]) {
                 best = i;
                 bestKeepsUp = keepsUp;
@@ -59,13 +59,13 @@
     }
 
     /** A connection went to a loop. */
-    public void opened(int loop) {
+    public void connectionOpened(int loop) {
         open[loop]++;
         last = loop;
     }
 
     /** One that it had has closed. */
-    public void closed(int loop) {
+    public void connectionClosed(int loop) {
         open[loop]--;
     }
 
@@ -73,7 +73,7 @@
      * A loop has taken a task up so long after it was handed over. One late turn counts at once and fades: a loop whose turns
      * are long takes some tasks up at once too.
      */
-    public void beat(int loop, double nowMs, double late) {
+    public void reportDelay(int loop, double nowMs, double late) {
         heardAt[loop] = nowMs;
         lateMs[loop] = Math.max(late, lateMs[loop] + NEWEST * (late - lateMs[loop]));
     }
@@ -84,12 +84,12 @@
     }
 
     /** Whether a loop was heard of late and ran in time. */
-    public boolean keepsUp(int loop, double nowMs) {
+    public boolean isKeepingUp(int loop, double nowMs) {
         return lateMs[loop] <= LATE_MS && nowMs - heardAt[loop] <= SILENT_MS;
     }
 
     /** How long a loop has not told anything, in milliseconds. */
-    public double silentMs(int loop, double nowMs) {
+    public double sinceLastReportMs(int loop, double nowMs) {
         return nowMs - heardAt[loop];
     }
 
@@ -99,12 +99,12 @@
     }
 
     /** Connections that a loop has. */
-    public int open(int loop) {
+    public int openConnections(int loop) {
         return open[loop];
     }
 
     /** How many loops there are. */
-    public int loops() {
+    public int loopCount() {
         return open.length;
     }
 }
--- a/core/src/main/java/ridgemill/monitoring/ProxyMetrics.java
+++ b/core/src/main/java/ridgemill/monitoring/ProxyMetrics.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import ridgemill.core.Tally;
-import ridgemill.core.Tally.End;
+import ridgemill.core.RequestCounters;
+import ridgemill.core.RequestCounters.RequestResult;
 
 /**
  * What operators read of a proxy, counted since its start.
@@ -30,15 +30,15 @@
      * @param avoided whether the decisions avoid one
      * @param more counts of what is on beside
      */
-    public static ProxyMetrics of(Tally tally, Collection<String> classes, int inProgress, Collection<String> nodes,
+    public static ProxyMetrics of(RequestCounters tally, Collection<String> classes, int inProgress, Collection<String> nodes,
                              Predicate<String> avoided, Map<String, Long> more) {
-        return new ProxyMetrics(by(tally, classes, End.SERVED), by(tally, classes, End.REFUSED), by(tally, classes, End.FAILED),
-                tally.written(), inProgress, nodes.size(), (int) nodes.stream().filter(avoided).count(), more);
+        return new ProxyMetrics(by(tally, classes, RequestResult.SERVED), by(tally, classes, RequestResult.REFUSED), by(tally, classes, RequestResult.FAILED),
+                tally.attemptsWritten(), inProgress, nodes.size(), (int) nodes.stream().filter(avoided).count(), more);
     }
 
-    private static Map<String, Long> by(Tally tally, Collection<String> classes, End end) {
+    private static Map<String, Long> by(RequestCounters tally, Collection<String> classes, RequestResult end) {
         Map<String, Long> counts = new TreeMap<>();
-        classes.forEach(c -> counts.put(c, tally.of(c, end)));
+        classes.forEach(c -> counts.put(c, tally.count(c, end)));
         return counts;
     }
 }
--- a/core/src/main/java/ridgemill/version/ActRecord.java
+++ b/core/src/main/java/ridgemill/version/ActRecord.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import ridgemill.core.Acts;
+import ridgemill.core.VersionTracker;
 
 /**
  * What a process has acted under since its start: an era for each version, with counts, and a chain of entries for each change and
  * each refused one. Bounded: of the oldest eras only the sum stays, and the digest of the oldest entry that went. Used by one thread.
  */
-public final class ActRecord implements Acts {
+public final class ActRecord implements VersionTracker {
 
     /** So many eras are kept with their counts; one that still has open requests stays longer. */
     public static final int MOST_ERAS = 64;
@@ -86,13 +86,13 @@
     }
 
     @Override
-    public void listed(double nowMs, String group, long list) {
+    public void hostListConfirmed(double nowMs, String group, long list) {
         lists.take(nowMs, group, list).ifPresent(was ->
                 note(nowMs, "list of " + (group.isEmpty() ? "the platform" : group) + " fell from " + was + " to " + list));
     }
 
     @Override
-    public void unlisted(double nowMs, String group) {
+    public void hostListUnavailable(double nowMs, String group) {
         lists.late(nowMs, group);
     }
 
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public Under begins(double nowMs, String id, String service, String group, long list) {
+    public RequestVersion requestStarted(double nowMs, String id, String service, String group, long list) {
         now().began();
         if (mostTrails == 0 || id == null) {
             return now();
--- a/core/src/main/java/ridgemill/version/Era.java
+++ b/core/src/main/java/ridgemill/version/Era.java
@@ -2,12 +2,12 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import ridgemill.core.Acts;
-import ridgemill.core.Tally.End;
+import ridgemill.core.VersionTracker;
+import ridgemill.core.RequestCounters.RequestResult;
 import ridgemill.policy.Reason;
 
 /** A stretch of time in which a process took requests under one version, and what became of those. Used by one thread. */
-public final class Era implements Acts.Under {
+public final class Era implements VersionTracker.RequestVersion {
 
     private final long index;
     private final Acting acting;
@@ -27,25 +27,25 @@
         this.cause = cause;
     }
 
-    /** A request was taken under it; {@link #ended} is owed. */
+    /** A request was taken under it; {@link #requestEnded} is owed. */
     public void began() {
         begun++;
     }
 
     /** One of a class that was taken under it has ended so, now or long after. */
     @Override
-    public void ended(double nowMs, String service, End end, Reason why) {
-        ends.computeIfAbsent(service, s -> new long[End.values().length])[end.ordinal()]++;
+    public void requestEnded(double nowMs, String service, RequestResult end, Reason why) {
+        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()]++;
     }
 
     /** An attempt of such a request was written whole to a node. */
     @Override
-    public void wrote() {
+    public void attemptWritten() {
         attempts++;
     }
 
     @Override
-    public String label() {
+    public String versionLabel() {
         return label;
     }
 
@@ -87,20 +87,20 @@
     }
 
     /** Requests of a class that ended so. */
-    public long of(String service, End end) {
+    public long of(String service, RequestResult end) {
         long[] of = ends.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
     /** Requests of all classes that ended so. */
-    public long of(End end) {
+    public long of(RequestResult end) {
         return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
     /** Requests that have no final answer yet. */
     public long open() {
         long over = 0;
-        for (End end : End.values()) {
+        for (RequestResult end : RequestResult.values()) {
             over += of(end);
         }
         return begun - over;
--- a/core/src/main/java/ridgemill/version/Trail.java
+++ b/core/src/main/java/ridgemill/version/Trail.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ridgemill.core.Acts;
-import ridgemill.core.Tally.End;
+import ridgemill.core.VersionTracker;
+import ridgemill.core.RequestCounters.RequestResult;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
 /** What one request was decided under, and what became of it. Used by one thread. */
-public final class Trail implements Acts.Under {
+public final class Trail implements VersionTracker.RequestVersion {
 
     /** One attempt: {@code outcome} is null while it is out. */
     public record Sent(String node, double atMs, double endMs, Outcome outcome) { }
@@ -20,7 +20,7 @@
     private final long list;
     private final double fromMs;
     private final List<Sent> sent = new ArrayList<>();
-    private End end;
+    private RequestResult end;
     private Reason why = Reason.UNSAID;
     private double overMs = Double.NaN;
 
@@ -34,20 +34,20 @@
     }
 
     @Override
-    public void ended(double nowMs, String of, End as, Reason because) {
+    public void requestEnded(double nowMs, String of, RequestResult as, Reason because) {
         overMs = nowMs;
         end = as;
         why = because;
-        era.ended(nowMs, of, as, because);
+        era.requestEnded(nowMs, of, as, because);
     }
 
     @Override
-    public void sent(double nowMs, String node) {
+    public void attemptSent(double nowMs, String node) {
         sent.add(new Sent(node, nowMs, Double.NaN, null));
     }
 
     @Override
-    public void came(double nowMs, Outcome outcome) {
+    public void attemptEnded(double nowMs, Outcome outcome) {
         int last = sent.size() - 1;
         Sent out = last < 0 ? null : sent.get(last);
         if (out != null && out.outcome() == null) {
@@ -56,13 +56,13 @@
     }
 
     @Override
-    public void wrote() {
-        era.wrote();
+    public void attemptWritten() {
+        era.attemptWritten();
     }
 
     @Override
-    public String label() {
-        return era.label();
+    public String versionLabel() {
+        return era.versionLabel();
     }
 
     /** What it was decided under. */
@@ -105,7 +105,7 @@
     }
 
     /** How it ended; null while it is open. */
-    public End end() {
+    public RequestResult end() {
         return end;
     }
 
--- a/core/src/test/java/ridgemill/connections/CrowdTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class CrowdTest {
+class ConnectionEvictionTest {
 
-    private record Seen(String name, boolean isBusy, boolean isKept, boolean hadChance, boolean hasBegun, double lastMs)
-            implements Crowd.Guest { }
+    private record Seen(String name, boolean isBusy, boolean isKeepAlive, boolean wasRead, boolean hasPartialRequest, double lastActivityMs)
+            implements ConnectionEviction.Candidate { }
 
     private static final double NOW = 10_000;
 
@@ -32,7 +32,7 @@
     private static final Seen UNREAD = new Seen("unread", false, false, false, false, NOW);
 
     private static String goes(Seen... guests) {
-        Seen goes = Crowd.goes(List.of(guests), NOW);
+        Seen goes = ConnectionEviction.selectVictim(List.of(guests), NOW);
         return goes == null ? null : goes.name();
     }
 
@@ -69,7 +69,7 @@
                 there.add(writing("slow", ms));
             }
             if (there.size() >= places) {
-                Seen goes = Crowd.goes(there, ms);
+                Seen goes = ConnectionEviction.selectVictim(there, ms);
                 assertTrue(goes == null || !goes.name().equals("slow"), "seed " + seed);
                 if (goes == null) {
                     turnedAway++;
--- a/core/src/test/java/ridgemill/connections/RoomCallsTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
@@ -10,31 +10,31 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is turned away calls, others hear it; and a fleet that is larger than a node's table comes to share it. */
-class RoomCallsTest {
+class ConnectionReleaseRequestsTest {
 
     @Test
     void oneWithoutAPlaceCallsAndNotTooOften() {
-        RoomCalls calls = new RoomCalls();
-        assertNotNull(calls.noPlace("n1", 0));
-        assertNull(calls.noPlace("n1", 99));
-        assertNotNull(calls.noPlace("n2", 99));
-        assertNotNull(calls.noPlace("n1", 100));
+        ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
+        assertNotNull(calls.connectionRejected("n1", 0));
+        assertNull(calls.connectionRejected("n1", 99));
+        assertNotNull(calls.connectionRejected("n2", 99));
+        assertNotNull(calls.connectionRejected("n1", 100));
     }
 
     @Test
     void aCallIsForItsNodeAloneAndNoOtherMessageIsOne() {
-        byte[] call = new RoomCalls().noPlace("s-0265a7b5", 0);
-        assertTrue(RoomCalls.isCall(call));
-        assertTrue(RoomCalls.isFor(call, "s-0265a7b5"));
-        assertFalse(RoomCalls.isFor(call, "s-0265a7b6"));
+        byte[] call = new ConnectionReleaseRequests().connectionRejected("s-0265a7b5", 0);
+        assertTrue(ConnectionReleaseRequests.isReleaseRequest(call));
+        assertTrue(ConnectionReleaseRequests.isForNode(call, "s-0265a7b5"));
+        assertFalse(ConnectionReleaseRequests.isForNode(call, "s-0265a7b6"));
         for (int length = 0; length <= 256; length++) {
             byte[] other = new byte[length];
             Arrays.fill(other, (byte) 'R');
-            assertTrue(length == call.length || !RoomCalls.isCall(other), "length " + length);
-            assertFalse(RoomCalls.isFor(other, "s-0265a7b5"));
+            assertTrue(length == call.length || !ConnectionReleaseRequests.isReleaseRequest(other), "length " + length);
+            assertFalse(ConnectionReleaseRequests.isForNode(other, "s-0265a7b5"));
         }
         call[0] = 'S';
-        assertFalse(RoomCalls.isCall(call));
+        assertFalse(ConnectionReleaseRequests.isReleaseRequest(call));
     }
 
     /** Fourteen proxies, a node that takes ten connections, and a request of each every 0.9 s on average. */
@@ -49,8 +49,8 @@
         int proxies = 14;
         int places = 10;
         SplittableRandom random = new SplittableRandom(14);
-        RoomCalls[] calls = new RoomCalls[proxies];
-        Arrays.setAll(calls, i -> new RoomCalls());
+        ConnectionReleaseRequests[] calls = new ConnectionReleaseRequests[proxies];
+        Arrays.setAll(calls, i -> new ConnectionReleaseRequests());
         double[] idleSince = new double[proxies];
         boolean[] connected = new boolean[proxies];
         int[] asked = new int[proxies];
@@ -71,10 +71,10 @@
                     continue;
                 }
                 refused[p]++;
-                byte[] call = calls[p].noPlace("n", now);
+                byte[] call = calls[p].connectionRejected("n", now);
                 for (int other = 0; calling && call != null && other < proxies; other++) {
                     // One datagram in ten is lost.
-                    if (now - idleSince[other] >= RoomCalls.LONG_IDLE_MS && random.nextInt(10) > 0) {
+                    if (now - idleSince[other] >= ConnectionReleaseRequests.IDLE_THRESHOLD_MS && random.nextInt(10) > 0) {
                         connected[other] = false;
                     }
                 }
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -37,12 +37,12 @@
             false, WeightMode.NONE, null);
 
     /** One exchange as a scripted back has it. */
-    private final class Sent implements Back.Exchange {
+    private final class Sent implements Backend.Exchange {
         private final Attempt<String> attempt;
-        private final Back.Done<String> done;
+        private final Backend.Listener<String> done;
         private boolean over;
 
-        Sent(Attempt<String> attempt, Back.Done<String> done) {
+        Sent(Attempt<String> attempt, Backend.Listener<String> done) {
             this.attempt = attempt;
             this.done = done;
         }
@@ -51,7 +51,7 @@
             if (!over) {
                 over = true;
                 out.remove(this);
-                done.ended(outcome, outcome == Outcome.OK ? new Answer<>("v", Answer.HIT) : null);
+                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
             }
         }
 
@@ -61,16 +61,16 @@
         }
     }
 
-    private final class ScriptedBack implements Back<String> {
+    private final class ScriptedBack implements Backend<String> {
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Done<String> done) {
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
             Sent sent = new Sent(attempt, done);
             assertTrue(out.stream().noneMatch(o -> o.attempt.requestId().equals(attempt.requestId())),
                     "two attempts are out at once");
             assertTrue(attempt.remainingMs() > 0);
             out.add(sent);
             all.add(sent);
-            timers.at(timers.now() + timeoutMs, () -> sent.end(Outcome.TIMEOUT));
+            timers.scheduleAt(timers.now() + timeoutMs, () -> sent.end(Outcome.TIMEOUT));
             if (node.equals("refuses")) {
                 sent.end(Outcome.CONNECT_FAILED);
             }
@@ -78,22 +78,22 @@
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Done<String> done) {
+        public void probe(String node, double timeoutMs, Listener<String> done) {
             done.ended(Outcome.OK, null);
         }
 
         @Override
-        public void closeIdle(String node) {
+        public void closeIdleConnections(String node) {
             closed.add(node);
         }
     }
 
     /** A client that keeps what it was told. */
-    private static final class Told implements Client<String> {
+    private static final class Told implements ResponseHandler<String> {
         final List<String> answers = new ArrayList<>();
 
         @Override
-        public void served(Answer<String> answer) {
+        public void served(NodeResponse<String> answer) {
             answers.add("served " + answer.content());
         }
 
@@ -164,15 +164,15 @@
     private final Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
             new ScriptedBack(), quiet(), service -> { }, 100);
 
-    private Faults quiet() {
-        return new Faults() {
+    private FaultReporter quiet() {
+        return new FaultReporter() {
             @Override
-            public void fault(String what, Throwable cause) {
+            public void error(String what, Throwable cause) {
                 faults.add(what);
             }
 
             @Override
-            public void odd(String what) {
+            public void warning(String what) {
                 faults.add(what);
             }
         };
@@ -180,7 +180,7 @@
 
     private Told ask(String id) {
         Told told = new Told();
-        dispatcher.request(new Request(id, "read", null, 1, 0, 1000, false, false),
+        dispatcher.submit(new Request(id, "read", null, 1, 0, 1000, false, false),
                 new Command<>(false, "/api/k", null, ""), told);
         return told;
     }
@@ -193,12 +193,12 @@
             }
         };
         Told told = ask("a");
-        assertEquals(1, dispatcher.owed());
+        assertEquals(1, dispatcher.pendingRequests());
         out.get(0).end(Outcome.OK);
         assertEquals(List.of("served v"), told.answers);
         assertTrue(ends.get(0).requestFinished());
-        assertEquals(Answer.HIT, ends.get(0).cacheStatus());
-        assertEquals(0, dispatcher.owed());
+        assertEquals(NodeResponse.HIT, ends.get(0).cacheStatus());
+        assertEquals(0, dispatcher.pendingRequests());
         timers.pass(5000);
         assertEquals(List.of("served v"), told.answers);
     }
@@ -264,7 +264,7 @@
         assertEquals(List.of("refused 0.0"), later.answers);
         out.get(0).end(Outcome.OK);
         assertEquals(List.of("served v"), sent.answers);
-        assertEquals(0, dispatcher.owed());
+        assertEquals(0, dispatcher.pendingRequests());
         assertEquals(1, faults.size());
         assertEquals(List.of("request waits", "request out", "request bad"), asked);
     }
@@ -280,7 +280,7 @@
         };
         Told told = ask("a");
         dispatcher.clientGone("a");
-        assertEquals(0, dispatcher.owed());
+        assertEquals(0, dispatcher.pendingRequests());
         assertEquals(Outcome.CANCELLED, ends.get(0).outcome());
         assertEquals(List.of(), told.answers);
         assertTrue(out.isEmpty());
@@ -289,7 +289,7 @@
     /** What can't be answered in time has its final answer before it is sent, and the module hears that it is over. */
     @Test
     void whatComesTooLateIsNotSent() {
-        Deadlines deadlines = new Deadlines(DeadlinePolicy.USUAL);
+        Deadlines deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
         Dispatcher<String> timed = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(), new ScriptedBack(), quiet(),
                 service -> { }, 100, deadlines.group(""));
         script = (event, request, actions) -> {
@@ -299,18 +299,18 @@
         };
         for (int i = 0; i < 60; i++) {
             Told told = new Told();
-            timed.request(new Request("r" + i, "read", null, 1, 0, 1000, false, false), new Command<>(false, "/api/k", null, ""), told);
+            timed.submit(new Request("r" + i, "read", null, 1, 0, 1000, false, false), new Command<>(false, "/api/k", null, ""), told);
             timers.pass(100);
             out.get(0).end(Outcome.OK);
         }
         int sent = all.size();
         Told late = new Told();
-        timed.request(new Request("late", "read", null, 1, 0, 50, false, false), new Command<>(false, "/api/k", null, ""), late);
+        timed.submit(new Request("late", "read", null, 1, 0, 50, false, false), new Command<>(false, "/api/k", null, ""), late);
         assertEquals(List.of("refused 0.0"), late.answers, "at once, and nothing ran");
         assertEquals(sent, all.size());
         assertEquals(Outcome.NEVER_SENT, ends.get(ends.size() - 1).outcome());
         assertTrue(ends.get(ends.size() - 1).requestFinished());
-        assertEquals(0, timed.owed());
+        assertEquals(0, timed.pendingRequests());
         assertEquals(1, deadlines.dropped());
     }
 
@@ -342,13 +342,13 @@
             }
         };
         Told told = ask("a");
-        dispatcher.giveUp("a");
+        dispatcher.answerNow("a");
         assertEquals(1, told.answers.size());
         assertEquals(Outcome.CANCELLED, ends.get(0).outcome());
         assertTrue(out.isEmpty());
-        dispatcher.giveUp("a");
+        dispatcher.answerNow("a");
         assertEquals(1, told.answers.size());
-        assertEquals(0, dispatcher.owed());
+        assertEquals(0, dispatcher.pendingRequests());
     }
 
     /** A module that asks for anything at any time, from a seed. */
@@ -404,6 +404,6 @@
         }
         all.stream().map(s -> s.attempt.requestId()).distinct().forEach(id -> assertTrue(
                 all.stream().filter(s -> s.attempt.requestId().equals(id)).count() <= MAX_ATTEMPTS, "seed " + seed));
-        assertEquals(0, dispatcher.owed());
+        assertEquals(0, dispatcher.pendingRequests());
     }
 }
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -37,7 +37,7 @@
             WeightMode.NONE, null);
 
     /** A gate of one limiter; the group is the first segment of the path. */
-    private static final class LimiterGate implements Gate {
+    private static final class LimiterGate implements AdmissionController {
         private final Limiter limiter;
 
         LimiterGate(Limits limits) {
@@ -45,26 +45,26 @@
         }
 
         @Override
-        public Entry enter(double nowMs, Arrival a) {
+        public Decision admit(double nowMs, AdmissionRequest a) {
             Limiter.Verdict verdict = limiter.admit(nowMs, a.id(), a.query().tenant(), "read", a.retry());
             String group = a.query().path().split("/")[1].replace("api", "");
-            return verdict instanceof Limiter.Refused r ? new Refuse(r.reason().name(), r.retryAfterMs())
-                    : verdict instanceof Limiter.Queued q ? new Go(READ, a.budgetMs(), group, q.waitMs(), q.displaced())
-                    : new Go(READ, a.budgetMs(), group, 0, null);
+            return verdict instanceof Limiter.Refused r ? new Rejected(r.reason().name(), r.retryAfterMs())
+                    : verdict instanceof Limiter.Queued q ? new Admitted(READ, a.budgetMs(), group, q.waitMs(), q.displaced())
+                    : new Admitted(READ, a.budgetMs(), group, 0, null);
         }
 
         @Override
-        public void ended(double nowMs, String service) {
+        public void requestEnded(double nowMs, String service) {
             limiter.ended(nowMs, service);
         }
 
         @Override
-        public String next() {
+        public String nextQueued() {
             return limiter.next();
         }
 
         @Override
-        public double withdrawn(double nowMs, String id) {
+        public double withdraw(double nowMs, String id) {
             return limiter.withdrawn(nowMs, id);
         }
     }
@@ -112,36 +112,36 @@
     }
 
     /** Attempts that are out, by request; each ends when the test says so or its time is up. */
-    private final class Held implements Back<String> {
-        private final Map<String, Done<String>> out = new LinkedHashMap<>();
+    private final class Held implements Backend<String> {
+        private final Map<String, Listener<String>> out = new LinkedHashMap<>();
 
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Done<String> done) {
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
             String id = attempt.requestId();
             out.put(id, done);
-            timers.at(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
+            timers.scheduleAt(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
             return () -> end(id, Outcome.CANCELLED);
         }
 
         void end(String id, Outcome outcome) {
-            Done<String> done = out.remove(id);
+            Listener<String> done = out.remove(id);
             if (done != null) {
-                done.ended(outcome, outcome == Outcome.OK ? new Answer<>("v", Answer.HIT) : null);
+                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
             }
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Done<String> done) { }
+        public void probe(String node, double timeoutMs, Listener<String> done) { }
 
         @Override
-        public void closeIdle(String node) { }
+        public void closeIdleConnections(String node) { }
     }
 
-    private static final class Told implements Client<String> {
+    private static final class Told implements ResponseHandler<String> {
         final List<String> answers = new ArrayList<>();
 
         @Override
-        public void served(Answer<String> answer) {
+        public void served(NodeResponse<String> answer) {
             answers.add("served");
         }
 
@@ -170,21 +170,21 @@
     private void begin(int inFlight, int places, double waitMs) {
         intake = new Intake<>(timers, new LimiterGate(new Limits(inFlight, Map.of(), Map.of(), Map.of(), null, null)
                 .withQueue(new Limits.Queue(places, waitMs))));
-        intake.group(Intake.PLATFORM, dispatcher(router));
+        intake.addGroup(Intake.PLATFORM_GROUP, dispatcher(router));
     }
 
     private Dispatcher<String> dispatcher(Router decides) {
-        return new Dispatcher<>(timers, SETTINGS, decides, back, new Faults() {
+        return new Dispatcher<>(timers, SETTINGS, decides, back, new FaultReporter() {
             @Override
-            public void fault(String what, Throwable cause) {
+            public void error(String what, Throwable cause) {
                 throw new AssertionError(what, cause);
             }
 
             @Override
-            public void odd(String what) {
+            public void warning(String what) {
                 throw new AssertionError(what);
             }
-        }, intake::settled, 1000);
+        }, intake::requestFinished, 1000);
     }
 
     private Told ask(String id, String tenant, double budgetMs) {
@@ -193,13 +193,13 @@
 
     private Told ask(String id, String path, String tenant, double budgetMs) {
         Told told = new Told();
-        Gate.Entry entry = intake.enter(new Gate.Arrival(id, new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
-        if (entry instanceof Gate.Refuse refuse) {
-            intake.turnedAway(null);
+        AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(id, new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
+        if (entry instanceof AdmissionController.Rejected refuse) {
+            intake.countRejected(null);
             told.limited(refuse.retryAfterMs());
         } else {
-            Gate.Go go = assertInstanceOf(Gate.Go.class, entry);
-            intake.request(go, new Request(id, "read", tenant, 1, 0, go.budgetMs(), false, false),
+            AdmissionController.Admitted go = assertInstanceOf(AdmissionController.Admitted.class, entry);
+            intake.submit(go, new Request(id, "read", tenant, 1, 0, go.budgetMs(), false, false),
                     new Command<>(false, path, null, ""), told);
         }
         return told;
@@ -210,7 +210,7 @@
         begin(1, 4, 100);
         Told a = ask("a", "t", 1000);
         Told b = ask("b", "t", 1000);
-        assertEquals(2, intake.owed());
+        assertEquals(2, intake.pendingRequests());
         assertTrue(intake.isOpen("b"));
         timers.pass(60);
         back.end("a", Outcome.OK);
@@ -218,8 +218,8 @@
         assertEquals(940, router.seen.get(1).budgetMs(), 1e-6);
         back.end("b", Outcome.OK);
         assertEquals(List.of("served"), b.answers);
-        assertEquals(0, intake.owed());
-        assertEquals(2, intake.tally().served());
+        assertEquals(0, intake.pendingRequests());
+        assertEquals(2, intake.counters().served());
     }
 
     @Test
@@ -265,7 +265,7 @@
         back.end("a", Outcome.OK);
         back.end("c", Outcome.OK);
         assertEquals(List.of("served"), c.answers);
-        assertEquals(1, intake.tally().gone());
+        assertEquals(1, intake.counters().gone());
     }
 
     @Test
@@ -273,32 +273,32 @@
         begin(1, 4, 100);
         ask("a", "t", 1000);
         Told b = ask("b", "t", 1000);
-        intake.turnAwayIf(go -> go.service().equals(READ));
+        intake.rejectQueuedIf(go -> go.service().equals(READ));
         assertEquals(List.of("limited"), b.answers);
         back.end("a", Outcome.OK);
         assertEquals(1, router.seen.size());
-        assertEquals(0, intake.owed());
+        assertEquals(0, intake.pendingRequests());
     }
 
     @Test
     void groupsHaveTheirOwnDecisionsAndADroppedOneAnswersWhatItHas() {
         begin(10, 4, 100);
         Simple north = new Simple();
-        intake.group("north", dispatcher(north));
+        intake.addGroup("north", dispatcher(north));
         Told a = ask("a", "/north/k", "t", 1000);
         Told b = ask("b", "/api/k", "t", 1000);
         assertEquals(List.of("a"), north.seen.stream().map(Request::id).toList());
         assertEquals(List.of("b"), router.seen.stream().map(Request::id).toList());
-        intake.dropGroup("north");
+        intake.removeGroup("north");
         assertTrue(intake.isOpen("a"), "its id is not free");
         assertEquals(List.of("refused"), ask("c", "/north/k", "t", 1000).answers, "it never ran");
         back.end("a", Outcome.OK);
         back.end("b", Outcome.OK);
         assertEquals(List.of("served"), a.answers);
         assertEquals(List.of("served"), b.answers);
-        intake.dropGroup("north");
-        assertEquals(3, intake.tally().requests(), "what a group counted is kept");
-        assertEquals(0, intake.owed());
+        intake.removeGroup("north");
+        assertEquals(3, intake.counters().requests(), "what a group counted is kept");
+        assertEquals(0, intake.pendingRequests());
     }
 
     /** From a seed: whatever comes when, one answer each, and never more out than the limit. */
@@ -322,7 +322,7 @@
                 intake.clientGone(one);
             }
             if (random.nextInt(200) == 0) {
-                intake.turnAwayIf(go -> true);
+                intake.rejectQueuedIf(go -> true);
             }
             // Not within a step: one whose client has left is cancelled after the next has its turn.
             assertTrue(back.out.size() <= 5, back.out.size() + " are out, seed " + seed);
@@ -330,8 +330,8 @@
         }
         timers.pass(1000);
         told.forEach((id, t) -> assertEquals(left.contains(id) ? 0 : 1, t.answers.size(), id + ", seed " + seed));
-        assertEquals(0, intake.owed());
-        assertEquals(5000, intake.tally().requests());
+        assertEquals(0, intake.pendingRequests());
+        assertEquals(5000, intake.counters().requests());
         for (String kind : List.of("served", "limited", "failed")) {
             assertTrue(told.values().stream().anyMatch(t -> t.answers.contains(kind)), kind);
         }
--- a/core/src/test/java/ridgemill/core/ManualTimers.java
+++ b/core/src/test/java/ridgemill/core/ManualTimers.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public Timer at(double atMs, Runnable run) {
+    public Timer scheduleAt(double atMs, Runnable run) {
         Task task = new Task(atMs, order++, run);
         tasks.add(task);
         return () -> tasks.remove(task);
--- a/core/src/test/java/ridgemill/core/RecorderTest.java
+++ b/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
-import ridgemill.outcome.Known;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.IdempotencyRecord;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.Effect;
@@ -32,7 +32,7 @@
 import ridgemill.policy.Router;
 
 /** Keyed writes whose clients leave, ask again or never come back, under the project's own decisions on passed-in time. */
-class RecorderTest {
+class WriteDeduplicatorTest {
 
     private static final ServiceClass PAY = new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED, DeduplicationScope.ALL, 6000, false);
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1, List.of(PAY), List.of(), 1, false,
@@ -40,21 +40,21 @@
             WeightMode.NONE, "origin");
 
     /** A store that drops the repeats of a key for its window, and answers, resets or stays silent as it is told. */
-    private final class StoreBack implements Back<String> {
-        private final Map<String, Done<String>> out = new LinkedHashMap<>();
+    private final class StoreBack implements Backend<String> {
+        private final Map<String, Listener<String>> out = new LinkedHashMap<>();
         private final Map<String, Double> firstRan = new HashMap<>();
         private final Map<String, Integer> effects = new HashMap<>();
         private final List<String> sent = new ArrayList<>();
         private final Map<String, Attempt<String>> attempts = new HashMap<>();
 
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Done<String> done) {
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
             String id = attempt.requestId();
             assertFalse(out.containsKey(id), "two attempts out at once");
             sent.add(id);
             out.put(id, done);
             attempts.put(id, attempt);
-            timers.at(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
+            timers.scheduleAt(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
             return () -> end(id, Outcome.CANCELLED);
         }
 
@@ -69,24 +69,24 @@
         }
 
         void end(String id, Outcome outcome) {
-            Done<String> done = out.remove(id);
+            Listener<String> done = out.remove(id);
             if (done != null) {
-                done.ended(outcome, outcome == Outcome.OK ? new Answer<>("v", Answer.NO_NOTE) : null);
+                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.NO_CACHE_STATUS) : null);
             }
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Done<String> done) { }
+        public void probe(String node, double timeoutMs, Listener<String> done) { }
 
         @Override
-        public void closeIdle(String node) { }
+        public void closeIdleConnections(String node) { }
     }
 
-    private static final class Told implements Client<String> {
+    private static final class Told implements ResponseHandler<String> {
         final List<String> answers = new ArrayList<>();
 
         @Override
-        public void served(Answer<String> answer) {
+        public void served(NodeResponse<String> answer) {
             answers.add("served");
         }
 
@@ -113,37 +113,37 @@
 
     private final ManualTimers timers = new ManualTimers();
     private final StoreBack store = new StoreBack();
-    private final MemoryOutcomes kept = new MemoryOutcomes(10_000);
+    private final InMemoryIdempotencyStore kept = new InMemoryIdempotencyStore(10_000);
     private final Intake<String> intake;
     private int open;
 
-    RecorderTest() {
-        intake = new Intake<>(timers, new Gate() {
+    WriteDeduplicatorTest() {
+        intake = new Intake<>(timers, new AdmissionController() {
             @Override
-            public Entry enter(double nowMs, Arrival arrival) {
-                return new Go(PAY, arrival.budgetMs());
+            public Decision admit(double nowMs, AdmissionRequest arrival) {
+                return new Admitted(PAY, arrival.budgetMs());
             }
 
             @Override
-            public void ended(double nowMs, String service) {
+            public void requestEnded(double nowMs, String service) {
                 open--;
             }
-        }, new Deadlines(DeadlinePolicy.USUAL));
-        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store, new Faults() {
+        }, new Deadlines(DeadlinePolicy.DEFAULT));
+        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store, new FaultReporter() {
             @Override
-            public void fault(String what, Throwable cause) {
+            public void error(String what, Throwable cause) {
                 throw new AssertionError(what, cause);
             }
 
             @Override
-            public void odd(String what) {
+            public void warning(String what) {
                 throw new AssertionError(what);
             }
-        }, intake::settled, 1000, intake.deadlines().group(Intake.PLATFORM));
-        intake.group(Intake.PLATFORM, dispatcher);
-        intake.recorder(new Recorder<>(timers, new Outcomes(kept, 60_000), c -> c.content().hashCode()));
+        }, intake::requestFinished, 1000, intake.deadlines().group(Intake.PLATFORM_GROUP));
+        intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, new IdempotencyRecords(kept, 60_000), c -> c.content().hashCode()));
         dispatcher.start();
-        dispatcher.nodes(ListUpdateKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
+        dispatcher.updateNodes(ListUpdateKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
                 new Node("c0", "std", "a", 0, 1, 0, Availability.UP)));
     }
 
@@ -154,13 +154,13 @@
     private Told pay(String id, String key, double budgetMs, String content) {
         Told told = new Told();
         open++;
-        intake.request(new Gate.Go(PAY, budgetMs), new Request(id, "pay", "acme", 1, 0, budgetMs, true, false),
+        intake.submit(new AdmissionController.Admitted(PAY, budgetMs), new Request(id, "pay", "acme", 1, 0, budgetMs, true, false),
                 new Command<>(true, "/api/k", key, content), told);
         return told;
     }
 
     private void settled() {
-        assertEquals(0, intake.owed());
+        assertEquals(0, intake.pendingRequests());
         assertEquals(0, open, "each place was given back once");
     }
 
@@ -173,8 +173,8 @@
         store.end("a", Outcome.OK);
         assertEquals(List.of("served"), pay("b", "k", 1000).answers);
         assertEquals(List.of("a"), store.sent, "nothing of the second ran");
-        assertEquals(Known.State.RECORDED, intake.outcome("k", "acme").state());
-        assertNull(intake.outcome("k", "other"));
+        assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
+        assertNull(intake.findLocalOutcome("k", "other"));
         settled();
     }
 
@@ -204,7 +204,7 @@
         intake.clientGone("a");
         store.run("a");
         store.end("a", Outcome.OK);
-        assertEquals(Known.State.RECORDED, intake.outcome("k", "acme").state());
+        assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
         assertEquals(1, store.effects.get("k"));
         settled();
     }
@@ -217,7 +217,7 @@
         if (store.out.containsKey("a")) {
             store.end("a", Outcome.CONNECT_FAILED);
         }
-        assertNull(intake.outcome("k", "acme"), "nothing ran");
+        assertNull(intake.findLocalOutcome("k", "acme"), "nothing ran");
         assertEquals(0, kept.size());
         settled();
     }
@@ -228,7 +228,7 @@
         store.run("a");
         timers.pass(1100);
         assertEquals(1, a.answers.size());
-        assertEquals(Known.State.UNKNOWN, intake.outcome("k", "acme").state());
+        assertEquals(IdempotencyRecord.State.UNKNOWN, intake.findLocalOutcome("k", "acme").state());
         timers.pass(PAY.deduplicationWindowMs());
         assertEquals(List.of("failed"), pay("late", "k", 1000).answers, "nodes have forgotten it: nobody can find out by running it");
         assertEquals(1, store.effects.get("k"));
@@ -255,7 +255,7 @@
         store.end("b", Outcome.OK);
         assertEquals(List.of("served"), a.answers);
         assertEquals(List.of(), b.answers);
-        assertEquals(Known.State.RECORDED, intake.outcome("j", "acme").state());
+        assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("j", "acme").state());
         settled();
     }
 
--- a/core/src/test/java/ridgemill/deadline/LoopWatchTest.java
+++ b/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /** How old what is read may be, after a loop stood still. */
-class LoopWatchTest {
+class LoopStallDetectorTest {
 
-    private final LoopWatch watch = new LoopWatch();
+    private final LoopStallDetector watch = new LoopStallDetector();
 
     /** Beats at their times, each so late, from one time to another. */
     private double beats(double from, double to, double late) {
         double at = from;
         while (at < to) {
-            watch.beat(at);
-            at += LoopWatch.BEAT_MS + late;
+            watch.tick(at);
+            at += LoopStallDetector.TICK_INTERVAL_MS + late;
         }
         return at;
     }
@@ -23,63 +23,63 @@
     @Test
     void whatIsReadByALoopThatTurnsIsNew() {
         beats(0, 1000, 3);
-        assertEquals(0, watch.ageMs(1000));
+        assertEquals(0, watch.maxAgeMs(1000));
     }
 
     /** The beat comes after what the same turn read. */
     @Test
     void whatIsReadBeforeTheFirstBeatAfterAStopMayBeAsOldAsTheStop() {
         beats(0, 1000, 0);
-        assertEquals(2480, watch.ageMs(3480), 20);
-        watch.beat(3480);
-        assertEquals(2490, watch.ageMs(3490), 20);
+        assertEquals(2480, watch.maxAgeMs(3480), 20);
+        watch.tick(3480);
+        assertEquals(2490, watch.maxAgeMs(3490), 20);
     }
 
     /** A backlog of seconds takes longer to read than the first moments. */
     @Test
     void afterALongStopWhatIsReadMayBeOldForAWhile() {
         beats(0, 1000, 0);
-        watch.beat(3500);
+        watch.tick(3500);
         double still = beats(3520, 4400, 0);
-        assertTrue(watch.ageMs(still) > 2500, () -> "age " + watch.ageMs(still));
+        assertTrue(watch.maxAgeMs(still) > 2500, () -> "age " + watch.maxAgeMs(still));
         double caughtUp = beats(still, 4600, 0);
-        assertEquals(0, watch.ageMs(caughtUp));
+        assertEquals(0, watch.maxAgeMs(caughtUp));
     }
 
     @Test
     void aSecondStallAtOnceDoesNotHideTheFirst() {
         beats(0, 1000, 0);
-        watch.beat(3500);
-        assertTrue(watch.ageMs(3670) > 2600, "the beat is overdue again");
-        watch.beat(3670);
-        assertTrue(watch.ageMs(3680) > 2600, () -> "age " + watch.ageMs(3680));
+        watch.tick(3500);
+        assertTrue(watch.maxAgeMs(3670) > 2600, "the beat is overdue again");
+        watch.tick(3670);
+        assertTrue(watch.maxAgeMs(3680) > 2600, () -> "age " + watch.maxAgeMs(3680));
     }
 
     /** A second of service is the most that it may cost. */
     @Test
     void aStopOfMinutesIsCaughtUpWithInASecond() {
         beats(0, 1000, 0);
-        watch.beat(100_000);
+        watch.tick(100_000);
         double later = beats(100_020, 101_010, 0);
-        assertEquals(0, watch.ageMs(later));
+        assertEquals(0, watch.maxAgeMs(later));
     }
 
     @Test
     void aShortStallIsOverSoonHoweverBusyTheLoop() {
         beats(0, 1000, 0);
-        watch.beat(1200);
+        watch.tick(1200);
         double later = beats(1230, 1300, 12);
-        assertEquals(0, watch.ageMs(later));
+        assertEquals(0, watch.maxAgeMs(later));
     }
 
     /** It reads between its turns, so that nothing waits for longer than some of these. */
     @Test
     void aLoopThatIsBusyForGoodTakesNothingForOlderThanTwoOfItsTurns() {
         beats(0, 1000, 0);
-        for (double at = 1000; at < 20_000; at += LoopWatch.BEAT_MS + 130) {
-            assertTrue(watch.ageMs(at) <= 2 * (LoopWatch.BEAT_MS + 130), "age " + watch.ageMs(at) + " at " + at);
-            watch.beat(at);
-            assertTrue(watch.ageMs(at + 5) <= 2 * (LoopWatch.BEAT_MS + 130), "age " + watch.ageMs(at + 5) + " after " + at);
+        for (double at = 1000; at < 20_000; at += LoopStallDetector.TICK_INTERVAL_MS + 130) {
+            assertTrue(watch.maxAgeMs(at) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(at) + " at " + at);
+            watch.tick(at);
+            assertTrue(watch.maxAgeMs(at + 5) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(at + 5) + " after " + at);
         }
     }
 
@@ -87,23 +87,23 @@
     @Test
     void stallsWhileALongStopIsCaughtUpWithPutItsEndOff() {
         beats(0, 1000, 0);
-        watch.beat(3500);
+        watch.tick(3500);
         double now = 3520;
         for (int i = 0; i < 10; i++) {
             now += 150;
-            watch.beat(now);
-            now += LoopWatch.BEAT_MS;
+            watch.tick(now);
+            now += LoopStallDetector.TICK_INTERVAL_MS;
         }
-        assertTrue(watch.ageMs(now) > 2500, "age " + watch.ageMs(now));
-        assertEquals(0, watch.ageMs(beats(now, now + 1000, 0)));
+        assertTrue(watch.maxAgeMs(now) > 2500, "age " + watch.maxAgeMs(now));
+        assertEquals(0, watch.maxAgeMs(beats(now, now + 1000, 0)));
     }
 
     /** And not for ever, where it is busy for good. */
     @Test
     void aBusyLoopHasCaughtUpSomeSecondsAfterALongStop() {
         beats(0, 1000, 0);
-        watch.beat(3500);
+        watch.tick(3500);
         double now = beats(3520, 8000, 130);
-        assertTrue(watch.ageMs(now) <= 2 * (LoopWatch.BEAT_MS + 130), "age " + watch.ageMs(now));
+        assertTrue(watch.maxAgeMs(now) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(now));
     }
 }
--- a/core/src/test/java/ridgemill/lease/LeaseWireTest.java
+++ b/core/src/test/java/ridgemill/lease/LeaseWireTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ridgemill.connections.RoomCalls;
+import ridgemill.connections.ConnectionReleaseRequests;
 import ridgemill.lease.LeaseMessage.Said;
 import ridgemill.lease.LeaseMessage.Why;
 
@@ -86,11 +86,11 @@
 
     @Test
     void noOtherKindCanBeTakenForOneNorOneForAnother() {
-        byte[] call = new RoomCalls().noPlace("c0", 0);
+        byte[] call = new ConnectionReleaseRequests().connectionRejected("c0", 0);
         assertFalse(LeaseWire.isLease(call));
         assertFalse(LeaseWire.isLease(new byte[4 * 12]));
         assertFalse(LeaseWire.isLease(new byte[0]));
-        assertFalse(RoomCalls.isCall(LeaseWire.hello()));
+        assertFalse(ConnectionReleaseRequests.isReleaseRequest(LeaseWire.hello()));
         assertTrue(LeaseWire.hello().length < Integer.BYTES, "too short to hold a key, for builds that know no leases");
         assertEquals(List.of(), LeaseWire.decode(LeaseWire.hello()));
     }
--- a/core/src/test/java/ridgemill/loops/DealingTest.java
+++ b/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
@@ -10,18 +10,18 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class DealingTest {
+class ConnectionDistributorTest {
 
-    private static Dealing of(int loops, int most) {
+    private static ConnectionDistributor of(int loops, int most) {
         int[] each = new int[loops];
         Arrays.fill(each, most);
-        return new Dealing(each, 0);
+        return new ConnectionDistributor(each, 0);
     }
 
-    private static int deal(Dealing d, double now) {
-        int loop = d.next(now);
-        if (loop != Dealing.NONE) {
-            d.opened(loop);
+    private static int deal(ConnectionDistributor d, double now) {
+        int loop = d.nextLoop(now);
+        if (loop != ConnectionDistributor.NONE) {
+            d.connectionOpened(loop);
         }
         return loop;
     }
@@ -30,80 +30,80 @@
     void connectionsGoRoundAndStayEvenWhoeverCloses() {
         long seed = 991;
         SplittableRandom random = new SplittableRandom(seed);
-        Dealing d = of(4, 1000);
+        ConnectionDistributor d = of(4, 1000);
         List<Integer> there = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             there.add(deal(d, 0));
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals(100, d.open(i), "seed " + seed);
+            assertEquals(100, d.openConnections(i), "seed " + seed);
         }
         // All of one loop's clients leave, and as many come again.
-        there.stream().filter(l -> l == 2).forEach(d::closed);
+        there.stream().filter(l -> l == 2).forEach(d::connectionClosed);
         for (int i = 0; i < 100; i++) {
             assertEquals(2, deal(d, 0));
         }
         for (int i = 0; i < 5000; i++) {
             int gone = there.set(random.nextInt(there.size()), -1);
             if (gone >= 0) {
-                d.closed(gone);
+                d.connectionClosed(gone);
                 there.add(deal(d, 0));
             }
         }
-        int least = Math.min(Math.min(d.open(0), d.open(1)), Math.min(d.open(2), d.open(3)));
-        int most = Math.max(Math.max(d.open(0), d.open(1)), Math.max(d.open(2), d.open(3)));
+        int least = Math.min(Math.min(d.openConnections(0), d.openConnections(1)), Math.min(d.openConnections(2), d.openConnections(3)));
+        int most = Math.max(Math.max(d.openConnections(0), d.openConnections(1)), Math.max(d.openConnections(2), d.openConnections(3)));
         assertTrue(most - least <= 20, "seed " + seed + ": " + least + " to " + most);
     }
 
     @Test
     void aLoopThatRunsLateGetsNoneUntilItKeepsUpAgain() {
-        Dealing d = of(3, 100);
-        d.beat(1, 0, 80);
+        ConnectionDistributor d = of(3, 100);
+        d.reportDelay(1, 0, 80);
         for (int i = 0; i < 20; i++) {
             assertTrue(deal(d, 10) != 1);
         }
-        d.beat(1, 20, 2);
+        d.reportDelay(1, 20, 2);
         assertTrue(deal(d, 30) != 1, "one turn in time is no proof");
         for (int i = 0; i < 10; i++) {
-            d.beat(1, 20, 2);
+            d.reportDelay(1, 20, 2);
         }
         assertEquals(1, deal(d, 30));
     }
 
     @Test
     void aLoopThatIsNotHeardOfGetsNone() {
-        Dealing d = of(2, 100);
-        d.beat(0, 1000, 0);
+        ConnectionDistributor d = of(2, 100);
+        d.reportDelay(0, 1000, 0);
         for (int i = 0; i < 10; i++) {
             assertEquals(0, deal(d, 1001));
         }
-        assertEquals(1001, d.silentMs(1, 1001));
+        assertEquals(1001, d.sinceLastReportMs(1, 1001));
     }
 
     @Test
     void whereNoneKeepsUpTheFewestConnectionsDecide() {
-        Dealing d = of(2, 100);
-        d.beat(0, 0, 900);
-        d.beat(1, 0, 900);
-        d.opened(0);
+        ConnectionDistributor d = of(2, 100);
+        d.reportDelay(0, 0, 900);
+        d.reportDelay(1, 0, 900);
+        d.connectionOpened(0);
         assertEquals(1, deal(d, 1));
     }
 
     @Test
     void aFullLoopAndARetiredOneGetNone() {
-        Dealing d = of(3, 2);
+        ConnectionDistributor d = of(3, 2);
         d.retire(0);
         assertTrue(d.isRetired(0));
         for (int i = 0; i < 4; i++) {
             assertTrue(deal(d, 0) > 0);
         }
-        assertEquals(Dealing.NONE, d.next(0));
-        d.closed(2);
+        assertEquals(ConnectionDistributor.NONE, d.nextLoop(0));
+        d.connectionClosed(2);
         assertEquals(2, deal(d, 0));
     }
 
     @Test
     void aLoopMustBeAllowedAConnection() {
-        assertThrows(IllegalArgumentException.class, () -> new Dealing(new int[] {1, 0}, 0));
+        assertThrows(IllegalArgumentException.class, () -> new ConnectionDistributor(new int[] {1, 0}, 0));
     }
 }
--- a/core/src/test/java/ridgemill/version/VersionTest.java
+++ b/core/src/test/java/ridgemill/version/VersionTest.java
@@ -13,8 +13,8 @@
 import java.util.function.Predicate;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ridgemill.core.Acts;
-import ridgemill.core.Tally.End;
+import ridgemill.core.VersionTracker;
+import ridgemill.core.RequestCounters.RequestResult;
 import ridgemill.lease.Sealed;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
@@ -33,37 +33,37 @@
         assertEquals(Acting.Step.TAKEN, FIRST.under(0, "ab").next(0, "cd"), "files without numbers");
     }
 
-    private static Acts.Under begins(ActRecord record) {
-        return record.begins(0, "r", "read", "", 3);
+    private static VersionTracker.RequestVersion begins(ActRecord record) {
+        return record.requestStarted(0, "r", "read", "", 3);
     }
 
     @Test
     void aRequestStaysUnderWhatItBeganUnder() {
         ActRecord record = new ActRecord("p0", 7, 0, FIRST, true);
-        Acts.Under first = begins(record);
+        VersionTracker.RequestVersion first = begins(record);
         record.change(10, FIRST.under(2, Entry.hash("two")), "reload");
-        Acts.Under second = begins(record);
-        first.wrote();
-        first.ended(0, "read", End.SERVED, Reason.UNSAID);
-        second.ended(0, "read", End.REFUSED, Reason.UNSAID);
-        assertEquals("p0#7/1." + Entry.hash("one").substring(0, 8), first.label());
+        VersionTracker.RequestVersion second = begins(record);
+        first.attemptWritten();
+        first.requestEnded(0, "read", RequestResult.SERVED, Reason.UNSAID);
+        second.requestEnded(0, "read", RequestResult.REFUSED, Reason.UNSAID);
+        assertEquals("p0#7/1." + Entry.hash("one").substring(0, 8), first.versionLabel());
         List<Era> eras = record.eras();
-        assertEquals(List.of(1L, 0L, 1L), List.of(eras.get(0).of("read", End.SERVED), eras.get(0).open(), eras.get(0).attempts()));
-        assertEquals(List.of(1L, 0L, 0L), List.of(eras.get(1).of("read", End.REFUSED), eras.get(1).open(), eras.get(1).attempts()));
+        assertEquals(List.of(1L, 0L, 1L), List.of(eras.get(0).of("read", RequestResult.SERVED), eras.get(0).open(), eras.get(0).attempts()));
+        assertEquals(List.of(1L, 0L, 0L), List.of(eras.get(1).of("read", RequestResult.REFUSED), eras.get(1).open(), eras.get(1).attempts()));
         assertEquals(10, eras.get(0).untilMs());
-        assertNull(begins(new ActRecord("p0", 7, 0, FIRST, false)).label());
+        assertNull(begins(new ActRecord("p0", 7, 0, FIRST, false)).versionLabel());
     }
 
     @Test
     void theRecordIsBoundedAndWhatIsOpenStays() {
         ActRecord record = new ActRecord("p0", 7, 0, FIRST, false);
-        Acts.Under open = begins(record);
+        VersionTracker.RequestVersion open = begins(record);
         for (int i = 2; i < 500; i++) {
-            begins(record).ended(0, "read", End.SERVED, Reason.UNSAID);
+            begins(record).requestEnded(0, "read", RequestResult.SERVED, Reason.UNSAID);
             record.change(i, FIRST.under(i, Entry.hash("f" + i)), "reload");
         }
         assertEquals(FIRST, record.eras().get(0).acting(), "an open request's");
-        open.ended(0, "read", End.GONE, Reason.UNSAID);
+        open.requestEnded(0, "read", RequestResult.GONE, Reason.UNSAID);
         record.change(500, FIRST.under(500, Entry.hash("f500")), "reload");
         assertEquals(ActRecord.MOST_ERAS, record.eras().size());
         assertEquals(499, record.goneRequests() + record.eras().stream().mapToLong(Era::begun).sum());
@@ -191,19 +191,19 @@
     @Test
     void aListThatFallsIsNotedAndOneThatIsLateIsKnown() {
         ActRecord record = new ActRecord("p0", 7, 0, FIRST, false);
-        record.listed(10, "", 12);
-        record.listed(20, "hall", 3);
-        record.unlisted(30, "");
-        record.unlisted(40, "");
+        record.hostListConfirmed(10, "", 12);
+        record.hostListConfirmed(20, "hall", 3);
+        record.hostListUnavailable(30, "");
+        record.hostListUnavailable(40, "");
         assertEquals(List.of(20.0, 0.0), List.of(record.lists().lateMs(50, ""), record.lists().lateMs(50, "hall")));
-        record.listed(60, "", 12);
-        record.listed(70, "", 2);
+        record.hostListConfirmed(60, "", 12);
+        record.hostListConfirmed(70, "", 2);
         assertEquals(0, record.lists().lateMs(80, ""));
         assertEquals(List.of("acts under 1." + Entry.hash("one").substring(0, 8) + " build 0.2.0-aa platform 11223344: started",
                 "list of the platform fell from 12 to 2"), record.entries().stream().map(Entry::what).toList());
         assertEquals(List.of(2L, 3L, 0L), List.of(record.lists().of(""), record.lists().of("hall"), record.lists().of("none")));
         for (int i = 0; i < 1000; i++) {
-            record.listed(100 + i, "", 3 + i);
+            record.hostListConfirmed(100 + i, "", 3 + i);
         }
         assertEquals(List.of(HostLists.MOST, 1003L), List.of(record.lists().last().size(), record.lists().changes()));
     }
@@ -212,22 +212,22 @@
     void whatBecameOfARequestIsKeptForAWhile() {
         ActRecord record = new ActRecord("p0", 7, 0, FIRST, true);
         record.trails(2);
-        Acts.Under first = record.begins(5, "a", "read", "hall", 31);
+        VersionTracker.RequestVersion first = record.requestStarted(5, "a", "read", "hall", 31);
         record.change(6, FIRST.under(2, Entry.hash("two")), "reload");
-        first.sent(7, "n1");
-        first.came(8, Outcome.RESET);
-        first.sent(9, "n2");
+        first.attemptSent(7, "n1");
+        first.attemptEnded(8, Outcome.RESET);
+        first.attemptSent(9, "n2");
         Trail trail = record.trail("a");
         assertEquals(List.of("hall", 31L, 1L), List.of(trail.group(), trail.list(), trail.era().acting().file()));
         assertNull(trail.end());
-        first.came(11, Outcome.ERROR);
-        first.ended(11, "read", End.FAILED, Reason.NODES_FAILED);
+        first.attemptEnded(11, Outcome.ERROR);
+        first.requestEnded(11, "read", RequestResult.FAILED, Reason.NODES_FAILED);
         assertEquals(List.of(new Trail.Sent("n1", 7, 8, Outcome.RESET), new Trail.Sent("n2", 9, 11, Outcome.ERROR)), trail.sent());
-        assertEquals(List.of(End.FAILED, Reason.NODES_FAILED, 11.0), List.of(trail.end(), trail.why(), trail.overMs()));
-        assertEquals(1, record.eras().get(0).of("read", End.FAILED), "and its era counts it");
-        record.begins(12, null, "read", "", 0).ended(0, "read", End.REFUSED, Reason.UNSAID);
-        record.begins(12, "b", "read", "", 31);
-        record.begins(13, "c", "read", "", 31);
+        assertEquals(List.of(RequestResult.FAILED, Reason.NODES_FAILED, 11.0), List.of(trail.end(), trail.why(), trail.overMs()));
+        assertEquals(1, record.eras().get(0).of("read", RequestResult.FAILED), "and its era counts it");
+        record.requestStarted(12, null, "read", "", 0).requestEnded(0, "read", RequestResult.REFUSED, Reason.UNSAID);
+        record.requestStarted(12, "b", "read", "", 31);
+        record.requestStarted(13, "c", "read", "", 31);
         assertNull(record.trail("a"), "of so many the oldest goes");
         assertNotNull(record.trail("b"));
     }
--- a/gateway/src/main/java/ridgemill/gateway/Crew.java
+++ b/gateway/src/main/java/ridgemill/gateway/Crew.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.IntFunction;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.gateway.front.Dealer;
 import ridgemill.gateway.front.Listeners;
 import ridgemill.gateway.membership.Discovery;
@@ -24,7 +24,7 @@
 import ridgemill.gateway.net.LoopGroup;
 import ridgemill.gateway.net.SocketKind;
 import ridgemill.gateway.net.Transport;
-import ridgemill.loops.Dealing;
+import ridgemill.loops.ConnectionDistributor;
 import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
@@ -57,7 +57,7 @@
     private final boolean[] beating;
     private InetSocketAddress listening;
 
-    private Crew(Config config, int loops, Function<Settings, Router> routers, IntFunction<Gate> gates) {
+    private Crew(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates) {
         this.config = config;
         int reserved = Service.RESERVED_SOCKETS + LOOP_SOCKETS * loops;
         beating = new boolean[loops];
@@ -67,7 +67,7 @@
             members.add(Service.member(part, routers.apply(part.settings()), gates.apply(i), new Member(i)));
             most[i] = members.get(i).clients().most();
         }
-        dealer = new Dealer(door, clock, new Dealing(most, clock.now()));
+        dealer = new Dealer(door, clock, new ConnectionDistributor(most, clock.now()));
         discovery = new Discovery(door, config.discovery(), config.known(), !config.settings().mustSubscribe(), new Told());
         peers = config.peerListen() == null ? null : new Peers(door, config, this::peerMessage);
     }
@@ -79,7 +79,7 @@
      * @param routers makes the decisions of a loop from its settings
      * @param gates makes the gate of a loop from its number
      */
-    public static Crew start(Config config, int loops, Function<Settings, Router> routers, IntFunction<Gate> gates)
+    public static Crew start(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates)
             throws IOException, InterruptedException {
         if (loops < 2) {
             throw new IllegalArgumentException("a crew has at least two loops: " + loops);
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -19,17 +19,17 @@
 import java.util.function.IntPredicate;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import ridgemill.connections.RoomCalls;
+import ridgemill.connections.ConnectionReleaseRequests;
 import ridgemill.core.Dispatcher;
-import ridgemill.core.Faults;
-import ridgemill.core.Gate;
+import ridgemill.core.FaultReporter;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
-import ridgemill.core.PlatformGate;
-import ridgemill.core.Recorder;
-import ridgemill.core.Tally;
+import ridgemill.core.PlatformAdmissionController;
+import ridgemill.core.WriteDeduplicator;
+import ridgemill.core.RequestCounters;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
-import ridgemill.deadline.LoopWatch;
+import ridgemill.deadline.LoopStallDetector;
 import ridgemill.gateway.back.NodeBack;
 import ridgemill.gateway.back.NodePool;
 import ridgemill.gateway.back.Sockets;
@@ -52,7 +52,7 @@
 import ridgemill.gateway.net.SocketKind;
 import ridgemill.gateway.net.Transport;
 import ridgemill.gateway.succession.ServingMark;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.ListUpdateKind;
@@ -105,47 +105,47 @@
     private InetSocketAddress consoleListening;
 
     /** A proxy that reaches the outside by itself. */
-    private Service(Config config, Router router, Gate gate) {
+    private Service(Config config, Router router, AdmissionController gate) {
         this(config, router, gate, null);
     }
 
     /** One that reaches discovery, peers and new clients through a crew, or by itself where that is null. */
-    private Service(Config config, Router router, Gate gate, Outside outside) {
+    private Service(Config config, Router router, AdmissionController gate, Outside outside) {
         this.config = config;
         Settings settings = config.settings();
         int sockets = Math.max(2, config.sockets() - RESERVED_SOCKETS);
         int clientSockets = Math.max(1, (int) (sockets * CLIENT_PART));
         timers = new LoopTimers(loop, new Clock());
-        deadlines = new Deadlines(DeadlinePolicy.USUAL);
+        deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
         intake = new Intake<>(timers, gate, deadlines);
         nodeSockets = new Sockets(Math.max(1, sockets - clientSockets));
         pool = new NodePool(loop, Transport.TCP, HttpNodeConnection::new,
                 settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeSockets);
-        platform = upstream(Intake.PLATFORM, settings, router, pool, faults(outside));
-        intake.group(Intake.PLATFORM, platform.dispatcher());
-        clients = new ClientTable(clientSockets, gate::connectionsPerClient);
+        platform = upstream(Intake.PLATFORM_GROUP, settings, router, pool, faults(outside));
+        intake.addGroup(Intake.PLATFORM_GROUP, platform.dispatcher());
+        clients = new ClientTable(clientSockets, gate::maxConnectionsPerClient);
         front = new HttpFront(loop, intake, clients);
         stops.add(front::stop);
         if (outside != null) {
             discovery = null;
             peers = null;
-            platform.dispatcher().wire(outside::subscribe, outside::tell);
+            platform.dispatcher().setCallbacks(outside::subscribe, outside::tell);
             callForRoom(outside::tell);
             return;
         }
         discovery = new Discovery(loop, config.discovery(), config.known(), !settings.mustSubscribe(), new Told());
         peers = config.peerListen() == null ? null : new Peers(loop, config, this::peerMessage);
         Consumer<byte[]> tell = peers == null ? contents -> { } : peers::tell;
-        platform.dispatcher().wire(discovery::subscribe, tell);
+        platform.dispatcher().setCallbacks(discovery::subscribe, tell);
         callForRoom(tell);
     }
 
     /** Nodes that have no place for a connection of ours: the other proxies hear of it, if the settings let us speak. */
     private void callForRoom(Consumer<byte[]> tell) {
-        RoomCalls calls = new RoomCalls();
+        ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
         if (config.settings().limits().peerMessagesAllowed()) {
             pool.onNoPlace(node -> {
-                byte[] call = calls.noPlace(node, timers.now());
+                byte[] call = calls.connectionRejected(node, timers.now());
                 if (call != null) {
                     tell.accept(call);
                 }
@@ -153,30 +153,30 @@
         }
     }
 
-    private Upstream upstream(String name, Settings settings, Router router, NodeBack back, Faults faults) {
-        return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::settled,
+    private Upstream upstream(String name, Settings settings, Router router, NodeBack back, FaultReporter faults) {
+        return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::requestFinished,
                 config.maxOpen(), deadlines.group(name)));
     }
 
-    private static Faults faults(Outside outside) {
+    private static FaultReporter faults(Outside outside) {
         return outside == null ? new LogFaults() : new MemberFaults(new LogFaults(), outside);
     }
 
     /** Tells the crew too of what a member does not recover from. */
-    private record MemberFaults(LogFaults log, Outside outside) implements Faults {
+    private record MemberFaults(LogFaults log, Outside outside) implements FaultReporter {
         @Override
-        public void fault(String what, Throwable cause) {
-            log.fault(what, cause);
+        public void error(String what, Throwable cause) {
+            log.error(what, cause);
         }
 
         @Override
-        public void odd(String what) {
-            log.odd(what);
+        public void warning(String what) {
+            log.warning(what);
         }
 
         @Override
         public void fatal(String what, Throwable cause) {
-            log.fault(what, cause);
+            log.error(what, cause);
             outside.failed();
         }
     }
@@ -195,7 +195,7 @@
     }
 
     /** A member of a crew, which waits for what it is told and dealt once it has begun. */
-    static Service member(Config part, Router router, Gate gate, Outside outside) {
+    static Service member(Config part, Router router, AdmissionController gate, Outside outside) {
         return new Service(part, router, gate, outside);
     }
 
@@ -213,8 +213,8 @@
     }
 
     /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
-    public void record(Outcomes outcomes) {
-        intake.recorder(new Recorder<>(timers, outcomes, Fingerprint::of));
+    public void record(IdempotencyRecords outcomes) {
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, outcomes, Fingerprint::of));
         front.tellOutcomes();
     }
 
@@ -236,16 +236,16 @@
 
     /** Discovery failed a crew; on the loop. */
     void discoveryRefused() {
-        platform.dispatcher().discoveryRefused();
+        platform.dispatcher().discoveryFailed();
     }
 
     /** A message of another proxy, or of another loop of this process; on the loop. */
     void peerMessage(int from, byte[] contents) {
-        if (mute.test(from) && (RoomCalls.isCall(contents) || contents.length % Integer.BYTES != LEASE_REST)) {
+        if (mute.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != LEASE_REST)) {
             return;
         }
-        if (RoomCalls.isCall(contents)) {
-            pool.makeRoom(node -> RoomCalls.isFor(contents, node), RoomCalls.LONG_IDLE_MS);
+        if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
+            pool.makeRoom(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
         } else if (contents.length % Integer.BYTES == LEASE_REST) {
             // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
             onFleet.forEach(to -> to.accept(from, contents));
@@ -275,13 +275,13 @@
     public Group group(String name, Settings settings, Router router, NodeBack back) {
         Group group = new Group(name, upstream(name, settings, router, back, new LogFaults()));
         group.upstream.dispatcher().start();
-        intake.group(name, group.upstream.dispatcher());
+        intake.addGroup(name, group.upstream.dispatcher());
         return group;
     }
 
     /** The platform's own nodes. */
     public Group platform() {
-        return new Group(Intake.PLATFORM, platform);
+        return new Group(Intake.PLATFORM_GROUP, platform);
     }
 
     /** A group of nodes: the platform's, or one beside it. All of it is to be called on the loop. */
@@ -311,7 +311,7 @@
 
         /** Its decisions are told what came of a probe, made here or by another proxy. */
         public void probed(String node, Outcome outcome, double tookMs) {
-            upstream.dispatcher().probed(node, outcome, tookMs);
+            upstream.dispatcher().probeEnded(node, outcome, tookMs);
         }
 
         /** Asks one of its nodes whether it takes work; {@code done} is told on the loop. */
@@ -321,7 +321,7 @@
 
         /** No new request goes to it, and nothing new to its nodes; attempts that are out there end as they end. */
         public void drop(long version) {
-            intake.dropGroup(name);
+            intake.removeGroup(name);
             nodes(new HostList(version, true, List.of()));
             nodeSockets.leave(upstream.back());
         }
@@ -406,7 +406,7 @@
 
     /** The same with other decisions and another preparation. */
     static Service start(Config config, Router router, Preparation preparation) throws IOException, InterruptedException {
-        return new Service(config, router, new PlatformGate(config.settings())).opened(preparation);
+        return new Service(config, router, new PlatformAdmissionController(config.settings())).opened(preparation);
     }
 
     /** What a start does between asking discovery and taking clients. */
@@ -416,16 +416,16 @@
 
     /** Starts a proxy with decisions of the caller's, and without a warm-up. */
     public static Service start(Config config, Router router) throws IOException, InterruptedException {
-        return start(config, router, new PlatformGate(config.settings()));
+        return start(config, router, new PlatformAdmissionController(config.settings()));
     }
 
     /** Starts a proxy whose requests go through a gate of the caller's, without a warm-up. */
-    public static Service start(Config config, Router router, Gate gate) throws IOException, InterruptedException {
+    public static Service start(Config config, Router router, AdmissionController gate) throws IOException, InterruptedException {
         return start(config, router, gate, service -> { });
     }
 
     /** The same with something to be done once there is a proxy, before it takes clients; not on its loop. */
-    public static Service start(Config config, Router router, Gate gate, Consumer<Service> before) throws IOException, InterruptedException {
+    public static Service start(Config config, Router router, AdmissionController gate, Consumer<Service> before) throws IOException, InterruptedException {
         Service service = new Service(config, router, gate);
         return service.opened(() -> before.accept(service));
     }
@@ -539,7 +539,7 @@
                 .map(h -> h.node().id()).toList();
         Map<String, Long> all = new TreeMap<>();
         moreFigures.forEach(more -> all.putAll(more.get()));
-        return ProxyMetrics.of(intake.tally(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.owed(),
+        return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.pendingRequests(),
                 nodes, id -> platform.router().isExcluded(timers.now(), id), all);
     }
 
@@ -662,7 +662,7 @@
         }
 
         static Status of(Counts c, int level) {
-            Tally t = c.tally();
+            RequestCounters t = c.tally();
             return new Status(t.requests(), t.served(), t.refused(), t.failed(), t.gone(), c.owed(), c.clients(), c.nodes(),
                     level, t.reasons());
         }
@@ -680,7 +680,7 @@
 
     /** Waits for the last answers to be written; a client's connection closes once its own has been. */
     private void finish() {
-        if (intake.owed() > 0 || clients.size() > 0) {
+        if (intake.pendingRequests() > 0 || clients.size() > 0) {
             loop.schedule(this::finish, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
@@ -705,12 +705,12 @@
     }
 
     /** What the log tells at intervals; on the loop. */
-    record Counts(Tally tally, int owed, int clients, int nodes) {
+    record Counts(RequestCounters tally, int owed, int clients, int nodes) {
 
-        static final Counts NONE = new Counts(new Tally(), 0, 0, 0);
+        static final Counts NONE = new Counts(new RequestCounters(), 0, 0, 0);
 
         Counts plus(Counts o) {
-            return new Counts(new Tally().plus(tally).plus(o.tally), owed + o.owed, clients + o.clients, nodes + o.nodes);
+            return new Counts(new RequestCounters().add(tally).add(o.tally), owed + o.owed, clients + o.clients, nodes + o.nodes);
         }
 
         @Override
@@ -720,12 +720,12 @@
     }
 
     Counts counts() {
-        return new Counts(intake.tally(), intake.owed(), clients.size(), nodeSockets.open());
+        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeSockets.open());
     }
 
     private void tellStart() {
         // With a delay between them, and not at a rate: after a stall one beat tells of it.
-        loop.scheduleWithFixedDelay(() -> deadlines.loop().beat(timers.now()), 0, (long) LoopWatch.BEAT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0, (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
         if (config.known() != null) {
             platform.hosts(ListUpdateKind.REMEMBERED, config.known());
@@ -757,7 +757,7 @@
 
         @Override
         public void refused() {
-            platform.dispatcher().discoveryRefused();
+            platform.dispatcher().discoveryFailed();
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -13,6 +13,6 @@
     /** The back first: it must know a node before the module may choose it. */
     void hosts(ListUpdateKind kind, HostList list) {
         back.list(list);
-        dispatcher.nodes(kind, list.version(), list.nodes());
+        dispatcher.updateNodes(kind, list.version(), list.nodes());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -32,7 +32,7 @@
 import java.util.concurrent.TimeUnit;
 import ridgemill.core.Dispatcher;
 import ridgemill.core.Intake;
-import ridgemill.core.PlatformGate;
+import ridgemill.core.PlatformAdmissionController;
 import ridgemill.gateway.back.NodePool;
 import ridgemill.gateway.back.Sockets;
 import ridgemill.gateway.back.http.HttpNodeConnection;
@@ -125,10 +125,10 @@
         NodePool pool = new NodePool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
                 settings.connectionCosts().idleTimeoutMs(), new Sockets(NODES * AT_ONCE));
         LoopTimers timers = new LoopTimers(loop, new Clock());
-        Intake<Content> intake = new Intake<>(timers, new PlatformGate(settings));
+        Intake<Content> intake = new Intake<>(timers, new PlatformAdmissionController(settings));
         Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
-                intake::settled, AT_ONCE + 1);
-        intake.group(Intake.PLATFORM, dispatcher);
+                intake::requestFinished, AT_ONCE + 1);
+        intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
         HttpFront clients = new HttpFront(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = 0; i <= NODES; i++) {
@@ -141,7 +141,7 @@
             HostList list = new HostList(1, true, hosts);
             dispatcher.start();
             pool.list(list);
-            dispatcher.nodes(ListUpdateKind.FULL, list.version(), list.nodes());
+            dispatcher.updateNodes(ListUpdateKind.FULL, list.version(), list.nodes());
         }).sync();
         SocketAddress front = clients.listen(transport, place()).sync().channel().localAddress();
         began = System.nanoTime();
--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -26,7 +26,7 @@
 import java.util.function.BooleanSupplier;
 import ridgemill.Main;
 import ridgemill.core.Intake;
-import ridgemill.core.Tally.End;
+import ridgemill.core.RequestCounters.RequestResult;
 import ridgemill.core.Timers;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.net.Addresses;
@@ -149,8 +149,8 @@
         }
         Map<String, Kept.Counts> now = new TreeMap<>();
         for (Era e : record.eras()) {
-            Kept.Counts of = new Kept.Counts(e.acting().text(), timers.now(), e.begun(), e.attempts(), e.of(End.SERVED), e.of(End.REFUSED),
-                    e.of(End.FAILED), e.of(End.GONE));
+            Kept.Counts of = new Kept.Counts(e.acting().text(), timers.now(), e.begun(), e.attempts(), e.of(RequestResult.SERVED), e.of(RequestResult.REFUSED),
+                    e.of(RequestResult.FAILED), e.of(RequestResult.GONE));
             now.merge(of.version(), of, Kept.Counts::plus);
         }
         List<String> lines = new ArrayList<>();
@@ -237,12 +237,12 @@
         for (Era e : record.eras()) {
             if (e.acting().equals(acting)) {
                 begun += e.begun();
-                served += e.of(End.SERVED);
+                served += e.of(RequestResult.SERVED);
             }
         }
         return new Summary(self, record.incarnation(), ++number, startedMs, build, platform, acting.file(),
                 bits(acting.digest(), Long.BYTES), (long) (timers.now() - record.now().fromMs()), (int) record.size(), bits(record.digest(), Long.BYTES), begun, served, refusedFile, out.getAsBoolean(),
-                (int) record.lists().of(Intake.PLATFORM), (int) Math.min(Summary.MOST_LATE_S, record.lists().lateMs(timers.now(), Intake.PLATFORM) / MS_PER_S));
+                (int) record.lists().of(Intake.PLATFORM_GROUP), (int) Math.min(Summary.MOST_LATE_S, record.lists().lateMs(timers.now(), Intake.PLATFORM_GROUP) / MS_PER_S));
     }
 
     private static long bits(String digest, int bytes) {
@@ -324,7 +324,7 @@
             JsonObject classes = new JsonObject();
             for (String service : e.classes()) {
                 JsonObject ends = new JsonObject();
-                for (End end : End.values()) {
+                for (RequestResult end : RequestResult.values()) {
                     ends.addProperty(end.name().toLowerCase(Locale.ROOT), e.of(service, end));
                 }
                 classes.add(service, ends);
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
@@ -4,7 +4,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.Outcome;
 
@@ -53,7 +53,7 @@
     }
 
     /** Ends the exchange with an answer; the connection is kept if {@code clean}. */
-    protected final void finish(Outcome outcome, Answer<Content> answer, boolean clean) {
+    protected final void finish(Outcome outcome, NodeResponse<Content> answer, boolean clean) {
         NodeExchange exchange = current;
         current = null;
         exchange.leftEnded();
@@ -91,7 +91,7 @@
         begin();
         exchange.idleMs = used ? idleMs(pool.nanos()) : 0;
         if (exchange.attempt() != null) {
-            exchange.attempt().begun(!used);
+            exchange.attempt().writeStarted(!used);
         }
         used = true;
         exchange.channel = context.channel();
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
@@ -3,17 +3,17 @@
 import io.netty.channel.Channel;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Attempt;
-import ridgemill.core.Back;
+import ridgemill.core.Backend;
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.Outcome;
 
 /** One attempt or probe on its way to a node, and its one outcome. */
-public final class NodeExchange implements Back.Exchange {
+public final class NodeExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Back.Done<Content> done;
+    private final Backend.Listener<Content> done;
     private final NodePool pool;
     Channel channel;
     Future<?> timer;
@@ -26,7 +26,7 @@
     double idleMs;
     private boolean answering;
 
-    NodeExchange(NodePool pool, Attempt<Content> attempt, Back.Done<Content> done) {
+    NodeExchange(NodePool pool, Attempt<Content> attempt, Backend.Listener<Content> done) {
         this.pool = pool;
         this.attempt = attempt;
         this.done = done;
@@ -76,13 +76,13 @@
     /**
      * A good answer has begun that goes on by parts: its time was the time to here. Returns whether anybody takes it.
      */
-    public boolean begin(Answer<Content> answer) {
-        if (over || attempt == null || !attempt.takesParts()) {
+    public boolean begin(NodeResponse<Content> answer) {
+        if (over || attempt == null || !attempt.supportsStreaming()) {
             return false;
         }
         timer.cancel(false);
         begun = true;
-        return done.begun(answer);
+        return done.responseStarted(answer);
     }
 
     /** Whether nobody waits for it any more, but its connection waits for its answer. */
@@ -92,7 +92,7 @@
 
     /** Its answer may still come, and is dropped then; where it does not come in its time the connection goes. */
     @Override
-    public void leave() {
+    public void detach() {
         double leftMs = attempt == null ? 0 : attempt.remainingMs();
         if (over || begun || !written || channel == null || leftMs <= 0) {
             cancel();
@@ -137,7 +137,7 @@
         }
     }
 
-    void end(Outcome outcome, Answer<Content> answer) {
+    void end(Outcome outcome, NodeResponse<Content> answer) {
         if (!over) {
             over = true;
             timer.cancel(false);
--- a/gateway/src/main/java/ridgemill/gateway/back/NodePool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodePool.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void closeIdle(String node) {
+    public void closeIdleConnections(String node) {
         targets.closeIdle(node);
     }
 
@@ -118,7 +118,7 @@
      * write it to, so that the time it names is what is left then.
      */
     @Override
-    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Done<Content> done) {
+    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
         NodeExchange exchange = new NodeExchange(this, attempt, done);
         exchange.timer = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         Target target = targets.get(node);
@@ -127,7 +127,7 @@
             return exchange;
         }
         // One that can be carried once goes on a connection that no node is about to close.
-        NodeConnection idle = attempt != null && attempt.isOpen() ? null : newestIdle(target);
+        NodeConnection idle = attempt != null && attempt.hasStreamingBody() ? null : newestIdle(target);
         if (idle != null) {
             idle.write(exchange);
         } else if (sockets.makeRoom()) {
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void probe(String node, double timeoutMs, Done<Content> done) {
+    public void probe(String node, double timeoutMs, Listener<Content> done) {
         send(node, null, timeoutMs, (outcome, answer) -> done.ended(outcome, null));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
@@ -30,10 +30,10 @@
 import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Attempt;
 import ridgemill.core.Command;
-import ridgemill.flow.AnswerPace;
+import ridgemill.flow.ResponseStallDetector;
 import ridgemill.gateway.back.NodeConnection;
 import ridgemill.gateway.back.NodeExchange;
 import ridgemill.gateway.net.BodyStream;
@@ -58,7 +58,7 @@
     private Reply answer;
     private boolean more;
     private int begun;
-    private final AnswerPace pace = new AnswerPace();
+    private final ResponseStallDetector pace = new ResponseStallDetector();
     private Future<?> paceTimer;
     /** Of an answer that comes in pieces: its head, and what has come of its body while that is held whole. */
     private HttpResponse head;
@@ -104,7 +104,7 @@
         if (attempt == null) {
             return ByteBufUtil.writeAscii(context().alloc(), "GET /alive HTTP/1.1\r\n\r\n");
         }
-        if (attempt.isOpen()) {
+        if (attempt.hasStreamingBody()) {
             return head(attempt);
         }
         if (isPlain(attempt)) {
@@ -133,8 +133,8 @@
         text(out, " HTTP/1.1\r\nhost: service.internal\r\nX-Call-Id: ", attempt.requestId());
         text(out, "\r\nX-Budget: ", "");
         LeanHttp.writeSeconds(out, Math.max(1, Math.round(attempt.remainingMs())));
-        if (attempt.label() != null) {
-            text(out, "\r\nX-Acted-Under: ", attempt.label());
+        if (attempt.versionLabel() != null) {
+            text(out, "\r\nX-Acted-Under: ", attempt.versionLabel());
         }
         if (command.idempotencyKey() != null) {
             text(out, "\r\nIdempotency-Key: ", command.idempotencyKey());
@@ -216,7 +216,7 @@
     @Override
     protected ChannelFuture send(Object message) {
         Attempt<Content> attempt = current().attempt();
-        if (attempt != null && attempt.isOpen()) {
+        if (attempt != null && attempt.hasStreamingBody()) {
             Content content = attempt.command().content();
             ChannelPromise whole = context().newPromise();
             bytes.context.writeAndFlush(message, bytes.context.voidPromise());
@@ -238,8 +238,8 @@
                 method(command), command.target(), content.bytes().retainedDuplicate());
         request.headers().set(HttpHeaderNames.HOST, "service.internal").set("X-Call-Id", attempt.requestId())
                 .set("X-Budget", BigDecimal.valueOf(Math.max(1, Math.round(attempt.remainingMs())), 3).toPlainString());
-        if (attempt.label() != null) {
-            request.headers().set("X-Acted-Under", attempt.label());
+        if (attempt.versionLabel() != null) {
+            request.headers().set("X-Acted-Under", attempt.versionLabel());
         }
         if (command.idempotencyKey() != null) {
             request.headers().set("Idempotency-Key", command.idempotencyKey());
@@ -377,7 +377,7 @@
         body = Unpooled.EMPTY_BUFFER;
         boolean taken;
         try {
-            Answer<Content> begins = new Answer<>(new Content(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), stream),
+            NodeResponse<Content> begins = new NodeResponse<>(new Content(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), stream),
                     note(head.headers().get("X-Hit", "")));
             taken = exchange.begin(begins);
         } finally {
@@ -445,12 +445,12 @@
             if (stream != null && !stream.isFlowing()) {
                 pace.progress(now());
             }
-            if (pace.standsStill(now(), stream != null)) {
+            if (pace.isStalled(now(), stream != null)) {
                 spoilt();
             } else {
                 watch(watched);
             }
-        }, (long) AnswerPace.LOOK_MS, TimeUnit.MILLISECONDS);
+        }, (long) ResponseStallDetector.CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Ends the exchange with its answer. What came behind it would be taken for the next one's. */
@@ -461,7 +461,7 @@
         try {
             Outcome outcome = outcome(reply);
             boolean absent = missIsAnswer && outcome == Outcome.MISS;
-            finish(absent ? Outcome.OK : outcome, new Answer<>(absent ? Content.ABSENT : new Content(reply.bytes(),
+            finish(absent ? Outcome.OK : outcome, new NodeResponse<>(absent ? Content.ABSENT : new Content(reply.bytes(),
                     reply.mediaType()), note(reply.hit())), upload == null && !more && !decoder.leftOver() && reply.keepAlive());
         } finally {
             reply.bytes().release();
@@ -514,10 +514,10 @@
 
     private static int note(String hit) {
         return switch (hit) {
-            case "hit" -> Answer.HIT;
-            case "miss" -> Answer.MISS;
-            case "pending" -> Answer.PENDING;
-            default -> Answer.NO_NOTE;
+            case "hit" -> NodeResponse.HIT;
+            case "miss" -> NodeResponse.MISS;
+            case "pending" -> NodeResponse.PENDING;
+            default -> NodeResponse.NO_CACHE_STATUS;
         };
     }
 
