--- a/gateway/src/main/java/ridgemill/gateway/back/resp/Outcomes.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/Outcomes.java
@@ -3,7 +3,7 @@
 import io.netty.buffer.Unpooled;
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Command;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.resp.Resp;
@@ -23,7 +23,7 @@
             "MISCONF", "NOAUTH", "NOPERM", "WRONGPASS", "CLUSTERDOWN", "MASTERDOWN", "TRYAGAIN", "DRAINING");
 
     /** What an attempt came to; the answer's bytes are the reply's own, which is released by whoever had it. */
-    record Ended(Outcome outcome, Answer<Content> answer) { }
+    record Ended(Outcome outcome, NodeResponse<Content> answer) { }
 
     private Outcomes() { }
 
@@ -37,7 +37,7 @@
     }
 
     static Ended of(Resp reply, Command.Action action, boolean missIsAnswer) {
-        int note = Answer.NO_NOTE;
+        int note = NodeResponse.NO_CACHE_STATUS;
         Resp value = reply;
         if (reply instanceof Resp.Attributed a) {
             note = note(a.attributes());
@@ -48,15 +48,15 @@
         }
         if (value instanceof Resp.Null) {
             return action != Command.Action.READ ? new Ended(Outcome.ERROR, null)
-                    : missIsAnswer ? new Ended(Outcome.OK, new Answer<>(Content.ABSENT, note))
-                    : new Ended(Outcome.MISS, new Answer<>(Content.EMPTY, note));
+                    : missIsAnswer ? new Ended(Outcome.OK, new NodeResponse<>(Content.ABSENT, note))
+                    : new Ended(Outcome.MISS, new NodeResponse<>(Content.EMPTY, note));
         }
         Content content = value instanceof Resp.Blob b ? new Content(b.bytes(), null)
                 : value instanceof Resp.Verbatim v ? new Content(v.bytes(), null)
                 : value instanceof Resp.Num n && action == Command.Action.DELETE ? text(Long.toString(n.value()))
                 : value instanceof Resp.Simple && action != Command.Action.READ ? Content.EMPTY : null;
         // A reply of another type is none to what was asked.
-        return content == null ? new Ended(Outcome.ERROR, null) : new Ended(Outcome.OK, new Answer<>(content, note));
+        return content == null ? new Ended(Outcome.ERROR, null) : new Ended(Outcome.OK, new NodeResponse<>(content, note));
     }
 
     private static Content text(String text) {
@@ -65,10 +65,10 @@
 
     private static int note(Resp.MapOf attributes) {
         return switch (named(attributes, "hit")) {
-            case "hit" -> Answer.HIT;
-            case "miss" -> Answer.MISS;
-            case "pending" -> Answer.PENDING;
-            default -> Answer.NO_NOTE;
+            case "hit" -> NodeResponse.HIT;
+            case "miss" -> NodeResponse.MISS;
+            case "pending" -> NodeResponse.PENDING;
+            default -> NodeResponse.NO_CACHE_STATUS;
         };
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespBack.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespBack.java
@@ -75,12 +75,12 @@
     }
 
     @Override
-    public void closeIdle(String node) {
+    public void closeIdleConnections(String node) {
         targets.closeIdle(node);
     }
 
     @Override
-    public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Done<Content> done) {
+    public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
         RespExchange exchange = new RespExchange(attempt, done);
         if (copies != null && attempt != null && attempt.command().write()) {
             // From here on it may run at any time, also when its answer never comes.
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void probe(String node, double timeoutMs, Done<Content> done) {
+    public void probe(String node, double timeoutMs, Listener<Content> done) {
         send(node, null, timeoutMs, (outcome, answer) -> done.ended(outcome, null));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
@@ -1,18 +1,18 @@
 package ridgemill.gateway.back.resp;
 
 import io.netty.util.concurrent.Future;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Attempt;
-import ridgemill.core.Back;
+import ridgemill.core.Backend;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.resp.Resp;
 import ridgemill.policy.Router.Outcome;
 
 /** One attempt or probe on a connection that it shares, and its one outcome. */
-final class RespExchange implements Back.Exchange {
+final class RespExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Back.Done<Content> done;
+    private final Backend.Listener<Content> done;
     RespConnection connection;
     Future<?> timer;
     /** Its bytes are with the connection, from when on nobody can hold them back. */
@@ -30,11 +30,11 @@
         return new RespExchange(null, (outcome, answer) -> { }, note);
     }
 
-    RespExchange(Attempt<Content> attempt, Back.Done<Content> done) {
+    RespExchange(Attempt<Content> attempt, Backend.Listener<Content> done) {
         this(attempt, done, null);
     }
 
-    private RespExchange(Attempt<Content> attempt, Back.Done<Content> done, Resp note) {
+    private RespExchange(Attempt<Content> attempt, Backend.Listener<Content> done, Resp note) {
         this.attempt = attempt;
         this.done = done;
         this.note = note;
@@ -81,7 +81,7 @@
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
-    void end(Outcome outcome, Answer<Content> answer) {
+    void end(Outcome outcome, NodeResponse<Content> answer) {
         if (!over) {
             over = true;
             if (timer != null) {
--- a/gateway/src/main/java/ridgemill/gateway/front/ClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ClientConnection.java
@@ -6,11 +6,11 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import ridgemill.connections.Crowd;
-import ridgemill.flow.RequestPace;
+import ridgemill.connections.ConnectionEviction;
+import ridgemill.flow.MinRequestRate;
 
 /** One client's connection and what it is doing: what all protocols have in common, which is their limits in time. */
-public abstract class ClientConnection extends ChannelInboundHandlerAdapter implements Crowd.Guest {
+public abstract class ClientConnection extends ChannelInboundHandlerAdapter implements ConnectionEviction.Candidate {
 
     /** What a connection is doing; the limits in time go by it. */
     protected enum Phase { SILENT, READING, BUSY, IDLE, CLOSING }
@@ -58,7 +58,7 @@
 
     /** Whether the loop has come round to read it since it was accepted. */
     @Override
-    public final boolean hadChance() {
+    public final boolean wasRead() {
         return hadChance;
     }
 
@@ -143,17 +143,17 @@
     }
 
     @Override
-    public final boolean isKept() {
+    public final boolean isKeepAlive() {
         return phase == Phase.IDLE;
     }
 
     @Override
-    public final boolean hasBegun() {
+    public final boolean hasPartialRequest() {
         return phase == Phase.READING;
     }
 
     @Override
-    public final double lastMs() {
+    public final double lastActivityMs() {
         return Math.max(since, heard) / 1e6;
     }
 
@@ -188,12 +188,12 @@
             case IDLE -> closeAfter(ms, unread ? UNREAD_MS : idleMs());
             case CLOSING -> closeAfter(ms, unread ? UNREAD_MS : LINGER_MS);
             case READING -> {
-                if (RequestPace.isTooSlow(ms, bytes)) {
+                if (MinRequestRate.isTooSlow(ms, bytes)) {
                     tooSlow();
                 }
             }
             case BUSY -> {
-                if (isUploading() && RequestPace.isTooSlow(ms, bytes)) {
+                if (isUploading() && MinRequestRate.isTooSlow(ms, bytes)) {
                     tooSlow();
                     return;
                 }
--- a/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.BooleanSupplier;
-import ridgemill.connections.Crowd;
+import ridgemill.connections.ConnectionEviction;
 
 /**
  * The clients' connections of one front, held below the descriptors that are theirs. It says which one goes when
@@ -68,7 +68,7 @@
         List<ClientConnection> own = client == null ? List.of()
                 : connections.stream().filter(c -> client.equals(c.client())).toList();
         if (own.size() >= most) {
-            own.stream().filter(c -> !c.isBusy() && c.hadChance()).findFirst()
+            own.stream().filter(c -> !c.isBusy() && c.wasRead()).findFirst()
                     .ifPresentOrElse(this::evict, connection::surplus);
         }
     }
@@ -180,7 +180,7 @@
         if (connections.size() + 1 < maxConnections) {
             return;
         }
-        ClientConnection goes = Crowd.goes(connections, nowMs());
+        ClientConnection goes = ConnectionEviction.selectVictim(connections, nowMs());
         if (goes != null) {
             evict(goes);
         } else {
@@ -191,7 +191,7 @@
 
     /** While others wait for a place: one may have been read by now, or have stopped. */
     void retryRoom() {
-        ClientConnection goes = full ? Crowd.goes(connections, nowMs()) : null;
+        ClientConnection goes = full ? ConnectionEviction.selectVictim(connections, nowMs()) : null;
         if (goes != null) {
             evict(goes);
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/Dealer.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/Dealer.java
@@ -13,7 +13,7 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Transport;
-import ridgemill.loops.Dealing;
+import ridgemill.loops.ConnectionDistributor;
 
 /**
  * Takes connections in on a loop of its own, the door, and deals them out to fronts on other loops. With one listener a
@@ -28,17 +28,17 @@
 
     private final EventLoop door;
     private final Clock clock;
-    private final Dealing dealing;
+    private final ConnectionDistributor dealing;
     private final OpenAddresses open;
     private final boolean[] stuck;
 
     /** Deals to as many loops as {@code dealing} knows. */
-    public Dealer(EventLoop door, Clock clock, Dealing dealing) {
+    public Dealer(EventLoop door, Clock clock, ConnectionDistributor dealing) {
         this.door = door;
         this.clock = clock;
         this.dealing = dealing;
         this.open = new OpenAddresses(door);
-        this.stuck = new boolean[dealing.loops()];
+        this.stuck = new boolean[dealing.loopCount()];
     }
 
     /**
@@ -63,7 +63,7 @@
 
     /** A loop tells how late it ran. */
     public void beat(int loop, double lateMs) {
-        dealing.beat(loop, clock.now(), lateMs);
+        dealing.reportDelay(loop, clock.now(), lateMs);
         if (stuck[loop]) {
             stuck[loop] = false;
             Log.info("loop " + loop + " answers again");
@@ -73,7 +73,7 @@
     /** Looks for loops that have not told anything; to be called at intervals. */
     public void look() {
         for (int i = 0; i < stuck.length; i++) {
-            double silent = dealing.silentMs(i, clock.now());
+            double silent = dealing.sinceLastReportMs(i, clock.now());
             if (!stuck[i] && silent > STUCK_MS) {
                 stuck[i] = true;
                 Log.info("loop " + i + " has not answered for " + Math.round(silent) + " ms; new connections go to others");
@@ -90,9 +90,9 @@
     public List<String> explain() {
         List<String> lines = new ArrayList<>();
         double now = clock.now();
-        for (int i = 0; i < dealing.loops(); i++) {
-            lines.add("loop " + i + ": " + dealing.open(i) + " connections, " + (dealing.isRetired(i) ? "retired after an error"
-                    : dealing.keepsUp(i, now) ? "keeps up" : "late, last heard of " + Math.round(dealing.silentMs(i, now))
+        for (int i = 0; i < dealing.loopCount(); i++) {
+            lines.add("loop " + i + ": " + dealing.openConnections(i) + " connections, " + (dealing.isRetired(i) ? "retired after an error"
+                    : dealing.isKeepingUp(i, now) ? "keeps up" : "late, last heard of " + Math.round(dealing.sinceLastReportMs(i, now))
                     + " ms ago"));
         }
         return lines;
@@ -109,15 +109,15 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             Channel client = (Channel) message;
-            int loop = dealing.next(clock.now());
-            if (loop == Dealing.NONE || open.isOver()) {
+            int loop = dealing.nextLoop(clock.now());
+            if (loop == ConnectionDistributor.NONE || open.isOver()) {
                 // Accepted in the same go as the last one that had a place.
                 client.unsafe().closeForcibly();
                 return;
             }
-            dealing.opened(loop);
+            dealing.connectionOpened(loop);
             // Past this the system's backlog keeps them, as any that is accepted must be served.
-            open.accept(dealing.next(clock.now()) != Dealing.NONE);
+            open.accept(dealing.nextLoop(clock.now()) != ConnectionDistributor.NONE);
             client.config().setOption(ChannelOption.TCP_NODELAY, true);
             client.pipeline().addLast(fronts.get(loop).accepted());
             fronts.get(loop).loop().register(client).addListener(f -> {
@@ -126,7 +126,7 @@
                 }
             });
             client.closeFuture().addListener(f -> door.execute(() -> {
-                dealing.closed(loop);
+                dealing.connectionClosed(loop);
                 open.accept(true);
             }));
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/OrderWatch.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/OrderWatch.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import ridgemill.deadline.AnswerOrder;
+import ridgemill.deadline.PipelineDeadlines;
 
 /**
  * Keeps the times of one connection's requests whose answers leave in their order, and wakes when one is due that another holds
@@ -23,7 +23,7 @@
     private final EventLoop loop;
     private final DoubleSupplier now;
     private final Consumer<T> givesUp;
-    private final AnswerOrder<T> order = new AnswerOrder<>();
+    private final PipelineDeadlines<T> order = new PipelineDeadlines<>();
     private Future<?> wake;
     private double wakeMs = Double.POSITIVE_INFINITY;
 
@@ -41,12 +41,12 @@
 
     /** The answer of one that is in it must leave by then, or earlier. */
     public void due(T request, double dueMs) {
-        order.due(request, dueMs);
+        order.shorten(request, dueMs);
     }
 
     /** The first has left. */
     public void left() {
-        order.left();
+        order.removeFirst();
     }
 
     /** Requests were added: wakes in time for them. */
@@ -55,7 +55,7 @@
     }
 
     private void watch(double leastMs) {
-        double at = order.wakeMs();
+        double at = order.nextDeadlineMs();
         if (at >= wakeMs || at == Double.POSITIVE_INFINITY) {
             return;
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -31,8 +31,8 @@
 import java.util.List;
 import java.util.Queue;
 import java.util.concurrent.TimeUnit;
-import ridgemill.core.Answer;
-import ridgemill.core.Client;
+import ridgemill.core.NodeResponse;
+import ridgemill.core.ResponseHandler;
 import ridgemill.gateway.front.ClientConnection;
 import ridgemill.gateway.front.OrderWatch;
 import ridgemill.gateway.net.BodyStream;
@@ -131,7 +131,7 @@
         try {
             Exchange exchange = new Exchange(HttpUtil.isKeepAlive(open.head()), false, true);
             if (!isTurnedAway(exchange, open.head().headers().get("X-Call-Class"))) {
-                act(exchange, front.requests().read(open, said -> left(said, 0), front.intake()::isOpen, front.intake()::takesOpen));
+                act(exchange, front.requests().read(open, said -> left(said, 0), front.intake()::isOpen, front.intake()::acceptsStreamingBody));
             }
             exchange.upload(open.rest());
         } finally {
@@ -143,7 +143,7 @@
     private void uploaded(Exchange exchange, boolean whole) {
         upload = null;
         if (whole && exchange.id != null) {
-            front.intake().complete(exchange.id);
+            front.intake().bodyReceived(exchange.id);
         }
         if (!whole && phase() != Phase.CLOSING) {
             // Nothing that follows could be told from the rest of it.
@@ -171,12 +171,12 @@
 
     /** How old what is read now may be, as the loop did not turn for a while. */
     private double stalledMs() {
-        return front.intake().deadlines().loop().ageMs(front.intake().now());
+        return front.intake().deadlines().loopStalls().maxAgeMs(front.intake().now());
     }
 
     /** What a client's time comes to here, of which so much has passed already. */
     private double left(double saidMs, double passedMs) {
-        return Math.min(front.intake().deadlines().leftMs(saidMs, passedMs, front.wayBack()), front.table().leftMs());
+        return Math.min(front.intake().deadlines().remainingMs(saidMs, passedMs, front.wayBack()), front.table().leftMs());
     }
 
     /** Begins what may be begun beside what is open: reads beside reads. */
@@ -239,7 +239,7 @@
         if (!isSurplus()) {
             return false;
         }
-        front.intake().turnedAway(service);
+        front.intake().countRejected(service);
         busy();
         last = true;
         open(exchange, Double.POSITIVE_INFINITY);
@@ -258,13 +258,13 @@
             busy();
             exchange.id = call.request().id();
             open(exchange, front.intake().now() + call.request().budgetMs());
-            front.intake().request(call.go(), call.request(), call.command(), exchange);
+            front.intake().submit(call.go(), call.request(), call.command(), exchange);
             order.watch();
         } else if (read instanceof HttpRequests.Refused refused) {
-            front.intake().turnedAway(refused.service());
+            front.intake().countRejected(refused.service());
             busy();
             open(exchange, Double.POSITIVE_INFINITY);
-            exchange.because(Reason.LIMIT);
+            exchange.reason(Reason.LIMIT);
             exchange.limited(refused.retryAfterMs());
         } else if (read instanceof HttpRequests.Outcome asked) {
             busy();
@@ -324,9 +324,9 @@
         e.release();
         writing(written);
         if (written.isDone()) {
-            front.wayBack().took((System.nanoTime() - began) / 1e6);
+            front.wayBack().record((System.nanoTime() - began) / 1e6);
         } else {
-            written.addListener(f -> front.wayBack().took((System.nanoTime() - began) / 1e6));
+            written.addListener(f -> front.wayBack().record((System.nanoTime() - began) / 1e6));
         }
         if (uploading) {
             // Its answer is out before its rest has come: that is read to its end, as cutting it off would take the answer along.
@@ -492,7 +492,7 @@
     }
 
     /** One request from when it is begun until its answer is written; exactly one answer is taken. */
-    private final class Exchange implements Client<Content> {
+    private final class Exchange implements ResponseHandler<Content> {
         private final boolean keepAlive;
         private final boolean read;
         /** Whether its client knows chunks, which came with version 1.1. */
@@ -555,7 +555,7 @@
         /** Its final answer is needed now. */
         private void giveUp() {
             if (!done && id != null) {
-                front.intake().giveUp(id);
+                front.intake().answerNow(id);
             }
         }
 
@@ -575,12 +575,12 @@
         }
 
         @Override
-        public boolean takesParts() {
+        public boolean supportsStreaming() {
             return true;
         }
 
         @Override
-        public void served(Answer<Content> answer) {
+        public void served(NodeResponse<Content> answer) {
             if (answer.content().isAbsent()) {
                 ready(HttpResponseStatus.NOT_FOUND, 0);
             } else {
@@ -599,7 +599,7 @@
         }
 
         @Override
-        public void because(Reason reason) {
+        public void reason(Reason reason) {
             why = front.terms().tellsWhy() ? "\r\nx-reason: " + reason.code() : null;
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpFront.java
@@ -6,7 +6,7 @@
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import ridgemill.core.Intake;
-import ridgemill.deadline.WayBack;
+import ridgemill.deadline.ReturnDelay;
 import ridgemill.gateway.front.ClientTable;
 import ridgemill.gateway.front.Listeners;
 import ridgemill.gateway.net.Content;
@@ -19,7 +19,7 @@
     private final HttpRequests requests;
     private final ClientTable table;
     private final Listeners listeners;
-    private final WayBack wayBack;
+    private final ReturnDelay wayBack;
     private HttpTerms terms = HttpTerms.PLATFORM;
     private boolean ready;
     private boolean succeeded;
@@ -27,8 +27,8 @@
     /** A front whose connections go into a table that it may share with others. */
     public HttpFront(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
-        this.requests = new HttpRequests(intake::enter, intake::left);
-        this.wayBack = intake.deadlines().hop("http");
+        this.requests = new HttpRequests(intake::admit, intake::withdraw);
+        this.wayBack = intake.deadlines().returnDelay("http");
         this.table = table;
         this.listeners = new Listeners(loop, table, new ChannelInitializer<>() {
             @Override
@@ -86,7 +86,7 @@
     }
 
     /** The way of answers to clients. */
-    WayBack wayBack() {
+    ReturnDelay wayBack() {
         return wayBack;
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequests.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequests.java
@@ -16,9 +16,9 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import ridgemill.core.Command;
-import ridgemill.core.Gate;
-import ridgemill.deadline.TimeSaid;
-import ridgemill.deadline.TimeSaid.Form;
+import ridgemill.core.AdmissionController;
+import ridgemill.deadline.ClientTimeout;
+import ridgemill.deadline.ClientTimeout.Format;
 import ridgemill.gateway.net.BodyStream;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.LeanHttp;
@@ -34,7 +34,7 @@
     private static final String OUTCOME = "/outcome/";
     private static final String GET = "GET";
     private static final String PUT = "PUT";
-    private static final String SECONDS = HttpTerms.header(Form.SECONDS);
+    private static final String SECONDS = HttpTerms.header(Format.SECONDS);
     private static final int LONGEST_ID = 64;
     /** As many digits as a whole number of this type surely holds. */
     private static final int EXACT_DIGITS = 15;
@@ -54,7 +54,7 @@
     sealed interface Read { }
 
     /** A request for the decision module, and how the gate let it on. */
-    record Call(Gate.Go go, Request request, Command<Content> command) implements Read { }
+    record Call(AdmissionController.Admitted go, Request request, Command<Content> command) implements Read { }
 
     /** A request that a limit turns away, the class that it names, and when its client may come back. */
     record Refused(String service, double retryAfterMs) implements Read { }
@@ -68,13 +68,13 @@
     /** Something that is answered with an error. */
     record Bad(HttpResponseStatus status) implements Read { }
 
-    private final Function<Gate.Arrival, Gate.Entry> gate;
-    private final BiConsumer<Gate.Go, String> leave;
+    private final Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate;
+    private final BiConsumer<AdmissionController.Admitted, String> leave;
     private HttpTerms terms = HttpTerms.PLATFORM;
     private boolean outcomes;
 
     /** {@code gate} says what becomes of a call; {@code leave} takes back one that it let on, by its id. */
-    HttpRequests(Function<Gate.Arrival, Gate.Entry> gate, BiConsumer<Gate.Go, String> leave) {
+    HttpRequests(Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate, BiConsumer<AdmissionController.Admitted, String> leave) {
         this.gate = gate;
         this.leave = leave;
     }
@@ -99,12 +99,12 @@
      *
      * @param takesOpen whether one that the gate lets on may go on before it is whole
      */
-    Read read(Bodies.Open in, DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<Gate.Go> takesOpen) {
+    Read read(Bodies.Open in, DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
         return read(in.head(), in.first(), in.rest(), left, isOpen, takesOpen);
     }
 
     private Read read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator left, Predicate<String> isOpen,
-                      Predicate<Gate.Go> takesOpen) {
+                      Predicate<AdmissionController.Admitted> takesOpen) {
         if (head.decoderResult().isFailure() || StrictHttp.oddCoding(head)) {
             return new Bad(HttpResponseStatus.BAD_REQUEST);
         }
@@ -137,7 +137,7 @@
     }
 
     private Read read(String method, String asked, Lines headers, ByteBuf body, BodyStream rest, DoubleUnaryOperator left,
-                      Predicate<String> isOpen, Predicate<Gate.Go> takesOpen) {
+                      Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
         String target = Targets.origin(asked);
         String path = Targets.path(target);
         if (path.startsWith(OUTCOME) && outcomes) {
@@ -170,32 +170,32 @@
 
     /** How long the client waits, in milliseconds; infinite where its class alone tells, not a number for nonsense. */
     private double saidMs(Lines headers) {
-        String seconds = terms.forms().contains(Form.SECONDS) ? headers.get(SECONDS) : null;
+        String seconds = terms.forms().contains(Format.SECONDS) ? headers.get(SECONDS) : null;
         if (seconds != null && terms.forms().size() == 1 && !headers.repeats(SECONDS)) {
             // As nearly all come: one plain number.
             double plain = plainNumber(seconds);
-            if (plain * 1000 <= TimeSaid.MOST_MS) {
+            if (plain * 1000 <= ClientTimeout.MAX_MS) {
                 return plain * 1000;
             }
         }
-        List<TimeSaid.Claim> claims = new ArrayList<>();
-        for (Form form : terms.forms()) {
+        List<ClientTimeout.RawValue> claims = new ArrayList<>();
+        for (Format form : terms.forms()) {
             String name = HttpTerms.header(form);
             String text = headers.get(name);
             if (text != null) {
-                claims.add(new TimeSaid.Claim(form, text));
+                claims.add(new ClientTimeout.RawValue(form, text));
                 if (headers.repeats(name)) {
-                    claims.add(new TimeSaid.Claim(form, text));
+                    claims.add(new ClientTimeout.RawValue(form, text));
                 }
             }
         }
-        TimeSaid.Reading reading = TimeSaid.read(claims, System.currentTimeMillis());
-        return reading instanceof TimeSaid.Left l ? l.ms()
-                : reading instanceof TimeSaid.Unsaid && terms.unsaid() ? Double.POSITIVE_INFINITY : Double.NaN;
+        ClientTimeout.Parsed reading = ClientTimeout.parse(claims, System.currentTimeMillis());
+        return reading instanceof ClientTimeout.Remaining l ? l.ms()
+                : reading instanceof ClientTimeout.Absent && terms.unsaid() ? Double.POSITIVE_INFINITY : Double.NaN;
     }
 
     private Read call(String method, String target, String path, Lines headers, ByteBuf body, BodyStream rest,
-                      DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<Gate.Go> takesOpen) {
+                      DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
         String id = headers.get("X-Call-Id");
         double saidMs = saidMs(headers);
         if (!isId(id) || isOpen.test(id) || Double.isNaN(saidMs)) {
@@ -204,14 +204,14 @@
         boolean write = method.equals(PUT);
         boolean retry = "1".equals(headers.get("X-Again"));
         String tenant = headers.get("X-Caller");
-        Gate.Entry entry = gate.apply(new Gate.Arrival(id, new RouteQuery(method, path, tenant, headers::get),
+        AdmissionController.Decision entry = gate.apply(new AdmissionController.AdmissionRequest(id, new RouteQuery(method, path, tenant, headers::get),
                 headers.get("X-Call-Class"), retry, size(body, rest),
                 Double.isInfinite(saidMs) ? Double.MAX_VALUE : left.applyAsDouble(saidMs)));
-        if (entry instanceof Gate.Refuse refuse) {
+        if (entry instanceof AdmissionController.Rejected refuse) {
             return new Refused(headers.get("X-Call-Class"), refuse.retryAfterMs());
         }
-        if (!(entry instanceof Gate.Go go)) {
-            return new Bad(entry instanceof Gate.Unfit unfit && unfit.reason() == Gate.Reason.TOO_LARGE
+        if (!(entry instanceof AdmissionController.Admitted go)) {
+            return new Bad(entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
                     ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
         }
         if (rest != null && !takesOpen.test(go)) {
@@ -219,7 +219,7 @@
             return new Bad(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         String key = headers.get("Idempotency-Key");
-        if (go.needsKey(write) && (key == null || key.isEmpty())) {
+        if (go.requiresIdempotencyKey(write) && (key == null || key.isEmpty())) {
             leave.accept(go, id);
             return new Bad(HttpResponseStatus.BAD_REQUEST);
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpTerms.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpTerms.java
@@ -1,7 +1,7 @@
 package ridgemill.gateway.front.http;
 
 import java.util.Set;
-import ridgemill.deadline.TimeSaid.Form;
+import ridgemill.deadline.ClientTimeout.Format;
 
 /**
  * What holds for clients over HTTP beside what the protocol says.
@@ -12,15 +12,15 @@
  * @param sideBySide how many requests of one connection are carried out at a time, at least 1; answers keep their order
  * @param tellsWhy whether refusals and failures carry their reason, by its stable name, in {@code X-Reason}
  */
-public record HttpTerms(Set<Form> forms, boolean unsaid, boolean halfCloseStays, int sideBySide, boolean tellsWhy) {
+public record HttpTerms(Set<Format> forms, boolean unsaid, boolean halfCloseStays, int sideBySide, boolean tellsWhy) {
 
     /** Terms under which nobody is told why. */
-    public HttpTerms(Set<Form> forms, boolean unsaid, boolean halfCloseStays, int sideBySide) {
+    public HttpTerms(Set<Format> forms, boolean unsaid, boolean halfCloseStays, int sideBySide) {
         this(forms, unsaid, halfCloseStays, sideBySide, false);
     }
 
     /** The platform's: seconds are said by all, a client that closes has left, and each request waits for those before it. */
-    public static final HttpTerms PLATFORM = new HttpTerms(Set.of(Form.SECONDS), false, false, 1);
+    public static final HttpTerms PLATFORM = new HttpTerms(Set.of(Format.SECONDS), false, false, 1);
 
     public HttpTerms {
         forms = Set.copyOf(forms);
@@ -30,7 +30,7 @@
     }
 
     /** The header in which a form is said. */
-    public static String header(Form form) {
+    public static String header(Format form) {
         return switch (form) {
             case SECONDS -> "X-Budget";
             case GRPC -> "grpc-timeout";
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Locale;
-import ridgemill.deadline.TimeSaid;
+import ridgemill.deadline.ClientTimeout;
 
 /**
  * What a client says of its calls beside the command itself: for a connection by its name ({@code CLIENT SETNAME},
@@ -54,8 +54,8 @@
     private static double deadline(String value) {
         boolean millis = value.endsWith("ms");
         int unit = millis ? 2 : value.endsWith("s") ? 1 : 0;
-        if (unit > 0 && TimeSaid.read(List.of(new TimeSaid.Claim(TimeSaid.Form.SECONDS, value.substring(0, value.length() - unit))), 0)
-                instanceof TimeSaid.Left said) {
+        if (unit > 0 && ClientTimeout.parse(List.of(new ClientTimeout.RawValue(ClientTimeout.Format.SECONDS, value.substring(0, value.length() - unit))), 0)
+                instanceof ClientTimeout.Remaining said) {
             // Read as seconds, a number of milliseconds has an hour as its bound too.
             double ms = millis ? said.ms() / 1000 : said.ms();
             if (ms > 0) {
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -21,9 +21,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import ridgemill.core.Client;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.deadline.Deadlines;
 import ridgemill.gateway.front.ClientConnection;
@@ -88,7 +88,7 @@
         this.session = new Session(front, number);
         this.order = new OrderWatch<>(channel.eventLoop(), front.intake()::now, slot -> {
             if (!slot.isWhole()) {
-                slot.openCalls().forEach(front.intake()::giveUp);
+                slot.openCalls().forEach(front.intake()::answerNow);
             }
         });
         if (front.halfCloseStays() && channel.config() instanceof SocketChannelConfig config) {
@@ -114,13 +114,13 @@
         }
         if (isSurplus()) {
             ((Resp) message).release();
-            front.intake().turnedAway(null);
+            front.intake().countRejected(null);
             busy();
             end(Replies.refused(Replies.Why.LIMIT, SURPLUS_BACK_MS));
             return;
         }
         Intake<Content> intake = front.intake();
-        backlog.add(new Waiting((Resp.Array) message, System.nanoTime(), intake.deadlines().loop().ageMs(intake.now())));
+        backlog.add(new Waiting((Resp.Array) message, System.nanoTime(), intake.deadlines().loopStalls().maxAgeMs(intake.now())));
         pump();
     }
 
@@ -266,44 +266,44 @@
                       CallOptions options, double passedMs) {
         String own = parts > 1 ? "-" + index : "";
         String id = options.id() == null ? prefix + sent++ : options.id() + own;
-        Client<Content> client = slot.part(index, id);
+        ResponseHandler<Content> client = slot.part(index, id);
         if (front.intake().isOpen(id)) {
             refuse(slot, "the id " + id + " is in use");
             return;
         }
         boolean writes = action != Command.Action.READ;
         Deadlines deadlines = front.intake().deadlines();
-        double budget = options.deadlineMs() > 0 ? deadlines.leftMs(options.deadlineMs(), passedMs, front.wayBack()) : Double.MAX_VALUE;
+        double budget = options.deadlineMs() > 0 ? deadlines.remainingMs(options.deadlineMs(), passedMs, front.wayBack()) : Double.MAX_VALUE;
         String path = Targets.path(target);
-        Gate.Entry entry = front.intake().enter(new Gate.Arrival(id, new RouteQuery(method(action), path, session.tenant(),
+        AdmissionController.Decision entry = front.intake().admit(new AdmissionController.AdmissionRequest(id, new RouteQuery(method(action), path, session.tenant(),
                 NO_HEADERS), options.service(), options.again(), value.readableBytes(), budget));
-        if (entry instanceof Gate.Refuse refused) {
-            front.intake().turnedAway(options.service());
-            client.because(Reason.LIMIT);
+        if (entry instanceof AdmissionController.Rejected refused) {
+            front.intake().countRejected(options.service());
+            client.reason(Reason.LIMIT);
             client.limited(refused.retryAfterMs());
             return;
         }
-        if (!(entry instanceof Gate.Go go)) {
-            refuse(slot, entry instanceof Gate.Unfit unfit && unfit.reason() == Gate.Reason.TOO_LARGE
+        if (!(entry instanceof AdmissionController.Admitted go)) {
+            refuse(slot, entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
                     ? "the value is larger than its class allows" : options.service() == null
                     ? "no route names a class for " + target + ", and neither does the call: RIDGE.WITH class NAME DO ..."
                     : "no class is called " + options.service());
             return;
         }
         String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + own;
-        if (go.needsKey(writes) && idempotencyKey == null) {
-            front.intake().left(go, id);
+        if (go.requiresIdempotencyKey(writes) && idempotencyKey == null) {
+            front.intake().withdraw(go, id);
             refuse(slot, "class " + go.service().name() + " records each key once and none was given: RIDGE.WITH "
                     + "idempotency-key KEY DO ...");
             return;
         }
         calls.add(id);
         Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null) : Content.EMPTY;
-        double left = Math.min(go.budgetMs(), deadlines.leftMs(go.service().deadlineMs(), passedMs, front.wayBack()));
+        double left = Math.min(go.budgetMs(), deadlines.remainingMs(go.service().deadlineMs(), passedMs, front.wayBack()));
         slot.due(id, front.intake().now() + left);
         order.due(slot, slot.dueMs());
         Request request = new Request(id, go.service().name(), session.tenant(), Targets.hash(path), 0, left, writes, options.again());
-        front.intake().request(go, request, new Command<>(action, target, idempotencyKey, content), client);
+        front.intake().submit(go, request, new Command<>(action, target, idempotencyKey, content), client);
     }
 
     /** What an idempotency key came to: how it stands, the call that it is of, and for how many milliseconds; nil for nothing. */
@@ -323,8 +323,8 @@
         front.intake().findOutcome(text(words, 1), session.tenant(), known -> {
             if (!slot.isWhole()) {
                 slot.fill(known == null ? Resp.NULL : Resp.blobs(known.isRunning() ? "running"
-                        : known.state().name().toLowerCase(Locale.ROOT), known.call(),
-                        Long.toString(Math.round(front.intake().now() - known.sinceMs()))));
+                        : known.state().name().toLowerCase(Locale.ROOT), known.callId(),
+                        Long.toString(Math.round(front.intake().now() - known.stateSinceMs()))));
                 whole(slot);
             }
         });
@@ -401,7 +401,7 @@
             return;
         }
         channel().flush();
-        front.wayBack().took((System.nanoTime() - writtenNanos) / 1e6);
+        front.wayBack().record((System.nanoTime() - writtenNanos) / 1e6);
         if (slots.isEmpty() && phase() == Phase.BUSY) {
             enter(decoder.isWithin() && backlog.isEmpty() ? Phase.READING : Phase.IDLE);
             used();
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespFront.java
@@ -7,7 +7,7 @@
 import java.net.SocketAddress;
 import java.util.Map;
 import ridgemill.core.Intake;
-import ridgemill.deadline.WayBack;
+import ridgemill.deadline.ReturnDelay;
 import ridgemill.gateway.front.ClientTable;
 import ridgemill.gateway.front.Listeners;
 import ridgemill.gateway.net.Content;
@@ -22,7 +22,7 @@
     private final Intake<Content> intake;
     private final ClientTable table;
     private final Listeners listeners;
-    private final WayBack wayBack;
+    private final ReturnDelay wayBack;
     private Map<String, String> passwords = Map.of();
     private boolean halfCloseStays;
     private boolean tellsWhy;
@@ -32,7 +32,7 @@
     public RespFront(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
         this.table = table;
-        this.wayBack = intake.deadlines().hop("resp");
+        this.wayBack = intake.deadlines().returnDelay("resp");
         this.listeners = new Listeners(loop, table, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -92,7 +92,7 @@
     }
 
     /** The way of replies to clients. */
-    WayBack wayBack() {
+    ReturnDelay wayBack() {
         return wayBack;
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/Slot.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/Slot.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import ridgemill.core.Answer;
-import ridgemill.core.Client;
+import ridgemill.core.NodeResponse;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.resp.Resp;
@@ -135,10 +135,10 @@
     }
 
     /** Who waits for the answer of one part, which is the call with this id. */
-    Client<Content> part(int index, String id) {
-        return new Client<>() {
+    ResponseHandler<Content> part(int index, String id) {
+        return new ResponseHandler<>() {
             @Override
-            public void served(Answer<Content> answer) {
+            public void served(NodeResponse<Content> answer) {
                 if (open > 0) {
                     absent[index] = answer.content().isAbsent();
                     values[index] = answer.content().bytes().retain();
@@ -152,7 +152,7 @@
             }
 
             @Override
-            public void refusedUnproven(double retryAfter) {
+            public void refusedMayHaveRun(double retryAfter) {
                 ended(End.UNPROVEN, retryAfter);
             }
 
@@ -167,7 +167,7 @@
             }
 
             @Override
-            public void because(Reason reason) {
+            public void reason(Reason reason) {
                 why = reason;
             }
 
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
@@ -13,19 +13,19 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import ridgemill.core.Answer;
-import ridgemill.core.Client;
+import ridgemill.core.NodeResponse;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
-import ridgemill.core.Detour;
+import ridgemill.core.RequestForwarder;
 import ridgemill.core.Dispatcher;
 import ridgemill.core.Intake;
-import ridgemill.core.Tally;
+import ridgemill.core.RequestCounters;
 import ridgemill.core.Timers;
-import ridgemill.deadline.ClassTimes;
+import ridgemill.deadline.ClassTimings;
 import ridgemill.deadline.Deadlines;
-import ridgemill.deadline.Place;
+import ridgemill.deadline.RequestStage;
 import ridgemill.deadline.Verdict;
-import ridgemill.deadline.WayBack;
+import ridgemill.deadline.ReturnDelay;
 import ridgemill.gateway.halls.HallWire.Reply;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Log;
@@ -36,7 +36,7 @@
 import ridgemill.halls.Halls;
 import ridgemill.halls.Passing;
 import ridgemill.halls.Trail;
-import ridgemill.outcome.Known;
+import ridgemill.idempotency.IdempotencyRecord;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.Request;
@@ -46,7 +46,7 @@
  * Carries out what {@link Halls} decides: hands requests to this hall's nodes or to a link, and gives each its one final
  * answer. All of it runs on the loop.
  */
-public final class HallCrossings implements Detour<Content> {
+public final class HallCrossings implements RequestForwarder<Content> {
 
     /** The least that is kept for the other hall's answer, so that it is under way when its time there is up. */
     private static final double LEAST_ANSWER_MS = 2;
@@ -65,7 +65,7 @@
     private final Map<String, Passage> open = new HashMap<>();
     /** Where requests of other halls were, until they come through here. */
     private final Map<String, Foreign> foreign = new HashMap<>();
-    private final Tally tally = new Tally();
+    private final RequestCounters tally = new RequestCounters();
     private HallSettings settings;
     private int away;
 
@@ -85,13 +85,13 @@
         this.loop = loop;
         this.timers = timers;
         this.settings = settings;
-        this.settled = intake::settled;
+        this.settled = intake::requestFinished;
         this.deadlines = intake.deadlines();
         this.seed = seed;
         this.keys = new HallKeys(settings.security());
         this.halls = new Halls(settings.policy(), timers.now());
         this.front = new HallFront(loop, timers, intake, this, halls, keys, level);
-        intake.detour(this);
+        intake.setForwarder(this);
         dial();
     }
 
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void request(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, Client<Content> client) {
+    public void submit(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client) {
         Foreign from = foreign.remove(in.id());
         Passage passage = new Passage(home, service, in, command, client, from == null ? Trail.OWN : from.trail);
         if (from != null) {
@@ -187,7 +187,7 @@
     }
 
     @Override
-    public boolean giveUp(String id) {
+    public boolean answerNow(String id) {
         Passage passage = open.get(id);
         if (passage == null) {
             return false;
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void outcome(String key, String tenant, Consumer<Known> found) {
+    public void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found) {
         List<HallLink> asked = List.copyOf(links.values());
         if (asked.isEmpty()) {
             found.accept(null);
@@ -205,13 +205,13 @@
         }
         Set<HallLink> silent = new HashSet<>(asked);
         boolean[] told = {false};
-        Consumer<Known> tell = known -> {
+        Consumer<IdempotencyRecord> tell = known -> {
             if (!told[0]) {
                 told[0] = true;
                 found.accept(known);
             }
         };
-        timers.at(timers.now() + OUTCOME_MS, () -> tell.accept(null));
+        timers.scheduleAt(timers.now() + OUTCOME_MS, () -> tell.accept(null));
         asked.forEach(link -> link.askOutcome(key, tenant, known -> {
             silent.remove(link);
             if (known != null || silent.isEmpty()) {
@@ -221,36 +221,36 @@
     }
 
     @Override
-    public int owed() {
+    public int pendingRequests() {
         return away;
     }
 
     @Override
-    public Tally tally() {
+    public RequestCounters counters() {
         return tally;
     }
 
     /** One request on its way. */
-    private final class Passage implements Client<Content> {
+    private final class Passage implements ResponseHandler<Content> {
         private final Dispatcher<Content> home;
         private final Request in;
         private final Command<Content> command;
-        private final Client<Content> client;
+        private final ResponseHandler<Content> client;
         private final Passing passing;
         private boolean atHome;
         private boolean over;
         /** How home counted it, and its answer, which is given if nobody else has one. */
-        private Tally.End homeCounted;
+        private RequestCounters.RequestResult homeCounted;
         private Runnable homeAnswer = () -> { };
         private HallLink.Out out = () -> { };
         private boolean crossing;
         private double crossedMs;
-        private ClassTimes times;
+        private ClassTimings times;
         private Timers.Timer timer;
         private List<String> whom;
         private final Map<String, Word> words = new HashMap<>();
 
-        Passage(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, Client<Content> client,
+        Passage(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client,
                 Trail trail) {
             this.home = home;
             this.in = in;
@@ -268,7 +268,7 @@
                 Log.error("a decision between halls failed", e);
                 away += atHome ? 1 : 0;
                 atHome = false;
-                end(Tally.End.FAILED, client::failed);
+                end(RequestCounters.RequestResult.FAILED, client::failed);
             }
         }
 
@@ -280,9 +280,9 @@
             } else if (step instanceof Halls.Ask a) {
                 ask(a);
             } else if (step instanceof Halls.Refuse r) {
-                end(Tally.End.REFUSED, r.proven() ? () -> client.refused(r.retryAfterMs()) : () -> client.refusedUnproven(r.retryAfterMs()));
+                end(RequestCounters.RequestResult.REFUSED, r.proven() ? () -> client.refused(r.retryAfterMs()) : () -> client.refusedMayHaveRun(r.retryAfterMs()));
             } else if (step instanceof Halls.Fail) {
-                end(Tally.End.FAILED, client::failed);
+                end(RequestCounters.RequestResult.FAILED, client::failed);
             } else {
                 end(homeCounted, homeAnswer);
             }
@@ -292,20 +292,20 @@
             atHome = true;
             away--;
             double left = Math.max(0, passing.deadlineMs() - timers.now() - reserveMs);
-            home.request(in.withBudget(left), command, this);
+            home.submit(in.withBudget(left), command, this);
         }
 
         private void cross(Halls.Across a) {
             crossing = true;
             HallLink link = links.get(a.gateway());
             double left = link == null ? 0 : a.timeoutMs() - link.leastMs() - reserveMs(a, link);
-            times = deadlines.group("hall " + a.hall()).of(in.serviceClass());
-            if (link == null || times.mayGoOn(Place.CROSSING, timers.now(), left) != Verdict.GO || !HallWire.fits(command, in.serviceClass(), in.tenant())) {
+            times = deadlines.group("hall " + a.hall()).forClass(in.serviceClass());
+            if (link == null || times.checkStage(RequestStage.CROSSING, timers.now(), left) != Verdict.GO || !HallWire.fits(command, in.serviceClass(), in.tenant())) {
                 loop.execute(() -> crossed(Reply.of(CrossingEnd.UNSENT)));
                 return;
             }
             crossedMs = timers.now();
-            timer = timers.at(crossedMs + a.timeoutMs(), () -> {
+            timer = timers.scheduleAt(crossedMs + a.timeoutMs(), () -> {
                 out.cancel();
                 crossed(Reply.of(CrossingEnd.LOST));
             });
@@ -315,9 +315,9 @@
 
         /** What is kept for the other hall's answer: by what round trips of late exceed the least that is taken off already. */
         private double reserveMs(Halls.Across a, HallLink link) {
-            WayBack back = deadlines.hop("hall " + a.hall());
-            back.took(link.excessMs());
-            return Math.max(LEAST_ANSWER_MS, back.reserveMs(a.timeoutMs(), deadlines.policy().mostReserve()));
+            ReturnDelay back = deadlines.returnDelay("hall " + a.hall());
+            back.record(link.excessMs());
+            return Math.max(LEAST_ANSWER_MS, back.reserveMs(a.timeoutMs(), deadlines.policy().maxReserveFraction()));
         }
 
         private void crossed(Reply reply) {
@@ -330,14 +330,14 @@
             if (reply.end() == CrossingEnd.SERVED) {
                 halls.crossingEnded(now, passing, CrossingEnd.SERVED, 0, Set.of());
                 if (reply.recorded() != null) {
-                    end(Tally.End.SERVED, () -> client.recorded(reply.recorded()));
+                    end(RequestCounters.RequestResult.SERVED, () -> client.recorded(reply.recorded()));
                     return;
                 }
-                times.answered(now, now - crossedMs, false, false);
-                end(Tally.End.SERVED, () -> client.served(new Answer<>(reply.content(), Answer.NO_NOTE)));
+                times.attemptAnswered(now, now - crossedMs, false, false);
+                end(RequestCounters.RequestResult.SERVED, () -> client.served(new NodeResponse<>(reply.content(), NodeResponse.NO_CACHE_STATUS)));
             } else if (reply.conflict()) {
                 halls.crossingEnded(now, passing, CrossingEnd.REFUSED, 0, reply.beyond());
-                end(Tally.End.FAILED, client::conflict);
+                end(RequestCounters.RequestResult.FAILED, client::conflict);
             } else {
                 next(() -> halls.crossingEnded(timers.now(), passing, reply.end(), reply.retryAfterMs(), reply.beyond()));
             }
@@ -353,7 +353,7 @@
 
         private void ask(Halls.Ask a) {
             whom = a.gateways();
-            timer = timers.at(timers.now() + a.patienceMs(), this::allAsked);
+            timer = timers.scheduleAt(timers.now() + a.patienceMs(), this::allAsked);
             for (String gateway : whom) {
                 links.get(gateway).askKey(passing.key(), passing.service().deduplicationWindowMs(), word -> {
                     if (whom != null) {
@@ -385,13 +385,13 @@
             boolean proven = !mayHaveRun();
             boolean harmless = proven || passing.service().effect() == Effect.SAFE;
             letGo();
-            end(harmless ? Tally.End.REFUSED : Tally.End.FAILED, proven ? () -> client.refused(0)
-                    : harmless ? () -> client.refusedUnproven(0) : client::failed);
+            end(harmless ? RequestCounters.RequestResult.REFUSED : RequestCounters.RequestResult.FAILED, proven ? () -> client.refused(0)
+                    : harmless ? () -> client.refusedMayHaveRun(0) : client::failed);
         }
 
         void clientGone() {
             letGo();
-            end(Tally.End.GONE, () -> { });
+            end(RequestCounters.RequestResult.GONE, () -> { });
         }
 
         private void letGo() {
@@ -399,7 +399,7 @@
                 // Home counts it and gives its place back.
                 home.clientGone(in.id());
                 halls.homeEnded(timers.now(), passing, HomeEnd.GONE, false);
-                homeCounted = Tally.End.GONE;
+                homeCounted = RequestCounters.RequestResult.GONE;
                 atHome = false;
                 away++;
             } else if (whom != null) {
@@ -412,7 +412,7 @@
             }
         }
 
-        private void end(Tally.End end, Runnable answer) {
+        private void end(RequestCounters.RequestResult end, Runnable answer) {
             if (over) {
                 return;
             }
@@ -422,18 +422,18 @@
             open.remove(in.id());
             halls.over(passing);
             if (homeCounted == null) {
-                tally.took();
-                tally.ended(in.serviceClass(), end);
+                tally.requestStarted();
+                tally.requestEnded(in.serviceClass(), end);
                 settled.accept(in.serviceClass());
             } else if (homeCounted != end) {
-                tally.changed(in.serviceClass(), homeCounted, end);
+                tally.changeResult(in.serviceClass(), homeCounted, end);
             }
             answer.run();
         }
 
         // What home says.
 
-        private void homeEnded(HomeEnd end, Tally.End counted, Runnable answer) {
+        private void homeEnded(HomeEnd end, RequestCounters.RequestResult counted, Runnable answer) {
             if (over || !atHome) {
                 Log.info("halls: home answered " + in.id() + " twice");
                 return;
@@ -446,38 +446,38 @@
         }
 
         @Override
-        public void because(Reason why) {
-            client.because(why);
+        public void reason(Reason why) {
+            client.reason(why);
         }
 
         @Override
-        public void served(Answer<Content> answer) {
-            homeEnded(HomeEnd.SERVED, Tally.End.SERVED, () -> client.served(answer));
+        public void served(NodeResponse<Content> answer) {
+            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.SERVED, () -> client.served(answer));
         }
 
         @Override
         public void recorded(String call) {
-            homeEnded(HomeEnd.SERVED, Tally.End.SERVED, () -> client.recorded(call));
+            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.SERVED, () -> client.recorded(call));
         }
 
         @Override
         public void conflict() {
-            homeEnded(HomeEnd.SERVED, Tally.End.FAILED, client::conflict);
+            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.FAILED, client::conflict);
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            homeEnded(HomeEnd.REFUSED, Tally.End.REFUSED, () -> client.refused(retryAfterMs));
+            homeEnded(HomeEnd.REFUSED, RequestCounters.RequestResult.REFUSED, () -> client.refused(retryAfterMs));
         }
 
         @Override
-        public void refusedUnproven(double retryAfterMs) {
-            homeEnded(HomeEnd.UNPROVEN, Tally.End.REFUSED, () -> client.refusedUnproven(retryAfterMs));
+        public void refusedMayHaveRun(double retryAfterMs) {
+            homeEnded(HomeEnd.UNPROVEN, RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
         public void failed() {
-            homeEnded(HomeEnd.FAILED, Tally.End.FAILED, client::failed);
+            homeEnded(HomeEnd.FAILED, RequestCounters.RequestResult.FAILED, client::failed);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
@@ -28,10 +28,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
-import ridgemill.core.Answer;
-import ridgemill.core.Client;
+import ridgemill.core.NodeResponse;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.core.Timers;
 import ridgemill.gateway.halls.HallWire.WireException;
@@ -287,7 +287,7 @@
         private void outcome(Http2FrameStream stream, Http2Headers h) {
             try {
                 // What this hall's gateway knows by itself: whoever asks asks all.
-                answer(stream, HallWire.known(intake.outcome(HallWire.askedKey(h), HallWire.askedTenant(h)), timers.now()), null);
+                answer(stream, HallWire.known(intake.findLocalOutcome(HallWire.askedKey(h), HallWire.askedTenant(h)), timers.now()), null);
             } catch (WireException e) {
                 answer(stream, HallWire.turnedAway(400, false, false, 0, Set.of()), null);
             }
@@ -337,7 +337,7 @@
     }
 
     /** One request of another hall, until its answer. */
-    private final class In implements Client<Content> {
+    private final class In implements ResponseHandler<Content> {
         private final Door door;
         private final Http2FrameStream stream;
         private final Http2Headers headers;
@@ -393,21 +393,21 @@
             }
             Command<Content> command = call.command();
             String path = Targets.path(command.target());
-            Gate.Entry entry = intake.enter(new Gate.Arrival(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
+            AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
                     name -> null), call.service(), call.again(), command.content().bytes().readableBytes(), left));
-            if (entry instanceof Gate.Refuse refuse) {
-                intake.turnedAway(call.service());
+            if (entry instanceof AdmissionController.Rejected refuse) {
+                intake.countRejected(call.service());
                 turnAway(429, false, refuse.retryAfterMs());
-            } else if (entry instanceof Gate.Go go) {
-                if (go.needsKey(command.write()) && command.idempotencyKey() == null) {
-                    intake.left(go, call.id());
+            } else if (entry instanceof AdmissionController.Admitted go) {
+                if (go.requiresIdempotencyKey(command.write()) && command.idempotencyKey() == null) {
+                    intake.withdraw(go, call.id());
                     turnAway(400, false, 0);
                     return;
                 }
                 id = call.id();
                 foreign.trail = call.trail();
                 crossings.foreign(id, foreign);
-                intake.request(go, new Request(id, go.service().name(), call.tenant(), Targets.hash(path), call.workMs(), go.budgetMs(),
+                intake.submit(go, new Request(id, go.service().name(), call.tenant(), Targets.hash(path), call.workMs(), go.budgetMs(),
                         command.write(), call.again()), command, this);
             } else {
                 turnAway(400, false, 0);
@@ -445,7 +445,7 @@
         }
 
         @Override
-        public void served(Answer<Content> answer) {
+        public void served(NodeResponse<Content> answer) {
             answer(HallWire.served(answer.content()), answer.content().bytes().retain());
         }
 
@@ -465,7 +465,7 @@
         }
 
         @Override
-        public void refusedUnproven(double retryAfterMs) {
+        public void refusedMayHaveRun(double retryAfterMs) {
             turnAway(503, true, retryAfterMs);
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallLink.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallLink.java
@@ -40,7 +40,7 @@
 import ridgemill.halls.Halls.Word;
 import ridgemill.halls.Halls;
 import ridgemill.halls.LinkPulse;
-import ridgemill.outcome.Known;
+import ridgemill.idempotency.IdempotencyRecord;
 
 /**
  * One long-lived connection to a gateway of another hall, and what is out on it. It is asked for its state at short
@@ -177,7 +177,7 @@
     }
 
     /** Asks what a key came to there; {@code done} is called once with it or with null, unless the link stays silent. */
-    void askOutcome(String key, String tenant, Consumer<Known> done) {
+    void askOutcome(String key, String tenant, Consumer<IdempotencyRecord> done) {
         Connection c = current;
         if (c == null || !c.ready) {
             loop.execute(() -> done.accept(null));
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallWire.java
@@ -20,7 +20,7 @@
 import ridgemill.halls.Halls.Told;
 import ridgemill.halls.Halls.Word;
 import ridgemill.halls.Trail;
-import ridgemill.outcome.Known;
+import ridgemill.idempotency.IdempotencyRecord;
 
 /**
  * What gateways say to each other, as fields of HTTP/2 (RFC 9113, section 8): one stream for each question. Fields that
@@ -220,21 +220,21 @@
     }
 
     /** What is known of a key; null for nothing. */
-    static Http2Headers known(Known known, double nowMs) {
-        return known == null ? status(404) : status(200).set(RAN, known.state().name()).set(ID, encode(known.call()))
-                .set(AGO, number(nowMs - known.sinceMs()));
+    static Http2Headers known(IdempotencyRecord known, double nowMs) {
+        return known == null ? status(404) : status(200).set(RAN, known.state().name()).set(ID, encode(known.callId()))
+                .set(AGO, number(nowMs - known.stateSinceMs()));
     }
 
     /** Reads what a gateway knows of a key; null for nothing, and for what makes no sense. */
-    static Known known(Http2Headers h, String tenant, double nowMs) {
+    static IdempotencyRecord known(Http2Headers h, String tenant, double nowMs) {
         String call = decoded(h, ID);
         double ago = h.contains(AGO) ? number(h, AGO) : Double.NaN;
         if (!"200".equals(String.valueOf(h.status())) || call == null || Double.isNaN(ago)) {
             return null;
         }
-        for (Known.State state : Known.State.values()) {
+        for (IdempotencyRecord.State state : IdempotencyRecord.State.values()) {
             if (state.name().equals(text(h, RAN))) {
-                return new Known(state, call, tenant, 0, nowMs - ago, 0, nowMs - ago);
+                return new IdempotencyRecord(state, call, tenant, 0, nowMs - ago, 0, nowMs - ago);
             }
         }
         return null;
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -323,7 +323,7 @@
         if (timer != null) {
             timer.cancel();
         }
-        timer = Double.isInfinite(due) ? null : timers.at(Math.max(due, now + 1), this::step);
+        timer = Double.isInfinite(due) ? null : timers.scheduleAt(Math.max(due, now + 1), this::step);
     }
 
     private double attend(double now, String name, Duty duty) {
--- a/gateway/src/main/java/ridgemill/gateway/net/LogFaults.java
+++ b/gateway/src/main/java/ridgemill/gateway/net/LogFaults.java
@@ -1,19 +1,19 @@
 package ridgemill.gateway.net;
 
-import ridgemill.core.Faults;
+import ridgemill.core.FaultReporter;
 
 /** Writes a dispatcher's faults to the log. */
-public final class LogFaults implements Faults {
+public final class LogFaults implements FaultReporter {
 
     private final Log log = new Log();
 
     @Override
-    public void fault(String what, Throwable cause) {
+    public void error(String what, Throwable cause) {
         Log.error(what, cause);
     }
 
     @Override
-    public void odd(String what) {
+    public void warning(String what) {
         log.odd(what);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/net/LoopTimers.java
+++ b/gateway/src/main/java/ridgemill/gateway/net/LoopTimers.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public Timer at(double atMs, Runnable task) {
+    public Timer scheduleAt(double atMs, Runnable task) {
         Future<?> scheduled = loop.schedule(task, clock.nanosUntil(atMs), TimeUnit.NANOSECONDS);
         return () -> scheduled.cancel(false);
     }
--- a/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import ridgemill.deadline.DeadlinePolicy;
-import ridgemill.deadline.TimeSaid.Form;
+import ridgemill.deadline.ClientTimeout.Format;
 import ridgemill.gateway.front.http.HttpTerms;
 
 /** {@code [deadlines]}: how clients say how long they wait, and what is made of it. */
@@ -31,24 +31,24 @@
             return new DeadlineSettings(policy, terms);
         }).orElseGet(() -> {
             HttpTerms t = HttpTerms.PLATFORM;
-            return new DeadlineSettings(DeadlinePolicy.USUAL, new HttpTerms(t.forms(), t.unsaid(), t.halfCloseStays(), t.sideBySide(), tellsWhy));
+            return new DeadlineSettings(DeadlinePolicy.DEFAULT, new HttpTerms(t.forms(), t.unsaid(), t.halfCloseStays(), t.sideBySide(), tellsWhy));
         });
     }
 
-    private static Set<Form> forms(Section s) {
-        Set<Form> forms = EnumSet.noneOf(Form.class);
+    private static Set<Format> forms(Section s) {
+        Set<Format> forms = EnumSet.noneOf(Format.class);
         for (String name : s.texts("forms")) {
             int at = FORMS.indexOf(name);
             if (at < 0) {
                 s.problem("forms", "unknown-word", "\"" + name + "\" is none of " + String.join(", ", FORMS),
                         "did you mean \"" + Nearest.of(name, FORMS) + "\"?");
-            } else if (!forms.add(Form.values()[at])) {
+            } else if (!forms.add(Format.values()[at])) {
                 s.problem("forms", "duplicate", "\"" + name + "\" stands there twice", "leave one");
             }
         }
         if (s.has("forms") && forms.isEmpty()) {
             s.problem("forms", "missing", "names no form in which a time may be said", "name \"seconds\", or leave it out");
         }
-        return forms.isEmpty() ? EnumSet.of(Form.SECONDS) : forms;
+        return forms.isEmpty() ? EnumSet.of(Format.SECONDS) : forms;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -37,8 +37,8 @@
 import ridgemill.gateway.rollout.RolloutService;
 import ridgemill.gateway.succession.ServingMark;
 import ridgemill.limit.LoopShare;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
 import ridgemill.version.Acting;
@@ -92,7 +92,7 @@
         final OperatorGate gate;
         NodeGroups groups;
         RespFront resp;
-        Outcomes outcomes;
+        IdempotencyRecords outcomes;
 
         Seat(Service service, OperatorGate gate) {
             this.service = service;
@@ -106,7 +106,7 @@
 
         /** On the loop, as what follows. */
         void deadlines(DeadlineSettings next) {
-            service.intake().deadlines().changeTo(next.policy());
+            service.intake().deadlines().setPolicy(next.policy());
             service.terms(next.terms());
             if (resp != null) {
                 resp.halfCloseStays(next.terms().halfCloseStays());
@@ -117,10 +117,10 @@
         /** A record that was begun goes on, whatever a later file says of its size: what it knows would be lost else. */
         void outcomes(OutcomeSettings next) {
             if (next != null && outcomes == null) {
-                outcomes = new Outcomes(new MemoryOutcomes(next.most()), next.keepMs());
+                outcomes = new IdempotencyRecords(new InMemoryIdempotencyStore(next.most()), next.keepMs());
                 service.record(outcomes);
             } else if (next != null) {
-                outcomes.keep(next.keepMs());
+                outcomes.setRetentionMs(next.keepMs());
             }
         }
 
@@ -205,7 +205,7 @@
             seat.between(() -> {
                 seat.groups = new NodeGroups(seat.service, config.settings(), config.seed(), clock, leases);
                 seat.groups.take(holds.groups(), holds.eureka());
-                seat.service.intake().classes(seat.gate.classes());
+                seat.service.intake().updateClasses(seat.gate.classes());
                 seat.service.clients().keepIdle(holds.process().idleMs());
                 seat.deadlines(holds.deadlines());
                 seat.outcomes(holds.outcomes());
@@ -276,7 +276,7 @@
             if (holds.audit().directory() != null) {
                 audit.keepIn(holds.audit().directory(), holds.audit().fileBytes());
             }
-            service.intake().acts(audit.record());
+            service.intake().setVersionTracker(audit.record());
             service.onFleet(audit::heard);
             service.moreFigures(audit::figures);
         });
@@ -299,7 +299,7 @@
     /** On the loop: takes part in rolls, and steps aside where it lags. */
     private void beginRollout(String shared) {
         Service service = service();
-        rollout = new RolloutService(service.loop(), leases, audit, service.intake()::tally, holds.rollout(),
+        rollout = new RolloutService(service.loop(), leases, audit, service.intake()::counters, holds.rollout(),
                 config.peers().stream().map(LeaseSettings::number).toList(), config.settings().proxyIndex(), rolled);
         rollout.actsUnder(RolledFile.stamp(holds, shared), shared);
         seats.get(0).gate.aside(rollout::isOut);
@@ -596,9 +596,9 @@
         }
         seat.groups.take(next.groups(), next.eureka());
         seat.gate.changeTo(next, clock.now());
-        seat.service.intake().classes(seat.gate.classes());
+        seat.service.intake().updateClasses(seat.gate.classes());
         // Those in line came under the old file and would be decided under the new one.
-        seat.service.intake().turnAwayIf(seat.gate::isOutdated);
+        seat.service.intake().rejectQueuedIf(seat.gate::isOutdated);
         seat.groups.drop(next.groups());
         seat.passwords(next);
         seat.service.clients().keepIdle(next.process().idleMs());
@@ -671,9 +671,9 @@
         List<String> lines = new ArrayList<>();
         for (Seat seat : seats) {
             seat.between(() -> {
-                seat.service.intake().deadlines().explain().forEach((name, value) -> lines.add(name + "=" + value));
+                seat.service.intake().deadlines().metrics().forEach((name, value) -> lines.add(name + "=" + value));
                 if (seat.outcomes != null) {
-                    lines.add(seat.outcomes.explain());
+                    lines.add(seat.outcomes.summary());
                 }
             });
         }
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import ridgemill.serviceclass.ServiceClassPolicy;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.gateway.operator.OperatorConfig.Resolved;
 import ridgemill.gateway.operator.OperatorConfig.Target;
@@ -23,7 +23,7 @@
  * which are turned away. A request that went on keeps the class that it was given, whatever file comes next. Used on the
  * loop alone.
  */
-public final class OperatorGate implements Gate {
+public final class OperatorGate implements AdmissionController {
 
     /** When one that is turned away as this proxy has stepped aside may come back; another proxy may take it at once. */
     private static final double ASIDE_BACK_MS = 1000;
@@ -76,48 +76,48 @@
     }
 
     @Override
-    public Entry enter(double nowMs, Arrival a) {
+    public Decision admit(double nowMs, AdmissionRequest a) {
         if (aside.getAsBoolean()) {
-            return new Refuse("shut-out", ASIDE_BACK_MS);
+            return new Rejected("shut-out", ASIDE_BACK_MS);
         }
-        Resolved got = config.resolve(a.query(), a.named());
+        Resolved got = config.resolve(a.query(), a.requestedClass());
         ServiceClass service = got.service() == null ? null : classes.get(got.service());
         if (service == null) {
-            return new Unfit(Reason.UNKNOWN_CLASS);
+            return new Invalid(InvalidReason.UNKNOWN_CLASS);
         }
         ServiceClassPolicy policy = got.policy().orElse(null);
         if (policy != null && a.bodyBytes() > policy.maxBodyBytes()) {
-            return new Unfit(Reason.TOO_LARGE);
+            return new Invalid(InvalidReason.TOO_LARGE);
         }
         double budgetMs = Math.min(a.budgetMs(), service.deadlineMs());
-        String group = got.route().map(Route::target).map(Target::group).orElse(Intake.PLATFORM);
+        String group = got.route().map(Route::target).map(Target::group).orElse(Intake.PLATFORM_GROUP);
         Limiter.Verdict verdict = limiter.admit(nowMs, a.id(), a.query().tenant(), service.name(), a.retry());
         if (verdict instanceof Limiter.Refused refused) {
-            return new Refuse(refused.reason().name(), refused.retryAfterMs());
+            return new Rejected(refused.reason().name(), refused.retryAfterMs());
         }
         return verdict instanceof Limiter.Queued queued
-                ? new Go(service, budgetMs, group, queued.waitMs(), queued.displaced())
-                : new Go(service, budgetMs, group, 0, null);
+                ? new Admitted(service, budgetMs, group, queued.waitMs(), queued.displaced())
+                : new Admitted(service, budgetMs, group, 0, null);
     }
 
     /** Whether a request that waits in line came under what no longer holds: its class or its group is another now. */
-    boolean isOutdated(Go go) {
+    boolean isOutdated(Admitted go) {
         return !go.service().equals(classes.get(go.service().name()))
-                || !go.group().equals(Intake.PLATFORM) && !config.groups().containsKey(go.group());
+                || !go.group().equals(Intake.PLATFORM_GROUP) && !config.groups().containsKey(go.group());
     }
 
     @Override
-    public void ended(double nowMs, String service) {
+    public void requestEnded(double nowMs, String service) {
         limiter.ended(nowMs, service);
     }
 
     @Override
-    public String next() {
+    public String nextQueued() {
         return limiter.next();
     }
 
     @Override
-    public double withdrawn(double nowMs, String id) {
+    public double withdraw(double nowMs, String id) {
         return limiter.withdrawn(nowMs, id);
     }
 
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public int connectionsPerClient() {
+    public int maxConnectionsPerClient() {
         return config.limits().connectionsPerClient();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import ridgemill.core.Tally;
+import ridgemill.core.RequestCounters;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.net.Log;
@@ -55,7 +55,7 @@
     private final EventLoop loop;
     private final LeaseService leases;
     private final AuditService audit;
-    private final Supplier<Tally> tally;
+    private final Supplier<RequestCounters> tally;
     private final Files files;
     private final Roll roll;
     private final Aside aside;
@@ -65,7 +65,7 @@
     private long changes;
 
     /** {@code members} are the lease's numbers of all proxies, in the order of the platform's peers; {@code self} is this one's place. */
-    public RolloutService(EventLoop loop, LeaseService leases, AuditService audit, Supplier<Tally> tally, RolloutSettings settings, List<Integer> members,
+    public RolloutService(EventLoop loop, LeaseService leases, AuditService audit, Supplier<RequestCounters> tally, RolloutSettings settings, List<Integer> members,
                           int self, Files files) {
         this.loop = loop;
         this.leases = leases;
@@ -181,7 +181,7 @@
 
     @Override
     public Roll.Counts counts() {
-        Tally t = tally.get();
+        RequestCounters t = tally.get();
         return new Roll.Counts((int) t.served(), (int) (t.served() + t.refused() + t.failed()));
     }
 
--- a/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ridgemill.deadline.TimeSaid.Form;
+import ridgemill.deadline.ClientTimeout.Format;
 import ridgemill.gateway.front.http.HttpTerms;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
@@ -36,7 +36,7 @@
     }
 
     private static HttpTerms sideBySide(boolean halfCloseStays) {
-        return new HttpTerms(Set.of(Form.SECONDS, Form.GRPC), false, halfCloseStays, 4);
+        return new HttpTerms(Set.of(Format.SECONDS, Format.GRPC), false, halfCloseStays, 4);
     }
 
     @AfterEach
@@ -226,7 +226,7 @@
     }
 
     private void record() {
-        site.service.between(() -> site.service.record(new Outcomes(new MemoryOutcomes(100), 60_000)));
+        site.service.between(() -> site.service.record(new IdempotencyRecords(new InMemoryIdempotencyStore(100), 60_000)));
     }
 
     private static String outcome(Peer.Wire wire, String key) throws Exception {
@@ -260,7 +260,7 @@
 
     @Test
     void anAnswerSaysWhyWhereTheFileSaysSo() throws Exception {
-        start(new HttpTerms(Set.of(Form.SECONDS), false, false, 1, true));
+        start(new HttpTerms(Set.of(Format.SECONDS), false, false, 1, true));
         site.router.onRequest = (request, out) -> {
             out.reportReason(request.id(), Reason.CROWDED);
             out.refuse(request.id(), 0);
--- a/gateway/src/test/java/ridgemill/gateway/LargeAnswersTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/LargeAnswersTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import ridgemill.flow.AnswerPace;
+import ridgemill.flow.ResponseStallDetector;
 
 /** Answers larger than what is held whole go on as they come, unchanged, and a broken one shows as such. */
 @Timeout(Peer.PATIENCE_S)
@@ -134,7 +134,7 @@
             Socket node = node().socket();
             answer(node, Framing.LENGTH, value, 0, 1000);
             WireBody reader = new WireBody(client.socket().getInputStream());
-            TimeUnit.MILLISECONDS.sleep((long) (AnswerPace.HELD_MS + 4 * AnswerPace.LOOK_MS));
+            TimeUnit.MILLISECONDS.sleep((long) (ResponseStallDetector.BUFFERED_LIMIT_MS + 4 * ResponseStallDetector.CHECK_INTERVAL_MS));
             answer(node, Framing.LENGTH, value, 1000, LARGE);
             assertArrayEquals(value, reader.body());
         }
--- a/gateway/src/test/java/ridgemill/gateway/RoomTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/RoomTest.java
@@ -8,7 +8,7 @@
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import org.junit.jupiter.api.Test;
-import ridgemill.connections.RoomCalls;
+import ridgemill.connections.ConnectionReleaseRequests;
 import ridgemill.policy.Router.Outcome;
 
 /** A node that takes no more connections: who is turned away says so, and who keeps an idle one there gives it up. */
@@ -28,7 +28,7 @@
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(503, "", "X-Rejected: 1");
             assertEquals(Outcome.NO_PLACE, Scripted.next(site.router.ends).outcome());
-            assertTrue(RoomCalls.isFor(PeersTest.receive(peer), "c0"));
+            assertTrue(ConnectionReleaseRequests.isForNode(PeersTest.receive(peer), "c0"));
         }
     }
 
@@ -38,7 +38,7 @@
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(200, "v");
             assertEquals(Outcome.OK, Scripted.next(site.router.ends).outcome());
-            byte[] call = new RoomCalls().noPlace("c0", 0);
+            byte[] call = new ConnectionReleaseRequests().connectionRejected("c0", 0);
             // Called for until it has been idle for long enough; nothing else would close it for 45 s.
             Thread calls = new Thread(() -> {
                 try {
--- a/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import ridgemill.serviceclass.PlatformConstraints;
-import ridgemill.core.Gate.Arrival;
-import ridgemill.core.Gate.Entry;
-import ridgemill.core.Gate.Go;
-import ridgemill.core.Gate.Reason;
-import ridgemill.core.Gate.Refuse;
-import ridgemill.core.Gate.Unfit;
+import ridgemill.core.AdmissionController.AdmissionRequest;
+import ridgemill.core.AdmissionController.Decision;
+import ridgemill.core.AdmissionController.Admitted;
+import ridgemill.core.AdmissionController.InvalidReason;
+import ridgemill.core.AdmissionController.Rejected;
+import ridgemill.core.AdmissionController.Invalid;
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.PlatformLimits;
@@ -59,12 +59,12 @@
         return OperatorFile.parse("f.toml", text, PlatformConstraints.of(SETTINGS));
     }
 
-    private static Arrival arrival(String path, String named, long bytes, double budget) {
-        return new Arrival("id", new RouteQuery("GET", path, "t"), named, false, bytes, budget);
+    private static AdmissionRequest arrival(String path, String named, long bytes, double budget) {
+        return new AdmissionRequest("id", new RouteQuery("GET", path, "t"), named, false, bytes, budget);
     }
 
-    private static Go go(Entry entry) {
-        return assertInstanceOf(Go.class, entry);
+    private static Admitted go(Decision entry) {
+        return assertInstanceOf(Admitted.class, entry);
     }
 
     /** Nothing of a limit's fill is taken by what is turned away for that. */
@@ -74,48 +74,48 @@
         boolean[] aside = {true};
         gate.aside(() -> aside[0]);
         for (int i = 0; i < 5; i++) {
-            assertEquals("shut-out", assertInstanceOf(Refuse.class, gate.enter(NOW, arrival("/api/m1", "read", 0, 1000))).limit());
+            assertEquals("shut-out", assertInstanceOf(Rejected.class, gate.admit(NOW, arrival("/api/m1", "read", 0, 1000))).limit());
         }
         aside[0] = false;
-        assertEquals("read", go(gate.enter(NOW, arrival("/api/m1", "read", 0, 1000))).service().name());
+        assertEquals("read", go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000))).service().name());
     }
 
     @Test
     void theRouteNamesTheClassOrElseTheRequest() throws Exception {
         OperatorGate gate = new OperatorGate(SETTINGS, config(FILE), NOW);
-        assertEquals("night", go(gate.enter(NOW, arrival("/api/night/m1", "read", 0, 1000))).service().name());
-        Go read = go(gate.enter(NOW, arrival("/api/m1", "read", 0, 1000)));
+        assertEquals("night", go(gate.admit(NOW, arrival("/api/night/m1", "read", 0, 1000))).service().name());
+        Admitted read = go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)));
         assertEquals("read", read.service().name());
         assertEquals(800, read.budgetMs(), "no more than the class's total");
-        assertEquals(300, go(gate.enter(NOW, arrival("/api/m1", "read", 0, 300))).budgetMs());
+        assertEquals(300, go(gate.admit(NOW, arrival("/api/m1", "read", 0, 300))).budgetMs());
         assertEquals(2, read.service().retry().maxAttempts());
         assertEquals(200, read.service().retry().attemptTimeoutMs());
         assertEquals(400, read.service().targetLatencyMs());
-        assertEquals("pay", go(gate.enter(NOW, arrival("/api/m1", "pay", 0, 1000))).service().name(),
+        assertEquals("pay", go(gate.admit(NOW, arrival("/api/m1", "pay", 0, 1000))).service().name(),
                 "a class of the platform's that the file does not name holds as it is");
     }
 
     @Test
     void whatNobodyCouldServeIsUnfit() throws Exception {
         OperatorGate gate = new OperatorGate(SETTINGS, config(FILE), NOW);
-        assertEquals(new Unfit(Reason.UNKNOWN_CLASS), gate.enter(NOW, arrival("/api/m1", "nope", 0, 1000)));
-        assertEquals(new Unfit(Reason.UNKNOWN_CLASS), gate.enter(NOW, arrival("/api/m1", null, 0, 1000)));
-        assertEquals(new Unfit(Reason.TOO_LARGE), gate.enter(NOW, arrival("/api/m1", "read", 1025, 1000)));
-        go(gate.enter(NOW, arrival("/api/m1", "read", 1024, 1000)));
+        assertEquals(new Invalid(InvalidReason.UNKNOWN_CLASS), gate.admit(NOW, arrival("/api/m1", "nope", 0, 1000)));
+        assertEquals(new Invalid(InvalidReason.UNKNOWN_CLASS), gate.admit(NOW, arrival("/api/m1", null, 0, 1000)));
+        assertEquals(new Invalid(InvalidReason.TOO_LARGE), gate.admit(NOW, arrival("/api/m1", "read", 1025, 1000)));
+        go(gate.admit(NOW, arrival("/api/m1", "read", 1024, 1000)));
     }
 
     @Test
     void aLimitRefusesWithItsTimeAndAnEndMakesRoom() throws Exception {
         OperatorGate gate = new OperatorGate(SETTINGS, config(FILE), NOW);
-        go(gate.enter(NOW, arrival("/api/m1", "read", 0, 1000)));
-        go(gate.enter(NOW, arrival("/api/m1", "read", 0, 1000)));
-        assertEquals("CLASS_IN_FLIGHT", assertInstanceOf(Refuse.class, gate.enter(NOW, arrival("/api/m1", "read", 0, 1000)))
+        go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)));
+        go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)));
+        assertEquals("CLASS_IN_FLIGHT", assertInstanceOf(Rejected.class, gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)))
                 .limit());
-        gate.ended(NOW, "read");
-        Refuse rate = assertInstanceOf(Refuse.class, gate.enter(NOW, arrival("/api/m1", "read", 0, 1000)));
+        gate.requestEnded(NOW, "read");
+        Rejected rate = assertInstanceOf(Rejected.class, gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)));
         assertEquals("CLASS_RATE", rate.limit());
         assertEquals(1000, rate.retryAfterMs(), 1e-6);
-        go(gate.enter(NOW + 1000, arrival("/api/m1", "read", 0, 1000)));
+        go(gate.admit(NOW + 1000, arrival("/api/m1", "read", 0, 1000)));
     }
 
     @Test
@@ -144,7 +144,7 @@
         Map<String, Double> totals = Map.of("a", 100.0, "b", 200.0);
         for (int i = 0; i < 100; i++) {
             gate.changeTo(i % 2 == 0 ? b : a, NOW + i);
-            Go go = go(gate.enter(NOW + i, arrival("/api/m1", "read", 10, 1000)));
+            Admitted go = go(gate.admit(NOW + i, arrival("/api/m1", "read", 10, 1000)));
             assertEquals(i % 2 == 0 ? "b" : "a", go.service().name());
             assertEquals(totals.get(go.service().name()), go.budgetMs());
             assertEquals(go.service().name().equals("a") ? Effect.SAFE : Effect.UNSAFE, go.service().effect());
--- a/lab/src/main/java/ridgemill/lab/DeadlinesMeasured.java
+++ b/lab/src/main/java/ridgemill/lab/DeadlinesMeasured.java
@@ -18,8 +18,8 @@
 import ridgemill.gateway.operator.Operated;
 import ridgemill.lab.TwoHalls.Hall;
 import ridgemill.lab.TwoHalls.Plan;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.BalancingRouter;
 import ridgemill.testbed.Protocol;
 import ridgemill.testbed.Reservation;
@@ -114,15 +114,15 @@
     /** What the record of outcomes takes, by the heap before and after it is filled. */
     private static void record() {
         int most = 200_000;
-        MemoryOutcomes kept = new MemoryOutcomes(most);
-        Outcomes outcomes = new Outcomes(kept, 600_000);
+        InMemoryIdempotencyStore kept = new InMemoryIdempotencyStore(most);
+        IdempotencyRecords outcomes = new IdempotencyRecords(kept, 600_000);
         long before = used();
         long start = System.nanoTime();
         for (int i = 0; i < most; i++) {
             String key = "credit-2026-" + (100_000_000 + i);
             String call = "q" + Long.toHexString(0x100000000L + i);
-            outcomes.ask(i / 100.0, key, call, "bagmati-bijuli", i, 6000);
-            outcomes.ended(i / 100.0, key, call, Outcomes.End.SERVED);
+            outcomes.begin(i / 100.0, key, call, "bagmati-bijuli", i, 6000);
+            outcomes.callEnded(i / 100.0, key, call, IdempotencyRecords.CallResult.SERVED);
         }
         double micros = (System.nanoTime() - start) / 1e3 / most;
         System.out.printf(Locale.ROOT, "record: %.0f bytes an outcome, keys and ids of 21 and 10 characters counted, %.2f us to take and end one "
--- a/lab/src/test/java/ridgemill/lab/BeforeClientsTest.java
+++ b/lab/src/test/java/ridgemill/lab/BeforeClientsTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ridgemill.core.PlatformGate;
+import ridgemill.core.PlatformAdmissionController;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.Service;
 import ridgemill.policy.BalancingRouter;
@@ -28,7 +28,7 @@
             Config config = Config.parse(ProxyConfig.of("p0", 0, 1, port.address(), bed.place("p0"), LoadProfile.USUAL, NodeProfile.CACHE, null,
                     List.of(), 5).toString(), Map.of());
             List<Service> before = new ArrayList<>();
-            Service service = Service.start(config, new BalancingRouter(config.settings(), 5), new PlatformGate(config.settings()), s -> {
+            Service service = Service.start(config, new BalancingRouter(config.settings(), 5), new PlatformAdmissionController(config.settings()), s -> {
                 before.add(s);
                 assertThrows(ConnectException.class, () -> connect(port));
             });
