--- a/core/src/main/java/ridgemill/halls/RepeatLedger.java
+++ b/core/src/main/java/ridgemill/datacenter/IdempotencyKeyTable.java
@@ -1,4 +1,4 @@
-package ridgemill.halls;
+package ridgemill.datacenter;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -15,29 +15,29 @@
  * repeat that comes too late must be told from a key that is new. Bounded; what does not fit is said, and the write then
  * must stay at home.
  */
-final class RepeatLedger {
+final class IdempotencyKeyTable {
 
     /** So much longer than nodes remember. */
-    private static final double TIMES = 2;
-    private static final int MOST = 200_000;
+    private static final double RETENTION_WINDOWS = 2;
+    private static final int MAX_ENTRIES = 200_000;
 
     /**
      * Where a key may have run, since when, and for how long the nodes there drop its repeats; or, for a fence, which hall
      * was told that it does not run here.
      */
-    record Entry(String hall, double firstMs, double windowMs, boolean fence) {
+    record Entry(String datacenter, double firstMs, double windowMs, boolean fence) {
 
         /** Whether a repeat that arrives by then is dropped. */
-        boolean drops(double atMs) {
+        boolean dropsDuplicateAt(double atMs) {
             return atMs < firstMs + windowMs;
         }
     }
 
-    private record Due(double atMs, String key, Entry entry) { }
+    private record Expiration(double atMs, String key, Entry entry) { }
 
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Deque<Due> due = new ArrayDeque<>();
-    private final Set<String> asking = new HashSet<>();
+    private final Deque<Expiration> expirations = new ArrayDeque<>();
+    private final Set<String> pendingQueries = new HashSet<>();
 
     /** Where the key may have run; null where nothing is known of it. */
     Entry find(double nowMs, String key) {
@@ -46,10 +46,10 @@
     }
 
     /** The key goes to a hall; null where it can't be remembered. The first time counts, as with the nodes. */
-    Entry note(double nowMs, String key, String hall, double firstMs, double windowMs) {
+    Entry recordRun(double nowMs, String key, String hall, double firstMs, double windowMs) {
         expire(nowMs);
         Entry known = entries.get(key);
-        return known != null && !known.fence() && known.hall().equals(hall) ? known
+        return known != null && !known.fence() && known.datacenter().equals(hall) ? known
                 : put(nowMs, key, new Entry(hall, firstMs, windowMs, false), windowMs);
     }
 
@@ -60,11 +60,11 @@
     }
 
     private Entry put(double nowMs, String key, Entry next, double windowMs) {
-        if (!entries.containsKey(key) && entries.size() >= MOST) {
+        if (!entries.containsKey(key) && entries.size() >= MAX_ENTRIES) {
             return null;
         }
         entries.put(key, next);
-        due.addLast(new Due(nowMs + TIMES * windowMs, key, next));
+        expirations.addLast(new Expiration(nowMs + RETENTION_WINDOWS * windowMs, key, next));
         return next;
     }
 
@@ -74,16 +74,16 @@
     }
 
     /** This gateway asks others about the key, or has its answer. */
-    void asking(String key, boolean begins) {
+    void setQueryPending(String key, boolean begins) {
         if (begins) {
-            asking.add(key);
+            pendingQueries.add(key);
         } else {
-            asking.remove(key);
+            pendingQueries.remove(key);
         }
     }
 
-    boolean isAsking(String key) {
-        return asking.contains(key);
+    boolean isQueryPending(String key) {
+        return pendingQueries.contains(key);
     }
 
     int size() {
@@ -91,8 +91,8 @@
     }
 
     private void expire(double nowMs) {
-        while (!due.isEmpty() && due.peekFirst().atMs() <= nowMs) {
-            Due d = due.removeFirst();
+        while (!expirations.isEmpty() && expirations.peekFirst().atMs() <= nowMs) {
+            Expiration d = expirations.removeFirst();
             entries.remove(d.key(), d.entry());
         }
     }
--- /dev/null
+++ b/core/src/main/java/ridgemill/datacenter/RemoteRequestLimit.java
@@ -0,0 +1,72 @@
+package ridgemill.datacenter;
+
+/**
+ * How many requests of other halls may be open here at once. This hall's own clients come first: the share grows only
+ * while they are served as usual, and is halved as soon as they are not, down to nothing while it goes on.
+ */
+final class RemoteRequestLimit {
+
+    private static final double INITIAL_LIMIT = 8;
+    private static final double WINDOW_MS = 1000;
+    private static final int MIN_SAMPLES = 10;
+    /** Own requests that are not served, above what is usual here, at which others make room and may take it. */
+    private static final double MAX_FAILURE_INCREASE = 0.02;
+    private static final double DECREASE_INTERVAL_MS = 250;
+    private static final double INCREASE_INTERVAL_MS = 100;
+    /** How slowly the usual part is learned while nobody else's requests are here, per outcome. */
+    private static final double BASELINE_WEIGHT = 0.01;
+
+    private final int maxLimit;
+    private final OutcomeWindow localOutcomes = new OutcomeWindow(WINDOW_MS);
+    private double baselineFailureRatio;
+    private double limit;
+    private int open;
+    private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
+    private double lastIncreaseMs = Double.NEGATIVE_INFINITY;
+
+    RemoteRequestLimit(int most) {
+        this.maxLimit = most;
+        this.limit = Math.min(INITIAL_LIMIT, most);
+    }
+
+    /** One of this hall's own clients was served or not. */
+    void recordLocalOutcome(double nowMs, boolean served) {
+        localOutcomes.add(nowMs, served);
+        if (open == 0) {
+            baselineFailureRatio += BASELINE_WEIGHT * ((served ? 0 : 1) - baselineFailureRatio);
+        }
+        if (isDegraded(nowMs) && nowMs - lastDecreaseMs >= DECREASE_INTERVAL_MS) {
+            lastDecreaseMs = nowMs;
+            limit = limit < 1 ? 0 : limit / 2;
+        }
+    }
+
+    private boolean isDegraded(double nowMs) {
+        return localOutcomes.total(nowMs) >= MIN_SAMPLES && localOutcomes.failureRatio(nowMs) > Math.min(0.5, baselineFailureRatio) + MAX_FAILURE_INCREASE;
+    }
+
+    /** Whether one more may come in now; if so it is open until {@link #release}. */
+    boolean tryAdmit(double nowMs) {
+        if (!isDegraded(nowMs) && nowMs - lastIncreaseMs >= INCREASE_INTERVAL_MS && open + 1 >= limit) {
+            lastIncreaseMs = nowMs;
+            limit = Math.min(maxLimit, Math.max(1, limit * 1.1 + 0.5));
+        }
+        if (open >= Math.floor(limit)) {
+            return false;
+        }
+        open++;
+        return true;
+    }
+
+    void release() {
+        open--;
+    }
+
+    int open() {
+        return open;
+    }
+
+    int limit() {
+        return (int) Math.floor(limit);
+    }
+}
--- a/core/src/main/java/ridgemill/halls/TransitClock.java
+++ b/core/src/main/java/ridgemill/datacenter/TransitDelayEstimator.java
@@ -1,4 +1,4 @@
-package ridgemill.halls;
+package ridgemill.datacenter;
 
 /**
  * How long messages of one connection were on their way beyond the least that any of them took, from the sender's stamps
@@ -6,13 +6,13 @@
  * section 3.4.2). A message that a stall held back for 10 s is seen to be 10 s old. The least is kept for some minutes and
  * not for ever, since two clocks drift.
  */
-public final class TransitClock {
+public final class TransitDelayEstimator {
 
     private static final double WINDOW_MS = 120_000;
 
-    private double least = Double.POSITIVE_INFINITY;
-    private double before = Double.POSITIVE_INFINITY;
-    private double turnedAt = Double.NEGATIVE_INFINITY;
+    private double minDifference = Double.POSITIVE_INFINITY;
+    private double previousMinDifference = Double.POSITIVE_INFINITY;
+    private double windowStartMs = Double.NEGATIVE_INFINITY;
 
     /**
      * A message has come.
@@ -23,12 +23,12 @@
      */
     public double excessMs(double stampMs, double nowMs) {
         double d = nowMs - stampMs;
-        if (nowMs - turnedAt > WINDOW_MS) {
-            before = least;
-            least = d;
-            turnedAt = nowMs;
+        if (nowMs - windowStartMs > WINDOW_MS) {
+            previousMinDifference = minDifference;
+            minDifference = d;
+            windowStartMs = nowMs;
         }
-        least = Math.min(least, d);
-        return Math.max(0, d - Math.min(least, before));
+        minDifference = Math.min(minDifference, d);
+        return Math.max(0, d - Math.min(minDifference, previousMinDifference));
     }
 }
--- a/core/src/main/java/ridgemill/limit/FairQueue.java
+++ b/core/src/main/java/ridgemill/limit/FairQueue.java
@@ -18,13 +18,13 @@
 final class FairQueue {
 
     /** What became of one that asked for a place. */
-    enum Place { TAKEN, FULL }
+    enum OfferResult { ACCEPTED, FULL }
 
-    private static final class Line {
+    private static final class TenantQueue {
         final Deque<String> ids = new ArrayDeque<>();
     }
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, TenantQueue> queues = new LinkedHashMap<>();
     private final Map<String, String> tenants = new HashMap<>();
     private String displaced;
 
@@ -43,20 +43,20 @@
      * @param id of the request, not in line yet
      * @param tenant whose it is; the empty text where it names none
      */
-    Place offer(String id, String tenant, int capacity) {
+    OfferResult offer(String id, String tenant, int capacity) {
         displaced = null;
         if (tenants.size() >= capacity) {
-            String longest = longest();
-            int own = lines.containsKey(tenant) ? lines.get(tenant).ids.size() : 0;
-            if (longest == null || lines.get(longest).ids.size() <= own + 1) {
-                return Place.FULL;
+            String longest = longestQueue();
+            int own = queues.containsKey(tenant) ? queues.get(tenant).ids.size() : 0;
+            if (longest == null || queues.get(longest).ids.size() <= own + 1) {
+                return OfferResult.FULL;
             }
-            displaced = lines.get(longest).ids.peekLast();
+            displaced = queues.get(longest).ids.peekLast();
             remove(displaced);
         }
-        lines.computeIfAbsent(tenant, t -> new Line()).ids.addLast(id);
+        queues.computeIfAbsent(tenant, t -> new TenantQueue()).ids.addLast(id);
         tenants.put(id, tenant);
-        return Place.TAKEN;
+        return OfferResult.ACCEPTED;
     }
 
     /** Who lost its place to the last that was offered; null if nobody did. */
@@ -66,18 +66,18 @@
 
     /** Takes out the one whose turn it is; null where nobody waits. */
     String poll() {
-        Iterator<Map.Entry<String, Line>> first = lines.entrySet().iterator();
+        Iterator<Map.Entry<String, TenantQueue>> first = queues.entrySet().iterator();
         if (!first.hasNext()) {
             return null;
         }
-        Map.Entry<String, Line> turn = first.next();
+        Map.Entry<String, TenantQueue> turn = first.next();
         String tenant = turn.getKey();
-        Line line = turn.getValue();
+        TenantQueue line = turn.getValue();
         first.remove();
         String id = line.ids.pollFirst();
         tenants.remove(id);
         if (!line.ids.isEmpty()) {
-            lines.put(tenant, line);
+            queues.put(tenant, line);
         }
         return id;
     }
@@ -88,18 +88,18 @@
         if (tenant == null) {
             return false;
         }
-        Line line = lines.get(tenant);
+        TenantQueue line = queues.get(tenant);
         line.ids.remove(id);
         if (line.ids.isEmpty()) {
-            lines.remove(tenant);
+            queues.remove(tenant);
         }
         return true;
     }
 
-    private String longest() {
+    private String longestQueue() {
         String longest = null;
         int most = 0;
-        for (Map.Entry<String, Line> e : lines.entrySet()) {
+        for (Map.Entry<String, TenantQueue> e : queues.entrySet()) {
             if (e.getValue().ids.size() > most) {
                 most = e.getValue().ids.size();
                 longest = e.getKey();
--- a/core/src/main/java/ridgemill/limit/Shared.java
+++ b/core/src/main/java/ridgemill/limit/LimitKey.java
@@ -6,7 +6,7 @@
  * @param kind what it bounds
  * @param name of the class or tenant; empty where the kind has but one
  */
-public record Shared(Kind kind, String name) {
+public record LimitKey(Kind kind, String name) {
 
     /** What a limit bounds. */
     public enum Kind {
@@ -28,10 +28,10 @@
     }
 
     /** The one limit on all requests in flight. */
-    public static final Shared ALL_IN_FLIGHT = new Shared(Kind.IN_FLIGHT, "");
+    public static final LimitKey ALL_IN_FLIGHT = new LimitKey(Kind.IN_FLIGHT, "");
 
     /** What a whole of limits says of it: how many at once; 0 where it says nothing. */
-    static int count(Limits limits, Shared key) {
+    static int inFlightLimit(Limits limits, LimitKey key) {
         return switch (key.kind()) {
             case IN_FLIGHT -> limits.inFlight();
             case CLASS_IN_FLIGHT -> limits.classInFlight().getOrDefault(key.name(), 0);
@@ -40,22 +40,22 @@
     }
 
     /** What a whole of limits says of it: at which rate; null where it says nothing. */
-    static Rate rate(Limits limits, Shared key) {
+    static Rate rate(Limits limits, LimitKey key) {
         return switch (key.kind()) {
             case CLASS_RATE -> limits.classRate().get(key.name());
             case TENANT_RATE -> limits.tenantRate().get(key.name());
-            case UNKNOWN_TENANT -> limits.tenantRate().containsKey(key.name()) ? null : limits.unknownTenant();
+            case UNKNOWN_TENANT -> limits.tenantRate().containsKey(key.name()) ? null : limits.unknownTenantRate();
             default -> null;
         };
     }
 
     /** What a loop has of a count before anybody lent it more or less. */
-    static int firstCount(int whole, int loop, int loops) {
+    static int evenCount(int whole, int loop, int loops) {
         return whole / loops + (loop < whole % loops ? 1 : 0);
     }
 
     /** What a loop has of a rate when it has this part of it. */
-    static Rate part(Rate whole, double part) {
+    static Rate fractionOf(Rate whole, double part) {
         // A bucket that holds less than one lets nobody through; so a burst below the loops' number grows to it.
         return new Rate(whole.perSecond() * part, Math.max(1, whole.burst() * part));
     }
--- a/core/src/main/java/ridgemill/limit/Limiter.java
+++ b/core/src/main/java/ridgemill/limit/Limiter.java
@@ -10,11 +10,11 @@
 public final class Limiter {
 
     /** How long room takes to come where no answer has been seen to make any. */
-    private static final double FIRST_GAP_MS = 50;
+    private static final double INITIAL_RELEASE_INTERVAL_MS = 50;
     /** What one gap between two answers counts for against those before it. */
-    private static final double GAP_PART = 0.1;
+    private static final double RELEASE_INTERVAL_WEIGHT = 0.1;
     /** Nobody is told to come back later than this for want of room: what was measured may be long past. */
-    private static final double MOST_ROOM_MS = 5000;
+    private static final double MAX_RETRY_AFTER_MS = 5000;
 
     /** Which limit refuses. */
     public enum Reason { IN_FLIGHT, QUEUE_FULL, CLASS_IN_FLIGHT, CLASS_RATE, TENANT_RATE, RETRY_BUDGET }
@@ -26,12 +26,12 @@
     public record Admitted() implements Verdict { }
 
     /**
-     * It stands in line: {@link Limiter#next} names it when its turn comes, or {@link Limiter#withdrawn} is owed.
+     * It stands in line: {@link Limiter#admitNext} names it when its turn comes, or {@link Limiter#withdraw} is owed.
      *
-     * @param waitMs how long it may wait at most
+     * @param maxWaitMs how long it may wait at most
      * @param displaced another that lost its place in line for it and is turned away; null if none did
      */
-    public record Queued(double waitMs, String displaced) implements Verdict { }
+    public record Queued(double maxWaitMs, String displaced) implements Verdict { }
 
     /** It is turned away; nothing ran. {@code retryAfterMs} follows from the limit that refuses and is above 0. */
     public record Refused(Reason reason, double retryAfterMs) implements Verdict { }
@@ -40,20 +40,20 @@
 
     private final Map<String, TokenBucket> classBuckets = new HashMap<>();
     private final Map<String, TokenBucket> tenantBuckets = new HashMap<>();
-    private final UnknownTenants unknown = new UnknownTenants();
+    private final UnknownTenantBuckets unknownTenantBuckets = new UnknownTenantBuckets();
     private final Map<String, Integer> classInFlight = new HashMap<>();
-    private RetryBudget retries;
+    private RetryBudget retryBudget;
     private Limits limits;
-    private final FairQueue line = new FairQueue();
-    private final Map<String, Standing> standing = new HashMap<>();
-    private double gapMs = FIRST_GAP_MS;
-    private double lastEndMs = Double.NaN;
+    private final FairQueue queue = new FairQueue();
+    private final Map<String, QueuedRequest> queued = new HashMap<>();
+    private double releaseIntervalMs = INITIAL_RELEASE_INTERVAL_MS;
+    private double lastReleaseMs = Double.NaN;
     private int inFlight;
     /** What this loop may use where several keep the limits together; null where there is one. */
     private final LoopShare share;
 
     /** One in line, and the buckets that it has a token of. */
-    private record Standing(String service, TokenBucket ofTenant, TokenBucket ofClass) { }
+    private record QueuedRequest(String service, TokenBucket tenantBucket, TokenBucket classBucket) { }
 
     public Limiter(Limits limits, double nowMs) {
         this(limits, nowMs, null);
@@ -63,7 +63,7 @@
     public Limiter(Limits limits, double nowMs, LoopShare share) {
         this.limits = limits;
         this.share = share;
-        this.retries = limits.retries() == null ? null : new RetryBudget(retryTerms(limits), nowMs);
+        this.retryBudget = limits.retryBudget() == null ? null : new RetryBudget(retryConfig(limits), nowMs);
     }
 
     /**
@@ -76,46 +76,46 @@
      */
     public Verdict admit(double nowMs, String id, String tenant, String service, boolean retry) {
         // Nobody overtakes those in line.
-        boolean full = isFull() || !line.isEmpty();
+        boolean full = isFull() || !queue.isEmpty();
         if (full && limits.queue() == null) {
-            lacked(Shared.ALL_IN_FLIGHT);
-            return new Refused(Reason.IN_FLIGHT, roomMs(0));
+            recordRefusal(LimitKey.ALL_IN_FLIGHT);
+            return new Refused(Reason.IN_FLIGHT, retryAfterMs(0));
         }
         Integer most = limits.classInFlight().get(service);
         if (most != null && isFull(service, most)) {
-            return new Refused(Reason.CLASS_IN_FLIGHT, roomMs(0));
+            return new Refused(Reason.CLASS_IN_FLIGHT, retryAfterMs(0));
         }
         TokenBucket ofTenant = tenantBucket(nowMs, tenant);
-        if (ofTenant != null && !taken(ofTenant, nowMs, share == null ? null : tenantKey(tenant))) {
+        if (ofTenant != null && !tryTake(ofTenant, nowMs, share == null ? null : tenantKey(tenant))) {
             return new Refused(Reason.TENANT_RATE, ofTenant.waitMs(nowMs));
         }
         TokenBucket ofClass = classBucket(nowMs, service);
-        if (ofClass != null && !taken(ofClass, nowMs, share == null ? null : new Shared(Shared.Kind.CLASS_RATE, service))) {
+        if (ofClass != null && !tryTake(ofClass, nowMs, share == null ? null : new LimitKey(LimitKey.Kind.CLASS_RATE, service))) {
             giveBack(ofTenant, nowMs);
             return new Refused(Reason.CLASS_RATE, ofClass.waitMs(nowMs));
         }
-        if (retries != null && retry && !retries.tryRetry(nowMs)) {
+        if (retryBudget != null && retry && !retryBudget.tryRetry(nowMs)) {
             giveBack(ofTenant, nowMs);
             giveBack(ofClass, nowMs);
-            return new Refused(Reason.RETRY_BUDGET, Math.max(1, retries.waitMs(nowMs)));
+            return new Refused(Reason.RETRY_BUDGET, Math.max(1, retryBudget.waitMs(nowMs)));
         }
-        if (full && line.offer(id, tenant == null ? "" : tenant, places()) == FairQueue.Place.FULL) {
+        if (full && queue.offer(id, tenant == null ? "" : tenant, queueCapacity()) == FairQueue.OfferResult.FULL) {
             giveBack(ofTenant, nowMs);
             giveBack(ofClass, nowMs);
-            lacked(Shared.ALL_IN_FLIGHT);
-            return new Refused(Reason.QUEUE_FULL, roomMs(line.size()));
+            recordRefusal(LimitKey.ALL_IN_FLIGHT);
+            return new Refused(Reason.QUEUE_FULL, retryAfterMs(queue.size()));
         }
-        if (retries != null && !retry) {
-            retries.firstTry(nowMs);
+        if (retryBudget != null && !retry) {
+            retryBudget.recordFirstTry(nowMs);
         }
         classInFlight.merge(service, 1, Integer::sum);
         if (full) {
-            String displaced = line.displaced();
+            String displaced = queue.displaced();
             if (displaced != null) {
-                leaveLine(nowMs, displaced);
+                removeQueued(nowMs, displaced);
             }
-            standing.put(id, new Standing(service, ofTenant, ofClass));
-            return new Queued(limits.queue().waitMs(), displaced);
+            queued.put(id, new QueuedRequest(service, ofTenant, ofClass));
+            return new Queued(limits.queue().maxWaitMs(), displaced);
         }
         inFlight++;
         return ADMITTED;
@@ -123,21 +123,21 @@
 
     /** A request of this class that was admitted has its final answer. */
     public void ended(double nowMs, String service) {
-        if (!Double.isNaN(lastEndMs)) {
-            gapMs += GAP_PART * (Math.min(MOST_ROOM_MS, nowMs - lastEndMs) - gapMs);
+        if (!Double.isNaN(lastReleaseMs)) {
+            releaseIntervalMs += RELEASE_INTERVAL_WEIGHT * (Math.min(MAX_RETRY_AFTER_MS, nowMs - lastReleaseMs) - releaseIntervalMs);
         }
-        lastEndMs = nowMs;
+        lastReleaseMs = nowMs;
         inFlight--;
-        left(service);
+        classRequestLeft(service);
     }
 
     /** Names one in line whose turn it is, which is admitted with that; null where none has it. To be asked till then. */
-    public String next() {
-        if (line.isEmpty() || isFull()) {
+    public String admitNext() {
+        if (queue.isEmpty() || isFull()) {
             return null;
         }
-        String id = line.poll();
-        standing.remove(id);
+        String id = queue.poll();
+        queued.remove(id);
         inFlight++;
         return id;
     }
@@ -147,27 +147,27 @@
      *
      * @return when one like it may come back, in milliseconds
      */
-    public double withdrawn(double nowMs, String id) {
-        if (line.remove(id)) {
-            leaveLine(nowMs, id);
+    public double withdraw(double nowMs, String id) {
+        if (queue.remove(id)) {
+            removeQueued(nowMs, id);
         }
-        return roomMs(line.size());
+        return retryAfterMs(queue.size());
     }
 
-    private void leaveLine(double nowMs, String id) {
-        Standing gone = standing.remove(id);
-        giveBack(gone.ofTenant(), nowMs);
-        giveBack(gone.ofClass(), nowMs);
-        left(gone.service());
+    private void removeQueued(double nowMs, String id) {
+        QueuedRequest gone = queued.remove(id);
+        giveBack(gone.tenantBucket(), nowMs);
+        giveBack(gone.classBucket(), nowMs);
+        classRequestLeft(gone.service());
     }
 
-    private void left(String service) {
+    private void classRequestLeft(String service) {
         classInFlight.computeIfPresent(service, (s, n) -> n > 1 ? n - 1 : null);
     }
 
     /** When there may be room for one behind so many others, by how fast answers have made room of late. */
-    private double roomMs(int before) {
-        return Math.max(1, Math.min(MOST_ROOM_MS, (before + 1) * gapMs));
+    private double retryAfterMs(int before) {
+        return Math.max(1, Math.min(MAX_RETRY_AFTER_MS, (before + 1) * releaseIntervalMs));
     }
 
     /**
@@ -176,29 +176,29 @@
      */
     public void changeTo(Limits next, double nowMs) {
         if (share != null) {
-            share.changed(limits, next);
+            share.limitsChanged(limits, next);
         }
         limits = next;
-        change(classBuckets, Shared.Kind.CLASS_RATE, next.classRate(), nowMs);
-        change(tenantBuckets, Shared.Kind.TENANT_RATE, next.tenantRate(), nowMs);
-        unknown.changeTo(next.unknownTenant(), nowMs, (name, whole) -> shareOf(Shared.Kind.UNKNOWN_TENANT, name, whole));
-        if (next.retries() == null) {
-            retries = null;
-        } else if (retries == null) {
-            retries = new RetryBudget(retryTerms(next), nowMs);
-        } else if (!retries.terms().equals(retryTerms(next))) {
-            retries.changeTo(retryTerms(next), nowMs);
+        updateBuckets(classBuckets, LimitKey.Kind.CLASS_RATE, next.classRate(), nowMs);
+        updateBuckets(tenantBuckets, LimitKey.Kind.TENANT_RATE, next.tenantRate(), nowMs);
+        unknownTenantBuckets.changeTo(next.unknownTenantRate(), nowMs, (name, whole) -> shareOf(LimitKey.Kind.UNKNOWN_TENANT, name, whole));
+        if (next.retryBudget() == null) {
+            retryBudget = null;
+        } else if (retryBudget == null) {
+            retryBudget = new RetryBudget(retryConfig(next), nowMs);
+        } else if (!retryBudget.config().equals(retryConfig(next))) {
+            retryBudget.changeTo(retryConfig(next), nowMs);
         }
     }
 
-    private RetryBudget.Terms retryTerms(Limits of) {
-        return share == null ? of.retries() : share.retries(of.retries());
+    private RetryBudget.Config retryConfig(Limits of) {
+        return share == null ? of.retryBudget() : share.retryBudget(of.retryBudget());
     }
 
     // What is shared with other loops.
 
     private boolean isFull() {
-        return inFlight >= (share == null ? limits.inFlight() : share.count(Shared.ALL_IN_FLIGHT, limits.inFlight()));
+        return inFlight >= (share == null ? limits.inFlight() : share.inFlightLimit(LimitKey.ALL_IN_FLIGHT, limits.inFlight()));
     }
 
     private boolean isFull(String service, int whole) {
@@ -206,54 +206,54 @@
         if (share == null) {
             return there >= whole;
         }
-        Shared key = new Shared(Shared.Kind.CLASS_IN_FLIGHT, service);
-        boolean full = there >= share.count(key, whole);
+        LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, service);
+        boolean full = there >= share.inFlightLimit(key, whole);
         if (full) {
-            lacked(key);
+            recordRefusal(key);
         }
         return full;
     }
 
-    private int places() {
-        return share == null ? limits.queue().places() : share.places(limits.queue().places());
+    private int queueCapacity() {
+        return share == null ? limits.queue().capacity() : share.queueCapacity(limits.queue().capacity());
     }
 
-    private Rate shareOf(Shared.Kind kind, String name, Rate whole) {
-        return share == null ? whole : share.rate(new Shared(kind, name), whole);
+    private Rate shareOf(LimitKey.Kind kind, String name, Rate whole) {
+        return share == null ? whole : share.rate(new LimitKey(kind, name), whole);
     }
 
-    private void lacked(Shared key) {
+    private void recordRefusal(LimitKey key) {
         if (share != null) {
-            share.counted(key).refused++;
+            share.counters(key).refused++;
         }
     }
 
-    private boolean taken(TokenBucket bucket, double nowMs, Shared key) {
+    private boolean tryTake(TokenBucket bucket, double nowMs, LimitKey key) {
         boolean there = bucket.tryTake(nowMs);
         if (key != null) {
-            LoopShare.Counted c = share.counted(key);
-            c.asked++;
+            LoopShare.UsageCounters c = share.counters(key);
+            c.requested++;
             c.refused += there ? 0 : 1;
         }
         return there;
     }
 
-    private Shared tenantKey(String tenant) {
-        return tenant != null && limits.tenantRate().containsKey(tenant) ? new Shared(Shared.Kind.TENANT_RATE, tenant)
-                : new Shared(Shared.Kind.UNKNOWN_TENANT, tenant == null ? "" : tenant);
+    private LimitKey tenantKey(String tenant) {
+        return tenant != null && limits.tenantRate().containsKey(tenant) ? new LimitKey(LimitKey.Kind.TENANT_RATE, tenant)
+                : new LimitKey(LimitKey.Kind.UNKNOWN_TENANT, tenant == null ? "" : tenant);
     }
 
     /** The bucket of a rate that is shared, if there is one. */
-    private TokenBucket bucket(Shared key) {
+    private TokenBucket bucket(LimitKey key) {
         return switch (key.kind()) {
             case CLASS_RATE -> classBuckets.get(key.name());
             case TENANT_RATE -> tenantBuckets.get(key.name());
-            case UNKNOWN_TENANT -> unknown.own(key.name());
+            case UNKNOWN_TENANT -> unknownTenantBuckets.ownBucket(key.name());
             default -> null;
         };
     }
 
-    private void made(Shared key, double nowMs) {
+    private void ensureBucket(LimitKey key, double nowMs) {
         switch (key.kind()) {
             case CLASS_RATE -> classBucket(nowMs, key.name());
             case TENANT_RATE, UNKNOWN_TENANT -> tenantBucket(nowMs, key.name());
@@ -262,68 +262,68 @@
     }
 
     /** Tells what this loop used since it last told. */
-    public LoopShare.Report report(double nowMs) {
-        Map<Shared, LoopShare.Use> uses = new HashMap<>();
-        Map<Shared, LoopShare.Counted> counted = share.drain();
+    public LoopShare.UsageReport report(double nowMs) {
+        Map<LimitKey, LoopShare.Usage> uses = new HashMap<>();
+        Map<LimitKey, LoopShare.UsageCounters> counted = share.drainCounters();
         counted.forEach((key, c) -> {
             if (key.kind().isCount()) {
-                uses.put(key, new LoopShare.Use(c.asked, c.refused, held(key), 0));
+                uses.put(key, new LoopShare.Usage(c.requested, c.refused, inFlightOf(key), 0));
             } else {
                 TokenBucket b = bucket(key);
-                uses.put(key, new LoopShare.Use(c.asked, c.refused, b == null ? 0 : b.tokens(nowMs), c.spare));
+                uses.put(key, new LoopShare.Usage(c.requested, c.refused, b == null ? 0 : b.tokens(nowMs), c.spare));
             }
         });
         // What is in flight counts whether or not anybody asked since.
         if (limits.inFlight() < Integer.MAX_VALUE) {
-            uses.putIfAbsent(Shared.ALL_IN_FLIGHT, new LoopShare.Use(0, 0, inFlight, 0));
+            uses.putIfAbsent(LimitKey.ALL_IN_FLIGHT, new LoopShare.Usage(0, 0, inFlight, 0));
         }
-        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(new Shared(Shared.Kind.CLASS_IN_FLIGHT, name),
-                key -> new LoopShare.Use(0, 0, held(key), 0)));
-        return new LoopShare.Report(share.taken(), nowMs, uses);
+        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name),
+                key -> new LoopShare.Usage(0, 0, inFlightOf(key), 0)));
+        return new LoopShare.UsageReport(share.lastGrant(), nowMs, uses);
     }
 
     /** Tells what this loop has in flight, between two reports. */
-    public LoopShare.Held held() {
-        Map<Shared, Integer> there = new HashMap<>();
-        there.put(Shared.ALL_IN_FLIGHT, inFlight);
+    public LoopShare.InFlightReport inFlightReport() {
+        Map<LimitKey, Integer> there = new HashMap<>();
+        there.put(LimitKey.ALL_IN_FLIGHT, inFlight);
         limits.classInFlight().keySet().forEach(name -> {
-            Shared key = new Shared(Shared.Kind.CLASS_IN_FLIGHT, name);
-            there.put(key, held(key));
+            LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name);
+            there.put(key, inFlightOf(key));
         });
-        return new LoopShare.Held(share.taken(), there);
+        return new LoopShare.InFlightReport(share.lastGrant(), there);
     }
 
-    private int held(Shared key) {
-        return key.kind() == Shared.Kind.IN_FLIGHT ? inFlight : classInFlight.getOrDefault(key.name(), 0);
+    private int inFlightOf(LimitKey key) {
+        return key.kind() == LimitKey.Kind.IN_FLIGHT ? inFlight : classInFlight.getOrDefault(key.name(), 0);
     }
 
     /** May use another share from now on; those in line may have room with it. */
-    public void take(LoopShare.Grant grant, double nowMs) {
+    public void apply(LoopShare.Grant grant, double nowMs) {
         // One that nobody has asked for yet is full, and what a smaller part cuts off it is for others too.
-        grant.parts().keySet().forEach(key -> made(key, nowMs));
-        share.take(grant);
-        grant.parts().keySet().forEach(key -> {
-            Rate whole = Shared.rate(limits, key);
+        grant.rateFractions().keySet().forEach(key -> ensureBucket(key, nowMs));
+        share.apply(grant);
+        grant.rateFractions().keySet().forEach(key -> {
+            Rate whole = LimitKey.rate(limits, key);
             TokenBucket bucket = whole == null ? null : bucket(key);
             if (bucket != null) {
                 double cut = bucket.changeTo(share.rate(key, whole), nowMs);
                 if (cut > 0) {
-                    share.counted(key).spare += cut;
+                    share.counters(key).spare += cut;
                 }
             }
         });
         grant.tokens().forEach((key, tokens) -> {
-            TokenBucket bucket = Shared.rate(limits, key) == null ? null : bucket(key);
+            TokenBucket bucket = LimitKey.rate(limits, key) == null ? null : bucket(key);
             double back = bucket == null ? tokens : bucket.add(tokens, nowMs);
             if (back > 0) {
-                share.counted(key).spare += back;
+                share.counters(key).spare += back;
             }
         });
     }
 
     /** How many stand in line. */
-    public int inLine() {
-        return line.size();
+    public int queueLength() {
+        return queue.size();
     }
 
     /** Requests that were admitted and have no final answer yet. */
@@ -331,7 +331,7 @@
         return inFlight;
     }
 
-    private void change(Map<String, TokenBucket> buckets, Shared.Kind kind, Map<String, Rate> rates, double nowMs) {
+    private void updateBuckets(Map<String, TokenBucket> buckets, LimitKey.Kind kind, Map<String, Rate> rates, double nowMs) {
         buckets.keySet().retainAll(rates.keySet());
         buckets.forEach((name, bucket) -> {
             Rate next = shareOf(kind, name, rates.get(name));
@@ -341,28 +341,28 @@
         });
     }
 
-    private TokenBucket fresh(Shared.Kind kind, String name, Rate whole, double nowMs) {
+    private TokenBucket newBucket(LimitKey.Kind kind, String name, Rate whole, double nowMs) {
         if (share == null) {
             return new TokenBucket(whole, nowMs);
         }
-        Shared key = new Shared(kind, name);
-        return new TokenBucket(share.rate(key, whole), share.firstTokens(key, whole), nowMs);
+        LimitKey key = new LimitKey(kind, name);
+        return new TokenBucket(share.rate(key, whole), share.initialTokens(key, whole), nowMs);
     }
 
     private TokenBucket classBucket(double nowMs, String service) {
         Rate rate = limits.classRate().get(service);
         return rate == null ? null : classBuckets.computeIfAbsent(service,
-                s -> fresh(Shared.Kind.CLASS_RATE, s, rate, nowMs));
+                s -> newBucket(LimitKey.Kind.CLASS_RATE, s, rate, nowMs));
     }
 
     private TokenBucket tenantBucket(double nowMs, String tenant) {
         Rate rate = tenant == null ? null : limits.tenantRate().get(tenant);
         if (rate != null) {
-            return tenantBuckets.computeIfAbsent(tenant, t -> fresh(Shared.Kind.TENANT_RATE, t, rate, nowMs));
+            return tenantBuckets.computeIfAbsent(tenant, t -> newBucket(LimitKey.Kind.TENANT_RATE, t, rate, nowMs));
         }
-        return limits.unknownTenant() == null ? null
-                : unknown.of(tenant == null ? "" : tenant, nowMs,
-                        name -> fresh(Shared.Kind.UNKNOWN_TENANT, name, limits.unknownTenant(), nowMs));
+        return limits.unknownTenantRate() == null ? null
+                : unknownTenantBuckets.bucketFor(tenant == null ? "" : tenant, nowMs,
+                        name -> newBucket(LimitKey.Kind.UNKNOWN_TENANT, name, limits.unknownTenantRate(), nowMs));
     }
 
     private static void giveBack(TokenBucket bucket, double nowMs) {
--- a/core/src/main/java/ridgemill/limit/Limits.java
+++ b/core/src/main/java/ridgemill/limit/Limits.java
@@ -10,25 +10,25 @@
  *     of their own
  * @param classRate the rate of a class over all tenants, by its name
  * @param tenantRate the rate of a tenant over all classes, by its name
- * @param unknownTenant the rate of each tenant that is not named; null for none
- * @param retries the budget for clients' retries; null for none
+ * @param unknownTenantRate the rate of each tenant that is not named; null for none
+ * @param retryBudget the budget for clients' retries; null for none
  * @param queue where requests past {@code inFlight} wait; null where they are refused at once
  * @param connectionsPerClient connections from one address; at least 1
  */
 public record Limits(int inFlight, Map<String, Integer> classInFlight, Map<String, Rate> classRate,
-                     Map<String, Rate> tenantRate, Rate unknownTenant, RetryBudget.Terms retries, Queue queue,
+                     Map<String, Rate> tenantRate, Rate unknownTenantRate, RetryBudget.Config retryBudget, Queue queue,
                      int connectionsPerClient) {
 
     /**
      * A queue before the limit of requests in flight.
      *
-     * @param places how many may wait, at least 1
-     * @param waitMs for how long each may at most, greater than 0
+     * @param capacity how many may wait, at least 1
+     * @param maxWaitMs for how long each may at most, greater than 0
      */
-    public record Queue(int places, double waitMs) {
+    public record Queue(int capacity, double maxWaitMs) {
 
         public Queue {
-            if (places < 1 || !(waitMs > 0)) {
+            if (capacity < 1 || !(maxWaitMs > 0)) {
                 throw new IllegalArgumentException("a queue has at least 1 place and a wait greater than 0");
             }
         }
@@ -39,7 +39,7 @@
 
     /** Limits without a queue and without one on connections. */
     public Limits(int inFlight, Map<String, Integer> classInFlight, Map<String, Rate> classRate,
-                  Map<String, Rate> tenantRate, Rate unknownTenant, RetryBudget.Terms retries) {
+                  Map<String, Rate> tenantRate, Rate unknownTenant, RetryBudget.Config retries) {
         this(inFlight, classInFlight, classRate, tenantRate, unknownTenant, retries, null, Integer.MAX_VALUE);
     }
 
@@ -57,7 +57,7 @@
 
     /** The same with a queue. */
     public Limits withQueue(Queue there) {
-        return new Limits(inFlight, classInFlight, classRate, tenantRate, unknownTenant, retries, there,
+        return new Limits(inFlight, classInFlight, classRate, tenantRate, unknownTenantRate, retryBudget, there,
                 connectionsPerClient);
     }
 }
--- a/core/src/main/java/ridgemill/limit/LoopShare.java
+++ b/core/src/main/java/ridgemill/limit/LoopShare.java
@@ -5,60 +5,60 @@
 
 /**
  * One loop's share of limits that all loops of a process keep together: what it may use, and what it has used since it last
- * told. The {@link Lender} moves shares to where they are asked for. Owned by the loop.
+ * told. The {@link ShareAllocator} moves shares to where they are asked for. Owned by the loop.
  */
 public final class LoopShare {
 
     /**
      * What a loop has made of one limit since it last told.
      *
-     * @param asked requests that asked, whether they were let through or not
+     * @param requested requests that asked, whether they were let through or not
      * @param refused of them those that this limit turned away
      * @param held tokens in its bucket, or requests in flight
      * @param spare tokens that it gives back, as its bucket has shrunk
      */
-    public record Use(double asked, double refused, double held, double spare) { }
+    public record Usage(double requested, double refused, double held, double spare) { }
 
     /**
      * What a loop tells.
      *
-     * @param taken the number of the last grant that it had taken
+     * @param lastGrant the number of the last grant that it had taken
      * @param nowMs when it told
-     * @param uses of the limits that were asked, or that it holds more or less of than its even part
+     * @param usages of the limits that were asked, or that it holds more or less of than its even part
      */
-    public record Report(long taken, double nowMs, Map<Shared, Use> uses) { }
+    public record UsageReport(long lastGrant, double nowMs, Map<LimitKey, Usage> usages) { }
 
     /**
      * What a loop has in flight, as it tells when it has taken a grant: what it does not need any more may be lent on then.
      *
-     * @param taken the number of the grant
+     * @param lastGrant the number of the grant
      * @param inFlight for each limit on requests in flight
      */
-    public record Held(long taken, Map<Shared, Integer> inFlight) { }
+    public record InFlightReport(long lastGrant, Map<LimitKey, Integer> inFlight) { }
 
     /**
      * What a loop may use from now on.
      *
      * @param number counts a loop's grants
-     * @param parts of rates, each from 0 to 1
-     * @param counts of requests in flight
+     * @param rateFractions of rates, each from 0 to 1
+     * @param inFlightLimits of requests in flight
      * @param tokens to put into buckets, which another loop gave back
      */
-    public record Grant(long number, Map<Shared, Double> parts, Map<Shared, Integer> counts, Map<Shared, Double> tokens) { }
+    public record Grant(long number, Map<LimitKey, Double> rateFractions, Map<LimitKey, Integer> inFlightLimits, Map<LimitKey, Double> tokens) { }
 
     /** What was counted since the last report. */
-    static final class Counted {
-        double asked;
+    static final class UsageCounters {
+        double requested;
         double refused;
         double spare;
     }
 
     private final int loop;
     private final int loops;
-    private final Map<Shared, Double> parts = new HashMap<>();
-    private final Map<Shared, Integer> counts = new HashMap<>();
-    private final Map<Shared, Counted> counted = new HashMap<>();
-    private long taken;
+    private final Map<LimitKey, Double> rateFractions = new HashMap<>();
+    private final Map<LimitKey, Integer> inFlightLimits = new HashMap<>();
+    private final Map<LimitKey, UsageCounters> counters = new HashMap<>();
+    private long lastGrant;
 
     /** The share of a loop, by its number from 0, among so many. */
     public LoopShare(int loop, int loops) {
@@ -70,61 +70,61 @@
     }
 
     /** What it may use of a rate. */
-    Rate rate(Shared key, Rate whole) {
-        return Shared.part(whole, parts.getOrDefault(key, 1.0 / loops));
+    Rate rate(LimitKey key, Rate whole) {
+        return LimitKey.fractionOf(whole, rateFractions.getOrDefault(key, 1.0 / loops));
     }
 
     /** What a new bucket holds: its part of a full one, and no more, however small that is. */
-    double firstTokens(Shared key, Rate whole) {
-        return whole.burst() * parts.getOrDefault(key, 1.0 / loops);
+    double initialTokens(LimitKey key, Rate whole) {
+        return whole.burst() * rateFractions.getOrDefault(key, 1.0 / loops);
     }
 
     /** How many it may have in flight. */
-    int count(Shared key, int whole) {
-        Integer lent = counts.get(key);
-        return whole == Integer.MAX_VALUE ? whole : lent == null ? Shared.firstCount(whole, loop, loops) : lent;
+    int inFlightLimit(LimitKey key, int whole) {
+        Integer lent = inFlightLimits.get(key);
+        return whole == Integer.MAX_VALUE ? whole : lent == null ? LimitKey.evenCount(whole, loop, loops) : lent;
     }
 
     /** What the others leave it of a queue's places. */
-    int places(int whole) {
+    int queueCapacity(int whole) {
         return Math.max(1, whole / loops);
     }
 
     /** The others' part of a retry budget: its share is of a loop's own first tries, its least is divided evenly. */
-    RetryBudget.Terms retries(RetryBudget.Terms whole) {
-        return whole == null ? null : new RetryBudget.Terms(whole.share(), whole.leastPerSecond() / loops, whole.windowMs());
+    RetryBudget.Config retryBudget(RetryBudget.Config whole) {
+        return whole == null ? null : new RetryBudget.Config(whole.retryRatio(), whole.minPerSecond() / loops, whole.windowMs());
     }
 
-    Counted counted(Shared key) {
-        return counted.computeIfAbsent(key, k -> new Counted());
+    UsageCounters counters(LimitKey key) {
+        return counters.computeIfAbsent(key, k -> new UsageCounters());
     }
 
     /** Takes what was counted, for a report. */
-    Map<Shared, Counted> drain() {
-        Map<Shared, Counted> all = new HashMap<>(counted);
-        counted.clear();
+    Map<LimitKey, UsageCounters> drainCounters() {
+        Map<LimitKey, UsageCounters> all = new HashMap<>(counters);
+        counters.clear();
         return all;
     }
 
-    long taken() {
-        return taken;
+    long lastGrant() {
+        return lastGrant;
     }
 
-    void take(Grant grant) {
-        taken = grant.number();
-        grant.parts().forEach((key, part) -> {
+    void apply(Grant grant) {
+        lastGrant = grant.number();
+        grant.rateFractions().forEach((key, part) -> {
             if (part == 1.0 / loops) {
-                parts.remove(key);
+                rateFractions.remove(key);
             } else {
-                parts.put(key, part);
+                rateFractions.put(key, part);
             }
         });
-        counts.putAll(grant.counts());
+        inFlightLimits.putAll(grant.inFlightLimits());
     }
 
     /** Other limits hold: what was lent of those that are gone, or of counts that are others now, is forgotten. */
-    void changed(Limits before, Limits next) {
-        parts.keySet().removeIf(key -> Shared.rate(next, key) == null);
-        counts.keySet().removeIf(key -> Shared.count(before, key) != Shared.count(next, key));
+    void limitsChanged(Limits before, Limits next) {
+        rateFractions.keySet().removeIf(key -> LimitKey.rate(next, key) == null);
+        inFlightLimits.keySet().removeIf(key -> LimitKey.inFlightLimit(before, key) != LimitKey.inFlightLimit(next, key));
     }
 }
--- a/core/src/main/java/ridgemill/limit/RetryBudget.java
+++ b/core/src/main/java/ridgemill/limit/RetryBudget.java
@@ -14,39 +14,39 @@
     /**
      * The figures of a budget.
      *
-     * @param share retries for each first try, 0 or more
-     * @param leastPerSecond retries a second that always go through, 0 or more
+     * @param retryRatio retries for each first try, 0 or more
+     * @param minPerSecond retries a second that always go through, 0 or more
      * @param windowMs how long what was not taken is of use, greater than 0
      */
-    public record Terms(double share, double leastPerSecond, double windowMs) {
+    public record Config(double retryRatio, double minPerSecond, double windowMs) {
 
-        public Terms {
-            if (!(share >= 0) || !(leastPerSecond >= 0) || !(windowMs > 0)) {
+        public Config {
+            if (!(retryRatio >= 0) || !(minPerSecond >= 0) || !(windowMs > 0)) {
                 throw new IllegalArgumentException("a retry budget needs a share and a least rate of 0 or more and a "
                         + "window greater than 0");
             }
         }
     }
 
-    private Terms terms;
+    private Config config;
     private double firstTries;
     private double retries;
-    private double at;
+    private double updatedMs;
 
-    public RetryBudget(Terms terms, double nowMs) {
-        this.terms = terms;
-        this.at = nowMs;
+    public RetryBudget(Config terms, double nowMs) {
+        this.config = terms;
+        this.updatedMs = nowMs;
     }
 
     /** A first try has come. */
-    public void firstTry(double nowMs) {
-        fade(nowMs);
+    public void recordFirstTry(double nowMs) {
+        decay(nowMs);
         firstTries++;
     }
 
     /** Takes a retry from the budget if it has one left. */
     public boolean tryRetry(double nowMs) {
-        fade(nowMs);
+        decay(nowMs);
         if (retries + 1 > allowed()) {
             return false;
         }
@@ -59,38 +59,38 @@
      * make room for it.
      */
     public double waitMs(double nowMs) {
-        fade(nowMs);
+        decay(nowMs);
         if (retries + 1 <= allowed()) {
             return 0;
         }
         // Both counts fade alike, so what retries have beyond their share shrinks until the least leaves room for one.
-        double beyond = retries - firstTries * terms.share();
-        double room = least() - 1;
-        return room <= 0 ? terms.windowMs() : Math.min(terms.windowMs(), terms.windowMs() * Math.log(beyond / room));
+        double beyond = retries - firstTries * config.retryRatio();
+        double room = minRetries() - 1;
+        return room <= 0 ? config.windowMs() : Math.min(config.windowMs(), config.windowMs() * Math.log(beyond / room));
     }
 
     /** Goes on under other terms; what was counted stays. */
-    public void changeTo(Terms next, double nowMs) {
-        fade(nowMs);
-        terms = next;
+    public void changeTo(Config next, double nowMs) {
+        decay(nowMs);
+        config = next;
     }
 
-    public Terms terms() {
-        return terms;
+    public Config config() {
+        return config;
     }
 
     private double allowed() {
-        return firstTries * terms.share() + least();
+        return firstTries * config.retryRatio() + minRetries();
     }
 
-    private double least() {
-        return terms.leastPerSecond() * terms.windowMs() / MS_PER_S;
+    private double minRetries() {
+        return config.minPerSecond() * config.windowMs() / MS_PER_S;
     }
 
-    private void fade(double nowMs) {
-        double kept = Math.exp(-Math.max(0, nowMs - at) / terms.windowMs());
+    private void decay(double nowMs) {
+        double kept = Math.exp(-Math.max(0, nowMs - updatedMs) / config.windowMs());
         firstTries *= kept;
         retries *= kept;
-        at = Math.max(at, nowMs);
+        updatedMs = Math.max(updatedMs, nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/limit/Lender.java
+++ b/core/src/main/java/ridgemill/limit/ShareAllocator.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import ridgemill.limit.LoopShare.Grant;
-import ridgemill.limit.LoopShare.Report;
-import ridgemill.limit.LoopShare.Use;
+import ridgemill.limit.LoopShare.UsageReport;
+import ridgemill.limit.LoopShare.Usage;
 
 /**
  * Divides limits that a process's loops keep together, and moves shares to the loops that are asked most. Each loop counts
@@ -23,133 +23,133 @@
  *
  * <p>Not safe for use by several threads; its owner hands reports in and grants out.
  */
-public final class Lender {
+public final class ShareAllocator {
 
     /** Tenants that no file names whose shares are moved; each further one stays at even parts. */
-    static final int MOST_UNKNOWN = 256;
+    static final int MAX_UNKNOWN_TENANTS = 256;
     /** Part of a rate that is divided evenly whatever is asked, so that a loop that wakes has something. */
-    private static final double EVEN_RATE = 0.02;
+    private static final double EVEN_RATE_FRACTION = 0.02;
     /** The same of requests in flight, of which a loop that wakes needs more at once. */
-    private static final double EVEN_COUNT = 0.05;
+    private static final double EVEN_COUNT_FRACTION = 0.05;
     /** What the newest interval counts for in a loop's demand against those before it. */
-    private static final double NEWEST = 0.5;
+    private static final double DEMAND_WEIGHT = 0.5;
     /** Demand below this many requests a second is none. */
-    private static final double NONE = 0.05;
+    private static final double MIN_DEMAND_PER_SECOND = 0.05;
     private static final double MS_PER_S = 1000;
     /** Parts that move less than this stay: what is asked changes a little all the time. */
-    private static final double WORTH_MOVING = 0.02;
+    private static final double MIN_FRACTION_CHANGE = 0.02;
 
     private final int loops;
-    private final Map<Shared, Rates> rates = new LinkedHashMap<>();
-    private final Map<Shared, Counts> counts = new HashMap<>();
-    private final long[] sent;
-    private final double[] toldAt;
+    private final Map<LimitKey, RateShares> rates = new LinkedHashMap<>();
+    private final Map<LimitKey, CountShares> counts = new HashMap<>();
+    private final long[] grantNumbers;
+    private final double[] lastReportMs;
     private Limits limits;
-    private int unknown;
+    private int unknownTenants;
 
     /** Divides these limits between so many loops, evenly at first. */
-    public Lender(Limits limits, int loops) {
+    public ShareAllocator(Limits limits, int loops) {
         this.limits = limits;
         this.loops = loops;
-        this.sent = new long[loops];
-        this.toldAt = new double[loops];
-        Arrays.fill(toldAt, Double.NaN);
+        this.grantNumbers = new long[loops];
+        this.lastReportMs = new double[loops];
+        Arrays.fill(lastReportMs, Double.NaN);
     }
 
     /** Other limits hold, also for the loops, which are told by whoever tells this. */
     public void changeTo(Limits next) {
         Limits before = limits;
         limits = next;
-        rates.keySet().removeIf(key -> Shared.rate(next, key) == null);
-        counts.keySet().removeIf(key -> Shared.count(before, key) != Shared.count(next, key));
-        unknown = (int) rates.keySet().stream().filter(k -> k.kind() == Shared.Kind.UNKNOWN_TENANT).count();
+        rates.keySet().removeIf(key -> LimitKey.rate(next, key) == null);
+        counts.keySet().removeIf(key -> LimitKey.inFlightLimit(before, key) != LimitKey.inFlightLimit(next, key));
+        unknownTenants = (int) rates.keySet().stream().filter(k -> k.kind() == LimitKey.Kind.UNKNOWN_TENANT).count();
     }
 
     /** A loop has told what it used. */
-    public void report(int loop, Report report) {
-        double seconds = (report.nowMs() - toldAt[loop]) / MS_PER_S;
-        toldAt[loop] = report.nowMs();
-        report.uses().forEach((key, use) -> used(loop, key, use));
-        for (Rates r : rates.values()) {
-            Use use = report.uses().get(r.key);
+    public void report(int loop, UsageReport report) {
+        double seconds = (report.nowMs() - lastReportMs[loop]) / MS_PER_S;
+        lastReportMs[loop] = report.nowMs();
+        report.usages().forEach((key, use) -> recordUsage(loop, key, use));
+        for (RateShares r : rates.values()) {
+            Usage use = report.usages().get(r.key);
             // A loop that told for the first time has told of no interval.
-            double perSecond = use == null || !(seconds > 0) ? 0 : use.asked() / seconds;
-            r.demand[loop] += NEWEST * (perSecond - r.demand[loop]);
+            double perSecond = use == null || !(seconds > 0) ? 0 : use.requested() / seconds;
+            r.demand[loop] += DEMAND_WEIGHT * (perSecond - r.demand[loop]);
             if (use == null) {
-                r.hungry[loop] = 0;
-                r.held[loop] = Shared.rate(limits, r.key).burst() * r.part[loop];
+                r.refused[loop] = 0;
+                r.tokens[loop] = LimitKey.rate(limits, r.key).burst() * r.fraction[loop];
             }
         }
-        for (Counts c : counts.values()) {
-            Use use = report.uses().get(c.key);
+        for (CountShares c : counts.values()) {
+            Usage use = report.usages().get(c.key);
             double wanted = use == null ? 0 : use.held() + use.refused();
-            c.wanted[loop] = Math.max(wanted, c.wanted[loop] * NEWEST);
-            c.told(loop, use == null ? 0 : (int) use.held(), report.taken() == sent[loop]);
+            c.demand[loop] = Math.max(wanted, c.demand[loop] * DEMAND_WEIGHT);
+            c.inFlightReported(loop, use == null ? 0 : (int) use.held(), report.lastGrant() == grantNumbers[loop]);
         }
     }
 
     /** A loop has taken its grant, and tells what it still has in flight; what that frees the next decision lends. */
-    public void held(int loop, LoopShare.Held held) {
-        for (Counts c : counts.values()) {
-            c.told(loop, held.inFlight().getOrDefault(c.key, 0), held.taken() == sent[loop]);
+    public void reportInFlight(int loop, LoopShare.InFlightReport held) {
+        for (CountShares c : counts.values()) {
+            c.inFlightReported(loop, held.inFlight().getOrDefault(c.key, 0), held.lastGrant() == grantNumbers[loop]);
         }
     }
 
-    private void used(int loop, Shared key, Use use) {
+    private void recordUsage(int loop, LimitKey key, Usage use) {
         if (key.kind().isCount()) {
-            int whole = Shared.count(limits, key);
+            int whole = LimitKey.inFlightLimit(limits, key);
             if (whole > 0 && whole < Integer.MAX_VALUE) {
-                counts.computeIfAbsent(key, k -> new Counts(k, whole));
+                counts.computeIfAbsent(key, k -> new CountShares(k, whole));
             }
             return;
         }
-        Rate whole = Shared.rate(limits, key);
-        Rates there = whole == null ? null : rates.get(key);
+        Rate whole = LimitKey.rate(limits, key);
+        RateShares there = whole == null ? null : rates.get(key);
         if (whole != null && there == null) {
-            if (key.kind() == Shared.Kind.UNKNOWN_TENANT && ++unknown > MOST_UNKNOWN) {
-                unknown--;
+            if (key.kind() == LimitKey.Kind.UNKNOWN_TENANT && ++unknownTenants > MAX_UNKNOWN_TENANTS) {
+                unknownTenants--;
                 return;
             }
-            there = new Rates(key);
+            there = new RateShares(key);
             rates.put(key, there);
         }
         if (there != null) {
-            there.held[loop] = use.held();
-            there.hungry[loop] = use.refused();
-            there.pool += use.spare();
+            there.tokens[loop] = use.held();
+            there.refused[loop] = use.refused();
+            there.spareTokens += use.spare();
         }
     }
 
     /** Rates whose shares are moved. */
-    int known() {
+    int trackedRates() {
         return rates.size();
     }
 
     /** What each loop may use from now on, by its number; null for one whose share stays. */
-    public List<Grant> decide() {
-        List<Map<Shared, Double>> parts = maps();
-        List<Map<Shared, Integer>> whole = maps();
-        List<Map<Shared, Double>> tokens = maps();
-        for (Iterator<Rates> all = rates.values().iterator(); all.hasNext();) {
-            Rates r = all.next();
+    public List<Grant> allocate() {
+        List<Map<LimitKey, Double>> parts = maps();
+        List<Map<LimitKey, Integer>> whole = maps();
+        List<Map<LimitKey, Double>> tokens = maps();
+        for (Iterator<RateShares> all = rates.values().iterator(); all.hasNext();) {
+            RateShares r = all.next();
             r.divide(parts);
-            r.pour(tokens);
+            r.distributeSpare(tokens);
             if (r.isIdle()) {
                 all.remove();
-                unknown -= r.key.kind() == Shared.Kind.UNKNOWN_TENANT ? 1 : 0;
+                unknownTenants -= r.key.kind() == LimitKey.Kind.UNKNOWN_TENANT ? 1 : 0;
             }
         }
         counts.values().forEach(c -> c.divide(whole));
         List<Grant> grants = new ArrayList<>();
         for (int i = 0; i < loops; i++) {
             boolean same = parts.get(i).isEmpty() && whole.get(i).isEmpty() && tokens.get(i).isEmpty();
-            grants.add(same ? null : new Grant(++sent[i], parts.get(i), whole.get(i), tokens.get(i)));
+            grants.add(same ? null : new Grant(++grantNumbers[i], parts.get(i), whole.get(i), tokens.get(i)));
         }
         return grants;
     }
 
-    private <V> List<Map<Shared, V>> maps() {
-        List<Map<Shared, V>> maps = new ArrayList<>();
+    private <V> List<Map<LimitKey, V>> maps() {
+        List<Map<LimitKey, V>> maps = new ArrayList<>();
         for (int i = 0; i < loops; i++) {
             maps.add(new HashMap<>());
         }
@@ -171,137 +171,137 @@
     }
 
     /** A rate, and what each loop has of it. */
-    private final class Rates {
-        final Shared key;
+    private final class RateShares {
+        final LimitKey key;
         final double[] demand = new double[loops];
-        final double[] held = new double[loops];
-        final double[] hungry = new double[loops];
-        final double[] part = new double[loops];
-        double pool;
+        final double[] tokens = new double[loops];
+        final double[] refused = new double[loops];
+        final double[] fraction = new double[loops];
+        double spareTokens;
 
-        Rates(Shared key) {
+        RateShares(LimitKey key) {
             this.key = key;
-            Arrays.fill(part, 1.0 / loops);
+            Arrays.fill(fraction, 1.0 / loops);
         }
 
         /** Nothing is asked and each has its even part, which is what a loop has of a rate that nobody lent. */
         boolean isIdle() {
             for (int i = 0; i < loops; i++) {
-                if (demand[i] > NONE || part[i] != 1.0 / loops) {
+                if (demand[i] > MIN_DEMAND_PER_SECOND || fraction[i] != 1.0 / loops) {
                     return false;
                 }
             }
             return true;
         }
 
-        void divide(List<Map<Shared, Double>> into) {
+        void divide(List<Map<LimitKey, Double>> into) {
             double sum = 0;
             double[] wants = new double[loops];
             for (int i = 0; i < loops; i++) {
-                wants[i] = demand[i] / Shared.rate(limits, key).perSecond();
+                wants[i] = demand[i] / LimitKey.rate(limits, key).perSecond();
                 sum += demand[i];
             }
-            double[] next = Lender.this.divide(1, wants, EVEN_RATE);
+            double[] next = ShareAllocator.this.divide(1, wants, EVEN_RATE_FRACTION);
             double most = 0;
             for (int i = 0; i < loops; i++) {
-                next[i] = sum <= NONE ? 1.0 / loops : next[i];
-                most = Math.max(most, Math.abs(next[i] - part[i]));
+                next[i] = sum <= MIN_DEMAND_PER_SECOND ? 1.0 / loops : next[i];
+                most = Math.max(most, Math.abs(next[i] - fraction[i]));
             }
-            if (most > WORTH_MOVING || most > 0 && sum <= NONE) {
+            if (most > MIN_FRACTION_CHANGE || most > 0 && sum <= MIN_DEMAND_PER_SECOND) {
                 for (int i = 0; i < loops; i++) {
-                    part[i] = next[i];
+                    fraction[i] = next[i];
                     into.get(i).put(key, next[i]);
                 }
             }
         }
 
         /** Tokens that were given back go to loops that refuse; a full bucket would have had no room for the rest. */
-        void pour(List<Map<Shared, Double>> into) {
-            Rate whole = Shared.rate(limits, key);
+        void distributeSpare(List<Map<LimitKey, Double>> into) {
+            Rate whole = LimitKey.rate(limits, key);
             double sum = 0;
             double inBuckets = 0;
             for (int i = 0; i < loops; i++) {
-                sum += hungry[i];
-                inBuckets += held[i];
+                sum += refused[i];
+                inBuckets += tokens[i];
             }
-            pool = Math.max(0, Math.min(pool, whole.burst() - inBuckets));
-            for (int i = 0; i < loops && sum > 0 && pool > 0; i++) {
-                double gets = Math.min(pool * hungry[i] / sum, hungry[i]);
+            spareTokens = Math.max(0, Math.min(spareTokens, whole.burst() - inBuckets));
+            for (int i = 0; i < loops && sum > 0 && spareTokens > 0; i++) {
+                double gets = Math.min(spareTokens * refused[i] / sum, refused[i]);
                 if (gets > 0) {
                     into.get(i).put(key, gets);
-                    held[i] += gets;
-                    hungry[i] = 0;
+                    tokens[i] += gets;
+                    refused[i] = 0;
                 }
             }
-            for (Map<Shared, Double> m : into) {
-                pool -= m.getOrDefault(key, 0.0);
+            for (Map<LimitKey, Double> m : into) {
+                spareTokens -= m.getOrDefault(key, 0.0);
             }
         }
     }
 
     /** Requests in flight, and how many each loop may have. */
-    private final class Counts {
-        final Shared key;
+    private final class CountShares {
+        final LimitKey key;
         final int whole;
-        final double[] wanted = new double[loops];
+        final double[] demand = new double[loops];
         /** What a loop may have, by the last grant. */
-        final int[] lent = new int[loops];
+        final int[] granted = new int[loops];
         /** What counts against the whole for it: what it is lent, or has in flight from before. */
-        final int[] owned = new int[loops];
+        final int[] reserved = new int[loops];
 
-        Counts(Shared key, int whole) {
+        CountShares(LimitKey key, int whole) {
             this.key = key;
             this.whole = whole;
             for (int i = 0; i < loops; i++) {
-                lent[i] = Shared.firstCount(whole, i, loops);
-                owned[i] = lent[i];
+                granted[i] = LimitKey.evenCount(whole, i, loops);
+                reserved[i] = granted[i];
             }
         }
 
         /** Only what a loop told after it had taken its last grant frees anything. */
-        void told(int loop, int held, boolean current) {
+        void inFlightReported(int loop, int held, boolean current) {
             if (current) {
-                owned[loop] = Math.max(lent[loop], held);
+                reserved[loop] = Math.max(granted[loop], held);
             }
         }
 
-        void divide(List<Map<Shared, Integer>> into) {
-            double[] target = Lender.this.divide(whole, wanted, EVEN_COUNT);
+        void divide(List<Map<LimitKey, Integer>> into) {
+            double[] target = ShareAllocator.this.divide(whole, demand, EVEN_COUNT_FRACTION);
             int free = whole;
             for (int i = 0; i < loops; i++) {
-                free -= owned[i];
+                free -= reserved[i];
             }
             for (int i = 0; i < loops; i++) {
                 int next = (int) Math.floor(target[i]);
-                if (next < lent[i]) {
+                if (next < granted[i]) {
                     // It goes on counting in full until the loop has told what it still has.
-                    lent[i] = next;
+                    granted[i] = next;
                     into.get(i).put(key, next);
                 }
             }
             // What rounding leaves goes to whoever wants most.
-            List<Integer> order = byWant();
+            List<Integer> order = byDemand();
             for (int pass = 0; pass < 2 && free > 0; pass++) {
                 for (int i : order) {
                     int next = (int) Math.floor(target[i]) + pass;
-                    int more = Math.min(free, next - Math.max(lent[i], owned[i]));
+                    int more = Math.min(free, next - Math.max(granted[i], reserved[i]));
                     if (more > 0) {
-                        lent[i] = Math.max(lent[i], owned[i]) + more;
-                        owned[i] = lent[i];
+                        granted[i] = Math.max(granted[i], reserved[i]) + more;
+                        reserved[i] = granted[i];
                         free -= more;
-                        into.get(i).put(key, lent[i]);
+                        into.get(i).put(key, granted[i]);
                     }
                 }
             }
         }
 
         /** The loops, the one that wants most first. */
-        private List<Integer> byWant() {
+        private List<Integer> byDemand() {
             List<Integer> order = new ArrayList<>();
             for (int i = 0; i < loops; i++) {
                 order.add(i);
             }
-            order.sort((a, b) -> Double.compare(wanted[b], wanted[a]));
+            order.sort((a, b) -> Double.compare(demand[b], demand[a]));
             return order;
         }
     }
--- a/core/src/main/java/ridgemill/limit/TokenBucket.java
+++ b/core/src/main/java/ridgemill/limit/TokenBucket.java
@@ -5,11 +5,11 @@
 
     private static final double MS_PER_S = 1000;
     /** So little is missing by rounding alone. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private Rate rate;
     private double tokens;
-    private double filledAt;
+    private double lastFillMs;
 
     /** A full bucket. */
     public TokenBucket(Rate rate, double nowMs) {
@@ -20,7 +20,7 @@
     TokenBucket(Rate rate, double tokens, double nowMs) {
         this.rate = rate;
         this.tokens = Math.min(tokens, rate.burst());
-        this.filledAt = nowMs;
+        this.lastFillMs = nowMs;
     }
 
     /** Puts in tokens that were taken elsewhere; what does not fit comes back. */
@@ -39,7 +39,7 @@
     /** Takes so many tokens, or parts of one, if they are there. */
     public boolean tryTake(double nowMs, double count) {
         fill(nowMs);
-        if (tokens + ROUNDING < count) {
+        if (tokens + ROUNDING_TOLERANCE < count) {
             return false;
         }
         tokens = Math.max(0, tokens - count);
@@ -55,7 +55,7 @@
     /** How long until a token will be there if nobody takes one, in milliseconds; 0 if one is. */
     public double waitMs(double nowMs) {
         fill(nowMs);
-        return tokens + ROUNDING >= 1 ? 0 : (1 - tokens) / rate.perSecond() * MS_PER_S;
+        return tokens + ROUNDING_TOLERANCE >= 1 ? 0 : (1 - tokens) / rate.perSecond() * MS_PER_S;
     }
 
     /** What it holds. */
@@ -78,8 +78,8 @@
     }
 
     private void fill(double nowMs) {
-        double passed = Math.max(0, nowMs - filledAt);
+        double passed = Math.max(0, nowMs - lastFillMs);
         tokens = Math.min(rate.burst(), tokens + passed / MS_PER_S * rate.perSecond());
-        filledAt = Math.max(filledAt, nowMs);
+        lastFillMs = Math.max(lastFillMs, nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/limit/UnknownTenants.java
+++ b/core/src/main/java/ridgemill/limit/UnknownTenantBuckets.java
@@ -12,48 +12,48 @@
  * place without a loss once it is. While nobody's is, further names share a fixed number of buckets by their hash, so that
  * making up names gains no more than all these buckets hold. Not safe for use by several threads.
  */
-final class UnknownTenants {
+final class UnknownTenantBuckets {
 
     /** Tenants with a bucket of their own, and buckets that the others share. */
-    static final int OWN = 256;
-    static final int SHARED = 256;
+    static final int MAX_OWN_BUCKETS = 256;
+    static final int SHARED_BUCKETS = 256;
     /** Longer names get none of their own: they would be what takes the memory. */
-    private static final int LONGEST_NAME = 128;
+    private static final int MAX_NAME_LENGTH = 128;
 
     /** No client can send it: what the shared buckets are is never lent. */
-    private static final String SHARED_NAME = "\n";
+    private static final String SHARED_BUCKET_NAME = "\n";
 
-    private final Map<String, TokenBucket> own = new LinkedHashMap<>(OWN, 0.75f, true);
-    private final TokenBucket[] shared = new TokenBucket[SHARED];
+    private final Map<String, TokenBucket> ownBuckets = new LinkedHashMap<>(MAX_OWN_BUCKETS, 0.75f, true);
+    private final TokenBucket[] sharedBuckets = new TokenBucket[SHARED_BUCKETS];
 
     /** The bucket of a tenant, one of {@code made} where it is new; one that names itself not has the empty name. */
-    TokenBucket of(String tenant, double nowMs, Function<String, TokenBucket> made) {
-        TokenBucket there = own.get(tenant);
+    TokenBucket bucketFor(String tenant, double nowMs, Function<String, TokenBucket> made) {
+        TokenBucket there = ownBuckets.get(tenant);
         if (there != null) {
             return there;
         }
-        if (tenant.length() <= LONGEST_NAME && hasPlace(nowMs)) {
+        if (tenant.length() <= MAX_NAME_LENGTH && makeRoom(nowMs)) {
             TokenBucket fresh = made.apply(tenant);
-            own.put(tenant, fresh);
+            ownBuckets.put(tenant, fresh);
             return fresh;
         }
-        int place = Math.floorMod(spread(tenant.hashCode()), SHARED);
-        if (shared[place] == null) {
-            shared[place] = made.apply(SHARED_NAME);
+        int place = Math.floorMod(spread(tenant.hashCode()), SHARED_BUCKETS);
+        if (sharedBuckets[place] == null) {
+            sharedBuckets[place] = made.apply(SHARED_BUCKET_NAME);
         }
-        return shared[place];
+        return sharedBuckets[place];
     }
 
     /** The bucket that a tenant has of its own; null where it has none. */
-    TokenBucket own(String tenant) {
-        return own.get(tenant);
+    TokenBucket ownBucket(String tenant) {
+        return ownBuckets.get(tenant);
     }
 
-    private boolean hasPlace(double nowMs) {
-        if (own.size() < OWN) {
+    private boolean makeRoom(double nowMs) {
+        if (ownBuckets.size() < MAX_OWN_BUCKETS) {
             return true;
         }
-        Iterator<TokenBucket> eldest = own.values().iterator();
+        Iterator<TokenBucket> eldest = ownBuckets.values().iterator();
         TokenBucket bucket = eldest.next();
         if (bucket.tokens(nowMs) < bucket.rate().burst()) {
             return false;
@@ -65,15 +65,15 @@
     /** Another rate holds, of which each name has what {@code part} says; null for none. */
     void changeTo(Rate rate, double nowMs, BiFunction<String, Rate, Rate> part) {
         if (rate == null) {
-            own.clear();
+            ownBuckets.clear();
         } else {
-            own.forEach((name, b) -> change(b, part.apply(name, rate), nowMs));
+            ownBuckets.forEach((name, b) -> change(b, part.apply(name, rate), nowMs));
         }
-        for (int i = 0; i < shared.length; i++) {
+        for (int i = 0; i < sharedBuckets.length; i++) {
             if (rate == null) {
-                shared[i] = null;
-            } else if (shared[i] != null) {
-                change(shared[i], part.apply(SHARED_NAME, rate), nowMs);
+                sharedBuckets[i] = null;
+            } else if (sharedBuckets[i] != null) {
+                change(sharedBuckets[i], part.apply(SHARED_BUCKET_NAME, rate), nowMs);
             }
         }
     }
--- a/core/src/main/java/ridgemill/membership/Member.java
+++ b/core/src/main/java/ridgemill/membership/Member.java
@@ -10,12 +10,12 @@
  * @param weight its share of work against others
  * @param startedAtMs when this incarnation started; 0 for long ago. Another start time is another incarnation, of which
  *     nothing is known
- * @param sinceMs since when it has been in this state
- * @param by the source whose word decides
- * @param why in words, for operators
+ * @param stateSinceMs since when it has been in this state
+ * @param source the source whose word decides
+ * @param reason in words, for operators
  */
-public record Member(String id, String address, State state, String zone, double weight, double startedAtMs, double sinceMs,
-                     String by, String why) {
+public record Member(String id, String address, State state, String zone, double weight, double startedAtMs, double stateSinceMs,
+                     String source, String reason) {
 
     /** What may be sent to a node. */
     public enum State {
@@ -28,7 +28,7 @@
     }
 
     /** Whether the decisions would see the same. */
-    boolean isLike(Member o) {
+    boolean isSameAs(Member o) {
         return o != null && id.equals(o.id) && address.equals(o.address) && state == o.state && zone.equals(o.zone)
                 && weight == o.weight && startedAtMs == o.startedAtMs;
     }
--- a/core/src/main/java/ridgemill/membership/Membership.java
+++ b/core/src/main/java/ridgemill/membership/Membership.java
@@ -33,21 +33,21 @@
  */
 public final class Membership {
 
-    private static final int MOST_DOUBLINGS = 3;
+    private static final int MAX_DOUBLINGS = 3;
 
     /** What a source last said, and how it has been heard of. */
     private static final class Source {
         final String name;
-        final Map<String, Instance> said = new LinkedHashMap<>();
+        final Map<String, Instance> instances = new LinkedHashMap<>();
         /** Those that it names no more and that are kept, by when it first did not. */
         final Map<String, Double> missing = new HashMap<>();
         /** Older records than what is held, by when each was first told. */
-        final Map<String, Double> older = new HashMap<>();
+        final Map<String, Double> olderRecords = new HashMap<>();
         /** How many it named as up, at times within the window; the greatest comes first. */
-        final Deque<double[]> counts = new ArrayDeque<>();
-        double heardAt = Double.NaN;
-        double firstAt = Double.NaN;
-        String failure;
+        final Deque<double[]> upCounts = new ArrayDeque<>();
+        double lastContactMs = Double.NaN;
+        double firstContactMs = Double.NaN;
+        String lastFailure;
         /** Whether it is believed whatever it takes away: an operator's own list. */
         boolean trusted;
 
@@ -58,9 +58,9 @@
 
     /** How often an id has come and gone. */
     private static final class Flapping {
-        final Deque<Double> goings = new ArrayDeque<>();
-        int times;
-        double calmUntil;
+        final Deque<Double> downTimes = new ArrayDeque<>();
+        int holds;
+        double holdUntilMs;
         boolean up;
     }
 
@@ -74,65 +74,65 @@
     }
 
     /** A source is believed whatever it takes away, as an operator's own list is. */
-    public void trust(String source) {
+    public void trustSource(String source) {
         source(source).trusted = true;
     }
 
     /** A source has told all that it knows. Returns what changed, those that went as {@link State#OUT}. */
-    public List<Member> told(double nowMs, String source, Collection<Instance> all) {
-        Source s = heard(nowMs, source);
+    public List<Member> applySnapshot(double nowMs, String source, Collection<Instance> all) {
+        Source s = recordContact(nowMs, source);
         Map<String, Instance> named = new LinkedHashMap<>();
         for (Instance i : all) {
             // Of two records with one id the newer counts, whatever their order.
             named.merge(i.id(), i, (a, b) -> b.changedAtMs() >= a.changedAtMs() ? b : a);
         }
-        named.values().forEach(i -> take(nowMs, s, i));
-        List<String> gone = s.said.keySet().stream().filter(id -> !named.containsKey(id)).toList();
+        named.values().forEach(i -> storeRecord(nowMs, s, i));
+        List<String> gone = s.instances.keySet().stream().filter(id -> !named.containsKey(id)).toList();
         named.keySet().forEach(s.missing::remove);
-        drop(nowMs, s, gone);
-        return settle(nowMs);
+        removeMissing(nowMs, s, gone);
+        return recompute(nowMs);
     }
 
     /** A source has told what changed: records that are new or other, and ids that are gone. */
-    public List<Member> changed(double nowMs, String source, Collection<Instance> some, Collection<String> gone) {
-        Source s = heard(nowMs, source);
+    public List<Member> applyChanges(double nowMs, String source, Collection<Instance> some, Collection<String> gone) {
+        Source s = recordContact(nowMs, source);
         for (Instance i : some) {
-            take(nowMs, s, i);
+            storeRecord(nowMs, s, i);
             s.missing.remove(i.id());
         }
-        drop(nowMs, s, gone.stream().filter(s.said::containsKey).toList());
-        return settle(nowMs);
+        removeMissing(nowMs, s, gone.stream().filter(s.instances::containsKey).toList());
+        return recompute(nowMs);
     }
 
     /** A source can't be read: what it said goes on holding. */
-    public void failed(double nowMs, String source, String why) {
-        source(source).failure = why;
+    public void sourceFailed(double nowMs, String source, String why) {
+        source(source).lastFailure = why;
     }
 
     /** A source is asked no more: what it said holds no longer. */
-    public List<Member> forget(double nowMs, String source) {
+    public List<Member> removeSource(double nowMs, String source) {
         sources.remove(source);
-        return settle(nowMs);
+        return recompute(nowMs);
     }
 
     /** Time has passed: what was waited for may be due. To be called now and then. */
     public List<Member> tick(double nowMs) {
         for (Source s : sources.values()) {
-            List<String> believed = s.missing.entrySet().stream().filter(e -> nowMs - e.getValue() >= policy.believeAfterMs())
+            List<String> believed = s.missing.entrySet().stream().filter(e -> nowMs - e.getValue() >= policy.acceptLossAfterMs())
                     .map(Map.Entry::getKey).toList();
             // Only while the source can be read: an old word is no news.
-            if (s.failure == null) {
+            if (s.lastFailure == null) {
                 believed.forEach(id -> {
                     s.missing.remove(id);
-                    s.said.remove(id);
+                    s.instances.remove(id);
                 });
                 if (!believed.isEmpty()) {
-                    s.counts.clear();
-                    count(nowMs, s);
+                    s.upCounts.clear();
+                    recordUpCount(nowMs, s);
                 }
             }
         }
-        return settle(nowMs);
+        return recompute(nowMs);
     }
 
     /** All members that are in or drain, by id. */
@@ -141,14 +141,14 @@
     }
 
     /** How each source is doing, in words, by its name. */
-    public Map<String, String> sources(double nowMs) {
+    public Map<String, String> describeSources(double nowMs) {
         Map<String, String> all = new LinkedHashMap<>();
         for (Source s : sources.values()) {
-            double age = nowMs - s.heardAt;
-            String text = Double.isNaN(age) ? "never heard" : "%d instances, heard %.1f s ago".formatted(s.said.size(), age / 1000);
+            double age = nowMs - s.lastContactMs;
+            String text = Double.isNaN(age) ? "never heard" : "%d instances, heard %.1f s ago".formatted(s.instances.size(), age / 1000);
             text += age > policy.staleAfterMs() ? ", stale" : "";
             text += s.missing.isEmpty() ? "" : ", " + s.missing.size() + " kept that it no longer names";
-            all.put(s.name, text + (s.failure == null ? "" : ", last failure: " + s.failure));
+            all.put(s.name, text + (s.lastFailure == null ? "" : ", last failure: " + s.lastFailure));
         }
         return all;
     }
@@ -157,114 +157,114 @@
         return sources.computeIfAbsent(name, Source::new);
     }
 
-    private Source heard(double nowMs, String name) {
+    private Source recordContact(double nowMs, String name) {
         Source s = source(name);
-        s.heardAt = nowMs;
-        s.firstAt = Double.isNaN(s.firstAt) ? nowMs : s.firstAt;
-        s.failure = null;
+        s.lastContactMs = nowMs;
+        s.firstContactMs = Double.isNaN(s.firstContactMs) ? nowMs : s.firstContactMs;
+        s.lastFailure = null;
         return s;
     }
 
     /** An older record never takes the place of a newer one, unless it is told for so long that its clock must be behind. */
-    private void take(double nowMs, Source s, Instance next) {
-        Instance held = s.said.get(next.id());
+    private void storeRecord(double nowMs, Source s, Instance next) {
+        Instance held = s.instances.get(next.id());
         boolean behind = held != null && next.changedAtMs() > 0 && next.changedAtMs() < held.changedAtMs()
                 && !s.missing.containsKey(next.id());
-        if (behind && nowMs - s.older.computeIfAbsent(next.id(), id -> nowMs) < policy.skewMs()) {
+        if (behind && nowMs - s.olderRecords.computeIfAbsent(next.id(), id -> nowMs) < policy.clockSkewMs()) {
             return;
         }
-        s.older.remove(next.id());
-        s.said.put(next.id(), next);
+        s.olderRecords.remove(next.id());
+        s.instances.put(next.id(), next);
     }
 
     /** Lets go of what a source names no more, unless that leaves too few of those that it named of late. */
-    private void drop(double nowMs, Source s, Collection<String> gone) {
-        long left = s.said.values().stream().filter(i -> i.status() == Status.UP && !gone.contains(i.id())
+    private void removeMissing(double nowMs, Source s, Collection<String> gone) {
+        long left = s.instances.values().stream().filter(i -> i.status() == Status.UP && !gone.contains(i.id())
                 && !s.missing.containsKey(i.id())).count();
-        boolean believed = s.trusted || gone.isEmpty() && s.missing.isEmpty() || left >= Math.max(1, policy.floorShare() * most(nowMs, s));
+        boolean believed = s.trusted || gone.isEmpty() && s.missing.isEmpty() || left >= Math.max(1, policy.floorShare() * maxUpCount(nowMs, s));
         if (believed) {
             // Enough are there: those that were kept when too few were are gone as well.
-            s.missing.keySet().forEach(s.said::remove);
+            s.missing.keySet().forEach(s.instances::remove);
             s.missing.clear();
-            gone.forEach(s.said::remove);
+            gone.forEach(s.instances::remove);
         } else {
             gone.forEach(id -> s.missing.putIfAbsent(id, nowMs));
         }
-        count(nowMs, s);
+        recordUpCount(nowMs, s);
     }
 
-    private void count(double nowMs, Source s) {
-        double up = s.said.values().stream().filter(i -> i.status() == Status.UP).count();
-        while (!s.counts.isEmpty() && s.counts.peekLast()[1] <= up) {
-            s.counts.removeLast();
+    private void recordUpCount(double nowMs, Source s) {
+        double up = s.instances.values().stream().filter(i -> i.status() == Status.UP).count();
+        while (!s.upCounts.isEmpty() && s.upCounts.peekLast()[1] <= up) {
+            s.upCounts.removeLast();
         }
-        s.counts.addLast(new double[] {nowMs, up});
+        s.upCounts.addLast(new double[] {nowMs, up});
     }
 
     /** The most that it named as up within the window. Kept in falling order, so that the first is the greatest. */
-    private double most(double nowMs, Source s) {
-        double[] first = s.counts.pollFirst();
+    private double maxUpCount(double nowMs, Source s) {
+        double[] first = s.upCounts.pollFirst();
         // One that is too old held until the next came.
-        while (!s.counts.isEmpty() && s.counts.peekFirst()[0] < nowMs - policy.floorWindowMs()) {
-            first = s.counts.pollFirst();
+        while (!s.upCounts.isEmpty() && s.upCounts.peekFirst()[0] < nowMs - policy.floorWindowMs()) {
+            first = s.upCounts.pollFirst();
         }
         if (first == null) {
             return 0;
         }
-        s.counts.addFirst(first);
+        s.upCounts.addFirst(first);
         return first[1];
     }
 
     /** Puts the sources' words together, and tells what is other than before. */
-    private List<Member> settle(double nowMs) {
+    private List<Member> recompute(double nowMs) {
         Map<String, List<Source>> naming = new TreeMap<>();
         for (Source s : sources.values()) {
-            s.said.keySet().forEach(id -> naming.computeIfAbsent(id, i -> new ArrayList<>()).add(s));
+            s.instances.keySet().forEach(id -> naming.computeIfAbsent(id, i -> new ArrayList<>()).add(s));
         }
         Map<String, Member> next = new TreeMap<>();
         naming.forEach((id, by) -> {
-            Member m = merged(nowMs, id, by);
+            Member m = merge(nowMs, id, by);
             if (m.state() != State.OUT) {
                 next.put(id, m);
             }
         });
-        takeOvers(next, naming);
+        resolveAddressConflicts(next, naming);
         List<Member> changes = new ArrayList<>();
         members.forEach((id, was) -> {
             if (!next.containsKey(id)) {
                 flapping.computeIfAbsent(id, i -> new Flapping()).up = false;
                 changes.add(new Member(id, was.address(), State.OUT, was.zone(), was.weight(), was.startedAtMs(), nowMs,
-                        was.by(), "named no more"));
+                        was.source(), "named no more"));
             }
         });
         next.forEach((id, m) -> {
-            if (!m.isLike(members.get(id))) {
+            if (!m.isSameAs(members.get(id))) {
                 changes.add(m);
             }
         });
         members.clear();
         members.putAll(next);
-        flapping.entrySet().removeIf(e -> !naming.containsKey(e.getKey()) && e.getValue().calmUntil <= nowMs
-                && (e.getValue().goings.isEmpty() || e.getValue().goings.peekLast() < nowMs - policy.flapWindowMs()));
+        flapping.entrySet().removeIf(e -> !naming.containsKey(e.getKey()) && e.getValue().holdUntilMs <= nowMs
+                && (e.getValue().downTimes.isEmpty() || e.getValue().downTimes.peekLast() < nowMs - policy.flapWindowMs()));
         return changes;
     }
 
-    private Member merged(double nowMs, String id, List<Source> by) {
+    private Member merge(double nowMs, String id, List<Source> by) {
         Member was = members.get(id);
         Source decides = by.get(0);
-        Instance word = decides.said.get(id);
+        Instance word = decides.instances.get(id);
         for (Source s : by.subList(1, by.size())) {
-            Instance other = s.said.get(id);
-            if (caution(other.status()) > caution(word.status())) {
+            Instance other = s.instances.get(id);
+            if (precedence(other.status()) > precedence(word.status())) {
                 decides = s;
                 word = other;
             }
         }
         // The newest record knows where it is and since when, whoever decides on its state.
-        Instance newest = by.stream().map(s -> s.said.get(id)).max(Comparator.comparingLong(Instance::changedAtMs)
+        Instance newest = by.stream().map(s -> s.instances.get(id)).max(Comparator.comparingLong(Instance::changedAtMs)
                 .thenComparingDouble(Instance::startedAtMs)).orElse(word);
         boolean anew = was != null && (!was.address().equals(newest.address()) || newest.startedAtMs() > was.startedAtMs());
-        boolean first = was == null && by.stream().allMatch(s -> s.heardAt == s.firstAt);
+        boolean first = was == null && by.stream().allMatch(s -> s.lastContactMs == s.firstContactMs);
         double started = newest.startedAtMs() > 0 || first ? newest.startedAtMs()
                 : anew || was == null ? nowMs : was.startedAtMs();
         State state = switch (word.status()) {
@@ -276,16 +276,16 @@
         };
         String why = word.status().name() + (anew ? ", started anew" : "") + (decides.missing.containsKey(id)
                 ? ", kept though it is named no more: too many went together" : "");
-        if (state == State.IN && !calm(nowMs, id)) {
+        if (state == State.IN && !isStable(nowMs, id)) {
             state = State.DRAINING;
             why = "UP, but it came and went too often: it must stay up for a while";
         }
-        flap(nowMs, id, word.status() == Status.UP);
-        double since = was != null && was.state() == state && !anew ? was.sinceMs() : nowMs;
+        trackFlapping(nowMs, id, word.status() == Status.UP);
+        double since = was != null && was.state() == state && !anew ? was.stateSinceMs() : nowMs;
         return new Member(id, newest.address(), state, newest.zone(), newest.weight(), started, since, decides.name, why);
     }
 
-    private static int caution(Status s) {
+    private static int precedence(Status s) {
         return switch (s) {
             case UP -> 0;
             case UNKNOWN -> 1;
@@ -296,35 +296,35 @@
     }
 
     /** Notes that an id has come or gone. */
-    private void flap(double nowMs, String id, boolean up) {
+    private void trackFlapping(double nowMs, String id, boolean up) {
         Flapping f = flapping.computeIfAbsent(id, i -> new Flapping());
         if (f.up && !up) {
-            f.goings.addLast(nowMs);
-            while (f.goings.peekFirst() < nowMs - policy.flapWindowMs()) {
-                f.goings.removeFirst();
+            f.downTimes.addLast(nowMs);
+            while (f.downTimes.peekFirst() < nowMs - policy.flapWindowMs()) {
+                f.downTimes.removeFirst();
             }
-            if (f.goings.size() >= policy.flaps()) {
-                f.calmUntil = Double.POSITIVE_INFINITY;
+            if (f.downTimes.size() >= policy.maxFlaps()) {
+                f.holdUntilMs = Double.POSITIVE_INFINITY;
             }
-        } else if (!f.up && up && f.calmUntil == Double.POSITIVE_INFINITY) {
-            f.calmUntil = nowMs + policy.calmMs() * (1 << Math.min(MOST_DOUBLINGS, f.times));
-            f.times++;
+        } else if (!f.up && up && f.holdUntilMs == Double.POSITIVE_INFINITY) {
+            f.holdUntilMs = nowMs + policy.flapHoldMs() * (1 << Math.min(MAX_DOUBLINGS, f.holds));
+            f.holds++;
         }
         f.up = up;
     }
 
     /** Whether it has been up for long enough since it came and went too often. */
-    private boolean calm(double nowMs, String id) {
+    private boolean isStable(double nowMs, String id) {
         Flapping f = flapping.get(id);
-        if (f != null && f.times > 0 && f.calmUntil <= nowMs - policy.flapWindowMs() && (f.goings.isEmpty()
-                || f.goings.peekLast() < nowMs - policy.flapWindowMs())) {
-            f.times = 0;
+        if (f != null && f.holds > 0 && f.holdUntilMs <= nowMs - policy.flapWindowMs() && (f.downTimes.isEmpty()
+                || f.downTimes.peekLast() < nowMs - policy.flapWindowMs())) {
+            f.holds = 0;
         }
-        return f == null || f.calmUntil <= nowMs;
+        return f == null || f.holdUntilMs <= nowMs;
     }
 
     /** Of several ids at one address the one with the newest record has it; the others are what was there before. */
-    private static void takeOvers(Map<String, Member> next, Map<String, List<Source>> naming) {
+    private static void resolveAddressConflicts(Map<String, Member> next, Map<String, List<Source>> naming) {
         Map<String, Member> at = new HashMap<>();
         Set<String> lost = new HashSet<>();
         for (Member m : next.values()) {
@@ -341,6 +341,6 @@
     }
 
     private static long changedAt(Member m, Map<String, List<Source>> naming) {
-        return naming.get(m.id()).stream().mapToLong(s -> s.said.get(m.id()).changedAtMs()).max().orElse(0);
+        return naming.get(m.id()).stream().mapToLong(s -> s.instances.get(m.id()).changedAtMs()).max().orElse(0);
     }
 }
--- a/core/src/main/java/ridgemill/probing/ProbeWire.java
+++ b/core/src/main/java/ridgemill/probing/ProbeCodec.java
@@ -8,27 +8,27 @@
 import ridgemill.lease.Sealed;
 
 /** What is said of probes, as {@link Sealed} datagrams. */
-public final class ProbeWire {
+public final class ProbeCodec {
 
     /** So many nodes are asked for at most; what is more waits until some of them are back. */
-    public static final int MOST_NODES = 48;
+    public static final int MAX_NODES = 48;
     private static final byte KIND = 'P';
     private static final byte VERSION = 1;
-    private static final byte ASKS = 0;
-    private static final byte TELLS = 1;
+    private static final byte REQUEST = 0;
+    private static final byte RESULT = 1;
 
     /** What a datagram may say. */
-    public sealed interface Said { }
+    public sealed interface Message { }
 
     /**
      * Its sender spares these and wants to be told of them.
      *
-     * @param mark its own time; given back with what it is told
+     * @param timestamp its own time; given back with what it is told
      * @param nodes what stands for their names
      */
-    public record Asks(int mark, List<Integer> nodes) implements Said {
+    public record ProbeRequest(int timestamp, List<Integer> nodes) implements Message {
 
-        public Asks {
+        public ProbeRequest {
             nodes = List.copyOf(nodes);
         }
     }
@@ -37,44 +37,44 @@
      * A probe has ended.
      *
      * @param term under which it was told
-     * @param number grows with each telling of a term
-     * @param mark the last that the teller had heard from this listener when it began the probe
+     * @param sequence grows with each telling of a term
+     * @param echoTimestamp the last that the teller had heard from this listener when it began the probe
      * @param node what stands for its name
      * @param answered whether it did
-     * @param tookMs how long that took
+     * @param durationMs how long that took
      */
-    public record Tells(long term, int number, int mark, int node, boolean answered, int tookMs) implements Said { }
+    public record ProbeResult(long term, int sequence, int echoTimestamp, int node, boolean answered, int durationMs) implements Message { }
 
-    private ProbeWire() { }
+    private ProbeCodec() { }
 
     /** Puts something into a datagram. */
-    public static byte[] encode(Said said) {
+    public static byte[] encode(Message said) {
         ByteBuffer out = Sealed.begun(KIND, VERSION);
-        if (said instanceof Asks a) {
-            List<Integer> nodes = a.nodes().subList(0, Math.min(MOST_NODES, a.nodes().size()));
-            out.put(ASKS).putInt(a.mark()).put((byte) nodes.size());
+        if (said instanceof ProbeRequest a) {
+            List<Integer> nodes = a.nodes().subList(0, Math.min(MAX_NODES, a.nodes().size()));
+            out.put(REQUEST).putInt(a.timestamp()).put((byte) nodes.size());
             nodes.forEach(out::putInt);
-        } else if (said instanceof Tells t) {
-            out.put(TELLS).putLong(t.term()).putInt(t.number()).putInt(t.mark()).putInt(t.node()).put((byte) (t.answered() ? 1 : 0))
-                    .putShort((short) Math.min(Short.MAX_VALUE, t.tookMs()));
+        } else if (said instanceof ProbeResult t) {
+            out.put(RESULT).putLong(t.term()).putInt(t.sequence()).putInt(t.echoTimestamp()).putInt(t.node()).put((byte) (t.answered() ? 1 : 0))
+                    .putShort((short) Math.min(Short.MAX_VALUE, t.durationMs()));
         }
         return Sealed.ended(out);
     }
 
     /** Reads a datagram; empty where it says nothing of probes, is of another version or spoilt. */
-    public static Optional<Said> decode(byte[] datagram) {
+    public static Optional<Message> decode(byte[] datagram) {
         return Sealed.opened(datagram, KIND, VERSION).flatMap(in -> {
             try {
                 byte what = in.get();
-                if (what == ASKS) {
+                if (what == REQUEST) {
                     int mark = in.getInt();
                     List<Integer> nodes = new ArrayList<>();
                     for (int i = in.get(); i > 0; i--) {
                         nodes.add(in.getInt());
                     }
-                    return Optional.of(new Asks(mark, nodes));
+                    return Optional.of(new ProbeRequest(mark, nodes));
                 }
-                return what == TELLS ? Optional.of(new Tells(in.getLong(), in.getInt(), in.getInt(), in.getInt(), in.get() == 1, in.getShort()))
+                return what == RESULT ? Optional.of(new ProbeResult(in.getLong(), in.getInt(), in.getInt(), in.getInt(), in.get() == 1, in.getShort()))
                         : Optional.empty();
             } catch (BufferUnderflowException e) {
                 return Optional.empty();
--- a/core/src/main/java/ridgemill/reading/Change.java
+++ b/core/src/main/java/ridgemill/registry/InstanceChange.java
@@ -1,15 +1,15 @@
-package ridgemill.reading;
+package ridgemill.registry;
 
 import ridgemill.membership.Instance;
 
 /** One thing that became different in a registry. Applied twice it is applied once. */
-public sealed interface Change {
+public sealed interface InstanceChange {
 
     /** Which instance it is of. */
     String id();
 
     /** An instance is new or has another record. */
-    record Put(Instance instance) implements Change {
+    record Put(Instance instance) implements InstanceChange {
         @Override
         public String id() {
             return instance.id();
@@ -17,5 +17,5 @@
     }
 
     /** An instance is gone. */
-    record Gone(String id) implements Change { }
+    record Removed(String id) implements InstanceChange { }
 }
--- a/core/src/main/java/ridgemill/reading/Listing.java
+++ b/core/src/main/java/ridgemill/registry/InstanceSnapshot.java
@@ -1,4 +1,4 @@
-package ridgemill.reading;
+package ridgemill.registry;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,16 +17,16 @@
  * 64 bits of SHA-256 of each record, so that it does not depend on their order and a change costs no more than what changed. When an
  * instance started is not in it, as each proxy can tell that only of restarts that it has seen. Immutable.
  */
-public final class Listing {
+public final class InstanceSnapshot {
 
     /** Nothing. */
-    public static final Listing EMPTY = new Listing(Map.of(), 0);
+    public static final InstanceSnapshot EMPTY = new InstanceSnapshot(Map.of(), 0);
     private static final char SEPARATOR = 0;
 
     private final Map<String, Instance> instances;
     private final long digest;
 
-    private Listing(Map<String, Instance> instances, long digest) {
+    private InstanceSnapshot(Map<String, Instance> instances, long digest) {
         this.instances = instances;
         this.digest = digest;
     }
@@ -35,7 +35,7 @@
      * What a poll has found; of two records with one id the newer counts. One that tells no start keeps what {@code known} tells of
      * the same record: whoever told that had seen its restart.
      */
-    public static Listing of(Collection<Instance> found, Listing known) {
+    public static InstanceSnapshot of(Collection<Instance> found, InstanceSnapshot known) {
         Map<String, Instance> all = new LinkedHashMap<>();
         for (Instance i : found) {
             all.merge(i.id(), i, (a, b) -> b.changedAtMs() >= a.changedAtMs() ? b : a);
@@ -46,49 +46,49 @@
                     ? new Instance(id, i.address(), i.status(), i.zone(), i.weight(), before.startedAtMs(), i.changedAtMs()) : i;
         });
         // What is as it was known is not hashed again: most of a poll's answer is.
-        return new Listing(all, known.digestWith(new Listing(all, 0).since(known)));
+        return new InstanceSnapshot(all, known.digestWith(new InstanceSnapshot(all, 0).changesSince(known)));
     }
 
-    private long digestWith(Collection<Change> changes) {
+    private long digestWith(Collection<InstanceChange> changes) {
         long next = digest;
-        for (Change c : changes) {
+        for (InstanceChange c : changes) {
             Instance before = instances.get(c.id());
             next -= before == null ? 0 : hash(before);
-            next += c instanceof Change.Put p ? hash(p.instance()) : 0;
+            next += c instanceof InstanceChange.Put p ? hash(p.instance()) : 0;
         }
         return next;
     }
 
     /** This with changes made to it. */
-    public Listing with(Collection<Change> changes) {
+    public InstanceSnapshot withChanges(Collection<InstanceChange> changes) {
         Map<String, Instance> all = new LinkedHashMap<>(instances);
-        Map<String, Change> last = new LinkedHashMap<>();
-        for (Change c : changes) {
+        Map<String, InstanceChange> last = new LinkedHashMap<>();
+        for (InstanceChange c : changes) {
             last.put(c.id(), c);
-            if (c instanceof Change.Put p) {
+            if (c instanceof InstanceChange.Put p) {
                 all.put(p.id(), p.instance());
             } else {
                 all.remove(c.id());
             }
         }
-        return new Listing(all, digestWith(last.values()));
+        return new InstanceSnapshot(all, digestWith(last.values()));
     }
 
     /** Whether, of what was changed, it has an older record than another has. */
-    boolean hasOlder(Listing than, Collection<Change> changed) {
+    boolean hasOlderRecordThan(InstanceSnapshot than, Collection<InstanceChange> changed) {
         return changed.stream().anyMatch(c -> instances.containsKey(c.id()) && than.instances.containsKey(c.id())
                 && instances.get(c.id()).changedAtMs() < than.instances.get(c.id()).changedAtMs());
     }
 
     /** What makes this of {@code before}, by id. */
-    public List<Change> since(Listing before) {
-        Map<String, Change> changes = new TreeMap<>();
+    public List<InstanceChange> changesSince(InstanceSnapshot before) {
+        Map<String, InstanceChange> changes = new TreeMap<>();
         instances.forEach((id, i) -> {
             if (!i.equals(before.instances.get(id))) {
-                changes.put(id, new Change.Put(i));
+                changes.put(id, new InstanceChange.Put(i));
             }
         });
-        before.instances.keySet().stream().filter(id -> !instances.containsKey(id)).forEach(id -> changes.put(id, new Change.Gone(id)));
+        before.instances.keySet().stream().filter(id -> !instances.containsKey(id)).forEach(id -> changes.put(id, new InstanceChange.Removed(id)));
         return new ArrayList<>(changes.values());
     }
 
--- a/core/src/main/java/ridgemill/reading/NewsWire.java
+++ b/core/src/main/java/ridgemill/registry/RegistryUpdateCodec.java
@@ -1,4 +1,4 @@
-package ridgemill.reading;
+package ridgemill.registry;
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -14,87 +14,87 @@
 /**
  * News as {@link Sealed} datagrams. Who listens says so in a datagram of the same kind.
  */
-public final class NewsWire {
+public final class RegistryUpdateCodec {
 
     /** A telling of more parts is told as one that each is to read for itself. */
-    public static final int MOST_PARTS = 8;
+    public static final int MAX_PARTS = 8;
     private static final byte KIND = 'N';
     private static final byte VERSION = 1;
-    private static final byte LISTENING = 0;
-    private static final byte TELLING = 1;
+    private static final byte LISTEN = 0;
+    private static final byte UPDATE = 1;
     private static final byte PUT = 1;
-    private static final byte GONE = 2;
-    private static final int TELLING_HEAD = 1 + 4 + 8 + 4 + 8 + 4 + 2 + 3;
-    private static final int ROOM = Sealed.ROOM - TELLING_HEAD;
-    private static final int MOST_TEXT = 255;
+    private static final byte REMOVED = 2;
+    private static final int UPDATE_HEADER_BYTES = 1 + 4 + 8 + 4 + 8 + 4 + 2 + 3;
+    private static final int MAX_CHANGES_BYTES = Sealed.ROOM - UPDATE_HEADER_BYTES;
+    private static final int MAX_TEXT_BYTES = 255;
 
-    private NewsWire() { }
+    private RegistryUpdateCodec() { }
 
     /** Whether a datagram is of this kind, of whatever version. */
-    public static boolean isNews(byte[] datagram) {
+    public static boolean isUpdate(byte[] datagram) {
         return Sealed.is(datagram, KIND);
     }
 
     /** Says that its sender wants to be told, and understands it; {@code mark} is given back with what it is told. */
-    public static byte[] listening(int mark) {
-        return Sealed.ended(Sealed.begun(KIND, VERSION).put(LISTENING).putInt(mark));
+    public static byte[] encodeListen(int mark) {
+        return Sealed.ended(Sealed.begun(KIND, VERSION).put(LISTEN).putInt(mark));
     }
 
     /** The mark of a datagram that says so; empty where it says something else. */
-    public static OptionalInt isListening(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTENING)
+    public static OptionalInt decodeListen(byte[] datagram) {
+        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTEN)
                 .map(in -> OptionalInt.of(in.getInt(1))).orElse(OptionalInt.empty());
     }
 
     /** A telling in as many datagrams as it needs. */
-    public static List<byte[]> encode(Telling telling, int mark) {
+    public static List<byte[]> encode(RegistryUpdate telling, int mark) {
         List<byte[]> parts = new ArrayList<>();
-        ByteBuffer part = ByteBuffer.allocate(ROOM);
+        ByteBuffer part = ByteBuffer.allocate(MAX_CHANGES_BYTES);
         int count = 0;
         boolean tooMuch = false;
         List<Integer> counts = new ArrayList<>();
-        for (Change c : telling.changes()) {
-            byte[] bytes = bytes(c);
-            tooMuch |= bytes.length > ROOM;
+        for (InstanceChange c : telling.changes()) {
+            byte[] bytes = encodeChange(c);
+            tooMuch |= bytes.length > MAX_CHANGES_BYTES;
             if (tooMuch) {
                 break;
             }
             if (bytes.length > part.remaining()) {
-                parts.add(taken(part));
+                parts.add(drain(part));
                 counts.add(count);
                 count = 0;
             }
             part.put(bytes);
             count++;
         }
-        parts.add(taken(part));
+        parts.add(drain(part));
         counts.add(count);
-        if (tooMuch || parts.size() > MOST_PARTS) {
+        if (tooMuch || parts.size() > MAX_PARTS) {
             parts = List.of(new byte[0]);
             counts = List.of(0);
             tooMuch = true;
         }
         List<byte[]> datagrams = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
-            datagrams.add(Sealed.ended(Sealed.begun(KIND, VERSION).put(TELLING).putInt(telling.stream())
-                    .putLong(telling.term()).putInt(telling.number()).putLong(telling.digest()).putInt(mark)
-                    .putShort((short) Math.min(Short.MAX_VALUE, telling.tookMs())).put((byte) i).put((byte) (tooMuch ? 0 : parts.size())).put(counts.get(i).byteValue())
+            datagrams.add(Sealed.ended(Sealed.begun(KIND, VERSION).put(UPDATE).putInt(telling.applicationId())
+                    .putLong(telling.term()).putInt(telling.sequence()).putLong(telling.digest()).putInt(mark)
+                    .putShort((short) Math.min(Short.MAX_VALUE, telling.pollDurationMs())).put((byte) i).put((byte) (tooMuch ? 0 : parts.size())).put(counts.get(i).byteValue())
                     .put(parts.get(i))));
         }
         return datagrams;
     }
 
-    private static byte[] taken(ByteBuffer part) {
+    private static byte[] drain(ByteBuffer part) {
         byte[] bytes = new byte[part.position()];
         part.flip().get(bytes);
         part.clear();
         return bytes;
     }
 
-    private static byte[] bytes(Change c) {
+    private static byte[] encodeChange(InstanceChange c) {
         byte[] id = text(c.id());
-        if (!(c instanceof Change.Put p)) {
-            return ByteBuffer.allocate(2 + id.length).put(GONE).put((byte) id.length).put(id).array();
+        if (!(c instanceof InstanceChange.Put p)) {
+            return ByteBuffer.allocate(2 + id.length).put(REMOVED).put((byte) id.length).put(id).array();
         }
         Instance i = p.instance();
         byte[] address = text(i.address());
@@ -107,12 +107,12 @@
     /** A text that is too long makes its change one that fits into no datagram. */
     private static byte[] text(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return bytes.length > MOST_TEXT ? new byte[Sealed.MOST_BYTES] : bytes;
+        return bytes.length > MAX_TEXT_BYTES ? new byte[Sealed.MOST_BYTES] : bytes;
     }
 
     /** Reads a telling; empty where it is none, of another version or spoilt. */
-    public static Optional<News> decode(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() > 0 && in.get(0) == TELLING).flatMap(in -> {
+    public static Optional<RegistryUpdatePart> decode(byte[] datagram) {
+        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() > 0 && in.get(0) == UPDATE).flatMap(in -> {
             try {
                 in.position(1);
                 int stream = in.getInt();
@@ -124,30 +124,30 @@
                 int part = in.get();
                 int parts = in.get();
                 int count = in.get();
-                List<Change> changes = new ArrayList<>();
+                List<InstanceChange> changes = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
-                    changes.add(change(in));
+                    changes.add(decodeChange(in));
                 }
-                return tookMs < 0 || part < 0 || parts < 0 || parts > MOST_PARTS || part >= Math.max(1, parts) ? Optional.empty()
-                        : Optional.of(new News(stream, term, number, digest, mark, tookMs, part, parts, changes));
+                return tookMs < 0 || part < 0 || parts < 0 || parts > MAX_PARTS || part >= Math.max(1, parts) ? Optional.empty()
+                        : Optional.of(new RegistryUpdatePart(stream, term, number, digest, mark, tookMs, part, parts, changes));
             } catch (BufferUnderflowException | IllegalArgumentException e) {
                 return Optional.empty();
             }
         });
     }
 
-    private static Change change(ByteBuffer in) {
+    private static InstanceChange decodeChange(ByteBuffer in) {
         int kind = in.get();
         String id = text(in);
-        if (kind == GONE) {
-            return new Change.Gone(id);
+        if (kind == REMOVED) {
+            return new InstanceChange.Removed(id);
         }
         String address = text(in);
         int status = in.get();
         if (kind != PUT || status < 0 || status >= Status.values().length) {
             throw new IllegalArgumentException("no such change");
         }
-        return new Change.Put(new Instance(id, address, Status.values()[status], text(in), in.getDouble(), in.getLong(), in.getLong()));
+        return new InstanceChange.Put(new Instance(id, address, Status.values()[status], text(in), in.getDouble(), in.getLong(), in.getLong()));
     }
 
     private static String text(ByteBuffer in) {
--- /dev/null
+++ b/core/src/test/java/ridgemill/registry/RegistryUpdateCodecTest.java
@@ -0,0 +1,101 @@
+package ridgemill.registry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.OptionalInt;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import ridgemill.lease.LeaseWire;
+import ridgemill.lease.Sealed;
+import ridgemill.membership.Instance;
+import ridgemill.membership.Status;
+
+class RegistryUpdateCodecTest {
+
+    private static Instance instance(int i) {
+        return new Instance("node-" + i, "10.0.0." + i + ":90", Status.values()[i % 5], i % 2 == 0 ? "teku" : "", 1 + i / 3.0, 1.7e12 + i, 5 + i);
+    }
+
+    private static RegistryUpdate telling(int puts, int gone) {
+        List<InstanceChange> changes = new ArrayList<>();
+        IntStream.range(0, puts).forEach(i -> changes.add(new InstanceChange.Put(instance(i))));
+        IntStream.range(0, gone).forEach(i -> changes.add(new InstanceChange.Removed("was-" + i)));
+        return new RegistryUpdate(7, 1L << 40, 3, -5, 130, changes);
+    }
+
+    @Test
+    void allComesBackFromDatagramsOfTheirSize() {
+        for (int puts = 0; puts <= 20; puts++) {
+            RegistryUpdate told = telling(puts, puts / 2);
+            List<InstanceChange> changes = new ArrayList<>();
+            List<byte[]> datagrams = RegistryUpdateCodec.encode(told, -9);
+            for (byte[] d : datagrams) {
+                assertTrue(d.length <= Sealed.MOST_BYTES && d.length % 4 == 3);
+                assertTrue(RegistryUpdateCodec.isUpdate(d));
+                assertFalse(LeaseWire.isLease(d));
+                assertEquals(OptionalInt.empty(), RegistryUpdateCodec.decodeListen(d));
+                RegistryUpdatePart news = RegistryUpdateCodec.decode(d).orElseThrow();
+                assertEquals(told, new RegistryUpdate(news.applicationId(), news.term(), news.sequence(), news.digest(), news.pollDurationMs(), told.changes()));
+                assertEquals(-9, news.echoTimestamp());
+                assertEquals(datagrams.size(), news.partCount());
+                changes.addAll(news.changes());
+            }
+            assertEquals(told.changes(), changes);
+        }
+    }
+
+    @Test
+    void whatIsTooMuchIsNotTold() {
+        for (RegistryUpdate t : List.of(telling(40, 0), new RegistryUpdate(7, 1, 1, 1, 0, List.of(new InstanceChange.Removed("x".repeat(250)))),
+                new RegistryUpdate(7, 1, 1, 1, 0, List.of(new InstanceChange.Removed("x".repeat(300)))))) {
+            List<byte[]> datagrams = RegistryUpdateCodec.encode(t, 0);
+            assertEquals(1, datagrams.size());
+            RegistryUpdatePart news = RegistryUpdateCodec.decode(datagrams.get(0)).orElseThrow();
+            assertEquals(0, news.partCount());
+            assertEquals(List.of(), news.changes());
+            assertEquals(t.digest(), news.digest());
+        }
+    }
+
+    @Test
+    void whoListensSaysSo() {
+        byte[] listening = RegistryUpdateCodec.encodeListen(-77);
+        assertEquals(OptionalInt.of(-77), RegistryUpdateCodec.decodeListen(listening));
+        assertTrue(RegistryUpdateCodec.decode(listening).isEmpty());
+        assertTrue(LeaseWire.decode(listening).isEmpty());
+    }
+
+    /** One bit is other, or bytes are missing: it is nothing at all. */
+    @Test
+    void whatIsSpoiltIsNothing() {
+        List<byte[]> whole = new ArrayList<>(RegistryUpdateCodec.encode(telling(6, 2), 4));
+        whole.add(RegistryUpdateCodec.encodeListen(8));
+        for (byte[] d : whole) {
+            for (int bit = 0; bit < 8 * d.length; bit++) {
+                byte[] spoilt = d.clone();
+                spoilt[bit / 8] ^= (byte) (1 << bit % 8);
+                // Bytes of nothing at the end mean nothing.
+                if (!RegistryUpdateCodec.decode(spoilt).equals(RegistryUpdateCodec.decode(d)) || !RegistryUpdateCodec.decodeListen(spoilt).equals(RegistryUpdateCodec.decodeListen(d))) {
+                    assertTrue(RegistryUpdateCodec.decode(spoilt).isEmpty() && RegistryUpdateCodec.decodeListen(spoilt).isEmpty());
+                } else {
+                    assertTrue(bit / 8 >= d.length - 3);
+                }
+            }
+            for (int length = 0; length < d.length - 3; length++) {
+                assertTrue(RegistryUpdateCodec.decode(Arrays.copyOf(d, length)).isEmpty());
+            }
+        }
+        SplittableRandom random = new SplittableRandom(20261202);
+        for (int i = 0; i < 100_000; i++) {
+            byte[] d = new byte[random.nextInt(257)];
+            random.nextBytes(d);
+            assertTrue(RegistryUpdateCodec.decode(d).isEmpty());
+        }
+    }
+}
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallCrossings.java
@@ -29,13 +29,13 @@
 import ridgemill.gateway.halls.HallWire.Reply;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Log;
-import ridgemill.halls.Halls.CrossingEnd;
-import ridgemill.halls.Halls.HomeEnd;
-import ridgemill.halls.Halls.Step;
-import ridgemill.halls.Halls.Word;
-import ridgemill.halls.Halls;
-import ridgemill.halls.Passing;
-import ridgemill.halls.Trail;
+import ridgemill.datacenter.DatacenterRouter.ForwardOutcome;
+import ridgemill.datacenter.DatacenterRouter.HomeOutcome;
+import ridgemill.datacenter.DatacenterRouter.Step;
+import ridgemill.datacenter.DatacenterRouter.KeyStatus;
+import ridgemill.datacenter.DatacenterRouter;
+import ridgemill.datacenter.RoutedRequest;
+import ridgemill.datacenter.DatacenterPath;
 import ridgemill.idempotency.IdempotencyRecord;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Effect;
@@ -43,7 +43,7 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * Carries out what {@link Halls} decides: hands requests to this hall's nodes or to a link, and gives each its one final
+ * Carries out what {@link DatacenterRouter} decides: hands requests to this hall's nodes or to a link, and gives each its one final
  * answer. All of it runs on the loop.
  */
 public final class HallCrossings implements RequestForwarder<Content> {
@@ -55,7 +55,7 @@
 
     private final EventLoop loop;
     private final Timers timers;
-    private final Halls halls;
+    private final DatacenterRouter halls;
     private final HallKeys keys;
     private final HallFront front;
     private final Deadlines deadlines;
@@ -71,8 +71,8 @@
 
     /** A request of another hall: where it was, and, once it has come through here, what becomes of it. */
     static final class Foreign {
-        Trail trail;
-        Passing passing;
+        DatacenterPath trail;
+        RoutedRequest passing;
     }
 
     /**
@@ -89,7 +89,7 @@
         this.deadlines = intake.deadlines();
         this.seed = seed;
         this.keys = new HallKeys(settings.security());
-        this.halls = new Halls(settings.policy(), timers.now());
+        this.halls = new DatacenterRouter(settings.policy(), timers.now());
         this.front = new HallFront(loop, timers, intake, this, halls, keys, level);
         intake.setForwarder(this);
         dial();
@@ -102,7 +102,7 @@
 
     private void dial() {
         settings.addresses().forEach((name, address) -> links.computeIfAbsent(name, n -> {
-            HallLink link = new HallLink(loop, timers, settings.policy().hall(), name, settings.policy().hallOf(name), address, keys,
+            HallLink link = new HallLink(loop, timers, settings.policy().datacenter(), name, settings.policy().datacenterOf(name), address, keys,
                     halls, seed);
             link.open();
             return link;
@@ -123,7 +123,7 @@
 
     /** Whether this much of the settings can't change while the proxy runs. */
     public boolean isFixedIn(HallSettings next) {
-        return next != null && next.policy().hall().equals(settings.policy().hall())
+        return next != null && next.policy().datacenter().equals(settings.policy().datacenter())
                 && next.security().equals(settings.security()) && Objects.equals(next.listen(), settings.listen());
     }
 
@@ -156,13 +156,13 @@
     @Override
     public void submit(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client) {
         Foreign from = foreign.remove(in.id());
-        Passage passage = new Passage(home, service, in, command, client, from == null ? Trail.OWN : from.trail);
+        Passage passage = new Passage(home, service, in, command, client, from == null ? DatacenterPath.LOCAL : from.trail);
         if (from != null) {
             from.passing = passage.passing;
         }
         open.put(in.id(), passage);
         away++;
-        passage.next(() -> halls.arrived(timers.now(), passage.passing));
+        passage.next(() -> halls.requestArrived(timers.now(), passage.passing));
     }
 
     @Override
@@ -236,7 +236,7 @@
         private final Request in;
         private final Command<Content> command;
         private final ResponseHandler<Content> client;
-        private final Passing passing;
+        private final RoutedRequest passing;
         private boolean atHome;
         private boolean over;
         /** How home counted it, and its answer, which is given if nobody else has one. */
@@ -248,15 +248,15 @@
         private ClassTimings times;
         private Timers.Timer timer;
         private List<String> whom;
-        private final Map<String, Word> words = new HashMap<>();
+        private final Map<String, KeyStatus> words = new HashMap<>();
 
         Passage(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client,
-                Trail trail) {
+                DatacenterPath trail) {
             this.home = home;
             this.in = in;
             this.command = command;
             this.client = client;
-            this.passing = new Passing(in.id(), service, command.idempotencyKey(), in.retry(), trail,
+            this.passing = new RoutedRequest(in.id(), service, command.idempotencyKey(), in.retry(), trail,
                     timers.now() + in.budgetMs());
         }
 
@@ -273,15 +273,15 @@
         }
 
         private void take(Step step) {
-            if (step instanceof Halls.Home h) {
+            if (step instanceof DatacenterRouter.TryHome h) {
                 home(h.reserveMs());
-            } else if (step instanceof Halls.Across a) {
+            } else if (step instanceof DatacenterRouter.Forward a) {
                 cross(a);
-            } else if (step instanceof Halls.Ask a) {
+            } else if (step instanceof DatacenterRouter.QueryKey a) {
                 ask(a);
-            } else if (step instanceof Halls.Refuse r) {
-                end(RequestCounters.RequestResult.REFUSED, r.proven() ? () -> client.refused(r.retryAfterMs()) : () -> client.refusedMayHaveRun(r.retryAfterMs()));
-            } else if (step instanceof Halls.Fail) {
+            } else if (step instanceof DatacenterRouter.Refuse r) {
+                end(RequestCounters.RequestResult.REFUSED, r.provenNotRun() ? () -> client.refused(r.retryAfterMs()) : () -> client.refusedMayHaveRun(r.retryAfterMs()));
+            } else if (step instanceof DatacenterRouter.Fail) {
                 end(RequestCounters.RequestResult.FAILED, client::failed);
             } else {
                 end(homeCounted, homeAnswer);
@@ -295,27 +295,27 @@
             home.submit(in.withBudget(left), command, this);
         }
 
-        private void cross(Halls.Across a) {
+        private void cross(DatacenterRouter.Forward a) {
             crossing = true;
             HallLink link = links.get(a.gateway());
             double left = link == null ? 0 : a.timeoutMs() - link.leastMs() - reserveMs(a, link);
-            times = deadlines.group("hall " + a.hall()).forClass(in.serviceClass());
+            times = deadlines.group("hall " + a.datacenter()).forClass(in.serviceClass());
             if (link == null || times.checkStage(RequestStage.CROSSING, timers.now(), left) != Verdict.GO || !HallWire.fits(command, in.serviceClass(), in.tenant())) {
-                loop.execute(() -> crossed(Reply.of(CrossingEnd.UNSENT)));
+                loop.execute(() -> crossed(Reply.of(ForwardOutcome.UNSENT)));
                 return;
             }
             crossedMs = timers.now();
             timer = timers.scheduleAt(crossedMs + a.timeoutMs(), () -> {
                 out.cancel();
-                crossed(Reply.of(CrossingEnd.LOST));
+                crossed(Reply.of(ForwardOutcome.LOST));
             });
             out = link.call(new HallWire.Call(in.id(), left, in.serviceClass(), in.tenant(), in.retry(), in.workMs(),
-                    passing.onward(settings.policy().hall()), command), this::crossed);
+                    passing.forwardedPath(settings.policy().datacenter()), command), this::crossed);
         }
 
         /** What is kept for the other hall's answer: by what round trips of late exceed the least that is taken off already. */
-        private double reserveMs(Halls.Across a, HallLink link) {
-            ReturnDelay back = deadlines.returnDelay("hall " + a.hall());
+        private double reserveMs(DatacenterRouter.Forward a, HallLink link) {
+            ReturnDelay back = deadlines.returnDelay("hall " + a.datacenter());
             back.record(link.excessMs());
             return Math.max(LEAST_ANSWER_MS, back.reserveMs(a.timeoutMs(), deadlines.policy().maxReserveFraction()));
         }
@@ -327,8 +327,8 @@
             stopWaiting();
             crossing = false;
             double now = timers.now();
-            if (reply.end() == CrossingEnd.SERVED) {
-                halls.crossingEnded(now, passing, CrossingEnd.SERVED, 0, Set.of());
+            if (reply.end() == ForwardOutcome.SERVED) {
+                halls.forwardEnded(now, passing, ForwardOutcome.SERVED, 0, Set.of());
                 if (reply.recorded() != null) {
                     end(RequestCounters.RequestResult.SERVED, () -> client.recorded(reply.recorded()));
                     return;
@@ -336,10 +336,10 @@
                 times.attemptAnswered(now, now - crossedMs, false, false);
                 end(RequestCounters.RequestResult.SERVED, () -> client.served(new NodeResponse<>(reply.content(), NodeResponse.NO_CACHE_STATUS)));
             } else if (reply.conflict()) {
-                halls.crossingEnded(now, passing, CrossingEnd.REFUSED, 0, reply.beyond());
+                halls.forwardEnded(now, passing, ForwardOutcome.REFUSED, 0, reply.beyond());
                 end(RequestCounters.RequestResult.FAILED, client::conflict);
             } else {
-                next(() -> halls.crossingEnded(timers.now(), passing, reply.end(), reply.retryAfterMs(), reply.beyond()));
+                next(() -> halls.forwardEnded(timers.now(), passing, reply.end(), reply.retryAfterMs(), reply.beyond()));
             }
         }
 
@@ -351,11 +351,11 @@
             }
         }
 
-        private void ask(Halls.Ask a) {
+        private void ask(DatacenterRouter.QueryKey a) {
             whom = a.gateways();
-            timer = timers.scheduleAt(timers.now() + a.patienceMs(), this::allAsked);
+            timer = timers.scheduleAt(timers.now() + a.timeoutMs(), this::allAsked);
             for (String gateway : whom) {
-                links.get(gateway).askKey(passing.key(), passing.service().deduplicationWindowMs(), word -> {
+                links.get(gateway).askKey(passing.idempotencyKey(), passing.service().deduplicationWindowMs(), word -> {
                     if (whom != null) {
                         words.put(gateway, word);
                         if (words.size() == whom.size()) {
@@ -373,12 +373,12 @@
             List<String> asked = whom;
             whom = null;
             stopWaiting();
-            next(() -> halls.asked(timers.now(), passing, asked, words));
+            next(() -> halls.keyStatusesReceived(timers.now(), passing, asked, words));
         }
 
         boolean mayHaveRun() {
-            return crossing || atHome && home.mayHaveRun(in.id()) || passing.mayBeOut()
-                    || !passing.onward(settings.policy().hall()).mayHaveRun().isEmpty();
+            return crossing || atHome && home.mayHaveRun(in.id()) || passing.mayBeInProgress()
+                    || !passing.forwardedPath(settings.policy().datacenter()).mayHaveRun().isEmpty();
         }
 
         void giveUp() {
@@ -398,17 +398,17 @@
             if (atHome) {
                 // Home counts it and gives its place back.
                 home.clientGone(in.id());
-                halls.homeEnded(timers.now(), passing, HomeEnd.GONE, false);
+                halls.homeEnded(timers.now(), passing, HomeOutcome.GONE, false);
                 homeCounted = RequestCounters.RequestResult.GONE;
                 atHome = false;
                 away++;
             } else if (whom != null) {
-                halls.asked(timers.now(), passing, whom, Map.of());
+                halls.keyStatusesReceived(timers.now(), passing, whom, Map.of());
                 whom = null;
             } else if (crossing) {
                 crossing = false;
                 out.cancel();
-                halls.crossingEnded(timers.now(), passing, CrossingEnd.GONE, 0, Set.of());
+                halls.forwardEnded(timers.now(), passing, ForwardOutcome.GONE, 0, Set.of());
             }
         }
 
@@ -420,7 +420,7 @@
             stopWaiting();
             away--;
             open.remove(in.id());
-            halls.over(passing);
+            halls.requestFinished(passing);
             if (homeCounted == null) {
                 tally.requestStarted();
                 tally.requestEnded(in.serviceClass(), end);
@@ -433,7 +433,7 @@
 
         // What home says.
 
-        private void homeEnded(HomeEnd end, RequestCounters.RequestResult counted, Runnable answer) {
+        private void homeEnded(HomeOutcome end, RequestCounters.RequestResult counted, Runnable answer) {
             if (over || !atHome) {
                 Log.info("halls: home answered " + in.id() + " twice");
                 return;
@@ -452,32 +452,32 @@
 
         @Override
         public void served(NodeResponse<Content> answer) {
-            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.SERVED, () -> client.served(answer));
+            homeEnded(HomeOutcome.SERVED, RequestCounters.RequestResult.SERVED, () -> client.served(answer));
         }
 
         @Override
         public void recorded(String call) {
-            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.SERVED, () -> client.recorded(call));
+            homeEnded(HomeOutcome.SERVED, RequestCounters.RequestResult.SERVED, () -> client.recorded(call));
         }
 
         @Override
         public void conflict() {
-            homeEnded(HomeEnd.SERVED, RequestCounters.RequestResult.FAILED, client::conflict);
+            homeEnded(HomeOutcome.SERVED, RequestCounters.RequestResult.FAILED, client::conflict);
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            homeEnded(HomeEnd.REFUSED, RequestCounters.RequestResult.REFUSED, () -> client.refused(retryAfterMs));
+            homeEnded(HomeOutcome.REFUSED, RequestCounters.RequestResult.REFUSED, () -> client.refused(retryAfterMs));
         }
 
         @Override
         public void refusedMayHaveRun(double retryAfterMs) {
-            homeEnded(HomeEnd.UNPROVEN, RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(retryAfterMs));
+            homeEnded(HomeOutcome.UNPROVEN, RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
         public void failed() {
-            homeEnded(HomeEnd.FAILED, RequestCounters.RequestResult.FAILED, client::failed);
+            homeEnded(HomeOutcome.FAILED, RequestCounters.RequestResult.FAILED, client::failed);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
@@ -39,9 +39,9 @@
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Targets;
 import ridgemill.gateway.net.Transport;
-import ridgemill.halls.Halls;
-import ridgemill.halls.Passing;
-import ridgemill.halls.TransitClock;
+import ridgemill.datacenter.DatacenterRouter;
+import ridgemill.datacenter.RoutedRequest;
+import ridgemill.datacenter.TransitDelayEstimator;
 import ridgemill.policy.Router.Request;
 import ridgemill.route.RouteQuery;
 
@@ -64,7 +64,7 @@
     private final Timers timers;
     private final Intake<Content> intake;
     private final HallCrossings crossings;
-    private final Halls halls;
+    private final DatacenterRouter halls;
     private final HallKeys keys;
     private final IntSupplier level;
     private final Set<Door> doors = new LinkedHashSet<>();
@@ -73,7 +73,7 @@
     private boolean stopped;
     private long expired;
 
-    HallFront(EventLoop loop, Timers timers, Intake<Content> intake, HallCrossings crossings, Halls halls, HallKeys keys,
+    HallFront(EventLoop loop, Timers timers, Intake<Content> intake, HallCrossings crossings, DatacenterRouter halls, HallKeys keys,
               IntSupplier level) {
         this.loop = loop;
         this.timers = timers;
@@ -140,7 +140,7 @@
     private final class Door extends HallConnection {
         private final Channel channel;
         private final Map<Http2FrameStream, In> open = new HashMap<>();
-        private final TransitClock transit = new TransitClock();
+        private final TransitDelayEstimator transit = new TransitDelayEstimator();
         private String hall;
         private String greeted;
         private String theirNonce;
@@ -217,7 +217,7 @@
                 return;
             }
             switch (kind) {
-                case HallWire.STATE -> answer(stream, HallWire.state(halls.tell(level.getAsInt(), leaving)), null);
+                case HallWire.STATE -> answer(stream, HallWire.state(halls.gatewayState(level.getAsInt(), leaving)), null);
                 case HallWire.KEY -> key(stream, h);
                 case HallWire.OUTCOME -> outcome(stream, h);
                 case HallWire.CALL -> {
@@ -249,13 +249,13 @@
                 if (!keys.hasKey()) {
                     known();
                 }
-                answer(stream, HallWire.status(200).set(HallWire.HALL, halls.policy().hall()).set(HallWire.NONCE, ourNonce)
-                        .set(HallWire.PROVES, keys.proof("answer", name, halls.policy().hall(), theirNonce, ourNonce)), null);
+                answer(stream, HallWire.status(200).set(HallWire.HALL, halls.policy().datacenter()).set(HallWire.NONCE, ourNonce)
+                        .set(HallWire.PROVES, keys.proof("answer", name, halls.policy().datacenter(), theirNonce, ourNonce)), null);
             }
         }
 
         private void proof(Http2FrameStream stream, Http2Headers h) {
-            String expected = greeted == null ? "" : keys.proof("ask", greeted, halls.policy().hall(), theirNonce, ourNonce);
+            String expected = greeted == null ? "" : keys.proof("ask", greeted, halls.policy().datacenter(), theirNonce, ourNonce);
             if (expected.isEmpty() || !HallKeys.isSame(String.valueOf(HallWire.text(h, HallWire.PROVES)), expected)) {
                 refuseDoor(stream, "it does not have the key");
                 return;
@@ -278,7 +278,7 @@
 
         private void key(Http2FrameStream stream, Http2Headers h) {
             try {
-                answer(stream, HallWire.word(halls.keyAsked(timers.now(), HallWire.askedKey(h), hall, HallWire.askedWindow(h))), null);
+                answer(stream, HallWire.word(halls.answerKeyQuery(timers.now(), HallWire.askedKey(h), hall, HallWire.askedWindow(h))), null);
             } catch (WireException e) {
                 answer(stream, HallWire.turnedAway(400, false, false, 0, Set.of()), null);
             }
@@ -378,7 +378,7 @@
         }
 
         private void begin(HallWire.Call call) throws WireException {
-            if (!call.trail().halls().get(call.trail().halls().size() - 1).equals(door.hall)) {
+            if (!call.trail().datacenters().get(call.trail().datacenters().size() - 1).equals(door.hall)) {
                 throw new WireException("it does not come from where it says");
             }
             double left = call.leftMs() - excessMs - (timers.now() - sinceMs);
@@ -439,9 +439,9 @@
         }
 
         private void turnAway(int status, boolean mayHaveRun, double retryAfterMs) {
-            Passing passing = foreign.passing;
-            answer(HallWire.turnedAway(status, mayHaveRun, passing != null && passing.mayBeOut(), retryAfterMs,
-                    passing == null ? Set.of() : passing.entered()), null);
+            RoutedRequest passing = foreign.passing;
+            answer(HallWire.turnedAway(status, mayHaveRun, passing != null && passing.mayBeInProgress(), retryAfterMs,
+                    passing == null ? Set.of() : passing.enteredDatacenters()), null);
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallLink.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallLink.java
@@ -35,11 +35,11 @@
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Transport;
-import ridgemill.halls.Halls.CannotSay;
-import ridgemill.halls.Halls.CrossingEnd;
-import ridgemill.halls.Halls.Word;
-import ridgemill.halls.Halls;
-import ridgemill.halls.LinkPulse;
+import ridgemill.datacenter.DatacenterRouter.Indeterminate;
+import ridgemill.datacenter.DatacenterRouter.ForwardOutcome;
+import ridgemill.datacenter.DatacenterRouter.KeyStatus;
+import ridgemill.datacenter.DatacenterRouter;
+import ridgemill.datacenter.LinkHealth;
 import ridgemill.idempotency.IdempotencyRecord;
 
 /**
@@ -67,7 +67,7 @@
     private final String peerHall;
     private final InetSocketAddress address;
     private final HallKeys keys;
-    private final Halls halls;
+    private final DatacenterRouter halls;
     private final SplittableRandom random;
     private Connection current;
     /** Tried beside the present one, which does not answer; null for none. */
@@ -80,7 +80,7 @@
     private long replaced;
 
     HallLink(EventLoop loop, Timers timers, String hall, String name, String peerHall, InetSocketAddress address, HallKeys keys,
-             Halls halls, long seed) {
+             DatacenterRouter halls, long seed) {
         this.loop = loop;
         this.timers = timers;
         this.hall = hall;
@@ -126,7 +126,7 @@
             if (!f.isSuccess()) {
                 boolean refused = String.valueOf(f.cause().getMessage()).contains("refused");
                 if (current == next) {
-                    halls.noConnection(timers.now(), name, refused);
+                    halls.connectionFailed(timers.now(), name, refused);
                 }
                 next.gone(String.valueOf(f.cause().getMessage()));
             }
@@ -152,7 +152,7 @@
     Out call(HallWire.Call call, Consumer<Reply> done) {
         Connection c = current;
         if (c == null || !c.ready || !c.channel.isWritable()) {
-            loop.execute(() -> done.accept(Reply.of(CrossingEnd.UNSENT)));
+            loop.execute(() -> done.accept(Reply.of(ForwardOutcome.UNSENT)));
             return () -> { };
         }
         ByteBuf body = call.command().content().bytes();
@@ -162,18 +162,18 @@
 
     /** The least time that a message and its answer take, in milliseconds; 0 before there is any. */
     double leastMs() {
-        return current == null ? 0 : current.pulse.leastMs();
+        return current == null ? 0 : current.pulse.minRttMs();
     }
 
     /** Asks where a key may have run; {@code done} is called once, unless the link stays silent. */
-    void askKey(String key, double windowMs, Consumer<Word> done) {
+    void askKey(String key, double windowMs, Consumer<KeyStatus> done) {
         Connection c = current;
         if (c == null || !c.ready) {
-            loop.execute(() -> done.accept(new CannotSay()));
+            loop.execute(() -> done.accept(new Indeterminate()));
             return;
         }
         c.ask(HallWire.keyAsked(key, windowMs), null, (h, content) -> done.accept(HallWire.word(h)),
-                end -> done.accept(new CannotSay()));
+                end -> done.accept(new Indeterminate()));
     }
 
     /** Asks what a key came to there; {@code done} is called once with it or with null, unless the link stays silent. */
@@ -189,7 +189,7 @@
 
     /** By how much the last round trip took longer than the least, in milliseconds. */
     double excessMs() {
-        return current == null ? 0 : Math.max(0, current.pulse.rttMs() - current.pulse.leastMs());
+        return current == null ? 0 : Math.max(0, current.pulse.rttMs() - current.pulse.minRttMs());
     }
 
     private void again() {
@@ -205,13 +205,13 @@
         private final Connection on;
         private final Http2FrameStream stream;
         private final BiConsumer<Http2Headers, Content> answered;
-        private final Consumer<CrossingEnd> ended;
+        private final Consumer<ForwardOutcome> ended;
         private boolean written;
         private boolean over;
         private Http2Headers headers;
         private final HallBody body = new HallBody();
 
-        Question(Connection on, Http2FrameStream stream, BiConsumer<Http2Headers, Content> answered, Consumer<CrossingEnd> ended) {
+        Question(Connection on, Http2FrameStream stream, BiConsumer<Http2Headers, Content> answered, Consumer<ForwardOutcome> ended) {
             this.on = on;
             this.stream = stream;
             this.answered = answered;
@@ -231,7 +231,7 @@
             on.out.remove(stream);
         }
 
-        void end(CrossingEnd end) {
+        void end(ForwardOutcome end) {
             if (!over) {
                 drop();
                 ended.accept(end);
@@ -240,13 +240,13 @@
 
         /** It broke off: unless its last byte was written the other side can't have begun it. */
         void broken() {
-            end(written ? CrossingEnd.LOST : CrossingEnd.UNSENT);
+            end(written ? ForwardOutcome.LOST : ForwardOutcome.UNSENT);
         }
 
         void data(ByteBuf bytes) {
             if (!body.add(bytes)) {
                 on.end(stream, Http2Error.CANCEL);
-                end(CrossingEnd.FAILED);
+                end(ForwardOutcome.FAILED);
             }
         }
 
@@ -261,7 +261,7 @@
     /** One connection, from its making to its end. */
     private final class Connection extends HallConnection {
         private final Map<Http2FrameStream, Question> out = new HashMap<>();
-        private final LinkPulse pulse = new LinkPulse();
+        private final LinkHealth pulse = new LinkHealth();
         private final double sinceMs = timers.now();
         private Channel channel;
         private Future<?> beat;
@@ -341,8 +341,8 @@
             }
         }
 
-        private void lookForAnother(LinkPulse.State state, double now) {
-            if (state == LinkPulse.State.UP) {
+        private void lookForAnother(LinkHealth.State state, double now) {
+            if (state == LinkHealth.State.UP) {
                 silentSince = Double.NaN;
             } else if (Double.isNaN(silentSince)) {
                 silentSince = now;
@@ -361,40 +361,40 @@
                 return;
             }
             double now = timers.now();
-            LinkPulse.State state = pulse.state(now);
-            if (state == LinkPulse.State.DEAD) {
+            LinkHealth.State state = pulse.state(now);
+            if (state == LinkHealth.State.DEAD) {
                 fail("no answer for too long");
                 return;
             }
             tellState(state);
             lookForAnother(state, now);
-            pulse.asked(now);
+            pulse.heartbeatSent(now);
             ask(HallWire.ask(HallWire.STATE), null, (h, content) -> {
-                pulse.answered(timers.now());
+                pulse.heartbeatAnswered(timers.now());
                 if (this == rival) {
                     takesOver();
                 }
                 tellState(pulse.state(timers.now()));
                 if (this == current) {
-                    halls.told(timers.now(), name, HallWire.state(h));
+                    halls.gatewayStateReceived(timers.now(), name, HallWire.state(h));
                 }
             }, end -> { });
-            beat = loop.schedule(this::beat, (long) (LinkPulse.INTERVAL_MS * 1e6), TimeUnit.NANOSECONDS);
+            beat = loop.schedule(this::beat, (long) (LinkHealth.INTERVAL_MS * 1e6), TimeUnit.NANOSECONDS);
         }
 
-        private void tellState(LinkPulse.State state) {
+        private void tellState(LinkHealth.State state) {
             if (current == this && ready && !leaving) {
                 // One that has not answered yet is not known to work.
-                LinkPulse.State known = pulse.rttMs() == 0 ? LinkPulse.State.STALLED : state;
-                if (known == LinkPulse.State.UP && !wasUp) {
+                LinkHealth.State known = pulse.rttMs() == 0 ? LinkHealth.State.STALLED : state;
+                if (known == LinkHealth.State.UP && !wasUp) {
                     wasUp = true;
                     Log.info("halls: link to " + peerHall + " at " + name + " is up");
                 }
-                halls.link(name, known, pulse.rttMs());
+                halls.linkStateChanged(name, known, pulse.rttMs());
             }
         }
 
-        Question ask(Http2Headers headers, ByteBuf body, BiConsumer<Http2Headers, Content> answered, Consumer<CrossingEnd> ended) {
+        Question ask(Http2Headers headers, ByteBuf body, BiConsumer<Http2Headers, Content> answered, Consumer<ForwardOutcome> ended) {
             Http2FrameStream stream = newStream();
             Question q = new Question(this, stream, answered, ended);
             out.put(stream, q);
@@ -416,7 +416,7 @@
             Question q = out.get(r.stream());
             if (q != null && r.errorCode() == Http2Error.REFUSED_STREAM.code()) {
                 // RFC 9113, section 8.7: it was not processed.
-                q.end(CrossingEnd.UNSENT);
+                q.end(ForwardOutcome.UNSENT);
             } else if (q != null) {
                 q.broken();
             }
@@ -452,12 +452,12 @@
             leaving = true;
             ready = false;
             if (this == current) {
-                halls.link(name, LinkPulse.State.STALLED, pulse.rttMs());
+                halls.linkStateChanged(name, LinkHealth.State.STALLED, pulse.rttMs());
             }
             // RFC 9113, section 6.8: those above were not processed, and may go elsewhere.
             for (Question q : List.copyOf(out.values())) {
                 if (q.stream.id() > g.lastStreamId()) {
-                    q.end(CrossingEnd.UNSENT);
+                    q.end(ForwardOutcome.UNSENT);
                 }
             }
         }
@@ -501,7 +501,7 @@
             }
             boolean present = current == this;
             if (present) {
-                halls.link(name, LinkPulse.State.DEAD, pulse.rttMs());
+                halls.linkStateChanged(name, LinkHealth.State.DEAD, pulse.rttMs());
                 if (wasUp || waitMs == FIRST_WAIT_MS) {
                     wasUp = false;
                     Log.info("halls: no link to " + peerHall + " at " + name + ": " + why);
