--- a/gateway/src/main/java/ridgemill/gateway/halls/HallSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallSettings.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.Map;
-import ridgemill.halls.HallPolicy;
+import ridgemill.datacenter.DatacenterPolicy;
 
 /**
  * This gateway's place between the halls.
@@ -13,7 +13,7 @@
  * @param policy what may cross
  */
 public record HallSettings(InetSocketAddress listen, HallSecurity security, Map<String, InetSocketAddress> addresses,
-                           HallPolicy policy) {
+                           DatacenterPolicy policy) {
 
     public HallSettings {
         addresses = Map.copyOf(addresses);
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallWire.java
@@ -12,14 +12,14 @@
 import java.util.regex.Pattern;
 import ridgemill.core.Command;
 import ridgemill.gateway.net.Content;
-import ridgemill.halls.HallPolicy;
-import ridgemill.halls.Halls.CannotSay;
-import ridgemill.halls.Halls.CrossingEnd;
-import ridgemill.halls.Halls.Nothing;
-import ridgemill.halls.Halls.RanIn;
-import ridgemill.halls.Halls.Told;
-import ridgemill.halls.Halls.Word;
-import ridgemill.halls.Trail;
+import ridgemill.datacenter.DatacenterPolicy;
+import ridgemill.datacenter.DatacenterRouter.Indeterminate;
+import ridgemill.datacenter.DatacenterRouter.ForwardOutcome;
+import ridgemill.datacenter.DatacenterRouter.NotSeen;
+import ridgemill.datacenter.DatacenterRouter.MayHaveRun;
+import ridgemill.datacenter.DatacenterRouter.GatewayState;
+import ridgemill.datacenter.DatacenterRouter.KeyStatus;
+import ridgemill.datacenter.DatacenterPath;
 import ridgemill.idempotency.IdempotencyRecord;
 
 /**
@@ -90,7 +90,7 @@
      *
      * @param leftMs how long its client still waits when it is written, the least time on the way there and back taken off
      */
-    record Call(String id, double leftMs, String service, String tenant, boolean again, double workMs, Trail trail,
+    record Call(String id, double leftMs, String service, String tenant, boolean again, double workMs, DatacenterPath trail,
                 Command<Content> command) { }
 
     /**
@@ -99,14 +99,14 @@
      * @param recorded the id of the call that took effect before, in whose place this one did not run; null for none
      * @param conflict whether its idempotency key was given with another request
      */
-    record Reply(CrossingEnd end, Content content, double retryAfterMs, Set<String> beyond, String recorded, boolean conflict) {
+    record Reply(ForwardOutcome end, Content content, double retryAfterMs, Set<String> beyond, String recorded, boolean conflict) {
 
-        Reply(CrossingEnd end, Content content, double retryAfterMs, Set<String> beyond) {
+        Reply(ForwardOutcome end, Content content, double retryAfterMs, Set<String> beyond) {
             this(end, content, retryAfterMs, beyond, null, false);
         }
 
         /** The link has gone, or it never came to it. */
-        static Reply of(CrossingEnd end) {
+        static Reply of(ForwardOutcome end) {
             return new Reply(end, null, 0, Set.of());
         }
     }
@@ -145,7 +145,7 @@
             case WRITE -> "PUT";
             case DELETE -> "DELETE";
         }).scheme("http").path(c.command().target()).authority("hall").set(KIND, CALL).set(ID, c.id()).set(LEFT, number(c.leftMs()))
-                .set(CLASS, encode(c.service())).set(HALLS, String.join(",", c.trail().halls()));
+                .set(CLASS, encode(c.service())).set(HALLS, String.join(",", c.trail().datacenters()));
         if (!c.trail().mayHaveRun().isEmpty()) {
             h.set(RAN, String.join(",", c.trail().mayHaveRun()));
         }
@@ -191,7 +191,7 @@
         }
         String key = decoded(h, IDEMPOTENCY);
         return new Call(id, left, service, decoded(h, TENANT), "1".equals(text(h, AGAIN)),
-                h.contains(COST) ? number(h, COST) : 0, new Trail(halls, Set.copyOf(names(h, RAN))),
+                h.contains(COST) ? number(h, COST) : 0, new DatacenterPath(halls, Set.copyOf(names(h, RAN))),
                 new Command<>(action, path, key, new Content(content.bytes(), decoded(h, TYPE))));
     }
 
@@ -252,32 +252,32 @@
     /** Reads the answer to a call, whose body is all here. */
     static Reply reply(Http2Headers h, Content content) {
         return switch (String.valueOf(h.status())) {
-            case "200" -> new Reply(CrossingEnd.SERVED, new Content(content.bytes(), decoded(h, TYPE)), 0, Set.of(),
+            case "200" -> new Reply(ForwardOutcome.SERVED, new Content(content.bytes(), decoded(h, TYPE)), 0, Set.of(),
                     decoded(h, RECORDED), false);
-            case "404" -> new Reply(CrossingEnd.SERVED, Content.ABSENT, 0, Set.of());
+            case "404" -> new Reply(ForwardOutcome.SERVED, Content.ABSENT, 0, Set.of());
             default -> {
                 // Only a word to that effect shows that nothing ran.
                 boolean never = NEVER.equals(text(h, RAN));
                 boolean maybe = MAYBE.equals(text(h, RAN));
                 double back = h.contains(BACK) ? number(h, BACK) : 0;
                 try {
-                    yield new Reply(never ? CrossingEnd.REFUSED : maybe ? CrossingEnd.FAILED : CrossingEnd.LOST, null, Double.isNaN(back) ? 0 : back,
+                    yield new Reply(never ? ForwardOutcome.REFUSED : maybe ? ForwardOutcome.FAILED : ForwardOutcome.LOST, null, Double.isNaN(back) ? 0 : back,
                             Set.copyOf(names(h, HALLS)), null, never && h.contains(CONFLICT));
                 } catch (WireException e) {
-                    yield Reply.of(CrossingEnd.LOST);
+                    yield Reply.of(ForwardOutcome.LOST);
                 }
             }
         };
     }
 
-    static Http2Headers state(Told told) {
-        return status(200).set(LEVEL, String.valueOf(told.level())).set(TAKES, told.takes() ? "1" : "0")
+    static Http2Headers state(GatewayState told) {
+        return status(200).set(LEVEL, String.valueOf(told.level())).set(TAKES, told.accepting() ? "1" : "0")
                 .set(LEAVING, told.leaving() ? "1" : "0");
     }
 
-    static Told state(Http2Headers h) {
+    static GatewayState state(Http2Headers h) {
         double level = h.contains(LEVEL) ? number(h, LEVEL) : 0;
-        return new Told(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, TAKES)), "1".equals(text(h, LEAVING)));
+        return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, TAKES)), "1".equals(text(h, LEAVING)));
     }
 
     static Http2Headers keyAsked(String key, double windowMs) {
@@ -300,19 +300,19 @@
         return window;
     }
 
-    static Http2Headers word(Word word) {
+    static Http2Headers word(KeyStatus word) {
         Http2Headers h = status(200);
-        return word instanceof RanIn ran ? h.set(RAN, ran.hall()).set(AGO, number(ran.agoMs()))
-                : h.set(RAN, word instanceof Nothing ? NEVER : UNKNOWN);
+        return word instanceof MayHaveRun ran ? h.set(RAN, ran.datacenter()).set(AGO, number(ran.ageMs()))
+                : h.set(RAN, word instanceof NotSeen ? NEVER : UNKNOWN);
     }
 
-    static Word word(Http2Headers h) {
+    static KeyStatus word(Http2Headers h) {
         String ran = text(h, RAN);
         double ago = h.contains(AGO) ? number(h, AGO) : Double.NaN;
         if (ran == null || !"200".equals(String.valueOf(h.status())) || ran.equals(UNKNOWN)) {
-            return new CannotSay();
+            return new Indeterminate();
         }
-        return ran.equals(NEVER) ? new Nothing() : Double.isNaN(ago) ? new CannotSay() : new RanIn(ran, ago);
+        return ran.equals(NEVER) ? new NotSeen() : Double.isNaN(ago) ? new Indeterminate() : new MayHaveRun(ran, ago);
     }
 
     /** A field as text; null where there is none. */
@@ -336,7 +336,7 @@
             return List.of();
         }
         List<String> names = Arrays.asList(text.split(","));
-        if (!names.stream().allMatch(HallPolicy::isName)) {
+        if (!names.stream().allMatch(DatacenterPolicy::isValidName)) {
             throw new WireException("no names of halls: " + name);
         }
         return names;
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedProbing.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedProbing.java
@@ -11,14 +11,14 @@
 import ridgemill.lease.Leases.Permit;
 import ridgemill.lease.Leases;
 import ridgemill.policy.Router.Outcome;
-import ridgemill.probing.OneProber;
-import ridgemill.probing.ProbeWire;
+import ridgemill.probing.ElectedProber;
+import ridgemill.probing.ProbeCodec;
 
 /**
- * Has one proxy of the fleet ask the nodes that could not be reached whether they are back. What it decides is {@link OneProber}'s,
+ * Has one proxy of the fleet ask the nodes that could not be reached whether they are back. What it decides is {@link ElectedProber}'s,
  * and what a proxy makes of the answers is its decisions'; this has the datagrams and the probes. All calls are on the loop.
  */
-public final class SharedProbing implements LeaseService.Duty, OneProber.Out {
+public final class SharedProbing implements LeaseService.Duty, ElectedProber.Out {
 
     /** The lease's name. */
     public static final String LEASE = "probes";
@@ -30,13 +30,13 @@
 
     private final LeaseService leases;
     private final Supplier<Map<String, Service.Group>> groups;
-    private final OneProber prober;
+    private final ElectedProber prober;
 
     /** {@code groups} tells those that there are now, by name. */
     public SharedProbing(LeaseService leases, Supplier<Map<String, Service.Group>> groups) {
         this.leases = leases;
         this.groups = groups;
-        this.prober = new OneProber(leases.now(), this);
+        this.prober = new ElectedProber(leases.now(), this);
         leases.take(LEASE, this);
     }
 
@@ -70,37 +70,37 @@
 
     @Override
     public void heard(double now, int member, byte[] datagram) {
-        ProbeWire.decode(datagram).ifPresent(said -> {
-            if (said instanceof ProbeWire.Asks asks) {
-                prober.asked(now, member, asks);
-            } else if (said instanceof ProbeWire.Tells tells) {
-                prober.told(now, member, tells);
+        ProbeCodec.decode(datagram).ifPresent(said -> {
+            if (said instanceof ProbeCodec.ProbeRequest asks) {
+                prober.requestReceived(now, member, asks);
+            } else if (said instanceof ProbeCodec.ProbeResult tells) {
+                prober.resultReceived(now, member, tells);
             }
         });
     }
 
     @Override
-    public void ask(int to, ProbeWire.Asks asks) {
-        leases.tellMember(to, ProbeWire.encode(asks));
+    public void sendRequest(int to, ProbeCodec.ProbeRequest asks) {
+        leases.tellMember(to, ProbeCodec.encode(asks));
     }
 
     @Override
-    public void tell(int to, ProbeWire.Tells tells) {
-        leases.tellMember(to, ProbeWire.encode(tells));
+    public void sendResult(int to, ProbeCodec.ProbeResult tells) {
+        leases.tellMember(to, ProbeCodec.encode(tells));
     }
 
     @Override
-    public void probe(int node) {
+    public void startProbe(int node) {
         // Where another file names it nobody is told that it did not answer.
         place(node).ifPresentOrElse(place -> place.group().probe(place.node(), outcome -> {
             Optional<Permit> permit = leases.permit(LEASE, TELL_MS);
-            prober.ended(leases.now(), node, outcome == Outcome.OK, permit.map(Permit::term).orElse(0L));
+            prober.probeEnded(leases.now(), node, outcome == Outcome.OK, permit.map(Permit::term).orElse(0L));
             permit.ifPresent(leases::done);
-        }), () -> prober.ended(leases.now(), node, false, 0));
+        }), () -> prober.probeEnded(leases.now(), node, false, 0));
     }
 
     @Override
-    public void found(int node, boolean answered, double tookMs) {
+    public void nodeProbed(int node, boolean answered, double tookMs) {
         place(node).ifPresent(p -> p.group().probed(p.node(), answered ? Outcome.OK : Outcome.CONNECT_FAILED, tookMs));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedReading.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedReading.java
@@ -8,16 +8,16 @@
 import ridgemill.gateway.net.Log;
 import ridgemill.lease.Leases.Permit;
 import ridgemill.membership.Instance;
-import ridgemill.reading.NewsWire;
-import ridgemill.reading.OneReader;
-import ridgemill.reading.ReadingPolicy;
-import ridgemill.reading.Telling;
+import ridgemill.registry.RegistryUpdateCodec;
+import ridgemill.registry.ElectedRegistryReader;
+import ridgemill.registry.RegistryReadPolicy;
+import ridgemill.registry.RegistryUpdate;
 
 /**
  * Stands between a registry's client and whoever goes by what it says, so that one proxy reads for the fleet. What it decides is
- * {@link OneReader}'s; this has the datagrams, and the lease under which others are told. All calls are on the loop.
+ * {@link ElectedRegistryReader}'s; this has the datagrams, and the lease under which others are told. All calls are on the loop.
  */
-public final class SharedReading implements LeaseService.Duty, EurekaClient.Listener, OneReader.Out {
+public final class SharedReading implements LeaseService.Duty, EurekaClient.Listener, ElectedRegistryReader.Out {
 
     /** The lease's name. */
     public static final String LEASE = "registry";
@@ -27,19 +27,19 @@
     private final LeaseService leases;
     private final EurekaClient.Listener to;
     private final Runnable readNow;
-    private final OneReader reader;
+    private final ElectedRegistryReader reader;
 
     /**
      * @param apps that the registry is asked for
      * @param to goes by what is read or told
      * @param readNow has the client ask as soon as it can
      */
-    public SharedReading(LeaseService leases, ReadingPolicy policy, Collection<String> apps, long seed, EurekaClient.Listener to,
+    public SharedReading(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed, EurekaClient.Listener to,
                          Runnable readNow) {
         this.leases = leases;
         this.to = to;
         this.readNow = readNow;
-        this.reader = new OneReader(policy, apps, seed, leases.now(), this);
+        this.reader = new ElectedRegistryReader(policy, apps, seed, leases.now(), this);
         leases.take(LEASE, this);
     }
 
@@ -57,7 +57,7 @@
     public void answered(String app, double tookMs, List<Instance> instances) {
         double now = leases.now();
         Optional<Permit> permit = leases.permit(LEASE, TELL_MS);
-        reader.own(now, now - tookMs, app, instances, permit.map(Permit::term).orElse(0L));
+        reader.pollSucceeded(now, now - tookMs, app, instances, permit.map(Permit::term).orElse(0L));
         permit.ifPresent(leases::done);
     }
 
@@ -69,20 +69,20 @@
     @Override
     public void failed(String why) {
         to.failed(why);
-        if (reader.failed(leases.now(), leases.holds(LEASE))) {
+        if (reader.pollFailed(leases.now(), leases.holds(LEASE))) {
             leases.release(LEASE);
         }
     }
 
     @Override
     public void asks() {
-        reader.asks();
+        reader.pollStarted();
     }
 
     @Override
     public double restMs() {
         double now = leases.now();
-        return reader.restsUntil(now, leases.holds(LEASE)) - now;
+        return reader.pollNotDueUntil(now, leases.holds(LEASE)) - now;
     }
 
     @Override
@@ -97,32 +97,32 @@
 
     @Override
     public void heard(double now, int member, byte[] datagram) {
-        NewsWire.isListening(datagram).ifPresent(mark -> reader.listens(now, member, mark));
-        NewsWire.decode(datagram).ifPresent(news -> reader.heard(now, member, news));
+        RegistryUpdateCodec.decodeListen(datagram).ifPresent(mark -> reader.listenReceived(now, member, mark));
+        RegistryUpdateCodec.decode(datagram).ifPresent(news -> reader.updateReceived(now, member, news));
     }
 
     @Override
-    public void listen(int member, int mark) {
-        leases.tellMember(member, NewsWire.listening(mark));
+    public void sendListen(int member, int mark) {
+        leases.tellMember(member, RegistryUpdateCodec.encodeListen(mark));
     }
 
     @Override
-    public void tell(int member, Telling telling, int mark) {
-        NewsWire.encode(telling, mark).forEach(d -> leases.tellMember(member, d));
+    public void sendUpdate(int member, RegistryUpdate telling, int mark) {
+        RegistryUpdateCodec.encode(telling, mark).forEach(d -> leases.tellMember(member, d));
     }
 
     @Override
-    public void found(String stream, List<Instance> instances) {
+    public void instancesChanged(String stream, List<Instance> instances) {
         to.told(stream, instances);
     }
 
     @Override
-    public void read() {
+    public void pollNow() {
         readNow.run();
     }
 
     @Override
-    public void says(String words) {
+    public void log(String words) {
         Log.info("registry: " + words);
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/membership/eureka/EurekaSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/membership/eureka/EurekaSettings.java
@@ -1,7 +1,7 @@
 package ridgemill.gateway.membership.eureka;
 
 import java.util.List;
-import ridgemill.reading.ReadingPolicy;
+import ridgemill.registry.RegistryReadPolicy;
 
 /**
  * How a registry is read.
@@ -16,7 +16,7 @@
  * @param oneReader how one proxy reads for the fleet; null where each reads for itself
  */
 public record EurekaSettings(List<String> urls, List<String> apps, boolean delta, double intervalMs, double timeoutMs,
-                             boolean resolve, ReadingPolicy oneReader) {
+                             boolean resolve, RegistryReadPolicy oneReader) {
 
     /** What a virtual address has before it. */
     public static final String VIP = "vip:";
--- a/gateway/src/main/java/ridgemill/gateway/operator/EurekaSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/EurekaSection.java
@@ -9,7 +9,7 @@
 import ridgemill.gateway.membership.eureka.EurekaRegistration;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
 import ridgemill.gateway.net.Addresses;
-import ridgemill.reading.ReadingPolicy;
+import ridgemill.registry.RegistryReadPolicy;
 
 /** {@code [eureka]}: a registry that tells of nodes. */
 final class EurekaSection {
@@ -73,7 +73,7 @@
             s.problem(s.has("interval") ? "interval" : "timeout", "too-slow", "with a time-out of " + (long) timeout
                     + "ms a drain may be known too late to stop within 2s", "let interval and timeout be 1600ms together at most");
         }
-        ReadingPolicy oneReader = oneReader(s, interval, timeout, resolve.orElse(false));
+        RegistryReadPolicy oneReader = oneReader(s, interval, timeout, resolve.orElse(false));
         s.has("register");
         s.done();
         return urls.isEmpty() ? null : new EurekaSettings(urls, List.of(), delta.orElse(false), interval, timeout,
@@ -81,7 +81,7 @@
     }
 
     /** How one proxy reads for all; null where each reads for itself. */
-    private static ReadingPolicy oneReader(Section s, double interval, double timeout, boolean resolve) {
+    private static RegistryReadPolicy oneReader(Section s, double interval, double timeout, boolean resolve) {
         boolean one = s.flag("one-reader").orElse(false);
         Optional<Double> check = s.duration("one-reader-check");
         if (!one || interval < LEAST_MS) {
@@ -91,17 +91,17 @@
             s.problem("one-reader", "one-reader-and-resolve", "what one proxy's name servers say would be taken for the registry's word",
                     "take resolve out, or one-reader");
         }
-        ReadingPolicy usual = ReadingPolicy.of(interval);
-        if (usual.quietMs() + interval + 2 * timeout > MOST_TOLD_MS) {
+        RegistryReadPolicy usual = RegistryReadPolicy.of(interval);
+        if (usual.updateTimeoutMs() + interval + 2 * timeout > MOST_TOLD_MS) {
             s.problem("one-reader", "too-slow", "where the reader is gone a drain would be known after 3 intervals and 2 time-outs, "
-                    + (long) (usual.quietMs() + interval + 2 * timeout) + "ms", "let that be 1900ms at most, as with interval = \"200ms\" and "
+                    + (long) (usual.updateTimeoutMs() + interval + 2 * timeout) + "ms", "let that be 1900ms at most, as with interval = \"200ms\" and "
                     + "timeout = \"600ms\"");
         }
-        if (check.isPresent() && check.get() < usual.quietMs()) {
-            s.problem("one-reader-check", "too-often", "checks what is told more often than it is told", "set " + (long) usual.quietMs()
+        if (check.isPresent() && check.get() < usual.updateTimeoutMs()) {
+            s.problem("one-reader-check", "too-often", "checks what is told more often than it is told", "set " + (long) usual.updateTimeoutMs()
                     + "ms or more");
             return usual;
         }
-        return check.isPresent() ? ReadingPolicy.of(interval, check.get()) : usual;
+        return check.isPresent() ? RegistryReadPolicy.of(interval, check.get()) : usual;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Explanation.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Explanation.java
@@ -70,7 +70,7 @@
             lines.add("limit   " + limits.inFlight() + " requests in flight over all classes");
         }
         if (limits.queue() != null) {
-            lines.add("limit   past that " + limits.queue().places() + " may wait, each for " + ms(limits.queue().waitMs())
+            lines.add("limit   past that " + limits.queue().capacity() + " may wait, each for " + ms(limits.queue().maxWaitMs())
                     + " at most");
         }
         if (limits.connectionsPerClient() < Integer.MAX_VALUE) {
@@ -83,12 +83,12 @@
         Rate own = tenant == null ? null : limits.tenantRate().get(tenant);
         if (own != null) {
             lines.add("limit   " + rate(own) + " of tenant " + tenant);
-        } else if (limits.unknownTenant() != null) {
-            lines.add("limit   " + rate(limits.unknownTenant()) + " of a tenant that is not named");
+        } else if (limits.unknownTenantRate() != null) {
+            lines.add("limit   " + rate(limits.unknownTenantRate()) + " of a tenant that is not named");
         }
-        if (limits.retries() != null) {
+        if (limits.retryBudget() != null) {
             lines.add(String.format(Locale.ROOT, "limit   retries: %.0f%% of first tries and %s a second",
-                    100 * limits.retries().share(), number(limits.retries().leastPerSecond())));
+                    100 * limits.retryBudget().retryRatio(), number(limits.retryBudget().minPerSecond())));
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
@@ -18,7 +18,7 @@
 import ridgemill.gateway.halls.HallSecurity;
 import ridgemill.gateway.halls.HallSettings;
 import ridgemill.gateway.net.Addresses;
-import ridgemill.halls.HallPolicy;
+import ridgemill.datacenter.DatacenterPolicy;
 
 /** {@code [halls]}: other halls, and what may cross to them and from them. */
 final class HallsSection {
@@ -41,7 +41,7 @@
 
     private static HallSettings settings(Section s, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
         String name = s.text("name").orElse("");
-        if (!HallPolicy.isName(name)) {
+        if (!DatacenterPolicy.isValidName(name)) {
             s.problem(s.has("name") ? "name" : null, s.has("name") ? "bad-name" : "missing", s.has("name") ? "\"" + name
                     + "\" is no name of a hall" : "has no name", "set name = \"teku-hall\": letters, digits and . _ -");
         }
@@ -63,10 +63,10 @@
         int hops = s.count("hop-limit", 1, MOST_HOPS).orElse(USUAL_HOPS);
         double quiet = s.duration("quiet").orElse(USUAL_QUIET_MS);
         s.done();
-        if (!HallPolicy.isName(name) || gateways.containsKey(name) || security == null) {
+        if (!DatacenterPolicy.isValidName(name) || gateways.containsKey(name) || security == null) {
             return null;
         }
-        return new HallSettings(listen.orElse(null), security, addresses, new HallPolicy(name, gateways, crossing, sharing, perS,
+        return new HallSettings(listen.orElse(null), security, addresses, new DatacenterPolicy(name, gateways, crossing, sharing, perS,
                 inFlight, listen.isPresent() ? take : 0, hops, quiet));
     }
 
@@ -84,7 +84,7 @@
         }
         peers.ifPresent(p -> p.tables().forEach(hall -> {
             String name = hall.ownName();
-            if (name.equals(own) || !HallPolicy.isName(name)) {
+            if (name.equals(own) || !DatacenterPolicy.isValidName(name)) {
                 hall.problem(null, "bad-name", name.equals(own) ? "is this hall itself" : "is no name of a hall",
                         "name the other halls here");
             }
--- a/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
@@ -67,7 +67,7 @@
             t.done();
             return rate;
         });
-        Optional<RetryBudget.Terms> retries = s.table("retries").map(LimitsSection::retries);
+        Optional<RetryBudget.Config> retries = s.table("retries").map(LimitsSection::retries);
         Optional<Limits.Queue> queue = s.table("queue").map(q -> queue(q, inFlight, policies));
         Optional<Integer> perClient = s.count("connections-per-client", 1, MOST_IN_FLIGHT);
         s.done();
@@ -97,11 +97,11 @@
         return perS.map(r -> new Rate(r, burst.orElse(Math.max(1, r * DEFAULT_BURST_S))));
     }
 
-    private static RetryBudget.Terms retries(Section s) {
+    private static RetryBudget.Config retries(Section s) {
         double share = s.number("share", 0, 1).orElse(DEFAULT_SHARE);
         double least = s.rate("least").orElse(DEFAULT_LEAST);
         double window = s.duration("window").orElse(DEFAULT_WINDOW_MS);
         s.done();
-        return new RetryBudget.Terms(share, least, window);
+        return new RetryBudget.Config(share, least, window);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -58,7 +58,7 @@
     /** A group that is there, what it was made from, and who is in it. */
     private static final class Live {
         final Service.Group group;
-        final Membership membership = new Membership(MembershipPolicy.USUAL);
+        final Membership membership = new Membership(MembershipPolicy.DEFAULT);
         /** Those that have said themselves that they take no new work. */
         final Set<String> draining = new HashSet<>();
         NodeGroup from;
@@ -67,9 +67,9 @@
         Live(NodeGroup from, Service.Group group) {
             this.from = from;
             this.group = group;
-            membership.trust(FILE);
+            membership.trustSource(FILE);
             // Its removals are a platform's word to be kept to within the drain's grace.
-            membership.trust(PLATFORM);
+            membership.trustSource(PLATFORM);
         }
     }
 
@@ -108,16 +108,16 @@
                 live.put(next.name(), there);
             }
             if (next.eureka() == null || !next.eureka().equals(there.from.eureka())) {
-                there.membership.forget(clock.now(), EUREKA);
+                there.membership.removeSource(clock.now(), EUREKA);
             }
             if (!next.platform()) {
-                there.membership.forget(clock.now(), PLATFORM);
+                there.membership.removeSource(clock.now(), PLATFORM);
             }
             there.from = next;
-            there.membership.told(clock.now(), FILE, next.members().stream().map(m -> new Instance(m.name(), Addresses.text(m.address()),
+            there.membership.applySnapshot(clock.now(), FILE, next.members().stream().map(m -> new Instance(m.name(), Addresses.text(m.address()),
                     Status.UP, "", 1, 0, 0)).toList());
             if (next.platform()) {
-                there.membership.told(clock.now(), PLATFORM, listed());
+                there.membership.applySnapshot(clock.now(), PLATFORM, listed());
             }
             apply(there);
         }
@@ -128,7 +128,7 @@
     private void platformTold() {
         List<Instance> listed = listed();
         live.values().stream().filter(l -> l.from.platform())
-                .forEach(l -> report(l, l.membership.told(clock.now(), PLATFORM, listed)));
+                .forEach(l -> report(l, l.membership.applySnapshot(clock.now(), PLATFORM, listed)));
     }
 
     /** The platform's cache nodes as its own list has them. */
@@ -153,13 +153,13 @@
             EurekaClient.Listener members = new EurekaClient.Listener() {
                 @Override
                 public void told(String app, List<Instance> instances) {
-                    each(app, l -> report(l, l.membership.told(clock.now(), EUREKA, instances)));
+                    each(app, l -> report(l, l.membership.applySnapshot(clock.now(), EUREKA, instances)));
                 }
 
                 @Override
                 public void failed(String why) {
                     live.values().stream().filter(l -> l.from.eureka() != null)
-                            .forEach(l -> l.membership.failed(clock.now(), EUREKA, why));
+                            .forEach(l -> l.membership.sourceFailed(clock.now(), EUREKA, why));
                 }
             };
             reading = wanted.oneReader() == null || leases == null ? null
@@ -199,7 +199,7 @@
 
     private void report(Live l, List<Member> changes) {
         changes.forEach(m -> Log.info("group " + l.from.name() + ": " + m.id() + " at " + m.address() + " is " + m.state() + " by "
-                + m.by() + ": " + m.why()));
+                + m.source() + ": " + m.reason()));
         if (!changes.isEmpty()) {
             apply(l);
         }
@@ -242,9 +242,9 @@
         live.values().stream().sorted(Comparator.comparing(l -> l.from.name())).forEach(l -> {
             l.membership.members().forEach(m -> lines.add(String.format(Locale.ROOT, "%s %s %s %s since %.1f s by %s: %s",
                     l.from.name(), m.id(), m.address(), l.draining.contains(m.id()) ? "DRAINING" : m.state(),
-                    (now - m.sinceMs()) / 1000, l.draining.contains(m.id()) ? "itself" : m.by(),
-                    l.draining.contains(m.id()) ? "it says that it drains" : m.why())));
-            l.membership.sources(now).forEach((s, how) -> lines.add(l.from.name() + " source " + s + ": " + how));
+                    (now - m.stateSinceMs()) / 1000, l.draining.contains(m.id()) ? "itself" : m.source(),
+                    l.draining.contains(m.id()) ? "it says that it drains" : m.reason())));
+            l.membership.describeSources(now).forEach((s, how) -> lines.add(l.from.name() + " source " + s + ": " + how));
         });
         if (reading != null) {
             lines.addAll(reading.explain());
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
@@ -96,7 +96,7 @@
             return new Rejected(refused.reason().name(), refused.retryAfterMs());
         }
         return verdict instanceof Limiter.Queued queued
-                ? new Admitted(service, budgetMs, group, queued.waitMs(), queued.displaced())
+                ? new Admitted(service, budgetMs, group, queued.maxWaitMs(), queued.displaced())
                 : new Admitted(service, budgetMs, group, 0, null);
     }
 
@@ -113,27 +113,27 @@
 
     @Override
     public String nextQueued() {
-        return limiter.next();
+        return limiter.admitNext();
     }
 
     @Override
     public double withdraw(double nowMs, String id) {
-        return limiter.withdrawn(nowMs, id);
+        return limiter.withdraw(nowMs, id);
     }
 
     /** What its loop used of limits that several keep together. */
-    LoopShare.Report report(double nowMs) {
+    LoopShare.UsageReport report(double nowMs) {
         return limiter.report(nowMs);
     }
 
     /** What its loop has in flight of them. */
-    LoopShare.Held held() {
-        return limiter.held();
+    LoopShare.InFlightReport held() {
+        return limiter.inFlightReport();
     }
 
     /** What its loop may use of them from now on. */
     void take(LoopShare.Grant grant, double nowMs) {
-        limiter.take(grant, nowMs);
+        limiter.apply(grant, nowMs);
     }
 
     int inFlight() {
@@ -141,7 +141,7 @@
     }
 
     int inLine() {
-        return limiter.inLine();
+        return limiter.queueLength();
     }
 
     @Override
--- a/gateway/src/main/java/ridgemill/gateway/operator/SharedLimits.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/SharedLimits.java
@@ -8,11 +8,11 @@
 import java.util.function.Supplier;
 import ridgemill.gateway.Service;
 import ridgemill.gateway.net.Clock;
-import ridgemill.limit.Lender;
+import ridgemill.limit.ShareAllocator;
 import ridgemill.limit.Limits;
 import ridgemill.limit.LoopShare;
 
-/** Carries what loops used of a file's limits to the {@link Lender}, which the door owns, and what they may use back. */
+/** Carries what loops used of a file's limits to the {@link ShareAllocator}, which the door owns, and what they may use back. */
 final class SharedLimits {
 
     /** How long a loop may lack what another does not use; each round wakes every loop. */
@@ -24,7 +24,7 @@
     private final EventLoop door;
     private final Clock clock;
     private final List<Loop> loops;
-    private final Lender lender;
+    private final ShareAllocator lender;
     private Limits limits;
     private int rounds;
     /** Answers that are due before the next step of a round. */
@@ -35,7 +35,7 @@
         this.clock = clock;
         this.limits = limits;
         this.loops = loops;
-        this.lender = new Lender(limits, loops.size());
+        this.lender = new ShareAllocator(limits, loops.size());
     }
 
     void start() {
@@ -85,7 +85,7 @@
 
     /** Sends out what is decided; {@code then} runs when the loops that it is for have told what they hold. */
     private void decide(Runnable then) {
-        List<LoopShare.Grant> grants = lender.decide();
+        List<LoopShare.Grant> grants = lender.allocate();
         int round = rounds;
         awaited = 0;
         for (int i = 0; i < grants.size(); i++) {
@@ -94,14 +94,14 @@
             Loop loop = loops.get(i);
             if (grant != null) {
                 awaited += ask(loop, () -> take(loop, grant), held -> {
-                    lender.held(number, held);
+                    lender.reportInFlight(number, held);
                     arrived(round, then);
                 }) ? 1 : 0;
             }
         }
     }
 
-    private LoopShare.Held take(Loop loop, LoopShare.Grant grant) {
+    private LoopShare.InFlightReport take(Loop loop, LoopShare.Grant grant) {
         loop.gate().take(grant, clock.now());
         loop.service().intake().limitsChanged();
         return loop.gate().held();
