--- a/core/src/main/java/ridgemill/lease/Leases.java
+++ b/core/src/main/java/ridgemill/lease/LeaseManager.java
@@ -12,8 +12,8 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import ridgemill.lease.Candidate.State;
-import ridgemill.lease.LeaseMessage.Said;
-import ridgemill.lease.LeaseMessage.Why;
+import ridgemill.lease.LeaseMessage.RefusalReason;
+import ridgemill.lease.LeaseMessage.SenderState;
 
 /**
  * One proxy's part in all leases: it votes on the tasks whose electorates it is in, and asks for the lease of those that it is
@@ -24,16 +24,16 @@
  * moment, whatever becomes of messages and processes; and terms of one task never repeat or fall. Its assumptions are in
  * docs/design/leases.md. One that was stopped between its permit and its act has the term alone to be stopped by.
  */
-public final class Leases {
+public final class LeaseManager {
 
-    /** Where messages go, and who is told of changes; called from within the calls of {@link Leases}. */
-    public interface Out {
+    /** Where messages go, and who is told of changes; called from within the calls of {@link LeaseManager}. */
+    public interface Callbacks {
 
         /** Sends to another member; never to this one. */
         void send(int to, LeaseMessage message);
 
         /** A lease is held here now, or is not any more, or is another's. */
-        void changed(String task, String words);
+        void statusChanged(String task, String words);
     }
 
     /** Leave for one act: under which term, and until when at the latest it must be over. To be given back by {@link #done}. */
@@ -50,7 +50,7 @@
      * @param voters how many vote on the task
      * @param words what there is to say, as why none is held
      */
-    public record Standing(String task, boolean holds, int holder, long term, double forMs, int votes, int voters, String words) { }
+    public record Status(String task, boolean holds, int holder, long term, double forMs, int votes, int voters, String words) { }
 
     private static final int FNV_START = 0x811c9dc5;
     private static final int FNV_STEP = 0x01000193;
@@ -62,17 +62,17 @@
     private final LeasePolicy policy;
     private final SplittableRandom random;
     private final double startedAt;
-    private final Out out;
+    private final Callbacks out;
     private final Map<Integer, Task> tasks = new LinkedHashMap<>();
     /** What others said that they go by, and since when at the latest they do. */
-    private final Map<Integer, Heard> heard = new HashMap<>();
-    private Electorates electorates;
+    private final Map<Integer, PeerVersion> peerVersions = new HashMap<>();
+    private VoterSets voterSets;
     private double takenAt;
     private boolean settled;
-    private boolean beforeSettled;
+    private boolean previousSettled;
     private boolean leaving;
 
-    private record Heard(int version, double at) { }
+    private record PeerVersion(int version, double since) { }
 
     /** One task here. */
     private final class Task {
@@ -83,7 +83,7 @@
         private int recalls;
         private double recallAt;
         private double hint;
-        private int actsOut;
+        private int openPermits;
         /** What is told when no act is out any more; null for nothing. */
         private LeaseMessage.Release owed;
         /** What was told last, how often it is to be told more, and when next. */
@@ -101,14 +101,14 @@
         /** Those who must stand by a holder: more than half of each. None where that can't be known yet. */
         List<List<Integer>> needed(double now) {
             if (settled(now)) {
-                return List.of(electorates.of(hash));
+                return List.of(voterSets.voters(hash));
             }
-            return beforeSettled ? List.of(electorates.of(hash), electorates.before(hash)) : List.of();
+            return previousSettled ? List.of(voterSets.voters(hash), voterSets.previousVoters(hash)) : List.of();
         }
 
         Set<Integer> everybody() {
-            Set<Integer> all = new LinkedHashSet<>(electorates.of(hash));
-            all.addAll(electorates.before(hash));
+            Set<Integer> all = new LinkedHashSet<>(voterSets.voters(hash));
+            all.addAll(voterSets.previousVoters(hash));
             return all;
         }
     }
@@ -120,17 +120,17 @@
      * @param seed of waits
      * @param startedAt from when on this process has been the only one of its proxy that votes
      */
-    public Leases(int self, int incarnation, LeasePolicy policy, Electorates electorates, Collection<String> tasks, long seed,
-                  double startedAt, Out out) {
+    public LeaseManager(int self, int incarnation, LeasePolicy policy, VoterSets electorates, Collection<String> tasks, long seed,
+                  double startedAt, Callbacks out) {
         this.self = self;
         this.incarnation = incarnation;
         this.policy = policy;
-        this.electorates = electorates;
+        this.voterSets = electorates;
         this.random = new SplittableRandom(seed);
         this.startedAt = startedAt;
         this.takenAt = startedAt;
-        this.settled = electorates.before().isEmpty();
-        this.beforeSettled = settled;
+        this.settled = electorates.previousPool().isEmpty();
+        this.previousSettled = settled;
         this.out = out;
         tasks.forEach(t -> add(startedAt, t));
     }
@@ -161,7 +161,7 @@
         if (task.voter == null && task.everybody().contains(self)) {
             task.voter = new Voter(policy, startedAt, now);
         }
-        boolean elector = electorates.of(task.hash).contains(self);
+        boolean elector = voterSets.voters(task.hash).contains(self);
         if (task.candidate == null && elector) {
             task.candidate = new Candidate(policy, random.split(), now);
         } else if (task.candidate != null && !elector && task.candidate.isWanted()) {
@@ -171,17 +171,17 @@
     }
 
     /** A task that there is from now on: this proxy votes on it, and wants its lease, where it is one of its electorate. */
-    public void join(double now, String name) {
+    public void addTask(double now, String name) {
         add(now, name);
     }
 
     /** Who votes on a task, and may hold its lease. */
-    public List<Integer> electors(String name) {
-        return electorates.of(hash(name));
+    public List<Integer> voters(String name) {
+        return voterSets.voters(hash(name));
     }
 
     /** This proxy wants a task's lease from now on, or no longer; also one whose electorate it is not in. */
-    public void want(double now, String name, boolean wanted) {
+    public void setWanted(double now, String name, boolean wanted) {
         Task task = add(now, name);
         if (task.candidate == null) {
             task.candidate = new Candidate(policy, random.split(), now);
@@ -194,24 +194,24 @@
     }
 
     /** Other electorates from now on; throws, and changes nothing, where they can't follow those that hold. */
-    public void take(double now, Electorates next) {
-        if (next.equals(electorates)) {
+    public void changeVoterSets(double now, VoterSets next) {
+        if (next.equals(voterSets)) {
             return;
         }
-        if (next.version() <= electorates.version()) {
+        if (next.version() <= voterSets.version()) {
             throw new IllegalArgumentException("version " + next.version() + " of the electorates does not follow version "
-                    + electorates.version() + (next.version() == electorates.version() ? ", which is another" : ""));
+                    + voterSets.version() + (next.version() == voterSets.version() ? ", which is another" : ""));
         }
-        boolean follows = next.version() == electorates.version() + 1;
-        if (follows && !next.before().isEmpty() && !next.before().equals(electorates.pool())) {
-            throw new IllegalArgumentException("version " + next.version() + " does not name version " + electorates.version()
+        boolean isNext = next.version() == voterSets.version() + 1;
+        if (isNext && !next.previousPool().isEmpty() && !next.previousPool().equals(voterSets.pool())) {
+            throw new IllegalArgumentException("version " + next.version() + " does not name version " + voterSets.version()
                     + "'s voters as those before");
         }
-        boolean was = settled(now);
-        electorates = next;
+        boolean wasSettled = settled(now);
+        voterSets = next;
         takenAt = now;
-        settled = next.before().isEmpty();
-        beforeSettled = settled || follows && was;
+        settled = next.previousPool().isEmpty();
+        previousSettled = settled || isNext && wasSettled;
         for (Task task : tasks.values()) {
             roles(now, task);
             if (task.voter != null) {
@@ -227,61 +227,61 @@
     private boolean settled(double now) {
         if (!settled) {
             // For every task that there may be, of whose electorates only the size is known.
-            int voters = Math.min(electorates.size(), electorates.before().size());
-            long behind = electorates.before().stream().filter(m -> !hasMoved(now, m)).count();
-            settled = beforeSettled && behind <= voters - Electorates.majority(voters);
+            int voters = Math.min(voterSets.votersPerTask(), voterSets.previousPool().size());
+            long behind = voterSets.previousPool().stream().filter(m -> !hasMoved(now, m)).count();
+            settled = previousSettled && behind <= voters - VoterSets.majority(voters);
         }
         return settled;
     }
 
     private boolean hasMoved(double now, int member) {
-        Heard h = member == self ? new Heard(electorates.version(), takenAt) : heard.get(member);
-        return h != null && h.version() >= electorates.version() && now >= h.at() + policy.promiseMs();
+        PeerVersion peer = member == self ? new PeerVersion(voterSets.version(), takenAt) : peerVersions.get(member);
+        return peer != null && peer.version() >= voterSets.version() && now >= peer.since() + policy.promiseMs();
     }
 
-    private Said said(double now) {
-        return new Said(electorates.version(), electorates.digest(), settled(now), beforeSettled);
+    private SenderState said(double now) {
+        return new SenderState(voterSets.version(), voterSets.digest(), settled(now), previousSettled);
     }
 
-    private void note(double now, int from, Said said) {
-        if (said.version() == electorates.version() && said.digest() != electorates.digest()) {
+    private void note(double now, int from, SenderState said) {
+        if (said.version() == voterSets.version() && said.digest() != voterSets.digest()) {
             return;
         }
-        Heard before = heard.get(from);
+        PeerVersion before = peerVersions.get(from);
         if (before == null || said.version() != before.version()) {
-            heard.put(from, new Heard(said.version(), now));
+            peerVersions.put(from, new PeerVersion(said.version(), now));
         }
-        if (said.version() == electorates.version()) {
+        if (said.version() == voterSets.version()) {
             settled |= said.settled();
-            beforeSettled |= said.beforeSettled();
-        } else if (said.version() == electorates.version() - 1) {
-            beforeSettled |= said.settled();
+            previousSettled |= said.previousSettled();
+        } else if (said.version() == voterSets.version() - 1) {
+            previousSettled |= said.settled();
         }
     }
 
-    private boolean isOther(Said said) {
-        return said.version() < electorates.version() || said.version() == electorates.version() && said.digest() != electorates.digest();
+    private boolean isOther(SenderState said) {
+        return said.version() < voterSets.version() || said.version() == voterSets.version() && said.digest() != voterSets.digest();
     }
 
     private void send(double now, int to, LeaseMessage message) {
         if (to == self) {
-            heard(now, self, message);
+            receive(now, self, message);
         } else {
             out.send(to, message);
         }
     }
 
     /** Another member, or this one, said something. */
-    public void heard(double now, int from, LeaseMessage message) {
-        note(now, from, message.said());
+    public void receive(double now, int from, LeaseMessage message) {
+        note(now, from, message.sender());
         Task task = tasks.get(message.task());
-        if (task == null || task.voter == null && message instanceof LeaseMessage.Ask) {
-            if (message instanceof LeaseMessage.Ask a) {
-                send(now, from, new LeaseMessage.Refusal(a.task(), said(now), a.incarnation(), a.round(), Why.NO_VOTER, 0, 0));
+        if (task == null || task.voter == null && message instanceof LeaseMessage.VoteRequest) {
+            if (message instanceof LeaseMessage.VoteRequest a) {
+                send(now, from, new LeaseMessage.Refusal(a.task(), said(now), a.incarnation(), a.round(), RefusalReason.NO_VOTER, 0, 0));
             }
             return;
         }
-        if (message instanceof LeaseMessage.Ask ask) {
+        if (message instanceof LeaseMessage.VoteRequest ask) {
             asked(now, from, task, ask);
         } else if (message instanceof LeaseMessage.Vote vote) {
             voted(now, from, task, vote);
@@ -289,19 +289,19 @@
             refused(now, from, task, refusal);
         } else if (message instanceof LeaseMessage.Release release) {
             released(now, from, task, release);
-        } else if (message instanceof LeaseMessage.Recall recall && task.voter != null) {
-            send(now, from, new LeaseMessage.Recalled(recall.task(), said(now), recall.incarnation(), recall.round(),
-                    task.voter.highest(), task.voter.knows(now)));
-        } else if (message instanceof LeaseMessage.Recalled recalled && task.voter != null && recalled.incarnation() == incarnation) {
-            task.voter.recalled(from, recalled, electorates.of(task.hash), self, recalled.said().version() > electorates.version());
+        } else if (message instanceof LeaseMessage.TermQuery recall && task.voter != null) {
+            send(now, from, new LeaseMessage.TermReply(recall.task(), said(now), recall.incarnation(), recall.round(),
+                    task.voter.highest(), task.voter.isRecovered(now)));
+        } else if (message instanceof LeaseMessage.TermReply recalled && task.voter != null && recalled.incarnation() == incarnation) {
+            task.voter.recalled(from, recalled, voterSets.voters(task.hash), self, recalled.sender().version() > voterSets.version());
         } else if (message instanceof LeaseMessage.Forbid forbid) {
-            forbidden(now, task, forbid.ms());
+            forbidden(now, task, forbid.durationMs());
         }
     }
 
-    private void asked(double now, int from, Task task, LeaseMessage.Ask ask) {
+    private void asked(double now, int from, Task task, LeaseMessage.VoteRequest ask) {
         long before = task.voter.isGiven(now) ? task.voter.term() : 0;
-        Voter.Answer answer = task.voter.ask(now, from, ask, isOther(ask.said()));
+        Voter.Answer answer = task.voter.handleRequest(now, from, ask, isOther(ask.sender()));
         if (answer == null) {
             return;
         }
@@ -311,7 +311,7 @@
             return;
         }
         if (before != ask.term() && from != self) {
-            out.changed(task.name, "this proxy's vote is " + from + "'s, term " + ask.term());
+            out.statusChanged(task.name, "this proxy's vote is " + from + "'s, term " + ask.term());
         }
         send(now, from, new LeaseMessage.Vote(task.hash, said(now), ask.incarnation(), ask.term(), ask.round()));
     }
@@ -321,20 +321,20 @@
             return;
         }
         if (task.candidate.vote(now, from, vote, task.needed(now))) {
-            out.changed(task.name, "held here, term " + task.candidate.term());
+            out.statusChanged(task.name, "held here, term " + task.candidate.term());
         }
     }
 
     private void refused(double now, int from, Task task, LeaseMessage.Refusal refusal) {
         if (task.voter != null) {
-            task.voter.seen(refusal.highest());
+            task.voter.seen(refusal.highestTerm());
         }
         if (task.candidate == null || refusal.incarnation() != incarnation) {
             return;
         }
         task.candidate.refused(from, refusal);
-        if (refusal.why() == Why.HELD || refusal.why() == Why.FORBIDDEN) {
-            task.hint = Math.max(task.hint, now + refusal.waitMs());
+        if (refusal.reason() == RefusalReason.HELD || refusal.reason() == RefusalReason.FORBIDDEN) {
+            task.hint = Math.max(task.hint, now + refusal.retryAfterMs());
         }
         step(now, task);
     }
@@ -346,7 +346,7 @@
         // It is told more than once: those that want the lease wait from the first.
         if (task.candidate != null && from != self && task.heardFree != release.term()) {
             task.heardFree = release.term();
-            if (release.heir() == self) {
+            if (release.successor() == self) {
                 task.candidate.inherits(now);
             } else if (task.voter != null && task.voter.busyUntil(self) <= now) {
                 task.candidate.comesFree(now);
@@ -377,10 +377,10 @@
                 ask(now, task);
             }
             // While an act is out of a lease that was given up, nothing is done for the next: its end says when.
-            if (task.candidate != null && (task.actsOut == 0 || task.candidate.state() != State.WAITING)) {
+            if (task.candidate != null && (task.openPermits == 0 || task.candidate.state() != State.WAITING)) {
                 due = Math.min(due, task.candidate.dueAt());
             }
-            if (task.voter != null && !task.voter.knows(now)) {
+            if (task.voter != null && !task.voter.isRecovered(now)) {
                 due = Math.min(due, task.recallAt);
             }
             if (task.toldAgain > 0) {
@@ -391,69 +391,69 @@
     }
 
     private void recall(double now, Task task) {
-        if (task.voter != null && !task.voter.knows(now) && now >= task.recallAt) {
+        if (task.voter != null && !task.voter.isRecovered(now) && now >= task.recallAt) {
             task.recallAt = now + 2 * policy.answerMs();
             task.recalls++;
             for (int member : task.everybody()) {
                 if (member != self) {
-                    send(now, member, new LeaseMessage.Recall(task.hash, said(now), incarnation, task.recalls));
+                    send(now, member, new LeaseMessage.TermQuery(task.hash, said(now), incarnation, task.recalls));
                 }
             }
         }
     }
 
     private void step(double now, Task task) {
-        Candidate c = task.candidate;
-        if (c == null) {
+        Candidate candidate = task.candidate;
+        if (candidate == null) {
             return;
         }
-        if (c.lapses(now)) {
-            out.changed(task.name, "lost here, term " + c.term() + ": not renewed in time");
+        if (candidate.lapses(now)) {
+            out.statusChanged(task.name, "lost here, term " + candidate.term() + ": not renewed in time");
         }
-        if (c.fails(now, task.needed(now))) {
-            boolean again = c.onlyTermsWereOld();
-            giveBack(now, task, new LeaseMessage.Release(task.hash, said(now), incarnation, c.term(), -1));
-            c.giveUp(now, task.hint);
+        if (candidate.fails(now, task.needed(now))) {
+            boolean again = candidate.onlyTermsWereOld();
+            giveBack(now, task, new LeaseMessage.Release(task.hash, said(now), incarnation, candidate.term(), -1));
+            candidate.giveUp(now, task.hint);
             task.hint = 0;
             if (again) {
-                c.lookAt(now);
+                candidate.lookAt(now);
             }
         }
-        if (c.begins(now) && task.actsOut == 0 && mayBegin(now, task)) {
-            c.begin(now, task.voter == null ? 0 : task.voter.highest());
+        if (candidate.begins(now) && task.openPermits == 0 && mayBegin(now, task)) {
+            candidate.begin(now, task.voter == null ? 0 : task.voter.highest());
         }
-        if (c.asks(now)) {
+        if (candidate.asks(now)) {
             ask(now, task);
         }
     }
 
     private void ask(double now, Task task) {
         int round = task.candidate.ask(now);
-        tell(now, task, new LeaseMessage.Ask(task.hash, said(now), incarnation, task.candidate.term(), round));
+        tell(now, task, new LeaseMessage.VoteRequest(task.hash, said(now), incarnation, task.candidate.term(), round));
     }
 
     /** Whether an attempt makes sense now; when to look again is set where it does not. */
     private boolean mayBegin(double now, Task task) {
-        Candidate c = task.candidate;
+        Candidate candidate = task.candidate;
         Voter v = task.voter;
         if (task.needed(now).isEmpty()) {
-            c.lookAt(now + 2 * policy.answerMs());
-            tell(now, task, new LeaseMessage.Recall(task.hash, said(now), incarnation, 0));
+            candidate.lookAt(now + 2 * policy.answerMs());
+            tell(now, task, new LeaseMessage.TermQuery(task.hash, said(now), incarnation, 0));
             return false;
         }
         if (v == null) {
             return true;
         }
         if (now < v.forbiddenUntil()) {
-            c.lookAt(v.forbiddenUntil());
+            candidate.lookAt(v.forbiddenUntil());
             return false;
         }
-        if (!v.knows(now) || v.isQuiet(now)) {
-            c.lookAt(now + policy.answerMs());
+        if (!v.isRecovered(now) || v.isQuiet(now)) {
+            candidate.lookAt(now + policy.answerMs());
             return false;
         }
         if (v.busyUntil(self) > now && v.holder() != self) {
-            c.giveUp(now, v.busyUntil(self));
+            candidate.giveUp(now, v.busyUntil(self));
             return false;
         }
         return true;
@@ -469,20 +469,20 @@
      * Leave for an act that takes so long at most; empty where it must not be done. A lease that is given up meanwhile goes to
      * nobody until the act is done, or the lease has run out.
      */
-    public Optional<Permit> permit(double now, String name, double actMs) {
+    public Optional<Permit> permit(double now, String name, double actionMs) {
         Task task = tasks.get(hash(name));
-        if (task == null || task.candidate == null || !task.candidate.may(now, actMs)) {
+        if (task == null || task.candidate == null || !task.candidate.permits(now, actionMs)) {
             return Optional.empty();
         }
-        task.actsOut++;
+        task.openPermits++;
         return Optional.of(new Permit(name, task.candidate.term(), task.candidate.until()));
     }
 
     /** An act is over: nothing of it will take effect from now on. */
     public void done(double now, Permit permit) {
         Task task = tasks.get(hash(permit.task()));
-        task.actsOut--;
-        if (task.actsOut == 0 && task.owed != null) {
+        task.openPermits--;
+        if (task.openPermits == 0 && task.owed != null) {
             LeaseMessage.Release release = task.owed;
             task.owed = null;
             giveBack(now, task, release);
@@ -493,11 +493,11 @@
     /** Whether a lease is held here now, as far as the clock goes; no leave to act. */
     public boolean holds(double now, String name) {
         Task task = tasks.get(hash(name));
-        return task != null && task.candidate != null && task.candidate.may(now, 0);
+        return task != null && task.candidate != null && task.candidate.permits(now, 0);
     }
 
     /** Who received an act has seen a term: where it is higher than this proxy's, another has acted since. */
-    public void seen(double now, String name, long term) {
+    public void observeTerm(double now, String name, long term) {
         Task task = tasks.get(hash(name));
         if (task == null) {
             return;
@@ -522,17 +522,17 @@
     }
 
     private void stop(double now, Task task, int heir, String words) {
-        Candidate c = task.candidate;
-        if (c == null || c.state() == State.WAITING) {
+        Candidate candidate = task.candidate;
+        if (candidate == null || candidate.state() == State.WAITING) {
             return;
         }
-        boolean held = c.state() == State.HOLDING;
-        c.stop(now);
+        boolean held = candidate.state() == State.HOLDING;
+        candidate.stop(now);
         if (held) {
-            out.changed(task.name, "given up here, term " + c.term() + ": " + words);
+            out.statusChanged(task.name, "given up here, term " + candidate.term() + ": " + words);
         }
-        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, c.term(), heir);
-        if (task.actsOut > 0) {
+        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, candidate.term(), heir);
+        if (task.openPermits > 0) {
             task.owed = release;
         } else {
             giveBack(now, task, release);
@@ -551,18 +551,18 @@
         if (task.toldAgain > 0 && now >= task.toldAgainAt) {
             task.toldAgain--;
             task.toldAgainAt = now + policy.answerMs();
-            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, task.told.term(), task.told.heir());
+            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, task.told.term(), task.told.successor());
             task.everybody().stream().filter(m -> m != self).forEach(m -> send(now, m, release));
         }
     }
 
     /** Gives all back for good, each to another of its voters, as at the end of a process. */
-    public void leave(double now) {
+    public void releaseAll(double now) {
         leaving = true;
         for (Task task : tasks.values()) {
             if (task.candidate != null) {
                 task.candidate.want(false, now);
-                int heir = electorates.of(task.hash).stream().filter(m -> m != self && heard.containsKey(m)).findFirst().orElse(-1);
+                int heir = voterSets.voters(task.hash).stream().filter(m -> m != self && peerVersions.containsKey(m)).findFirst().orElse(-1);
                 stop(now, task, heir, "this process ends");
             }
         }
@@ -576,7 +576,7 @@
     }
 
     /** The members that this proxy has anything to say to. */
-    public Set<Integer> partners() {
+    public Set<Integer> peers() {
         Set<Integer> all = new LinkedHashSet<>();
         tasks.values().stream().filter(t -> t.voter != null || t.candidate != null && t.candidate.isWanted()).forEach(t -> all.addAll(t.everybody()));
         all.remove(self);
@@ -584,30 +584,30 @@
     }
 
     /** Which version of the electorates it goes by. */
-    public int version() {
-        return electorates.version();
+    public int voterSetsVersion() {
+        return voterSets.version();
     }
 
     /** How all leases are, in the order of the tasks. */
-    public List<Standing> explain(double now) {
-        List<Standing> all = new ArrayList<>();
+    public List<Status> statuses(double now) {
+        List<Status> all = new ArrayList<>();
         tasks.values().forEach(t -> all.add(standing(now, t)));
         return all;
     }
 
-    private Standing standing(double now, Task task) {
-        Candidate c = task.candidate;
+    private Status standing(double now, Task task) {
+        Candidate candidate = task.candidate;
         Voter v = task.voter;
-        int voters = electorates.of(task.hash).size();
-        if (c != null && c.may(now, 0)) {
-            return new Standing(task.name, true, self, c.term(), c.until() - now, c.votes(now), voters, "held here");
+        int voters = voterSets.voters(task.hash).size();
+        if (candidate != null && candidate.permits(now, 0)) {
+            return new Status(task.name, true, self, candidate.term(), candidate.until() - now, candidate.votes(now), voters, "held here");
         }
-        int votes = c == null ? 0 : c.votes(now);
+        int votes = candidate == null ? 0 : candidate.votes(now);
         if (v != null && v.isGiven(now) && v.holder() != self) {
-            return new Standing(task.name, false, v.holder(), v.term(), v.until() - now, votes, voters,
+            return new Status(task.name, false, v.holder(), v.term(), v.until() - now, votes, voters,
                     "this proxy's vote is " + v.holder() + "'s");
         }
-        return new Standing(task.name, false, -1, 0, 0, votes, voters, whyNone(now, task));
+        return new Status(task.name, false, -1, 0, 0, votes, voters, whyNone(now, task));
     }
 
     private String whyNone(double now, Task task) {
@@ -621,7 +621,7 @@
         if (v != null && v.isQuiet(now)) {
             return "this proxy has started lately, and what it promised before may hold";
         }
-        if (v != null && !v.knows(now)) {
+        if (v != null && !v.isRecovered(now)) {
             return "this proxy has started lately, and too few have told it which terms there were";
         }
         if (task.candidate == null) {
@@ -630,20 +630,20 @@
         if (!task.candidate.isWanted()) {
             return "not wanted here";
         }
-        Map<Integer, Why> refusals = new TreeMap<>(task.candidate.refusals());
+        Map<Integer, RefusalReason> refusals = new TreeMap<>(task.candidate.refusals());
         return task.candidate.state() == State.ASKING ? "asking; refused by " + refusals : "none known; last refused by " + refusals;
     }
 
     /** All of its state, times as they are from now on: two with the same text act the same, but for their seeds. */
-    public String text(double now) {
+    public String stateText(double now) {
         StringBuilder text = new StringBuilder();
         tasks.values().forEach(t -> text.append(t.voter == null ? "-" : t.voter.text(now)).append('|')
                 .append(t.candidate == null ? "-" : t.candidate.text(now)).append('|').append(Math.max(0, t.recallAt - now)).append('|')
-                .append(Math.max(0, t.hint - now)).append(t.actsOut).append(t.owed)
+                .append(Math.max(0, t.hint - now)).append(t.openPermits).append(t.owed)
                 .append(t.toldAgain > 0 ? t.told + " " + t.toldAgain + " " + Math.max(0, t.toldAgainAt - now) : "")
                 .append(t.heardFree).append(';'));
-        text.append(electorates.version()).append(settled).append(beforeSettled);
+        text.append(voterSets.version()).append(settled).append(previousSettled);
         // Who goes by which version matters until a change has settled.
-        return settled ? text.toString() : text.append(new TreeMap<>(heard)).toString();
+        return settled ? text.toString() : text.append(new TreeMap<>(peerVersions)).toString();
     }
 }
--- a/core/src/main/java/ridgemill/lease/LeaseMessage.java
+++ b/core/src/main/java/ridgemill/lease/LeaseMessage.java
@@ -8,7 +8,7 @@
 public sealed interface LeaseMessage {
 
     /** Why a voter gives no vote. */
-    enum Why {
+    enum RefusalReason {
         /** It promised its vote to another, or keeps it for an heir. */
         HELD,
         /** It has seen a term as high. */
@@ -28,7 +28,7 @@
     int task();
 
     /** What the sender knows of the change to its electorates. */
-    Said said();
+    SenderState sender();
 
     /**
      * What every message tells of its sender.
@@ -36,28 +36,28 @@
      * @param version of its electorates
      * @param digest of what they are, 16 bits: two that say the same version must mean the same
      * @param settled whether it knows that nobody acts under those before
-     * @param beforeSettled whether it knows that those before had settled too
+     * @param previousSettled whether it knows that those before had settled too
      */
-    record Said(int version, int digest, boolean settled, boolean beforeSettled) { }
+    record SenderState(int version, int digest, boolean settled, boolean previousSettled) { }
 
     /** A candidate wants a vote for a term, or its vote once more. */
-    record Ask(int task, Said said, int incarnation, long term, int round) implements LeaseMessage { }
+    record VoteRequest(int task, SenderState sender, int incarnation, long term, int round) implements LeaseMessage { }
 
     /** The vote is given. */
-    record Vote(int task, Said said, int incarnation, long term, int round) implements LeaseMessage { }
+    record Vote(int task, SenderState sender, int incarnation, long term, int round) implements LeaseMessage { }
 
     /** It is not; {@code highest} is the highest term seen, and {@code waitMs} after how long to ask again, 0 where that is unknown. */
-    record Refusal(int task, Said said, int incarnation, int round, Why why, long highest, int waitMs) implements LeaseMessage { }
+    record Refusal(int task, SenderState sender, int incarnation, int round, RefusalReason reason, long highestTerm, int retryAfterMs) implements LeaseMessage { }
 
     /** A candidate has stopped to act under a term and never will again; {@code heir} is to have it next, or is -1. */
-    record Release(int task, Said said, int incarnation, long term, int heir) implements LeaseMessage { }
+    record Release(int task, SenderState sender, int incarnation, long term, int successor) implements LeaseMessage { }
 
     /** A voter that has started asks which terms there were. */
-    record Recall(int task, Said said, int incarnation, int round) implements LeaseMessage { }
+    record TermQuery(int task, SenderState sender, int incarnation, int round) implements LeaseMessage { }
 
     /** The highest term seen; {@code knows} is false from one that has not yet heard itself. */
-    record Recalled(int task, Said said, int incarnation, int round, long highest, boolean knows) implements LeaseMessage { }
+    record TermReply(int task, SenderState sender, int incarnation, int round, long highestTerm, boolean recovered) implements LeaseMessage { }
 
     /** Operators forbid the task for so long. */
-    record Forbid(int task, Said said, int ms) implements LeaseMessage { }
+    record Forbid(int task, SenderState sender, int durationMs) implements LeaseMessage { }
 }
--- a/core/src/main/java/ridgemill/lease/LeasePolicy.java
+++ b/core/src/main/java/ridgemill/lease/LeasePolicy.java
@@ -11,20 +11,20 @@
 public record LeasePolicy(double lengthMs, double drift, double marginMs, double answerMs) {
 
     /** Beyond this a clock is broken and no lease can be trusted to it. */
-    public static final double MOST_DRIFT = 0.2;
-    private static final int LEAST_ANSWERS = 4;
+    public static final double MAX_DRIFT = 0.2;
+    private static final int MIN_ANSWERS = 4;
 
     /** Three seconds, clocks within 5%, 200 ms of margin, answers within 100 ms. */
-    public static final LeasePolicy USUAL = new LeasePolicy(3000, 0.05, 200, 100);
+    public static final LeasePolicy DEFAULT = new LeasePolicy(3000, 0.05, 200, 100);
 
     public LeasePolicy {
-        if (!(lengthMs > 0 && drift >= 0 && drift <= MOST_DRIFT && marginMs >= 0 && answerMs > 0)) {
+        if (!(lengthMs > 0 && drift >= 0 && drift <= MAX_DRIFT && marginMs >= 0 && answerMs > 0)) {
             throw new IllegalArgumentException("no such leases: length " + lengthMs + " ms, drift " + drift + ", margin " + marginMs
                     + " ms, answer " + answerMs + " ms");
         }
-        if (lengthMs * (1 - drift) - marginMs < LEAST_ANSWERS * answerMs) {
+        if (lengthMs * (1 - drift) - marginMs < MIN_ANSWERS * answerMs) {
             throw new IllegalArgumentException("a holder would have " + (lengthMs * (1 - drift) - marginMs) + " ms, which is less than "
-                    + LEAST_ANSWERS + " answers of " + answerMs + " ms");
+                    + MIN_ANSWERS + " answers of " + answerMs + " ms");
         }
     }
 
--- a/core/src/main/java/ridgemill/lease/LeaseWire.java
+++ b/core/src/main/java/ridgemill/lease/LeaseWire.java
@@ -4,11 +4,11 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import ridgemill.lease.LeaseMessage.Said;
-import ridgemill.lease.LeaseMessage.Why;
+import ridgemill.lease.LeaseMessage.RefusalReason;
+import ridgemill.lease.LeaseMessage.SenderState;
 
 /**
- * Lease messages as {@link Sealed} datagrams, each a count and the messages. A build that knows no leases takes what comes for keys
+ * Lease messages as {@link DatagramFrame} datagrams, each a count and the messages. A build that knows no leases takes what comes for keys
  * that are asked for often, so it is sent nothing but a hello, which is too short to hold one.
  */
 public final class LeaseWire {
@@ -33,7 +33,7 @@
 
     /** Whether a datagram of a peer is of this kind, of whatever version. */
     public static boolean isLease(byte[] datagram) {
-        return Sealed.is(datagram, KIND);
+        return DatagramFrame.hasKind(datagram, KIND);
     }
 
     /** Puts messages into as few datagrams as they need, in their order. */
@@ -41,51 +41,51 @@
         List<byte[]> datagrams = new ArrayList<>();
         ByteBuffer out = begun();
         for (LeaseMessage m : messages) {
-            if (out.remaining() < LONGEST + Sealed.MOST_END) {
-                datagrams.add(Sealed.ended(out));
+            if (out.remaining() < LONGEST + DatagramFrame.MAX_TRAILER_BYTES) {
+                datagrams.add(DatagramFrame.finish(out));
                 out = begun();
             }
             out.put(2, (byte) (out.get(2) + 1));
             put(out, m);
         }
         if (out.position() > HEAD) {
-            datagrams.add(Sealed.ended(out));
+            datagrams.add(DatagramFrame.finish(out));
         }
         return datagrams;
     }
 
     private static ByteBuffer begun() {
-        return Sealed.begun(KIND, VERSION).put((byte) 0);
+        return DatagramFrame.begin(KIND, VERSION).put((byte) 0);
     }
 
     private static void put(ByteBuffer out, LeaseMessage m) {
-        int kind = m instanceof LeaseMessage.Ask ? 1 : m instanceof LeaseMessage.Vote ? 2 : m instanceof LeaseMessage.Refusal ? 3
-                : m instanceof LeaseMessage.Release ? 4 : m instanceof LeaseMessage.Recall ? 5 : m instanceof LeaseMessage.Recalled ? 6 : 7;
-        Said said = m.said();
-        int flags = (said.settled() ? SETTLED : 0) | (said.beforeSettled() ? BEFORE_SETTLED : 0)
-                | (m instanceof LeaseMessage.Recalled r && r.knows() ? KNOWS : 0);
+        int kind = m instanceof LeaseMessage.VoteRequest ? 1 : m instanceof LeaseMessage.Vote ? 2 : m instanceof LeaseMessage.Refusal ? 3
+                : m instanceof LeaseMessage.Release ? 4 : m instanceof LeaseMessage.TermQuery ? 5 : m instanceof LeaseMessage.TermReply ? 6 : 7;
+        SenderState said = m.sender();
+        int flags = (said.settled() ? SETTLED : 0) | (said.previousSettled() ? BEFORE_SETTLED : 0)
+                | (m instanceof LeaseMessage.TermReply r && r.recovered() ? KNOWS : 0);
         out.put((byte) (kind << 4 | flags)).putInt(m.task()).putInt(said.version()).putShort((short) said.digest());
-        if (m instanceof LeaseMessage.Ask a) {
+        if (m instanceof LeaseMessage.VoteRequest a) {
             out.putInt(a.incarnation()).putLong(a.term()).putInt(a.round());
         } else if (m instanceof LeaseMessage.Vote v) {
             out.putInt(v.incarnation()).putLong(v.term()).putInt(v.round());
         } else if (m instanceof LeaseMessage.Refusal r) {
-            out.putInt(r.incarnation()).putInt(r.round()).put((byte) r.why().ordinal()).putLong(r.highest())
-                    .put((byte) Math.min(Byte.MAX_VALUE, (r.waitMs() + WAIT_STEP_MS - 1) / WAIT_STEP_MS));
+            out.putInt(r.incarnation()).putInt(r.round()).put((byte) r.reason().ordinal()).putLong(r.highestTerm())
+                    .put((byte) Math.min(Byte.MAX_VALUE, (r.retryAfterMs() + WAIT_STEP_MS - 1) / WAIT_STEP_MS));
         } else if (m instanceof LeaseMessage.Release r) {
-            out.putInt(r.incarnation()).putLong(r.term()).putInt(r.heir());
-        } else if (m instanceof LeaseMessage.Recall r) {
+            out.putInt(r.incarnation()).putLong(r.term()).putInt(r.successor());
+        } else if (m instanceof LeaseMessage.TermQuery r) {
             out.putInt(r.incarnation()).putInt(r.round());
-        } else if (m instanceof LeaseMessage.Recalled r) {
-            out.putInt(r.incarnation()).putInt(r.round()).putLong(r.highest());
+        } else if (m instanceof LeaseMessage.TermReply r) {
+            out.putInt(r.incarnation()).putInt(r.round()).putLong(r.highestTerm());
         } else if (m instanceof LeaseMessage.Forbid f) {
-            out.putInt(f.ms());
+            out.putInt(f.durationMs());
         }
     }
 
     /** Reads a datagram; empty where it is a hello, of another version or spoilt. */
     public static List<LeaseMessage> decode(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).map(in -> {
+        return DatagramFrame.open(datagram, KIND, VERSION).map(in -> {
             List<LeaseMessage> messages = new ArrayList<>();
             try {
                 for (int i = in.get(); i > 0; i--) {
@@ -101,26 +101,26 @@
     private static LeaseMessage get(ByteBuffer in) {
         int first = in.get();
         int task = in.getInt();
-        Said said = new Said(in.getInt(), in.getShort() & 0xffff, (first & SETTLED) != 0, (first & BEFORE_SETTLED) != 0);
+        SenderState said = new SenderState(in.getInt(), in.getShort() & 0xffff, (first & SETTLED) != 0, (first & BEFORE_SETTLED) != 0);
         switch (first >> 4) {
             case 1:
-                return new LeaseMessage.Ask(task, said, in.getInt(), in.getLong(), in.getInt());
+                return new LeaseMessage.VoteRequest(task, said, in.getInt(), in.getLong(), in.getInt());
             case 2:
                 return new LeaseMessage.Vote(task, said, in.getInt(), in.getLong(), in.getInt());
             case 3:
                 int incarnation = in.getInt();
                 int round = in.getInt();
                 int why = in.get();
-                if (why < 0 || why >= Why.values().length) {
+                if (why < 0 || why >= RefusalReason.values().length) {
                     throw new IllegalArgumentException("no such reason: " + why);
                 }
-                return new LeaseMessage.Refusal(task, said, incarnation, round, Why.values()[why], in.getLong(), in.get() * WAIT_STEP_MS);
+                return new LeaseMessage.Refusal(task, said, incarnation, round, RefusalReason.values()[why], in.getLong(), in.get() * WAIT_STEP_MS);
             case 4:
                 return new LeaseMessage.Release(task, said, in.getInt(), in.getLong(), in.getInt());
             case 5:
-                return new LeaseMessage.Recall(task, said, in.getInt(), in.getInt());
+                return new LeaseMessage.TermQuery(task, said, in.getInt(), in.getInt());
             case 6:
-                return new LeaseMessage.Recalled(task, said, in.getInt(), in.getInt(), in.getLong(), (first & KNOWS) != 0);
+                return new LeaseMessage.TermReply(task, said, in.getInt(), in.getInt(), in.getLong(), (first & KNOWS) != 0);
             case 7:
                 return new LeaseMessage.Forbid(task, said, in.getInt());
             default:
--- a/core/src/main/java/ridgemill/lease/Sweep.java
+++ b/core/src/main/java/ridgemill/lease/TargetSchedule.java
@@ -10,10 +10,10 @@
  * else once for each time that operators start it. It says what is to be done next and keeps what came of it; whether it may be
  * done is the lease's to say. Times are milliseconds.
  */
-public final class Sweep {
+public final class TargetSchedule {
 
     /** How often a target is tried in one run before it is left out. */
-    public static final int TRIES = 3;
+    public static final int MAX_TRIES = 3;
 
     /** What came of one act. */
     public enum Outcome {
@@ -38,7 +38,7 @@
     private long failed;
 
     /** {@code everyMs} is the time from one run's beginning to the next one's; 0 where operators start each. */
-    public Sweep(int targets, double everyMs, double now) {
+    public TargetSchedule(int targets, double everyMs, double now) {
         this.targets = targets;
         this.everyMs = everyMs;
         this.tries = new int[targets];
@@ -47,7 +47,7 @@
     }
 
     /** Whether the lease is wanted now: while there is something to do, and always by one that goes on by itself. */
-    public boolean isWanted() {
+    public boolean wantsLease() {
         return everyMs > 0 || running;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** The target to act on now; -1 for none. */
-    public int next(double now) {
+    public int nextTarget(double now) {
         if (!running && now >= dueAt) {
             begin(now);
         }
@@ -82,13 +82,13 @@
     }
 
     /** An act on the present target has ended. One that was refused ends nothing: it is for whoever holds the lease then. */
-    public void ended(Outcome outcome) {
+    public void recordOutcome(Outcome outcome) {
         acts++;
         tries[next]++;
         last[next] = outcome;
         refused += outcome == Outcome.REFUSED ? 1 : 0;
         failed += outcome == Outcome.FAILED ? 1 : 0;
-        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[next] >= TRIES) {
+        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[next] >= MAX_TRIES) {
             next++;
         }
         if (next == targets) {
--- a/core/src/main/java/ridgemill/lease/Electorates.java
+++ b/core/src/main/java/ridgemill/lease/VoterSets.java
@@ -10,45 +10,45 @@
  *
  * @param version grows with each change of what follows; 1 or more
  * @param pool the members of which electorates are chosen, by their numbers
- * @param before the pool of the version before, whose majorities count too until the change has settled; empty where there
+ * @param previousPool the pool of the version before, whose majorities count too until the change has settled; empty where there
  *     was none, or where operators say that nobody goes by it any more
- * @param size how many vote on a task at most
+ * @param votersPerTask how many vote on a task at most
  */
-public record Electorates(int version, List<Integer> pool, List<Integer> before, int size) {
+public record VoterSets(int version, List<Integer> pool, List<Integer> previousPool, int votersPerTask) {
 
     private static final long STEP = 0x9e3779b97f4a7c15L;
 
-    public Electorates {
-        if (version < 1 || size < 1 || pool.isEmpty()) {
+    public VoterSets {
+        if (version < 1 || votersPerTask < 1 || pool.isEmpty()) {
             throw new IllegalArgumentException("version and size are 1 or more, and somebody must vote");
         }
         pool = pool.stream().sorted().distinct().toList();
-        before = before.stream().sorted().distinct().toList();
+        previousPool = previousPool.stream().sorted().distinct().toList();
     }
 
     /** Who votes on a task. */
-    public List<Integer> of(int task) {
+    public List<Integer> voters(int task) {
         return chosen(task, pool);
     }
 
     /** Who voted on it under the version before; empty where there was none. */
-    public List<Integer> before(int task) {
-        return chosen(task, before);
+    public List<Integer> previousVoters(int task) {
+        return chosen(task, previousPool);
     }
 
     private List<Integer> chosen(int task, List<Integer> from) {
         List<Integer> all = new ArrayList<>(from);
         all.sort(Comparator.<Integer>comparingLong(m -> weight(task, m)).thenComparing(m -> m));
-        return List.copyOf(all.subList(0, Math.min(size, all.size())));
+        return List.copyOf(all.subList(0, Math.min(votersPerTask, all.size())));
     }
 
     /** 16 bits of what they are: two of the same version and digest are the same, for all that mistakes can do. */
     public int digest() {
-        long hash = size;
+        long hash = votersPerTask;
         for (int member : pool) {
             hash = weight((int) hash ^ (int) (hash >>> Integer.SIZE), member);
         }
-        for (int member : before) {
+        for (int member : previousPool) {
             hash = weight((int) ~hash ^ (int) (hash >>> Integer.SIZE), member);
         }
         return (int) (hash >>> (Long.SIZE - Short.SIZE));
@@ -62,7 +62,7 @@
     }
 
     /** More than half of so many. */
-    public static int majority(int of) {
-        return of / 2 + 1;
+    public static int majority(int size) {
+        return size / 2 + 1;
     }
 }
--- a/core/src/main/java/ridgemill/probing/ElectedProber.java
+++ b/core/src/main/java/ridgemill/probing/ElectedProber.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import ridgemill.lease.Marks;
+import ridgemill.lease.EchoTimestamps;
 import ridgemill.probing.ProbeCodec.ProbeRequest;
 import ridgemill.probing.ProbeCodec.ProbeResult;
 
@@ -56,7 +56,7 @@
     private record Probe(double startedMs, boolean inProgress, Map<Integer, Integer> subscriberTimestamps) { }
 
     private final Out out;
-    private final Marks timestamps;
+    private final EchoTimestamps timestamps;
     private final Map<Integer, Double> unreachableSince = new LinkedHashMap<>();
     private final Map<Integer, Subscriber> subscribers = new TreeMap<>();
     private final Map<Integer, Probe> probes = new HashMap<>();
@@ -71,7 +71,7 @@
     private long resultsRejected;
 
     public ElectedProber(double now, Out out) {
-        this.timestamps = new Marks(now);
+        this.timestamps = new EchoTimestamps(now);
         this.out = out;
     }
 
@@ -89,7 +89,7 @@
             startProbes(now);
         } else if (!unreachableSince.isEmpty() && now >= nextRequestMs) {
             nextRequestMs = now + PROBE_INTERVAL_MS;
-            ProbeRequest asks = new ProbeRequest(timestamps.at(now), List.copyOf(unreachableSince.keySet()));
+            ProbeRequest asks = new ProbeRequest(timestamps.timestamp(now), List.copyOf(unreachableSince.keySet()));
             if (now - lastResultMs <= PROBER_TTL_MS) {
                 out.sendRequest(proberMember, asks);
             } else {
@@ -149,7 +149,7 @@
     /** A member says what it spares. */
     public void requestReceived(double now, int member, ProbeRequest asks) {
         Subscriber before = subscribers.get(member);
-        if (before == null || Marks.replaces(asks.timestamp(), before.timestamp(), now - before.receivedMs(), REQUEST_TTL_MS)) {
+        if (before == null || EchoTimestamps.supersedes(asks.timestamp(), before.timestamp(), now - before.receivedMs(), REQUEST_TTL_MS)) {
             subscribers.put(member, new Subscriber(asks.timestamp(), now, new LinkedHashSet<>(asks.nodes())));
         }
     }
--- a/core/src/main/java/ridgemill/probing/ProbeCodec.java
+++ b/core/src/main/java/ridgemill/probing/ProbeCodec.java
@@ -5,9 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import ridgemill.lease.Sealed;
+import ridgemill.lease.DatagramFrame;
 
-/** What is said of probes, as {@link Sealed} datagrams. */
+/** What is said of probes, as {@link DatagramFrame} datagrams. */
 public final class ProbeCodec {
 
     /** So many nodes are asked for at most; what is more waits until some of them are back. */
@@ -49,7 +49,7 @@
 
     /** Puts something into a datagram. */
     public static byte[] encode(Message said) {
-        ByteBuffer out = Sealed.begun(KIND, VERSION);
+        ByteBuffer out = DatagramFrame.begin(KIND, VERSION);
         if (said instanceof ProbeRequest a) {
             List<Integer> nodes = a.nodes().subList(0, Math.min(MAX_NODES, a.nodes().size()));
             out.put(REQUEST).putInt(a.timestamp()).put((byte) nodes.size());
@@ -58,12 +58,12 @@
             out.put(RESULT).putLong(t.term()).putInt(t.sequence()).putInt(t.echoTimestamp()).putInt(t.node()).put((byte) (t.answered() ? 1 : 0))
                     .putShort((short) Math.min(Short.MAX_VALUE, t.durationMs()));
         }
-        return Sealed.ended(out);
+        return DatagramFrame.finish(out);
     }
 
     /** Reads a datagram; empty where it says nothing of probes, is of another version or spoilt. */
     public static Optional<Message> decode(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).flatMap(in -> {
+        return DatagramFrame.open(datagram, KIND, VERSION).flatMap(in -> {
             try {
                 byte what = in.get();
                 if (what == REQUEST) {
--- a/core/src/main/java/ridgemill/registry/ElectedRegistryReader.java
+++ b/core/src/main/java/ridgemill/registry/ElectedRegistryReader.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import ridgemill.lease.Leases;
-import ridgemill.lease.Marks;
+import ridgemill.lease.EchoTimestamps;
+import ridgemill.lease.LeaseManager;
 import ridgemill.membership.Instance;
 
 /**
@@ -76,7 +76,7 @@
 
         Application(String name) {
             this.name = name;
-            this.id = Leases.hash(name);
+            this.id = LeaseManager.hash(name);
         }
     }
 
@@ -88,7 +88,7 @@
     private final Out out;
     private final Map<Integer, Application> applications = new LinkedHashMap<>();
     private final Map<Integer, Listener> listeners = new LinkedHashMap<>();
-    private final Marks timestamps;
+    private final EchoTimestamps timestamps;
     private int readerMember = -1;
     private double lastUpdateMs = Double.NEGATIVE_INFINITY;
     private double nextListenMs;
@@ -108,7 +108,7 @@
         this.policy = policy;
         this.random = new SplittableRandom(seed);
         this.out = out;
-        this.timestamps = new Marks(now);
+        this.timestamps = new EchoTimestamps(now);
         names.forEach(n -> {
             Application app = new Application(n);
             if (applications.put(app.id, app) != null) {
@@ -139,7 +139,7 @@
      * @param term under which all others may be told now; 0 where they may not
      */
     public void pollSucceeded(double now, double startedMs, String name, Collection<Instance> instances, long term) {
-        Application app = applications.get(Leases.hash(name));
+        Application app = applications.get(LeaseManager.hash(name));
         pollsAnswered++;
         failedPolls = 0;
         if (startedMs < app.updateAppliedMs) {
@@ -203,7 +203,7 @@
     /** A member says that it listens. */
     public void listenReceived(double now, int member, int mark) {
         Listener before = listeners.get(member);
-        if (before == null || Marks.replaces(mark, before.timestamp(), now - before.receivedMs(), LISTENER_TTL_INTERVALS * policy.pollIntervalMs())) {
+        if (before == null || EchoTimestamps.supersedes(mark, before.timestamp(), now - before.receivedMs(), LISTENER_TTL_INTERVALS * policy.pollIntervalMs())) {
             listeners.put(member, new Listener(mark, now, before == null ? null : before.pollTimestamp()));
         }
     }
@@ -297,9 +297,9 @@
         if (now >= nextListenMs && !holds) {
             nextListenMs = now + policy.pollIntervalMs();
             if (now - lastUpdateMs <= policy.updateTimeoutMs()) {
-                out.sendListen(readerMember, timestamps.at(now));
+                out.sendListen(readerMember, timestamps.timestamp(now));
             } else {
-                electors.forEach(e -> out.sendListen(e, timestamps.at(now)));
+                electors.forEach(e -> out.sendListen(e, timestamps.timestamp(now)));
             }
         }
         return holds ? now + policy.pollIntervalMs() : nextListenMs;
@@ -321,6 +321,6 @@
 
     /** What this proxy goes by in an application. */
     public InstanceSnapshot snapshot(String name) {
-        return applications.get(Leases.hash(name)).snapshot;
+        return applications.get(LeaseManager.hash(name)).snapshot;
     }
 }
--- a/core/src/main/java/ridgemill/registry/RegistryUpdateCodec.java
+++ b/core/src/main/java/ridgemill/registry/RegistryUpdateCodec.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalInt;
-import ridgemill.lease.Sealed;
+import ridgemill.lease.DatagramFrame;
 import ridgemill.membership.Instance;
 import ridgemill.membership.Status;
 
 /**
- * News as {@link Sealed} datagrams. Who listens says so in a datagram of the same kind.
+ * News as {@link DatagramFrame} datagrams. Who listens says so in a datagram of the same kind.
  */
 public final class RegistryUpdateCodec {
 
@@ -25,24 +25,24 @@
     private static final byte PUT = 1;
     private static final byte REMOVED = 2;
     private static final int UPDATE_HEADER_BYTES = 1 + 4 + 8 + 4 + 8 + 4 + 2 + 3;
-    private static final int MAX_CHANGES_BYTES = Sealed.ROOM - UPDATE_HEADER_BYTES;
+    private static final int MAX_CHANGES_BYTES = DatagramFrame.MAX_CONTENT_BYTES - UPDATE_HEADER_BYTES;
     private static final int MAX_TEXT_BYTES = 255;
 
     private RegistryUpdateCodec() { }
 
     /** Whether a datagram is of this kind, of whatever version. */
     public static boolean isUpdate(byte[] datagram) {
-        return Sealed.is(datagram, KIND);
+        return DatagramFrame.hasKind(datagram, KIND);
     }
 
     /** Says that its sender wants to be told, and understands it; {@code mark} is given back with what it is told. */
     public static byte[] encodeListen(int mark) {
-        return Sealed.ended(Sealed.begun(KIND, VERSION).put(LISTEN).putInt(mark));
+        return DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(LISTEN).putInt(mark));
     }
 
     /** The mark of a datagram that says so; empty where it says something else. */
     public static OptionalInt decodeListen(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTEN)
+        return DatagramFrame.open(datagram, KIND, VERSION).filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTEN)
                 .map(in -> OptionalInt.of(in.getInt(1))).orElse(OptionalInt.empty());
     }
 
@@ -76,7 +76,7 @@
         }
         List<byte[]> datagrams = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
-            datagrams.add(Sealed.ended(Sealed.begun(KIND, VERSION).put(UPDATE).putInt(telling.applicationId())
+            datagrams.add(DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(UPDATE).putInt(telling.applicationId())
                     .putLong(telling.term()).putInt(telling.sequence()).putLong(telling.digest()).putInt(mark)
                     .putShort((short) Math.min(Short.MAX_VALUE, telling.pollDurationMs())).put((byte) i).put((byte) (tooMuch ? 0 : parts.size())).put(counts.get(i).byteValue())
                     .put(parts.get(i))));
@@ -107,12 +107,12 @@
     /** A text that is too long makes its change one that fits into no datagram. */
     private static byte[] text(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        return bytes.length > MAX_TEXT_BYTES ? new byte[Sealed.MOST_BYTES] : bytes;
+        return bytes.length > MAX_TEXT_BYTES ? new byte[DatagramFrame.MAX_BYTES] : bytes;
     }
 
     /** Reads a telling; empty where it is none, of another version or spoilt. */
     public static Optional<RegistryUpdatePart> decode(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).filter(in -> in.limit() > 0 && in.get(0) == UPDATE).flatMap(in -> {
+        return DatagramFrame.open(datagram, KIND, VERSION).filter(in -> in.limit() > 0 && in.get(0) == UPDATE).flatMap(in -> {
             try {
                 in.position(1);
                 int stream = in.getInt();
--- a/core/src/main/java/ridgemill/rollout/Stamp.java
+++ b/core/src/main/java/ridgemill/rollout/FileFingerprint.java
@@ -8,38 +8,38 @@
 /**
  * What a text is known by that goes from proxy to proxy: an operator file without what is each proxy's own.
  *
- * @param file its number
- * @param meaning first 64 bits of the digest of what it says
- * @param high first 64 bits of the SHA-256 of its bytes
- * @param low the next 64
- * @param bytes how many it has
+ * @param number its number
+ * @param digest first 64 bits of the digest of what it says
+ * @param hashHigh first 64 bits of the SHA-256 of its bytes
+ * @param hashLow the next 64
+ * @param lengthBytes how many it has
  */
-public record Stamp(int file, long meaning, long high, long low, int bytes) {
+public record FileFingerprint(int number, long digest, long hashHigh, long hashLow, int lengthBytes) {
 
     /** What a text may have at most: some 300 pieces. */
-    public static final int MOST_BYTES = 1 << 16;
+    public static final int MAX_BYTES = 1 << 16;
 
     /** The stamp of a text that has been checked: {@code file} and {@code meaning} are what it was found to say. */
-    public static Stamp of(int file, long meaning, String text) {
+    public static FileFingerprint of(int file, long meaning, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         ByteBuffer digest = ByteBuffer.wrap(sha256(bytes));
-        return new Stamp(file, meaning, digest.getLong(), digest.getLong(), bytes.length);
+        return new FileFingerprint(file, meaning, digest.getLong(), digest.getLong(), bytes.length);
     }
 
     /** Whether these are the bytes. */
-    boolean isOf(byte[] text) {
+    boolean matchesBytes(byte[] text) {
         ByteBuffer digest = ByteBuffer.wrap(sha256(text));
-        return text.length == bytes && digest.getLong() == high && digest.getLong() == low;
+        return text.length == lengthBytes && digest.getLong() == hashHigh && digest.getLong() == hashLow;
     }
 
     /** Whether a proxy that acts under this acts under the text. */
-    public boolean is(Acting acting) {
-        return acting.file() == file && acting.meaning() == meaning;
+    public boolean matches(FileVersion acting) {
+        return acting.number() == number && acting.digest() == digest;
     }
 
     /** As people read it. */
     public String text() {
-        return "%d.%08x".formatted(file, meaning >>> Integer.SIZE);
+        return "%d.%08x".formatted(number, digest >>> Integer.SIZE);
     }
 
     private static byte[] sha256(byte[] bytes) {
@@ -53,14 +53,14 @@
     /**
      * What a proxy acts under.
      *
-     * @param file number of its operator file
-     * @param meaning first 64 bits of the digest of what that says
+     * @param number number of its operator file
+     * @param digest first 64 bits of the digest of what that says
      */
-    public record Acting(int file, long meaning) {
+    public record FileVersion(int number, long digest) {
 
         /** As people read it. */
         public String text() {
-            return "%d.%08x".formatted(file, meaning >>> Integer.SIZE);
+            return "%d.%08x".formatted(number, digest >>> Integer.SIZE);
         }
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Follower.java
+++ b/core/src/main/java/ridgemill/rollout/Follower.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ridgemill.lease.Marks;
-import ridgemill.rollout.Plan.Way;
-import ridgemill.rollout.Stamp.Acting;
-import ridgemill.rollout.Word.Stage;
+import ridgemill.lease.EchoTimestamps;
+import ridgemill.rollout.FileFingerprint.FileVersion;
+import ridgemill.rollout.Plan.Action;
+import ridgemill.rollout.RolloutMessage.Progress;
 
 /**
  * What a proxy does of rolls that others conduct, or itself: says how it is, has the texts sent, acts where it is told. An order is
@@ -28,43 +28,43 @@
     private static final String LOOKS = "?";
 
     private final int incarnation;
-    private final Marks marks;
-    private final Roll.Out out;
+    private final EchoTimestamps marks;
+    private final Rollout.Callbacks out;
     private final Shelf shelf;
     /** What came of checking a text, by its stamp: no words where it is good. */
-    private final Map<Stamp, String> checked = new HashMap<>();
-    private Stage stage;
+    private final Map<FileFingerprint, String> checked = new HashMap<>();
+    private Progress progress;
     /** The latest term that anybody spoke under. */
     private long term;
-    private Way what = Way.HOLD;
+    private Action what = Action.HOLD;
     private int teller = -1;
-    private double toldAt = Double.NEGATIVE_INFINITY;
+    private double coordinatorSeenAt = Double.NEGATIVE_INFINITY;
     private double orderedAt = Double.NEGATIVE_INFINITY;
     private double reportAt;
     private double fetchAt;
     private int asked;
-    private Stamp acting;
+    private FileFingerprint acting;
     private String failed;
-    private Stamp sought;
+    private FileFingerprint sought;
     private double seekAt;
     private double seekMs = SEEK_MS;
     private long refusedOrders;
 
-    Follower(double now, int incarnation, Shelf shelf, Roll.Out out) {
+    Follower(double now, int incarnation, Shelf shelf, Rollout.Callbacks out) {
         this.incarnation = incarnation;
-        this.marks = new Marks(now);
+        this.marks = new EchoTimestamps(now);
         this.shelf = shelf;
         this.out = out;
     }
 
     /** How far it knows the last roll to be; null where it knows of none. */
-    Stage stage() {
-        return stage;
+    Progress stage() {
+        return progress;
     }
 
     /** Whether a roll is under way, as far as it knows. */
     boolean isOpen() {
-        return stage != null && !stage.over();
+        return progress != null && !progress.finished();
     }
 
     long refusedOrders() {
@@ -72,21 +72,21 @@
     }
 
     /** How it is now. */
-    Word.Report report(double now) {
-        boolean staged = stage != null && isGood(stage.plan().target()) && isGood(stage.plan().back());
-        Roll.Counts counts = out.counts();
-        return new Word.Report(marks.at(now), incarnation, out.acting(), stage, staged, refusal(), out.isOut(), counts.served(), counts.ended());
+    RolloutMessage.Report report(double now) {
+        boolean staged = progress != null && isGood(progress.plan().target()) && isGood(progress.plan().rollback());
+        Rollout.Counts counts = out.counts();
+        return new RolloutMessage.Report(marks.timestamp(now), incarnation, out.versionInEffect(), progress, staged, refusal(), out.isOutOfService(), counts.served(), counts.ended());
     }
 
-    private boolean isGood(Stamp stamp) {
+    private boolean isGood(FileFingerprint stamp) {
         return "".equals(checked.get(stamp)) && shelf.text(stamp) != null;
     }
 
     private String refusal() {
-        if (stage == null) {
+        if (progress == null) {
             return null;
         }
-        for (Stamp s : List.of(stage.plan().target(), stage.plan().back())) {
+        for (FileFingerprint s : List.of(progress.plan().target(), progress.plan().rollback())) {
             String problem = checked.getOrDefault(s, "");
             if (!problem.isEmpty() && !problem.equals(LOOKS)) {
                 return problem;
@@ -100,8 +100,8 @@
      * answered within so long. Who only hears is not known to whoever conducts.
      */
     boolean isLed(double now, double withinMs) {
-        Acting own = out.acting();
-        return isOpen() && now - orderedAt <= withinMs && (stage.plan().base().equals(own) || stage.plan().target().is(own) || stage.plan().back().is(own));
+        FileVersion own = out.versionInEffect();
+        return isOpen() && now - orderedAt <= withinMs && (progress.plan().base().equals(own) || progress.plan().target().matches(own) || progress.plan().rollback().matches(own));
     }
 
     /** Does what is due. */
@@ -123,12 +123,12 @@
     }
 
     /** Texts of a roll that it is to have and has not looked at yet, and one that it found others to act under. */
-    private List<Stamp> needed() {
-        List<Stamp> needed = new ArrayList<>();
-        Stamp last = stage == null || !stage.over() ? null : stage.plan().stamp(stage.way());
-        if (isOpen() || last != null && out.acting().file() < last.file()) {
-            needed.add(stage.plan().target());
-            needed.add(stage.plan().back());
+    private List<FileFingerprint> needed() {
+        List<FileFingerprint> needed = new ArrayList<>();
+        FileFingerprint last = progress == null || !progress.finished() ? null : progress.plan().fingerprint(progress.action());
+        if (isOpen() || last != null && out.versionInEffect().number() < last.number()) {
+            needed.add(progress.plan().target());
+            needed.add(progress.plan().rollback());
             needed.removeIf(checked::containsKey);
         }
         if (sought != null) {
@@ -139,84 +139,84 @@
 
     private void reportNow(double now, List<Integer> electors) {
         reportAt = now + EVERY_MS;
-        Word.Report report = report(now);
-        if (now - toldAt <= TELLER_MS) {
-            out.say(teller, report);
+        RolloutMessage.Report report = report(now);
+        if (now - coordinatorSeenAt <= TELLER_MS) {
+            out.sendMessage(teller, report);
         } else {
-            electors.forEach(e -> out.say(e, report));
+            electors.forEach(e -> out.sendMessage(e, report));
         }
     }
 
     /** Has missing pieces sent by one of those that may have them, another each time; looks at a text that is whole. */
-    private void fetch(Stamp stamp, List<Integer> electors) {
+    private void fetch(FileFingerprint stamp, List<Integer> electors) {
         String text = shelf.text(stamp);
         if (text != null) {
             if (!checked.containsKey(stamp)) {
                 checked.put(stamp, LOOKS);
-                out.check(stamp, text);
+                out.validate(stamp, text);
             }
             return;
         }
-        List<Integer> missing = shelf.missing(stamp, RollWire.MOST_WANTED);
+        List<Integer> missing = shelf.missing(stamp, RolloutWire.MAX_CHUNKS_PER_REQUEST);
         List<Integer> from = new ArrayList<>(electors);
         if (teller >= 0 && !from.contains(teller)) {
             from.add(teller);
         }
         if (!missing.isEmpty() && !from.isEmpty()) {
-            out.say(from.get(Math.floorMod(asked++, from.size())), new Word.Want(stamp.high(), missing));
+            out.sendMessage(from.get(Math.floorMod(asked++, from.size())), new RolloutMessage.ChunkRequest(stamp.hashHigh(), missing));
         }
     }
 
     /** A text has been looked at; {@code problem} is empty where it may be acted on. */
-    void checked(double now, Stamp stamp, String problem) {
+    void checked(double now, FileFingerprint stamp, String problem) {
         checked.put(stamp, problem);
         if (stamp.equals(sought) && !problem.isEmpty()) {
             sought = null;
-            out.says("what others act under is not taken here: " + problem);
+            out.notifyOperators("what others act under is not taken here: " + problem);
         }
         reportAt = now;
         obey(now);
     }
 
     /** Somebody who holds the lease, or did, wants to hear. */
-    void called(double now, int from, Word.Call call) {
+    void called(double now, int from, RolloutMessage.ReportRequest call) {
         if (call.term() >= term) {
             term = call.term();
             heard(now, from);
             reportAt = now + EVERY_MS;
-            out.say(from, report(now));
+            out.sendMessage(from, report(now));
         }
     }
 
     private void heard(double now, int from) {
         teller = from;
-        toldAt = now;
+        coordinatorSeenAt = now;
     }
 
     /** An order came. */
-    void ordered(double now, int from, Word.Order order) {
-        Stage next = order.stage();
-        boolean late = order.incarnation() != incarnation || marks.ageMs(now, order.mark()) > ORDER_MS;
-        boolean old = next.term() < term || !next.isLaterThan(stage);
+    void ordered(double now, int from, RolloutMessage.Order order) {
+        Progress next = order.progress();
+        boolean late = order.incarnation() != incarnation || marks.ageMs(now, order.echoedTimestamp()) > ORDER_MS;
+        boolean old = next.term() < term || !next.isLaterThan(progress);
         if (late || old) {
             refusedOrders++;
             return;
         }
         term = next.term();
         heard(now, from);
-        orderedAt = now - marks.ageMs(now, order.mark());
-        boolean other = stage == null || !stage.plan().equals(next.plan());
+        orderedAt = now - marks.ageMs(now, order.echoedTimestamp());
+        boolean other = progress == null || !progress.plan().equals(next.plan());
         if (other) {
-            checked.keySet().removeIf(s -> !s.equals(next.plan().target()) && !s.equals(next.plan().back()));
+            checked.keySet().removeIf(s -> !s.equals(next.plan().target()) && !s.equals(next.plan().rollback()));
             failed = null;
         }
-        boolean news = other || next.step() != stage.step() || next.way() != stage.way() || next.over() != stage.over();
-        stage = next;
-        what = order.what();
+        boolean news = other || next.step() != progress.step() || next.action() != progress.action() || next.finished() != progress.finished();
+        progress = next;
+        what = order.action();
         obey(now);
         if (news) {
             reportAt = now + EVERY_MS;
-            out.say(from, report(now));
+            out.sendMessage(from, report(now));
         }
     }
 
@@ -226,21 +226,21 @@
             return;
         }
         double byMs = orderedAt + ORDER_MS;
-        Stamp to = stage == null || now > byMs ? null : stage.plan().stamp(what);
-        if (to != null && isGood(to) && to.file() > out.acting().file()) {
-            begin(to, byMs, stage.term());
-        } else if (to == null && sought != null && isGood(sought) && !isOpen() && sought.file() > out.acting().file()) {
+        FileFingerprint to = progress == null || now > byMs ? null : progress.plan().fingerprint(what);
+        if (to != null && isGood(to) && to.number() > out.versionInEffect().number()) {
+            begin(to, byMs, progress.term());
+        } else if (to == null && sought != null && isGood(sought) && !isOpen() && sought.number() > out.versionInEffect().number()) {
             begin(sought, now + ORDER_MS, 0);
         }
     }
 
-    private void begin(Stamp to, double byMs, long under) {
+    private void begin(FileFingerprint to, double byMs, long under) {
         acting = to;
-        out.act(to, shelf.text(to), byMs, under);
+        out.apply(to, shelf.text(to), byMs, under);
     }
 
     /** What was begun has ended; {@code problem} is empty where this proxy acts under it now. It may have come too late. */
-    void acted(double now, Stamp stamp, String problem, boolean late) {
+    void acted(double now, FileFingerprint stamp, String problem, boolean late) {
         acting = null;
         if (!problem.isEmpty() && !late) {
             failed = problem;
@@ -256,34 +256,34 @@
         if (now >= seekAt && sought == null && acting == null) {
             seekAt = now + seekMs;
             seekMs = Math.min(MOST_SEEK_MS, 2 * seekMs);
-            electors.forEach(e -> out.say(e, new Word.Seek(out.acting().file())));
+            electors.forEach(e -> out.sendMessage(e, new RolloutMessage.VersionQuery(out.versionInEffect().number())));
         }
     }
 
     /** Somebody lags and asks: it is told what this proxy acts under, where that is no roll's that may still go back. */
-    void sought(int from, Word.Seek seek, Stamp own) {
-        if (!isOpen() && own != null && own.file() > seek.file() && shelf.text(own) != null) {
-            out.say(from, new Word.Settled(own));
+    void sought(int from, RolloutMessage.VersionQuery seek, FileFingerprint own) {
+        if (!isOpen() && own != null && own.number() > seek.number() && shelf.text(own) != null) {
+            out.sendMessage(from, new RolloutMessage.VersionReply(own));
         }
     }
 
     /** Somebody says what it acts under. */
-    void settled(Word.Settled told, boolean lags) {
-        Acting own = out.acting();
-        if (lags && !isOpen() && sought == null && told.stamp().file() > own.file() && checked.getOrDefault(told.stamp(), "").isEmpty()) {
-            sought = told.stamp();
+    void settled(RolloutMessage.VersionReply told, boolean lags) {
+        FileVersion own = out.versionInEffect();
+        if (lags && !isOpen() && sought == null && told.fingerprint().number() > own.number() && checked.getOrDefault(told.fingerprint(), "").isEmpty()) {
+            sought = told.fingerprint();
         }
     }
 
     /** A piece came. */
-    void took(Word.Piece piece) {
-        needed().stream().filter(s -> s.high() == piece.high()).findFirst().ifPresent(s -> shelf.take(s, piece));
+    void took(RolloutMessage.Chunk piece) {
+        needed().stream().filter(s -> s.hashHigh() == piece.hashHigh()).findFirst().ifPresent(s -> shelf.take(s, piece));
     }
 
     /** In words. */
     String explain() {
-        return stage == null ? "no roll is known of" : "%s from %s by step %d, term %d%s; %s, %s".formatted(stage.plan().target().text(),
-                stage.plan().base().text(), stage.step(), stage.term(), stage.over() ? ", over" : "", stage.way(),
-                refusal() != null ? "refused here: " + refusal() : isGood(stage.plan().target()) ? "staged here" : "not staged here");
+        return progress == null ? "no roll is known of" : "%s from %s by step %d, term %d%s; %s, %s".formatted(progress.plan().target().text(),
+                progress.plan().base().text(), progress.step(), progress.term(), progress.finished() ? ", over" : "", progress.action(),
+                refusal() != null ? "refused here: " + refusal() : isGood(progress.plan().target()) ? "staged here" : "not staged here");
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Plan.java
+++ b/core/src/main/java/ridgemill/rollout/Plan.java
@@ -1,18 +1,18 @@
 package ridgemill.rollout;
 
-import ridgemill.rollout.Stamp.Acting;
+import ridgemill.rollout.FileFingerprint.FileVersion;
 
 /**
  * A roll as all know it. Both texts are staged before anybody acts on either, so that the way back needs nothing that may be gone.
  *
  * @param base what all act under before
  * @param target what all are to act under
- * @param back what the base says, under a number above the target's
+ * @param rollback what the base says, under a number above the target's
  */
-public record Plan(Acting base, Stamp target, Stamp back) {
+public record Plan(FileVersion base, FileFingerprint target, FileFingerprint rollback) {
 
     /** What a member is told to do, and where a whole roll goes. */
-    public enum Way {
+    public enum Action {
         /** Stage both texts and act on none. */
         HOLD,
         /** To the target. */
@@ -24,7 +24,7 @@
     }
 
     /** What is acted on that way; null for nothing. */
-    Stamp stamp(Way way) {
-        return way == Way.FORWARD ? target : way == Way.BACK ? back : null;
+    FileFingerprint fingerprint(Action way) {
+        return way == Action.FORWARD ? target : way == Action.BACK ? rollback : null;
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Aside.java
+++ b/core/src/main/java/ridgemill/rollout/Quarantine.java
@@ -4,16 +4,16 @@
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.Map;
-import ridgemill.rollout.Stamp.Acting;
+import ridgemill.rollout.FileFingerprint.FileVersion;
 
 /**
  * Whether this proxy is one that does not act as the fleet does, and steps aside for it: it begins no request until it does again.
  * Each decides for itself, by what it hears of the others; nobody else can shut it out, nor has to be reached for it.
  */
-public final class Aside {
+public final class Quarantine {
 
     /** Why a proxy is out, or in although it lags. */
-    public enum Why {
+    public enum Reason {
         /** It acts as the fleet does. */
         IN(false),
         /** It acts under a lower number than the fleet, for less than the bound: it is to be brought up. */
@@ -31,36 +31,36 @@
 
         private final boolean aside;
 
-        Why(boolean aside) {
+        Reason(boolean aside) {
             this.aside = aside;
         }
     }
 
     /** What a proxy does that is cut off. */
-    public enum CutOff { SERVE, STEP_ASIDE }
+    public enum CutOffAction { SERVE, STEP_ASIDE }
 
     /**
      * The bounds.
      *
-     * @param behindMs for how long a proxy may act under something else than the fleet, as it knows
-     * @param cutOffMs for how long it may hear of half of the fleet or less
-     * @param cutOff what it does then
-     * @param mostOut which share of the proxies may be out; those of which nothing is heard count as out
-     * @param stayMs for how long it has to act as the fleet does before it is in again; doubles with each time that it is out again soon
+     * @param maxLagMs for how long a proxy may act under something else than the fleet, as it knows
+     * @param cutOffAfterMs for how long it may hear of half of the fleet or less
+     * @param cutOffAction what it does then
+     * @param maxOutShare which share of the proxies may be out; those of which nothing is heard count as out
+     * @param probationMs for how long it has to act as the fleet does before it is in again; doubles with each time that it is out again soon
      */
-    public record Bounds(double behindMs, double cutOffMs, CutOff cutOff, double mostOut, double stayMs) {
+    public record Limits(double maxLagMs, double cutOffAfterMs, CutOffAction cutOffAction, double maxOutShare, double probationMs) {
 
-        public static final Bounds USUAL = new Bounds(10_000, 5000, CutOff.SERVE, 0.34, 2000);
+        public static final Limits DEFAULT = new Limits(10_000, 5000, CutOffAction.SERVE, 0.34, 2000);
     }
 
     /**
      * What is known of another proxy.
      *
-     * @param acting what it acts under; null where it is known to act under something else than it said last
+     * @param version what it acts under; null where it is known to act under something else than it said last
      * @param alive whether anything was heard of it lately
-     * @param out whether it says that it is out
+     * @param outOfService whether it says that it is out
      */
-    public record Peer(int member, Acting acting, boolean alive, boolean out) { }
+    public record Peer(int member, FileVersion version, boolean alive, boolean outOfService) { }
 
     /** After a start each hears of some four others a second at first. */
     private static final double START_MS_A_MEMBER = 300;
@@ -70,21 +70,21 @@
 
     private final int self;
     private final int members;
-    private final Bounds bounds;
+    private final Limits limits;
     private double majorityAt;
     private double differsSince = Double.NaN;
     private double fitsSince = Double.NaN;
     private double inSince;
     private int doublings;
-    private boolean out;
-    private Why why = Why.IN;
+    private boolean outOfService;
+    private Reason why = Reason.IN;
 
     /** One that starts is in, and has both bounds, and some time for each member, to hear of others. */
-    public Aside(int self, int members, double now, Bounds bounds) {
+    public Quarantine(int self, int members, double now, Limits bounds) {
         this.self = self;
         this.members = members;
-        this.bounds = bounds;
-        this.majorityAt = now + bounds.behindMs() + START_MS_A_MEMBER * members;
+        this.limits = bounds;
+        this.majorityAt = now + bounds.maxLagMs() + START_MS_A_MEMBER * members;
         this.inSince = now;
     }
 
@@ -94,15 +94,15 @@
      * @param peers the others of which anything is known
      * @param led whether somebody takes a version through the fleet, and has spoken to this proxy lately
      */
-    public boolean look(double now, Acting own, Collection<Peer> peers, boolean led) {
+    public boolean update(double now, FileVersion own, Collection<Peer> peers, boolean led) {
         // One that was stopped, and hears all at once what was said meanwhile, is out until it acts as the fleet does.
-        step(now, isOut(now));
+        step(now, isOutOfService(now));
         long alive = peers.stream().filter(Peer::alive).count() + 1;
         if (2 * alive > members) {
             majorityAt = Math.max(majorityAt, now);
         }
-        Acting fleet = fleet(own, peers);
-        boolean known = 2 * (peers.stream().filter(p -> p.alive() && p.acting() != null).count() + 1) > members;
+        FileVersion fleet = fleet(own, peers);
+        boolean known = 2 * (peers.stream().filter(p -> p.alive() && p.version() != null).count() + 1) > members;
         boolean fits = led || fleet.equals(own);
         if (!fits) {
             differsSince = Double.isNaN(differsSince) ? now : differsSince;
@@ -110,63 +110,63 @@
             differsSince = Double.NaN;
         }
         fitsSince = !fits || !known ? Double.NaN : Double.isNaN(fitsSince) ? now : fitsSince;
-        Why next = why(now, own, fleet, fits);
-        if (next.aside && next != Why.CUT_OFF && !out && othersOut(fleet, peers) >= (int) (bounds.mostOut() * members)) {
-            next = Why.TOO_MANY;
+        Reason next = reason(now, own, fleet, fits);
+        if (next.aside && next != Reason.CUT_OFF && !outOfService && othersOut(fleet, peers) >= (int) (limits.maxOutShare() * members)) {
+            next = Reason.TOO_MANY;
         }
         step(now, next.aside);
-        if (!next.aside && out && now - fitsSince >= stayMs()) {
-            out = false;
+        if (!next.aside && outOfService && now - fitsSince >= stayMs()) {
+            outOfService = false;
             inSince = now;
         }
-        why = next.aside || !out ? next : why;
-        return out;
+        why = next.aside || !outOfService ? next : why;
+        return outOfService;
     }
 
     private void step(double now, boolean aside) {
-        if (aside && !out) {
+        if (aside && !outOfService) {
             doublings = now - inSince < SOON * stayMs() ? Math.min(MOST_DOUBLINGS, doublings + 1) : 0;
-            out = true;
+            outOfService = true;
             fitsSince = Double.NaN;
         }
     }
 
     private double stayMs() {
-        return bounds.stayMs() * (1 << doublings);
+        return limits.probationMs() * (1 << doublings);
     }
 
     /** What most of those act under that are heard of and are not out; of as many, the higher number. */
-    private Acting fleet(Acting own, Collection<Peer> peers) {
-        Map<Acting, Integer> counts = new HashMap<>();
-        if (!out) {
+    private FileVersion fleet(FileVersion own, Collection<Peer> peers) {
+        Map<FileVersion, Integer> counts = new HashMap<>();
+        if (!outOfService) {
             counts.put(own, 1);
         }
-        peers.stream().filter(p -> p.alive() && !p.out() && p.acting() != null).forEach(p -> counts.merge(p.acting(), 1, Integer::sum));
-        return counts.entrySet().stream().max(Comparator.comparing((Map.Entry<Acting, Integer> e) -> e.getValue())
-                .thenComparing(e -> e.getKey().file()).thenComparing(e -> e.getKey().meaning())).map(Map.Entry::getKey).orElse(own);
+        peers.stream().filter(p -> p.alive() && !p.outOfService() && p.version() != null).forEach(p -> counts.merge(p.version(), 1, Integer::sum));
+        return counts.entrySet().stream().max(Comparator.comparing((Map.Entry<FileVersion, Integer> e) -> e.getValue())
+                .thenComparing(e -> e.getKey().number()).thenComparing(e -> e.getKey().digest())).map(Map.Entry::getKey).orElse(own);
     }
 
-    private Why why(double now, Acting own, Acting fleet, boolean fits) {
-        if (isCutOff(now) && bounds.cutOff() == CutOff.STEP_ASIDE) {
-            return Why.CUT_OFF;
+    private Reason reason(double now, FileVersion own, FileVersion fleet, boolean fits) {
+        if (isCutOff(now) && limits.cutOffAction() == CutOffAction.STEP_ASIDE) {
+            return Reason.CUT_OFF;
         }
         if (fits && Double.isNaN(differsSince)) {
-            return Why.IN;
+            return Reason.IN;
         }
-        if (now - differsSince < bounds.behindMs() && !out) {
-            return Why.LAGS;
+        if (now - differsSince < limits.maxLagMs() && !outOfService) {
+            return Reason.LAGS;
         }
-        return own.file() < fleet.file() ? Why.BEHIND : own.file() > fleet.file() ? Why.AHEAD : Why.OTHER_TEXT;
+        return own.number() < fleet.number() ? Reason.BEHIND : own.number() > fleet.number() ? Reason.AHEAD : Reason.OTHER_TEXT;
     }
 
     private boolean isCutOff(double now) {
-        return now - majorityAt > bounds.cutOffMs();
+        return now - majorityAt > limits.cutOffAfterMs();
     }
 
     /** How many others are out, or may be, or go first as they lag too and have lower numbers. */
-    private int othersOut(Acting fleet, Collection<Peer> peers) {
+    private int othersOut(FileVersion fleet, Collection<Peer> peers) {
         long heard = peers.stream().filter(Peer::alive).count();
-        long out = peers.stream().filter(p -> p.alive() && (p.out() || !fleet.equals(p.acting()) && p.member() < self)).count();
+        long out = peers.stream().filter(p -> p.alive() && (p.outOfService() || !fleet.equals(p.version()) && p.member() < self)).count();
         return (int) (members - 1 - heard + out);
     }
 
@@ -174,17 +174,17 @@
      * Whether no request may begin now. Looks at the clock alone, so that a process which was stopped and goes on where it was knows
      * before it has heard of anybody.
      */
-    public boolean isOut(double now) {
-        return out || bounds.cutOff() == CutOff.STEP_ASIDE && isCutOff(now);
+    public boolean isOutOfService(double now) {
+        return outOfService || limits.cutOffAction() == CutOffAction.STEP_ASIDE && isCutOff(now);
     }
 
     /** Whether it acts under something else than the fleet, whatever comes of that. */
-    public boolean differs() {
+    public boolean differsFromFleet() {
         return !Double.isNaN(differsSince);
     }
 
     /** Why it is out, or in. */
-    public Why why() {
+    public Reason reason() {
         return why;
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Conductor.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutCoordinator.java
@@ -9,10 +9,10 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import ridgemill.rollout.Plan.Way;
-import ridgemill.rollout.Stamp.Acting;
-import ridgemill.rollout.Word.Report;
-import ridgemill.rollout.Word.Stage;
+import ridgemill.rollout.FileFingerprint.FileVersion;
+import ridgemill.rollout.Plan.Action;
+import ridgemill.rollout.RolloutMessage.Progress;
+import ridgemill.rollout.RolloutMessage.Report;
 
 /**
  * Takes a version through the fleet while this proxy holds the lease. It first hears from most members how far a roll is that
@@ -21,7 +21,7 @@
  * <p>At most two texts act at once: nobody is told to act on the target before all that are heard of, and enough of all, have
  * checked both texts; on the way back those that act on the target go first, to the base's text under a new number.
  */
-final class Conductor {
+final class RolloutCoordinator {
 
     private static final double CALL_MS = 250;
     /** Who has reported within so long need not be called. */
@@ -40,12 +40,12 @@
     }
 
     /** A roll that operators want. */
-    record Wish(Stamp target, Stamp back) { }
+    record Wish(FileFingerprint target, FileFingerprint back) { }
 
     private final int self;
     private final int members;
-    private final RollPolicy policy;
-    private final Roll.Out out;
+    private final RolloutPolicy policy;
+    private final Rollout.Callbacks out;
     private final Map<Integer, Seen> seen = new TreeMap<>();
     /** Who was told to act on the target. */
     private final Set<Integer> told = new HashSet<>();
@@ -60,14 +60,14 @@
     private double since;
     private double callAt;
     private Plan plan;
-    private Way way;
+    private Action way;
     private int step;
     private boolean over;
     private double wholeAt = Double.NaN;
-    private double othersShare = Double.NaN;
+    private double baselineShare = Double.NaN;
     private String words = "nothing";
 
-    Conductor(int self, int members, RollPolicy policy, Roll.Out out) {
+    RolloutCoordinator(int self, int members, RolloutPolicy policy, Rollout.Callbacks out) {
         this.self = self;
         this.members = members;
         this.policy = policy;
@@ -83,7 +83,7 @@
     /** It will not be begun; says why. */
     void drop(String why) {
         words = "not begun: " + why;
-        out.says("the roll of " + wish.target().text() + " is " + words);
+        out.notifyOperators("the roll of " + wish.target().text() + " is " + words);
         wish = null;
     }
 
@@ -104,7 +104,7 @@
 
     /** Operators want the roll that is under way to go back. */
     boolean goBack() {
-        if (plan == null || over || way != Way.FORWARD) {
+        if (plan == null || over || way != Action.FORWARD) {
             return false;
         }
         wantsBack = true;
@@ -121,7 +121,7 @@
             callAt = now + CALL_MS;
             for (int m = 0; m < members; m++) {
                 if (m != self && (!seen.containsKey(m) || now - seen.get(m).at > HEARD_MS)) {
-                    out.say(m, new Word.Call(term));
+                    out.sendMessage(m, new RolloutMessage.ReportRequest(term));
                 }
             }
         }
@@ -147,7 +147,7 @@
         over = false;
         seen.clear();
         told.clear();
-        othersShare = Double.NaN;
+        baselineShare = Double.NaN;
         wantsBack = false;
     }
 
@@ -167,10 +167,10 @@
     }
 
     /** A member has said how it is; returns what it is told, or null where there is nothing to be told yet. */
-    Word.Order reported(double now, int from, Report report) {
+    RolloutMessage.Order reported(double now, int from, Report report) {
         Seen s = seen.computeIfAbsent(from, m -> new Seen());
         boolean again = s.report != null && s.report.incarnation() == report.incarnation();
-        if (again && report.mark() - s.report.mark() < 0) {
+        if (again && report.timestamp() - s.report.timestamp() < 0) {
             return null;
         }
         if (!again) {
@@ -179,15 +179,15 @@
         s.report = report;
         s.at = now;
         if (plan == null) {
-            openElsewhere |= !collecting && report.stage() != null && !report.stage().over();
+            openElsewhere |= !collecting && report.progress() != null && !report.progress().finished();
             return null;
         }
-        Way what = whatFor(now, from);
-        if (what == Way.FORWARD) {
+        Action what = whatFor(now, from);
+        if (what == Action.FORWARD) {
             told.add(from);
         }
         number++;
-        return new Word.Order(report.mark(), report.incarnation(), new Stage(plan, term, number, way, step, over), what);
+        return new RolloutMessage.Order(report.timestamp(), report.incarnation(), new Progress(plan, term, number, way, step, over), what);
     }
 
     private boolean isAlive(double now, int member) {
@@ -204,11 +204,11 @@
         return seen.values().stream().filter(s -> of.test(s.report)).count();
     }
 
-    private boolean actsOn(int member, Stamp stamp) {
-        return stamp.is(seen.get(member).report.acting());
+    private boolean actsOn(int member, FileFingerprint stamp) {
+        return stamp.matches(seen.get(member).report.version());
     }
 
-    private boolean anyActsOn(double now, Stamp stamp) {
+    private boolean anyActsOn(double now, FileFingerprint stamp) {
         return alive(now).stream().anyMatch(m -> actsOn(m, stamp));
     }
 
@@ -216,7 +216,7 @@
     private boolean restIsOut(double now) {
         for (int m = 0; m < members; m++) {
             Seen s = seen.get(m);
-            if (!isAlive(now, m) && now - Math.max(wholeAt, s == null ? since : s.at) <= policy.outMs()) {
+            if (!isAlive(now, m) && now - Math.max(wholeAt, s == null ? since : s.at) <= policy.outOfServiceMs()) {
                 return false;
             }
         }
@@ -230,17 +230,17 @@
             return;
         }
         collecting = false;
-        Stage best = null;
+        Progress latest = null;
         for (Seen s : seen.values()) {
-            if (s.report.stage() != null && s.report.stage().isLaterThan(best)) {
-                best = s.report.stage();
+            if (s.report.progress() != null && s.report.progress().isLaterThan(latest)) {
+                latest = s.report.progress();
             }
         }
-        if (best != null && (!best.over() || someTakeOneForOpen())) {
-            plan = best.plan();
-            over = best.over();
-            way = over ? best.way() : turned(best.way());
-            step = way == Way.FORWARD || over ? best.step() : 1;
+        if (latest != null && (!latest.finished() || anyReportsOpenRollout())) {
+            plan = latest.plan();
+            over = latest.finished();
+            way = over ? latest.action() : turned(latest.action());
+            step = way == Action.FORWARD || over ? latest.step() : 1;
             stepped(now, "goes on with " + plan.target().text() + " at step " + step);
             if (wish != null) {
                 drop("that of " + plan.target().text() + " is under way");
@@ -251,9 +251,9 @@
     }
 
     /** Once anybody knows that a roll goes no further it does not, whoever conducts. */
-    private Way turned(Way best) {
-        for (Way turned : List.of(Way.BACK, Way.CANCEL)) {
-            if (count(r -> r.knows(plan) && r.stage().way() == turned) > 0) {
+    private Action turned(Action best) {
+        for (Action turned : List.of(Action.BACK, Action.CANCEL)) {
+            if (count(r -> r.knows(plan) && r.progress().action() == turned) > 0) {
                 return turned;
             }
         }
@@ -261,24 +261,24 @@
     }
 
     /** Whether somebody takes a roll for open, where the latest is over: it has to hear of that one. */
-    private boolean someTakeOneForOpen() {
-        return count(r -> r.stage() != null && !r.stage().over()) > 0;
+    private boolean anyReportsOpenRollout() {
+        return count(r -> r.progress() != null && !r.progress().finished()) > 0;
     }
 
     /** Begins the roll that operators want, where all that are not out act under one version. */
     private void beginWished(double now) {
-        Set<Acting> bases = seen.values().stream().map(s -> s.report).filter(r -> !r.out()).map(Report::acting).collect(Collectors.toSet());
+        Set<FileVersion> bases = seen.values().stream().map(s -> s.report).filter(r -> !r.outOfService()).map(Report::version).collect(Collectors.toSet());
         // Numbers of rolls that were given up stay used: somebody of whom nothing is heard may have acted on them.
-        int highest = seen.values().stream().map(s -> s.report).mapToInt(r -> Math.max(r.acting().file(), r.stage() == null ? 0
-                : r.stage().plan().back().file())).max().orElse(0);
-        if (bases.size() != 1 || highest >= wish.target().file()) {
-            drop(bases.size() != 1 ? "the fleet acts under " + bases.stream().map(Acting::text).sorted().collect(Collectors.joining(" and "))
+        int highest = seen.values().stream().map(s -> s.report).mapToInt(r -> Math.max(r.version().number(), r.progress() == null ? 0
+                : r.progress().plan().rollback().number())).max().orElse(0);
+        if (bases.size() != 1 || highest >= wish.target().number()) {
+            drop(bases.size() != 1 ? "the fleet acts under " + bases.stream().map(FileVersion::text).sorted().collect(Collectors.joining(" and "))
                     : "number " + highest + " is known already");
             return;
         }
         plan = new Plan(bases.iterator().next(), wish.target(), wish.back());
         wish = null;
-        way = Way.FORWARD;
+        way = Action.FORWARD;
         over = false;
         step = 0;
         stepped(now, "begins with " + plan.target().text());
@@ -289,13 +289,13 @@
         wholeAt = Double.NaN;
         seen.values().forEach(s -> s.whole = null);
         words = what;
-        out.says(what);
+        out.notifyOperators(what);
     }
 
-    private void turn(double now, Way next, String why) {
+    private void turn(double now, Action next, String why) {
         way = next;
         step = 1;
-        stepped(now, (next == Way.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + why);
+        stepped(now, (next == Action.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + why);
     }
 
     private void end(double now, String what) {
@@ -306,7 +306,7 @@
     private void advance(double now) {
         if (over) {
             List<Integer> alive = alive(now);
-            boolean allKnow = alive.stream().map(m -> seen.get(m).report).allMatch(r -> r.knows(plan) && r.stage().over());
+            boolean allKnow = alive.stream().map(m -> seen.get(m).report).allMatch(r -> r.knows(plan) && r.progress().finished());
             if (allKnow || now - since > END_MS) {
                 plan = null;
             }
@@ -317,9 +317,9 @@
             case BACK -> back(now);
             default -> {
                 // Most have to know before it is said: whoever goes on with it hears of that from one of them.
-                if (anyActsOn(now, plan.target()) || anyActsOn(now, plan.back())) {
-                    turn(now, Way.BACK, "one acts on it already");
-                } else if (2 * count(r -> r.knows(plan) && r.stage().way() == Way.CANCEL) > members) {
+                if (anyActsOn(now, plan.target()) || anyActsOn(now, plan.rollback())) {
+                    turn(now, Action.BACK, "one acts on it already");
+                } else if (2 * count(r -> r.knows(plan) && r.progress().action() == Action.CANCEL) > members) {
                     end(now, "given up, nobody acted on " + plan.target().text());
                 }
             }
@@ -330,20 +330,20 @@
         List<Integer> alive = alive(now);
         boolean few = alive.size() < members - policy.away(members);
         boolean begun = step > 0 || anyActsOn(now, plan.target());
-        Way stop = begun ? Way.BACK : Way.CANCEL;
+        Action stop = begun ? Action.BACK : Action.CANCEL;
         for (int m : alive) {
             Report r = seen.get(m).report;
-            if (r.knows(plan) && r.refused() != null) {
-                turn(now, stop, "member " + m + ": " + r.refused());
+            if (r.knows(plan) && r.rejection() != null) {
+                turn(now, stop, "member " + m + ": " + r.rejection());
                 return;
             }
         }
         if (wantsBack) {
             wantsBack = false;
             turn(now, stop, "operators said so");
-        } else if (anyActsOn(now, plan.back())) {
-            turn(now, Way.BACK, "another took it back");
-        } else if (now - since > policy.patienceMs()) {
+        } else if (anyActsOn(now, plan.rollback())) {
+            turn(now, Action.BACK, "another took it back");
+        } else if (now - since > policy.stepTimeoutMs()) {
             turn(now, stop, few ? "only " + alive.size() + " of " + members + " are heard of" : words);
         } else if (few) {
             words = "step " + step + " waits: " + alive.size() + " of " + members + " are heard of";
@@ -372,14 +372,14 @@
             wholeAt = now;
             alive.forEach(m -> seen.get(m).whole = seen.get(m).report);
         }
-        if (now - wholeAt < policy.judgeMs() || last && !restIsOut(now)) {
+        if (now - wholeAt < policy.observationMs() || last && !restIsOut(now)) {
             return;
         }
         Verdict verdict = judge(alive);
         if (verdict == Verdict.TOO_FEW) {
             words = "step " + step + ": too few requests to judge by";
         } else if (verdict == Verdict.WORSE) {
-            turn(now, Way.BACK, "fewer are served by those that act on it");
+            turn(now, Action.BACK, "fewer are served by those that act on it");
         } else if (last) {
             end(now, "complete: all act on " + plan.target().text() + awayWords(now));
         } else {
@@ -397,7 +397,7 @@
 
     /** Holds what those that moved served since the step was whole against what the others did, or did last. */
     private Verdict judge(List<Integer> alive) {
-        if (policy.samples() == 0) {
+        if (policy.minSamples() == 0) {
             return Verdict.GOOD;
         }
         long[] moved = new long[2];
@@ -410,31 +410,31 @@
                 to[1] += s.report.ended() - s.whole.ended();
             }
         }
-        if (others[1] >= policy.samples()) {
-            othersShare = (double) others[0] / others[1];
+        if (others[1] >= policy.minSamples()) {
+            baselineShare = (double) others[0] / others[1];
         }
         boolean alone = alive.stream().allMatch(m -> actsOn(m, plan.target()));
-        if (moved[1] < policy.samples() || Double.isNaN(othersShare) && !alone) {
+        if (moved[1] < policy.minSamples() || Double.isNaN(baselineShare) && !alone) {
             return Verdict.TOO_FEW;
         }
-        double share = (double) moved[0] / moved[1];
-        return share < othersShare - policy.worse() ? Verdict.WORSE : Verdict.GOOD;
+        double servedShare = (double) moved[0] / moved[1];
+        return servedShare < baselineShare - policy.maxDegradation() ? Verdict.WORSE : Verdict.GOOD;
     }
 
     private void back(double now) {
         List<Integer> alive = alive(now);
         if (step == 1) {
-            boolean gone = alive.stream().noneMatch(m -> actsOn(m, plan.target()) || told.contains(m) && !actsOn(m, plan.back()));
+            boolean gone = alive.stream().noneMatch(m -> actsOn(m, plan.target()) || told.contains(m) && !actsOn(m, plan.rollback()));
             if (gone) {
                 step = 2;
-                stepped(now, "nobody acts on " + plan.target().text() + " any more, all go to " + plan.back().text());
+                stepped(now, "nobody acts on " + plan.target().text() + " any more, all go to " + plan.rollback().text());
             }
-        } else if (2 * alive.size() <= members || !alive.stream().allMatch(m -> actsOn(m, plan.back()))) {
+        } else if (2 * alive.size() <= members || !alive.stream().allMatch(m -> actsOn(m, plan.rollback()))) {
             wholeAt = Double.NaN;
         } else {
             wholeAt = Double.isNaN(wholeAt) ? now : wholeAt;
             if (restIsOut(now)) {
-                end(now, "back: all act on " + plan.back().text() + awayWords(now));
+                end(now, "back: all act on " + plan.rollback().text() + awayWords(now));
             }
         }
     }
@@ -446,14 +446,14 @@
     }
 
     private long rank(int member) {
-        long x = (plan.target().high() ^ member * 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
+        long x = (plan.target().hashHigh() ^ member * 0x9e3779b97f4a7c15L) * 0xbf58476d1ce4e5b9L;
         return x ^ x >>> 29;
     }
 
-    private Way whatFor(double now, int member) {
+    private Action whatFor(double now, int member) {
         return switch (way) {
-            case FORWARD -> over || step > 0 && chosen(now).contains(member) ? Way.FORWARD : Way.HOLD;
-            case BACK -> over || step > 1 || told.contains(member) || actsOn(member, plan.target()) ? Way.BACK : Way.HOLD;
+            case FORWARD -> over || step > 0 && chosen(now).contains(member) ? Action.FORWARD : Action.HOLD;
+            case BACK -> over || step > 1 || told.contains(member) || actsOn(member, plan.target()) ? Action.BACK : Action.HOLD;
             default -> way;
         };
     }
--- a/core/src/main/java/ridgemill/rollout/Shelf.java
+++ b/core/src/main/java/ridgemill/rollout/Shelf.java
@@ -19,13 +19,13 @@
     private long held;
 
     /** A whole text. */
-    void put(Stamp stamp, String text) {
-        keep(stamp.high(), text.getBytes(StandardCharsets.UTF_8));
+    void put(FileFingerprint stamp, String text) {
+        keep(stamp.hashHigh(), text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** This one stays, in place of the one that was held before: others may want it, and the way back is made of it. */
-    void hold(Stamp stamp) {
-        held = stamp.high();
+    void hold(FileFingerprint stamp) {
+        held = stamp.hashHigh();
     }
 
     private void keep(long high, byte[] text) {
@@ -37,18 +37,18 @@
     }
 
     /** A text that is here whole; null for one that is not. */
-    String text(Stamp stamp) {
-        byte[] text = whole.get(stamp.high());
+    String text(FileFingerprint stamp) {
+        byte[] text = whole.get(stamp.hashHigh());
         return text == null ? null : new String(text, StandardCharsets.UTF_8);
     }
 
     /** Which pieces of a text are still to be had, so many at most; none where it is whole. */
-    List<Integer> missing(Stamp stamp, int most) {
+    List<Integer> missing(FileFingerprint stamp, int most) {
         List<Integer> missing = new ArrayList<>();
-        if (whole.containsKey(stamp.high())) {
+        if (whole.containsKey(stamp.hashHigh())) {
             return missing;
         }
-        byte[][] got = parts.computeIfAbsent(stamp.high(), h -> new byte[pieces(stamp.bytes())][]);
+        byte[][] got = parts.computeIfAbsent(stamp.hashHigh(), h -> new byte[pieces(stamp.lengthBytes())][]);
         if (parts.size() > MOST) {
             parts.remove(parts.keySet().iterator().next());
         }
@@ -61,35 +61,35 @@
     }
 
     private static int pieces(int bytes) {
-        return (bytes + RollWire.PIECE - 1) / RollWire.PIECE;
+        return (bytes + RolloutWire.CHUNK_BYTES - 1) / RolloutWire.CHUNK_BYTES;
     }
 
     /** A piece that was asked for; what does not fit is dropped. Once all are there and are not the text, all are forgotten. */
-    void take(Stamp stamp, Word.Piece piece) {
-        byte[][] got = parts.get(piece.high());
+    void take(FileFingerprint stamp, RolloutMessage.Chunk piece) {
+        byte[][] got = parts.get(piece.hashHigh());
         byte[] bytes = piece.bytes();
-        if (got == null || piece.high() != stamp.high() || piece.index() < 0 || piece.index() >= got.length
-                || bytes.length != Math.min(RollWire.PIECE, stamp.bytes() - piece.index() * RollWire.PIECE)) {
+        if (got == null || piece.hashHigh() != stamp.hashHigh() || piece.index() < 0 || piece.index() >= got.length
+                || bytes.length != Math.min(RolloutWire.CHUNK_BYTES, stamp.lengthBytes() - piece.index() * RolloutWire.CHUNK_BYTES)) {
             return;
         }
         got[piece.index()] = bytes;
         if (Arrays.stream(got).allMatch(p -> p != null)) {
-            parts.remove(stamp.high());
-            ByteBuffer all = ByteBuffer.allocate(stamp.bytes());
+            parts.remove(stamp.hashHigh());
+            ByteBuffer all = ByteBuffer.allocate(stamp.lengthBytes());
             Arrays.stream(got).forEach(all::put);
-            if (stamp.isOf(all.array())) {
-                keep(stamp.high(), all.array());
+            if (stamp.matchesBytes(all.array())) {
+                keep(stamp.hashHigh(), all.array());
             }
         }
     }
 
     /** The pieces that somebody wants, of what is here whole. */
-    List<Word.Piece> pieces(Word.Want want) {
-        byte[] text = whole.get(want.high());
-        List<Word.Piece> pieces = new ArrayList<>();
+    List<RolloutMessage.Chunk> pieces(RolloutMessage.ChunkRequest want) {
+        byte[] text = whole.get(want.hashHigh());
+        List<RolloutMessage.Chunk> pieces = new ArrayList<>();
         if (text != null) {
-            want.indexes().stream().filter(i -> i >= 0 && i < pieces(text.length)).limit(RollWire.MOST_WANTED).forEach(i -> pieces.add(
-                    new Word.Piece(want.high(), i, Arrays.copyOfRange(text, i * RollWire.PIECE, Math.min(text.length, (i + 1) * RollWire.PIECE)))));
+            want.indexes().stream().filter(i -> i >= 0 && i < pieces(text.length)).limit(RolloutWire.MAX_CHUNKS_PER_REQUEST).forEach(i -> pieces.add(
+                    new RolloutMessage.Chunk(want.hashHigh(), i, Arrays.copyOfRange(text, i * RolloutWire.CHUNK_BYTES, Math.min(text.length, (i + 1) * RolloutWire.CHUNK_BYTES)))));
         }
         return pieces;
     }
--- a/core/src/main/java/ridgemill/version/Entry.java
+++ b/core/src/main/java/ridgemill/version/AuditEntry.java
@@ -13,10 +13,10 @@
  *
  * @param index from 0; grows by one
  * @param atMs when it was
- * @param what happened, in words without line ends
+ * @param description happened, in words without line ends
  * @param digest of this one and the digest before it
  */
-public record Entry(long index, double atMs, String what, String digest) {
+public record AuditEntry(long index, double atMs, String description, String digest) {
 
     private static final int DIGEST_CHARS = 32;
 
@@ -25,13 +25,13 @@
         return hash(name + "#" + Integer.toHexString(incarnation));
     }
 
-    static Entry after(String digestBefore, long index, double atMs, String what) {
-        return new Entry(index, atMs, what, hash(digestBefore + "|" + index + "|" + (long) atMs + "|" + what));
+    static AuditEntry after(String digestBefore, long index, double atMs, String what) {
+        return new AuditEntry(index, atMs, what, hash(digestBefore + "|" + index + "|" + (long) atMs + "|" + what));
     }
 
     /** Whether this one follows from what was before it. */
     boolean follows(String digestBefore) {
-        return digest.equals(after(digestBefore, index, atMs, what).digest());
+        return digest.equals(after(digestBefore, index, atMs, description).digest());
     }
 
     /** Digest of a text, as all of this package's: SHA-256, cut to 128 bits. */
@@ -50,17 +50,17 @@
      *
      * @param before the digest of what is before the first; the origin's where that is entry 0
      */
-    public static String flaw(String before, List<Entry> entries) {
-        List<String> flaws = entries.isEmpty() ? List.of() : flaws(before, entries.get(0).index(), entries);
+    public static String findFlaw(String before, List<AuditEntry> entries) {
+        List<String> flaws = entries.isEmpty() ? List.of() : findFlaws(before, entries.get(0).index(), entries);
         return flaws.isEmpty() ? null : flaws.get(0);
     }
 
     /** All that is wrong with a record whose first entry should have this index; the digest of what is before that is given. */
-    static List<String> flaws(String before, long first, List<Entry> entries) {
+    static List<String> findFlaws(String before, long first, List<AuditEntry> entries) {
         List<String> flaws = new ArrayList<>();
         String digest = before;
         long index = first;
-        for (Entry e : entries) {
+        for (AuditEntry e : entries) {
             if (e.index() < index) {
                 flaws.add("entry " + e.index() + " is there twice");
                 continue;
--- a/core/src/main/java/ridgemill/version/Kept.java
+++ b/core/src/main/java/ridgemill/version/AuditLineFormat.java
@@ -10,7 +10,7 @@
  * and the process that wrote it. Several processes may append to one file. What a torn or a missing line leaves out shows as a hole of
  * its process' chain.
  */
-public final class Kept {
+public final class AuditLineFormat {
 
     private static final String ENTRY = "E";
     private static final String COUNTS = "C";
@@ -33,19 +33,19 @@
         }
 
         /** Whether both tell the same, whenever that was. */
-        public boolean isAsMuchAs(Counts o) {
+        public boolean hasSameCounts(Counts o) {
             return begun == o.begun && attempts == o.attempts && served == o.served && refused == o.refused && failed == o.failed && gone == o.gone;
         }
     }
 
     /** What a file has of one process: {@code holes} in words, none where the chain is whole from its first entry on. */
-    public record Told(String proxy, int incarnation, List<Entry> entries, Map<String, Counts> counts, List<String> holes) { }
+    public record ProcessRecord(String proxy, int incarnation, List<AuditEntry> entries, Map<String, Counts> counts, List<String> gaps) { }
 
-    private Kept() { }
+    private AuditLineFormat() { }
 
     /** An entry of a process as a line, without its end. */
-    public static String line(String proxy, int incarnation, Entry e) {
-        return ENTRY + " " + proxy + "#" + Integer.toHexString(incarnation) + " " + e.index() + " " + (long) e.atMs() + " " + e.digest() + " " + e.what();
+    public static String line(String proxy, int incarnation, AuditEntry e) {
+        return ENTRY + " " + proxy + "#" + Integer.toHexString(incarnation) + " " + e.index() + " " + (long) e.atMs() + " " + e.digest() + " " + e.description();
     }
 
     /** A version's counts as a line, without its end. */
@@ -56,8 +56,8 @@
     }
 
     /** What the lines of a file tell, by process in the order of their first lines; a line that is none is skipped. */
-    public static List<Told> read(List<String> lines) {
-        Map<String, Told> all = new LinkedHashMap<>();
+    public static List<ProcessRecord> read(List<String> lines) {
+        Map<String, ProcessRecord> all = new LinkedHashMap<>();
         for (String line : lines) {
             try {
                 take(all, line);
@@ -66,11 +66,11 @@
                 continue;
             }
         }
-        all.values().forEach(t -> t.holes().addAll(Entry.flaws(Entry.origin(t.proxy(), t.incarnation()), 0, t.entries())));
+        all.values().forEach(t -> t.gaps().addAll(AuditEntry.findFlaws(AuditEntry.origin(t.proxy(), t.incarnation()), 0, t.entries())));
         return new ArrayList<>(all.values());
     }
 
-    private static void take(Map<String, Told> all, String line) {
+    private static void take(Map<String, ProcessRecord> all, String line) {
         String[] words = line.split(" ", line.startsWith(ENTRY + " ") ? ENTRY_WORDS : COUNTS_WORDS);
         int mark = words.length < 2 ? -1 : words[1].lastIndexOf('#');
         if (mark < 0) {
@@ -78,7 +78,7 @@
         }
         int incarnation = Integer.parseUnsignedInt(words[1].substring(mark + 1), 16);
         if (words[0].equals(ENTRY) && words.length == ENTRY_WORDS) {
-            Entry entry = new Entry(Long.parseLong(words[2]), Long.parseLong(words[3]), words[5], words[4]);
+            AuditEntry entry = new AuditEntry(Long.parseLong(words[2]), Long.parseLong(words[3]), words[5], words[4]);
             told(all, words[1], mark, incarnation).entries().add(entry);
         } else if (words[0].equals(COUNTS) && words.length == COUNTS_WORDS) {
             long[] n = new long[COUNTS_WORDS];
@@ -90,7 +90,7 @@
         }
     }
 
-    private static Told told(Map<String, Told> all, String who, int mark, int incarnation) {
-        return all.computeIfAbsent(who, w -> new Told(who.substring(0, mark), incarnation, new ArrayList<>(), new LinkedHashMap<>(), new ArrayList<>()));
+    private static ProcessRecord told(Map<String, ProcessRecord> all, String who, int mark, int incarnation) {
+        return all.computeIfAbsent(who, w -> new ProcessRecord(who.substring(0, mark), incarnation, new ArrayList<>(), new LinkedHashMap<>(), new ArrayList<>()));
     }
 }
--- a/core/src/main/java/ridgemill/version/FleetView.java
+++ b/core/src/main/java/ridgemill/version/FleetView.java
@@ -20,7 +20,7 @@
 public final class FleetView {
 
     /** From one round of telling to the next. */
-    public static final double EVERY_MS = 1000;
+    public static final double ROUND_INTERVAL_MS = 1000;
     private static final int TOLD = 2;
     /** Who has not been heard of for so long is called silent. */
     public static final double SILENT_MS = 8000;
@@ -41,7 +41,7 @@
     private static final double MS_PER_S = 1000;
 
     /** Why one does not act as the others do. */
-    public enum Why {
+    public enum StatusReason {
         /** It does. */
         UP_TO_DATE,
         /** Nothing was ever heard of it. */
@@ -70,34 +70,34 @@
      * How one proxy is, as far as is known here.
      *
      * @param summary the last of it; null if none was heard
-     * @param heardMs how long ago that was new here
+     * @param heardAgoMs how long ago that was new here
      * @param behind how many numbers its file is below the highest
      * @param behindMs for how long that has been known here
      * @param isCurrent whether its last sign of life is of the file that the summary tells of
      * @param restarts how many of its processes have been heard of, but for the first
      */
-    public record Standing(int member, Summary summary, double heardMs, Why why, long behind, double behindMs, boolean isCurrent, int restarts) {
+    public record MemberStatus(int member, Summary summary, double heardAgoMs, StatusReason reason, long behind, double behindMs, boolean isCurrent, int restarts) {
 
         /** In words. */
-        public String words() {
+        public String describe() {
             if (summary == null) {
                 return "never heard";
             }
-            String words = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(summary.file(),
-                    summary.digest() >>> Integer.SIZE, (summary.underMs() + heardMs) / MS_PER_S, summary.build(), summary.entries(),
-                    summary.begun(), heardMs / MS_PER_S) + (restarts > 0 ? ", started again " + restarts + " times" : "");
-            return switch (why) {
+            String words = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(summary.fileNumber(),
+                    summary.fileDigest() >>> Integer.SIZE, (summary.inEffectMs() + heardAgoMs) / MS_PER_S, summary.build(), summary.entries(),
+                    summary.begun(), heardAgoMs / MS_PER_S) + (restarts > 0 ? ", started again " + restarts + " times" : "");
+            return switch (reason) {
                 case UP_TO_DATE -> words;
                 case REFUSED -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S) + ": refused file "
                         + summary.refusedFile() + ", see its own audit";
                 case BEHIND, ON_ITS_WAY -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
-                        + (why == Why.BEHIND ? ": nobody gave it a newer file" : "");
+                        + (reason == StatusReason.BEHIND ? ": nobody gave it a newer file" : "");
                 case SILENT -> words + "; SILENT: stopped, gone or cut off" + (behind > 0 ? ", and behind by " + behind : "");
                 case OTHER_TEXT -> words + "; OTHER TEXT under one number";
                 case OTHER_BUILD -> words + "; OTHER BUILD than here";
                 case OTHER_PLATFORM -> words + "; OTHER PLATFORM configuration than here";
-                case LIST_LATE -> words + "; LIST LATE: it has not reached who gives the host list for " + summary.lateS() + " s, and goes by number "
-                        + Integer.toUnsignedString(summary.list());
+                case LIST_LATE -> words + "; LIST LATE: it has not reached who gives the host list for " + summary.hostListLateS() + " s, and goes by number "
+                        + Integer.toUnsignedString(summary.hostListNumber());
                 case OUT -> words + "; OUT: it has stepped aside" + (behind > 0 ? ", behind by " + behind : "");
                 case NEVER_HEARD -> "never heard";
             };
@@ -146,8 +146,8 @@
     }
 
     /** Whom to tell what in this round: two others, or all there are, each of itself and of those that were told of least. */
-    public Map<Integer, Gossip> round(double nowMs, Summary own) {
-        own(nowMs, own);
+    public Map<Integer, Gossip> gossipRound(double nowMs, Summary own) {
+        updateOwn(nowMs, own);
         Map<Integer, Gossip> telling = new TreeMap<>();
         for (int i = 0; i < Math.min(TOLD, members - 1); i++) {
             if (next.isEmpty()) {
@@ -163,15 +163,15 @@
             });
             shuffle(rest);
             rest.sort(Comparator.comparingInt(k -> -k.hot));
-            while (words.size() < SummaryWire.MOST && !rest.isEmpty()) {
+            while (words.size() < SummaryWire.MAX_SUMMARIES && !rest.isEmpty()) {
                 Known k = rest.remove(0);
                 k.hot = Math.max(0, k.hot - 1);
                 words.add(k.summary);
             }
             shuffle(rest);
             // A silent one's last sign of life says nothing to anybody.
-            telling.put(to, new Gossip(words, rest.stream().filter(k -> nowMs - k.heardAt < SILENT_MS).limit(SummaryWire.MOST_ALIVE)
-                    .map(k -> new Gossip.Alive(k.summary.member(), (short) k.summary.incarnation(), k.aliveNumber, k.sign)).toList()));
+            telling.put(to, new Gossip(words, rest.stream().filter(k -> nowMs - k.heardAt < SILENT_MS).limit(SummaryWire.MAX_HEARTBEATS)
+                    .map(k -> new Gossip.Heartbeat(k.summary.member(), (short) k.summary.incarnation(), k.aliveNumber, k.sign)).toList()));
         }
         return telling;
     }
@@ -183,7 +183,7 @@
     }
 
     /** What this proxy says of itself now. */
-    public void own(double nowMs, Summary own) {
+    public void updateOwn(double nowMs, Summary own) {
         awake(nowMs);
         take(nowMs, own);
     }
@@ -196,17 +196,17 @@
     }
 
     /** Another proxy says what it knows. */
-    public void heard(double nowMs, Gossip gossip) {
+    public void receive(double nowMs, Gossip gossip) {
         awake(nowMs);
         if (nowMs < deafUntil) {
             return;
         }
         gossip.summaries().stream().filter(s -> s.member() >= 0 && s.member() < members && s.member() != self).forEach(s -> take(nowMs, s));
-        for (Gossip.Alive a : gossip.alive()) {
+        for (Gossip.Heartbeat a : gossip.heartbeats()) {
             Known k = known.get(a.member());
-            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.number() > k.aliveNumber) {
-                k.aliveNumber = a.number();
-                k.sign = a.sign();
+            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.sequence() > k.aliveNumber) {
+                k.aliveNumber = a.sequence();
+                k.sign = a.fileChecksum();
                 k.heardAt = nowMs;
             }
         }
@@ -225,74 +225,74 @@
             }
             next.hot = k == null ? FIRST_PASSED_ON : k.summary.differsFrom(s) ? PASSED_ON : next.hot;
             next.processes += k == null || follows ? 1 : 0;
-            if (k == null || follows || s.number() > k.aliveNumber) {
-                next.aliveNumber = s.number();
-                next.sign = s.sign();
+            if (k == null || follows || s.sequence() > k.aliveNumber) {
+                next.aliveNumber = s.sequence();
+                next.sign = s.fileChecksum();
                 next.heardAt = nowMs;
             }
             next.summary = s;
             known.put(s.member(), next);
         }
-        long head = head();
-        known.values().forEach(o -> o.behindSince = o.summary.file() >= head ? Double.NaN : Double.isNaN(o.behindSince) ? nowMs : o.behindSince);
+        long head = highestFileNumber();
+        known.values().forEach(o -> o.behindSince = o.summary.fileNumber() >= head ? Double.NaN : Double.isNaN(o.behindSince) ? nowMs : o.behindSince);
     }
 
     /** The highest number that anybody is known to act under; 0 where nobody is known. */
-    public long head() {
-        return known.values().stream().mapToLong(k -> k.summary.file()).max().orElse(0);
+    public long highestFileNumber() {
+        return known.values().stream().mapToLong(k -> k.summary.fileNumber()).max().orElse(0);
     }
 
     /** The text that most act under of those at the highest number; of two that as many do, the lower digest. */
     private long text() {
-        long head = head();
+        long head = highestFileNumber();
         Map<Long, Integer> counts = new HashMap<>();
-        known.values().stream().filter(k -> k.summary.file() == head).forEach(k -> counts.merge(k.summary.digest(), 1, Integer::sum));
+        known.values().stream().filter(k -> k.summary.fileNumber() == head).forEach(k -> counts.merge(k.summary.fileDigest(), 1, Integer::sum));
         return counts.entrySet().stream().min(Comparator.comparing((Map.Entry<Long, Integer> e) -> -e.getValue()).thenComparing(Map.Entry::getKey))
                 .map(Map.Entry::getKey).orElse(0L);
     }
 
     /** Whether the last that is known of a member is that it has stepped aside. */
-    public boolean isOut(int member) {
+    public boolean isOutOfService(int member) {
         Known k = known.get(member);
-        return k != null && k.summary.out();
+        return k != null && k.summary.outOfService();
     }
 
     /** Whether this was heard of lately: a process of which nothing is heard for longer may be gone. */
-    public static boolean isAlive(Standing s) {
-        return s.summary() != null && s.heardMs() <= SILENT_MS;
+    public static boolean isAlive(MemberStatus s) {
+        return s.summary() != null && s.heardAgoMs() <= SILENT_MS;
     }
 
     /** How each member is, in their order. */
-    public List<Standing> standings(double nowMs) {
-        List<Standing> all = new ArrayList<>();
-        long head = head();
+    public List<MemberStatus> statuses(double nowMs) {
+        List<MemberStatus> all = new ArrayList<>();
+        long head = highestFileNumber();
         long text = text();
         for (int i = 0; i < members; i++) {
             Known k = known.get(i);
             if (k == null) {
-                all.add(new Standing(i, null, 0, Why.NEVER_HEARD, 0, 0, false, 0));
+                all.add(new MemberStatus(i, null, 0, StatusReason.NEVER_HEARD, 0, 0, false, 0));
                 continue;
             }
-            long behind = head - k.summary.file();
+            long behind = head - k.summary.fileNumber();
             double behindMs = Double.isNaN(k.behindSince) ? 0 : nowMs - k.behindSince;
-            all.add(new Standing(i, k.summary, nowMs - k.heardAt, why(nowMs, i, k, behind, behindMs, text), behind, behindMs,
-                    k.sign == k.summary.sign(), k.processes - 1));
+            all.add(new MemberStatus(i, k.summary, nowMs - k.heardAt, why(nowMs, i, k, behind, behindMs, text), behind, behindMs,
+                    k.sign == k.summary.fileChecksum(), k.processes - 1));
         }
         return all;
     }
 
-    private Why why(double nowMs, int member, Known k, long behind, double behindMs, long text) {
+    private StatusReason why(double nowMs, int member, Known k, long behind, double behindMs, long text) {
         Summary own = known.containsKey(self) ? known.get(self).summary : k.summary;
         if (member != self && nowMs - k.heardAt > SILENT_MS) {
-            return Why.SILENT;
+            return StatusReason.SILENT;
         }
-        if (k.summary.out()) {
-            return Why.OUT;
+        if (k.summary.outOfService()) {
+            return StatusReason.OUT;
         }
         if (behind > 0) {
-            return k.summary.refusedFile() > k.summary.file() ? Why.REFUSED : behindMs < ON_ITS_WAY_MS ? Why.ON_ITS_WAY : Why.BEHIND;
+            return k.summary.refusedFile() > k.summary.fileNumber() ? StatusReason.REFUSED : behindMs < ON_ITS_WAY_MS ? StatusReason.ON_ITS_WAY : StatusReason.BEHIND;
         }
-        return k.summary.digest() != text ? Why.OTHER_TEXT : k.summary.build() != own.build() ? Why.OTHER_BUILD
-                : k.summary.platform() != own.platform() ? Why.OTHER_PLATFORM : k.summary.lateS() >= LIST_LATE_S ? Why.LIST_LATE : Why.UP_TO_DATE;
+        return k.summary.fileDigest() != text ? StatusReason.OTHER_TEXT : k.summary.build() != own.build() ? StatusReason.OTHER_BUILD
+                : k.summary.platform() != own.platform() ? StatusReason.OTHER_PLATFORM : k.summary.hostListLateS() >= LIST_LATE_S ? StatusReason.LIST_LATE : StatusReason.UP_TO_DATE;
     }
 }
--- a/core/src/main/java/ridgemill/version/Trail.java
+++ b/core/src/main/java/ridgemill/version/RequestTrace.java
@@ -2,29 +2,29 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ridgemill.core.VersionTracker;
 import ridgemill.core.RequestCounters.RequestResult;
+import ridgemill.core.VersionTracker;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
 /** What one request was decided under, and what became of it. Used by one thread. */
-public final class Trail implements VersionTracker.RequestVersion {
+public final class RequestTrace implements VersionTracker.RequestVersion {
 
     /** One attempt: {@code outcome} is null while it is out. */
-    public record Sent(String node, double atMs, double endMs, Outcome outcome) { }
+    public record Attempt(String node, double sentMs, double endMs, Outcome outcome) { }
 
-    private final Era era;
+    private final VersionPeriod era;
     private final String id;
     private final String service;
     private final String group;
     private final long list;
     private final double fromMs;
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<Attempt> sent = new ArrayList<>();
     private RequestResult end;
     private Reason why = Reason.UNSAID;
     private double overMs = Double.NaN;
 
-    Trail(Era era, String id, String service, String group, long list, double fromMs) {
+    RequestTrace(VersionPeriod era, String id, String service, String group, long list, double fromMs) {
         this.era = era;
         this.id = id;
         this.service = service;
@@ -43,15 +43,15 @@
 
     @Override
     public void attemptSent(double nowMs, String node) {
-        sent.add(new Sent(node, nowMs, Double.NaN, null));
+        sent.add(new Attempt(node, nowMs, Double.NaN, null));
     }
 
     @Override
     public void attemptEnded(double nowMs, Outcome outcome) {
         int last = sent.size() - 1;
-        Sent out = last < 0 ? null : sent.get(last);
+        Attempt out = last < 0 ? null : sent.get(last);
         if (out != null && out.outcome() == null) {
-            sent.set(last, new Sent(out.node(), out.atMs(), nowMs, outcome));
+            sent.set(last, new Attempt(out.node(), out.sentMs(), nowMs, outcome));
         }
     }
 
@@ -66,7 +66,7 @@
     }
 
     /** What it was decided under. */
-    public Era era() {
+    public VersionPeriod period() {
         return era;
     }
 
@@ -85,22 +85,22 @@
     }
 
     /** The number of that group's host list when it began. */
-    public long list() {
+    public long hostList() {
         return list;
     }
 
     /** When it was taken. */
-    public double fromMs() {
+    public double startMs() {
         return fromMs;
     }
 
     /** When it ended; NaN while it is open. */
-    public double overMs() {
+    public double endMs() {
         return overMs;
     }
 
     /** Its attempts, in turn. */
-    public List<Sent> sent() {
+    public List<Attempt> sent() {
         return List.copyOf(sent);
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Why it ended so, as far as somebody said. */
-    public Reason why() {
+    public Reason reason() {
         return why;
     }
 }
--- a/core/src/main/java/ridgemill/version/SummaryWire.java
+++ b/core/src/main/java/ridgemill/version/SummaryWire.java
@@ -5,15 +5,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import ridgemill.lease.Sealed;
+import ridgemill.lease.DatagramFrame;
 
-/** What proxies tell each other of versions, as {@link Sealed} datagrams. */
+/** What proxies tell each other of versions, as {@link DatagramFrame} datagrams. */
 public final class SummaryWire {
 
     /** So many summaries fit into a datagram. */
-    public static final int MOST = 2;
+    public static final int MAX_SUMMARIES = 2;
     /** So many signs of life fit beside these. */
-    public static final int MOST_ALIVE = 7;
+    public static final int MAX_HEARTBEATS = 7;
     private static final byte KIND = 'A';
     private static final byte VERSION = 1;
 
@@ -31,20 +31,20 @@
 
     /** Puts it into a datagram. */
     public static byte[] encode(Gossip gossip) {
-        ByteBuffer out = Sealed.begun(KIND, VERSION).put((byte) gossip.summaries().size()).put((byte) gossip.alive().size());
+        ByteBuffer out = DatagramFrame.begin(KIND, VERSION).put((byte) gossip.summaries().size()).put((byte) gossip.heartbeats().size());
         for (Summary s : gossip.summaries()) {
-            out.putShort((short) s.member()).putInt(s.incarnation()).putInt(s.number()).putLong(s.startedMs()).putInt(s.build())
-                    .putInt(s.platform()).putLong(s.file()).putLong(s.digest()).putInt((int) Math.min(Integer.MAX_VALUE, s.underMs()))
-                    .putInt(s.entries()).putLong(s.chain()).putLong(s.begun()).putLong(s.served()).putInt((int) s.refusedFile())
-                    .put((byte) (s.out() ? 1 : 0)).putInt(s.list()).put((byte) s.lateS());
+            out.putShort((short) s.member()).putInt(s.incarnation()).putInt(s.sequence()).putLong(s.startedMs()).putInt(s.build())
+                    .putInt(s.platform()).putLong(s.fileNumber()).putLong(s.fileDigest()).putInt((int) Math.min(Integer.MAX_VALUE, s.inEffectMs()))
+                    .putInt(s.entries()).putLong(s.chainDigest()).putLong(s.begun()).putLong(s.served()).putInt((int) s.refusedFile())
+                    .put((byte) (s.outOfService() ? 1 : 0)).putInt(s.hostListNumber()).put((byte) s.hostListLateS());
         }
-        gossip.alive().forEach(a -> out.putShort((short) a.member()).putShort(a.incarnation()).putInt(a.number()).putShort(a.sign()));
-        return Sealed.ended(out);
+        gossip.heartbeats().forEach(a -> out.putShort((short) a.member()).putShort(a.incarnation()).putInt(a.sequence()).putShort(a.fileChecksum()));
+        return DatagramFrame.finish(out);
     }
 
     /** What a datagram says; empty where it is no such datagram, of another version or spoilt. */
     public static Optional<Gossip> decode(byte[] datagram) {
-        return Sealed.opened(datagram, KIND, VERSION).flatMap(in -> {
+        return DatagramFrame.open(datagram, KIND, VERSION).flatMap(in -> {
             try {
                 int summaries = in.get();
                 int living = in.get();
@@ -54,9 +54,9 @@
                             in.getInt(), in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getInt(), in.get() != 0,
                             in.getInt(), in.get() & 0xff));
                 }
-                List<Gossip.Alive> alive = new ArrayList<>();
+                List<Gossip.Heartbeat> alive = new ArrayList<>();
                 for (int i = 0; i < living; i++) {
-                    alive.add(new Gossip.Alive(in.getShort(), in.getShort(), in.getInt(), in.getShort()));
+                    alive.add(new Gossip.Heartbeat(in.getShort(), in.getShort(), in.getInt(), in.getShort()));
                 }
                 return Optional.of(new Gossip(all, alive));
             } catch (BufferUnderflowException e) {
--- a/core/src/main/java/ridgemill/version/Era.java
+++ b/core/src/main/java/ridgemill/version/VersionPeriod.java
@@ -2,15 +2,15 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import ridgemill.core.VersionTracker;
 import ridgemill.core.RequestCounters.RequestResult;
+import ridgemill.core.VersionTracker;
 import ridgemill.policy.Reason;
 
 /** A stretch of time in which a process took requests under one version, and what became of those. Used by one thread. */
-public final class Era implements VersionTracker.RequestVersion {
+public final class VersionPeriod implements VersionTracker.RequestVersion {
 
     private final long index;
-    private final Acting acting;
+    private final EffectiveVersion acting;
     private final double fromMs;
     private final String cause;
     private final String label;
@@ -19,7 +19,7 @@
     private long begun;
     private long attempts;
 
-    Era(long index, Acting acting, double fromMs, String cause, String label) {
+    VersionPeriod(long index, EffectiveVersion acting, double fromMs, String cause, String label) {
         this.label = label;
         this.index = index;
         this.acting = acting;
@@ -28,7 +28,7 @@
     }
 
     /** A request was taken under it; {@link #requestEnded} is owed. */
-    public void began() {
+    public void requestBegan() {
         begun++;
     }
 
@@ -49,7 +49,7 @@
         return label;
     }
 
-    void closed(double atMs) {
+    void close(double atMs) {
         untilMs = atMs;
     }
 
@@ -58,16 +58,16 @@
         return index;
     }
 
-    public Acting acting() {
+    public EffectiveVersion version() {
         return acting;
     }
 
-    public double fromMs() {
+    public double startMs() {
         return fromMs;
     }
 
     /** When the next began; NaN for the one that goes on. */
-    public double untilMs() {
+    public double endMs() {
         return untilMs;
     }
 
@@ -87,27 +87,27 @@
     }
 
     /** Requests of a class that ended so. */
-    public long of(String service, RequestResult end) {
+    public long count(String service, RequestResult end) {
         long[] of = ends.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
     /** Requests of all classes that ended so. */
-    public long of(RequestResult end) {
+    public long count(RequestResult end) {
         return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
     /** Requests that have no final answer yet. */
-    public long open() {
+    public long openRequests() {
         long over = 0;
         for (RequestResult end : RequestResult.values()) {
-            over += of(end);
+            over += count(end);
         }
         return begun - over;
     }
 
     /** The classes of which requests have ended, in the order of their names. */
-    public Iterable<String> classes() {
+    public Iterable<String> classNames() {
         return ends.keySet();
     }
 }
--- a/gateway/src/main/java/ridgemill/cli/AuditCommands.java
+++ b/gateway/src/main/java/ridgemill/cli/AuditCommands.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import ridgemill.gateway.operator.OperatorFile;
-import ridgemill.version.Kept;
+import ridgemill.version.AuditLineFormat;
 
 /** The commands about which version acted when. */
 final class AuditCommands {
@@ -131,13 +131,13 @@
                 lines.addAll(List.of(Files.readString(file, StandardCharsets.ISO_8859_1).split("\n")));
             }
             boolean whole = true;
-            for (Kept.Told t : Kept.read(lines)) {
+            for (AuditLineFormat.ProcessRecord t : AuditLineFormat.read(lines)) {
                 System.out.printf("%s#%s: %d entries%s%n", t.proxy(), Integer.toHexString(t.incarnation()), t.entries().size(),
-                        t.holes().isEmpty() ? ", whole" : "; HOLES: " + String.join(", ", t.holes()));
+                        t.gaps().isEmpty() ? ", whole" : "; HOLES: " + String.join(", ", t.gaps()));
                 t.counts().values().forEach(c -> System.out.printf("  %s until %s: %d requests, %d attempts, %d served, %d refused, %d failed, %d gone%n",
                         c.version(), Instant.ofEpochMilli((long) c.atMs()), c.begun(), c.attempts(), c.served(), c.refused(), c.failed(), c.gone()));
-                t.entries().forEach(e -> System.out.printf("  %s %s%n", Instant.ofEpochMilli((long) e.atMs()), e.what()));
-                whole &= t.holes().isEmpty();
+                t.entries().forEach(e -> System.out.printf("  %s %s%n", Instant.ofEpochMilli((long) e.atMs()), e.description()));
+                whole &= t.gaps().isEmpty();
             }
             return whole ? 0 : 1;
         }
--- a/gateway/src/main/java/ridgemill/gateway/Crew.java
+++ b/gateway/src/main/java/ridgemill/gateway/Crew.java
@@ -28,7 +28,7 @@
 import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
-import ridgemill.succession.LeavePlan;
+import ridgemill.succession.ShutdownPlan;
 
 /**
  * One process of several event loops, each a complete proxy with decisions and state of its own: nothing is shared on a
@@ -219,7 +219,7 @@
         Log.info("draining");
         each(m -> m.clients().drain());
         try {
-            Thread.sleep((long) LeavePlan.ALONE.idleMs());
+            Thread.sleep((long) ShutdownPlan.WITHOUT_SUCCESSOR.idleMs());
             // The door first: a connection that it dealt is with its loop before that hears of the end.
             door.submit(dealer::close).sync();
             members.forEach(Service::endDrain);
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import java.util.function.IntPredicate;
 import java.util.function.Consumer;
+import java.util.function.IntPredicate;
 import java.util.function.Supplier;
 import ridgemill.connections.ConnectionReleaseRequests;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Dispatcher;
 import ridgemill.core.FaultReporter;
-import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.core.PlatformAdmissionController;
-import ridgemill.core.WriteDeduplicator;
 import ridgemill.core.RequestCounters;
+import ridgemill.core.WriteDeduplicator;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
 import ridgemill.deadline.LoopStallDetector;
@@ -53,6 +53,8 @@
 import ridgemill.gateway.net.Transport;
 import ridgemill.gateway.succession.ServingMark;
 import ridgemill.idempotency.IdempotencyRecords;
+import ridgemill.monitoring.ProxyMetrics;
+import ridgemill.monitoring.Readiness;
 import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.ListUpdateKind;
@@ -60,9 +62,7 @@
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
-import ridgemill.succession.LeavePlan;
-import ridgemill.monitoring.ProxyMetrics;
-import ridgemill.monitoring.Readiness;
+import ridgemill.succession.ShutdownPlan;
 
 /** One running proxy: puts the parts together on one event loop, and takes them down without losing a request. */
 public final class Service {
@@ -588,7 +588,7 @@
     /** The same with something to be done when nothing is owed any more, before the loop ends; not on the loop. */
     public void drainThen(Runnable last) {
         beforeEnd = last;
-        leave(LeavePlan.of(anotherServes(config, listening), config.settings().classes()));
+        leave(ShutdownPlan.of(anotherServes(config, listening), config.settings().classes()));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -597,19 +597,19 @@
     }
 
     /** Leaves by a plan; returns at once. */
-    void leave(LeavePlan plan) {
-        if (plan.succeeded()) {
+    void leave(ShutdownPlan plan) {
+        if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
             loop.execute(() -> {
                 front.succeeded();
-                clients.answersWithin(plan.answerMs());
+                clients.answersWithin(plan.responseMs());
                 if (peers != null) {
                     peers.leave();
                 }
             });
         }
         beginDrain();
-        loop.schedule(this::stopListening, (long) plan.listenMs(), TimeUnit.MILLISECONDS);
+        loop.schedule(this::stopListening, (long) plan.acceptMs(), TimeUnit.MILLISECONDS);
         loop.schedule(this::endDrain, (long) plan.idleMs(), TimeUnit.MILLISECONDS);
     }
 
