--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -32,19 +32,19 @@
 import ridgemill.gateway.net.Addresses;
 import ridgemill.gateway.net.Incarnation;
 import ridgemill.gateway.net.Log;
-import ridgemill.rollout.Aside;
-import ridgemill.rollout.Stamp;
-import ridgemill.version.ActRecord;
-import ridgemill.version.Acting;
-import ridgemill.version.Entry;
-import ridgemill.version.Era;
+import ridgemill.rollout.FileFingerprint;
+import ridgemill.rollout.Quarantine;
+import ridgemill.version.AuditEntry;
+import ridgemill.version.AuditLineFormat;
+import ridgemill.version.EffectiveVersion;
 import ridgemill.version.FleetView;
 import ridgemill.version.Gossip;
-import ridgemill.version.HostLists;
-import ridgemill.version.Kept;
+import ridgemill.version.HostListHistory;
+import ridgemill.version.RequestTrace;
 import ridgemill.version.Summary;
 import ridgemill.version.SummaryWire;
-import ridgemill.version.Trail;
+import ridgemill.version.VersionHistory;
+import ridgemill.version.VersionPeriod;
 
 /**
  * One process' record of what it acts under, and its view of the fleet: datagrams in and out, and what operators are told. All calls
@@ -62,7 +62,7 @@
     private final List<InetSocketAddress> peers;
     private final int self;
     private final BiConsumer<Integer, byte[]> send;
-    private final ActRecord record;
+    private final VersionHistory record;
     private final FleetView view;
     private final Set<Integer> speak = new HashSet<>();
     private final long startedMs;
@@ -72,7 +72,7 @@
     private ActFile file;
     private int number;
     private long refusedFile;
-    private final Map<String, Kept.Counts> kept = new HashMap<>();
+    private final Map<String, AuditLineFormat.Counts> kept = new HashMap<>();
     private long datagrams;
 
     /**
@@ -92,14 +92,14 @@
         this.send = send;
         double now = timers.now();
         this.startedMs = (long) now;
-        String platformDigest = Entry.hash(config.settings().classes() + "|" + config.settings().tenants() + "|" + config.settings().rules() + "|"
+        String platformDigest = AuditEntry.hash(config.settings().classes() + "|" + config.settings().tenants() + "|" + config.settings().rules() + "|"
                 + config.settings().limits()).substring(0, DIGEST_CHARS);
-        this.record = new ActRecord(config.name(), Incarnation.of(now), now, new Acting(build, platformDigest, file, digest), tells);
-        this.build = (int) bits(Entry.hash(build), Integer.BYTES);
+        this.record = new VersionHistory(config.name(), Incarnation.of(now), now, new EffectiveVersion(build, platformDigest, file, digest), tells);
+        this.build = (int) bits(AuditEntry.hash(build), Integer.BYTES);
         this.platform = (int) bits(platformDigest, Integer.BYTES);
         this.view = new FleetView(self, Math.max(1, peers.size()), config.seed());
-        view.own(now, own());
-        Log.info("audit: acts under " + record.label(record.now().acting()));
+        view.updateOwn(now, own());
+        Log.info("audit: acts under " + record.label(record.currentPeriod().version()));
     }
 
     /**
@@ -121,7 +121,7 @@
     }
 
     /** Where requests are kept. */
-    public ActRecord record() {
+    public VersionHistory record() {
         return record;
     }
 
@@ -132,13 +132,13 @@
 
     /** So many of the last requests are kept one by one from now on. */
     public void keepRequests(int most) {
-        record.trails(most);
+        record.keepTraces(most);
     }
 
     /** The record is kept in a file of this directory as well, which is named by the proxy. */
     public void keepIn(Path directory, long mostBytes) {
         file = new ActFile(directory.resolve("acts-" + record.name() + ".log"), mostBytes);
-        record.keeper(entry -> file.append(List.of(Kept.line(record.name(), record.incarnation(), entry))));
+        record.setEntryListener(entry -> file.append(List.of(AuditLineFormat.line(record.name(), record.incarnation(), entry))));
         loop.scheduleWithFixedDelay(this::keepCounts, COUNTS_EVERY_MS, COUNTS_EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -147,17 +147,17 @@
         if (file == null) {
             return;
         }
-        Map<String, Kept.Counts> now = new TreeMap<>();
-        for (Era e : record.eras()) {
-            Kept.Counts of = new Kept.Counts(e.acting().text(), timers.now(), e.begun(), e.attempts(), e.of(RequestResult.SERVED), e.of(RequestResult.REFUSED),
-                    e.of(RequestResult.FAILED), e.of(RequestResult.GONE));
-            now.merge(of.version(), of, Kept.Counts::plus);
+        Map<String, AuditLineFormat.Counts> now = new TreeMap<>();
+        for (VersionPeriod e : record.periods()) {
+            AuditLineFormat.Counts of = new AuditLineFormat.Counts(e.version().text(), timers.now(), e.begun(), e.attempts(), e.count(RequestResult.SERVED), e.count(RequestResult.REFUSED),
+                    e.count(RequestResult.FAILED), e.count(RequestResult.GONE));
+            now.merge(of.version(), of, AuditLineFormat.Counts::plus);
         }
         List<String> lines = new ArrayList<>();
         now.forEach((version, counts) -> {
-            Kept.Counts before = kept.put(version, counts);
-            if (before == null || !before.isAsMuchAs(counts)) {
-                lines.add(Kept.line(record.name(), record.incarnation(), counts));
+            AuditLineFormat.Counts before = kept.put(version, counts);
+            if (before == null || !before.hasSameCounts(counts)) {
+                lines.add(AuditLineFormat.line(record.name(), record.incarnation(), counts));
             }
         });
         if (!lines.isEmpty()) {
@@ -174,75 +174,75 @@
 
     /** A lease's standing here has changed. */
     public void lease(String task, String words) {
-        record.note(timers.now(), "lease " + task + ": " + words);
+        record.recordEvent(timers.now(), "lease " + task + ": " + words);
     }
 
     /** What this process knows of one request, by its id. */
     public JsonObject request(String id) {
         JsonObject o = new JsonObject();
-        Trail trail = record.trail(id);
+        RequestTrace trail = record.trace(id);
         if (trail == null) {
             o.addProperty("reason", "not among the last requests of this process: " + id);
             return o;
         }
         o.addProperty("id", trail.id());
-        o.addProperty("under", record.label(trail.era().acting()));
+        o.addProperty("under", record.label(trail.period().version()));
         o.addProperty("class", trail.service());
         o.addProperty("group", trail.group());
-        o.addProperty("list", trail.list());
-        o.addProperty("from_ms", (long) trail.fromMs());
+        o.addProperty("list", trail.hostList());
+        o.addProperty("from_ms", (long) trail.startMs());
         JsonArray sent = new JsonArray();
-        for (Trail.Sent s : trail.sent()) {
+        for (RequestTrace.Attempt s : trail.sent()) {
             JsonObject attempt = new JsonObject();
             attempt.addProperty("node", s.node());
-            attempt.addProperty("after_ms", s.atMs() - trail.fromMs());
+            attempt.addProperty("after_ms", s.sentMs() - trail.startMs());
             attempt.addProperty("outcome", s.outcome() == null ? null : s.outcome().name());
-            attempt.addProperty("took_ms", s.outcome() == null ? null : s.endMs() - s.atMs());
+            attempt.addProperty("took_ms", s.outcome() == null ? null : s.endMs() - s.sentMs());
             sent.add(attempt);
         }
         o.add("attempts", sent);
         o.addProperty("end", trail.end() == null ? null : trail.end().name().toLowerCase(Locale.ROOT));
-        o.addProperty("why", trail.why().code());
-        o.addProperty("took_ms", trail.end() == null ? null : trail.overMs() - trail.fromMs());
+        o.addProperty("why", trail.reason().code());
+        o.addProperty("took_ms", trail.end() == null ? null : trail.endMs() - trail.startMs());
         return o;
     }
 
     /** Begins to tell others. */
     public void start() {
         if (peers.size() > 1) {
-            loop.scheduleWithFixedDelay(this::round, 0, (long) FleetView.EVERY_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(this::round, 0, (long) FleetView.ROUND_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Another operator file holds from now on. */
     public void changed(long file, String digest, String cause) {
-        Acting acting = record.now().acting();
+        EffectiveVersion acting = record.currentPeriod().version();
         refusedFile = 0;
-        if (!acting.digest().equals(digest) || acting.file() != file) {
-            record.change(timers.now(), acting.under(file, digest), cause);
-            Log.info("audit: acts under " + record.label(record.now().acting()) + ": " + cause);
+        if (!acting.fileDigest().equals(digest) || acting.fileNumber() != file) {
+            record.change(timers.now(), acting.withFile(file, digest), cause);
+            Log.info("audit: acts under " + record.label(record.currentPeriod().version()) + ": " + cause);
         }
     }
 
     /** An operator file was not taken; {@code file} is its number, 0 where it could not be read so far. */
     public void refused(long file, String why) {
         refusedFile = file <= 0 ? Integer.MAX_VALUE : file;
-        record.refuses(timers.now(), "file " + (file <= 0 ? "that can't be read" : file) + ": " + why);
+        record.recordRefusal(timers.now(), "file " + (file <= 0 ? "that can't be read" : file) + ": " + why);
     }
 
     private Summary own() {
-        Acting acting = record.now().acting();
+        EffectiveVersion acting = record.currentPeriod().version();
         long begun = 0;
         long served = 0;
-        for (Era e : record.eras()) {
-            if (e.acting().equals(acting)) {
+        for (VersionPeriod e : record.periods()) {
+            if (e.version().equals(acting)) {
                 begun += e.begun();
-                served += e.of(RequestResult.SERVED);
+                served += e.count(RequestResult.SERVED);
             }
         }
-        return new Summary(self, record.incarnation(), ++number, startedMs, build, platform, acting.file(),
-                bits(acting.digest(), Long.BYTES), (long) (timers.now() - record.now().fromMs()), (int) record.size(), bits(record.digest(), Long.BYTES), begun, served, refusedFile, out.getAsBoolean(),
-                (int) record.lists().of(Intake.PLATFORM_GROUP), (int) Math.min(Summary.MOST_LATE_S, record.lists().lateMs(timers.now(), Intake.PLATFORM_GROUP) / MS_PER_S));
+        return new Summary(self, record.incarnation(), ++number, startedMs, build, platform, acting.fileNumber(),
+                bits(acting.fileDigest(), Long.BYTES), (long) (timers.now() - record.currentPeriod().startMs()), (int) record.size(), bits(record.digest(), Long.BYTES), begun, served, refusedFile, out.getAsBoolean(),
+                (int) record.hostLists().currentNumber(Intake.PLATFORM_GROUP), (int) Math.min(Summary.MAX_LATE_S, record.hostLists().lateMs(timers.now(), Intake.PLATFORM_GROUP) / MS_PER_S));
     }
 
     private static long bits(String digest, int bytes) {
@@ -250,7 +250,7 @@
     }
 
     private void round() {
-        view.round(timers.now(), own()).forEach((to, gossip) -> {
+        view.gossipRound(timers.now(), own()).forEach((to, gossip) -> {
             datagrams++;
             send.accept(to, speak.contains(to) ? SummaryWire.encode(gossip) : SummaryWire.hello());
         });
@@ -260,16 +260,16 @@
     public void heard(int from, byte[] datagram) {
         boolean hello = SummaryWire.isHello(datagram);
         Optional<Gossip> gossip = SummaryWire.decode(datagram);
-        gossip.ifPresent(g -> view.heard(timers.now(), g));
+        gossip.ifPresent(g -> view.receive(timers.now(), g));
         if ((hello || gossip.isPresent()) && speak.add(from) && hello) {
             send.accept(from, SummaryWire.hello());
         }
     }
 
     /** What this process acts under now. */
-    public Stamp.Acting acting() {
-        Acting acting = record.now().acting();
-        return new Stamp.Acting((int) acting.file(), bits(acting.digest(), Long.BYTES));
+    public FileFingerprint.FileVersion acting() {
+        EffectiveVersion acting = record.currentPeriod().version();
+        return new FileFingerprint.FileVersion((int) acting.fileNumber(), bits(acting.fileDigest(), Long.BYTES));
     }
 
     /** A digest as others are told of it. */
@@ -278,18 +278,18 @@
     }
 
     /** How all are, this one as of now. */
-    private List<FleetView.Standing> standings() {
-        view.own(timers.now(), own());
-        return view.standings(timers.now());
+    private List<FleetView.MemberStatus> standings() {
+        view.updateOwn(timers.now(), own());
+        return view.statuses(timers.now());
     }
 
     /** What is known of the other proxies. */
-    public List<Aside.Peer> others() {
-        List<Aside.Peer> others = new ArrayList<>();
-        for (FleetView.Standing s : standings()) {
+    public List<Quarantine.Peer> others() {
+        List<Quarantine.Peer> others = new ArrayList<>();
+        for (FleetView.MemberStatus s : standings()) {
             if (s.summary() != null && s.member() != self) {
-                Stamp.Acting acting = s.isCurrent() ? new Stamp.Acting((int) s.summary().file(), s.summary().digest()) : null;
-                others.add(new Aside.Peer(s.member(), acting, FleetView.isAlive(s), s.summary().out()));
+                FileFingerprint.FileVersion acting = s.isCurrent() ? new FileFingerprint.FileVersion((int) s.summary().fileNumber(), s.summary().fileDigest()) : null;
+                others.add(new Quarantine.Peer(s.member(), acting, FleetView.isAlive(s), s.summary().outOfService()));
             }
         }
         return others;
@@ -297,7 +297,7 @@
 
     /** Whether a proxy, by its place, has said that it has stepped aside, and has not been heard to say otherwise. */
     public boolean isOut(int member) {
-        return view.isOut(member);
+        return view.isOutOfService(member);
     }
 
     /** What this process acted under, with counts and the chain of changes. */
@@ -306,26 +306,26 @@
         JsonObject o = new JsonObject();
         o.addProperty("proxy", record.name());
         o.addProperty("incarnation", Integer.toHexString(record.incarnation()));
-        o.addProperty("acts_under", record.label(record.now().acting()));
-        o.addProperty("refused", record.refused());
+        o.addProperty("acts_under", record.label(record.currentPeriod().version()));
+        o.addProperty("refused", record.lastRefusal());
         JsonArray eras = new JsonArray();
-        for (Era e : record.eras()) {
+        for (VersionPeriod e : record.periods()) {
             JsonObject era = new JsonObject();
             era.addProperty("index", e.index());
-            era.addProperty("version", e.acting().text());
-            era.addProperty("build", e.acting().build());
-            era.addProperty("platform", e.acting().platform());
+            era.addProperty("version", e.version().text());
+            era.addProperty("build", e.version().build());
+            era.addProperty("platform", e.version().platform());
             era.addProperty("cause", e.cause());
-            era.addProperty("from_ms", (long) e.fromMs());
-            era.addProperty("for_s", ((Double.isNaN(e.untilMs()) ? now : e.untilMs()) - e.fromMs()) / MS_PER_S);
+            era.addProperty("from_ms", (long) e.startMs());
+            era.addProperty("for_s", ((Double.isNaN(e.endMs()) ? now : e.endMs()) - e.startMs()) / MS_PER_S);
             era.addProperty("begun", e.begun());
-            era.addProperty("open", e.open());
+            era.addProperty("open", e.openRequests());
             era.addProperty("attempts", e.attempts());
             JsonObject classes = new JsonObject();
-            for (String service : e.classes()) {
+            for (String service : e.classNames()) {
                 JsonObject ends = new JsonObject();
                 for (RequestResult end : RequestResult.values()) {
-                    ends.addProperty(end.name().toLowerCase(Locale.ROOT), e.of(service, end));
+                    ends.addProperty(end.name().toLowerCase(Locale.ROOT), e.count(service, end));
                 }
                 classes.add(service, ends);
             }
@@ -333,43 +333,43 @@
             eras.add(era);
         }
         o.add("eras", eras);
-        o.addProperty("gone_requests", record.goneRequests());
+        o.addProperty("gone_requests", record.evictedRequests());
         JsonArray entries = new JsonArray();
-        record.entries().forEach(e -> entries.add("%d %.0f %s %s".formatted(e.index(), e.atMs(), e.digest(), e.what())));
+        record.entries().forEach(e -> entries.add("%d %.0f %s %s".formatted(e.index(), e.atMs(), e.digest(), e.description())));
         o.add("entries", entries);
         JsonArray lists = new JsonArray();
-        for (HostLists.Held held : record.lists().now()) {
+        for (HostListHistory.ActiveList held : record.hostLists().current()) {
             JsonObject list = new JsonObject();
             list.addProperty("group", held.group());
-            list.addProperty("list", held.list());
-            list.addProperty("for_s", (now - held.fromMs()) / MS_PER_S);
-            list.addProperty("late_s", record.lists().lateMs(now, held.group()) / MS_PER_S);
+            list.addProperty("list", held.number());
+            list.addProperty("for_s", (now - held.sinceMs()) / MS_PER_S);
+            list.addProperty("late_s", record.hostLists().lateMs(now, held.group()) / MS_PER_S);
             lists.add(list);
         }
         o.add("lists", lists);
-        o.addProperty("list_changes", record.lists().changes());
+        o.addProperty("list_changes", record.hostLists().changeCount());
         if (file != null) {
             o.addProperty("lost_lines", file.lost());
         }
-        o.addProperty("before", record.before());
-        o.addProperty("flaw", Entry.flaw(record.before(), record.entries()));
+        o.addProperty("before", record.digestBefore());
+        o.addProperty("flaw", AuditEntry.findFlaw(record.digestBefore(), record.entries()));
         return o;
     }
 
     /** How each proxy of the fleet is, as far as this one knows: a line each. */
     public List<String> versions() {
         List<String> lines = new ArrayList<>();
-        for (FleetView.Standing s : standings()) {
+        for (FleetView.MemberStatus s : standings()) {
             String who = peers.isEmpty() ? record.name() : Addresses.text(peers.get(s.member()));
-            lines.add(who + (s.member() == self || peers.isEmpty() ? " (this one): " : ": ") + s.why() + " " + s.words());
+            lines.add(who + (s.member() == self || peers.isEmpty() ? " (this one): " : ": ") + s.reason() + " " + s.describe());
         }
-        lines.add("highest file number known: " + view.head() + "; " + datagrams + " datagrams sent");
+        lines.add("highest file number known: " + view.highestFileNumber() + "; " + datagrams + " datagrams sent");
         return lines;
     }
 
     /** Counts for the console. */
     public Map<String, Long> figures() {
-        long lag = view.standings(timers.now()).stream().filter(s -> s.behind() > 0).count();
-        return Map.of("file_version", record.now().acting().file(), "proxies_behind", lag);
+        long lag = view.statuses(timers.now()).stream().filter(s -> s.behind() > 0).count();
+        return Map.of("file_version", record.currentPeriod().version().fileNumber(), "proxies_behind", lag);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
@@ -21,7 +21,7 @@
 import java.util.function.Supplier;
 import ridgemill.gateway.net.Addresses;
 import ridgemill.gateway.net.SocketKind;
-import ridgemill.lease.Leases.Permit;
+import ridgemill.lease.LeaseManager.Permit;
 
 /**
  * Calls others under a lease, one connection a call: {@code POST} with the task, the holder and the term in its head. Leave is
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -24,17 +24,17 @@
 import ridgemill.gateway.net.Addresses;
 import ridgemill.gateway.net.Incarnation;
 import ridgemill.gateway.net.Log;
+import ridgemill.lease.LeaseManager.Permit;
+import ridgemill.lease.LeaseManager;
 import ridgemill.lease.LeaseMessage;
 import ridgemill.lease.LeaseWire;
-import ridgemill.lease.Leases.Permit;
-import ridgemill.lease.Leases;
-import ridgemill.lease.Sweep;
+import ridgemill.lease.TargetSchedule;
 
 /**
  * One proxy's leases on its loop: datagrams in and out, the timer, and the tasks that are done under them. Nothing is said and no
  * vote given before this process has the {@link VotingLock}. All calls are on the loop.
  */
-public final class LeaseService implements Leases.Out {
+public final class LeaseService implements LeaseManager.Callbacks {
 
     private static final long LOCK_POLL_MS = 100;
     private static final double HELLO_MS = 1000;
@@ -63,7 +63,7 @@
     private IntPredicate mute = from -> false;
     private BiConsumer<String, String> changed = (task, words) -> { };
     private LeaseSettings settings;
-    private Leases leases;
+    private LeaseManager leases;
     private Timer timer;
     private boolean left;
     private double helloAt;
@@ -87,13 +87,13 @@
     /** One task that calls. */
     private final class Task {
         private LeaseSettings.Call call;
-        private Sweep sweep;
+        private TargetSchedule sweep;
         private boolean out;
         private double notBefore;
 
         Task(LeaseSettings.Call call) {
             this.call = call;
-            this.sweep = new Sweep(call.to().size(), call.everyMs(), timers.now());
+            this.sweep = new TargetSchedule(call.to().size(), call.everyMs(), timers.now());
         }
     }
 
@@ -138,10 +138,10 @@
         }
         double now = timers.now();
         settings.calls().values().forEach(c -> tasks.put(c.name(), new Task(c)));
-        leases = new Leases(self, incarnation, settings.policy(), settings.electorates(peers), settings.calls().keySet().stream().sorted().toList(),
+        leases = new LeaseManager(self, incarnation, settings.policy(), settings.electorates(peers), settings.calls().keySet().stream().sorted().toList(),
                 seed, now, this);
-        tasks.values().stream().filter(t -> !t.sweep.isWanted()).forEach(t -> leases.want(now, t.call.name(), false));
-        duties.keySet().forEach(n -> leases.join(now, n));
+        tasks.values().stream().filter(t -> !t.sweep.wantsLease()).forEach(t -> leases.setWanted(now, t.call.name(), false));
+        duties.keySet().forEach(n -> leases.addTask(now, n));
         Log.info("leases: this process votes for its proxy from now on");
         step();
     }
@@ -150,9 +150,9 @@
     public void take(String name, Duty duty) {
         boolean again = duties.put(name, duty) == null && Boolean.FALSE.equals(wanted.remove(name));
         if (leases != null) {
-            leases.join(timers.now(), name);
-            if (again && leases.electors(name).contains(self)) {
-                leases.want(timers.now(), name, true);
+            leases.addTask(timers.now(), name);
+            if (again && leases.voters(name).contains(self)) {
+                leases.setWanted(timers.now(), name, true);
             }
             step();
         }
@@ -162,12 +162,12 @@
     public void drop(String name, Duty duty) {
         if (duties.remove(name, duty) && leases != null) {
             wanted.put(name, false);
-            leases.want(timers.now(), name, false);
+            leases.setWanted(timers.now(), name, false);
             step();
         }
     }
 
-    /** Leave for an act of a duty, as {@link Leases#permit}; {@link #done} is owed for it. */
+    /** Leave for an act of a duty, as {@link LeaseManager#permit}; {@link #done} is owed for it. */
     public Optional<Permit> permit(String name, double actMs) {
         return leases == null || left ? Optional.empty() : leases.permit(timers.now(), name, actMs);
     }
@@ -202,17 +202,17 @@
 
     /** Whether this proxy may hold a duty's lease. */
     public boolean isElector(String name) {
-        return leases != null && leases.electors(name).contains(self);
+        return leases != null && leases.voters(name).contains(self);
     }
 
     /** Who may, by their peers' addresses. */
     public String electorsText(String name) {
-        return leases == null ? "" : leases.electors(name).stream().map(this::address).collect(Collectors.joining(", "));
+        return leases == null ? "" : leases.voters(name).stream().map(this::address).collect(Collectors.joining(", "));
     }
 
     /** Who may hold a duty's lease, but for this proxy. */
     public List<Integer> others(String name) {
-        return leases == null ? List.of() : leases.electors(name).stream().filter(m -> m != self).toList();
+        return leases == null ? List.of() : leases.voters(name).stream().filter(m -> m != self).toList();
     }
 
     /** Sends a datagram of a duty to a member, if that has said lately that it understands any. */
@@ -231,7 +231,7 @@
     public void changeTo(LeaseSettings next) {
         double now = timers.now();
         if (leases != null) {
-            leases.take(now, next.electorates(peers));
+            leases.changeVoterSets(now, next.electorates(peers));
         }
         settings = next;
         if (leases == null) {
@@ -241,12 +241,12 @@
             Task task = tasks.get(c.name());
             if (task == null || !task.call.equals(c)) {
                 tasks.put(c.name(), new Task(c));
-                leases.want(now, c.name(), c.everyMs() > 0);
+                leases.setWanted(now, c.name(), c.everyMs() > 0);
             }
         }
         List.copyOf(tasks.keySet()).stream().filter(n -> !next.calls().containsKey(n)).forEach(n -> {
             tasks.remove(n);
-            leases.want(now, n, false);
+            leases.setWanted(now, n, false);
         });
         step();
     }
@@ -263,12 +263,12 @@
             List.copyOf(duties.values()).forEach(d -> d.heard(now, member, datagram));
             return;
         }
-        if (datagram.length == LeaseWire.hello().length && !leases.partners().contains(member)) {
+        if (datagram.length == LeaseWire.hello().length && !leases.peers().contains(member)) {
             // It wants a lease on which this proxy votes, and may not have heard of it before.
             tell(member, LeaseWire.hello());
         }
         if (!mute.test(from)) {
-            LeaseWire.decode(datagram).forEach(m -> leases.heard(timers.now(), member, m));
+            LeaseWire.decode(datagram).forEach(m -> leases.receive(timers.now(), member, m));
         }
         step();
     }
@@ -278,7 +278,7 @@
         boolean already = left;
         left = true;
         if (leases != null && !already) {
-            leases.leave(timers.now());
+            leases.releaseAll(timers.now());
             step();
         }
     }
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public void changed(String task, String words) {
+    public void statusChanged(String task, String words) {
         changes++;
         Log.info("lease " + task + ": " + words);
         changed.accept(task, words);
@@ -313,7 +313,7 @@
             }
             if (now >= helloAt) {
                 helloAt = now + HELLO_MS;
-                Set<Integer> others = new LinkedHashSet<>(leases.partners());
+                Set<Integer> others = new LinkedHashSet<>(leases.peers());
                 duties.keySet().forEach(n -> others.addAll(others(n)));
                 others.forEach(member -> tell(member, LeaseWire.hello()));
             }
@@ -329,9 +329,9 @@
     private double attend(double now, String name, Duty duty) {
         boolean wants = duty.wants(now) && !aside.getAsBoolean();
         // A candidate wants its lease from the first.
-        if (leases.electors(name).contains(self) && wants != wanted.getOrDefault(name, true)) {
+        if (leases.voters(name).contains(self) && wants != wanted.getOrDefault(name, true)) {
             wanted.put(name, wants);
-            leases.want(now, name, wants);
+            leases.setWanted(now, name, wants);
         }
         return duty.tick(now, leases.holds(now, name));
     }
@@ -341,7 +341,7 @@
         if (task.out || !leases.holds(now, task.call.name())) {
             return Double.POSITIVE_INFINITY;
         }
-        int target = now < task.notBefore ? -1 : task.sweep.next(now);
+        int target = now < task.notBefore ? -1 : task.sweep.nextTarget(now);
         if (target < 0) {
             return Math.max(task.notBefore, task.sweep.dueAt());
         }
@@ -360,9 +360,9 @@
         task.out = false;
         if (permit != null) {
             if (answer.refused() || answer.term() > permit.term()) {
-                leases.seen(now, task.call.name(), answer.term());
+                leases.observeTerm(now, task.call.name(), answer.term());
             }
-            task.sweep.ended(answer.done() ? Sweep.Outcome.DONE : answer.refused() ? Sweep.Outcome.REFUSED : Sweep.Outcome.FAILED);
+            task.sweep.recordOutcome(answer.done() ? TargetSchedule.Outcome.DONE : answer.refused() ? TargetSchedule.Outcome.REFUSED : TargetSchedule.Outcome.FAILED);
             leases.done(now, permit);
         } else {
             task.notBefore = now + AGAIN_MS;
@@ -370,8 +370,8 @@
         if (!answer.done()) {
             task.notBefore = now + AGAIN_MS;
         }
-        if (!task.sweep.isWanted() && tasks.get(task.call.name()) == task) {
-            leases.want(now, task.call.name(), false);
+        if (!task.sweep.wantsLease() && tasks.get(task.call.name()) == task) {
+            leases.setWanted(now, task.call.name(), false);
         }
         step();
     }
@@ -434,7 +434,7 @@
                     yield "it goes on by itself";
                 }
                 boolean began = tasks.get(name).sweep.start(now);
-                leases.want(now, name, true);
+                leases.setWanted(now, name, true);
                 yield began ? "begun: as soon as this proxy holds its lease" : "a run is under way here";
             }
             default -> "no such command: " + words.get(0);
@@ -444,8 +444,8 @@
     }
 
     /** How all leases are here. */
-    public List<Leases.Standing> explain() {
-        return leases == null ? List.of() : leases.explain(timers.now());
+    public List<LeaseManager.Status> explain() {
+        return leases == null ? List.of() : leases.statuses(timers.now());
     }
 
     /** The same in words, a line each, with what the tasks did and what it cost. */
@@ -454,19 +454,19 @@
         if (leases == null) {
             return List.of("another process of this proxy votes");
         }
-        for (Leases.Standing s : explain()) {
+        for (LeaseManager.Status s : explain()) {
             String who = s.holds() ? "this proxy" : s.holder() < 0 ? "nobody known" : Objects.requireNonNullElse(address(s.holder()), "?");
             Task task = tasks.get(s.task());
             lines.add("%s: %s, term %d, for %.1f s; %d of %d votes; %s%s".formatted(s.task(), who, s.term(), s.forMs() / MS_PER_S, s.votes(),
                     s.voters(), s.words(), task == null ? "" : "; " + task.sweep.explain()));
         }
-        lines.add("version " + leases.version() + " of the electorates; " + datagrams + " datagrams of " + bytes + " bytes sent");
+        lines.add("version " + leases.voterSetsVersion() + " of the electorates; " + datagrams + " datagrams of " + bytes + " bytes sent");
         return lines;
     }
 
     /** Counts for the console. */
     public Map<String, Long> figures() {
-        long held = leases == null ? 0 : explain().stream().filter(Leases.Standing::holds).count();
+        long held = leases == null ? 0 : explain().stream().filter(LeaseManager.Status::holds).count();
         return Map.of("leases_held", held, "lease_changes", changes, "lease_datagrams", datagrams);
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import ridgemill.gateway.net.Addresses;
-import ridgemill.lease.Electorates;
+import ridgemill.lease.LeaseManager;
 import ridgemill.lease.LeasePolicy;
-import ridgemill.lease.Leases;
+import ridgemill.lease.VoterSets;
 
 /**
  * What an operator file says of leases.
@@ -44,12 +44,12 @@
 
     /** A proxy's number, the same in every version of a file: its address stands for it. */
     public static int number(InetSocketAddress peer) {
-        return Leases.hash(Addresses.text(peer)) & Integer.MAX_VALUE;
+        return LeaseManager.hash(Addresses.text(peer)) & Integer.MAX_VALUE;
     }
 
     /** The electorates, where the platform names these peers. */
-    Electorates electorates(List<InetSocketAddress> peers) {
-        return new Electorates(version, numbers(members.isEmpty() ? peers : members), numbers(before), voters);
+    VoterSets electorates(List<InetSocketAddress> peers) {
+        return new VoterSets(version, numbers(members.isEmpty() ? peers : members), numbers(before), voters);
     }
 
     private static List<Integer> numbers(List<InetSocketAddress> peers) {
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedProbing.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedProbing.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import ridgemill.gateway.Service;
-import ridgemill.lease.Leases.Permit;
-import ridgemill.lease.Leases;
+import ridgemill.lease.LeaseManager.Permit;
+import ridgemill.lease.LeaseManager;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.probing.ElectedProber;
 import ridgemill.probing.ProbeCodec;
@@ -59,7 +59,7 @@
 
     /** What stands for a node among proxies. */
     private static int number(String group, String node) {
-        return Leases.hash(group + "/" + node);
+        return LeaseManager.hash(group + "/" + node);
     }
 
     /** The node that a number stands for here; empty for one that no group lists, as another proxy's file may. */
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedReading.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedReading.java
@@ -6,12 +6,12 @@
 import java.util.function.Supplier;
 import ridgemill.gateway.membership.eureka.EurekaClient;
 import ridgemill.gateway.net.Log;
-import ridgemill.lease.Leases.Permit;
+import ridgemill.lease.LeaseManager.Permit;
 import ridgemill.membership.Instance;
-import ridgemill.registry.RegistryUpdateCodec;
 import ridgemill.registry.ElectedRegistryReader;
 import ridgemill.registry.RegistryReadPolicy;
 import ridgemill.registry.RegistryUpdate;
+import ridgemill.registry.RegistryUpdateCodec;
 
 /**
  * Stands between a registry's client and whoever goes by what it says, so that one proxy reads for the fleet. What it decides is
--- a/gateway/src/main/java/ridgemill/gateway/operator/LeasesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/LeasesSection.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.net.Addresses;
+import ridgemill.lease.LeaseManager;
 import ridgemill.lease.LeasePolicy;
-import ridgemill.lease.Leases;
 
 /** {@code [leases]}: tasks that one proxy of the fleet does at a time, and who votes on it. */
 final class LeasesSection {
@@ -30,9 +30,9 @@
             s.problem(null, "loops-and-leases", "leases belong to one loop, and process.loops is " + loops,
                     "take [leases] out, or set loops = 1");
         }
-        LeasePolicy usual = LeasePolicy.USUAL;
+        LeasePolicy usual = LeasePolicy.DEFAULT;
         double length = s.duration("length").orElse(usual.lengthMs());
-        double drift = s.number("drift", 0, LeasePolicy.MOST_DRIFT).orElse(usual.drift());
+        double drift = s.number("drift", 0, LeasePolicy.MAX_DRIFT).orElse(usual.drift());
         double margin = s.duration("margin").orElse(usual.marginMs());
         double answer = s.duration("answer").orElse(usual.answerMs());
         LeasePolicy policy = usual;
@@ -62,7 +62,7 @@
         Set<Integer> hashes = new HashSet<>();
         s.table("calls").ifPresent(all -> all.tables().forEach(t -> {
             String name = t.ownName();
-            if (!name.matches("[A-Za-z0-9._-]{1,64}") || !hashes.add(Leases.hash(name))) {
+            if (!name.matches("[A-Za-z0-9._-]{1,64}") || !hashes.add(LeaseManager.hash(name))) {
                 t.problem(null, "bad-name", "can't be the name of a task", "use letters, digits and . _ -, or another name");
             }
             List<InetSocketAddress> to = addresses(t, "to", false);
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -17,7 +17,6 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.Crew;
 import ridgemill.gateway.Service;
@@ -36,12 +35,13 @@
 import ridgemill.gateway.operator.OperatorConfig.Listener;
 import ridgemill.gateway.rollout.RolloutService;
 import ridgemill.gateway.succession.ServingMark;
-import ridgemill.limit.LoopShare;
-import ridgemill.idempotency.InMemoryIdempotencyStore;
 import ridgemill.idempotency.IdempotencyRecords;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.limit.LoopShare;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
-import ridgemill.version.Acting;
+import ridgemill.serviceclass.PlatformConstraints;
+import ridgemill.version.EffectiveVersion;
 
 /** A proxy that runs under an operator file, which may be read again while it serves. */
 public final class Operated {
@@ -302,8 +302,8 @@
         rollout = new RolloutService(service.loop(), leases, audit, service.intake()::counters, holds.rollout(),
                 config.peers().stream().map(LeaseSettings::number).toList(), config.settings().proxyIndex(), rolled);
         rollout.actsUnder(RolledFile.stamp(holds, shared), shared);
-        seats.get(0).gate.aside(rollout::isOut);
-        service.clients().aside(rollout::isOut);
+        seats.get(0).gate.aside(rollout::isOutOfService);
+        service.clients().aside(rollout::isOutOfService);
         service.mutes(audit::isOut);
         leases.mutes(audit::isOut);
         service.moreFigures(rollout::figures);
@@ -510,10 +510,10 @@
 
     /** Numbers only grow, and one number is one text: an old file that comes back, or a fork, is not taken. */
     private void checkVersion(OperatorConfig next) throws OperatorFileException {
-        Acting.Step step = new Acting("", "", holds.version(), holds.digest()).next(next.version(), next.digest());
-        if (step != Acting.Step.TAKEN) {
-            throw new OperatorFileException(List.of(new Problem(file, 0, 0, step == Acting.Step.OLDER ? "older-version" : "forked-version",
-                    step == Acting.Step.OLDER ? "version " + next.version() + " is older than " + holds.version() + ", which holds"
+        EffectiveVersion.Acceptance step = new EffectiveVersion("", "", holds.version(), holds.digest()).checkSuccessor(next.version(), next.digest());
+        if (step != EffectiveVersion.Acceptance.ACCEPTED) {
+            throw new OperatorFileException(List.of(new Problem(file, 0, 0, step == EffectiveVersion.Acceptance.OLDER ? "older-version" : "forked-version",
+                    step == EffectiveVersion.Acceptance.OLDER ? "version " + next.version() + " is older than " + holds.version() + ", which holds"
                     : "version " + next.version() + " holds already, with another text", "go back, too, by a higher version")));
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
@@ -16,8 +16,6 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import ridgemill.serviceclass.ServiceClassPolicy;
-import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.halls.HallSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
@@ -26,8 +24,10 @@
 import ridgemill.gateway.rollout.RolloutSettings;
 import ridgemill.limit.Limits;
 import ridgemill.route.RouteTable;
-import ridgemill.version.Acting;
-import ridgemill.version.Entry;
+import ridgemill.serviceclass.PlatformConstraints;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.version.AuditEntry;
+import ridgemill.version.EffectiveVersion;
 
 /**
  * Reads an operator file, in TOML 1.0, and checks all of it. Each section is read by a class of its own; a section that
@@ -68,12 +68,12 @@
     private static String digest(TomlParseResult parsed) {
         StringBuilder text = new StringBuilder();
         said(parsed).forEach((key, value) -> text.append(key).append('=').append(value).append('\n'));
-        return Entry.hash(text.toString());
+        return AuditEntry.hash(text.toString());
     }
 
     private static SortedMap<String, String> said(TomlParseResult parsed) {
         SortedMap<String, String> said = new TreeMap<>();
-        parsed.dottedKeySet().stream().filter(k -> Acting.OWN_SECTIONS.stream().noneMatch(s -> k.startsWith(s + "."))).forEach(k -> {
+        parsed.dottedKeySet().stream().filter(k -> EffectiveVersion.LOCAL_SECTIONS.stream().noneMatch(s -> k.startsWith(s + "."))).forEach(k -> {
             Object value = parsed.get(k);
             said.put(k, String.valueOf(value instanceof TomlArray a ? a.toJson() : value).strip());
         });
--- a/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Executor;
 import java.util.function.BooleanSupplier;
-import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.rollout.RolledText;
 import ridgemill.gateway.rollout.RolloutService;
-import ridgemill.rollout.Stamp.Acting;
-import ridgemill.rollout.Stamp;
+import ridgemill.rollout.FileFingerprint.FileVersion;
+import ridgemill.rollout.FileFingerprint;
+import ridgemill.serviceclass.PlatformConstraints;
 
 /**
  * A proxy's operator file as rolls change it: what comes from others is looked at beside what is this proxy's own, and is written to the
@@ -30,7 +30,7 @@
     }
 
     /** What operators ask to be rolled, and the way back, both found good. */
-    record Wanted(Stamp target, String targetText, Stamp back, String backText) { }
+    record Wanted(FileFingerprint target, String targetText, FileFingerprint back, String backText) { }
 
     private static final int MOST_PROBLEM = 64;
 
@@ -59,8 +59,8 @@
         return OperatorFile.parse(name, RolledText.with(shared, own()), platform);
     }
 
-    static Stamp stamp(OperatorConfig config, String shared) {
-        return Stamp.of((int) config.version(), AuditService.meaning(config.digest()), shared);
+    static FileFingerprint stamp(OperatorConfig config, String shared) {
+        return FileFingerprint.of((int) config.version(), AuditService.meaning(config.digest()), shared);
     }
 
     @Override
@@ -68,11 +68,11 @@
         return CompletableFuture.supplyAsync(() -> {
             try {
                 OperatorConfig config = parse("rolled", shared);
-                return new RolloutService.Found(new Acting((int) config.version(), AuditService.meaning(config.digest())), "");
+                return new RolloutService.Found(new FileVersion((int) config.version(), AuditService.meaning(config.digest())), "");
             } catch (OperatorFileException e) {
-                return new RolloutService.Found(new Acting(0, 0), brief(e));
+                return new RolloutService.Found(new FileVersion(0, 0), brief(e));
             } catch (IOException e) {
-                return new RolloutService.Found(new Acting(0, 0), "its own file can't be read");
+                return new RolloutService.Found(new FileVersion(0, 0), "its own file can't be read");
             }
         }, turns);
     }
@@ -121,8 +121,8 @@
     Wanted wanted(String path, String acting) throws OperatorFileException {
         try {
             String shared = RolledText.shared(Files.readString(Path.of(path)));
-            if (shared.length() > Stamp.MOST_BYTES / 2) {
-                throw refused(path, "too-large", "has more than " + Stamp.MOST_BYTES / 2 + " characters", "shorten it");
+            if (shared.length() > FileFingerprint.MAX_BYTES / 2) {
+                throw refused(path, "too-large", "has more than " + FileFingerprint.MAX_BYTES / 2 + " characters", "shorten it");
             }
             OperatorConfig target = parse(path, shared);
             String back = RolledText.numbered(acting, (int) target.version() + 1);
--- a/gateway/src/main/java/ridgemill/gateway/operator/RolloutSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/RolloutSection.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import ridgemill.gateway.rollout.RolloutSettings;
-import ridgemill.rollout.Aside.Bounds;
-import ridgemill.rollout.Aside.CutOff;
-import ridgemill.rollout.RollPolicy;
+import ridgemill.rollout.Quarantine.CutOffAction;
+import ridgemill.rollout.Quarantine.Limits;
+import ridgemill.rollout.RolloutPolicy;
 import ridgemill.version.FleetView;
 
 /** {@code [rollout]}: how a version goes through the fleet, and when a proxy steps aside. */
@@ -27,20 +27,20 @@
     }
 
     private static RolloutSettings settings(Section s) {
-        RollPolicy usual = RollPolicy.USUAL;
-        Bounds bounds = Bounds.USUAL;
-        double behind = s.duration("behind").orElse(bounds.behindMs());
-        double cutOffAfter = s.duration("cut-off-after").orElse(bounds.cutOffMs());
-        double mostOut = s.number("most-out", 0, MOST_OUT).orElse(bounds.mostOut());
-        CutOff cutOff = s.word("cut-off", List.of("serve", "step-aside")).map(w -> w.equals("serve") ? CutOff.SERVE : CutOff.STEP_ASIDE).orElse(bounds.cutOff());
-        Bounds said = new Bounds(behind, cutOffAfter, cutOff, mostOut, s.duration("stay").orElse(bounds.stayMs()));
+        RolloutPolicy usual = RolloutPolicy.DEFAULT;
+        Limits bounds = Limits.DEFAULT;
+        double behind = s.duration("behind").orElse(bounds.maxLagMs());
+        double cutOffAfter = s.duration("cut-off-after").orElse(bounds.cutOffAfterMs());
+        double mostOut = s.number("most-out", 0, MOST_OUT).orElse(bounds.maxOutShare());
+        CutOffAction cutOff = s.word("cut-off", List.of("serve", "step-aside")).map(w -> w.equals("serve") ? CutOffAction.SERVE : CutOffAction.STEP_ASIDE).orElse(bounds.cutOffAction());
+        Limits said = new Limits(behind, cutOffAfter, cutOff, mostOut, s.duration("stay").orElse(bounds.probationMs()));
         double out = Math.max(behind, FleetView.SILENT_MS + cutOffAfter) + SLACK_MS;
-        double judge = s.duration("judge").orElse(usual.judgeMs());
-        double patience = s.duration("patience").orElse(Math.max(usual.patienceMs(), 2 * (judge + out)));
-        RollPolicy policy = usual;
+        double judge = s.duration("judge").orElse(usual.observationMs());
+        double patience = s.duration("patience").orElse(Math.max(usual.stepTimeoutMs(), 2 * (judge + out)));
+        RolloutPolicy policy = usual;
         try {
-            policy = new RollPolicy(s.has("steps") ? shares(s) : usual.steps(), judge, s.count("samples", 0, MOST_SAMPLES).orElse(usual.samples()),
-                    s.number("worse", 0, 1).orElse(usual.worse()), mostOut, out, patience);
+            policy = new RolloutPolicy(s.has("steps") ? shares(s) : usual.steps(), judge, s.count("samples", 0, MOST_SAMPLES).orElse(usual.minSamples()),
+                    s.number("worse", 0, 1).orElse(usual.maxDegradation()), mostOut, out, patience);
         } catch (IllegalArgumentException e) {
             s.problem(s.has("steps") ? "steps" : null, "bad-roll", e.getMessage(), "write steps = [\"0%\", \"10%\", \"50%\", \"100%\"] and a patience over "
                     + "judge and " + (long) out + " ms, by which who is cut off has stepped aside");
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolledText.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolledText.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ridgemill.version.Acting;
+import ridgemill.version.EffectiveVersion;
 
 /**
  * An operator file's text as it goes from proxy to proxy: without the sections that are each proxy's own, which stay where they are.
@@ -31,7 +31,7 @@
         for (String line : text.split("\\R", -1)) {
             Matcher header = HEADER.matcher(line);
             if (header.matches()) {
-                in = Acting.OWN_SECTIONS.contains(header.group(1));
+                in = EffectiveVersion.LOCAL_SECTIONS.contains(header.group(1));
             }
             if (in == own && !(line.isEmpty() && part.isEmpty())) {
                 part.append(line).append('\n');
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
@@ -13,19 +13,19 @@
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.net.Log;
-import ridgemill.lease.Leases.Permit;
-import ridgemill.rollout.Aside;
-import ridgemill.rollout.Roll;
-import ridgemill.rollout.RollWire;
-import ridgemill.rollout.Stamp.Acting;
-import ridgemill.rollout.Stamp;
-import ridgemill.rollout.Word;
+import ridgemill.lease.LeaseManager.Permit;
+import ridgemill.rollout.FileFingerprint.FileVersion;
+import ridgemill.rollout.FileFingerprint;
+import ridgemill.rollout.Quarantine;
+import ridgemill.rollout.Rollout;
+import ridgemill.rollout.RolloutMessage;
+import ridgemill.rollout.RolloutWire;
 
 /**
- * One proxy's part in rolls. What it decides is {@link Roll}'s and {@link Aside}'s; this has the datagrams, the lease, and the file,
+ * One proxy's part in rolls. What it decides is {@link Rollout}'s and {@link Quarantine}'s; this has the datagrams, the lease, and the file,
  * which is looked at and taken elsewhere than on the loop. All calls are on the loop but where it is said.
  */
-public final class RolloutService implements LeaseService.Duty, Roll.Out {
+public final class RolloutService implements LeaseService.Duty, Rollout.Callbacks {
 
     /** The lease's name. */
     public static final String LEASE = "roll";
@@ -50,18 +50,18 @@
     }
 
     /** What a text was found to be; {@code problem} is empty for a good one. */
-    public record Found(Acting acting, String problem) { }
+    public record Found(FileVersion acting, String problem) { }
 
     private final EventLoop loop;
     private final LeaseService leases;
     private final AuditService audit;
     private final Supplier<RequestCounters> tally;
     private final Files files;
-    private final Roll roll;
-    private final Aside aside;
+    private final Rollout roll;
+    private final Quarantine aside;
     private final Map<Integer, Integer> members = new HashMap<>();
     private final List<Integer> numbers;
-    private Aside.Why before = Aside.Why.IN;
+    private Quarantine.Reason before = Quarantine.Reason.IN;
     private long changes;
 
     /** {@code members} are the lease's numbers of all proxies, in the order of the platform's peers; {@code self} is this one's place. */
@@ -76,42 +76,42 @@
         for (int i = 0; i < members.size(); i++) {
             this.members.put(members.get(i), i);
         }
-        this.roll = new Roll(self, members.size(), audit.record().incarnation(), leases.now(), settings.policy(), this);
-        this.aside = new Aside(self, members.size(), leases.now(), settings.bounds());
-        audit.tellOut(this::isOut);
-        leases.asideWhile(this::isOut);
+        this.roll = new Rollout(self, members.size(), audit.record().incarnation(), leases.now(), settings.policy(), this);
+        this.aside = new Quarantine(self, members.size(), leases.now(), settings.bounds());
+        audit.tellOut(this::isOutOfService);
+        leases.asideWhile(this::isOutOfService);
         leases.take(LEASE, this);
     }
 
     /** This proxy acts under a file whose shared text this is. */
-    public void actsUnder(Stamp stamp, String shared) {
-        roll.actsUnder(stamp, shared);
+    public void actsUnder(FileFingerprint stamp, String shared) {
+        roll.setInEffect(stamp, shared);
     }
 
     /** What this proxy acts under, as it goes from proxy to proxy. */
     public String actingText() {
-        return roll.actingText();
+        return roll.textInEffect();
     }
 
     @Override
     public boolean wants(double now) {
-        return roll.wants(now);
+        return roll.wantsLease(now);
     }
 
     @Override
     public double tick(double now, boolean holds) {
-        boolean led = roll.isLed(now, LED_MS);
-        aside.look(now, acting(), audit.others(), led);
-        if (aside.why() != before) {
-            before = aside.why();
+        boolean led = roll.isCoordinated(now, LED_MS);
+        aside.update(now, versionInEffect(), audit.others(), led);
+        if (aside.reason() != before) {
+            before = aside.reason();
             changes++;
-            Log.info("fleet: this proxy is " + (isOut() ? "out" : "in") + ": " + before);
+            Log.info("fleet: this proxy is " + (isOutOfService() ? "out" : "in") + ": " + before);
         }
-        return roll.tick(now, holds, electors(), aside.differs() && !led);
+        return roll.tick(now, holds, electors(), aside.differsFromFleet() && !led);
     }
 
     private boolean lags(double now) {
-        return aside.differs() && !roll.isLed(now, LED_MS);
+        return aside.differsFromFleet() && !roll.isCoordinated(now, LED_MS);
     }
 
     private List<Integer> electors() {
@@ -122,7 +122,7 @@
     public void heard(double now, int member, byte[] datagram) {
         Integer from = members.get(member);
         if (from != null) {
-            RollWire.decode(datagram).ifPresent(word -> roll.heard(now, from, word, lags(now)));
+            RolloutWire.decode(datagram).ifPresent(word -> roll.receive(now, from, word, lags(now)));
         }
     }
 
@@ -135,24 +135,24 @@
     }
 
     @Override
-    public void say(int to, Word word) {
-        leases.tellMember(numbers.get(to), RollWire.encode(word));
+    public void sendMessage(int to, RolloutMessage word) {
+        leases.tellMember(numbers.get(to), RolloutWire.encode(word));
     }
 
     @Override
-    public void check(Stamp stamp, String text) {
+    public void validate(FileFingerprint stamp, String text) {
         files.look(text).whenComplete((found, failed) -> loop.execute(() -> {
             String problem = failed != null ? "fault: " + failed.getMessage() : !found.problem().isEmpty() ? found.problem()
-                    : stamp.is(found.acting()) ? "" : "says that it is " + found.acting().text() + " and not " + stamp.text();
+                    : stamp.matches(found.acting()) ? "" : "says that it is " + found.acting().text() + " and not " + stamp.text();
             if (!problem.isEmpty()) {
-                audit.refused(stamp.file(), problem);
+                audit.refused(stamp.number(), problem);
             }
-            roll.checked(leases.now(), stamp, problem);
+            roll.validated(leases.now(), stamp, problem);
         }));
     }
 
     @Override
-    public void act(Stamp stamp, String text, double byMs, long term) {
+    public void apply(FileFingerprint stamp, String text, double byMs, long term) {
         boolean[] late = {false};
         files.take(text, () -> {
             late[0] = leases.now() > byMs;
@@ -160,51 +160,51 @@
         }, term > 0 ? "roll, term " + term : "brought up by others").whenComplete((said, failed) -> loop.execute(() -> {
             String problem = failed != null ? "fault: " + failed.getMessage() : said;
             changes += problem.isEmpty() ? 1 : 0;
-            roll.acted(leases.now(), stamp, problem, late[0]);
+            roll.applied(leases.now(), stamp, problem, late[0]);
         }));
     }
 
     @Override
-    public void says(String words) {
+    public void notifyOperators(String words) {
         Log.info("roll: " + words);
     }
 
     @Override
-    public Acting acting() {
+    public FileVersion versionInEffect() {
         return audit.acting();
     }
 
     @Override
-    public boolean isOut() {
-        return aside.isOut(leases.now());
+    public boolean isOutOfService() {
+        return aside.isOutOfService(leases.now());
     }
 
     @Override
-    public Roll.Counts counts() {
+    public Rollout.Counts counts() {
         RequestCounters t = tally.get();
-        return new Roll.Counts((int) t.served(), (int) (t.served() + t.refused() + t.failed()));
+        return new Rollout.Counts((int) t.served(), (int) (t.served() + t.refused() + t.failed()));
     }
 
     /** Begins a roll of a text that was found good, as was the way back; returns what came of it, in words. */
-    public String begin(Stamp target, String targetText, Stamp back, String backText) {
+    public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
         return leases.isElector(LEASE) ? roll.begin(target, targetText, back, backText)
                 : "no: this proxy can't hold the lease; ask one of " + leases.electorsText(LEASE);
     }
 
     /** Has the roll that is conducted here go back; returns what came of it, in words. */
     public String goBack() {
-        return roll.goBack();
+        return roll.rollBack();
     }
 
     /** How it goes, in words. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>(roll.explain());
-        lines.add("this proxy acts under " + acting().text() + " and is " + (isOut() ? "OUT" : "in") + ": " + aside.why());
+        lines.add("this proxy acts under " + versionInEffect().text() + " and is " + (isOutOfService() ? "OUT" : "in") + ": " + aside.reason());
         return lines;
     }
 
     /** Counts for the console. */
     public Map<String, Long> figures() {
-        return Map.of("fleet_out", isOut() ? 1L : 0L, "fleet_changes", changes, "roll_open", roll.isOpen() ? 1L : 0L);
+        return Map.of("fleet_out", isOutOfService() ? 1L : 0L, "fleet_changes", changes, "roll_open", roll.isInProgress() ? 1L : 0L);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
@@ -1,7 +1,7 @@
 package ridgemill.gateway.rollout;
 
-import ridgemill.rollout.Aside;
-import ridgemill.rollout.RollPolicy;
+import ridgemill.rollout.Quarantine;
+import ridgemill.rollout.RolloutPolicy;
 
 /**
  * What an operator file says of taking versions through the fleet.
@@ -9,4 +9,4 @@
  * @param policy how a roll goes
  * @param bounds when this proxy steps aside
  */
-public record RolloutSettings(RollPolicy policy, Aside.Bounds bounds) { }
+public record RolloutSettings(RolloutPolicy policy, Quarantine.Limits bounds) { }
--- a/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import ridgemill.gateway.succession.ServingMark;
-import ridgemill.succession.LeavePlan;
+import ridgemill.succession.ShutdownPlan;
 
 /** A successor listens beside the process that serves, and no connection notices. */
 @Timeout(Peer.PATIENCE_S)
 class UpgradeTest {
 
     private static final int CONNECTIONS = 60;
-    private static final LeavePlan SUCCEEDED = new LeavePlan(true, 0, 400, 1500);
+    private static final ShutdownPlan SUCCEEDED = new ShutdownPlan(true, 0, 400, 1500);
 
     private Site old;
     private Site next;
@@ -95,7 +95,7 @@
             old.service.between(() -> { });
             kept.write(old.get(Site.LONG_S));
             Peer.Message message = old.node.next();
-            assertTrue(Double.parseDouble(message.header("X-Budget")) <= SUCCEEDED.answerMs() / 1000, "it ends before its client's time");
+            assertTrue(Double.parseDouble(message.header("X-Budget")) <= SUCCEEDED.responseMs() / 1000, "it ends before its client's time");
             message.wire().answer(200, "v");
             assertEquals("close", new Peer.Message(kept.read(), kept).header("Connection"));
             assertNull(idle.read(), "closed in the end");
--- a/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ridgemill.serviceclass.PlatformConstraints;
-import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.PlatformLimits;
 import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router.WeightMode;
+import ridgemill.serviceclass.PlatformConstraints;
 
 /** What operators want rolled, and the way back. */
 class RolledFileTest {
@@ -41,9 +41,9 @@
         RolledFile file = rolled(next + OWN);
         RolledFile.Wanted wanted = file.wanted(directory.resolve("p0.toml").toString(), "version = 2\n[process]\nidle = \"7s\"\n");
         assertEquals(next, wanted.targetText());
-        assertEquals(4, wanted.target().file());
+        assertEquals(4, wanted.target().number());
         assertEquals("version = 5\n[process]\nidle = \"7s\"\n", wanted.backText());
-        assertEquals(5, wanted.back().file());
+        assertEquals(5, wanted.back().number());
     }
 
     @Test
--- a/lab/src/main/java/ridgemill/lab/fleet/LeaseModel.java
+++ b/lab/src/main/java/ridgemill/lab/fleet/LeaseModel.java
@@ -9,11 +9,11 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import ridgemill.lease.Electorates;
+import ridgemill.lease.LeaseManager;
 import ridgemill.lease.LeaseMessage;
 import ridgemill.lease.LeasePolicy;
 import ridgemill.lease.LeaseWire;
-import ridgemill.lease.Leases;
+import ridgemill.lease.VoterSets;
 
 /** A fleet of any size in passed-in time: the real leases of each proxy, and datagrams that take a while or are lost. */
 final class LeaseModel {
@@ -24,7 +24,7 @@
     private record Event(double at, long order, Runnable what) { }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
-    private final List<Leases> members = new ArrayList<>();
+    private final List<LeaseManager> members = new ArrayList<>();
     private final List<Map<Integer, List<LeaseMessage>>> outbox = new ArrayList<>();
     private final boolean[] dead;
     private final double[] dueAt;
@@ -42,18 +42,18 @@
         this.dead = new boolean[proxies];
         this.dueAt = new double[proxies];
         this.tasks = IntStream.range(0, leases).mapToObj(i -> "task-" + i).toList();
-        Electorates electorates = new Electorates(1, IntStream.range(0, proxies).boxed().toList(), List.of(), 5);
+        VoterSets electorates = new VoterSets(1, IntStream.range(0, proxies).boxed().toList(), List.of(), 5);
         for (int i = 0; i < proxies; i++) {
             int number = i;
             outbox.add(new LinkedHashMap<>());
-            members.add(new Leases(i, 1000 + i, policy, electorates, tasks, random.nextLong(), 0, new Leases.Out() {
+            members.add(new LeaseManager(i, 1000 + i, policy, electorates, tasks, random.nextLong(), 0, new LeaseManager.Callbacks() {
                 @Override
                 public void send(int to, LeaseMessage message) {
                     outbox.get(number).computeIfAbsent(to, t -> new ArrayList<>()).add(message);
                 }
 
                 @Override
-                public void changed(String task, String words) { }
+                public void statusChanged(String task, String words) { }
             }));
             step(number);
         }
@@ -89,7 +89,7 @@
 
     private void hear(int member, int from, byte[] datagram) {
         if (!dead[member]) {
-            LeaseWire.decode(datagram).forEach(m -> members.get(member).heard(now, from, m));
+            LeaseWire.decode(datagram).forEach(m -> members.get(member).receive(now, from, m));
             step(member);
         }
     }
--- a/lab/src/main/java/ridgemill/lab/fleet/LeasesMeasured.java
+++ b/lab/src/main/java/ridgemill/lab/fleet/LeasesMeasured.java
@@ -157,11 +157,11 @@
     public static void model(long seed) {
         for (int proxies : List.of(3, 15, 100)) {
             for (int leases : List.of(1, 10, 100)) {
-                LeaseModel.print(proxies, leases, LeasePolicy.USUAL, 0, leases < 100 ? 200 : 20, seed);
+                LeaseModel.print(proxies, leases, LeasePolicy.DEFAULT, 0, leases < 100 ? 200 : 20, seed);
             }
         }
-        LeaseModel.print(100, 10, LeasePolicy.USUAL, 0.1, 200, seed);
-        LeaseModel.print(100, 10, LeasePolicy.USUAL, 0.3, 200, seed);
+        LeaseModel.print(100, 10, LeasePolicy.DEFAULT, 0.1, 200, seed);
+        LeaseModel.print(100, 10, LeasePolicy.DEFAULT, 0.3, 200, seed);
     }
 
     /** Plays one timeline from a file, and prints what was done and seen. */
--- a/lab/src/test/java/ridgemill/lab/lease/LeaseMutantProcessesTest.java
+++ b/lab/src/test/java/ridgemill/lab/lease/LeaseMutantProcessesTest.java
@@ -39,7 +39,7 @@
     @MethodSource("mutants")
     void isFound(Mutant mutant) throws Exception {
         mutant.compile(LeaseMutants.SOURCES, classes);
-        assertTrue(Files.exists(classes.resolve("ridgemill/lease/Leases.class")));
+        assertTrue(Files.exists(classes.resolve("ridgemill/lease/LeaseManager.class")));
         // One alone is tried in CI, beside other tests.
         Times times = MUTANTS == 1 ? Times.QUICK : Times.TIGHT;
         int acts = 0;
--- a/lab/src/test/java/ridgemill/lab/lease/LeaseMutantsTest.java
+++ b/lab/src/test/java/ridgemill/lab/lease/LeaseMutantsTest.java
@@ -3,7 +3,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Tag;
 import ridgemill.lab.MutantsFound;
-import ridgemill.lease.Leases;
+import ridgemill.lease.LeaseManager;
 import ridgemill.testbed.mutants.Mutant;
 
 /** The plays that find nothing wrong with the module find each mutant of it. */
@@ -11,7 +11,7 @@
 class LeaseMutantsTest extends MutantsFound {
 
     LeaseMutantsTest() {
-        super(LeaseMutants.SOURCES, Leases.class, Proof.class);
+        super(LeaseMutants.SOURCES, LeaseManager.class, Proof.class);
     }
 
     static Stream<Mutant> mutants() {
--- a/lab/src/test/java/ridgemill/lab/lease/Proof.java
+++ b/lab/src/test/java/ridgemill/lab/lease/Proof.java
@@ -9,8 +9,8 @@
 import ridgemill.lab.lease.Explorer.Found;
 import ridgemill.lab.lease.World.Choice.Kind;
 import ridgemill.lab.lease.World.Setup;
-import ridgemill.lease.Electorates;
 import ridgemill.lease.LeasePolicy;
+import ridgemill.lease.VoterSets;
 
 /**
  * The plays by which the claim is tried, on whatever classes of the module it is loaded beside: {@link LeaseMutantsTest} loads it
@@ -21,14 +21,14 @@
     static final double LENGTH_MS = 100;
     static final double STEP_MS = 5;
     /** As much as a policy allows: the more two clocks differ, the more shows who does not reckon with it. */
-    static final double DRIFT = LeasePolicy.MOST_DRIFT;
+    static final double DRIFT = LeasePolicy.MAX_DRIFT;
     private static final double SLOW = 1 - DRIFT;
     private static final double FAST = 1 + DRIFT;
     private static final LeasePolicy POLICY = new LeasePolicy(LENGTH_MS, DRIFT, 15, 10);
     private static final LeasePolicy COARSE = new LeasePolicy(LENGTH_MS, 0.05, 20, 15);
 
-    private static Electorates all(int members) {
-        return new Electorates(1, numbers(0, members), List.of(), members);
+    private static VoterSets all(int members) {
+        return new VoterSets(1, numbers(0, members), List.of(), members);
     }
 
     static List<Integer> numbers(int from, int to) {
@@ -42,8 +42,8 @@
 
     /** The same with a fourth proxy, and electorates of which it takes the first one's place. */
     static Setup smallChanging(List<Double> rates, int stepsALease) {
-        Electorates first = new Electorates(1, numbers(0, 3), List.of(), 3);
-        return new Setup(4, 2, COARSE, List.of(first, new Electorates(2, numbers(1, 4), first.pool(), 3)), rates, List.of(), LENGTH_MS / stepsALease);
+        VoterSets first = new VoterSets(1, numbers(0, 3), List.of(), 3);
+        return new Setup(4, 2, COARSE, List.of(first, new VoterSets(2, numbers(1, 4), first.pool(), 3)), rates, List.of(), LENGTH_MS / stepsALease);
     }
 
     /** So many voters that all want the lease. */
@@ -53,17 +53,17 @@
 
     /** Electorates that change twice, by two members at a time, out of seven. */
     static Setup changing() {
-        Electorates first = new Electorates(1, numbers(0, 3), List.of(), 3);
-        Electorates second = new Electorates(2, numbers(2, 5), first.pool(), 3);
-        Electorates third = new Electorates(3, numbers(4, 7), second.pool(), 3);
+        VoterSets first = new VoterSets(1, numbers(0, 3), List.of(), 3);
+        VoterSets second = new VoterSets(2, numbers(2, 5), first.pool(), 3);
+        VoterSets third = new VoterSets(3, numbers(4, 7), second.pool(), 3);
         return new Setup(7, 7, POLICY, List.of(first, second, third), List.of(SLOW, FAST, 1.0, FAST, FAST, SLOW), List.of(), STEP_MS);
     }
 
     /** Electorates that change twice, by one member at a time, out of five. */
     static Setup oneByOne() {
-        Electorates first = new Electorates(1, numbers(0, 3), List.of(), 3);
-        Electorates second = new Electorates(2, numbers(1, 4), first.pool(), 3);
-        Electorates third = new Electorates(3, numbers(2, 5), second.pool(), 3);
+        VoterSets first = new VoterSets(1, numbers(0, 3), List.of(), 3);
+        VoterSets second = new VoterSets(2, numbers(1, 4), first.pool(), 3);
+        VoterSets third = new VoterSets(3, numbers(2, 5), second.pool(), 3);
         return new Setup(5, 5, POLICY, List.of(first, second, third), List.of(SLOW, FAST, 1.0, FAST, SLOW), List.of(), STEP_MS);
     }
 
--- a/lab/src/test/java/ridgemill/lab/lease/World.java
+++ b/lab/src/test/java/ridgemill/lab/lease/World.java
@@ -7,10 +7,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
-import ridgemill.lease.Electorates;
+import ridgemill.lease.LeaseManager;
 import ridgemill.lease.LeaseMessage;
 import ridgemill.lease.LeasePolicy;
-import ridgemill.lease.Leases;
+import ridgemill.lease.VoterSets;
 
 /**
  * Several proxies' real leases in passed-in time, where every delivery, loss, duplicate, tick, pause, restart, change of
@@ -33,7 +33,7 @@
      * @param aheadMs how far each one's clock is ahead
      * @param stepMs by how much a step moves the true time
      */
-    record Setup(int members, int candidates, LeasePolicy policy, List<Electorates> versions, List<Double> rates, List<Double> aheadMs,
+    record Setup(int members, int candidates, LeasePolicy policy, List<VoterSets> versions, List<Double> rates, List<Double> aheadMs,
                  double stepMs) { }
 
     /** One choice: what, and which proxy or message. */
@@ -50,7 +50,7 @@
     record Packet(int from, int to, LeaseMessage message, int sentAtStep, int sentByChoice) { }
 
     private final Setup setup;
-    private final Leases[] members;
+    private final LeaseManager[] members;
     private final boolean[] paused;
     private final int[] version;
     private final int[] starts;
@@ -61,7 +61,7 @@
     private int taken;
     private int lastMember = -1;
     private final double[] coveredUntil;
-    private final Leases.Permit[] out;
+    private final LeaseManager.Permit[] out;
     private final Map<Long, String> termOf = new HashMap<>();
     private long highestTerm;
     private final double[] forgetsUntil;
@@ -71,13 +71,13 @@
 
     World(Setup setup) {
         this.setup = setup;
-        members = new Leases[setup.members()];
+        members = new LeaseManager[setup.members()];
         paused = new boolean[setup.members()];
         version = new int[setup.members()];
         starts = new int[setup.members()];
         due = new double[setup.members()];
         coveredUntil = new double[setup.members()];
-        out = new Leases.Permit[setup.members()];
+        out = new LeaseManager.Permit[setup.members()];
         forgetsUntil = new double[setup.members()];
         Arrays.fill(coveredUntil, Double.NEGATIVE_INFINITY);
         for (int i = 0; i < setup.members(); i++) {
@@ -97,18 +97,18 @@
     /** A process begins; {@code since} is how long ago it did, for those that are there from the start. */
     private void start(int member, double since) {
         starts[member]++;
-        members[member] = new Leases(member, member * 100 + starts[member], setup.policy(), setup.versions().get(version[member]),
-                List.of(TASK), 7 * member + starts[member], clock(member) + since, new Leases.Out() {
+        members[member] = new LeaseManager(member, member * 100 + starts[member], setup.policy(), setup.versions().get(version[member]),
+                List.of(TASK), 7 * member + starts[member], clock(member) + since, new LeaseManager.Callbacks() {
                     @Override
                     public void send(int to, LeaseMessage message) {
                         net.add(new Packet(member, to, message, steps, taken));
                     }
 
                     @Override
-                    public void changed(String task, String words) { }
+                    public void statusChanged(String task, String words) { }
                 });
         if (member >= setup.candidates()) {
-            members[member].want(clock(member), TASK, false);
+            members[member].setWanted(clock(member), TASK, false);
         }
         due[member] = clock(member);
     }
@@ -188,7 +188,7 @@
             case DELIVER, DELIVER_AND_KEEP -> {
                 if (c.which() < net.size() && !paused[net.get(c.which()).to()]) {
                     Packet p = c.kind() == Choice.Kind.DELIVER ? net.remove(c.which()) : net.get(c.which());
-                    members[p.to()].heard(clock(p.to()), p.from(), p.message());
+                    members[p.to()].receive(clock(p.to()), p.from(), p.message());
                     due[p.to()] = clock(p.to());
                 }
             }
@@ -230,14 +230,14 @@
     private void forget(int member) {
         LeasePolicy policy = setup.policy();
         forgetsUntil[member] = now + 2 * policy.promiseMs() / (1 - policy.drift());
-        int voters = setup.versions().get(0).size();
-        tooManyForgot |= Arrays.stream(forgetsUntil).filter(until -> now < until).count() > voters - Electorates.majority(voters);
+        int voters = setup.versions().get(0).votersPerTask();
+        tooManyForgot |= Arrays.stream(forgetsUntil).filter(until -> now < until).count() > voters - VoterSets.majority(voters);
     }
 
     private void move(int member) {
         if (version[member] + 1 < setup.versions().size()) {
             version[member]++;
-            members[member].take(clock(member), setup.versions().get(version[member]));
+            members[member].changeVoterSets(clock(member), setup.versions().get(version[member]));
             due[member] = clock(member);
         }
     }
@@ -250,7 +250,7 @@
                 out[i] = null;
             }
             held |= out[i] != null && members[i].holds(clock(i), TASK);
-            Optional<Leases.Permit> permit = paused[i] || out[i] != null ? Optional.empty() : members[i].permit(clock(i), TASK, ACT_MS);
+            Optional<LeaseManager.Permit> permit = paused[i] || out[i] != null ? Optional.empty() : members[i].permit(clock(i), TASK, ACT_MS);
             if (permit.isEmpty()) {
                 continue;
             }
@@ -312,7 +312,7 @@
     String text() {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < members.length; i++) {
-            text.append(members[i].text(clock(i))).append(paused[i]).append(version[i]).append(starts[i]).append(due[i] <= clock(i))
+            text.append(members[i].stateText(clock(i))).append(paused[i]).append(version[i]).append(starts[i]).append(due[i] <= clock(i))
                     .append(Math.max(0, coveredUntil[i] - now)).append('/');
         }
         List<String> packets = new ArrayList<>();
--- a/lab/src/test/java/ridgemill/lab/rollout/RollWorld.java
+++ b/lab/src/test/java/ridgemill/lab/rollout/RollWorld.java
@@ -10,14 +10,14 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.stream.IntStream;
-import ridgemill.rollout.Aside;
+import ridgemill.rollout.FileFingerprint.FileVersion;
+import ridgemill.rollout.FileFingerprint;
 import ridgemill.rollout.Plan;
-import ridgemill.rollout.Roll;
-import ridgemill.rollout.RollPolicy;
-import ridgemill.rollout.RollWire;
-import ridgemill.rollout.Stamp.Acting;
-import ridgemill.rollout.Stamp;
-import ridgemill.rollout.Word;
+import ridgemill.rollout.Quarantine;
+import ridgemill.rollout.Rollout;
+import ridgemill.rollout.RolloutMessage;
+import ridgemill.rollout.RolloutPolicy;
+import ridgemill.rollout.RolloutWire;
 import ridgemill.version.FleetView;
 import ridgemill.version.Summary;
 
@@ -37,8 +37,8 @@
     private static final double OUT_MS = 18_000;
     private static final int REQUESTS = 3;
     private static final int TEXT = 700;
-    private static final RollPolicy POLICY = new RollPolicy(List.of(0.0, 0.5, 1.0), 1500, 40, 0.05, 0.34, OUT_MS, 45_000);
-    private static final Aside.Bounds BOUNDS = new Aside.Bounds(BEHIND_MS, CUT_OFF_MS, Aside.CutOff.STEP_ASIDE, 0.34, 1000);
+    private static final RolloutPolicy POLICY = new RolloutPolicy(List.of(0.0, 0.5, 1.0), 1500, 40, 0.05, 0.34, OUT_MS, 45_000);
+    private static final Quarantine.Limits BOUNDS = new Quarantine.Limits(BEHIND_MS, CUT_OFF_MS, Quarantine.CutOffAction.STEP_ASIDE, 0.34, 1000);
     /** A view of one's own may lag behind the truth: gossip, a look, a slow clock. */
     private static final double KNOWN_MS = 6000;
 
@@ -54,13 +54,13 @@
     private record Event(double at, long order, Runnable what) { }
 
     /** A text that operators gave a number. */
-    private record Text(Stamp stamp, String says, int content, boolean bad, int refusedBy) { }
+    private record Text(FileFingerprint stamp, String says, int content, boolean bad, int refusedBy) { }
 
-    private final class Proxy implements Roll.Out {
+    private final class Proxy implements Rollout.Callbacks {
         private final int number;
         private final double rate;
-        private Roll roll;
-        private Aside aside;
+        private Rollout roll;
+        private Quarantine aside;
         private FleetView view;
         private Text acts = texts.get(1);
         private Text disk = acts;
@@ -84,7 +84,7 @@
 
         /** Whether it is over what it was struck by, and acts as the fleet does. */
         boolean isWell() {
-            return now > struckUntil + SETTLED_MS && !isOut() && acts.stamp().file() >= complete;
+            return now > struckUntil + SETTLED_MS && !isOutOfService() && acts.stamp().number() >= complete;
         }
 
         double clock() {
@@ -101,24 +101,24 @@
             lastTerm = 0;
             incarnation = random.nextInt();
             summaries = 0;
-            roll = new Roll(number, proxies.size(), incarnation, clock(), POLICY, this);
-            roll.actsUnder(acts.stamp(), acts.says());
-            aside = new Aside(number, proxies.size(), clock(), BOUNDS);
+            roll = new Rollout(number, proxies.size(), incarnation, clock(), POLICY, this);
+            roll.setInEffect(acts.stamp(), acts.says());
+            aside = new Quarantine(number, proxies.size(), clock(), BOUNDS);
             view = new FleetView(number, proxies.size(), random.nextLong());
-            view.own(clock(), own());
+            view.updateOwn(clock(), own());
             turn(life);
             gossip(life);
         }
 
         private Summary own() {
-            return new Summary(number, incarnation, ++summaries, (long) startedAt, 1, 1, acts.stamp().file(), acts.stamp().meaning(), 0, 1, 1, ended,
-                    (long) served, 0, isOut(), 1, 0);
+            return new Summary(number, incarnation, ++summaries, (long) startedAt, 1, 1, acts.stamp().number(), acts.stamp().digest(), 0, 1, 1, ended,
+                    (long) served, 0, isOutOfService(), 1, 0);
         }
 
         private void gossip(int of) {
             act(of, () -> {
-                view.round(clock(), own()).forEach((to, g) -> send(number, to, () -> proxies.get(to).view.heard(proxies.get(to).clock(), g)));
-                at(now + FleetView.EVERY_MS, () -> gossip(of));
+                view.gossipRound(clock(), own()).forEach((to, g) -> send(number, to, () -> proxies.get(to).view.receive(proxies.get(to).clock(), g)));
+                at(now + FleetView.ROUND_INTERVAL_MS, () -> gossip(of));
             });
         }
 
@@ -126,8 +126,8 @@
         private void turn(int of) {
             act(of, () -> {
                 look();
-                double due = roll.tick(clock(), holds(), others(), aside.differs() && !roll.isLed(clock(), BEHIND_MS));
-                if (!isOut()) {
+                double due = roll.tick(clock(), holds(), others(), aside.differsFromFleet() && !roll.isCoordinated(clock(), BEHIND_MS));
+                if (!isOutOfService()) {
                     begin();
                 }
                 at(now + Math.max(5, Math.min(100, (due - clock()) / rate)), () -> turn(of));
@@ -135,14 +135,14 @@
         }
 
         private void look() {
-            List<Aside.Peer> peers = new ArrayList<>();
-            view.own(clock(), own());
-            for (FleetView.Standing s : view.standings(clock())) {
+            List<Quarantine.Peer> peers = new ArrayList<>();
+            view.updateOwn(clock(), own());
+            for (FleetView.MemberStatus s : view.statuses(clock())) {
                 if (s.summary() != null && s.member() != number) {
-                    peers.add(new Aside.Peer(s.member(), s.isCurrent() ? new Acting((int) s.summary().file(), s.summary().digest()) : null, FleetView.isAlive(s), s.summary().out()));
+                    peers.add(new Quarantine.Peer(s.member(), s.isCurrent() ? new FileVersion((int) s.summary().fileNumber(), s.summary().fileDigest()) : null, FleetView.isAlive(s), s.summary().outOfService()));
                 }
             }
-            aside.look(clock(), acting(), peers, roll.isLed(clock(), BEHIND_MS));
+            aside.update(clock(), versionInEffect(), peers, roll.isCoordinated(clock(), BEHIND_MS));
         }
 
         /** Requests begin under what it acts on. */
@@ -168,7 +168,7 @@
             List<Runnable> all = List.copyOf(waiting);
             waiting.clear();
             if (!dead) {
-                if (!isOut()) {
+                if (!isOutOfService()) {
                     begin();
                 }
                 all.forEach(Runnable::run);
@@ -185,26 +185,26 @@
 
         @Override
         public long term() {
-            return holds() && !isOut() ? term : 0;
+            return holds() && !isOutOfService() ? term : 0;
         }
 
         @Override
-        public void say(int to, Word word) {
-            byte[] datagram = RollWire.encode(word);
+        public void sendMessage(int to, RolloutMessage word) {
+            byte[] datagram = RolloutWire.encode(word);
             Proxy told = proxies.get(to);
-            if (word instanceof Word.Order o && o.what() == Plan.Way.FORWARD && now < faultsUntil && !o.stage().plan().target().is(told.acting())
+            if (word instanceof RolloutMessage.Order o && o.action() == Plan.Action.FORWARD && now < faultsUntil && !o.progress().plan().target().matches(told.versionInEffect())
                     && random.nextInt(10) == 0 && now >= told.pausedUntil && !told.dead && strikes(told)) {
                 // It is stopped as it is told, and hears of it when it goes on.
                 stop(told, now + 20_000 * random.nextDouble());
             }
             send(number, to, () -> {
                 Proxy p = proxies.get(to);
-                RollWire.decode(datagram).ifPresent(w -> p.roll.heard(p.clock(), number, w, p.aside.differs()));
+                RolloutWire.decode(datagram).ifPresent(w -> p.roll.receive(p.clock(), number, w, p.aside.differsFromFleet()));
             });
         }
 
         @Override
-        public void check(Stamp stamp, String text) {
+        public void validate(FileFingerprint stamp, String text) {
             int of = life;
             at(now + 30 * random.nextDouble(), () -> act(of, () -> {
                 Text known = find(stamp);
@@ -212,19 +212,19 @@
                 if (!whole) {
                     breaks("p" + number + " looks at a text that nobody wrote: " + stamp.text());
                 }
-                roll.checked(clock(), stamp, whole && known.refusedBy() != number ? "" : "line 3: it is not understood");
+                roll.validated(clock(), stamp, whole && known.refusedBy() != number ? "" : "line 3: it is not understood");
             }));
         }
 
         @Override
-        public void act(Stamp stamp, String text, double byMs, long under) {
+        public void apply(FileFingerprint stamp, String text, double byMs, long under) {
             int of = life;
             at(now + 20 * random.nextDouble(), () -> act(of, () -> {
                 if (trace) {
                     System.out.printf("%.0f p%d acts on %s, term %d%n", now, number, stamp.text(), under);
                 }
                 if (clock() > byMs) {
-                    roll.acted(clock(), stamp, "too late", true);
+                    roll.applied(clock(), stamp, "too late", true);
                     return;
                 }
                 Text next = find(stamp);
@@ -232,7 +232,7 @@
                     breaks("p" + number + " obeys term " + under + " after " + lastTerm);
                 }
                 lastTerm = Math.max(lastTerm, under);
-                if (next.stamp().file() <= acts.stamp().file()) {
+                if (next.stamp().number() <= acts.stamp().number()) {
                     breaks("p" + number + " goes from " + acts.stamp().text() + " to " + next.stamp().text());
                 }
                 if (next.refusedBy() == number) {
@@ -245,21 +245,21 @@
                 if (under > 0 && now > takenBack.getOrDefault(stamp, Double.POSITIVE_INFINITY) + LATE_MS) {
                     breaks("p" + number + " acts on " + stamp.text() + ", which was taken back at %.0f".formatted(takenBack.get(stamp)));
                 }
-                Text before = actedOn.putIfAbsent(next.stamp().file(), next);
+                Text before = actedOn.putIfAbsent(next.stamp().number(), next);
                 if (before != null && !before.equals(next)) {
-                    breaks("number " + next.stamp().file() + " stands for two texts");
+                    breaks("number " + next.stamp().number() + " stands for two texts");
                 }
                 acts = next;
                 if (random.nextInt(20) > 0) {
                     disk = next;
                 }
                 acted++;
-                roll.acted(clock(), stamp, "", false);
+                roll.applied(clock(), stamp, "", false);
             }));
         }
 
         @Override
-        public void says(String words) {
+        public void notifyOperators(String words) {
             if (trace) {
                 System.out.printf("%.0f p%d %s%n", now, number, words);
             }
@@ -267,23 +267,23 @@
                 completed(this);
             } else if (words.startsWith("back") || words.startsWith("given up")) {
                 backs += words.startsWith("back") ? 1 : 0;
-                takenBack.putIfAbsent(roll.conducts().target(), now);
+                takenBack.putIfAbsent(roll.coordinatedPlan().target(), now);
             }
         }
 
         @Override
-        public Acting acting() {
-            return new Acting(acts.stamp().file(), acts.stamp().meaning());
+        public FileVersion versionInEffect() {
+            return new FileVersion(acts.stamp().number(), acts.stamp().digest());
         }
 
         @Override
-        public boolean isOut() {
-            return aside.isOut(clock());
+        public boolean isOutOfService() {
+            return aside.isOutOfService(clock());
         }
 
         @Override
-        public Roll.Counts counts() {
-            return new Roll.Counts((int) served, ended);
+        public Rollout.Counts counts() {
+            return new Rollout.Counts((int) served, ended);
         }
     }
 
@@ -293,7 +293,7 @@
     private final Map<Integer, Text> texts = new TreeMap<>();
     private final List<Text> written = new ArrayList<>();
     private final Map<Integer, Text> actedOn = new HashMap<>();
-    private final Map<Stamp, Double> takenBack = new HashMap<>();
+    private final Map<FileFingerprint, Double> takenBack = new HashMap<>();
     private final Map<Long, Double> cutUntil = new HashMap<>();
     private final Set<Integer> struck = new HashSet<>();
     private final boolean faults;
@@ -327,13 +327,13 @@
     /** Operators write a text; two of one number may be written. */
     Text text(int file, int content, boolean bad, int refusedBy) {
         String says = ("file " + file + " content " + content + " " + random.nextLong() + " ").repeat(1 + random.nextInt(TEXT) / 20);
-        Text text = new Text(Stamp.of(file, content * 1_000_003L + file * 31L + written.size(), says), says, content, bad, refusedBy);
+        Text text = new Text(FileFingerprint.of(file, content * 1_000_003L + file * 31L + written.size(), says), says, content, bad, refusedBy);
         written.add(text);
         texts.putIfAbsent(file, text);
         return text;
     }
 
-    private Text find(Stamp stamp) {
+    private Text find(FileFingerprint stamp) {
         return written.stream().filter(t -> t.stamp().equals(stamp)).findFirst().orElse(null);
     }
 
@@ -388,7 +388,7 @@
     }
 
     private boolean wants(int i) {
-        return proxies.get(i).roll.wants(proxies.get(i).clock()) && !proxies.get(i).isOut();
+        return proxies.get(i).roll.wantsLease(proxies.get(i).clock()) && !proxies.get(i).isOutOfService();
     }
 
     private boolean hears(int i) {
@@ -402,9 +402,9 @@
     /** Someone says that all act on a version, but for those of which nothing is heard: these have stepped aside, then. */
     private void completed(Proxy by) {
         completes++;
-        complete = by.roll.conducts().target().file();
+        complete = by.roll.coordinatedPlan().target().number();
         completeAt = now;
-        Text text = find(by.roll.conducts().target());
+        Text text = find(by.roll.coordinatedPlan().target());
         if (text.bad()) {
             breaks("a version that serves fewer is complete");
         }
@@ -415,13 +415,13 @@
         if (now - p.startedAt < STARTED_MS) {
             return;
         }
-        if (p.acts.stamp().file() < complete && p.aside.why() != Aside.Why.TOO_MANY) {
+        if (p.acts.stamp().number() < complete && p.aside.reason() != Quarantine.Reason.TOO_MANY) {
             breaks("p" + p.number + " begins under " + p.acts.stamp().text() + ", and " + complete + " was complete at %.0f".formatted(completeAt) + " " + states()
-                    + p.view.standings(p.clock()));
+                    + p.view.statuses(p.clock()));
         }
         Set<Integer> contents = new HashSet<>();
         for (Proxy o : proxies) {
-            if (!o.dead && now >= o.pausedUntil && !o.isOut() && now - o.startedAt >= STARTED_MS && o.aside.why() != Aside.Why.TOO_MANY) {
+            if (!o.dead && now >= o.pausedUntil && !o.isOutOfService() && now - o.startedAt >= STARTED_MS && o.aside.reason() != Quarantine.Reason.TOO_MANY) {
                 contents.add(o.acts.content());
             }
         }
@@ -431,7 +431,7 @@
     }
 
     private boolean isAnyOpen() {
-        return proxies.stream().anyMatch(p -> p.roll.wants(p.clock()));
+        return proxies.stream().anyMatch(p -> p.roll.wantsLease(p.clock()));
     }
 
     /** Operators begin a roll, at times at two proxies at once, with one number and two texts. */
@@ -597,22 +597,22 @@
     private void settle() {
         double end = now + 120_000;
         String said = "";
-        while (broken == null && now < end && !proxies.stream().allMatch(p -> p.acts.stamp().file() >= nextFile)) {
+        while (broken == null && now < end && !proxies.stream().allMatch(p -> p.acts.stamp().number() >= nextFile)) {
             if (!isAnyOpen()) {
-                Proxy p = proxies.stream().filter(o -> !o.isOut()).findFirst().orElse(proxies.get(0));
+                Proxy p = proxies.stream().filter(o -> !o.isOutOfService()).findFirst().orElse(proxies.get(0));
                 said = begin(p, nextFile, false, -1);
             }
             run(now + 1000);
         }
         run(now + 30_000);
-        if (!proxies.stream().allMatch(p -> p.acts.stamp().file() >= nextFile && !p.isOut())) {
+        if (!proxies.stream().allMatch(p -> p.acts.stamp().number() >= nextFile && !p.isOutOfService())) {
             breaks("not all act as one: " + said + states());
         }
     }
 
     private String states() {
-        return "p" + holder + " holds " + (now < heldUntil) + proxies.stream().map(p -> "\n  p" + p.number + " " + p.acts.stamp().text() + " " + p.aside.why() + " "
-                + p.isOut() + " " + p.roll.wants(p.clock()) + " " + p.roll.explain()).toList();
+        return "p" + holder + " holds " + (now < heldUntil) + proxies.stream().map(p -> "\n  p" + p.number + " " + p.acts.stamp().text() + " " + p.aside.reason() + " "
+                + p.isOutOfService() + " " + p.roll.wantsLease(p.clock()) + " " + p.roll.explain()).toList();
     }
 
     int acted() {
