--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -51,15 +51,15 @@
     @Override
     void run() {
         double nowMs = context().now();
-        if (!service.admission().draw(nowMs, route().priorityLevel())) {
-            refuse(RefusalReason.ADMISSION, service.admission().waitMs());
+        if (!service.admission().tryAdmit(nowMs, route().priorityLevel())) {
+            refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
         leads = operations.lead(key, this);
         if (leads) {
             claim();
         } else {
-            timer = context().timers().at(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
+            timer = context().timers().scheduleAt(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
         }
     }
 
@@ -143,7 +143,7 @@
     private void busy() {
         double nextMs = context().now() + CLAIM_AGAIN_MS;
         if (nextMs < patienceEndMs()) {
-            timer = context().timers().at(nextMs, this::claim);
+            timer = context().timers().scheduleAt(nextMs, this::claim);
         } else {
             answerBusy();
             stopLeading(null);
@@ -199,7 +199,7 @@
         delivery.stopRepeating();
         lingers = true;
         context().countInFlight(1);
-        timer = context().timers().at(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
+        timer = context().timers().scheduleAt(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
             lingers = false;
             context().countInFlight(-1);
             delivery.cancel(true);
--- a/core/src/main/java/ridgemill/version/Era.java
+++ b/core/src/main/java/ridgemill/version/VersionPeriod.java
@@ -2,15 +2,15 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import ridgemill.core.Acts;
-import ridgemill.core.Tally.End;
+import ridgemill.core.RequestCounters.RequestResult;
+import ridgemill.core.VersionTracker;
 import ridgemill.policy.Reason;
 
 /** A stretch of time in which a process took requests under one version, and what became of those. Used by one thread. */
-public final class Era implements Acts.Under {
+public final class VersionPeriod implements VersionTracker.RequestVersion {
 
     private final long index;
-    private final Acting acting;
+    private final EffectiveVersion acting;
     private final double fromMs;
     private final String cause;
     private final String label;
@@ -19,7 +19,7 @@
     private long begun;
     private long attempts;
 
-    Era(long index, Acting acting, double fromMs, String cause, String label) {
+    VersionPeriod(long index, EffectiveVersion acting, double fromMs, String cause, String label) {
         this.label = label;
         this.index = index;
         this.acting = acting;
@@ -27,29 +27,29 @@
         this.cause = cause;
     }
 
-    /** A request was taken under it; {@link #ended} is owed. */
-    public void began() {
+    /** A request was taken under it; {@link #requestEnded} is owed. */
+    public void requestBegan() {
         begun++;
     }
 
     /** One of a class that was taken under it has ended so, now or long after. */
     @Override
-    public void ended(double nowMs, String service, End end, Reason why) {
-        ends.computeIfAbsent(service, s -> new long[End.values().length])[end.ordinal()]++;
+    public void requestEnded(double nowMs, String service, RequestResult end, Reason why) {
+        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()]++;
     }
 
     /** An attempt of such a request was written whole to a node. */
     @Override
-    public void wrote() {
+    public void attemptWritten() {
         attempts++;
     }
 
     @Override
-    public String label() {
+    public String versionLabel() {
         return label;
     }
 
-    void closed(double atMs) {
+    void close(double atMs) {
         untilMs = atMs;
     }
 
@@ -58,16 +58,16 @@
         return index;
     }
 
-    public Acting acting() {
+    public EffectiveVersion version() {
         return acting;
     }
 
-    public double fromMs() {
+    public double startMs() {
         return fromMs;
     }
 
     /** When the next began; NaN for the one that goes on. */
-    public double untilMs() {
+    public double endMs() {
         return untilMs;
     }
 
@@ -87,27 +87,27 @@
     }
 
     /** Requests of a class that ended so. */
-    public long of(String service, End end) {
+    public long count(String service, RequestResult end) {
         long[] of = ends.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
     /** Requests of all classes that ended so. */
-    public long of(End end) {
+    public long count(RequestResult end) {
         return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
     /** Requests that have no final answer yet. */
-    public long open() {
+    public long openRequests() {
         long over = 0;
-        for (End end : End.values()) {
-            over += of(end);
+        for (RequestResult end : RequestResult.values()) {
+            over += count(end);
         }
         return begun - over;
     }
 
     /** The classes of which requests have ended, in the order of their names. */
-    public Iterable<String> classes() {
+    public Iterable<String> classNames() {
         return ends.keySet();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/halls/HallFront.java
@@ -28,10 +28,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntSupplier;
-import ridgemill.core.Answer;
-import ridgemill.core.Client;
+import ridgemill.core.NodeResponse;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.core.Timers;
 import ridgemill.gateway.halls.HallWire.WireException;
@@ -39,9 +39,9 @@
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Targets;
 import ridgemill.gateway.net.Transport;
-import ridgemill.halls.Halls;
-import ridgemill.halls.Passing;
-import ridgemill.halls.TransitClock;
+import ridgemill.datacenter.DatacenterRouter;
+import ridgemill.datacenter.RoutedRequest;
+import ridgemill.datacenter.TransitDelayEstimator;
 import ridgemill.policy.Router.Request;
 import ridgemill.route.RouteQuery;
 
@@ -64,7 +64,7 @@
     private final Timers timers;
     private final Intake<Content> intake;
     private final HallCrossings crossings;
-    private final Halls halls;
+    private final DatacenterRouter halls;
     private final HallKeys keys;
     private final IntSupplier level;
     private final Set<Door> doors = new LinkedHashSet<>();
@@ -73,7 +73,7 @@
     private boolean stopped;
     private long expired;
 
-    HallFront(EventLoop loop, Timers timers, Intake<Content> intake, HallCrossings crossings, Halls halls, HallKeys keys,
+    HallFront(EventLoop loop, Timers timers, Intake<Content> intake, HallCrossings crossings, DatacenterRouter halls, HallKeys keys,
               IntSupplier level) {
         this.loop = loop;
         this.timers = timers;
@@ -140,7 +140,7 @@
     private final class Door extends HallConnection {
         private final Channel channel;
         private final Map<Http2FrameStream, In> open = new HashMap<>();
-        private final TransitClock transit = new TransitClock();
+        private final TransitDelayEstimator transit = new TransitDelayEstimator();
         private String hall;
         private String greeted;
         private String theirNonce;
@@ -217,7 +217,7 @@
                 return;
             }
             switch (kind) {
-                case HallWire.STATE -> answer(stream, HallWire.state(halls.tell(level.getAsInt(), leaving)), null);
+                case HallWire.STATE -> answer(stream, HallWire.state(halls.gatewayState(level.getAsInt(), leaving)), null);
                 case HallWire.KEY -> key(stream, h);
                 case HallWire.OUTCOME -> outcome(stream, h);
                 case HallWire.CALL -> {
@@ -249,13 +249,13 @@
                 if (!keys.hasKey()) {
                     known();
                 }
-                answer(stream, HallWire.status(200).set(HallWire.HALL, halls.policy().hall()).set(HallWire.NONCE, ourNonce)
-                        .set(HallWire.PROVES, keys.proof("answer", name, halls.policy().hall(), theirNonce, ourNonce)), null);
+                answer(stream, HallWire.status(200).set(HallWire.HALL, halls.policy().datacenter()).set(HallWire.NONCE, ourNonce)
+                        .set(HallWire.PROVES, keys.proof("answer", name, halls.policy().datacenter(), theirNonce, ourNonce)), null);
             }
         }
 
         private void proof(Http2FrameStream stream, Http2Headers h) {
-            String expected = greeted == null ? "" : keys.proof("ask", greeted, halls.policy().hall(), theirNonce, ourNonce);
+            String expected = greeted == null ? "" : keys.proof("ask", greeted, halls.policy().datacenter(), theirNonce, ourNonce);
             if (expected.isEmpty() || !HallKeys.isSame(String.valueOf(HallWire.text(h, HallWire.PROVES)), expected)) {
                 refuseDoor(stream, "it does not have the key");
                 return;
@@ -278,7 +278,7 @@
 
         private void key(Http2FrameStream stream, Http2Headers h) {
             try {
-                answer(stream, HallWire.word(halls.keyAsked(timers.now(), HallWire.askedKey(h), hall, HallWire.askedWindow(h))), null);
+                answer(stream, HallWire.word(halls.answerKeyQuery(timers.now(), HallWire.askedKey(h), hall, HallWire.askedWindow(h))), null);
             } catch (WireException e) {
                 answer(stream, HallWire.turnedAway(400, false, false, 0, Set.of()), null);
             }
@@ -287,7 +287,7 @@
         private void outcome(Http2FrameStream stream, Http2Headers h) {
             try {
                 // What this hall's gateway knows by itself: whoever asks asks all.
-                answer(stream, HallWire.known(intake.outcome(HallWire.askedKey(h), HallWire.askedTenant(h)), timers.now()), null);
+                answer(stream, HallWire.known(intake.findLocalOutcome(HallWire.askedKey(h), HallWire.askedTenant(h)), timers.now()), null);
             } catch (WireException e) {
                 answer(stream, HallWire.turnedAway(400, false, false, 0, Set.of()), null);
             }
@@ -337,7 +337,7 @@
     }
 
     /** One request of another hall, until its answer. */
-    private final class In implements Client<Content> {
+    private final class In implements ResponseHandler<Content> {
         private final Door door;
         private final Http2FrameStream stream;
         private final Http2Headers headers;
@@ -378,7 +378,7 @@
         }
 
         private void begin(HallWire.Call call) throws WireException {
-            if (!call.trail().halls().get(call.trail().halls().size() - 1).equals(door.hall)) {
+            if (!call.trail().datacenters().get(call.trail().datacenters().size() - 1).equals(door.hall)) {
                 throw new WireException("it does not come from where it says");
             }
             double left = call.leftMs() - excessMs - (timers.now() - sinceMs);
@@ -393,21 +393,21 @@
             }
             Command<Content> command = call.command();
             String path = Targets.path(command.target());
-            Gate.Entry entry = intake.enter(new Gate.Arrival(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
+            AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
                     name -> null), call.service(), call.again(), command.content().bytes().readableBytes(), left));
-            if (entry instanceof Gate.Refuse refuse) {
-                intake.turnedAway(call.service());
+            if (entry instanceof AdmissionController.Rejected refuse) {
+                intake.countRejected(call.service());
                 turnAway(429, false, refuse.retryAfterMs());
-            } else if (entry instanceof Gate.Go go) {
-                if (go.needsKey(command.write()) && command.idempotencyKey() == null) {
-                    intake.left(go, call.id());
+            } else if (entry instanceof AdmissionController.Admitted go) {
+                if (go.requiresIdempotencyKey(command.write()) && command.idempotencyKey() == null) {
+                    intake.withdraw(go, call.id());
                     turnAway(400, false, 0);
                     return;
                 }
                 id = call.id();
                 foreign.trail = call.trail();
                 crossings.foreign(id, foreign);
-                intake.request(go, new Request(id, go.service().name(), call.tenant(), Targets.hash(path), call.workMs(), go.budgetMs(),
+                intake.submit(go, new Request(id, go.service().name(), call.tenant(), Targets.hash(path), call.workMs(), go.budgetMs(),
                         command.write(), call.again()), command, this);
             } else {
                 turnAway(400, false, 0);
@@ -439,13 +439,13 @@
         }
 
         private void turnAway(int status, boolean mayHaveRun, double retryAfterMs) {
-            Passing passing = foreign.passing;
-            answer(HallWire.turnedAway(status, mayHaveRun, passing != null && passing.mayBeOut(), retryAfterMs,
-                    passing == null ? Set.of() : passing.entered()), null);
+            RoutedRequest passing = foreign.passing;
+            answer(HallWire.turnedAway(status, mayHaveRun, passing != null && passing.mayBeInProgress(), retryAfterMs,
+                    passing == null ? Set.of() : passing.enteredDatacenters()), null);
         }
 
         @Override
-        public void served(Answer<Content> answer) {
+        public void served(NodeResponse<Content> answer) {
             answer(HallWire.served(answer.content()), answer.content().bytes().retain());
         }
 
@@ -465,7 +465,7 @@
         }
 
         @Override
-        public void refusedUnproven(double retryAfterMs) {
+        public void refusedMayHaveRun(double retryAfterMs) {
             turnAway(503, true, retryAfterMs);
         }
 
