--- a/core/src/main/java/ridgemill/monitoring/BoundedConnections.java
+++ b/core/src/main/java/ridgemill/monitoring/BoundedConnections.java
@@ -4,35 +4,35 @@
 import java.util.Deque;
 
 /**
- * Callers of a console, of whom only so many may be there at a time: some say nothing, or half of what they want, and stay. The
- * oldest goes when one more comes.
+ * A bounded set of open connections to the operators' port. Clients may send nothing, or half a request, and stay
+ * connected; when the set is full, a new connection therefore replaces the oldest one.
  *
- * @param <T> a caller
+ * @param <T> the type of connections
  */
 public final class BoundedConnections<T> {
 
-    private final Deque<T> there = new ArrayDeque<>();
-    private final int most;
+    private final Deque<T> open = new ArrayDeque<>();
+    private final int maxOpen;
 
-    /** So many at most, at least 1. */
-    public BoundedConnections(int most) {
-        this.most = most;
+    /** Creates an empty set for at most that many connections, at least 1. */
+    public BoundedConnections(int maxOpen) {
+        this.maxOpen = maxOpen;
     }
 
-    /** Takes one in; returns who goes for it, or null. */
-    public T add(T caller) {
-        T goes = there.size() >= most ? there.pollFirst() : null;
-        there.addLast(caller);
-        return goes;
+    /** Adds a connection; returns the one that it replaces and that must be closed, or null. */
+    public T add(T connection) {
+        T replaced = open.size() >= maxOpen ? open.pollFirst() : null;
+        open.addLast(connection);
+        return replaced;
     }
 
-    /** One has gone. */
-    public void remove(T caller) {
-        there.remove(caller);
+    /** Removes a closed connection. */
+    public void remove(T connection) {
+        open.remove(connection);
     }
 
-    /** Those that are there. */
+    /** Number of open connections. */
     public int size() {
-        return there.size();
+        return open.size();
     }
 }
--- a/core/src/main/java/ridgemill/monitoring/ProxyMetrics.java
+++ b/core/src/main/java/ridgemill/monitoring/ProxyMetrics.java
@@ -8,37 +8,41 @@
 import ridgemill.core.RequestCounters.RequestResult;
 
 /**
- * What operators read of a proxy, counted since its start.
+ * The metrics of a proxy, counted since its start.
  *
- * @param served requests served, by class
- * @param refused requests refused, by class
- * @param failed requests that failed, by class
+ * @param served requests served, by service class
+ * @param refused requests refused, by service class
+ * @param failed requests that failed, by service class
  * @param sentAttempts attempts whose last byte was written to a node
- * @param inProgress requests that were taken and have no final answer yet
- * @param knownNodes cache nodes that the list names
- * @param excludedNodes those of them that get nothing now
- * @param extraCounts counts of what is on beside all this, by the names that operators know
+ * @param inProgress accepted requests without a final answer
+ * @param knownNodes number of cache nodes in the node list
+ * @param excludedNodes number of those that currently get no requests
+ * @param extraCounts counts of optional features, by the names that operators see
  */
-public record ProxyMetrics(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed, long sentAttempts,
-                      int inProgress, int knownNodes, int excludedNodes, Map<String, Long> extraCounts) {
+public record ProxyMetrics(Map<String, Long> served, Map<String, Long> refused, Map<String, Long> failed,
+                           long sentAttempts, int inProgress, int knownNodes, int excludedNodes,
+                           Map<String, Long> extraCounts) {
 
     /**
-     * Reads them off.
+     * Collects the metrics.
      *
-     * @param classes each has its figures, 0 where no request of it came
-     * @param nodes the cache nodes that the list names
-     * @param avoided whether the decisions avoid one
-     * @param more counts of what is on beside
+     * @param classes the service classes; each has its counts, 0 if it got no request
+     * @param nodes ids of the cache nodes in the node list
+     * @param excluded whether the router currently excludes a node
+     * @param extraCounts counts of optional features
      */
-    public static ProxyMetrics of(RequestCounters tally, Collection<String> classes, int inProgress, Collection<String> nodes,
-                             Predicate<String> avoided, Map<String, Long> more) {
-        return new ProxyMetrics(by(tally, classes, RequestResult.SERVED), by(tally, classes, RequestResult.REFUSED), by(tally, classes, RequestResult.FAILED),
-                tally.attemptsWritten(), inProgress, nodes.size(), (int) nodes.stream().filter(avoided).count(), more);
+    public static ProxyMetrics of(RequestCounters counters, Collection<String> classes, int inProgress,
+                                  Collection<String> nodes, Predicate<String> excluded, Map<String, Long> extraCounts) {
+        return new ProxyMetrics(countByClass(counters, classes, RequestResult.SERVED),
+                countByClass(counters, classes, RequestResult.REFUSED),
+                countByClass(counters, classes, RequestResult.FAILED), counters.attemptsWritten(), inProgress,
+                nodes.size(), (int) nodes.stream().filter(excluded).count(), extraCounts);
     }
 
-    private static Map<String, Long> by(RequestCounters tally, Collection<String> classes, RequestResult end) {
+    private static Map<String, Long> countByClass(RequestCounters counters, Collection<String> classes,
+                                                  RequestResult result) {
         Map<String, Long> counts = new TreeMap<>();
-        classes.forEach(c -> counts.put(c, tally.count(c, end)));
+        classes.forEach(c -> counts.put(c, counters.count(c, result)));
         return counts;
     }
 }
--- a/core/src/main/java/ridgemill/monitoring/Readiness.java
+++ b/core/src/main/java/ridgemill/monitoring/Readiness.java
@@ -1,38 +1,38 @@
 package ridgemill.monitoring;
 
-/** Where a process stands between its start and its end. It never goes back. */
+/** The phase of a process from its start to its end. A process never returns to an earlier phase. */
 public enum Readiness {
 
-    /** It has not asked for the list of nodes yet. */
+    /** The node list has not been requested yet. */
     STARTING(false, "starting"),
-    /** It has asked discovery, and runs its own path until that is quick. */
+    /** Service discovery has been asked; the process runs its own request path until the code is fast. */
     WARMING_UP(false, "warming up"),
-    /** It listens for clients, and waits for the list of nodes. */
+    /** The process listens for clients and waits for the node list. */
     WAITING_FOR_LIST(false, "waiting for the list of cache nodes"),
-    /** Clients may come. */
+    /** Client requests are accepted. */
     SERVING(true, "serving"),
-    /** It has been told to end: what it has is answered, and no more is wanted. */
+    /** The process is shutting down: it answers open requests and should get no new ones. */
     DRAINING(false, "draining");
 
     private final boolean serves;
-    private final String words;
+    private final String description;
 
-    Readiness(boolean serves, String words) {
+    Readiness(boolean serves, String description) {
         this.serves = serves;
-        this.words = words;
+        this.description = description;
     }
 
-    /** Whether clients may come. */
+    /** Whether client requests are accepted. */
     public boolean serves() {
         return serves;
     }
 
-    /** What an operator reads. */
+    /** The text that operators see. */
     public String description() {
-        return words;
+        return description;
     }
 
-    /** The later one of two: news of an earlier step that comes late changes nothing. */
+    /** The later of two phases: a late report of an earlier phase changes nothing. */
     public Readiness advanceTo(Readiness next) {
         return next.ordinal() > ordinal() ? next : this;
     }
--- a/core/src/main/java/ridgemill/monitoring/package-info.java
+++ b/core/src/main/java/ridgemill/monitoring/package-info.java
@@ -1,2 +1,2 @@
-/** What a proxy says of itself to those who run it: whether it serves, and its figures. Free of I/O, clocks and threads. */
+/** What a proxy reports to its operators: its readiness and its metrics. Uses no I/O, clocks or threads. */
 package ridgemill.monitoring;
--- a/core/src/main/java/ridgemill/route/Conditions.java
+++ b/core/src/main/java/ridgemill/route/Conditions.java
@@ -4,28 +4,29 @@
 import java.util.Optional;
 
 /**
- * What must hold of a request beside its path; all of it must.
+ * Conditions on a request beside its path, all of which must hold.
  *
  * @param method the operation, such as GET; null for any
  * @param tenant the tenant; null for any
- * @param headers values that headers must have, by lower-case name
- * @param keyRange the keys; null for any
+ * @param headers required header values by lower-case name
+ * @param keyRange range of the key; null for any
  */
 public record Conditions(String method, String tenant, Map<String, String> headers, KeyRange keyRange) {
 
-    /** Every request. */
+    /** No conditions: matches every request. */
     public static final Conditions NONE = new Conditions(null, null, Map.of(), null);
 
-    /** Keys from {@code from} up to and without {@code to}, in the order of their characters; null is without bound. */
+    /** Keys from {@code from} (inclusive) to {@code to} (exclusive), compared as strings; null means no bound. */
     public record KeyRange(String from, String to) {
 
+        /** Checks that the range is not empty. */
         public KeyRange {
             if (from != null && to != null && from.compareTo(to) >= 0) {
                 throw new IllegalArgumentException("no key is from " + from + " and before " + to);
             }
         }
 
-        /** Whether a key lies in it. */
+        /** Whether the range contains a key. */
         public boolean contains(String key) {
             return (from == null || key.compareTo(from) >= 0) && (to == null || key.compareTo(to) < 0);
         }
@@ -35,7 +36,7 @@
                     && (other.to == null || from == null || from.compareTo(other.to) < 0);
         }
 
-        /** A key that lies in both. */
+        /** A key in both of two overlapping ranges. */
         String commonKey(KeyRange other) {
             if (from == null) {
                 return other.from == null ? "" : other.from;
@@ -44,18 +45,19 @@
         }
     }
 
+    /** Copies the headers. */
     public Conditions {
         headers = Map.copyOf(headers);
     }
 
-    /** Whether a request meets them. */
-    public boolean matches(RouteQuery q) {
-        if (method != null && !method.equals(q.method()) || tenant != null && !tenant.equals(q.tenant())
-                || keyRange != null && !keyRange.contains(q.key())) {
+    /** Whether a request meets all conditions. */
+    public boolean matches(RouteQuery query) {
+        if (method != null && !method.equals(query.method()) || tenant != null && !tenant.equals(query.tenant())
+                || keyRange != null && !keyRange.contains(query.key())) {
             return false;
         }
-        for (Map.Entry<String, String> wanted : headers.entrySet()) {
-            if (!wanted.getValue().equals(q.header(wanted.getKey()))) {
+        for (Map.Entry<String, String> required : headers.entrySet()) {
+            if (!required.getValue().equals(query.header(required.getKey()))) {
                 return false;
             }
         }
@@ -63,8 +65,8 @@
     }
 
     /**
-     * Which of two sets of conditions is the more specific: positive if this one is. In this order: one that names a
-     * tenant; one that bounds keys; one that asks for more headers; one that names a method.
+     * Compares the specificity of two sets of conditions: positive if this one is more specific. Decided in this order
+     * by: a tenant; a key range; the number of headers; a method.
      */
     public int compareSpecificity(Conditions other) {
         int byTenant = Boolean.compare(tenant != null, other.tenant != null);
@@ -74,13 +76,13 @@
         return byTenant != 0 ? byTenant : byKeys != 0 ? byKeys : byHeaders != 0 ? byHeaders : byMethod;
     }
 
-    /** Whether some request may meet both. */
+    /** Whether some request meets both sets of conditions. */
     public boolean overlaps(Conditions other) {
-        boolean methods = method == null || other.method == null || method.equals(other.method);
-        boolean tenants = tenant == null || other.tenant == null || tenant.equals(other.tenant);
-        boolean ranges = keyRange == null || other.keyRange == null || keyRange.overlaps(other.keyRange);
-        boolean common = headers.entrySet().stream().allMatch(h -> Optional.ofNullable(other.headers.get(h.getKey()))
-                .map(v -> v.equals(h.getValue())).orElse(true));
-        return methods && tenants && ranges && common;
+        boolean methodsOverlap = method == null || other.method == null || method.equals(other.method);
+        boolean tenantsOverlap = tenant == null || other.tenant == null || tenant.equals(other.tenant);
+        boolean keysOverlap = keyRange == null || other.keyRange == null || keyRange.overlaps(other.keyRange);
+        boolean headersOverlap = headers.entrySet().stream().allMatch(h ->
+                Optional.ofNullable(other.headers.get(h.getKey())).map(v -> v.equals(h.getValue())).orElse(true));
+        return methodsOverlap && tenantsOverlap && keysOverlap && headersOverlap;
     }
 }
--- a/core/src/main/java/ridgemill/route/PathPattern.java
+++ b/core/src/main/java/ridgemill/route/PathPattern.java
@@ -4,31 +4,36 @@
 import java.util.List;
 
 /**
- * The paths that a route takes, segment by segment; {@code /} parts segments and a segment may be empty, as in RFC 3986,
- * section 3.3.
+ * A pattern of paths, compared segment by segment. Segments are separated by {@code /} and may be empty, as in
+ * RFC 3986, section 3.3.
  *
  * <ul>
- *   <li>{@code /api/up} is that path alone;
- *   <li>{@code /api/{meter}/balance} has any one non-empty segment in place of {@code {meter}};
- *   <li>{@code /api/**} is {@code /api} and every path below it.
+ *   <li>{@code /api/up} matches only that path;
+ *   <li>{@code /api/{meter}/balance} matches any one non-empty segment in place of {@code {meter}};
+ *   <li>{@code /api/**} matches {@code /api} and every path below it.
  * </ul>
  *
- * @param text as it was written
- * @param segments literals, and {@code null} for any one segment
- * @param prefix whether every path below is taken too
+ * @param text the pattern as written
+ * @param segments literals, or {@code null} for any one non-empty segment
+ * @param prefix whether the pattern also matches every path below
  */
 public record PathPattern(String text, List<String> segments, boolean prefix) {
 
-    /** More segments than this are no path that anyone means. */
+    /** Maximum number of segments; longer patterns are taken for mistakes. */
     public static final int MAX_SEGMENTS = 32;
-    private static final String BELOW = "**";
+    private static final String PREFIX_SUFFIX = "**";
 
+    /** Copies the segments. */
     public PathPattern {
-        // List.copyOf refuses the null that stands for any segment.
+        // List.copyOf does not accept the null elements.
         segments = java.util.Collections.unmodifiableList(new ArrayList<>(segments));
     }
 
-    /** Reads a pattern; throws {@link IllegalArgumentException} with the reason where it is none. */
+    /**
+     * Parses a pattern.
+     *
+     * @throws IllegalArgumentException with the reason, if the text is not a pattern
+     */
     public static PathPattern parse(String text) {
         if (!text.startsWith("/")) {
             throw new IllegalArgumentException("a path begins with /: " + text);
@@ -37,24 +42,25 @@
             throw new IllegalArgumentException("a path has no query and no fragment: " + text);
         }
         List<String> parts = split(text);
-        boolean open = parts.get(parts.size() - 1).equals(BELOW);
+        boolean prefix = parts.get(parts.size() - 1).equals(PREFIX_SUFFIX);
         List<String> segments = new ArrayList<>();
-        for (String part : open ? parts.subList(0, parts.size() - 1) : parts) {
-            segments.add(segment(part, text));
+        for (String part : prefix ? parts.subList(0, parts.size() - 1) : parts) {
+            segments.add(parseSegment(part, text));
         }
         if (segments.size() > MAX_SEGMENTS) {
             throw new IllegalArgumentException("more than " + MAX_SEGMENTS + " segments: " + text);
         }
-        return new PathPattern(text, segments, open);
+        return new PathPattern(text, segments, prefix);
     }
 
-    private static String segment(String part, String text) {
-        boolean named = part.startsWith("{") && part.endsWith("}") && part.length() > 2;
-        if (named) {
+    private static String parseSegment(String part, String text) {
+        boolean isTemplate = part.startsWith("{") && part.endsWith("}") && part.length() > 2;
+        if (isTemplate) {
             return null;
         }
         if (part.indexOf('{') >= 0 || part.indexOf('}') >= 0 || part.indexOf('*') >= 0) {
-            throw new IllegalArgumentException("a segment is a literal, {name}, or ** at the end, not " + part + ": " + text);
+            throw new IllegalArgumentException(
+                    "a segment is a literal, {name}, or ** at the end, not " + part + ": " + text);
         }
         return part;
     }
@@ -71,22 +77,22 @@
         return parts;
     }
 
-    /** Whether a path is one of these; the slow way, by which the compiled table is checked. */
+    /** Whether a path matches. Slower than {@link RouteTable}, whose results tests compare with this. */
     public boolean matches(String path) {
         List<String> parts = split(path);
         if (prefix ? parts.size() < segments.size() : parts.size() != segments.size()) {
             return false;
         }
         for (int i = 0; i < segments.size(); i++) {
-            String wanted = segments.get(i);
-            if (wanted == null ? parts.get(i).isEmpty() : !wanted.equals(parts.get(i))) {
+            String expected = segments.get(i);
+            if (expected == null ? parts.get(i).isEmpty() : !expected.equals(parts.get(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A path that it takes. */
+    /** An example of a path that matches. */
     public String example() {
         StringBuilder path = new StringBuilder();
         for (String segment : segments) {
@@ -96,8 +102,9 @@
     }
 
     /**
-     * Which of two patterns that take one path is the more specific: positive if this one is. At the first segment in
-     * which they differ a literal goes before any segment; a longer one before a shorter; a closed one before an open.
+     * Compares the specificity of two patterns that match the same path: positive if this one is more specific. At the
+     * first segment where they differ a literal wins over a template; then a longer pattern over a shorter one; then a
+     * pattern without {@code **} over one with it.
      */
     public int compareSpecificity(PathPattern other) {
         int common = Math.min(segments.size(), other.segments.size());
@@ -113,17 +120,18 @@
         return Boolean.compare(other.prefix, prefix);
     }
 
-    /** Whether some path is taken by both. */
+    /** Whether some path matches both patterns. */
     public boolean overlaps(PathPattern other) {
         int common = Math.min(segments.size(), other.segments.size());
         for (int i = 0; i < common; i++) {
             String a = segments.get(i);
             String b = other.segments.get(i);
-            boolean apart = a == null ? b != null && b.isEmpty() : b == null ? a.isEmpty() : !a.equals(b);
-            if (apart) {
+            boolean disjoint = a == null ? b != null && b.isEmpty() : b == null ? a.isEmpty() : !a.equals(b);
+            if (disjoint) {
                 return false;
             }
         }
-        return segments.size() == other.segments.size() || (segments.size() < other.segments.size() ? prefix : other.prefix);
+        return segments.size() == other.segments.size()
+                || (segments.size() < other.segments.size() ? prefix : other.prefix);
     }
 }
--- a/core/src/main/java/ridgemill/route/Route.java
+++ b/core/src/main/java/ridgemill/route/Route.java
@@ -1,40 +1,41 @@
 package ridgemill.route;
 
 /**
- * One way for requests to go.
+ * A route: a pattern and conditions that select requests, and their target.
  *
- * @param name as the operator calls it, unique in its table
- * @param pathPattern the paths that it takes
- * @param conditions what must hold beside the path
- * @param target where it leads; opaque here
+ * @param name name given by the operator, unique within a table
+ * @param pathPattern the paths that it matches
+ * @param conditions further conditions on the request
+ * @param target where matching requests are sent; opaque to this package
  * @param <T> the type of targets
  */
 public record Route<T>(String name, PathPattern pathPattern, Conditions conditions, T target) {
 
-    /** Whether it takes a request. */
-    public boolean matches(RouteQuery q) {
-        return pathPattern.matches(q.path()) && conditions.matches(q);
+    /** Whether the route matches a request. */
+    public boolean matches(RouteQuery query) {
+        return pathPattern.matches(query.path()) && conditions.matches(query);
     }
 
     /**
-     * Which of two routes that take one request wins: positive if this one does, 0 if neither does. The more specific
-     * path first; where these are equal, the more specific conditions.
+     * Compares the specificity of two routes that match the same request: positive if this one is more specific, 0 if
+     * both are equal. The path pattern decides first, then the conditions.
      */
     public int compareSpecificity(Route<?> other) {
         int byPath = pathPattern.compareSpecificity(other.pathPattern);
         return byPath != 0 ? byPath : conditions.compareSpecificity(other.conditions);
     }
 
-    /** Whether some request is taken by both and neither wins. */
+    /** Whether both routes match some request and neither is more specific. */
     public boolean conflictsWith(Route<?> other) {
-        return compareSpecificity(other) == 0 && pathPattern.overlaps(other.pathPattern) && conditions.overlaps(other.conditions);
+        return compareSpecificity(other) == 0 && pathPattern.overlaps(other.pathPattern)
+                && conditions.overlaps(other.conditions);
     }
 
-    /** A request that both of two routes that conflict take, in words that an operator can try. */
+    /** An example of a request that both of two conflicting routes match, as text for operators. */
     public String conflictExample(Route<?> other) {
         Conditions a = conditions;
         Conditions b = other.conditions;
-        String path = both(pathPattern, other.pathPattern);
+        String path = overlapPath(pathPattern, other.pathPattern);
         if (a.keyRange() != null && b.keyRange() != null) {
             path = path.substring(0, path.lastIndexOf('/') + 1) + a.keyRange().commonKey(b.keyRange());
         }
@@ -49,7 +50,7 @@
         return text.toString();
     }
 
-    private static String both(PathPattern a, PathPattern b) {
+    private static String overlapPath(PathPattern a, PathPattern b) {
         PathPattern longer = a.segments().size() >= b.segments().size() ? a : b;
         PathPattern shorter = longer == a ? b : a;
         StringBuilder path = new StringBuilder();
--- a/core/src/main/java/ridgemill/route/RouteTable.java
+++ b/core/src/main/java/ridgemill/route/RouteTable.java
@@ -13,81 +13,81 @@
 import java.util.Set;
 
 /**
- * Routes compiled for matching. A look-up takes one step in a hash table for each segment of the path, however many
- * routes there are: the tree of patterns is made deterministic as subsets of its nodes, as a regular expression is, so
- * that there is never a second branch to try.
+ * Routes compiled for matching. A lookup takes one hash table access per path segment, independent of the number of
+ * routes: the tree of patterns is converted to a deterministic automaton whose states are sets of tree nodes (subset
+ * construction, as for regular expressions), so that a lookup never backtracks.
  *
- * <p>Immutable, so a running proxy may swap one for another between two requests.
+ * <p>Immutable, so that a running proxy can replace its table between two requests.
  *
  * @param <T> the type of the routes' targets
  */
 public final class RouteTable<T> {
 
-    /** Past so many places a table is refused: templates that cross one another at many levels multiply. */
-    static final int MAX_PLACES = 500_000;
+    /** Maximum number of states: templates that overlap at many levels multiply them. */
+    static final int MAX_STATES = 500_000;
 
-    /** Two routes that take one request, where neither wins, and such a request. */
+    /** Two routes of equal specificity that match the same request, and an example of such a request. */
     public record Conflict<T>(Route<T> first, Route<T> second, String example) { }
 
-    /** A node of the tree of patterns. */
-    private static final class Node<T> {
-        private final Map<String, Node<T>> literals = new LinkedHashMap<>();
-        private Node<T> any;
-        private final List<Route<T>> closed = new ArrayList<>();
-        private final List<Route<T>> open = new ArrayList<>();
+    /** A node of the tree of patterns, with the routes whose patterns end here. */
+    private static final class PatternNode<T> {
+        private final Map<String, PatternNode<T>> literals = new LinkedHashMap<>();
+        private PatternNode<T> wildcard;
+        private final List<Route<T>> exactRoutes = new ArrayList<>();
+        private final List<Route<T>> prefixRoutes = new ArrayList<>();
     }
 
-    /** Where a path may have got to; what it may go on to; and the routes that take it if it ends here or falls off. */
-    private static final class Place<T> {
-        private Map<String, Place<T>> literals = Map.of();
-        private Place<T> any;
-        private Candidates<T> ending;
-        private Candidates<T> below;
+    /** A state of the automaton: its transitions, and the matching routes if the path ends here or goes further. */
+    private static final class MatchState<T> {
+        private Map<String, MatchState<T>> literals = Map.of();
+        private MatchState<T> wildcard;
+        private Candidates<T> matchesAtEnd;
+        private Candidates<T> matchesBelow;
     }
 
-    /** Routes that take one path, by tenant, the more specific first. */
+    /** Routes that match a path, by tenant, sorted by descending specificity. */
     private static final class Candidates<T> {
-        private final Map<String, List<Route<T>>> ofTenant;
-        private final List<Route<T>> ofAny;
+        private final Map<String, List<Route<T>>> byTenant;
+        private final List<Route<T>> anyTenant;
 
         Candidates(Collection<Route<T>> routes) {
-            Map<String, List<Route<T>>> named = new HashMap<>();
+            Map<String, List<Route<T>>> ofTenants = new HashMap<>();
             List<Route<T>> common = new ArrayList<>();
             for (Route<T> route : routes) {
                 String tenant = route.conditions().tenant();
-                (tenant == null ? common : named.computeIfAbsent(tenant, t -> new ArrayList<>())).add(route);
+                (tenant == null ? common : ofTenants.computeIfAbsent(tenant, t -> new ArrayList<>())).add(route);
             }
-            Comparator<Route<T>> winnerFirst = (a, b) -> b.compareSpecificity(a);
-            common.sort(winnerFirst);
-            named.values().forEach(list -> list.sort(winnerFirst));
-            // Compact copies: with many routes a look-up waits for memory and for little else.
-            ofAny = List.copyOf(common);
-            ofTenant = Map.copyOf(named);
+            Comparator<Route<T>> mostSpecificFirst = (a, b) -> b.compareSpecificity(a);
+            common.sort(mostSpecificFirst);
+            ofTenants.values().forEach(list -> list.sort(mostSpecificFirst));
+            // Compact copies, as memory access dominates the time of a lookup with many routes.
+            anyTenant = List.copyOf(common);
+            byTenant = Map.copyOf(ofTenants);
         }
 
-        Route<T> best(RouteQuery q) {
-            Route<T> own = ofTenant.isEmpty() || q.tenant() == null ? null
-                    : first(ofTenant.getOrDefault(q.tenant(), List.of()), q);
-            Route<T> common = first(ofAny, q);
-            return own == null || common != null && common.compareSpecificity(own) > 0 ? common : own;
+        Route<T> bestMatch(RouteQuery query) {
+            Route<T> ofTenant = byTenant.isEmpty() || query.tenant() == null ? null
+                    : firstMatch(byTenant.getOrDefault(query.tenant(), List.of()), query);
+            Route<T> common = firstMatch(anyTenant, query);
+            return ofTenant == null || common != null && common.compareSpecificity(ofTenant) > 0 ? common : ofTenant;
         }
 
-        private Route<T> first(List<Route<T>> routes, RouteQuery q) {
+        private Route<T> firstMatch(List<Route<T>> routes, RouteQuery query) {
             for (Route<T> route : routes) {
-                if (route.conditions().matches(q)) {
+                if (route.conditions().matches(query)) {
                     return route;
                 }
             }
             return null;
         }
 
-        void conflicts(Set<Conflict<T>> found, Set<List<String>> seen) {
-            conflicts(ofAny, found, seen);
-            ofTenant.values().forEach(list -> conflicts(list, found, seen));
+        void collectConflicts(Set<Conflict<T>> found, Set<List<String>> seen) {
+            collectConflicts(anyTenant, found, seen);
+            byTenant.values().forEach(list -> collectConflicts(list, found, seen));
         }
 
-        /** Equals stand side by side in the order, so only a run of them needs to be compared pair by pair. */
-        private void conflicts(List<Route<T>> sorted, Set<Conflict<T>> found, Set<List<String>> seen) {
+        /** Routes of equal specificity are adjacent, so that only those need to be compared pairwise. */
+        private void collectConflicts(List<Route<T>> sorted, Set<Conflict<T>> found, Set<List<String>> seen) {
             for (int i = 0; i < sorted.size(); i++) {
                 Route<T> a = sorted.get(i);
                 for (int j = i + 1; j < sorted.size() && a.compareSpecificity(sorted.get(j)) == 0; j++) {
@@ -100,108 +100,114 @@
         }
     }
 
-    /** A subset of the tree's nodes, and the open routes that were passed on the way to it. */
-    private record Subset<T>(List<Node<T>> nodes, Set<Route<T>> passed) { }
+    /** A set of tree nodes, and the prefix routes that were passed on the way to it. */
+    private record NodeSet<T>(List<PatternNode<T>> nodes, Set<Route<T>> passedPrefixRoutes) { }
 
-    private final Place<T> root;
+    private final MatchState<T> root;
     private final List<Route<T>> routes;
     private final List<Conflict<T>> conflicts;
 
-    /** Compiles routes; {@link #conflicts} tells which can't be told apart. */
+    /**
+     * Compiles routes. {@link #conflicts} returns the pairs that the order of specificity does not decide.
+     *
+     * @throws IllegalArgumentException if the routes need too many states
+     */
     public RouteTable(List<Route<T>> routes) {
         this.routes = List.copyOf(routes);
-        Node<T> tree = new Node<>();
-        this.routes.forEach(route -> plant(tree, route));
-        Map<Subset<T>, Place<T>> places = new HashMap<>();
-        root = place(new Subset<>(List.of(tree), Set.of()), places, new HashMap<>());
+        PatternNode<T> tree = new PatternNode<>();
+        this.routes.forEach(route -> insert(tree, route));
+        Map<NodeSet<T>, MatchState<T>> states = new HashMap<>();
+        root = buildState(new NodeSet<>(List.of(tree), Set.of()), states, new HashMap<>());
         Set<Conflict<T>> found = new LinkedHashSet<>();
         Set<List<String>> seen = new HashSet<>();
-        places.values().forEach(p -> {
-            p.ending.conflicts(found, seen);
-            p.below.conflicts(found, seen);
+        states.values().forEach(s -> {
+            s.matchesAtEnd.collectConflicts(found, seen);
+            s.matchesBelow.collectConflicts(found, seen);
         });
         Map<String, Integer> order = new HashMap<>();
         this.routes.forEach(r -> order.putIfAbsent(r.name(), order.size()));
-        conflicts = found.stream().sorted(Comparator.comparingInt((Conflict<T> c) -> Math.min(order.get(c.first().name()),
-                order.get(c.second().name())))).toList();
+        conflicts = found.stream().sorted(Comparator.comparingInt((Conflict<T> c) ->
+                Math.min(order.get(c.first().name()), order.get(c.second().name())))).toList();
     }
 
-    private static <T> void plant(Node<T> tree, Route<T> route) {
-        Node<T> node = tree;
+    private static <T> void insert(PatternNode<T> tree, Route<T> route) {
+        PatternNode<T> node = tree;
         for (String segment : route.pathPattern().segments()) {
             if (segment != null) {
-                node = node.literals.computeIfAbsent(segment, s -> new Node<>());
+                node = node.literals.computeIfAbsent(segment, s -> new PatternNode<>());
             } else {
-                node.any = node.any == null ? new Node<>() : node.any;
-                node = node.any;
+                node.wildcard = node.wildcard == null ? new PatternNode<>() : node.wildcard;
+                node = node.wildcard;
             }
         }
-        (route.pathPattern().prefix() ? node.open : node.closed).add(route);
+        (route.pathPattern().prefix() ? node.prefixRoutes : node.exactRoutes).add(route);
     }
 
-    /** {@code shared} has the candidates that are made already: most places end in the same few. */
-    private Place<T> place(Subset<T> at, Map<Subset<T>, Place<T>> places, Map<Set<Route<T>>, Candidates<T>> shared) {
-        Place<T> known = places.get(at);
+    /** Builds the state of a node set; {@code shared} holds existing candidates, as most states have the same few. */
+    private MatchState<T> buildState(NodeSet<T> nodeSet, Map<NodeSet<T>, MatchState<T>> states,
+                                     Map<Set<Route<T>>, Candidates<T>> shared) {
+        MatchState<T> known = states.get(nodeSet);
         if (known != null) {
             return known;
         }
-        if (places.size() >= MAX_PLACES) {
+        if (states.size() >= MAX_STATES) {
             throw new IllegalArgumentException("the routes' templates cross one another at too many levels");
         }
-        Place<T> place = new Place<>();
-        places.put(at, place);
-        Set<Route<T>> open = new LinkedHashSet<>(at.passed());
-        at.nodes().forEach(n -> open.addAll(n.open));
-        Set<Route<T>> ending = new LinkedHashSet<>(open);
-        at.nodes().forEach(n -> ending.addAll(n.closed));
-        place.below = shared.computeIfAbsent(open, Candidates::new);
-        place.ending = shared.computeIfAbsent(ending, Candidates::new);
-        List<Node<T>> any = at.nodes().stream().map(n -> n.any).filter(n -> n != null).toList();
-        Set<String> words = new LinkedHashSet<>();
-        at.nodes().forEach(n -> words.addAll(n.literals.keySet()));
-        Map<String, Place<T>> literals = new HashMap<>();
-        for (String word : words) {
-            List<Node<T>> next = new ArrayList<>();
-            at.nodes().stream().map(n -> n.literals.get(word)).filter(n -> n != null).forEach(next::add);
-            if (!word.isEmpty()) {
-                next.addAll(any);
+        MatchState<T> state = new MatchState<>();
+        states.put(nodeSet, state);
+        Set<Route<T>> prefixRoutes = new LinkedHashSet<>(nodeSet.passedPrefixRoutes());
+        nodeSet.nodes().forEach(n -> prefixRoutes.addAll(n.prefixRoutes));
+        Set<Route<T>> routesAtEnd = new LinkedHashSet<>(prefixRoutes);
+        nodeSet.nodes().forEach(n -> routesAtEnd.addAll(n.exactRoutes));
+        state.matchesBelow = shared.computeIfAbsent(prefixRoutes, Candidates::new);
+        state.matchesAtEnd = shared.computeIfAbsent(routesAtEnd, Candidates::new);
+        List<PatternNode<T>> wildcards = nodeSet.nodes().stream().map(n -> n.wildcard).filter(n -> n != null).toList();
+        Set<String> segments = new LinkedHashSet<>();
+        nodeSet.nodes().forEach(n -> segments.addAll(n.literals.keySet()));
+        Map<String, MatchState<T>> literals = new HashMap<>();
+        for (String segment : segments) {
+            List<PatternNode<T>> next = new ArrayList<>();
+            nodeSet.nodes().stream().map(n -> n.literals.get(segment)).filter(n -> n != null).forEach(next::add);
+            if (!segment.isEmpty()) {
+                next.addAll(wildcards);
             }
-            literals.put(word, place(new Subset<>(next, open), places, shared));
+            literals.put(segment, buildState(new NodeSet<>(next, prefixRoutes), states, shared));
         }
-        place.literals = Map.copyOf(literals);
-        place.any = any.isEmpty() ? null : place(new Subset<>(any, open), places, shared);
-        return place;
+        state.literals = Map.copyOf(literals);
+        state.wildcard = wildcards.isEmpty() ? null
+                : buildState(new NodeSet<>(wildcards, prefixRoutes), states, shared);
+        return state;
     }
 
-    /** The route that a request takes; empty if none takes it. */
-    public Optional<Route<T>> match(RouteQuery q) {
-        String path = q.path();
-        Place<T> place = root;
+    /** The most specific route that matches a request; empty if there is none. */
+    public Optional<Route<T>> match(RouteQuery query) {
+        String path = query.path();
+        MatchState<T> state = root;
         int from = 1;
         while (true) {
             int slash = path.indexOf('/', from);
             String segment = path.substring(from, slash < 0 ? path.length() : slash);
-            Place<T> next = place.literals.get(segment);
+            MatchState<T> next = state.literals.get(segment);
             if (next == null && !segment.isEmpty()) {
-                next = place.any;
+                next = state.wildcard;
             }
             if (next == null) {
-                return Optional.ofNullable(place.below.best(q));
+                return Optional.ofNullable(state.matchesBelow.bestMatch(query));
             }
-            place = next;
+            state = next;
             if (slash < 0) {
-                return Optional.ofNullable(place.ending.best(q));
+                return Optional.ofNullable(state.matchesAtEnd.bestMatch(query));
             }
             from = slash + 1;
         }
     }
 
-    /** All routes, as they were given. */
+    /** All routes in the given order. */
     public List<Route<T>> routes() {
         return routes;
     }
 
-    /** Pairs of routes that take one request, where neither wins; a table with any must not be used. */
+    /** Pairs of equally specific routes that match the same request; a table with conflicts must not be used. */
     public List<Conflict<T>> conflicts() {
         return conflicts;
     }
--- a/core/src/main/java/ridgemill/route/package-info.java
+++ b/core/src/main/java/ridgemill/route/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Which route a request takes: patterns, the order in which they win, and a compiled table. Free of I/O and time.
+ * Selection of the route for a request: path patterns and conditions, their order of specificity, and a compiled table.
+ * Uses no I/O and no clock.
  */
 package ridgemill.route;
--- a/core/src/main/java/ridgemill/serviceclass/ServiceClassValidator.java
+++ b/core/src/main/java/ridgemill/serviceclass/ServiceClassValidator.java
@@ -22,7 +22,8 @@
                     + configName(policy.effect()) + " could take effect twice",
                     "leave it out, or the class must be safe to repeat"));
         } else if (policy.hedged()) {
-            violations.add(new Violation("second-copy", "one-attempt", "two attempts of a request are never out at once",
+            violations.add(new Violation("second-copy", "one-attempt",
+                    "two attempts of a request are never out at once",
                     "leave it out; a shorter attempt-timeout asks another node sooner"));
         }
         if (policy.targetLatencyMs() > policy.totalTimeoutMs()) {
