--- a/core/src/test/java/ridgemill/PurityTest.java
+++ b/core/src/test/java/ridgemill/PurityTest.java
@@ -15,19 +15,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.ridgemill.checks.Purity;
 
-/** The core does no I/O, starts and knows no threads and reads no clock; the decisions do not know the joint. */
+/** The core module uses no I/O, threads or clocks, and the policy package does not depend on the core package. */
 class PurityTest {
 
-    /** What is wrong, on purpose, each in its own way. */
+    /** Classes that violate the rule, each in a different way. */
     @SuppressWarnings("unused")
-    static final class Wrong {
+    static final class Violations {
         static final class Clock {
             long now() {
                 return System.nanoTime();
             }
         }
 
-        static final class Wall {
+        static final class WallClock {
             Object now() {
                 return java.time.Instant.now();
             }
@@ -39,7 +39,7 @@
             }
         }
 
-        static final class Net {
+        static final class Network {
             Object open() throws IOException {
                 return new Socket("127.0.0.1", 1);
             }
@@ -59,24 +59,25 @@
     }
 
     @Test
-    void coreIsFreeOfIoThreadsAndClocks() {
+    void coreUsesNoIoThreadsOrClocks() {
         JavaClasses core = new ClassFileImporter().withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("ridgemill");
-        assertTrue(core.size() > 20, "the classes were not found");
+        assertTrue(core.size() > 20, "classes of the module not found");
         Purity.NO_IO_AND_NO_THREADS.check(core);
     }
 
     @Test
-    void theDecisionsDoNotKnowTheJoint() {
+    void policyDoesNotDependOnCore() {
         noClasses().that().resideInAPackage("ridgemill.policy..").should().dependOnClassesThat()
                 .resideInAPackage("ridgemill.core..").check(new ClassFileImporter()
                         .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("ridgemill"));
     }
 
     @ParameterizedTest
-    @ValueSource(classes = {Wrong.Clock.class, Wrong.Wall.class, Wrong.File.class, Wrong.Net.class, Wrong.Threads.class,
-        Wrong.Locks.class})
-    void theCheckSeesWhatItForbids(Class<?> wrong) {
-        assertTrue(Purity.NO_IO_AND_NO_THREADS.evaluate(new ClassFileImporter().importClasses(wrong)).hasViolation());
+    @ValueSource(classes = {Violations.Clock.class, Violations.WallClock.class, Violations.File.class,
+        Violations.Network.class, Violations.Threads.class, Violations.Locks.class})
+    void ruleDetectsViolations(Class<?> violation) {
+        assertTrue(Purity.NO_IO_AND_NO_THREADS.evaluate(new ClassFileImporter().importClasses(violation))
+                .hasViolation());
     }
 }
--- a/core/src/test/java/ridgemill/policy/BadInputTest.java
+++ b/core/src/test/java/ridgemill/policy/BadInputTest.java
@@ -12,77 +12,79 @@
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 
-/** Odd input neither breaks a rule nor the module. */
+/** Invalid input must neither break a rule nor throw. */
 class BadInputTest {
 
     @Test
-    void contradictoryListsAreTakenEntryByEntry() {
-        RouterHarness b = RouterHarness.withCacheNodes(2);
-        b.router.onNodeList(b.now, ListUpdateKind.FULL, -5, List.of(RouterHarness.node("c0", 0, Availability.UP),
-                RouterHarness.node("c0", 0, Availability.DRAINING), RouterHarness.node("c1", 0, Availability.UP), RouterHarness.origin()),
-                b.actions);
+    void duplicateListEntriesAreAppliedInOrder() {
+        RouterHarness harness = RouterHarness.withCacheNodes(2);
+        harness.router.onNodeList(harness.now, ListUpdateKind.FULL, -5, List.of(
+                RouterHarness.node("c0", 0, Availability.UP), RouterHarness.node("c0", 0, Availability.DRAINING),
+                RouterHarness.node("c1", 0, Availability.UP), RouterHarness.origin()),
+                harness.actions);
         for (int key = 0; key < 20; key++) {
-            b.endAttempt(b.request("dear", key), Outcome.OK);
+            harness.endAttempt(harness.request("premium", key), Outcome.OK);
         }
-        assertEquals(0, b.actions.sentTo("c0"));
-        b.updateNodes(RouterHarness.node("c0", b.now, Availability.UP));
+        assertEquals(0, harness.actions.sentTo("c0"));
+        harness.updateNodes(RouterHarness.node("c0", harness.now, Availability.UP));
         for (int key = 0; key < 50; key++) {
-            b.endAttempt(b.request("dear", key), Outcome.OK);
-            b.advance(100);
+            harness.endAttempt(harness.request("premium", key), Outcome.OK);
+            harness.advance(100);
         }
-        assertTrue(b.actions.sentTo("c0") > 0, "it is back under its name");
+        assertTrue(harness.actions.sentTo("c0") > 0, "the restarted node must be used again");
     }
 
     @Test
-    void absurdWeightsDoNotShutANodeOut() {
-        var s = RouterHarness.settings(true, false);
-        RouterHarness b = new RouterHarness(new Router.Settings(0, 2, "z", 5, s.classes(), List.of(), 1, false, s.limits(), s.rules(),
-                false, Router.WeightMode.SIZE, "origin"));
-        b.updateNodes(RouterHarness.origin(), weighted("c0", 0), weighted("c1", -3), weighted("c2", Double.NaN),
+    void invalidWeightsDoNotExcludeANode() {
+        var base = RouterHarness.settings(true, false);
+        RouterHarness harness = new RouterHarness(new Router.Settings(0, 2, "z", 5, base.classes(), List.of(), 1,
+                false, base.limits(), base.rules(), false, Router.WeightMode.SIZE, "origin"));
+        harness.updateNodes(RouterHarness.origin(), weighted("c0", 0), weighted("c1", -3), weighted("c2", Double.NaN),
                 weighted("c3", Double.POSITIVE_INFINITY), weighted("c4", 1e300));
         for (int key = 0; key < 200; key++) {
-            b.endAttempt(b.request("dear", key), Outcome.OK);
+            harness.endAttempt(harness.request("premium", key), Outcome.OK);
         }
         for (int i = 0; i < 5; i++) {
-            assertTrue(b.actions.sentTo("c" + i) > 10, "c" + i);
+            assertTrue(harness.actions.sentTo("c" + i) > 10, "c" + i);
         }
     }
 
     @Test
     void eventsForUnknownRequestsNodesAndTimersAreIgnored() {
-        RouterHarness b = RouterHarness.withCacheNodes(2);
-        int before = b.actions.log.size();
-        b.router.onAttemptEnded(b.now, new AttemptResult("no", 0, "nowhere", Outcome.OK, 5, true, 0, Map.of()), b.actions);
-        b.router.onAttemptEnded(b.now, new AttemptResult("no", 3, "c0", Outcome.MISS, Double.NaN, false, 9,
-                Map.of("backlog", Double.NaN)), b.actions);
-        b.router.onClientDisconnected(b.now, "no", b.actions);
-        b.router.onStreamStarted(b.now, "no", 0, "c0", b.actions);
-        b.router.onTimer(b.now, "rno", b.actions);
-        b.router.onTimer(b.now, "whatever", b.actions);
-        b.router.onProbeResult(b.now, "nowhere", Outcome.ERROR, -1, Map.of(), b.actions);
-        b.router.onPeerMessage(b.now, 99, new byte[300], b.actions);
-        assertEquals(before, b.actions.log.size());
-        assertEquals(1, b.sendCount(b.request("dear", 1)));
+        RouterHarness harness = RouterHarness.withCacheNodes(2);
+        int before = harness.actions.log.size();
+        harness.router.onAttemptEnded(harness.now,
+                new AttemptResult("no", 0, "nowhere", Outcome.OK, 5, true, 0, Map.of()), harness.actions);
+        harness.router.onAttemptEnded(harness.now, new AttemptResult("no", 3, "c0", Outcome.MISS, Double.NaN, false, 9,
+                Map.of("backlog", Double.NaN)), harness.actions);
+        harness.router.onClientDisconnected(harness.now, "no", harness.actions);
+        harness.router.onStreamStarted(harness.now, "no", 0, "c0", harness.actions);
+        harness.router.onTimer(harness.now, "rno", harness.actions);
+        harness.router.onTimer(harness.now, "wno", harness.actions);
+        harness.router.onProbeResult(harness.now, "nowhere", Outcome.ERROR, -1, Map.of(), harness.actions);
+        harness.router.onPeerMessage(harness.now, 99, new byte[300], harness.actions);
+        assertEquals(before, harness.actions.log.size());
+        assertEquals(1, harness.sendCount(harness.request("premium", 1)));
     }
 
     @Test
-    void aJumpOfTheClockLosesNoRequest() {
-        RouterHarness b = RouterHarness.withCacheNodes(2);
-        String id = b.request("dear", 1);
-        b.now += 60_000;
-        b.router.onTimer(b.now, "r" + id, b.actions);
-        b.router.onTimer(b.now, "step", b.actions);
-        assertEquals(1, b.actions.finalAnswers(id));
-        assertEquals(1, b.sendCount(b.request("dear", 2)));
+    void clockJumpLosesNoRequest() {
+        RouterHarness harness = RouterHarness.withCacheNodes(2);
+        String id = harness.request("premium", 1);
+        harness.now += 60_000;
+        harness.router.onTimer(harness.now, "r" + id, harness.actions);
+        harness.router.onTimer(harness.now, "step", harness.actions);
+        assertEquals(1, harness.actions.finalAnswers(id));
+        assertEquals(1, harness.sendCount(harness.request("premium", 2)));
     }
 
     @Test
-    void anUnknownClassIsTreatedAsTheMostCareful() {
-        RouterHarness b = RouterHarness.withCacheNodes(2);
-        String id = b.request("never heard of", 1, true);
-        b.endAttempt(id, Outcome.ERROR);
-        assertEquals(1, b.sendCount(id));
-        assertEquals(List.of(id), b.actions.failedRequests);
+    void unknownClassIsTreatedAsUnsafe() {
+        RouterHarness harness = RouterHarness.withCacheNodes(2);
+        String id = harness.request("unknown", 1, true);
+        harness.endAttempt(id, Outcome.ERROR);
+        assertEquals(1, harness.sendCount(id));
+        assertEquals(List.of(id), harness.actions.failedRequests);
     }
 
     private static Node weighted(String id, double weight) {
--- a/core/src/test/java/ridgemill/policy/EjectionLimitTest.java
+++ b/core/src/test/java/ridgemill/policy/EjectionLimitTest.java
@@ -7,29 +7,29 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Outcome;
 
-/** However many nodes fail, those that are left must not be overrun: only a part is spared at once. */
+/** However many nodes fail, only a part of them is ejected at once, so that the remaining ones are not overloaded. */
 class EjectionLimitTest {
 
-    private static final int CACHES = 6;
+    private static final int CACHE_NODES = 6;
 
     @Test
-    void atMostAThirdOfTheNodesIsSparedAtOnce() {
-        RouterHarness b = RouterHarness.withCacheNodes(CACHES);
-        Set<String> asked = new HashSet<>();
+    void atMostAThirdOfTheNodesIsEjectedAtOnce() {
+        RouterHarness harness = RouterHarness.withCacheNodes(CACHE_NODES);
+        Set<String> usedNodes = new HashSet<>();
         for (int i = 0; i < 600; i++) {
             if (i == 300) {
-                asked.clear();
+                usedNodes.clear();
             }
-            String id = b.request("dear", 1000 + i);
-            while (b.actions.finalAnswers(id) == 0) {
-                String node = b.nodeOf(id);
-                asked.add(node);
-                b.endAttempt(id, node.compareTo("c3") < 0 ? Outcome.REJECTED : Outcome.OK);
-                if (b.actions.finalAnswers(id) == 0 && node.compareTo("c3") >= 0) {
+            String id = harness.request("premium", 1000 + i);
+            while (harness.actions.finalAnswers(id) == 0) {
+                String node = harness.nodeOf(id);
+                usedNodes.add(node);
+                harness.endAttempt(id, node.compareTo("c3") < 0 ? Outcome.REJECTED : Outcome.OK);
+                if (harness.actions.finalAnswers(id) == 0 && node.compareTo("c3") >= 0) {
                     break;
                 }
             }
         }
-        assertEquals(CACHES - CACHES / 3, asked.size(), asked.toString());
+        assertEquals(CACHE_NODES - CACHE_NODES / 3, usedNodes.size(), usedNodes.toString());
     }
 }
--- a/core/src/test/java/ridgemill/policy/ErrorEjectionTest.java
+++ b/core/src/test/java/ridgemill/policy/ErrorEjectionTest.java
@@ -7,30 +7,31 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Outcome;
 
-/** A node that spoils every second answer never fails twice in a row; it is spared all the same. */
+/** A node with an error in every second answer has no consecutive failures, but must be ejected all the same. */
 class ErrorEjectionTest {
 
     @Test
-    void aNodeThatSpoilsHalfOfItsAnswersIsSpared() {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        String bad = null;
-        Map<Boolean, Integer> sends = new HashMap<>();
+    void nodeWithErrorsInHalfOfItsAnswersIsEjected() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        String faulty = null;
+        Map<Boolean, Integer> sendsByFirstHalf = new HashMap<>();
         int answers = 0;
         for (int i = 0; i < 400; i++) {
-            String id = b.request("dear", 1000 + i);
-            if (b.actions.finalAnswers(id) == 0) {
-                String node = b.nodeOf(id);
-                bad = bad == null ? node : bad;
-                if (node.equals(bad)) {
-                    sends.merge(i < 200, 1, Integer::sum);
+            String id = harness.request("premium", 1000 + i);
+            if (harness.actions.finalAnswers(id) == 0) {
+                String node = harness.nodeOf(id);
+                faulty = faulty == null ? node : faulty;
+                if (node.equals(faulty)) {
+                    sendsByFirstHalf.merge(i < 200, 1, Integer::sum);
                 }
-                b.endAttempt(id, node.equals(bad) && answers++ % 2 == 0 ? Outcome.ERROR : Outcome.OK);
-                if (b.actions.finalAnswers(id) == 0) {
-                    b.endAttempt(id, Outcome.OK);
+                harness.endAttempt(id, node.equals(faulty) && answers++ % 2 == 0 ? Outcome.ERROR : Outcome.OK);
+                if (harness.actions.finalAnswers(id) == 0) {
+                    harness.endAttempt(id, Outcome.OK);
                 }
             }
-            b.advance(2);
+            harness.advance(2);
         }
-        assertTrue(sends.getOrDefault(false, 0) * 3 < sends.get(true), sends.toString());
+        assertTrue(sendsByFirstHalf.getOrDefault(false, 0) * 3 < sendsByFirstHalf.get(true),
+                sendsByFirstHalf.toString());
     }
 }
--- a/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
+++ b/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
@@ -14,163 +14,164 @@
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
 
-/** What changes when one router is one of hundreds, each with a few requests a second. */
+/** Behavior of a router that is one of hundreds, each with a few requests per second. */
 class ManyProxiesTest {
 
     private static final int PROXIES = 600;
 
-    private static Settings settings(boolean peers, Router.ConnectionCosts connections) {
-        var limits = new Router.PlatformLimits(6, true, false, peers, true, 500, false, 150);
-        return new Settings(0, PROXIES, "z", 5, RouterHarness.serviceClasses(), List.of(), 1, false, limits, RouterHarness.RULES, false,
-                Router.WeightMode.NONE, "origin", connections);
+    private static Settings settings(boolean peerMessages, Router.ConnectionCosts costs) {
+        var limits = new Router.PlatformLimits(6, true, false, peerMessages, true, 500, false, 150);
+        return new Settings(0, PROXIES, "z", 5, RouterHarness.serviceClasses(), List.of(), 1, false, limits,
+                RouterHarness.RULES, false, Router.WeightMode.NONE, "origin", costs);
     }
 
-    private static RouterHarness bench(boolean peers, int caches) {
-        RouterHarness b = new RouterHarness(settings(peers, Router.ConnectionCosts.FREE));
-        b.listNodes(caches);
-        return b;
+    private static RouterHarness withCacheNodes(boolean peerMessages, int count) {
+        RouterHarness harness = new RouterHarness(settings(peerMessages, Router.ConnectionCosts.FREE));
+        harness.listNodes(count);
+        return harness;
     }
 
     @Test
-    void anIdleConnectionIsClosedWhereOneFromEachWouldCostMoreThanOpeningThem() {
-        RouterHarness b = new RouterHarness(settings(false, new Router.ConnectionCosts(60_000, 0.03, 0.03)));
-        b.listNodes(4);
-        String id = b.request("dear", 1);
-        b.endAttempt(id, Outcome.OK);
-        assertEquals(List.of(b.nodeOf(id)), b.actions.closedNodes);
+    void idleConnectionIsClosedIfHoldingCostsMoreThanOpening() {
+        RouterHarness harness = new RouterHarness(settings(false, new Router.ConnectionCosts(60_000, 0.03, 0.03)));
+        harness.listNodes(4);
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.OK);
+        assertEquals(List.of(harness.nodeOf(id)), harness.actions.closedNodes);
     }
 
     @Test
-    void connectionsStayOpenWhereTheyHaveNoPrice() {
-        RouterHarness b = bench(false, 4);
-        b.endAttempt(b.request("dear", 1), Outcome.OK);
-        b.advance(5000);
-        assertEquals(List.of(), b.actions.closedNodes);
+    void connectionsStayOpenIfTheyHaveNoCost() {
+        RouterHarness harness = withCacheNodes(false, 4);
+        harness.endAttempt(harness.request("premium", 1), Outcome.OK);
+        harness.advance(5000);
+        assertEquals(List.of(), harness.actions.closedNodes);
     }
 
     @Test
-    void aHotKeyIsSpreadOverMoreThanItsPairAndOthersAreNot() {
-        RouterHarness b = bench(false, 40);
-        var hot = new TreeSet<String>();
+    void hotKeyIsSpreadOverMoreThanItsPair() {
+        RouterHarness harness = withCacheNodes(false, 40);
+        var nodesOfHotKey = new TreeSet<String>();
         for (int i = 0; i < 400; i++) {
-            String id = b.request("dear", i % 4 == 0 ? 42 : 1000 + i);
+            String id = harness.request("premium", i % 4 == 0 ? 42 : 1000 + i);
             if (i % 4 == 0) {
-                hot.add(b.nodeOf(id));
+                nodesOfHotKey.add(harness.nodeOf(id));
             }
-            b.endAttempt(id, Outcome.OK);
-            b.advance(400);
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(400);
         }
-        assertTrue(hot.size() > 4, hot.toString());
+        assertTrue(nodesOfHotKey.size() > 4, nodesOfHotKey.toString());
     }
 
     @Test
-    void peersLearnOfAHotKeyFromEachOther() {
-        RouterHarness told = bench(true, 40);
-        RouterHarness alone = bench(true, 40);
-        RouterHarness teller = bench(true, 40);
+    void proxiesLearnHotKeysFromPeers() {
+        RouterHarness informed = withCacheNodes(true, 40);
+        RouterHarness uninformed = withCacheNodes(true, 40);
+        RouterHarness sender = withCacheNodes(true, 40);
         for (int i = 0; i < 4000; i++) {
-            teller.endAttempt(teller.request("dear", i % 4 == 0 ? 42 : 1000 + i), Outcome.OK);
-            teller.advance(100);
+            sender.endAttempt(sender.request("premium", i % 4 == 0 ? 42 : 1000 + i), Outcome.OK);
+            sender.advance(100);
         }
-        assertTrue(!teller.actions.broadcasts.isEmpty() && teller.actions.broadcasts.size() < 200, "a bounded sample");
+        assertTrue(!sender.actions.broadcasts.isEmpty() && sender.actions.broadcasts.size() < 200,
+                "broadcasts must be a bounded sample");
         for (int round = 0; round < 6; round++) {
-            for (byte[] news : teller.actions.broadcasts) {
-                told.router.onPeerMessage(told.now, 5, news, told.actions);
+            for (byte[] message : sender.actions.broadcasts) {
+                informed.router.onPeerMessage(informed.now, 5, message, informed.actions);
             }
         }
-        assertEquals(1, nodesOf42(alone, 3).size());
-        assertTrue(nodesOf42(told, 30).size() > 2);
+        assertEquals(1, nodesOfKey42(uninformed, 3).size());
+        assertTrue(nodesOfKey42(informed, 30).size() > 2);
     }
 
-    private static TreeSet<String> nodesOf42(RouterHarness b, int times) {
+    private static TreeSet<String> nodesOfKey42(RouterHarness harness, int times) {
         var nodes = new TreeSet<String>();
         for (int i = 0; i < times; i++) {
-            String id = b.request("dear", 42);
-            nodes.add(b.nodeOf(id));
-            b.endAttempt(id, Outcome.OK);
-            b.advance(2000);
+            String id = harness.request("premium", 42);
+            nodes.add(harness.nodeOf(id));
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(2000);
         }
         return nodes;
     }
 
     @Test
-    void requestsAreTurnedAwayByChanceOnceLittleOfWhatIsSentIsAnswered() {
-        RouterHarness b = bench(false, 40);
+    void requestsAreRefusedAtRandomIfFewAttemptsAreAnswered() {
+        RouterHarness harness = withCacheNodes(false, 40);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            String id = b.request("dear", i);
-            if (b.sendCount(id) > 0) {
+            String id = harness.request("premium", i);
+            if (harness.sendCount(id) > 0) {
                 sent++;
-                b.endAttempt(id, Outcome.TIMEOUT, 300);
+                harness.endAttempt(id, Outcome.TIMEOUT, 300);
             }
-            b.advance(200);
+            harness.advance(200);
         }
-        assertTrue(sent < 100, sent + " of 200 sent to a fleet that answers nothing");
-        b.advance(20_000);
-        int again = 0;
+        assertTrue(sent < 100, sent + " of 200 sent to nodes that do not answer");
+        harness.advance(20_000);
+        int sentAgain = 0;
         for (int i = 0; i < 100; i++) {
-            String id = b.request("dear", 5000 + i);
-            if (b.sendCount(id) > 0) {
-                again++;
-                b.endAttempt(id, Outcome.OK);
+            String id = harness.request("premium", 5000 + i);
+            if (harness.sendCount(id) > 0) {
+                sentAgain++;
+                harness.endAttempt(id, Outcome.OK);
             }
-            b.advance(200);
+            harness.advance(200);
         }
-        assertTrue(again > 60, again + " of 100 sent once it answers");
+        assertTrue(sentAgain > 60, sentAgain + " of 100 sent once nodes answer");
     }
 
     @Test
-    void aBalancerWithFewRequestsRefusesNothingWhileItsAttemptsAreYoung() {
-        RouterHarness b = bench(false, 40);
+    void proxyWithFewRequestsRefusesNothingWhileAttemptsAreRecent() {
+        RouterHarness harness = withCacheNodes(false, 40);
         for (int i = 0; i < 20; i++) {
-            String id = b.request("dear", i);
-            assertEquals(1, b.sendCount(id), "request " + i);
-            b.advance(100);
-            b.endAttempt(id, Outcome.OK);
-            b.advance(4850);
+            String id = harness.request("premium", i);
+            assertEquals(1, harness.sendCount(id), "request " + i);
+            harness.advance(100);
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(4850);
         }
     }
 
     @Test
-    void aFleetOfRoutersTogetherKeepsAColdNodesBudget() {
+    void proxiesTogetherKeepTheLoadLimitOfAColdNode() {
         int routers = 60;
-        double perRouterMs = 400;
+        double requestIntervalMs = 400;
         var fleet = new ArrayList<RouterHarness>();
         for (int i = 0; i < routers; i++) {
-            fleet.add(bench(false, 10));
+            fleet.add(withCacheNodes(false, 10));
         }
         long next = 0;
-        int cold = 0;
-        for (double t = 0; t < 24_000; t += perRouterMs) {
+        int sentToCold = 0;
+        for (double t = 0; t < 24_000; t += requestIntervalMs) {
             boolean listed = t >= 20_000;
             for (int i = 0; i < routers; i++) {
-                RouterHarness b = fleet.get(i);
+                RouterHarness harness = fleet.get(i);
                 if (t == 20_000) {
-                    b.updateNodes(new Node("c0", "cache", "z", 0, 1, b.now, Availability.UP));
+                    harness.updateNodes(new Node("c0", "cache", "z", 0, 1, harness.now, Availability.UP));
                 }
-                // Half of the traffic is one key; the rest is spread.
+                // Half of the requests have the same key; the others have distinct keys.
                 String id = "f" + i + "n" + next++;
-                b.router.onRequest(b.now, new Router.Request(id, "dear", null, next % 2 == 0 ? 42 : next, 0,
-                        RouterHarness.BUDGET_MS, false, false), b.actions);
-                if (b.sendCount(id) > 0) {
-                    cold += listed && b.nodeOf(id).equals("c0") ? 1 : 0;
-                    b.endAttempt(id, Outcome.OK);
+                harness.router.onRequest(harness.now, new Router.Request(id, "premium", null,
+                        next % 2 == 0 ? 42 : next, 0, RouterHarness.BUDGET_MS, false, false), harness.actions);
+                if (harness.sendCount(id) > 0) {
+                    sentToCold += listed && harness.nodeOf(id).equals("c0") ? 1 : 0;
+                    harness.endAttempt(id, Outcome.OK);
                 }
-                b.advance(perRouterMs);
+                harness.advance(requestIntervalMs);
             }
         }
-        double usualPerS = routers * 1000 / perRouterMs / 10;
+        double usualPerS = routers * 1000 / requestIntervalMs / 10;
         double most = RouterHarness.RULES.overloadMultiple() * RouterHarness.RULES.coldStartShare() * usualPerS * 4;
-        assertTrue(cold > 0 && cold < most, cold + " sends to the cold node, at most " + most);
+        assertTrue(sentToCold > 0 && sentToCold < most, sentToCold + " sends to the cold node, at most " + most);
     }
 
     @Test
-    void aMessageThatIsNoListOfKeysDoesNoHarm() {
-        RouterHarness b = bench(true, 4);
-        b.router.onPeerMessage(b.now, 3, new byte[] {1, 2, 3}, b.actions);
-        b.router.onPeerMessage(b.now, 3, new byte[0], b.actions);
-        b.router.onNodeList(b.now, ListUpdateKind.CHANGES, 3, List.of(), b.actions);
-        assertEquals(1, b.sendCount(b.request("dear", 1)));
-        b.router.onProbeResult(b.now, "c0", Outcome.OK, 1, Map.of(), b.actions);
+    void malformedPeerMessageIsIgnored() {
+        RouterHarness harness = withCacheNodes(true, 4);
+        harness.router.onPeerMessage(harness.now, 3, new byte[] {1, 2, 3}, harness.actions);
+        harness.router.onPeerMessage(harness.now, 3, new byte[0], harness.actions);
+        harness.router.onNodeList(harness.now, ListUpdateKind.CHANGES, 3, List.of(), harness.actions);
+        assertEquals(1, harness.sendCount(harness.request("premium", 1)));
+        harness.router.onProbeResult(harness.now, "c0", Outcome.OK, 1, Map.of(), harness.actions);
     }
 }
--- a/core/src/test/java/ridgemill/policy/NoPlaceTest.java
+++ b/core/src/test/java/ridgemill/policy/NoPlaceTest.java
@@ -7,90 +7,91 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Outcome;
 
-/** A node or a store that has no place for one more connection is neither overloaded nor dead. */
+/** A node or origin without a free connection slot ({@link Outcome#NO_PLACE}) is neither overloaded nor dead. */
 class NoPlaceTest {
 
-    private static String fetching(RouterHarness b, long key) {
-        String id = b.request("dear", key);
-        while (!b.nodeOf(id).equals("db")) {
-            b.endAttempt(id, Outcome.MISS);
+    /** Sends a read that misses in the caches; its attempt at the origin is in flight. */
+    private static String requestMissingInCache(RouterHarness harness, long key) {
+        String id = harness.request("premium", key);
+        while (!harness.nodeOf(id).equals("db")) {
+            harness.endAttempt(id, Outcome.MISS);
         }
         return id;
     }
 
     @Test
-    void aFetchWithoutAPlaceIsTriedOnceMoreALittleLater() {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        String id = fetching(b, 1);
-        long sends = b.sendCount(id);
-        b.endAttempt(id, Outcome.NO_PLACE);
-        assertEquals(sends, b.sendCount(id), "others need time to make room");
-        b.advance(BalancingRouter.NO_PLACE_RETRY_MS);
-        assertEquals(sends + 1, b.sendCount(id));
-        assertEquals("db", b.nodeOf(id));
-        b.endAttempt(id, Outcome.NO_PLACE);
-        assertEquals(1, b.actions.finalAnswers(id), "a second refusal ends it, at once");
+    void fetchWithoutConnectionSlotIsRetriedOnce() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        String id = requestMissingInCache(harness, 1);
+        long sends = harness.sendCount(id);
+        harness.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(sends, harness.sendCount(id), "other proxies need time to free slots");
+        harness.advance(BalancingRouter.NO_PLACE_RETRY_MS);
+        assertEquals(sends + 1, harness.sendCount(id));
+        assertEquals("db", harness.nodeOf(id));
+        harness.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(1, harness.actions.finalAnswers(id), "a second refusal must end the request at once");
     }
 
     @Test
-    void aWriteIsRefusedAtOnceAndHasNotRun() {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        String id = b.request("keyed", 1, true);
-        assertEquals("db", b.nodeOf(id));
-        b.endAttempt(id, Outcome.NO_PLACE);
-        assertTrue(b.actions.refusedRequests.contains(id));
-        assertEquals(1, b.sendCount(id));
+    void writeWithoutConnectionSlotIsRefusedAtOnce() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        String id = harness.request("keyed", 1, true);
+        assertEquals("db", harness.nodeOf(id));
+        harness.endAttempt(id, Outcome.NO_PLACE);
+        assertTrue(harness.actions.refusedRequests.contains(id));
+        assertEquals(1, harness.sendCount(id));
     }
 
     @Test
-    void oneWhoseTimeEndsBeforeThatIsAnsweredAtOnce() {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        String id = fetching(b, 1);
-        b.advance(RouterHarness.BUDGET_MS - BalancingRouter.NO_PLACE_RETRY_MS);
-        b.endAttempt(id, Outcome.NO_PLACE);
-        assertEquals(1, b.actions.finalAnswers(id));
+    void requestWithoutTimeForRetryIsAnsweredAtOnce() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        String id = requestMissingInCache(harness, 1);
+        harness.advance(RouterHarness.BUDGET_MS - BalancingRouter.NO_PLACE_RETRY_MS);
+        harness.endAttempt(id, Outcome.NO_PLACE);
+        assertEquals(1, harness.actions.finalAnswers(id));
     }
 
     @Test
-    void aStoreWhoseTableIsFullIsNotThrottled() {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        for (int s = 0; s < 8; s++) {
+    void originWithFullConnectionTableIsNotThrottled() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        for (int round = 0; round < 8; round++) {
             for (int i = 0; i < 20; i++) {
-                String id = fetching(b, 1000 + 20 * s + i);
+                String id = requestMissingInCache(harness, 1000 + 20 * round + i);
                 if (i % 2 == 0) {
-                    b.endAttempt(id, Outcome.OK);
+                    harness.endAttempt(id, Outcome.OK);
                     continue;
                 }
-                b.endAttempt(id, Outcome.NO_PLACE);
-                b.advance(BalancingRouter.NO_PLACE_RETRY_MS);
-                b.endAttempt(id, Outcome.NO_PLACE);
+                harness.endAttempt(id, Outcome.NO_PLACE);
+                harness.advance(BalancingRouter.NO_PLACE_RETRY_MS);
+                harness.endAttempt(id, Outcome.NO_PLACE);
             }
-            b.advance(500);
+            harness.advance(500);
         }
-        assertEquals(0, b.router.admissionLevel());
+        assertEquals(0, harness.router.admissionLevel());
     }
 
-    /** It takes as many of them as tell of a node that drains and has not been said to. */
+    /** A node that drains before the list shows it rejects in this way too, so that it must be ejected in the end. */
     @Test
-    void aNodeWithoutAPlaceIsSparedLaterThanOneThatRejects() {
-        assertTrue(triesBeforeSpared(Outcome.NO_PLACE) >= 2 * triesBeforeSpared(Outcome.REJECTED));
+    void nodeWithoutConnectionSlotIsEjectedLaterThanRejectingNode() {
+        assertTrue(attemptsBeforeEjection(Outcome.NO_PLACE) >= 2 * attemptsBeforeEjection(Outcome.REJECTED));
     }
 
-    private static long triesBeforeSpared(Outcome outcome) {
-        RouterHarness b = RouterHarness.withCacheNodes(4);
-        int since = 0;
+    private static long attemptsBeforeEjection(Outcome outcome) {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        int lastSentAt = 0;
         for (int i = 0; i < 200; i++) {
-            String id = b.request("dear", i);
-            if (b.nodeOf(id).equals("c0")) {
-                since = i;
-                b.endAttempt(id, outcome);
-                assertNotEquals("c0", b.nodeOf(id), "its other node is asked");
+            String id = harness.request("premium", i);
+            if (harness.nodeOf(id).equals("c0")) {
+                lastSentAt = i;
+                harness.endAttempt(id, outcome);
+                assertNotEquals("c0", harness.nodeOf(id), "the retry must go to the other node");
             }
-            b.endAttempt(id, Outcome.OK);
-            if (i - since > 40) {
+            harness.endAttempt(id, Outcome.OK);
+            if (i - lastSentAt > 40) {
                 break;
             }
         }
-        return b.actions.sentTo("c0");
+        return harness.actions.sentTo("c0");
     }
 }
--- a/core/src/test/java/ridgemill/policy/PlacementTest.java
+++ b/core/src/test/java/ridgemill/policy/PlacementTest.java
@@ -16,7 +16,10 @@
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Request;
 
-/** A key's node is the one that weighted rendezvous hashing names (Thaler and Ravishankar 1998), whatever is left out on the way. */
+/**
+ * A key is sent to the top node of weighted rendezvous hashing (Thaler and Ravishankar 1998), although the router skips
+ * the score of most nodes.
+ */
 class PlacementTest {
 
     private static long mix(long z) {
@@ -33,15 +36,15 @@
         return h;
     }
 
-    /** Each node scored by itself, without a short cut. */
-    private static String naive(List<Node> nodes, long key) {
+    /** Computes the score of every node, without skipping any. */
+    private static String topNode(List<Node> nodes, long key) {
         String best = null;
-        double most = 0;
+        double bestScore = 0;
         for (Node n : nodes) {
             double draw = ((mix(mix(hash(n.id())) ^ mix(key)) >>> 11) + 1) * 0x1.0p-53;
             double score = -1 / Math.log(draw);
-            if (score > most) {
-                most = score;
+            if (score > bestScore) {
+                bestScore = score;
                 best = n.id();
             }
         }
@@ -50,32 +53,34 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 40, 700})
-    void aKeyGoesWhereRendezvousHashingSays(int count) {
+    void keyGoesToTopNodeOfRendezvousHashing(int count) {
         long seed = System.nanoTime();
         SplittableRandom random = new SplittableRandom(seed);
         List<Node> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             nodes.add(RouterHarness.node("n" + random.nextInt(1_000_000) + "-" + i, 0, Availability.UP));
         }
-        List<Node> all = new ArrayList<>(nodes);
-        all.add(RouterHarness.origin());
-        RouterHarness b = new RouterHarness(RouterHarness.settings(true, false));
-        b.router.onNodeList(b.now, ListUpdateKind.FULL, 1, all, b.actions);
-        int met = 0;
+        List<Node> withOrigin = new ArrayList<>(nodes);
+        withOrigin.add(RouterHarness.origin());
+        RouterHarness harness = new RouterHarness(RouterHarness.settings(true, false));
+        harness.router.onNodeList(harness.now, ListUpdateKind.FULL, 1, withOrigin, harness.actions);
+        int sent = 0;
         for (int i = 0; i < 3000; i++) {
-            b.now += 10;
+            harness.now += 10;
             long key = random.nextLong() >>> 1;
             String id = "r" + i;
-            b.actions.sentAttempts.clear();
-            b.router.onRequest(b.now, new Request(id, "cheap", null, key, 0, 1000, false, false), b.actions);
-            if (b.actions.sentAttempts.isEmpty()) {
+            harness.actions.sentAttempts.clear();
+            harness.router.onRequest(harness.now, new Request(id, "basic", null, key, 0, 1000, false, false),
+                    harness.actions);
+            if (harness.actions.sentAttempts.isEmpty()) {
                 continue;
             }
-            String node = b.actions.sentAttempts.get(0).node();
-            assertEquals(naive(nodes, key), node, "seed " + seed + ", key " + key);
-            met++;
-            b.router.onAttemptEnded(b.now, new AttemptResult(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), b.actions);
+            String node = harness.actions.sentAttempts.get(0).node();
+            assertEquals(topNode(nodes, key), node, "seed " + seed + ", key " + key);
+            sent++;
+            harness.router.onAttemptEnded(harness.now,
+                    new AttemptResult(id, 0, node, Outcome.OK, 1, true, 1, Map.of()), harness.actions);
         }
-        assertTrue(met > 1000, met + " were sent");
+        assertTrue(sent > 1000, sent + " were sent");
     }
 }
--- a/core/src/test/java/ridgemill/policy/ProbeTest.java
+++ b/core/src/test/java/ridgemill/policy/ProbeTest.java
@@ -10,24 +10,24 @@
 import org.junit.jupiter.api.Timeout;
 import ridgemill.policy.Router.Outcome;
 
-/** What a probe says of a spared node, and what it does not. */
+/** How the results of probes affect the ejection of a node. */
 @Timeout(20)
 class ProbeTest {
 
-    private static final int CACHES = 6;
-    private final RouterHarness b = RouterHarness.withCacheNodes(CACHES);
+    private static final int CACHE_NODES = 6;
+    private final RouterHarness harness = RouterHarness.withCacheNodes(CACHE_NODES);
     private int key = 1;
 
-    /** Asks until the node c0 is asked, whose attempt ends so; returns whether it was asked at all. */
-    private boolean meets(Outcome outcome) {
+    /** Sends requests until one reaches node c0, ends that attempt with the outcome, and returns whether one did. */
+    private boolean reachesNode(Outcome outcome) {
         for (int i = 0; i < 60; i++) {
-            String id = b.request("dear", key++);
-            while (b.isInFlight(id)) {
-                boolean there = b.nodeOf(id).equals("c0");
-                b.endAttempt(id, there ? outcome : Outcome.OK);
-                if (there) {
-                    while (b.isInFlight(id)) {
-                        b.endAttempt(id, Outcome.OK);
+            String id = harness.request("premium", key++);
+            while (harness.isInFlight(id)) {
+                boolean atNode = harness.nodeOf(id).equals("c0");
+                harness.endAttempt(id, atNode ? outcome : Outcome.OK);
+                if (atNode) {
+                    while (harness.isInFlight(id)) {
+                        harness.endAttempt(id, Outcome.OK);
                     }
                     return true;
                 }
@@ -36,72 +36,72 @@
         return false;
     }
 
-    private void spare(Outcome outcome) {
-        for (int i = 0; i < 30 && !b.router.isExcluded(b.now, "c0"); i++) {
-            meets(outcome);
+    private void ejectNode(Outcome outcome) {
+        for (int i = 0; i < 30 && !harness.router.isExcluded(harness.now, "c0"); i++) {
+            reachesNode(outcome);
         }
-        assertTrue(b.router.isExcluded(b.now, "c0"));
+        assertTrue(harness.router.isExcluded(harness.now, "c0"));
     }
 
-    private void probed(Outcome outcome) {
-        b.router.onProbeResult(b.now, "c0", outcome, 5, Map.of(), b.actions);
+    private void reportProbe(Outcome outcome) {
+        harness.router.onProbeResult(harness.now, "c0", outcome, 5, Map.of(), harness.actions);
     }
 
     @Test
-    void aNodeThatAnswersIsTriedAtOnce() {
-        spare(Outcome.CONNECT_FAILED);
-        assertEquals(List.of("c0"), b.router.unreachableNodes(b.now));
-        assertFalse(meets(Outcome.OK));
-        probed(Outcome.OK);
-        assertEquals(List.of(), b.router.unreachableNodes(b.now));
-        assertTrue(meets(Outcome.OK));
+    void nodeThatAnswersProbeIsTriedAtOnce() {
+        ejectNode(Outcome.CONNECT_FAILED);
+        assertEquals(List.of("c0"), harness.router.unreachableNodes(harness.now));
+        assertFalse(reachesNode(Outcome.OK));
+        reportProbe(Outcome.OK);
+        assertEquals(List.of(), harness.router.unreachableNodes(harness.now));
+        assertTrue(reachesNode(Outcome.OK));
     }
 
     @Test
-    void nothingIsRiskedWhileItDoesNotButNotForEver() {
-        spare(Outcome.CONNECT_FAILED);
+    void failedProbesExtendEjectionUpToALimit() {
+        ejectNode(Outcome.CONNECT_FAILED);
         for (double t = 0; t < 2 * BalancingRouter.MAX_EJECTION_MS - BalancingRouter.EJECTION_MS; t += 100) {
-            probed(Outcome.CONNECT_FAILED);
-            b.advance(100);
-            assertTrue(b.router.isExcluded(b.now, "c0"), "after " + t);
+            reportProbe(Outcome.CONNECT_FAILED);
+            harness.advance(100);
+            assertTrue(harness.router.isExcluded(harness.now, "c0"), "after " + t);
         }
         for (double t = 0; t < 2 * BalancingRouter.EJECTION_MS; t += 100) {
-            probed(Outcome.CONNECT_FAILED);
-            b.advance(100);
+            reportProbe(Outcome.CONNECT_FAILED);
+            harness.advance(100);
         }
-        assertFalse(b.router.isExcluded(b.now, "c0"), "the one that probes may be cut off from it itself");
+        assertFalse(harness.router.isExcluded(harness.now, "c0"), "the prober itself may be unable to reach the node");
     }
 
-    /** The one that probes reaches it, and we do not: that costs one request, and not one a probe. */
+    /** If the prober reaches the node and this proxy does not, that must cost one request, not one per probe. */
     @Test
-    void aProbeIsWrongOnce() {
-        spare(Outcome.CONNECT_FAILED);
-        probed(Outcome.OK);
-        assertTrue(meets(Outcome.CONNECT_FAILED));
-        assertTrue(b.router.isExcluded(b.now, "c0"));
+    void wrongProbeIsTrustedOnlyOnce() {
+        ejectNode(Outcome.CONNECT_FAILED);
+        reportProbe(Outcome.OK);
+        assertTrue(reachesNode(Outcome.CONNECT_FAILED));
+        assertTrue(harness.router.isExcluded(harness.now, "c0"));
         for (int i = 0; i < 5; i++) {
-            probed(Outcome.OK);
-            assertTrue(b.router.isExcluded(b.now, "c0"));
+            reportProbe(Outcome.OK);
+            assertTrue(harness.router.isExcluded(harness.now, "c0"));
         }
-        b.advance(2 * BalancingRouter.MAX_EJECTION_MS);
-        assertTrue(meets(Outcome.OK), "its time is over");
-        spare(Outcome.CONNECT_FAILED);
-        probed(Outcome.OK);
-        assertFalse(b.router.isExcluded(b.now, "c0"), "it has answered since");
+        harness.advance(2 * BalancingRouter.MAX_EJECTION_MS);
+        assertTrue(reachesNode(Outcome.OK), "the ejection must have ended");
+        ejectNode(Outcome.CONNECT_FAILED);
+        reportProbe(Outcome.OK);
+        assertFalse(harness.router.isExcluded(harness.now, "c0"), "the node has answered since");
     }
 
     @Test
-    void aNodeThatIsSilentIsJudgedByRequests() {
-        spare(Outcome.TIMEOUT);
-        assertEquals(List.of(), b.router.unreachableNodes(b.now));
-        probed(Outcome.OK);
-        assertTrue(b.router.isExcluded(b.now, "c0"));
+    void nodeEjectedForTimeoutsIsNotRestoredByProbe() {
+        ejectNode(Outcome.TIMEOUT);
+        assertEquals(List.of(), harness.router.unreachableNodes(harness.now));
+        reportProbe(Outcome.OK);
+        assertTrue(harness.router.isExcluded(harness.now, "c0"));
     }
 
     @Test
-    void aProbeSparesNothing() {
-        probed(Outcome.CONNECT_FAILED);
-        assertFalse(b.router.isExcluded(b.now, "c0"));
-        b.router.onProbeResult(b.now, "nobody", Outcome.OK, 5, Map.of(), b.actions);
+    void failedProbeDoesNotEject() {
+        reportProbe(Outcome.CONNECT_FAILED);
+        assertFalse(harness.router.isExcluded(harness.now, "c0"));
+        harness.router.onProbeResult(harness.now, "unknown", Outcome.OK, 5, Map.of(), harness.actions);
     }
 }
--- a/core/src/test/java/ridgemill/policy/RecordingActions.java
+++ b/core/src/test/java/ridgemill/policy/RecordingActions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A fake sink that writes down every action, and a small harness around one router. */
+/** Records all actions that a router requests. */
 final class RecordingActions implements Router.Actions {
 
     record SentAttempt(String request, String node, double timeoutMs) { }
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public void reportReason(String request, Reason why) {
-        reasons.put(request, why);
+    public void reportReason(String request, Reason reason) {
+        reasons.put(request, reason);
     }
 
     @Override
@@ -54,7 +54,7 @@
 
     @Override
     public void setTimer(double atMs, String token) {
-        log.add("timer " + atMs + " " + token);
+        log.add("setTimer " + atMs + " " + token);
         timers.add(new DueTimer(atMs, token));
     }
 
@@ -71,13 +71,13 @@
 
     @Override
     public void broadcast(byte[] contents) {
-        log.add("tell " + Arrays.toString(contents));
+        log.add("broadcast " + Arrays.toString(contents));
         broadcasts.add(contents);
     }
 
     @Override
     public void closeIdleConnections(String node) {
-        log.add("close " + node);
+        log.add("closeIdleConnections " + node);
         closedNodes.add(node);
     }
 
@@ -89,7 +89,9 @@
         return sentAttempts.stream().filter(s -> s.node().equals(node)).count();
     }
 
+    /** Number of final answers to a request; must never exceed 1. */
     long finalAnswers(String request) {
-        return refusedRequests.stream().filter(request::equals).count() + failedRequests.stream().filter(request::equals).count();
+        return refusedRequests.stream().filter(request::equals).count()
+                + failedRequests.stream().filter(request::equals).count();
     }
 }
--- a/core/src/test/java/ridgemill/policy/RouterHarness.java
+++ b/core/src/test/java/ridgemill/policy/RouterHarness.java
@@ -15,9 +15,10 @@
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 
-/** One router with a fake sink, told events one by one; time moves only when a test says so. */
+/** Drives one router with single events and records its actions; the clock advances only on request. */
 final class RouterHarness {
 
+    /** Deadline of all classes and budget of all requests. */
     static final double BUDGET_MS = 1000;
     static final Router.PlatformRules RULES = new Router.PlatformRules(1000, 0.25, 10_000, 2.5, 2000, 20, 10_000);
 
@@ -36,13 +37,15 @@
         router.onStart(now, actions);
     }
 
-    static ServiceClass serviceClass(String name, double gain, Effect effect, DeduplicationScope group) {
-        return new ServiceClass(name, 300, 0, BUDGET_MS, gain, 0.2, effect, group, 500, false);
+    static ServiceClass serviceClass(String name, double value, Effect effect, DeduplicationScope scope) {
+        return new ServiceClass(name, 300, 0, BUDGET_MS, value, 0.2, effect, scope, 500, false);
     }
 
     static List<ServiceClass> serviceClasses() {
-        return List.of(serviceClass("cheap", 1, Effect.SAFE, DeduplicationScope.ALL), serviceClass("dear", 5, Effect.SAFE, DeduplicationScope.ALL),
-                serviceClass("keyed", 2, Effect.KEYED, DeduplicationScope.ALL), serviceClass("zoned", 2, Effect.KEYED, DeduplicationScope.ZONE),
+        return List.of(serviceClass("basic", 1, Effect.SAFE, DeduplicationScope.ALL),
+                serviceClass("premium", 5, Effect.SAFE, DeduplicationScope.ALL),
+                serviceClass("keyed", 2, Effect.KEYED, DeduplicationScope.ALL),
+                serviceClass("zoned", 2, Effect.KEYED, DeduplicationScope.ZONE),
                 serviceClass("unsafe", 2, Effect.UNSAFE, DeduplicationScope.ALL));
     }
 
@@ -56,70 +59,76 @@
                 Router.WeightMode.NONE, withOrigin ? "origin" : null);
     }
 
-    /** A bench with an origin "db" and {@code caches} warm nodes c0, c1, ... */
-    static RouterHarness withCacheNodes(int caches) {
-        RouterHarness b = new RouterHarness(settings(true, false));
-        b.listNodes(caches);
-        return b;
+    /** A harness whose node list has an origin "db" and that many warm cache nodes c0, c1, ... */
+    static RouterHarness withCacheNodes(int count) {
+        RouterHarness harness = new RouterHarness(settings(true, false));
+        harness.listNodes(count);
+        return harness;
     }
 
-    void listNodes(int caches) {
+    /** Sends a full node list with the origin and that many warm cache nodes. */
+    void listNodes(int count) {
         List<Node> nodes = new ArrayList<>();
-        for (int i = 0; i < caches; i++) {
+        for (int i = 0; i < count; i++) {
             nodes.add(node("c" + i, 0, Availability.UP));
         }
         nodes.add(origin());
         router.onNodeList(now, ListUpdateKind.FULL, 1, nodes, actions);
     }
 
-    static Node node(String id, double startedAt, Availability availability) {
-        return new Node(id, "cache", "z", 0, 1, startedAt, availability);
+    static Node node(String id, double startedAtMs, Availability availability) {
+        return new Node(id, "cache", "z", 0, 1, startedAtMs, availability);
     }
 
     static Node origin() {
         return new Node("db", "origin", "z", 0, 1, 0, Availability.UP);
     }
 
+    /** Sends changed entries of the node list. */
     void updateNodes(Node... entries) {
         router.onNodeList(now, ListUpdateKind.CHANGES, 2, List.of(entries), actions);
     }
 
-    String request(String service, long key) {
-        return request(service, key, false);
+    /** Sends a read and returns its id. */
+    String request(String serviceClass, long key) {
+        return request(serviceClass, key, false);
     }
 
-    String request(String service, long key, boolean write) {
+    String request(String serviceClass, long key, boolean write) {
         String id = "q" + nextId++;
-        router.onRequest(now, new Request(id, service, null, key, 0, BUDGET_MS, write, false), actions);
+        router.onRequest(now, new Request(id, serviceClass, null, key, 0, BUDGET_MS, write, false), actions);
         return id;
     }
 
-    /** Ends the request's attempt that is out at the node it was last sent to. */
+    /** Ends the latest attempt of a request at the node that it was sent to. */
     void endAttempt(String id, Outcome outcome) {
         endAttempt(id, outcome, 10);
     }
 
-    void endAttempt(String id, Outcome outcome, double elapsed) {
+    void endAttempt(String id, Outcome outcome, double elapsedMs) {
         String node = nodeOf(id);
         int attempt = endedAttempts.merge(id, 1, Integer::sum) - 1;
-        router.onAttemptEnded(now, new AttemptResult(id, attempt, node, outcome, elapsed, outcome == Outcome.OK, 0,
+        router.onAttemptEnded(now, new AttemptResult(id, attempt, node, outcome, elapsedMs, outcome == Outcome.OK, 0,
                 Map.of()), actions);
     }
 
+    /** The node of the latest attempt of a request. */
     String nodeOf(String id) {
-        return actions.sentAttempts.stream().filter(s -> s.request().equals(id)).reduce((a, b) -> b).orElseThrow().node();
+        return actions.sentAttempts.stream().filter(s -> s.request().equals(id)).reduce((a, b) -> b).orElseThrow()
+                .node();
     }
 
-    /** Whether an attempt of it has not ended yet. */
+    /** Whether an attempt of the request has not ended yet. */
     boolean isInFlight(String id) {
         return sendCount(id) > endedAttempts.getOrDefault(id, 0);
     }
 
+    /** Number of attempts of a request. */
     long sendCount(String id) {
         return actions.sentAttempts.stream().filter(s -> s.request().equals(id)).count();
     }
 
-    /** Moves the clock, firing the timers that fall due on the way. */
+    /** Advances the clock and fires the timers that become due. */
     void advance(double ms) {
         double until = now + ms;
         while (true) {
@@ -135,10 +144,10 @@
         now = until;
     }
 
-    /** Drives fetches with the given outcomes through one control interval. */
+    /** Runs one control interval with that many good and bad fetches. */
     void runInterval(int good, int bad) {
         for (int i = 0; i < good + bad; i++) {
-            String id = request("dear", 1_000_000 + nextId);
+            String id = request("premium", 1_000_000 + nextId);
             while (actions.finalAnswers(id) == 0 && !nodeOf(id).equals("db")) {
                 endAttempt(id, Outcome.MISS);
             }
--- a/core/src/test/java/ridgemill/policy/SourceLimitsTest.java
+++ b/core/src/test/java/ridgemill/policy/SourceLimitsTest.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Whoever is on call must be able to read the module at night. */
+/** Limits on the size of the decision logic, so that an engineer on call can read all of it. */
 class SourceLimitsTest {
 
     private static final Path FOLDER = Path.of("src/main/java/ridgemill/policy");
-    private static final Path MODULE = FOLDER.resolve("BalancingRouter.java");
+    private static final Path ROUTER = FOLDER.resolve("BalancingRouter.java");
     /** All files that hold the decision logic, as the deploy file lists them. */
-    private static final List<Path> FILES = List.of(MODULE, FOLDER.resolve("AdmissionLevel.java"),
+    private static final List<Path> FILES = List.of(ROUTER, FOLDER.resolve("AdmissionLevel.java"),
             FOLDER.resolve("PriorityTokenBucket.java"), FOLDER.resolve("RendezvousHash.java"));
 
     private static List<String> lines() throws IOException {
@@ -27,27 +27,27 @@
     }
 
     @Test
-    void moduleStaysShort() throws IOException {
+    void sourceStaysShort() throws IOException {
         long lines = lines().stream().filter(l -> !l.isBlank()).count();
         assertTrue(lines > 0 && lines <= 1200, lines + " non-blank lines");
     }
 
     @Test
-    void moduleLinesStayNarrow() throws IOException {
-        List<String> wide = lines().stream().filter(l -> l.length() > 110).toList();
-        assertTrue(wide.isEmpty(), wide.toString());
+    void linesStayNarrow() throws IOException {
+        List<String> tooWide = lines().stream().filter(l -> l.length() > 110).toList();
+        assertTrue(tooWide.isEmpty(), tooWide.toString());
     }
 
     @Test
-    void moduleNamesItsInterfaceAndUsesTheJdkAlone() throws IOException {
-        String text = Files.readString(MODULE);
+    void routerNamesItsInterfaceAndUsesOnlyTheJdk() throws IOException {
+        String text = Files.readString(ROUTER);
         assertTrue(text.indexOf("Router.java") < text.indexOf("class BalancingRouter"));
         assertTrue(lines().stream().filter(l -> l.startsWith("import "))
                 .allMatch(l -> l.startsWith("import java.util.") || l.equals("import java.nio.ByteBuffer;")));
     }
 
     @Test
-    void deployFileListsTheFilesOfTheModule() throws IOException {
+    void deployFileListsAllFiles() throws IOException {
         String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
         for (Path file : FILES) {
             assertTrue(deploy.contains("\"core/" + file + "\""), file + " is not listed");
--- a/core/src/test/java/ridgemill/route/RouteTableTest.java
+++ b/core/src/test/java/ridgemill/route/RouteTableTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import ridgemill.route.Conditions.KeyRange;
 
-/** The most specific route wins, by the stated order, and the compiled table agrees with the slow way. */
+/** The most specific route wins, and the compiled table agrees with a sequential search of all routes. */
 class RouteTableTest {
 
     private static Route<String> route(String name, String path) {
@@ -34,21 +34,22 @@
 
     @ParameterizedTest
     @CsvSource({"/api/up, exact", "/api/m1, template", "/api/m1/balance, deep-template", "/api/m1/x, prefix",
-        "/api/fixed/balance, literal-first", "/api/fixed/other, open-literal", "/api, prefix", "/api/, prefix", "/, none",
-        "/apis, none", "/other/x, none", "/api//balance, prefix"})
-    void theMostSpecificPathWins(String path, String name) {
+        "/api/fixed/balance, literal-first", "/api/fixed/other, only-literals", "/api, prefix", "/api/, prefix",
+        "/, none", "/apis, none", "/other/x, none", "/api//balance, prefix"})
+    void mostSpecificPathWins(String path, String name) {
         assertEquals(name, match(List.of(route("prefix", "/api/**"), route("template", "/api/{m}"),
                 route("exact", "/api/up"), route("deep-template", "/api/{m}/balance"),
-                route("literal-first", "/api/fixed/{what}"), route("open-literal", "/api/fixed/other")), "GET", path, null));
+                route("literal-first", "/api/fixed/{what}"), route("only-literals", "/api/fixed/other")), "GET", path,
+                null));
     }
 
     @Test
-    void aLiteralEarlierGoesBeforeALongerTemplate() {
+    void earlierLiteralWinsOverLongerTemplate() {
         assertEquals("early", match(List.of(route("late", "/{x}/b"), route("early", "/a/**")), "GET", "/a/b", null));
     }
 
     @Test
-    void conditionsDecideBetweenEqualPathsInTheStatedOrder() {
+    void conditionsDecideBetweenEqualPathsInOrder() {
         List<Route<String>> routes = List.of(route("plain", "/api/{m}"),
                 route("put", "/api/{m}", new Conditions("PUT", null, Map.of(), null)),
                 route("header", "/api/{m}", new Conditions(null, null, Map.of("x-app", "till"), null)),
@@ -57,16 +58,16 @@
         assertEquals("plain", match(routes, "GET", "/api/m1", "other"));
         assertEquals("put", match(routes, "PUT", "/api/m1", "other"));
         assertEquals("keys", match(routes, "PUT", "/api/m55", "other"));
-        assertEquals("plain", match(routes, "GET", "/api/m6", "other"), "the upper bound is no part of the range");
+        assertEquals("plain", match(routes, "GET", "/api/m6", "other"), "the upper bound is exclusive");
         assertEquals("tenant", match(routes, "PUT", "/api/m55", "acme"));
         RouteTable<String> table = new RouteTable<>(routes);
-        assertEquals("header", table.match(new RouteQuery("PUT", "/api/m1", null, n -> n.equals("x-app") ? "till" : null))
-                .orElseThrow().name());
+        assertEquals("header", table.match(
+                new RouteQuery("PUT", "/api/m1", null, n -> n.equals("x-app") ? "till" : null)).orElseThrow().name());
         assertTrue(table.conflicts().isEmpty());
     }
 
     @Test
-    void twoThatTakeOneRequestEquallyAreToldWithAnExample() {
+    void equallySpecificRoutesAreReportedWithAnExample() {
         RouteTable<String> table = new RouteTable<>(List.of(route("a", "/api/{meter}/balance"),
                 route("b", "/api/{serial}/balance"), route("c", "/api/m1/balance"),
                 route("get", "/up", new Conditions("GET", null, Map.of(), null)),
@@ -78,7 +79,7 @@
     }
 
     @Test
-    void rangesThatOverlapConflictAndTheExampleLiesInBoth() {
+    void overlappingKeyRangesConflictWithAnExampleInBoth() {
         RouteTable<String> table = new RouteTable<>(List.of(
                 route("low", "/api/{m}", new Conditions(null, null, Map.of(), new KeyRange(null, "m5"))),
                 route("mid", "/api/{m}", new Conditions(null, null, Map.of(), new KeyRange("m4", "m8"))),
@@ -89,12 +90,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"api", "", "/a/*", "/a/b{c}", "/a/**/b", "/a?b", "/a#b", "/{}"})
-    void aPatternThatIsNoneIsRefused(String text) {
+    void invalidPatternIsRejected(String text) {
         assertThrows(IllegalArgumentException.class, () -> PathPattern.parse(text));
     }
 
     @Test
-    void templatesThatMultiplyAreRefusedAndNotBuilt() {
+    void templatesThatNeedTooManyStatesAreRejected() {
         List<Route<String>> routes = new ArrayList<>();
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 400; i++) {
@@ -106,15 +107,16 @@
         }
         try {
             RouteTable<String> table = new RouteTable<>(routes);
-            routes.forEach(r -> assertTrue(table.match(new RouteQuery("GET", r.pathPattern().example(), null)).isPresent()));
+            routes.forEach(r ->
+                    assertTrue(table.match(new RouteQuery("GET", r.pathPattern().example(), null)).isPresent()));
         } catch (IllegalArgumentException e) {
             assertTrue(e.getMessage().contains("too many levels"));
         }
     }
 
-    /** Against the naive way: of all routes that take the request, the one that no other beats. */
+    /** Compares with a sequential search: among all routes that match the request, none is more specific. */
     @Test
-    void theTableAgreesWithTheSlowWay() {
+    void tableAgreesWithSequentialSearch() {
         long seed = System.nanoTime();
         System.out.println("RouteTableTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
@@ -129,41 +131,41 @@
                 for (int j = i + 1; j < routes.size(); j++) {
                     Route<String> a = routes.get(i);
                     Route<String> b = routes.get(j);
-                    boolean told = table.conflicts().stream().anyMatch(c -> c.first() == a && c.second() == b
+                    boolean reported = table.conflicts().stream().anyMatch(c -> c.first() == a && c.second() == b
                             || c.first() == b && c.second() == a);
-                    assertEquals(a.conflictsWith(b), told, a + " and " + b + ", seed " + seed);
+                    assertEquals(a.conflictsWith(b), reported, a + " and " + b + ", seed " + seed);
                 }
             }
             for (int i = 0; i < 60; i++) {
                 boolean header = random.nextBoolean();
-                RouteQuery q = new RouteQuery(random.nextBoolean() ? "GET" : "PUT", path(random, false),
+                RouteQuery query = new RouteQuery(random.nextBoolean() ? "GET" : "PUT", path(random, false),
                         random.nextInt(3) == 0 ? null : "t" + random.nextInt(2), n -> header ? "1" : null);
-                List<Route<String>> taking = routes.stream().filter(r -> r.matches(q)).toList();
-                Optional<Route<String>> matched = table.match(q);
-                assertEquals(taking.isEmpty(), matched.isEmpty(), q + ", seed " + seed);
+                List<Route<String>> matching = routes.stream().filter(r -> r.matches(query)).toList();
+                Optional<Route<String>> matched = table.match(query);
+                assertEquals(matching.isEmpty(), matched.isEmpty(), query + ", seed " + seed);
                 matched.ifPresent(m -> {
-                    assertTrue(taking.contains(m), q + ", seed " + seed);
-                    assertFalse(taking.stream().anyMatch(r -> r.compareSpecificity(m) > 0), q + ", seed " + seed);
+                    assertTrue(matching.contains(m), query + ", seed " + seed);
+                    assertFalse(matching.stream().anyMatch(r -> r.compareSpecificity(m) > 0), query + ", seed " + seed);
                 });
             }
         }
     }
 
-    /** The order is one: no cycles, or the winner would depend on the order of the file. */
+    /** With cycles in the order of specificity the result would depend on the order of the routes in the file. */
     @Test
-    void theOrderOfSpecificityIsTransitiveAmongRoutesThatTakeOneRequest() {
+    void specificityIsTransitiveAmongMatchingRoutes() {
         SplittableRandom random = new SplittableRandom(7);
         List<Route<String>> routes = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             routes.add(route("r" + i, path(random, true), conditions(random)));
         }
-        RouteQuery q = new RouteQuery("GET", "/a/b", "t0", n -> "1");
-        List<Route<String>> taking = new ArrayList<>(routes.stream().filter(r -> r.matches(q)).toList());
-        taking.sort(Comparator.comparing(Route::name));
-        for (Route<String> a : taking) {
-            for (Route<String> b : taking) {
+        RouteQuery query = new RouteQuery("GET", "/a/b", "t0", n -> "1");
+        List<Route<String>> matching = new ArrayList<>(routes.stream().filter(r -> r.matches(query)).toList());
+        matching.sort(Comparator.comparing(Route::name));
+        for (Route<String> a : matching) {
+            for (Route<String> b : matching) {
                 assertEquals(-Integer.signum(a.compareSpecificity(b)), Integer.signum(b.compareSpecificity(a)));
-                for (Route<String> c : taking) {
+                for (Route<String> c : matching) {
                     if (a.compareSpecificity(b) > 0 && b.compareSpecificity(c) > 0) {
                         assertTrue(a.compareSpecificity(c) > 0, a + ", " + b + ", " + c);
                     }
@@ -188,7 +190,8 @@
             case 1 -> new KeyRange("b", null);
             default -> null;
         };
-        return new Conditions(random.nextInt(3) == 0 ? "GET" : null, random.nextInt(3) == 0 ? "t" + random.nextInt(2) : null,
+        return new Conditions(random.nextInt(3) == 0 ? "GET" : null,
+                random.nextInt(3) == 0 ? "t" + random.nextInt(2) : null,
                 random.nextInt(4) == 0 ? Map.of("x-h", "1") : Map.of(), keys);
     }
 }
