--- a/core/src/main/java/ridgemill/policy/BalancingRouter.java
+++ b/core/src/main/java/ridgemill/policy/BalancingRouter.java
@@ -35,8 +35,9 @@
     /** Delay before a fetch that found no connection slot is retried: other proxies free slots meanwhile. */
     static final double NO_PLACE_RETRY_MS = 50;
     /**
-     * Running error share above which an answering node is ejected, and the weight of one outcome: errors
-     * in half its answers cost a retry each but are no failures in a row. Wrong if requests cause the errors.
+     * Running error share above which a node is ejected although it answers, and the weight of one outcome.
+     * A node that fails half of its answers need not fail twice in a row, and each failed answer costs a
+     * retry. May eject wrongly where the requests cause the errors.
      */
     static final double MAX_ERROR_SHARE = 0.35;
     static final double ERROR_SMOOTHING = 0.1;
@@ -109,7 +110,7 @@
     static final double COLD_SAFETY_FACTOR = 0.7;
     /** Assumed count of an unseen key at a cold node, as the key may be hot at other proxies. */
     static final double UNSEEN_KEY_COUNT = 0.25;
-    /** Node pairs given to a hot key per node's share of this proxy's requests that the key takes. */
+    /** Node pairs that a hot key gets for each node's worth of this proxy's requests that name it. */
     static final double HOT_KEY_SPREAD = 2;
 
     private final Settings settings;
@@ -369,19 +370,19 @@
         if (token.equals("step")) {
             endInterval(now);
             out.setTimer(intervalEnd, "step");
-        } else if (token.equals("room")) {
+        } else if (token.equals("room")) { // wait queue
             drainWaitQueue(now, out);
         } else if (token.equals("subscribe")) {
             if (!subscribed) {
                 subscribed = true;
                 out.subscribe();
             }
-        } else if (token.startsWith("r")) {
+        } else if (token.startsWith("r")) { // time limit of a request
             PendingRequest r = requests.get(token.substring(1));
             if (r != null && !r.streaming) {
                 finish(now, r, out, Reason.OUT_OF_TIME);
             }
-        } else if (token.startsWith("w")) {
+        } else if (token.startsWith("w")) { // retry of a request
             PendingRequest r = requests.get(token.substring(1));
             if (r != null && !r.inFlight) {
                 retry(now, r, out);
