--- a/core/src/main/java/ridgemill/policy/BalancingRouter.java
+++ b/core/src/main/java/ridgemill/policy/BalancingRouter.java
@@ -898,8 +898,7 @@
         int inFlight;
         double failures;
         double serviceTimeMs, errorShare, brokenShare, timeoutShare;
-        /** Running mean of the answer time and its mean deviation. */
-        double meanMs, deviationMs;
+        double meanAnswerMs, answerDeviationMs;
         int errorEjections;
         double lastEndAt = Double.NEGATIVE_INFINITY;
         boolean onTrial;
@@ -1017,8 +1016,8 @@
 
         private void recordAnswerTime(double elapsedMs) {
             if (elapsedMs >= 0) {
-                deviationMs += SMOOTHING * (Math.abs(elapsedMs - meanMs) - deviationMs);
-                meanMs += SMOOTHING * (elapsedMs - meanMs);
+                answerDeviationMs += SMOOTHING * (Math.abs(elapsedMs - meanAnswerMs) - answerDeviationMs);
+                meanAnswerMs += SMOOTHING * (elapsedMs - meanAnswerMs);
             }
         }
 
@@ -1030,7 +1029,7 @@
          */
         boolean isLossy(double targetMs) {
             return timeoutShare > LOSSY_TIMEOUT_SHARE
-                    && meanMs + LATE_DEVIATIONS * deviationMs < LOST_AFTER_SHARE * targetMs;
+                    && meanAnswerMs + LATE_DEVIATIONS * answerDeviationMs < LOST_AFTER_SHARE * targetMs;
         }
 
         /** Updates the service time; faster for a paced node, as it gets few attempts. */
--- a/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
+++ b/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.RetryPolicy;
 import ridgemill.policy.Router.ServiceClass;
