--- a/core/src/test/java/ridgemill/policy/RulesTest.java
+++ b/core/src/test/java/ridgemill/policy/RulesTest.java
@@ -183,7 +183,8 @@
         var withoutDeadline = new Router.ServiceClass("x", 1, 0, 0, 1, 0, Router.Effect.SAFE,
                 Router.DeduplicationScope.ALL, 0, false);
         var noDeadline = assertThrows(IllegalArgumentException.class, () -> new Settings(0, 1, "z", 5,
-                List.of(withoutDeadline), List.of(), 1, false, valid.limits(), valid.rules(), false, Router.WeightMode.NONE, null));
+                List.of(withoutDeadline), List.of(), 1, false, valid.limits(), valid.rules(), false,
+                Router.WeightMode.NONE, null));
         assertTrue(noDeadline.getMessage().contains("deadlineMs"));
     }
 }
