--- a/core/src/main/java/ridgemill/connections/ConnectionEviction.java
+++ b/core/src/main/java/ridgemill/connections/ConnectionEviction.java
@@ -3,32 +3,33 @@
 import java.util.Collection;
 
 /**
- * Says which client's connection goes when a place is needed. Each is judged by what it has sent and when, as in a crowd most say
- * nothing or stop half way, and a few take their time. Times are in milliseconds.
+ * Selects the client connection to close when room is needed for another. Each connection is judged by what its client
+ * has sent and when: under overload most clients send nothing or stop in the middle of a request, and a few merely send
+ * slowly.
  */
 public final class ConnectionEviction {
 
-    /** Silence after which a request that has begun is taken to have stopped: a slow writer's pieces come more often. */
+    /** Silence after which a partial request is taken to be stopped: a slow client's data arrives more often. */
     static final double STOPPED_MS = 600;
-    /** Silence after which one goes where there is no other choice. */
+    /** Silence after which a connection with a partial request is closed if there is no other choice. */
     static final double HALTING_MS = 150;
 
-    /** A connection, as it is now. */
+    /** The present state of a connection. */
     public interface Candidate {
 
-        /** Whether it has a request in hand. */
+        /** Whether a request of the connection is being processed. */
         boolean isBusy();
 
-        /** Whether it is kept for a next request, after one that was good. */
+        /** Whether the connection is kept alive for a next request, after a valid one. */
         boolean isKeepAlive();
 
-        /** Whether it has been read since it was accepted. */
+        /** Whether the connection has been read since it was accepted. */
         boolean wasRead();
 
-        /** Whether it has sent a part of a request. */
+        /** Whether a part of a request has arrived. */
         boolean hasPartialRequest();
 
-        /** When it last sent something, had an answer, or was accepted. */
+        /** When the client last sent data, was sent a response, or was accepted, in milliseconds. */
         double lastActivityMs();
     }
 
@@ -40,8 +41,9 @@
     private ConnectionEviction() { }
 
     /**
-     * Whose place is taken; null where none may be. While one has not been read yet, no kept connection goes: it may have said
-     * nothing, and then goes first. Its chance is a few milliseconds away.
+     * Returns the connection to close, or null if none may be closed. While any connection has not been read yet, no
+     * keep-alive connection is closed: the unread one may turn out to be silent, and silent ones are closed first. It
+     * is read within a few milliseconds.
      */
     public static <G extends Candidate> G selectVictim(Collection<G> guests, double nowMs) {
         G best = null;
@@ -50,7 +52,8 @@
         for (G g : guests) {
             unread |= !g.wasRead();
             int rank = rank(g, nowMs);
-            if (rank > bestRank || rank > 0 && rank == bestRank && g.lastActivityMs() < best.lastActivityMs()) {
+            if (rank > bestRank
+                    || rank > 0 && rank == bestRank && g.lastActivityMs() < best.lastActivityMs()) {
                 best = g;
                 bestRank = rank;
             }
@@ -58,7 +61,7 @@
         return bestRank == KEPT && unread ? null : best;
     }
 
-    /** The higher, the sooner it goes; 0 for one that stays. */
+    /** The eviction rank: connections of a higher rank are closed first, those of rank 0 never. */
     private static int rank(Candidate g, double nowMs) {
         if (g.isBusy() || !g.wasRead()) {
             return 0;
--- a/core/src/main/java/ridgemill/deadline/ClassTimings.java
+++ b/core/src/main/java/ridgemill/deadline/ClassTimings.java
@@ -1,14 +1,17 @@
 package ridgemill.deadline;
 
 /**
- * What is known of one class in one group of nodes: how long its attempts take at cache nodes and at the store, and how long
- * its clients stay. Not safe for use by several threads.
+ * Timings of one class in one group of nodes: how long its attempts take at cache nodes and at the origin, and how long
+ * its clients wait. Not thread-safe.
  */
 public final class ClassTimings {
 
-    /** Below this chance that its answer is read an attempt is not worth what it takes from others. */
+    /** An attempt whose response is less likely to be read than this is not worth the capacity that it takes. */
     private static final double LEAST_READ = 0.2;
-    /** One of so many that would end unread goes all the same, as what is not sent teaches nothing. */
+    /**
+     * One in this many attempts that would go unread is sent anyway, because an attempt that is not sent adds no
+     * sample.
+     */
     private static final int TRIAL = 16;
 
     private final GroupTimings group;
@@ -25,36 +28,45 @@
         return atStore ? store : caches;
     }
 
-    /** The least time in which any answer may be hoped for, whoever gives it; 0 where that is not known. */
+    /**
+     * The shortest time in which any response can be expected, from a cache node or the origin, in ms; 0 if unknown.
+     */
     public double minResponseMs(double nowMs) {
         double cache = caches.minMs(nowMs);
         double fetch = store.minMs(nowMs);
         return cache == 0 ? fetch : fetch == 0 ? cache : Math.min(cache, fetch);
     }
 
-    /** What must be left after a wait for another attempt to be worth it; 0 where that is not known, or nobody asked for it. */
+    /**
+     * The time, in ms, that must remain after a wait for another attempt to be worthwhile; 0 if unknown, or if the
+     * policy does not drop late requests.
+     */
     public double minRemainingMs(double nowMs) {
         return group.policy().dropsLate() ? minResponseMs(nowMs) : 0;
     }
 
-    /** Whether one of this class that has so much left may go on from a place. */
+    /** Whether a request of this class with this much time left may proceed from a stage. */
     public Verdict checkStage(RequestStage place, double nowMs, double leftMs) {
-        return group.counted(place, leftMs <= 0 || group.policy().dropsLate() && leftMs < minResponseMs(nowMs) ? Verdict.LATE : Verdict.GO);
+        return group.counted(place, leftMs <= 0 || group.policy().dropsLate() && leftMs < minResponseMs(nowMs)
+                ? Verdict.LATE : Verdict.GO);
     }
 
-    /** Whether an attempt that is about to be written on a connection that has just come up may still be answered in time. */
+    /**
+     * Whether an attempt that is about to be written on a newly established connection may still be answered in time.
+     */
     public Verdict checkWrite(double nowMs, double leftMs, boolean atStore) {
-        boolean late = leftMs <= 0 || group.policy().dropsLate() && leftMs < at(atStore).minMs(nowMs);
+        boolean late = leftMs <= 0
+                || group.policy().dropsLate() && leftMs < at(atStore).minMs(nowMs);
         return group.counted(RequestStage.CONNECT, late ? Verdict.LATE : Verdict.GO);
     }
 
     /**
      * Whether an attempt may be sent.
      *
-     * @param ageMs since the request came
-     * @param leftMs until its answer must be here
-     * @param atStore whether it goes to the store
-     * @param first whether it is the request's first
+     * @param ageMs time since the request arrived
+     * @param remainingMs time until its response must be here
+     * @param atOrigin whether the attempt goes to the origin
+     * @param first whether it is the first attempt of the request
      */
     public Verdict checkSend(double nowMs, double ageMs, double leftMs, boolean atStore, boolean first) {
         ResponseTimes times = at(atStore);
@@ -74,28 +86,31 @@
         return ++unread % TRIAL != 0;
     }
 
-    /** An attempt was answered after so long; {@code fresh} says whether its connection was made for it. */
+    /** Records an attempt that was answered; {@code newConnection} says whether its connection was opened for it. */
     public void attemptAnswered(double nowMs, double elapsedMs, boolean atStore, boolean fresh) {
         at(atStore).answered(nowMs, elapsedMs);
         group.answered(elapsedMs, fresh, atStore);
     }
 
-    /** An attempt was given up after so long, by us or by its client's leaving. */
+    /** Records an attempt that was abandoned after {@code elapsedMs}, by this proxy or because its client left. */
     public void attemptAbandoned(double nowMs, double elapsedMs, boolean atStore) {
         at(atStore).abandoned(nowMs, elapsedMs);
     }
 
-    /** A request of this age had its final answer. */
+    /** Records a request that had its final response at this age. */
     public void requestAnswered(double nowMs, double ageMs) {
         patience.answered(nowMs, ageMs);
     }
 
-    /** The client of a request of this age left. */
+    /** Records a request whose client disconnected at this age. */
     public void clientLeft(double nowMs, double ageMs) {
         patience.clientLeft(nowMs, ageMs);
     }
 
-    /** Whether an attempt that nobody waits for any more, sent so long ago, is stopped by closing its connection. */
+    /**
+     * Whether to cancel an attempt that no client waits for by closing its connection, {@code elapsedMs} after the
+     * send.
+     */
     public boolean shouldCloseConnection(double nowMs, double elapsedMs, boolean atStore) {
         return group.closes(nowMs, elapsedMs, at(atStore), atStore);
     }
--- a/core/src/main/java/ridgemill/deadline/ClientPatience.java
+++ b/core/src/main/java/ridgemill/deadline/ClientPatience.java
@@ -1,30 +1,31 @@
 package ridgemill.deadline;
 
 /**
- * How long clients of one class stay, whatever they say: for each age of a request, which part of those that were still open
- * left in it. From that follows how likely it is that somebody is there to read an answer that comes later (the product-limit
- * estimate of Kaplan and Meier, over buckets of age; those that were answered are cut off at their answer's age).
+ * How long clients of one class wait before they disconnect, whatever timeout they send: for each age of a request, the
+ * fraction of the requests still open whose client left at that age. This gives the probability that a client is still
+ * connected when a later response arrives (the product-limit estimate of Kaplan and Meier over buckets of age; answered
+ * requests are censored at the age of their response).
  */
 final class ClientPatience {
 
-    /** Fewer that left than this tell nothing: some clients always leave. */
+    /** With fewer departures than this nothing is estimated: some clients always leave. */
     private static final int THIN = 12;
 
     private final SlidingHistogram ended = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
     private final SlidingHistogram left = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
 
-    /** A request of this age had its final answer. */
+    /** Records a request that had its final response at this age. */
     void answered(double nowMs, double ageMs) {
         ended.add(nowMs, ageMs);
     }
 
-    /** The client of a request of this age left without one. */
+    /** Records a request whose client left without a response at this age. */
     void clientLeft(double nowMs, double ageMs) {
         ended.add(nowMs, ageMs);
         left.add(nowMs, ageMs);
     }
 
-    /** How likely it is that the client of a request of one age is there at another; 1 where nothing is known. */
+    /** The probability that the client of a request of age {@code ageMs} stays until {@code laterMs}; 1 if unknown. */
     double probabilityOfStaying(double nowMs, double ageMs, double laterMs) {
         if (left.total(nowMs) < THIN) {
             return 1;
@@ -33,7 +34,7 @@
         int first = SlidingHistogram.bucketOf(ageMs);
         int last = SlidingHistogram.bucketOf(laterMs);
         double stays = 1;
-        // Past the few that are left in the end nothing can be told.
+        // Once too few requests remain at risk, the estimate would be unreliable.
         for (int b = 0; b < last && atRisk >= THIN; b++) {
             if (b >= first) {
                 stays *= 1 - (double) left.count(b) / atRisk;
--- a/core/src/main/java/ridgemill/deadline/ClientTimeout.java
+++ b/core/src/main/java/ridgemill/deadline/ClientTimeout.java
@@ -4,50 +4,50 @@
 import java.util.List;
 
 /**
- * What a client says of its time, in one of several forms, judged alike on every front. Each way of saying nonsense has one
- * outcome: a value that is no number, negative or over an hour is unfit, and so is one that is said twice in one form (RFC
- * 9110, section 5.3, allows one line for a field that is no list). Where several forms are used, the shortest holds, as each
- * hop on the way may have added its own.
+ * Parses the timeout that a client sent, in one of several formats, by the same rules for every frontend. Each kind of
+ * malformed value has one result: a value that is not a number, is negative or exceeds an hour is invalid, and so is a
+ * format that occurs twice (RFC 9110, section 5.3, allows one line for a field that is not a list). If several formats
+ * are used, the shortest timeout holds, because each hop on the way may have added its own.
  */
 public final class ClientTimeout {
 
-    /** A time past this is a mistake, and as a timer would outlive the process. */
+    /** A timeout longer than this is a mistake, and a timer for it would outlive the process. */
     public static final double MAX_MS = 3_600_000;
     private static final int MOST_TEXT = 32;
-    /** The most digits that a number of {@code grpc-timeout} has. */
+    /** The most digits that a {@code grpc-timeout} may have. */
     private static final int GRPC_DIGITS = 8;
 
-    /** How a time is written. */
+    /** How a timeout is written. */
     public enum Format {
-        /** Seconds from when the client sent it, with decimals: {@code 0.480}. */
+        /** Seconds from when the client sent the request, with decimals: {@code 0.480}. */
         SECONDS,
-        /** Up to eight digits and a unit of {@code H M S m u n}, as gRPC over HTTP/2 has its {@code grpc-timeout}. */
+        /** Up to eight digits and a unit of {@code H M S m u n}, like {@code grpc-timeout} of gRPC over HTTP/2. */
         GRPC,
-        /** The moment itself in Unix milliseconds, by clocks that agree; only where an operator says that they do. */
+        /** The deadline itself in Unix milliseconds; needs synchronized clocks, so an operator has to enable it. */
         UNIX_MS
     }
 
-    /** A value of one form. */
+    /** The text of a timeout in one format. */
     public record RawValue(Format format, String text) { }
 
-    /** What it comes to. */
+    /** The result of parsing. */
     public sealed interface Parsed { }
 
-    /** So long from now, in milliseconds, 0 or more. */
+    /** The remaining time from now, in milliseconds, 0 or more. */
     public record Remaining(double ms) implements Parsed { }
 
-    /** Nothing was said. */
+    /** The client sent no timeout. */
     public record Absent() implements Parsed { }
 
-    /** It makes no sense; {@code why} is for the client. */
+    /** The timeout is malformed; {@code reason} is sent to the client. */
     public record Invalid(String reason) implements Parsed { }
 
     private ClientTimeout() { }
 
     /**
-     * Judges all that a client said.
+     * Parses all timeouts that a client sent with one request.
      *
-     * @param unixMs the time now
+     * @param unixMs the current time
      */
     public static Parsed parse(List<RawValue> claims, double unixMs) {
         double least = Double.POSITIVE_INFINITY;
@@ -73,12 +73,15 @@
         return claims.isEmpty() ? new Absent() : new Remaining(least);
     }
 
-    /** A moment that has passed leaves nothing; one that is no time at all stays nonsense. */
+    /** The time until a deadline: 0 if it has passed; a negative deadline stays negative and is thus invalid. */
     private static double absolute(double atMs, double unixMs) {
         return atMs < 0 ? atMs : Math.max(0, atMs - unixMs);
     }
 
-    /** A plain decimal number, as {@code 12}, {@code 0.5} or {@code -1}: no exponent, no hexadecimal, no infinity by name. */
+    /**
+     * Parses a plain decimal number such as {@code 12}, {@code 0.5} or {@code -1}, without exponent, hexadecimal digits
+     * or a name for infinity; NaN for any other text.
+     */
     private static double decimal(String text) {
         String t = text.trim();
         int from = t.startsWith("-") || t.startsWith("+") ? 1 : 0;
--- a/core/src/main/java/ridgemill/deadline/Deadlines.java
+++ b/core/src/main/java/ridgemill/deadline/Deadlines.java
@@ -5,8 +5,9 @@
 import java.util.TreeMap;
 
 /**
- * Requests' time as one proxy knows it. Fronts say what a client said and what was eaten on the way; each place that may wait
- * asks whether to go on. Not safe for use by several threads.
+ * Deadline handling of one proxy: its policy, the learned timings and the counts. Frontends report the timeout that a
+ * client sent and the part that has passed unseen; each stage at which a request may wait checks whether it may
+ * proceed. Not thread-safe.
  */
 public final class Deadlines {
 
@@ -19,42 +20,46 @@
     private long closed;
     private long leftToRun;
 
-    /** One that knows nothing yet. */
+    /** Creates an instance without any samples. */
     public Deadlines(DeadlinePolicy policy) {
         this.policy = policy;
     }
 
-    /** What is made of deadlines. */
+    /** The policy in effect. */
     public DeadlinePolicy policy() {
         return policy;
     }
 
-    /** Something else is made of them from now on; what was learned stays. */
+    /** Replaces the policy; learned timings are kept. */
     public void setPolicy(DeadlinePolicy next) {
         policy = next;
     }
 
-    /** Whether the loop turns. */
+    /** Detects stalls of the event loop. */
     public LoopStallDetector loopStalls() {
         return loop;
     }
 
-    /** A group of nodes, by its name. */
+    /** The timings of a group of nodes, created on first use. */
     public GroupTimings group(String name) {
         return groups.computeIfAbsent(name, n -> new GroupTimings(this));
     }
 
-    /** The way of answers over one hop in one direction, by a name such as {@code http} or {@code hall teku-hall}. */
+    /**
+     * The return delay of responses over one hop in one direction, created on first use. The name, such as {@code http}
+     * or {@code hall teku-hall}, is part of a metric's name.
+     */
     public ReturnDelay returnDelay(String name) {
         return hops.computeIfAbsent(name, n -> new ReturnDelay());
     }
 
     /**
-     * What a request has left here, 0 or more.
+     * The time that remains for a request, in milliseconds, 0 or more.
      *
-     * @param saidMs how long its client waits, from when it sent it
-     * @param eatenMs what of that passed here before it was read: in a stall, or behind others of its connection
-     * @param back what its answer's way back takes
+     * @param timeoutMs the client's timeout, counted from when it sent the request
+     * @param elapsedMs time that passed here before the request was read: in a stall, or behind other requests of its
+     *     connection
+     * @param back delay of the response on the way back
      */
     public double remainingMs(double saidMs, double eatenMs, ReturnDelay back) {
         double left = Math.max(0, saidMs - Math.max(0, eatenMs));
@@ -75,7 +80,7 @@
         leftToRun += closes ? 0 : 1;
     }
 
-    /** How many were dropped since the start because they came too late, or as nobody would read their answer. */
+    /** The number of requests and attempts dropped since the start as late or as likely to go unread. */
     public long dropped() {
         long sum = 0;
         for (RequestStage p : RequestStage.values()) {
@@ -84,7 +89,10 @@
         return sum;
     }
 
-    /** How it is, for whoever watches: what was dropped where, what is kept for each hop, the longest stall. */
+    /**
+     * Metrics by name: drops per stage, the reserve for the way back per hop in milliseconds, the longest stall in
+     * milliseconds, and cancelled attempts whose connection was closed or left open.
+     */
     public Map<String, Number> metrics() {
         Map<String, Number> all = new TreeMap<>();
         for (RequestStage p : RequestStage.values()) {
--- a/core/src/main/java/ridgemill/deadline/GroupTimings.java
+++ b/core/src/main/java/ridgemill/deadline/GroupTimings.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is known of one group of nodes: its classes, and the way to its nodes and back. Not safe for use by several threads. */
+/** Timings of one group of nodes: those of its classes, and the network delay to its nodes. Not thread-safe. */
 public final class GroupTimings {
 
     private final Deadlines all;
@@ -16,22 +16,25 @@
         this.all = all;
     }
 
-    /** What is known of a class. */
+    /** The timings of a class, created on first use. */
     public ClassTimings forClass(String service) {
         return classes.computeIfAbsent(service, s -> new ClassTimings(this));
     }
 
-    /** A connection to a node came up after so long: one way there and one back, and nothing of the node's own work. */
+    /**
+     * Records how long a connection to a node took to be established: one network round trip without work of the node.
+     */
     public void recordConnectTime(double ms) {
         connecting.record(ms);
     }
 
     /**
-     * What a node's answer needs to be here, of the time that is left: half of what connections take to come up, which systems
-     * do without asking the node's program.
+     * The part of the remaining time to reserve for the way back of a node's response, in milliseconds: half of the
+     * time in which connections are established, which operating systems do without the node's program.
      */
     public double returnReserveMs(double leftMs) {
-        return all.policy().dropsLate() ? connecting.reserveMs(leftMs, all.policy().maxReserveFraction()) / 2 : 0;
+        return all.policy().dropsLate()
+                ? connecting.reserveMs(leftMs, all.policy().maxReserveFraction()) / 2 : 0;
     }
 
     DeadlinePolicy policy() {
--- a/core/src/main/java/ridgemill/deadline/PipelineDeadlines.java
+++ b/core/src/main/java/ridgemill/deadline/PipelineDeadlines.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * The times of requests on one connection whose answers leave in the order of the requests. An answer that is there can't leave
- * before those ahead of it, so whoever is ahead has no more time than the shortest of all behind: when that is up, all up to
- * it need their final answers.
+ * Deadlines of the pipelined requests of one connection, whose responses are sent in the order of the requests. A
+ * response that is ready cannot be sent before those ahead of it, so a request has at most the time of the shortest
+ * deadline behind it: when that expires, all requests up to and including that one need their final responses.
  *
- * @param <T> what stands for a request
+ * @param <T> a handle of a request, compared by identity
  */
 public final class PipelineDeadlines<T> {
 
@@ -27,12 +27,12 @@
 
     private final Deque<Entry<T>> entries = new ArrayDeque<>();
 
-    /** One more, behind all others, whose answer must leave by then. */
+    /** Appends a request whose response must be sent by {@code deadlineMs}. */
     public void add(T request, double dueMs) {
         entries.addLast(new Entry<>(request, dueMs));
     }
 
-    /** The answer of one that is in it must leave by then, or earlier. */
+    /** Moves the deadline of a request forward to {@code deadlineMs}; no effect if it is earlier already. */
     public void shorten(T request, double dueMs) {
         for (Iterator<Entry<T>> i = entries.descendingIterator(); i.hasNext();) {
             Entry<T> e = i.next();
@@ -43,12 +43,12 @@
         }
     }
 
-    /** The first has left. */
+    /** Removes the first request, whose response has been sent. */
     public void removeFirst() {
         entries.removeFirst();
     }
 
-    /** When to ask {@link #overdue}, in milliseconds; infinite where nobody holds anybody up. */
+    /** When to call {@link #overdue} next, in milliseconds; infinite if no request holds up another. */
     public double nextDeadlineMs() {
         if (entries.size() < 2) {
             return Double.POSITIVE_INFINITY;
@@ -60,7 +60,10 @@
         return least;
     }
 
-    /** All that need their final answers now: those that are due, and whatever is ahead of them; in order. */
+    /**
+     * All requests that need their final responses now, in order: those whose deadline has expired and all ahead of
+     * them.
+     */
     public List<T> overdue(double nowMs) {
         List<T> all = new ArrayList<>();
         int due = 0;
@@ -73,7 +76,7 @@
         return List.copyOf(all.subList(0, due));
     }
 
-    /** How many have not left. */
+    /** The number of requests whose response has not been sent. */
     public int size() {
         return entries.size();
     }
--- a/core/src/main/java/ridgemill/deadline/RequestStage.java
+++ b/core/src/main/java/ridgemill/deadline/RequestStage.java
@@ -1,15 +1,15 @@
 package ridgemill.deadline;
 
-/** Where a request may wait, or begin something that takes time. */
+/** A point at which a request may have waited, or is about to start something that takes time. */
 public enum RequestStage {
-    /** In line for its turn. */
+    /** Waiting in the admission queue. */
     LINE,
-    /** Before its group's decisions. */
+    /** About to be handed to the routing policy of its node group. */
     INTAKE,
     /** About to be sent to a node. */
     SEND,
-    /** Its connection to a node has come up. */
+    /** Its connection to a node has just been established. */
     CONNECT,
-    /** About to cross to another hall. */
+    /** About to be forwarded to another datacenter. */
     CROSSING
 }
--- a/core/src/main/java/ridgemill/deadline/ResponseTimes.java
+++ b/core/src/main/java/ridgemill/deadline/ResponseTimes.java
@@ -1,33 +1,35 @@
 package ridgemill.deadline;
 
 /**
- * How long attempts of one kind take: those that were answered, and, as times that they take at least, those that were given
- * up. From too few nothing is told. What is not sent teaches nothing, so all is forgotten within {@value #RETENTION_MS} ms
- * and tried again.
+ * How long attempts of one kind take. Answered attempts give response times; attempts that were abandoned give lower
+ * bounds of theirs (censored samples). With too few samples no figure is given. An attempt that is not sent adds no
+ * sample, so all samples are discarded within {@value #RETENTION_MS} ms and the nodes are tried again.
  */
 final class ResponseTimes {
 
-    /** After so long at the latest a figure rests on what was seen since. */
+    /** No figure rests on samples older than this. */
     static final double RETENTION_MS = 20_000;
-    /** Fewer than this are no sample. */
+    /** Fewer samples than this give no figure. */
     private static final int THIN = 40;
-    /** Part of the answers that may be quicker than the least that is told: one lucky answer must not tell. */
+    /**
+     * Fraction of responses that may be faster than the reported minimum, so that one lucky response does not set it.
+     */
     private static final double QUICKEST = 0.02;
 
     private final SlidingHistogram answered = new SlidingHistogram(RETENTION_MS / 2);
     private final SlidingHistogram cut = new SlidingHistogram(RETENTION_MS / 2);
 
-    /** An attempt was answered after so long. */
+    /** Records an attempt that was answered after {@code ms}. */
     void answered(double nowMs, double ms) {
         answered.add(nowMs, ms);
     }
 
-    /** An attempt was given up after so long. */
+    /** Records an attempt that was abandoned after {@code ms}. */
     void abandoned(double nowMs, double ms) {
         cut.add(nowMs, ms);
     }
 
-    /** The least time in which an answer may be hoped for, 0 where that is not known. */
+    /** The shortest time in which a response can be expected; 0 if unknown. */
     double minMs(double nowMs) {
         int all = answered.total(nowMs);
         if (all < THIN) {
@@ -42,8 +44,9 @@
     }
 
     /**
-     * The time that half of them take, 0 where that is not known. Those that were given up took longer than they had, nobody
-     * knows by how much (the product-limit estimate of Kaplan and Meier); where most are given up, it is infinite.
+     * The median time of an attempt; 0 if unknown. Abandoned attempts would have taken longer than they were given, by
+     * an unknown amount, so the median is a product-limit (Kaplan-Meier) estimate; it is infinite if most are
+     * abandoned.
      */
     double medianMs(double nowMs) {
         int atRisk = answered.total(nowMs) + cut.total(nowMs);
@@ -61,7 +64,7 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** The time that one answer in twenty is later than, infinite where that is not known. */
+    /** The 95th percentile of the answered attempts; infinite if unknown. */
     double p95Ms(double nowMs) {
         int all = answered.total(nowMs);
         if (all < THIN) {
--- a/core/src/main/java/ridgemill/deadline/ReturnDelay.java
+++ b/core/src/main/java/ridgemill/deadline/ReturnDelay.java
@@ -1,9 +1,9 @@
 package ridgemill.deadline;
 
 /**
- * What an answer needs from when it is there until it is with whoever asked, learned for one hop in one direction: the mean
- * and four mean deviations, as TCP has its time-out (RFC 6298, section 2). Bounded to a part of the time that is left, so that
- * one stall of our own does not make every request one that comes too late.
+ * Estimates how long a response takes from when it is ready until the caller has it, for one hop in one direction. The
+ * estimate is the mean plus four mean deviations, like TCP's retransmission timeout (RFC 6298, section 2). It can be
+ * capped at a fraction of the remaining time, so that a single stall of this process does not make every request late.
  */
 public final class ReturnDelay {
 
@@ -15,7 +15,7 @@
     private double deviation;
     private boolean known;
 
-    /** One took so long. */
+    /** Records one measured delay; negative values and NaN are ignored. */
     public void record(double ms) {
         if (!(ms >= 0)) {
             return;
@@ -30,12 +30,12 @@
         }
     }
 
-    /** What to keep for it, in milliseconds; 0 before anything is known. */
+    /** Time to reserve for the way back, in milliseconds; 0 before the first measurement. */
     public double reserveMs() {
         return mean + DEVIATIONS * deviation;
     }
 
-    /** The same, but no more than a part of what is left. */
+    /** Like {@link #reserveMs()}, but at most {@code maxFraction} of the remaining time. */
     public double reserveMs(double leftMs, double mostPart) {
         return Math.min(reserveMs(), Math.max(0, leftMs) * mostPart);
     }
--- a/core/src/main/java/ridgemill/deadline/SlidingHistogram.java
+++ b/core/src/main/java/ridgemill/deadline/SlidingHistogram.java
@@ -1,16 +1,16 @@
 package ridgemill.deadline;
 
 /**
- * Counts over milliseconds in buckets that grow by a quarter of a doubling, of the last while: two generations, of which the
- * older goes when the younger is full of age. Hand-made as it stands on every request's path in 64 MB: two arrays of
- * integers, no object for a sample, and the oldest half forgotten at once; HdrHistogram would take 20 times the memory for a
- * precision that nobody here asks for.
+ * A histogram of recent durations. Bucket bounds grow by a factor of 2^(1/4). Samples are kept in two generations; the
+ * older one is discarded when the younger one has reached its age. Written for this purpose because it is updated for
+ * every request in a process of 64 MB: it needs two arrays of integers and no object per sample, and forgets the older
+ * half at once. HdrHistogram would take 20 times the memory for a precision that is not needed here.
  */
 final class SlidingHistogram {
 
     static final int BUCKETS = 72;
     private static final double PER_DOUBLING = 4;
-    /** The first bucket holds all that is shorter; the last, from some 13 s on, all that is longer. */
+    /** Upper bound of the first bucket, which holds all shorter durations; the last holds all from about 9.3 s up. */
     private static final double FIRST_MS = 0.05;
 
     private final double ageMs;
@@ -19,7 +19,7 @@
     private double turnedAt = Double.NEGATIVE_INFINITY;
     private int total;
 
-    /** Forgets what is older than two of these. */
+    /** Creates an empty histogram that discards samples older than two generations of {@code generationMs}. */
     SlidingHistogram(double ageMs) {
         this.ageMs = ageMs;
     }
@@ -29,7 +29,7 @@
                 1 + PER_DOUBLING * Math.log(ms / FIRST_MS) / Math.log(2));
     }
 
-    /** The shortest time that a bucket holds. */
+    /** The shortest duration that a bucket holds, in milliseconds. */
     static double lowerBoundMs(int bucket) {
         return bucket == 0 ? 0 : FIRST_MS * Math.pow(2, (bucket - 1) / PER_DOUBLING);
     }
@@ -40,13 +40,13 @@
         total++;
     }
 
-    /** How many there are of late. */
+    /** The number of recent samples; discards old ones first. */
     int total(double nowMs) {
         turn(nowMs);
         return total;
     }
 
-    /** How many of a bucket; after {@link #total}, which forgets. */
+    /** The number of samples in a bucket. Call {@link #total} first: this method does not discard old samples. */
     int count(int bucket) {
         return young[bucket] + old[bucket];
     }
--- a/core/src/main/java/ridgemill/deadline/Verdict.java
+++ b/core/src/main/java/ridgemill/deadline/Verdict.java
@@ -1,11 +1,11 @@
 package ridgemill.deadline;
 
-/** What is said of something that would begin now. */
+/** Whether an operation that would start now is worth starting. */
 public enum Verdict {
     /** It may be answered in time. */
     GO,
-    /** It can't be answered in time: less is left than the quickest answers take. */
+    /** It cannot be answered in time: less time remains than the fastest responses take. */
     LATE,
-    /** It could be, but its client will probably have left by then. */
+    /** It may be answered in time, but its client will probably have disconnected by then. */
     UNREAD
 }
--- a/core/src/main/java/ridgemill/deadline/package-info.java
+++ b/core/src/main/java/ridgemill/deadline/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A request's time as one thing: what its client says of it, what transit, stalls and queues have eaten, what the answer
- * needs for its way back, what a node and a store may still use, and whether anything that would begin now can end in time
- * for somebody to read it. Free of I/O, clocks and threads: times are passed in, as milliseconds.
+ * Deadlines of requests: the timeout that a client sent, the part of it used up by transit, stalls and queues, the time
+ * that the response needs to travel back, the time that remains for nodes and the origin, and whether work that would
+ * start now can finish before the client has left. Free of I/O, clocks and threads: times are passed in, in
+ * milliseconds.
  */
 package ridgemill.deadline;
--- a/core/src/main/java/ridgemill/flow/MinRequestRate.java
+++ b/core/src/main/java/ridgemill/flow/MinRequestRate.java
@@ -1,16 +1,18 @@
 package ridgemill.flow;
 
-/** How slowly a client may send a request: by its whole time at first, then by a least rate. Milliseconds and bytes. */
+/** The minimum rate at which a client must send a request: a grace period for the whole request, then a least rate. */
 public final class MinRequestRate {
 
-    /** A head may take 2 s; so much more for what the network and a loaded loop add. */
+    /** 2 s for the head, and 1.5 s for what the network and a busy event loop add. */
     public static final double GRACE_MS = 3500;
-    /** From then on so many bytes a second, all told: a quarter of the slowest rate that clients mean to send at. */
+    /**
+     * Minimum average rate after the grace period: a quarter of the slowest rate that clients are expected to send at.
+     */
     public static final double MIN_BYTES_PER_SECOND = 16_000;
 
     private MinRequestRate() { }
 
-    /** Whether a request that began so long ago, and of which so much has come, is too slow to be waited for. */
+    /** Whether a request that started {@code elapsedMs} ago and of which {@code bytes} have arrived is too slow. */
     public static boolean isTooSlow(double elapsedMs, long bytes) {
         return elapsedMs >= GRACE_MS && bytes < MIN_BYTES_PER_SECOND * elapsedMs / 1000;
     }
--- a/core/src/main/java/ridgemill/flow/package-info.java
+++ b/core/src/main/java/ridgemill/flow/package-info.java
@@ -1,2 +1,2 @@
-/** How slow a peer may be: times by progress and not by the whole. Free of I/O, clocks and threads. */
+/** Limits on how slowly a peer may send, by its progress rather than by total time. Free of I/O, clocks and threads. */
 package ridgemill.flow;
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyRecord.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecord.java
@@ -1,31 +1,32 @@
 package ridgemill.idempotency;
 
 /**
- * What is known of a key.
+ * The record of one idempotency key.
  *
- * @param state how it stands
- * @param callId the id of the call that it ran for, or runs for
- * @param tenant who asked first; null for nobody by name
- * @param fingerprint of what was asked for: another request under the same key has another one
- * @param firstSentMs when it was first sent on, from when nodes drop its repeats
- * @param windowMs for how long they do
- * @param stateSinceMs when it came to stand so
+ * @param state state of the key
+ * @param callId id of the call that ran for the key, or is running
+ * @param tenant tenant that used the key first; null if it was not named
+ * @param fingerprint hash of the request: another request with the same key has another one
+ * @param firstSentMs when the write was first sent, from which nodes drop its duplicates
+ * @param windowMs for how long nodes drop duplicates
+ * @param stateSinceMs when the key entered its state
  */
-public record IdempotencyRecord(State state, String callId, String tenant, long fingerprint, double firstSentMs, double windowMs, double stateSinceMs) {
+public record IdempotencyRecord(State state, String callId, String tenant, long fingerprint, double firstSentMs,
+                                double windowMs, double stateSinceMs) {
 
-    /** How a key may stand. */
+    /** State of a key. */
     public enum State {
-        /** A call of it is open, and nothing of it may have run before. */
+        /** A call is open, and no earlier call can have taken effect. */
         RUNNING,
-        /** A call of it is open, and one before may have run. */
+        /** A call is open, and an earlier one may have taken effect. */
         RUNNING_AGAIN,
-        /** It took effect, once. */
+        /** The write took effect, exactly once. */
         RECORDED,
-        /** It may have taken effect; no call of it is open. */
+        /** The write may have taken effect, and no call is open. */
         UNKNOWN
     }
 
-    /** Whether a call of it is open. */
+    /** Whether a call with this key is open. */
     public boolean isRunning() {
         return state == State.RUNNING || state == State.RUNNING_AGAIN;
     }
@@ -35,6 +36,7 @@
     }
 
     IdempotencyRecord rerunBy(String otherCall, double nowMs) {
-        return new IdempotencyRecord(State.RUNNING_AGAIN, otherCall, tenant, fingerprint, firstSentMs, windowMs, nowMs);
+        return new IdempotencyRecord(State.RUNNING_AGAIN, otherCall, tenant, fingerprint, firstSentMs, windowMs,
+                nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyRecords.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecords.java
@@ -3,30 +3,34 @@
 import ridgemill.idempotency.IdempotencyRecord.State;
 
 /**
- * Decides what becomes of a keyed write by what is known of its key: it runs, it waits for the one that runs, or it is told.
- * At most one call of a key is open here at a time. One that may have run is sent again only while the nodes still drop its
- * repeats; later nobody can find out by running it, and it is told as unknown.
+ * Decides how a write with an idempotency key is handled, by the record of the key: it is executed, it waits for the
+ * call that is running, or it is answered from the record. At most one call of a key is open here at a time. A write
+ * that may have taken effect is sent again only while the nodes still drop its duplicates; after that, executing it
+ * could not show whether it took effect, and it is reported as unknown.
  */
 public final class IdempotencyRecords {
 
-    /** What becomes of one that asks. */
+    /** How a request is handled. */
     public sealed interface Decision { }
 
-    /** It runs; its end is owed. {@code recorded} is false where there is no room, and then nobody will be told of it. */
+    /**
+     * The request is executed, and {@link #callEnded} must be called for it. {@code recorded} is false if there is no
+     * room for a record; later requests with this key then do not learn its outcome.
+     */
     public record Execute(boolean recorded) implements Decision { }
 
-    /** It waits for the call that is open. */
+    /** The request waits for the call that is open. */
     public record Join(String callId) implements Decision { }
 
-    /** It is told what is known; nothing of it runs. */
+    /** The request is answered from the record and not executed. */
     public record Replay(IdempotencyRecord record) implements Decision { }
 
-    /** The key was given with another request, or by somebody else; nothing of it runs. */
+    /** The key was used with another request or by another tenant; the request is not executed. */
     public record Conflict() implements Decision { }
 
-    /** How a call of a key ended. */
+    /** How a call ended. */
     public enum CallResult {
-        /** It took effect, or a repeat of it was dropped. */
+        /** It took effect, or it was dropped as a duplicate. */
         SERVED,
         /** Nothing of this call ran. */
         NOTHING_RAN,
@@ -34,7 +38,7 @@
         MAY_HAVE_RUN
     }
 
-    /** A repeat is sent so much before the nodes forget, as it has a way to go. */
+    /** A write is not sent again in this last part of the window, because it takes time to reach the node. */
     private static final double MARGIN_MS = 200;
 
     private final IdempotencyStore store;
@@ -44,26 +48,34 @@
     private long joined;
 
     /**
-     * One that keeps outcomes in a store.
+     * Creates the decisions over a store.
      *
-     * @param keepMs for how long an outcome is told after it came about; the repeat window at least
+     * @param retentionMs for how long an outcome is reported after it was recorded, at least the deduplication window
      */
     public IdempotencyRecords(IdempotencyStore store, double keepMs) {
         this.store = store;
         this.keepMs = keepMs;
     }
 
-    /** Outcomes are kept for so long from now on. */
+    /** Changes for how long outcomes are kept. */
     public void setRetentionMs(double ms) {
         keepMs = ms;
     }
 
-    /** A request with this key has come. */
+    /**
+     * Decides on a request that has arrived with a key.
+     *
+     * @param callId id of the request
+     * @param tenant tenant of the request; null if it is not named
+     * @param fingerprint hash of the request
+     * @param windowMs for how long nodes drop duplicates of the write
+     */
     public Decision begin(double nowMs, String key, String call, String tenant, long fingerprint, double windowMs) {
         store.expire(nowMs - Math.max(keepMs, windowMs));
         IdempotencyRecord known = store.get(key);
         if (known == null) {
-            boolean kept = store.put(key, new IdempotencyRecord(State.RUNNING, call, tenant, fingerprint, nowMs, windowMs, nowMs));
+            boolean kept = store.put(key,
+                    new IdempotencyRecord(State.RUNNING, call, tenant, fingerprint, nowMs, windowMs, nowMs));
             unrecorded += kept ? 0 : 1;
             return new Execute(kept);
         }
@@ -81,7 +93,7 @@
         return new Replay(known);
     }
 
-    /** The call that runs under this key has ended. */
+    /** Records the end of the call that runs for a key; ignored if another call, or none, runs for it. */
     public void callEnded(double nowMs, String key, String call, CallResult end) {
         IdempotencyRecord known = store.get(key);
         if (known == null || !known.isRunning() || !known.callId().equals(call)) {
@@ -100,7 +112,9 @@
         }
     }
 
-    /** What is known of a key, for who gave it; null where nothing is, or it is not theirs. */
+    /**
+     * The record of a key, for the tenant that used it; null if there is none, or it is another tenant's or expired.
+     */
     public IdempotencyRecord find(double nowMs, String key, String tenant) {
         IdempotencyRecord known = store.get(key);
         boolean expired = known != null && !known.isRunning()
@@ -108,8 +122,9 @@
         return known == null || expired || !java.util.Objects.equals(known.tenant(), tenant) ? null : known;
     }
 
-    /** Counts since the start, for whoever watches. */
+    /** The number of records and the counts since the start, as one line of text. */
     public String summary() {
-        return "outcomes kept=" + store.size() + " told=" + told + " joined=" + joined + " unrecorded=" + unrecorded;
+        return "outcomes kept=" + store.size() + " told=" + told + " joined=" + joined
+                + " unrecorded=" + unrecorded;
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyStore.java
@@ -1,24 +1,24 @@
 package ridgemill.idempotency;
 
 /**
- * Where outcomes are kept. One in memory stands behind it today. A durable one must have what {@link #put} was given safe
- * before it returns: a key is put as running before anything of it is sent on, so that one that ran is never unknown after a
- * crash, and at worst one that never ran is told as unknown.
+ * Storage of idempotency records. The only implementation keeps them in memory. A durable implementation must have made
+ * a record durable when {@link #put} returns: a key is stored as running before its write is sent, so that after a
+ * crash a write that ran is never missing, and at worst a write that never ran is reported as unknown.
  */
 public interface IdempotencyStore {
 
-    /** What is known of a key; null where nothing is. */
+    /** The record of a key; null if there is none. */
     IdempotencyRecord get(String key);
 
-    /** From now on this is known; false where there is no room, and then nothing changes. */
+    /** Stores a record; returns false, and changes nothing, if there is no room. */
     boolean put(String key, IdempotencyRecord known);
 
-    /** Nothing is known any more, as nothing ran. */
+    /** Removes the record of a key whose write did not run. */
     void remove(String key);
 
-    /** Forgets what came to stand as it does before this, but for what is running. */
+    /** Removes the records whose state dates from before {@code beforeMs}, except those of running calls. */
     void expire(double beforeMs);
 
-    /** How many keys there are. */
+    /** The number of records. */
     int size();
 }
--- a/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
@@ -5,19 +5,20 @@
 import java.util.Map;
 
 /**
- * Outcomes in memory, so many at most, oldest first in the order of their last change. Where there is no room, one whose
- * repeats are dropped by the nodes no longer, and of which nothing is open, goes for the next; none within its window does.
+ * A bounded store in memory, ordered by the last change of each record, oldest first. If it is full, a record is
+ * evicted that has no open call and whose duplicates the nodes no longer drop. A record within its window is never
+ * evicted.
  */
 public final class InMemoryIdempotencyStore implements IdempotencyStore {
 
-    /** A look for room goes no further than this: those that can go are the oldest. */
+    /** How many of the oldest records a search for one to evict examines: those that can be evicted are the oldest. */
     private static final int LOOKS = 64;
 
     private final Map<String, IdempotencyRecord> known = new LinkedHashMap<>();
     private final int most;
     private long evicted;
 
-    /** One that keeps so many, at least 1. */
+    /** Creates an empty store of at most {@code capacity} records, at least 1. */
     public InMemoryIdempotencyStore(int most) {
         if (most < 1) {
             throw new IllegalArgumentException("room for " + most + " outcomes");
@@ -32,7 +33,7 @@
 
     @Override
     public boolean put(String key, IdempotencyRecord next) {
-        // Behind all others, as it changed last.
+        // Removed first, so that the record moves to the end of the order.
         boolean there = known.remove(key) != null;
         if (!there && known.size() >= most && !makeRoom(next.stateSinceMs())) {
             return false;
@@ -78,7 +79,7 @@
         return known.size();
     }
 
-    /** How many went before their time, for room. */
+    /** The number of records that were evicted to make room. */
     public long evicted() {
         return evicted;
     }
--- a/core/src/main/java/ridgemill/idempotency/package-info.java
+++ b/core/src/main/java/ridgemill/idempotency/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The one final outcome of each keyed write, by its idempotency key: whoever asks again is told it, or waits for it, rather
- * than have it run again or guessed at. Free of I/O, clocks and threads: times are passed in, as milliseconds.
+ * Records the single final outcome of each write that carries an idempotency key. A client that sends the key again
+ * receives the recorded outcome, or waits for it, instead of having the write executed again. Free of I/O, clocks and
+ * threads: times are passed in, in milliseconds.
  */
 package ridgemill.idempotency;
--- a/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
+++ b/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
@@ -1,20 +1,20 @@
 package ridgemill.loops;
 
 /**
- * Decides which of several loops a new connection goes to: of those that keep up, one with the fewest connections. It
- * is told at intervals how late each loop runs; one that is late by much, or has not been heard of for long, gets none while another keeps up,
- * so that a loop that a hot connection saturates, or that is stuck, takes no more clients with it. A loop that was retired
- * gets none for good. Times are milliseconds of any clock that never runs back.
+ * Decides which of several event loops a new connection goes to: the one with the fewest connections among those that
+ * keep up. Each loop's delay is reported at intervals. A loop that runs late, or has not reported for long, gets no
+ * connection while another loop keeps up, so that a loop that is saturated by a busy connection, or is stuck, affects
+ * no further clients. A retired loop never gets one again. Times are in milliseconds of any monotonic clock.
  */
 public final class ConnectionDistributor {
 
-    /** Nobody may be dealt a connection. */
+    /** No loop can take a connection. */
     public static final int NONE = -1;
-    /** A loop this late serves its clients late too; usual turns of a busy loop are well below. */
+    /** A loop with a greater delay serves its clients late; ordinary iterations of a busy loop are well below. */
     private static final double LATE_MS = 25;
-    /** What the newest turn counts for against those before it, where it was in time. */
+    /** Smoothing factor by which a reported delay fades. */
     private static final double NEWEST = 0.2;
-    /** What a loop told of its lateness counts for so long at most: it may have caught up. */
+    /** Without a report for longer than this a loop is taken not to keep up. */
     private static final double SILENT_MS = 500;
 
     private final int[] open;
@@ -24,7 +24,9 @@
     private final boolean[] retired;
     private int last;
 
-    /** As many loops as {@code most} has entries, each with the connections that it may have, at least 1. */
+    /**
+     * Creates a distributor for as many loops as {@code maxOpen} has entries: each loop's connection limit, at least 1.
+     */
     public ConnectionDistributor(int[] most, double nowMs) {
         this.most = most.clone();
         this.open = new int[most.length];
@@ -39,11 +41,11 @@
         }
     }
 
-    /** Names the loop that the next connection goes to, or {@link #NONE} while each has what it may have. */
+    /** Returns the loop that the next connection goes to, or {@link #NONE} if every loop is at its limit or retired. */
     public int nextLoop(double nowMs) {
         int best = NONE;
         boolean bestKeepsUp = false;
-        // From behind the last one on, so that equals take turns.
+        // Starts after the last loop chosen, so that equal loops take turns.
         for (int k = 1; k <= open.length; k++) {
             int i = (last + k) % open.length;
             if (retired[i] || open[i] >= most[i]) {
@@ -58,37 +60,37 @@
         return best;
     }
 
-    /** A connection went to a loop. */
+    /** Records that a connection was assigned to a loop. */
     public void connectionOpened(int loop) {
         open[loop]++;
         last = loop;
     }
 
-    /** One that it had has closed. */
+    /** Records that a connection of a loop was closed. */
     public void connectionClosed(int loop) {
         open[loop]--;
     }
 
     /**
-     * A loop has taken a task up so long after it was handed over. One late turn counts at once and fades: a loop whose turns
-     * are long takes some tasks up at once too.
+     * Records how long a task waited until a loop ran it, in milliseconds. A long delay counts at once and then fades:
+     * a loop with long iterations still runs some tasks immediately.
      */
     public void reportDelay(int loop, double nowMs, double late) {
         heardAt[loop] = nowMs;
         lateMs[loop] = Math.max(late, lateMs[loop] + NEWEST * (late - lateMs[loop]));
     }
 
-    /** A loop gets no more connections, whatever it tells. */
+    /** Excludes a loop from new connections for good, whatever it reports. */
     public void retire(int loop) {
         retired[loop] = true;
     }
 
-    /** Whether a loop was heard of late and ran in time. */
+    /** Whether a loop has reported recently and was not late. */
     public boolean isKeepingUp(int loop, double nowMs) {
         return lateMs[loop] <= LATE_MS && nowMs - heardAt[loop] <= SILENT_MS;
     }
 
-    /** How long a loop has not told anything, in milliseconds. */
+    /** Time since the last report of a loop, in milliseconds. */
     public double sinceLastReportMs(int loop, double nowMs) {
         return nowMs - heardAt[loop];
     }
@@ -98,12 +100,12 @@
         return retired[loop];
     }
 
-    /** Connections that a loop has. */
+    /** The number of open connections of a loop. */
     public int openConnections(int loop) {
         return open[loop];
     }
 
-    /** How many loops there are. */
+    /** The number of loops. */
     public int loopCount() {
         return open.length;
     }
