--- a/core/src/main/java/ridgemill/connections/ConnectionEviction.java
+++ b/core/src/main/java/ridgemill/connections/ConnectionEviction.java
@@ -12,7 +12,7 @@
     /** Silence after which a partial request is taken to be stopped: a slow client's data arrives more often. */
     static final double STOPPED_MS = 600;
     /** Silence after which a connection with a partial request is closed if there is no other choice. */
-    static final double HALTING_MS = 150;
+    static final double PAUSED_MS = 150;
 
     /** The present state of a connection. */
     public interface Candidate {
@@ -33,8 +33,8 @@
         double lastActivityMs();
     }
 
-    private static final int HALTING = 1;
-    private static final int KEPT = 2;
+    private static final int PAUSED = 1;
+    private static final int KEEP_ALIVE = 2;
     private static final int STOPPED = 3;
     private static final int SILENT = 4;
 
@@ -45,31 +45,31 @@
      * keep-alive connection is closed: the unread one may turn out to be silent, and silent ones are closed first. It
      * is read within a few milliseconds.
      */
-    public static <G extends Candidate> G selectVictim(Collection<G> guests, double nowMs) {
-        G best = null;
+    public static <C extends Candidate> C selectVictim(Collection<C> candidates, double nowMs) {
+        C best = null;
         int bestRank = 0;
         boolean unread = false;
-        for (G g : guests) {
-            unread |= !g.wasRead();
-            int rank = rank(g, nowMs);
+        for (C candidate : candidates) {
+            unread |= !candidate.wasRead();
+            int rank = rank(candidate, nowMs);
             if (rank > bestRank
-                    || rank > 0 && rank == bestRank && g.lastActivityMs() < best.lastActivityMs()) {
-                best = g;
+                    || rank > 0 && rank == bestRank && candidate.lastActivityMs() < best.lastActivityMs()) {
+                best = candidate;
                 bestRank = rank;
             }
         }
-        return bestRank == KEPT && unread ? null : best;
+        return bestRank == KEEP_ALIVE && unread ? null : best;
     }
 
     /** The eviction rank: connections of a higher rank are closed first, those of rank 0 never. */
-    private static int rank(Candidate g, double nowMs) {
-        if (g.isBusy() || !g.wasRead()) {
+    private static int rank(Candidate candidate, double nowMs) {
+        if (candidate.isBusy() || !candidate.wasRead()) {
             return 0;
         }
-        if (g.hasPartialRequest()) {
-            double silent = nowMs - g.lastActivityMs();
-            return silent >= STOPPED_MS ? STOPPED : silent >= HALTING_MS ? HALTING : 0;
+        if (candidate.hasPartialRequest()) {
+            double silentMs = nowMs - candidate.lastActivityMs();
+            return silentMs >= STOPPED_MS ? STOPPED : silentMs >= PAUSED_MS ? PAUSED : 0;
         }
-        return g.isKeepAlive() ? KEPT : SILENT;
+        return candidate.isKeepAlive() ? KEEP_ALIVE : SILENT;
     }
 }
--- a/core/src/main/java/ridgemill/connections/ConnectionReleaseRequests.java
+++ b/core/src/main/java/ridgemill/connections/ConnectionReleaseRequests.java
@@ -23,13 +23,13 @@
     /**
      * Minimum interval between requests for the same node: a request takes some time to arrive and to have an effect.
      */
-    private static final double AGAIN_MS = 100;
-    private static final byte KIND = 'R';
-    private static final int BYTES = 1 + Integer.BYTES;
+    private static final double MIN_INTERVAL_MS = 100;
+    private static final byte TYPE = 'R';
+    private static final int LENGTH_BYTES = 1 + Integer.BYTES;
     /** With more nodes than this, those whose minimum interval has passed are forgotten. */
-    private static final int MOST_NODES = 4096;
+    private static final int MAX_NODES = 4096;
 
-    private final Map<String, Double> called = new HashMap<>();
+    private final Map<String, Double> lastRequestMs = new HashMap<>();
 
     /**
      * Called when a node rejected an attempt on a connection that was opened for it; a rejection on a reused connection
@@ -37,25 +37,25 @@
      * due.
      */
     public byte[] connectionRejected(String node, double nowMs) {
-        Double last = called.get(node);
-        if (last != null && nowMs - last < AGAIN_MS) {
+        Double lastMs = lastRequestMs.get(node);
+        if (lastMs != null && nowMs - lastMs < MIN_INTERVAL_MS) {
             return null;
         }
-        if (called.size() >= MOST_NODES) {
-            called.values().removeIf(at -> nowMs - at >= AGAIN_MS);
+        if (lastRequestMs.size() >= MAX_NODES) {
+            lastRequestMs.values().removeIf(atMs -> nowMs - atMs >= MIN_INTERVAL_MS);
         }
-        called.put(node, nowMs);
-        return ByteBuffer.allocate(BYTES).put(KIND).putInt(hash(node)).array();
+        lastRequestMs.put(node, nowMs);
+        return ByteBuffer.allocate(LENGTH_BYTES).put(TYPE).putInt(hash(node)).array();
     }
 
     /** Whether a message from another proxy is a release request. */
     public static boolean isReleaseRequest(byte[] message) {
-        return message.length == BYTES && message[0] == KIND;
+        return message.length == LENGTH_BYTES && message[0] == TYPE;
     }
 
     /** Whether a message is a release request for this node. */
-    public static boolean isForNode(byte[] call, String node) {
-        return isReleaseRequest(call) && ByteBuffer.wrap(call, 1, Integer.BYTES).getInt() == hash(node);
+    public static boolean isForNode(byte[] message, String node) {
+        return isReleaseRequest(message) && ByteBuffer.wrap(message, 1, Integer.BYTES).getInt() == hash(node);
     }
 
     private static int hash(String node) {
--- a/core/src/main/java/ridgemill/deadline/ClientPatience.java
+++ b/core/src/main/java/ridgemill/deadline/ClientPatience.java
@@ -9,7 +9,7 @@
 final class ClientPatience {
 
     /** With fewer departures than this nothing is estimated: some clients always leave. */
-    private static final int THIN = 12;
+    private static final int MIN_SAMPLES = 12;
 
     private final SlidingHistogram ended = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
     private final SlidingHistogram left = new SlidingHistogram(ResponseTimes.RETENTION_MS / 2);
@@ -27,20 +27,20 @@
 
     /** The probability that the client of a request of age {@code ageMs} stays until {@code laterMs}; 1 if unknown. */
     double probabilityOfStaying(double nowMs, double ageMs, double laterMs) {
-        if (left.total(nowMs) < THIN) {
+        if (left.total(nowMs) < MIN_SAMPLES) {
             return 1;
         }
         int atRisk = ended.total(nowMs);
         int first = SlidingHistogram.bucketOf(ageMs);
         int last = SlidingHistogram.bucketOf(laterMs);
-        double stays = 1;
+        double probability = 1;
         // Once too few requests remain at risk, the estimate would be unreliable.
-        for (int b = 0; b < last && atRisk >= THIN; b++) {
-            if (b >= first) {
-                stays *= 1 - (double) left.count(b) / atRisk;
+        for (int bucket = 0; bucket < last && atRisk >= MIN_SAMPLES; bucket++) {
+            if (bucket >= first) {
+                probability *= 1 - (double) left.count(bucket) / atRisk;
             }
-            atRisk -= ended.count(b);
+            atRisk -= ended.count(bucket);
         }
-        return stays;
+        return probability;
     }
 }
--- a/core/src/main/java/ridgemill/deadline/ClientTimeout.java
+++ b/core/src/main/java/ridgemill/deadline/ClientTimeout.java
@@ -13,9 +13,9 @@
 
     /** A timeout longer than this is a mistake, and a timer for it would outlive the process. */
     public static final double MAX_MS = 3_600_000;
-    private static final int MOST_TEXT = 32;
+    private static final int MAX_TEXT_LENGTH = 32;
     /** The most digits that a {@code grpc-timeout} may have. */
-    private static final int GRPC_DIGITS = 8;
+    private static final int MAX_GRPC_DIGITS = 8;
 
     /** How a timeout is written. */
     public enum Format {
@@ -49,18 +49,18 @@
      *
      * @param unixMs the current time
      */
-    public static Parsed parse(List<RawValue> claims, double unixMs) {
-        double least = Double.POSITIVE_INFINITY;
-        List<Format> seen = new ArrayList<>(claims.size());
-        for (RawValue claim : claims) {
-            if (seen.contains(claim.format())) {
+    public static Parsed parse(List<RawValue> values, double unixMs) {
+        double shortestMs = Double.POSITIVE_INFINITY;
+        List<Format> seen = new ArrayList<>(values.size());
+        for (RawValue value : values) {
+            if (seen.contains(value.format())) {
                 return new Invalid("the time left is said twice");
             }
-            seen.add(claim.format());
-            double ms = switch (claim.format()) {
-                case SECONDS -> 1000 * decimal(claim.text());
-                case GRPC -> grpc(claim.text());
-                case UNIX_MS -> absolute(decimal(claim.text()), unixMs);
+            seen.add(value.format());
+            double ms = switch (value.format()) {
+                case SECONDS -> 1000 * decimal(value.text());
+                case GRPC -> grpcMs(value.text());
+                case UNIX_MS -> untilMs(decimal(value.text()), unixMs);
             };
             if (Double.isNaN(ms)) {
                 return new Invalid("the time left is no number");
@@ -68,13 +68,13 @@
             if (ms < 0 || ms > MAX_MS) {
                 return new Invalid(ms < 0 ? "the time left is negative" : "the time left is over an hour");
             }
-            least = Math.min(least, ms);
+            shortestMs = Math.min(shortestMs, ms);
         }
-        return claims.isEmpty() ? new Absent() : new Remaining(least);
+        return values.isEmpty() ? new Absent() : new Remaining(shortestMs);
     }
 
     /** The time until a deadline: 0 if it has passed; a negative deadline stays negative and is thus invalid. */
-    private static double absolute(double atMs, double unixMs) {
+    private static double untilMs(double atMs, double unixMs) {
         return atMs < 0 ? atMs : Math.max(0, atMs - unixMs);
     }
 
@@ -97,15 +97,15 @@
                 return Double.NaN;
             }
         }
-        return digits == 0 || t.length() > MOST_TEXT ? Double.NaN : Double.parseDouble(t);
+        return digits == 0 || t.length() > MAX_TEXT_LENGTH ? Double.NaN : Double.parseDouble(t);
     }
 
-    private static double grpc(String text) {
+    private static double grpcMs(String text) {
         int digits = text.length() - 1;
-        if (digits < 1 || digits > GRPC_DIGITS || !text.chars().limit(digits).allMatch(c -> c >= '0' && c <= '9')) {
+        if (digits < 1 || digits > MAX_GRPC_DIGITS || !text.chars().limit(digits).allMatch(c -> c >= '0' && c <= '9')) {
             return Double.NaN;
         }
-        double unit = switch (text.charAt(digits)) {
+        double unitMs = switch (text.charAt(digits)) {
             case 'H' -> 3_600_000;
             case 'M' -> 60_000;
             case 'S' -> 1000;
@@ -114,6 +114,6 @@
             case 'n' -> 1e-6;
             default -> Double.NaN;
         };
-        return unit * Integer.parseInt(text.substring(0, digits));
+        return unitMs * Integer.parseInt(text.substring(0, digits));
     }
 }
--- a/core/src/main/java/ridgemill/deadline/Deadlines.java
+++ b/core/src/main/java/ridgemill/deadline/Deadlines.java
@@ -13,7 +13,7 @@
 
     private final Map<String, GroupTimings> groups = new HashMap<>();
     private final Map<String, ReturnDelay> hops = new HashMap<>();
-    private final LoopStallDetector loop = new LoopStallDetector();
+    private final LoopStallDetector loopStalls = new LoopStallDetector();
     private final long[] late = new long[RequestStage.values().length];
     private final long[] unread = new long[RequestStage.values().length];
     private DeadlinePolicy policy;
@@ -37,7 +37,7 @@
 
     /** Detects stalls of the event loop. */
     public LoopStallDetector loopStalls() {
-        return loop;
+        return loopStalls;
     }
 
     /** The timings of a group of nodes, created on first use. */
@@ -61,16 +61,16 @@
      *     connection
      * @param back delay of the response on the way back
      */
-    public double remainingMs(double saidMs, double eatenMs, ReturnDelay back) {
-        double left = Math.max(0, saidMs - Math.max(0, eatenMs));
-        return policy.dropsLate() ? left - back.reserveMs(left, policy.maxReserveFraction()) : left;
+    public double remainingMs(double timeoutMs, double elapsedMs, ReturnDelay back) {
+        double remaining = Math.max(0, timeoutMs - Math.max(0, elapsedMs));
+        return policy.dropsLate() ? remaining - back.reserveMs(remaining, policy.maxReserveFraction()) : remaining;
     }
 
-    Verdict counted(RequestStage place, Verdict verdict) {
+    Verdict counted(RequestStage stage, Verdict verdict) {
         if (verdict == Verdict.LATE) {
-            late[place.ordinal()]++;
+            late[stage.ordinal()]++;
         } else if (verdict == Verdict.UNREAD) {
-            unread[place.ordinal()]++;
+            unread[stage.ordinal()]++;
         }
         return verdict;
     }
@@ -83,8 +83,8 @@
     /** The number of requests and attempts dropped since the start as late or as likely to go unread. */
     public long dropped() {
         long sum = 0;
-        for (RequestStage p : RequestStage.values()) {
-            sum += late[p.ordinal()] + unread[p.ordinal()];
+        for (RequestStage stage : RequestStage.values()) {
+            sum += late[stage.ordinal()] + unread[stage.ordinal()];
         }
         return sum;
     }
@@ -95,13 +95,13 @@
      */
     public Map<String, Number> metrics() {
         Map<String, Number> all = new TreeMap<>();
-        for (RequestStage p : RequestStage.values()) {
-            String name = p.name().toLowerCase(java.util.Locale.ROOT);
-            all.put("late." + name, late[p.ordinal()]);
-            all.put("unread." + name, unread[p.ordinal()]);
+        for (RequestStage stage : RequestStage.values()) {
+            String name = stage.name().toLowerCase(java.util.Locale.ROOT);
+            all.put("late." + name, late[stage.ordinal()]);
+            all.put("unread." + name, unread[stage.ordinal()]);
         }
         hops.forEach((name, hop) -> all.put("wayback." + name + ".ms", Math.round(1000 * hop.reserveMs()) / 1000.0));
-        all.put("stall.ms", Math.round(loop.longestStallMs()));
+        all.put("stall.ms", Math.round(loopStalls.longestStallMs()));
         all.put("cancel.closed", closed);
         all.put("cancel.left", leftToRun);
         return all;
--- a/core/src/main/java/ridgemill/deadline/GroupTimings.java
+++ b/core/src/main/java/ridgemill/deadline/GroupTimings.java
@@ -6,14 +6,14 @@
 /** Timings of one group of nodes: those of its classes, and the network delay to its nodes. Not thread-safe. */
 public final class GroupTimings {
 
-    private final Deadlines all;
+    private final Deadlines deadlines;
     private final Map<String, ClassTimings> classes = new HashMap<>();
-    private final ReturnDelay connecting = new ReturnDelay();
-    private CancellationCost cachePrice;
-    private CancellationCost storePrice;
+    private final ReturnDelay connectTime = new ReturnDelay();
+    private CancellationCost cacheCost;
+    private CancellationCost originCost;
 
-    GroupTimings(Deadlines all) {
-        this.all = all;
+    GroupTimings(Deadlines deadlines) {
+        this.deadlines = deadlines;
     }
 
     /** The timings of a class, created on first use. */
@@ -25,43 +25,43 @@
      * Records how long a connection to a node took to be established: one network round trip without work of the node.
      */
     public void recordConnectTime(double ms) {
-        connecting.record(ms);
+        connectTime.record(ms);
     }
 
     /**
      * The part of the remaining time to reserve for the way back of a node's response, in milliseconds: half of the
      * time in which connections are established, which operating systems do without the node's program.
      */
-    public double returnReserveMs(double leftMs) {
-        return all.policy().dropsLate()
-                ? connecting.reserveMs(leftMs, all.policy().maxReserveFraction()) / 2 : 0;
+    public double returnReserveMs(double remainingMs) {
+        return deadlines.policy().dropsLate()
+                ? connectTime.reserveMs(remainingMs, deadlines.policy().maxReserveFraction()) / 2 : 0;
     }
 
     DeadlinePolicy policy() {
-        return all.policy();
+        return deadlines.policy();
     }
 
-    Verdict counted(RequestStage place, Verdict verdict) {
-        return all.counted(place, verdict);
+    Verdict counted(RequestStage stage, Verdict verdict) {
+        return deadlines.counted(stage, verdict);
     }
 
-    void answered(double ms, boolean fresh, boolean atStore) {
-        CancellationCost price = atStore ? storePrice : cachePrice;
-        if (price != null) {
-            price.answered(ms, fresh);
+    void answered(double ms, boolean newConnection, boolean atOrigin) {
+        CancellationCost cost = atOrigin ? originCost : cacheCost;
+        if (cost != null) {
+            cost.answered(ms, newConnection);
         }
     }
 
-    boolean closes(double nowMs, double elapsedMs, ResponseTimes times, boolean atStore) {
+    boolean shouldCloseConnection(double nowMs, double elapsedMs, ResponseTimes times, boolean atOrigin) {
         if (!policy().weighsCancellationCost()) {
             return true;
         }
-        if (cachePrice == null) {
-            cachePrice = new CancellationCost(nowMs);
-            storePrice = new CancellationCost(nowMs);
+        if (cacheCost == null) {
+            cacheCost = new CancellationCost(nowMs);
+            originCost = new CancellationCost(nowMs);
         }
-        boolean closes = (atStore ? storePrice : cachePrice).shouldCloseConnection(nowMs, elapsedMs, times);
-        all.cancelled(closes);
+        boolean closes = (atOrigin ? originCost : cacheCost).shouldCloseConnection(nowMs, elapsedMs, times);
+        deadlines.cancelled(closes);
         return closes;
     }
 }
--- a/core/src/main/java/ridgemill/deadline/LoopStallDetector.java
+++ b/core/src/main/java/ridgemill/deadline/LoopStallDetector.java
@@ -13,64 +13,64 @@
     /** The interval at which {@link #tick} is to be called. */
     public static final double TICK_INTERVAL_MS = 20;
     /** A tick that is less late than this is not a stall. */
-    private static final double USUAL_MS = 100;
+    private static final double STALL_THRESHOLD_MS = 100;
     /** For how long after a stall a message may still have arrived during it. */
-    private static final double AFTER_MS = 2 * TICK_INTERVAL_MS;
+    private static final double CATCH_UP_MS = 2 * TICK_INTERVAL_MS;
 
     /**
      * After a stall longer than this, such as a stop of the process, reading the backlog takes noticeable time itself.
      */
-    private static final double LONG_MS = 500;
+    private static final double LONG_STALL_MS = 500;
     /** Fraction of a long stall for which messages read after it may still have arrived during it. */
-    private static final double AFTER_LONG_PART = 0.5;
+    private static final double LONG_CATCH_UP_FRACTION = 0.5;
     /** Upper bound of that time. */
-    private static final double AFTER_LONG_MS = 1000;
+    private static final double MAX_LONG_CATCH_UP_MS = 1000;
     /**
      * Stalls while the loop is catching up extend that time until at most this long after the long stall: a loop that
      * is permanently busy would otherwise extend it forever.
      */
-    private static final double MOST_CATCHING_UP_MS = 4000;
+    private static final double MAX_EXTENSION_MS = 4000;
 
-    private double dueAt = Double.NaN;
-    private double lastFrom = Double.NaN;
-    private double lastUntil = Double.NEGATIVE_INFINITY;
+    private double nextTickMs = Double.NaN;
+    private double lastStallFromMs = Double.NaN;
+    private double lastStallUntilMs = Double.NEGATIVE_INFINITY;
     /**
      * Earliest arrival of a message read in the first moments after the last stall: the start of that stall, or of the
      * one directly before it.
      */
-    private double unreadFrom = Double.NaN;
-    private double longFrom = Double.NaN;
-    private double longUntil = Double.NEGATIVE_INFINITY;
-    private double longEnd;
-    private double longWindow;
-    private double worstMs;
+    private double backlogFromMs = Double.NaN;
+    private double longStallFromMs = Double.NaN;
+    private double catchUpUntilMs = Double.NEGATIVE_INFINITY;
+    private double longStallEndMs;
+    private double catchUpMs;
+    private double longestStallMs;
 
     /** Records that the event loop is running. */
     public void tick(double nowMs) {
-        double late = Double.isNaN(dueAt) ? 0 : nowMs - dueAt;
-        if (late > USUAL_MS) {
+        double lateMs = Double.isNaN(nextTickMs) ? 0 : nowMs - nextTickMs;
+        if (lateMs > STALL_THRESHOLD_MS) {
             // A stall directly after another may still have to read what arrived during that one, but nothing older,
             // because the loop has run since. Otherwise a loop that is permanently busy would take every message to be
             // as old as the time for which it has been busy.
-            unreadFrom = dueAt - lastUntil < AFTER_MS ? lastFrom : dueAt;
-            boolean catchesUp = dueAt < longUntil;
-            if (late > LONG_MS) {
-                boolean chained = catchesUp && dueAt < longEnd + MOST_CATCHING_UP_MS;
-                longFrom = chained ? longFrom : unreadFrom;
-                longEnd = chained ? longEnd : nowMs;
-                longWindow = Math.max(chained ? longWindow : 0,
-                        Math.min(AFTER_LONG_MS, late * AFTER_LONG_PART));
-                longUntil = nowMs + longWindow;
-            } else if (catchesUp) {
+            backlogFromMs = nextTickMs - lastStallUntilMs < CATCH_UP_MS ? lastStallFromMs : nextTickMs;
+            boolean catchingUp = nextTickMs < catchUpUntilMs;
+            if (lateMs > LONG_STALL_MS) {
+                boolean chained = catchingUp && nextTickMs < longStallEndMs + MAX_EXTENSION_MS;
+                longStallFromMs = chained ? longStallFromMs : backlogFromMs;
+                longStallEndMs = chained ? longStallEndMs : nowMs;
+                catchUpMs = Math.max(chained ? catchUpMs : 0,
+                        Math.min(MAX_LONG_CATCH_UP_MS, lateMs * LONG_CATCH_UP_FRACTION));
+                catchUpUntilMs = nowMs + catchUpMs;
+            } else if (catchingUp) {
                 // Nothing was read during this stall, so the backlog is larger than assumed.
-                longUntil = Math.max(longUntil,
-                        Math.min(nowMs + longWindow, longEnd + MOST_CATCHING_UP_MS));
+                catchUpUntilMs = Math.max(catchUpUntilMs,
+                        Math.min(nowMs + catchUpMs, longStallEndMs + MAX_EXTENSION_MS));
             }
-            lastFrom = dueAt;
-            lastUntil = nowMs;
-            worstMs = Math.max(worstMs, late);
+            lastStallFromMs = nextTickMs;
+            lastStallUntilMs = nowMs;
+            longestStallMs = Math.max(longestStallMs, lateMs);
         }
-        dueAt = nowMs + TICK_INTERVAL_MS;
+        nextTickMs = nowMs + TICK_INTERVAL_MS;
     }
 
     /**
@@ -78,19 +78,19 @@
      * tick.
      */
     public double maxAgeMs(double nowMs) {
-        if (Double.isNaN(dueAt)) {
+        if (Double.isNaN(nextTickMs)) {
             return 0;
         }
-        boolean overdue = nowMs - dueAt > USUAL_MS;
+        boolean overdue = nowMs - nextTickMs > STALL_THRESHOLD_MS;
         // While a tick is overdue, nothing has been read since it was due.
-        double readAt = overdue ? dueAt : nowMs;
-        double from = readAt < longUntil ? longFrom
-                : readAt - lastUntil < AFTER_MS ? overdue ? lastFrom : unreadFrom : readAt;
-        return nowMs - from;
+        double readAtMs = overdue ? nextTickMs : nowMs;
+        double fromMs = readAtMs < catchUpUntilMs ? longStallFromMs
+                : readAtMs - lastStallUntilMs < CATCH_UP_MS ? overdue ? lastStallFromMs : backlogFromMs : readAtMs;
+        return nowMs - fromMs;
     }
 
     /** The longest stall since the start, in milliseconds. */
     public double longestStallMs() {
-        return worstMs;
+        return longestStallMs;
     }
 }
--- a/core/src/main/java/ridgemill/deadline/PipelineDeadlines.java
+++ b/core/src/main/java/ridgemill/deadline/PipelineDeadlines.java
@@ -17,27 +17,27 @@
 
     private static final class Entry<T> {
         private final T request;
-        private double dueMs;
+        private double deadlineMs;
 
-        Entry(T request, double dueMs) {
+        Entry(T request, double deadlineMs) {
             this.request = request;
-            this.dueMs = dueMs;
+            this.deadlineMs = deadlineMs;
         }
     }
 
     private final Deque<Entry<T>> entries = new ArrayDeque<>();
 
     /** Appends a request whose response must be sent by {@code deadlineMs}. */
-    public void add(T request, double dueMs) {
-        entries.addLast(new Entry<>(request, dueMs));
+    public void add(T request, double deadlineMs) {
+        entries.addLast(new Entry<>(request, deadlineMs));
     }
 
     /** Moves the deadline of a request forward to {@code deadlineMs}; no effect if it is earlier already. */
-    public void shorten(T request, double dueMs) {
+    public void shorten(T request, double deadlineMs) {
         for (Iterator<Entry<T>> i = entries.descendingIterator(); i.hasNext();) {
             Entry<T> e = i.next();
             if (e.request == request) {
-                e.dueMs = Math.min(e.dueMs, dueMs);
+                e.deadlineMs = Math.min(e.deadlineMs, deadlineMs);
                 return;
             }
         }
@@ -53,11 +53,11 @@
         if (entries.size() < 2) {
             return Double.POSITIVE_INFINITY;
         }
-        double least = Double.POSITIVE_INFINITY;
+        double earliest = Double.POSITIVE_INFINITY;
         for (Entry<T> e : entries) {
-            least = Math.min(least, e.dueMs);
+            earliest = Math.min(earliest, e.deadlineMs);
         }
-        return least;
+        return earliest;
     }
 
     /**
@@ -69,7 +69,7 @@
         int due = 0;
         for (Entry<T> e : entries) {
             all.add(e.request);
-            if (e.dueMs <= nowMs) {
+            if (e.deadlineMs <= nowMs) {
                 due = all.size();
             }
         }
--- a/core/src/main/java/ridgemill/deadline/ResponseTimes.java
+++ b/core/src/main/java/ridgemill/deadline/ResponseTimes.java
@@ -10,14 +10,14 @@
     /** No figure rests on samples older than this. */
     static final double RETENTION_MS = 20_000;
     /** Fewer samples than this give no figure. */
-    private static final int THIN = 40;
+    private static final int MIN_SAMPLES = 40;
     /**
      * Fraction of responses that may be faster than the reported minimum, so that one lucky response does not set it.
      */
-    private static final double QUICKEST = 0.02;
+    private static final double FASTEST_FRACTION = 0.02;
 
     private final SlidingHistogram answered = new SlidingHistogram(RETENTION_MS / 2);
-    private final SlidingHistogram cut = new SlidingHistogram(RETENTION_MS / 2);
+    private final SlidingHistogram abandoned = new SlidingHistogram(RETENTION_MS / 2);
 
     /** Records an attempt that was answered after {@code ms}. */
     void answered(double nowMs, double ms) {
@@ -26,21 +26,21 @@
 
     /** Records an attempt that was abandoned after {@code ms}. */
     void abandoned(double nowMs, double ms) {
-        cut.add(nowMs, ms);
+        abandoned.add(nowMs, ms);
     }
 
     /** The shortest time in which a response can be expected; 0 if unknown. */
     double minMs(double nowMs) {
-        int all = answered.total(nowMs);
-        if (all < THIN) {
+        int total = answered.total(nowMs);
+        if (total < MIN_SAMPLES) {
             return 0;
         }
-        int before = 0;
-        int b = 0;
-        while (before + answered.count(b) <= QUICKEST * all) {
-            before += answered.count(b++);
+        int faster = 0;
+        int bucket = 0;
+        while (faster + answered.count(bucket) <= FASTEST_FRACTION * total) {
+            faster += answered.count(bucket++);
         }
-        return SlidingHistogram.lowerBoundMs(b);
+        return SlidingHistogram.lowerBoundMs(bucket);
     }
 
     /**
@@ -49,32 +49,32 @@
      * abandoned.
      */
     double medianMs(double nowMs) {
-        int atRisk = answered.total(nowMs) + cut.total(nowMs);
-        if (atRisk < THIN) {
+        int atRisk = answered.total(nowMs) + abandoned.total(nowMs);
+        if (atRisk < MIN_SAMPLES) {
             return 0;
         }
-        double longer = 1;
-        for (int b = 0; b < SlidingHistogram.BUCKETS && atRisk > 0; b++) {
-            longer *= 1 - (double) answered.count(b) / atRisk;
-            if (longer <= 0.5) {
-                return SlidingHistogram.lowerBoundMs(b);
+        double fractionLonger = 1;
+        for (int bucket = 0; bucket < SlidingHistogram.BUCKETS && atRisk > 0; bucket++) {
+            fractionLonger *= 1 - (double) answered.count(bucket) / atRisk;
+            if (fractionLonger <= 0.5) {
+                return SlidingHistogram.lowerBoundMs(bucket);
             }
-            atRisk -= answered.count(b) + cut.count(b);
+            atRisk -= answered.count(bucket) + abandoned.count(bucket);
         }
         return Double.POSITIVE_INFINITY;
     }
 
     /** The 95th percentile of the answered attempts; infinite if unknown. */
     double p95Ms(double nowMs) {
-        int all = answered.total(nowMs);
-        if (all < THIN) {
+        int total = answered.total(nowMs);
+        if (total < MIN_SAMPLES) {
             return Double.POSITIVE_INFINITY;
         }
-        int after = 0;
-        int b = SlidingHistogram.BUCKETS - 1;
-        while (20 * (after + answered.count(b)) <= all) {
-            after += answered.count(b--);
+        int slower = 0;
+        int bucket = SlidingHistogram.BUCKETS - 1;
+        while (20 * (slower + answered.count(bucket)) <= total) {
+            slower += answered.count(bucket--);
         }
-        return SlidingHistogram.lowerBoundMs(Math.min(SlidingHistogram.BUCKETS - 1, b + 1));
+        return SlidingHistogram.lowerBoundMs(Math.min(SlidingHistogram.BUCKETS - 1, bucket + 1));
     }
 }
--- a/core/src/main/java/ridgemill/deadline/ReturnDelay.java
+++ b/core/src/main/java/ridgemill/deadline/ReturnDelay.java
@@ -11,8 +11,8 @@
     private static final double DEVIATION_GAIN = 1.0 / 4;
     private static final double DEVIATIONS = 4;
 
-    private double mean;
-    private double deviation;
+    private double meanMs;
+    private double deviationMs;
     private boolean known;
 
     /** Records one measured delay; negative values and NaN are ignored. */
@@ -22,21 +22,21 @@
         }
         if (!known) {
             known = true;
-            mean = ms;
-            deviation = ms / 2;
+            meanMs = ms;
+            deviationMs = ms / 2;
         } else {
-            deviation += DEVIATION_GAIN * (Math.abs(ms - mean) - deviation);
-            mean += MEAN_GAIN * (ms - mean);
+            deviationMs += DEVIATION_GAIN * (Math.abs(ms - meanMs) - deviationMs);
+            meanMs += MEAN_GAIN * (ms - meanMs);
         }
     }
 
     /** Time to reserve for the way back, in milliseconds; 0 before the first measurement. */
     public double reserveMs() {
-        return mean + DEVIATIONS * deviation;
+        return meanMs + DEVIATIONS * deviationMs;
     }
 
     /** Like {@link #reserveMs()}, but at most {@code maxFraction} of the remaining time. */
-    public double reserveMs(double leftMs, double mostPart) {
-        return Math.min(reserveMs(), Math.max(0, leftMs) * mostPart);
+    public double reserveMs(double remainingMs, double maxFraction) {
+        return Math.min(reserveMs(), Math.max(0, remainingMs) * maxFraction);
     }
 }
--- a/core/src/main/java/ridgemill/deadline/SlidingHistogram.java
+++ b/core/src/main/java/ridgemill/deadline/SlidingHistogram.java
@@ -9,40 +9,40 @@
 final class SlidingHistogram {
 
     static final int BUCKETS = 72;
-    private static final double PER_DOUBLING = 4;
+    private static final double BUCKETS_PER_DOUBLING = 4;
     /** Upper bound of the first bucket, which holds all shorter durations; the last holds all from about 9.3 s up. */
-    private static final double FIRST_MS = 0.05;
+    private static final double FIRST_BUCKET_MS = 0.05;
 
-    private final double ageMs;
+    private final double generationMs;
     private int[] young = new int[BUCKETS];
     private int[] old = new int[BUCKETS];
-    private double turnedAt = Double.NEGATIVE_INFINITY;
+    private double rotatedAtMs = Double.NEGATIVE_INFINITY;
     private int total;
 
     /** Creates an empty histogram that discards samples older than two generations of {@code generationMs}. */
-    SlidingHistogram(double ageMs) {
-        this.ageMs = ageMs;
+    SlidingHistogram(double generationMs) {
+        this.generationMs = generationMs;
     }
 
     static int bucketOf(double ms) {
-        return ms <= FIRST_MS ? 0 : (int) Math.min(BUCKETS - 1,
-                1 + PER_DOUBLING * Math.log(ms / FIRST_MS) / Math.log(2));
+        return ms <= FIRST_BUCKET_MS ? 0 : (int) Math.min(BUCKETS - 1,
+                1 + BUCKETS_PER_DOUBLING * Math.log(ms / FIRST_BUCKET_MS) / Math.log(2));
     }
 
     /** The shortest duration that a bucket holds, in milliseconds. */
     static double lowerBoundMs(int bucket) {
-        return bucket == 0 ? 0 : FIRST_MS * Math.pow(2, (bucket - 1) / PER_DOUBLING);
+        return bucket == 0 ? 0 : FIRST_BUCKET_MS * Math.pow(2, (bucket - 1) / BUCKETS_PER_DOUBLING);
     }
 
     void add(double nowMs, double ms) {
-        turn(nowMs);
+        rotate(nowMs);
         young[bucketOf(ms)]++;
         total++;
     }
 
     /** The number of recent samples; discards old ones first. */
     int total(double nowMs) {
-        turn(nowMs);
+        rotate(nowMs);
         return total;
     }
 
@@ -51,18 +51,18 @@
         return young[bucket] + old[bucket];
     }
 
-    private void turn(double nowMs) {
-        if (nowMs - turnedAt < ageMs) {
+    private void rotate(double nowMs) {
+        if (nowMs - rotatedAtMs < generationMs) {
             return;
         }
-        if (nowMs - turnedAt >= 2 * ageMs) {
+        if (nowMs - rotatedAtMs >= 2 * generationMs) {
             clear(young);
         }
         int[] freed = old;
         old = young;
         young = freed;
         clear(young);
-        turnedAt = nowMs;
+        rotatedAtMs = nowMs;
         total = 0;
         for (int n : old) {
             total += n;
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyRecord.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecord.java
@@ -35,8 +35,8 @@
         return new IdempotencyRecord(next, callId, tenant, fingerprint, firstSentMs, windowMs, nowMs);
     }
 
-    IdempotencyRecord rerunBy(String otherCall, double nowMs) {
-        return new IdempotencyRecord(State.RUNNING_AGAIN, otherCall, tenant, fingerprint, firstSentMs, windowMs,
+    IdempotencyRecord rerunBy(String nextCallId, double nowMs) {
+        return new IdempotencyRecord(State.RUNNING_AGAIN, nextCallId, tenant, fingerprint, firstSentMs, windowMs,
                 nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyRecords.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyRecords.java
@@ -42,9 +42,9 @@
     private static final double MARGIN_MS = 200;
 
     private final IdempotencyStore store;
-    private double keepMs;
+    private double retentionMs;
     private long unrecorded;
-    private long told;
+    private long replayed;
     private long joined;
 
     /**
@@ -52,14 +52,14 @@
      *
      * @param retentionMs for how long an outcome is reported after it was recorded, at least the deduplication window
      */
-    public IdempotencyRecords(IdempotencyStore store, double keepMs) {
+    public IdempotencyRecords(IdempotencyStore store, double retentionMs) {
         this.store = store;
-        this.keepMs = keepMs;
+        this.retentionMs = retentionMs;
     }
 
     /** Changes for how long outcomes are kept. */
     public void setRetentionMs(double ms) {
-        keepMs = ms;
+        retentionMs = ms;
     }
 
     /**
@@ -70,41 +70,41 @@
      * @param fingerprint hash of the request
      * @param windowMs for how long nodes drop duplicates of the write
      */
-    public Decision begin(double nowMs, String key, String call, String tenant, long fingerprint, double windowMs) {
-        store.expire(nowMs - Math.max(keepMs, windowMs));
-        IdempotencyRecord known = store.get(key);
-        if (known == null) {
-            boolean kept = store.put(key,
-                    new IdempotencyRecord(State.RUNNING, call, tenant, fingerprint, nowMs, windowMs, nowMs));
-            unrecorded += kept ? 0 : 1;
-            return new Execute(kept);
+    public Decision begin(double nowMs, String key, String callId, String tenant, long fingerprint, double windowMs) {
+        store.expire(nowMs - Math.max(retentionMs, windowMs));
+        IdempotencyRecord found = store.get(key);
+        if (found == null) {
+            boolean recorded = store.put(key,
+                    new IdempotencyRecord(State.RUNNING, callId, tenant, fingerprint, nowMs, windowMs, nowMs));
+            unrecorded += recorded ? 0 : 1;
+            return new Execute(recorded);
         }
-        if (known.fingerprint() != fingerprint || !java.util.Objects.equals(known.tenant(), tenant)) {
+        if (found.fingerprint() != fingerprint || !java.util.Objects.equals(found.tenant(), tenant)) {
             return new Conflict();
         }
-        if (known.isRunning()) {
+        if (found.isRunning()) {
             joined++;
-            return new Join(known.callId());
+            return new Join(found.callId());
         }
-        if (known.state() == State.UNKNOWN && nowMs + MARGIN_MS < known.firstSentMs() + known.windowMs()) {
-            return new Execute(store.put(key, known.rerunBy(call, nowMs)));
+        if (found.state() == State.UNKNOWN && nowMs + MARGIN_MS < found.firstSentMs() + found.windowMs()) {
+            return new Execute(store.put(key, found.rerunBy(callId, nowMs)));
         }
-        told++;
-        return new Replay(known);
+        replayed++;
+        return new Replay(found);
     }
 
     /** Records the end of the call that runs for a key; ignored if another call, or none, runs for it. */
-    public void callEnded(double nowMs, String key, String call, CallResult end) {
-        IdempotencyRecord known = store.get(key);
-        if (known == null || !known.isRunning() || !known.callId().equals(call)) {
+    public void callEnded(double nowMs, String key, String callId, CallResult result) {
+        IdempotencyRecord found = store.get(key);
+        if (found == null || !found.isRunning() || !found.callId().equals(callId)) {
             return;
         }
-        switch (end) {
-            case SERVED -> store.put(key, known.withState(State.RECORDED, nowMs));
-            case MAY_HAVE_RUN -> store.put(key, known.withState(State.UNKNOWN, nowMs));
+        switch (result) {
+            case SERVED -> store.put(key, found.withState(State.RECORDED, nowMs));
+            case MAY_HAVE_RUN -> store.put(key, found.withState(State.UNKNOWN, nowMs));
             case NOTHING_RAN -> {
-                if (known.state() == State.RUNNING_AGAIN) {
-                    store.put(key, known.withState(State.UNKNOWN, nowMs));
+                if (found.state() == State.RUNNING_AGAIN) {
+                    store.put(key, found.withState(State.UNKNOWN, nowMs));
                 } else {
                     store.remove(key);
                 }
@@ -116,15 +116,15 @@
      * The record of a key, for the tenant that used it; null if there is none, or it is another tenant's or expired.
      */
     public IdempotencyRecord find(double nowMs, String key, String tenant) {
-        IdempotencyRecord known = store.get(key);
-        boolean expired = known != null && !known.isRunning()
-                && known.stateSinceMs() < nowMs - Math.max(keepMs, known.windowMs());
-        return known == null || expired || !java.util.Objects.equals(known.tenant(), tenant) ? null : known;
+        IdempotencyRecord found = store.get(key);
+        boolean expired = found != null && !found.isRunning()
+                && found.stateSinceMs() < nowMs - Math.max(retentionMs, found.windowMs());
+        return found == null || expired || !java.util.Objects.equals(found.tenant(), tenant) ? null : found;
     }
 
     /** The number of records and the counts since the start, as one line of text. */
     public String summary() {
-        return "outcomes kept=" + store.size() + " told=" + told + " joined=" + joined
+        return "outcomes kept=" + store.size() + " told=" + replayed + " joined=" + joined
                 + " unrecorded=" + unrecorded;
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/IdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/IdempotencyStore.java
@@ -11,7 +11,7 @@
     IdempotencyRecord get(String key);
 
     /** Stores a record; returns false, and changes nothing, if there is no room. */
-    boolean put(String key, IdempotencyRecord known);
+    boolean put(String key, IdempotencyRecord next);
 
     /** Removes the record of a key whose write did not run. */
     void remove(String key);
--- a/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
@@ -12,41 +12,41 @@
 public final class InMemoryIdempotencyStore implements IdempotencyStore {
 
     /** How many of the oldest records a search for one to evict examines: those that can be evicted are the oldest. */
-    private static final int LOOKS = 64;
+    private static final int MAX_EVICTION_PROBES = 64;
 
-    private final Map<String, IdempotencyRecord> known = new LinkedHashMap<>();
-    private final int most;
+    private final Map<String, IdempotencyRecord> records = new LinkedHashMap<>();
+    private final int capacity;
     private long evicted;
 
     /** Creates an empty store of at most {@code capacity} records, at least 1. */
-    public InMemoryIdempotencyStore(int most) {
-        if (most < 1) {
-            throw new IllegalArgumentException("room for " + most + " outcomes");
+    public InMemoryIdempotencyStore(int capacity) {
+        if (capacity < 1) {
+            throw new IllegalArgumentException("room for " + capacity + " outcomes");
         }
-        this.most = most;
+        this.capacity = capacity;
     }
 
     @Override
     public IdempotencyRecord get(String key) {
-        return known.get(key);
+        return records.get(key);
     }
 
     @Override
     public boolean put(String key, IdempotencyRecord next) {
         // Removed first, so that the record moves to the end of the order.
-        boolean there = known.remove(key) != null;
-        if (!there && known.size() >= most && !makeRoom(next.stateSinceMs())) {
+        boolean existed = records.remove(key) != null;
+        if (!existed && records.size() >= capacity && !evictOne(next.stateSinceMs())) {
             return false;
         }
-        known.put(key, next);
+        records.put(key, next);
         return true;
     }
 
-    private boolean makeRoom(double nowMs) {
-        Iterator<IdempotencyRecord> oldest = known.values().iterator();
-        for (int i = 0; i < LOOKS && oldest.hasNext(); i++) {
-            IdempotencyRecord k = oldest.next();
-            if (!k.isRunning() && nowMs >= k.firstSentMs() + k.windowMs()) {
+    private boolean evictOne(double nowMs) {
+        Iterator<IdempotencyRecord> oldest = records.values().iterator();
+        for (int i = 0; i < MAX_EVICTION_PROBES && oldest.hasNext(); i++) {
+            IdempotencyRecord candidate = oldest.next();
+            if (!candidate.isRunning() && nowMs >= candidate.firstSentMs() + candidate.windowMs()) {
                 oldest.remove();
                 evicted++;
                 return true;
@@ -57,18 +57,18 @@
 
     @Override
     public void remove(String key) {
-        known.remove(key);
+        records.remove(key);
     }
 
     @Override
     public void expire(double beforeMs) {
-        Iterator<IdempotencyRecord> oldest = known.values().iterator();
+        Iterator<IdempotencyRecord> oldest = records.values().iterator();
         while (oldest.hasNext()) {
-            IdempotencyRecord k = oldest.next();
-            if (k.stateSinceMs() >= beforeMs) {
+            IdempotencyRecord candidate = oldest.next();
+            if (candidate.stateSinceMs() >= beforeMs) {
                 return;
             }
-            if (!k.isRunning()) {
+            if (!candidate.isRunning()) {
                 oldest.remove();
             }
         }
@@ -76,7 +76,7 @@
 
     @Override
     public int size() {
-        return known.size();
+        return records.size();
     }
 
     /** The number of records that were evicted to make room. */
--- a/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
+++ b/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
@@ -11,33 +11,33 @@
     /** No loop can take a connection. */
     public static final int NONE = -1;
     /** A loop with a greater delay serves its clients late; ordinary iterations of a busy loop are well below. */
-    private static final double LATE_MS = 25;
+    private static final double MAX_DELAY_MS = 25;
     /** Smoothing factor by which a reported delay fades. */
-    private static final double NEWEST = 0.2;
+    private static final double SMOOTHING = 0.2;
     /** Without a report for longer than this a loop is taken not to keep up. */
-    private static final double SILENT_MS = 500;
+    private static final double MAX_SILENCE_MS = 500;
 
     private final int[] open;
-    private final int[] most;
-    private final double[] heardAt;
-    private final double[] lateMs;
+    private final int[] maxOpen;
+    private final double[] reportedAtMs;
+    private final double[] delayMs;
     private final boolean[] retired;
     private int last;
 
     /**
      * Creates a distributor for as many loops as {@code maxOpen} has entries: each loop's connection limit, at least 1.
      */
-    public ConnectionDistributor(int[] most, double nowMs) {
-        this.most = most.clone();
-        this.open = new int[most.length];
-        this.heardAt = new double[most.length];
-        this.lateMs = new double[most.length];
-        this.retired = new boolean[most.length];
-        for (int i = 0; i < most.length; i++) {
-            if (most[i] < 1) {
+    public ConnectionDistributor(int[] maxOpen, double nowMs) {
+        this.maxOpen = maxOpen.clone();
+        this.open = new int[maxOpen.length];
+        this.reportedAtMs = new double[maxOpen.length];
+        this.delayMs = new double[maxOpen.length];
+        this.retired = new boolean[maxOpen.length];
+        for (int i = 0; i < maxOpen.length; i++) {
+            if (maxOpen[i] < 1) {
                 throw new IllegalArgumentException("a loop that may have no connection is dealt none: " + i);
             }
-            heardAt[i] = nowMs;
+            reportedAtMs[i] = nowMs;
         }
     }
 
@@ -48,7 +48,7 @@
         // Starts after the last loop chosen, so that equal loops take turns.
         for (int k = 1; k <= open.length; k++) {
             int i = (last + k) % open.length;
-            if (retired[i] || open[i] >= most[i]) {
+            if (retired[i] || open[i] >= maxOpen[i]) {
                 continue;
             }
             boolean keepsUp = isKeepingUp(i, nowMs);
@@ -75,9 +75,9 @@
      * Records how long a task waited until a loop ran it, in milliseconds. A long delay counts at once and then fades:
      * a loop with long iterations still runs some tasks immediately.
      */
-    public void reportDelay(int loop, double nowMs, double late) {
-        heardAt[loop] = nowMs;
-        lateMs[loop] = Math.max(late, lateMs[loop] + NEWEST * (late - lateMs[loop]));
+    public void reportDelay(int loop, double nowMs, double reportedMs) {
+        reportedAtMs[loop] = nowMs;
+        delayMs[loop] = Math.max(reportedMs, delayMs[loop] + SMOOTHING * (reportedMs - delayMs[loop]));
     }
 
     /** Excludes a loop from new connections for good, whatever it reports. */
@@ -87,12 +87,12 @@
 
     /** Whether a loop has reported recently and was not late. */
     public boolean isKeepingUp(int loop, double nowMs) {
-        return lateMs[loop] <= LATE_MS && nowMs - heardAt[loop] <= SILENT_MS;
+        return delayMs[loop] <= MAX_DELAY_MS && nowMs - reportedAtMs[loop] <= MAX_SILENCE_MS;
     }
 
     /** Time since the last report of a loop, in milliseconds. */
     public double sinceLastReportMs(int loop, double nowMs) {
-        return nowMs - heardAt[loop];
+        return nowMs - reportedAtMs[loop];
     }
 
     /** Whether a loop was retired. */
