--- a/core/src/main/java/ridgemill/deadline/DeadlinePolicy.java
+++ b/core/src/main/java/ridgemill/deadline/DeadlinePolicy.java
@@ -23,7 +23,7 @@
 
     public DeadlinePolicy {
         if (!(maxReserveFraction >= 0 && maxReserveFraction <= 1)) {
-            throw new IllegalArgumentException("mostReserve is a part from 0 to 1, and not " + maxReserveFraction);
+            throw new IllegalArgumentException("maxReserveFraction must be from 0 to 1, but is " + maxReserveFraction);
         }
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
@@ -21,7 +21,7 @@
     /** Creates an empty store of at most {@code capacity} records, at least 1. */
     public InMemoryIdempotencyStore(int capacity) {
         if (capacity < 1) {
-            throw new IllegalArgumentException("room for " + capacity + " outcomes");
+            throw new IllegalArgumentException("a capacity of " + capacity + " records is below the minimum of 1");
         }
         this.capacity = capacity;
     }
--- a/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
+++ b/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
@@ -35,7 +35,7 @@
         this.retired = new boolean[maxOpen.length];
         for (int i = 0; i < maxOpen.length; i++) {
             if (maxOpen[i] < 1) {
-                throw new IllegalArgumentException("a loop that may have no connection is dealt none: " + i);
+                throw new IllegalArgumentException("the connection limit of a loop must be at least 1: loop " + i);
             }
             reportedAtMs[i] = nowMs;
         }
