--- a/core/src/main/java/ridgemill/core/AdmissionController.java
+++ b/core/src/main/java/ridgemill/core/AdmissionController.java
@@ -5,76 +5,85 @@
 import ridgemill.route.RouteQuery;
 
 /**
- * Stands before the decisions on every front: says which class a request is of and how long it has, or that it goes no
- * further. Called from the thread that owns the dispatcher.
+ * Decides for every frontend, before a request is routed, on the request's class and time budget, or rejects it. Called
+ * from the thread that owns the dispatcher.
  */
 public interface AdmissionController {
 
     /**
-     * What a front knows of a request.
+     * A request as a frontend presents it for admission.
      *
-     * @param id its own, not open yet
-     * @param query by which its route is found
-     * @param requestedClass the class that it names itself; null where it names none
-     * @param retry whether it is marked as a client's retry
-     * @param bodyBytes the size of its body
+     * @param id id of the request, not in use by an open request
+     * @param query attributes by which its route is found
+     * @param requestedClass class that the client named; null if none
+     * @param retry whether the client marked it as a retry
+     * @param bodyBytes size of its body
      * @param budgetMs how long its client still waits
      */
-    record AdmissionRequest(String id, RouteQuery query, String requestedClass, boolean retry, long bodyBytes, double budgetMs) { }
+    record AdmissionRequest(String id, RouteQuery query, String requestedClass, boolean retry, long bodyBytes,
+                            double budgetMs) { }
 
-    /** What becomes of it. */
+    /** The decision on a request. */
     sealed interface Decision { }
 
     /**
-     * It goes on, as one of this class and with so much time. Where it waits in line, {@link AdmissionController#nextQueued} names it at its
-     * turn or {@link AdmissionController#withdraw} is owed for it; after its turn, or where it waits for none, {@link AdmissionController#requestEnded} is.
+     * The request is admitted. If it is queued, either {@link AdmissionController#nextQueued} returns its id at its
+     * turn, or {@link AdmissionController#withdraw} must be called for it. After its turn, or if it is not queued,
+     * {@link AdmissionController#requestEnded} must be called when it ends.
      *
-     * @param group of the nodes that are asked; the empty text for the platform's
-     * @param maxQueueMs how long it may wait in line; 0 where it goes on at once
-     * @param displacedId another that lost its place in line for it and must be turned away; null if none did
+     * @param service class of the request
+     * @param budgetMs time budget of the request
+     * @param group node group that it goes to; the empty string for the platform's nodes
+     * @param maxQueueMs how long it may stay in the queue; 0 if it proceeds at once
+     * @param displacedId id of a queued request that lost its position to this one and must be rejected; null if none
+     *     did
      */
-    record Admitted(ServiceClass service, double budgetMs, String group, double maxQueueMs, String displacedId) implements Decision {
+    record Admitted(ServiceClass service, double budgetMs, String group, double maxQueueMs, String displacedId)
+            implements Decision {
 
-        /** Whether it must come with an idempotency key: without one its repeat would not be dropped, and it may be sent again. */
+        /**
+         * Whether the request needs an idempotency key: without one, nodes would not drop a duplicate of it, and a
+         * duplicate may be sent.
+         */
         public boolean requiresIdempotencyKey(boolean write) {
             return write && service.effect() == Effect.KEYED;
         }
 
-        /** One that goes on at once, to the platform's nodes. */
+        /** An admitted request that proceeds at once to the platform's nodes. */
         public Admitted(ServiceClass service, double budgetMs) {
             this(service, budgetMs, "", 0, null);
         }
     }
 
-    /** A limit turns it away; nothing ran. {@code retryAfterMs} follows from the limit. */
+    /** A limit rejects the request, and nothing ran. {@code retryAfterMs} is derived from the limit. */
     record Rejected(String limit, double retryAfterMs) implements Decision { }
 
-    /** It is no request that anyone could serve. */
+    /** The request can never be served as it is. */
     record Invalid(InvalidReason reason) implements Decision { }
 
-    /** Why a request is unfit. */
+    /** Why a request is invalid: its class is unknown, or its body exceeds the limit of its class. */
     enum InvalidReason { UNKNOWN_CLASS, TOO_LARGE }
 
     /** Decides on a request. */
     Decision admit(double nowMs, AdmissionRequest arrival);
 
-    /** One that went on, of this class, has its final answer or its client has left. */
+    /** An admitted request of this class has its final response, or its client has disconnected. */
     void requestEnded(double nowMs, String service);
 
-    /** Names one in line whose turn it is, by its id; null where none has it. */
+    /** Removes the queued request whose turn has come and returns its id; null if there is none. */
     default String nextQueued() {
         return null;
     }
 
     /**
-     * One in line leaves it without its turn, if it has not left it already; returns when one like it may come back, in
-     * milliseconds.
+     * Removes a request from the queue before its turn, if it is still queued. Returns after how many milliseconds a
+     * similar request may be retried.
      */
     default double withdraw(double nowMs, String id) {
         return 0;
     }
 
-    /** How many connections one client's address may have. */
+    /** The maximum number of connections from one client address. */
     default int maxConnectionsPerClient() {
         return Integer.MAX_VALUE;
     }
--- a/core/src/main/java/ridgemill/core/Attempt.java
+++ b/core/src/main/java/ridgemill/core/Attempt.java
@@ -1,46 +1,52 @@
 package ridgemill.core;
 
-/** One attempt of a request, as a back sees it when it is about to write it to a node. */
+/**
+ * One attempt of a request, as a backend sees it when it writes it to a node.
+ *
+ * @param <C> the content type
+ */
 public interface Attempt<C> {
 
-    /** The id of its request. */
+    /** The id of the request. */
     String requestId();
 
-    /** What is asked for. */
+    /** The command to send. */
     Command<C> command();
 
-    /** How long the proxy will wait for the answer from now on, in milliseconds; a node is told this. */
+    /** How long the proxy still waits for the response, in milliseconds; sent to the node. */
     double remainingMs();
 
     /**
-     * Whether it may still be answered in time, and somebody waits for that. A back asks this before it writes to a connection
-     * that it had to open; one that may not be written ends as {@code NEVER_SENT}.
+     * Whether the attempt may still be answered in time and its client is still waiting. A backend checks this before
+     * it writes to a connection that it had to open; an attempt that may not be written ends as {@code NEVER_SENT}.
      */
     default boolean mayBeWritten() {
         return remainingMs() > 0;
     }
 
-    /** Whether its content is still coming, so that it can be carried once, on a connection of its own. */
+    /** Whether the body is still arriving, so that it can be sent only once, on a connection of its own. */
     default boolean hasStreamingBody() {
         return false;
     }
 
-    /** Whether an answer may be given on before it is whole. */
+    /** Whether the response may be passed on before it is complete. */
     default boolean supportsStreaming() {
         return false;
     }
 
-    /** A connection was opened for it, which took so long, in milliseconds. */
+    /** A connection was opened for the attempt; {@code ms} is how long that took, in milliseconds. */
     default void connected(double ms) { }
 
-    /** It is being written, on a connection that was opened for it or on one that was there. */
+    /** The attempt is being written; {@code newConnection} says whether the connection was opened for it. */
     default void writeStarted(boolean fresh) { }
 
-    /** What its node is to be told of who sends it, and under which version; null for nothing. */
+    /**
+     * Label, sent to the node, of the proxy and the configuration version that the request came under; null for none.
+     */
     default String versionLabel() {
         return null;
     }
 
-    /** Its last byte is with the system: from now on the node may run it. */
+    /** The last byte has been passed to the operating system: from now on the node may execute the attempt. */
     default void written() { }
 }
--- a/core/src/main/java/ridgemill/core/Backend.java
+++ b/core/src/main/java/ridgemill/core/Backend.java
@@ -3,45 +3,48 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * Carries attempts to nodes. A back sends nothing a second time by itself: each exchange ends once, with the outcome
- * that its own connection showed.
+ * Sends attempts to nodes. A backend never retries by itself: each exchange ends once, with the outcome that its own
+ * connection showed.
+ *
+ * @param <C> the content type
  */
 public interface Backend<C> {
 
-    /** Takes how an exchange ended. It may be called before {@link Backend#send} returns. */
+    /** Is notified of the progress of an exchange, possibly before {@link Backend#send} returns. */
     interface Listener<C> {
 
-        /** {@code answer} is null where no whole answer came. */
+        /** The exchange has ended; {@code response} is null if no complete response arrived. */
         void ended(Outcome outcome, NodeResponse<C> answer);
 
         /**
-         * A good answer has begun, whose content comes by and by; {@link #ended} follows when it has ended or broken off, without
-         * an answer. Called only where {@link Attempt#supportsStreaming}. Returns whether anybody takes it.
+         * A successful response has started, and its content arrives over time. {@link #ended} is called without a
+         * response when it is complete or has broken off. Called only if {@link Attempt#supportsStreaming}. Returns
+         * whether the response is accepted.
          */
         default boolean responseStarted(NodeResponse<C> answer) {
             return false;
         }
     }
 
-    /** An attempt that is out. */
+    /** An exchange with a node that is in progress. */
     interface Exchange {
 
-        /** Gives it up: ends it as cancelled unless it has ended. */
+        /** Cancels the exchange: it ends as cancelled unless it has ended. */
         void cancel();
 
         /**
-         * Gives it up as {@link #cancel} does, but lets it run to its end where that spares the node a new connection: its
-         * answer is dropped when it comes.
+         * Cancels the exchange like {@link #cancel}, but lets it run to its end if that saves the node a new
+         * connection; its response is then dropped.
          */
         default void detach() {
             cancel();
         }
     }
 
-    /** Starts an exchange with a node that is given up after {@code timeoutMs}. */
+    /** Starts an exchange with a node; it times out after {@code timeoutMs}. */
     Exchange send(String node, Attempt<C> attempt, double timeoutMs, Listener<C> done);
 
-    /** Asks a node whether it lives; {@code done} gets no answer with the outcome. */
+    /** Sends a health probe to a node; the listener gets an outcome without a response. */
     void probe(String node, double timeoutMs, Listener<C> done);
 
     /** Closes the idle connections to a node. */
--- a/core/src/main/java/ridgemill/core/Command.java
+++ b/core/src/main/java/ridgemill/core/Command.java
@@ -1,33 +1,33 @@
 package ridgemill.core;
 
 /**
- * What a client asked for, in no protocol's words. Backs send it on as it is.
+ * What a client requested, independent of protocols. Backends send it on unchanged.
  *
- * @param action what is asked for
- * @param target what it is about, as a path-absolute reference with its query (RFC 3986, section 4.2); protocols that
- *     name bare keys map them to paths
- * @param idempotencyKey by which a node drops its repeats; null where it has none
- * @param content the value to write, of the type that fronts and backs share; opaque here
- * @param <C> the type of contents
+ * @param action the operation
+ * @param target the resource, as a path-absolute reference with its query (RFC 3986, section 4.2); protocols with bare
+ *     keys map them to paths
+ * @param idempotencyKey key by which a node drops duplicates; null if there is none
+ * @param content the value to write, of the type that frontends and backends share; opaque here
+ * @param <C> the content type
  */
 public record Command<C>(Action action, String target, String idempotencyKey, C content) {
 
-    /** What may be asked of a node. */
+    /** Operations of nodes. */
     public enum Action {
-        /** The value. */
+        /** Reads the value. */
         READ,
-        /** To keep another value. */
+        /** Replaces the value. */
         WRITE,
-        /** To keep none; its answer's content is the number of values that went. */
+        /** Deletes the value; the content of the response is the number of values deleted. */
         DELETE
     }
 
-    /** A read or a write. */
+    /** Creates a read or a write. */
     public Command(boolean write, String target, String idempotencyKey, C content) {
         this(write ? Action.WRITE : Action.READ, target, idempotencyKey, content);
     }
 
-    /** Whether it changes the value. */
+    /** Whether the command changes the value: true for writes and deletes. */
     public boolean write() {
         return action != Action.READ;
     }
--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -28,21 +28,22 @@
 import ridgemill.policy.Router;
 
 /**
- * Joins the decision module to fronts and backs: every event becomes one call of the module, and what the module asks
- * for is done in order once that call has returned. It keeps what no module may break, whatever it asks for: one final
- * answer for each request, one attempt out at a time, none past the attempts allowed or the client's time.
+ * Connects the routing policy, a {@link Router}, to frontends and backends. Each event becomes one call of the policy,
+ * and the actions that the policy requests are carried out in order after that call has returned. Whatever the policy
+ * requests, the dispatcher enforces one final response per request, one attempt in flight at a time, at most the
+ * allowed number of attempts, and none beyond the client's deadline.
  *
- * <p>Not safe for use by several threads: whoever owns it calls it from one.
+ * <p>Not thread-safe: the owner calls it from one thread.
  *
- * @param <C> the type of contents that fronts and backs share
+ * @param <C> the content type that frontends and backends share
  */
 public final class Dispatcher<C> implements Actions {
 
-    /** A time that the module gives to an attempt when it names none. */
+    /** Timeout value of the policy for an attempt that is bounded by the request's deadline alone. */
     private static final double UNTIL_DEADLINE = 0;
-    /** When a timer whose handling failed is tried again: without it one fault would end all later intervals. */
+    /** Delay before a timer whose handling failed is retried: without a retry, one error would end a periodic timer. */
     private static final double RETRY_TIMER_MS = 1000;
-    /** A node is given so many times the time that a connection may take, to answer a probe. */
+    /** Timeout of a probe as a multiple of the connect timeout. */
     private static final double PROBE_CONNECTS = 2;
 
     private interface Event {
@@ -75,17 +76,19 @@
     private int owed;
 
     /**
-     * A dispatcher without requests.
+     * Creates a dispatcher that does not enforce deadlines beyond the client's time.
      *
-     * @param settled is told the class of each request that has its final answer or whose client has left
-     * @param maxOpen how many may be open; the next are refused without asking the module
+     * @param onRequestFinished is passed the class of each request that has its final response or whose client
+     *     disconnected
+     * @param maxOpen maximum number of open requests; further ones are refused without calling the policy
      */
     public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
                       Consumer<String> settled, int maxOpen) {
-        this(timers, settings, router, back, faults, settled, maxOpen, new Deadlines(DeadlinePolicy.OFF).group(Intake.PLATFORM_GROUP));
+        this(timers, settings, router, back, faults, settled, maxOpen,
+                new Deadlines(DeadlinePolicy.OFF).group(Intake.PLATFORM_GROUP));
     }
 
-    /** The same, with what is known of its nodes' times. */
+    /** Creates a dispatcher with the timings of its node group. */
     public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
                       Consumer<String> settled, int maxOpen, GroupTimings times) {
         this.timers = timers;
@@ -99,7 +102,7 @@
         settings.classes().forEach(c -> effects.put(c.name(), c.effect()));
     }
 
-    /** Requests that come from now on are kept there, as those of this group. */
+    /** Sets the version tracker of requests that arrive from now on, and the name of this dispatcher's node group. */
     public void setVersionTracker(VersionTracker to, String ofGroup) {
         acts = to;
         group = ofGroup;
@@ -108,18 +111,21 @@
         }
     }
 
-    /** Names what asks discovery and what tells peers; both may need this dispatcher to be made first. */
+    /**
+     * Sets the callbacks that subscribe to discovery and that send a message to the other proxies. They are not
+     * constructor arguments because both may need the dispatcher to exist.
+     */
     public void setCallbacks(Runnable asksDiscovery, Consumer<byte[]> tellsPeers) {
         subscribe = asksDiscovery;
         tell = tellsPeers;
     }
 
-    /** Comes first: tells the module that it has started. */
+    /** Starts the policy; must be called before any event. */
     public void start() {
         tell(now -> router.onStart(now, this), () -> { });
     }
 
-    /** Requests that have no final answer yet. */
+    /** The number of requests without a final response. */
     public int pendingRequests() {
         return owed;
     }
@@ -128,9 +134,11 @@
         return tally;
     }
 
-    // Events from fronts, backs and the outside.
+    // Events from frontends, backends, discovery and other proxies.
 
-    /** The node list, or news of it; the back must know the nodes before the module may choose one. */
+    /**
+     * The node list, or a change of it, was received; the backend must know the nodes before the policy may select one.
+     */
     public void updateNodes(ListUpdateKind kind, long version, List<Node> nodes) {
         for (Node n : nodes) {
             if (settings.originModel() != null && settings.originModel().equals(n.model())) {
@@ -153,37 +161,44 @@
         updateNodes(ListUpdateKind.REFUSED, 0, List.of());
     }
 
+    /** A message of the routing policy of another proxy was received. */
     public void peerMessage(int from, byte[] contents) {
         tell(now -> router.onPeerMessage(now, from, contents, this), () -> { });
     }
 
-    /** Whether a request with this id is open: its answer and another's could not be told apart. */
+    /** Whether a request with this id is open; a second one could not be told apart from it. */
     public boolean isOpen(String id) {
         return calls.containsKey(id);
     }
 
-    /** Other classes hold from now on, for requests that come. */
+    /** Replaces the classes for requests that arrive from now on. */
     public void updateClasses(List<ServiceClass> classes) {
         classes.forEach(c -> effects.put(c.name(), c.effect()));
         tell(now -> router.onClassesChanged(now, classes), () -> { });
     }
 
-    /** Takes a request, whose id must not be open; {@code client} gets its one final answer, maybe before this returns. */
+    /**
+     * Takes a request whose id is not in use by an open one. {@code client} gets its one final response, possibly
+     * before this method returns.
+     */
     public void submit(Request in, Command<C> command, ResponseHandler<C> client) {
         double cameAt = timers.now();
         tally.requestStarted();
-        VersionTracker.RequestVersion under = acts.requestStarted(cameAt, in.id(), in.serviceClass(), group, list);
+        VersionTracker.RequestVersion under = acts.requestStarted(cameAt, in.id(), in.serviceClass(),
+                group, list);
         if (calls.size() >= maxOpen) {
-            // Beyond what the settings allow the module is not asked; nothing ran, so this promise is true.
+            // The policy is not called, so nothing ran and the refusal is correct.
             tally.requestEnded(in.serviceClass(), RequestCounters.RequestResult.REFUSED);
-            under.requestEnded(cameAt, in.serviceClass(), RequestCounters.RequestResult.REFUSED, Reason.TOO_MANY_OPEN);
+            under.requestEnded(cameAt, in.serviceClass(), RequestCounters.RequestResult.REFUSED,
+                    Reason.TOO_MANY_OPEN);
             tally.reasonCount(in.serviceClass(), Reason.TOO_MANY_OPEN);
             settled.accept(in.serviceClass());
             client.reason(Reason.TOO_MANY_OPEN);
             client.refused(0);
             return;
         }
-        Call<C> call = new Call<>(in, command, client, cameAt, times.forClass(in.serviceClass()), under);
+        Call<C> call = new Call<>(in, command, client, cameAt, times.forClass(in.serviceClass()),
+                under);
         calls.put(in.id(), call);
         owed++;
         if (in.uploading()) {
@@ -198,7 +213,7 @@
         call.backstop = timers.scheduleAt(call.deadline + settings.rules().answerSlackMs(), () -> overdue(call));
     }
 
-    /** The last byte of a request that came open is here: its time begins. */
+    /** The last byte of a request that was submitted while uploading has arrived: its time budget starts now. */
     public void bodyReceived(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over && call.isOpen()) {
@@ -210,7 +225,7 @@
         }
     }
 
-    /** The client of an open request has left; nothing is owed any more. */
+    /** The client of an open request has disconnected; no response is needed any more. */
     public void clientGone(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over) {
@@ -221,13 +236,13 @@
         }
     }
 
-    /** Whether an open request may have run already, or has an attempt out that may yet. */
+    /** Whether an open request may have run already, or has an attempt in flight that may run. */
     public boolean mayHaveRun(String id) {
         Call<C> call = calls.get(id);
         return call != null && (!call.proven || call.out != null);
     }
 
-    /** An open request needs its final answer now; what is out for it is of no use any more. */
+    /** Gives an open request its final response now and cancels its attempt. */
     public void answerNow(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.over && !call.hasBegun()) {
@@ -240,7 +255,7 @@
         }
     }
 
-    /** A final answer that nobody decided on: a refusal where it is a true promise. */
+    /** Gives a final response without the policy: a refusal if a retry is certainly harmless, otherwise a failure. */
     private void endNow(Call<C> call) {
         if (call.proven && call.out == null || effects.get(call.in.serviceClass()) == Effect.SAFE) {
             refuseNow(call, 0);
@@ -249,7 +264,10 @@
         }
     }
 
-    /** An answer has begun: it is the request's final one, however long its rest takes, and whether or not that comes. */
+    /**
+     * A response has started: it is the final response of the request, however long the rest takes and whether or not
+     * it arrives.
+     */
     private boolean begun(Call<C> call, int attempt, String node, NodeResponse<C> answer) {
         if (call.over) {
             return false;
@@ -257,25 +275,29 @@
         double now = timers.now();
         call.unwatch();
         call.begunMs = now;
-        call.kind.attemptAnswered(now, now - call.since(call.out.sentMs), call.out.atStore, call.out.fresh);
+        call.kind.attemptAnswered(now, now - call.since(call.out.sentMs), call.out.atStore,
+                call.out.fresh);
         call.client.served(answer);
         tell(at -> router.onStreamStarted(at, call.in.id(), attempt, node, this), () -> { });
         return true;
     }
 
-    /** One that had begun has ended or broken off; its client has seen which. */
+    /** A response that had started is complete or has broken off; its client has seen which. */
     private void endedBegun(Call<C> call, int attempt, String node, double sentAt, Outcome outcome) {
         tally.attemptEnded(outcome);
         if (!call.over) {
             double now = timers.now();
-            count(call, outcome == Outcome.OK ? RequestCounters.RequestResult.SERVED : RequestCounters.RequestResult.FAILED);
+            count(call, outcome == Outcome.OK ? RequestCounters.RequestResult.SERVED
+                    : RequestCounters.RequestResult.FAILED);
             call.kind.requestAnswered(now, call.begunMs - call.bornMs);
             settle(call);
         }
-        report(call.in.id(), call, attempt, node, outcome, call.begunMs - call.since(sentAt), NodeResponse.NO_CACHE_STATUS);
+        report(call.in.id(), call, attempt, node, outcome,
+                call.begunMs - call.since(sentAt), NodeResponse.NO_CACHE_STATUS);
     }
 
-    private void ended(Call<C> call, int attempt, String node, double sentAt, Outcome outcome, NodeResponse<C> answer) {
+    private void ended(Call<C> call, int attempt, String node, double sentAt, Outcome outcome,
+                              NodeResponse<C> answer) {
         Sent<C> sent = call.out;
         call.out = null;
         double now = timers.now();
@@ -303,20 +325,23 @@
     }
 
     private void report(String id, Call<C> call, int attempt, String node, Outcome outcome, double elapsedMs,
-                        int note) {
+                           int note) {
         boolean finished = call == null || call.over;
         if (call != null) {
             forgetIfDone(call);
         }
-        AttemptResult end = new AttemptResult(id, attempt, node, outcome, elapsedMs, finished, note, Map.of());
-        tell(now -> router.onAttemptEnded(now, end, this), call == null ? () -> { } : () -> answerInstead(call));
+        AttemptResult end = new AttemptResult(id, attempt, node, outcome, elapsedMs, finished, note,
+                Map.of());
+        tell(now -> router.onAttemptEnded(now, end, this),
+                call == null ? () -> { } : () -> answerInstead(call));
     }
 
-    // The module's calls, one at a time.
+    // Calls of the policy, one at a time.
 
     /**
-     * Tells the module of an event, or queues it if the module is being told of one or its wishes are being done: it
-     * must never be entered from within itself, and its wishes must take effect in the order it had them.
+     * Delivers an event to the policy, or queues it if another is being delivered or its actions are being carried out:
+     * the policy must never be entered recursively, and its actions must take effect in the order in which it requested
+     * them.
      */
     private void tell(Event event, Runnable rescue) {
         events.add(new Pending(event, rescue));
@@ -336,7 +361,10 @@
         telling = false;
     }
 
-    /** One fault must not take the process, and with it every other request, along. */
+    /**
+     * Runs an action so that an error in it ends neither the process nor the other requests; returns whether it
+     * succeeded.
+     */
     private boolean guarded(Runnable action) {
         try {
             action.run();
@@ -350,7 +378,7 @@
         }
     }
 
-    /** Goes on without the module: what it had in hand has its answer now, or with the end of the attempt that is out. */
+    /** Stops calling the policy. Its open requests are answered now, or at the end of the attempt that is in flight. */
     private void abandon(Error cause) {
         if (abandoned) {
             return;
@@ -360,7 +388,10 @@
         List.copyOf(calls.values()).forEach(this::answerInstead);
     }
 
-    /** Answers for a module that failed: a refusal only where provably nothing ran, as it promises just that. */
+    /**
+     * Answers in place of a policy that failed. A refusal promises that nothing ran, so it is given only if that is
+     * proven.
+     */
     private void answerInstead(Call<C> call) {
         if (call.over || call.out != null) {
             return;
@@ -374,7 +405,7 @@
         tell(now -> router.onClientDisconnected(now, call.in.id(), this), () -> { });
     }
 
-    /** The module owes an answer before this; without one the request would be lost. */
+    /** The policy must have answered before this runs; without this backstop the request would never be answered. */
     private void overdue(Call<C> call) {
         if (!call.over) {
             faults.warning("no answer was decided in time for " + call.in.id());
@@ -385,7 +416,7 @@
         }
     }
 
-    // What the module asks for. Each is done after the module has returned.
+    // Actions that the policy requests. Each is carried out after the policy has returned.
 
     @Override
     public void send(String request, String node, double timeoutMs) {
@@ -400,7 +431,8 @@
                 return;
             }
             double now = timers.now();
-            if (call.over && !call.kind.shouldCloseConnection(now, now - call.out.sentMs, call.out.atStore)) {
+            if (call.over
+                    && !call.kind.shouldCloseConnection(now, now - call.out.sentMs, call.out.atStore)) {
                 call.out.leave();
             } else {
                 call.out.cancel();
@@ -440,7 +472,7 @@
 
     @Override
     public void broadcast(byte[] contents) {
-        // The module may use its array again before this is sent.
+        // The policy may reuse its array before this is sent.
         byte[] copy = Arrays.copyOf(contents, contents.length);
         actions.add(() -> tell.accept(copy));
     }
@@ -518,7 +550,8 @@
         double now = timers.now();
         double left = call == null ? 0 : call.deadline - now;
         double wait = timeoutMs == UNTIL_DEADLINE ? left : Math.min(timeoutMs, left);
-        // Nothing goes out for a request that is over or late, past the attempts allowed, or beside another of its own.
+        // Nothing is sent for a request that is finished or late, beyond the allowed attempts, or beside another
+        // attempt.
         if (call == null || call.over || call.out != null || wait <= 0
                 || attempt >= settings.limits().maxAttempts()) {
             tally.attemptEnded(Outcome.NEVER_SENT);
@@ -528,7 +561,8 @@
         boolean atStore = stores.contains(node);
         Verdict verdict = call.kind.checkSend(now, now - call.bornMs, left, atStore, attempt == 0);
         if (verdict != Verdict.GO) {
-            // Nobody would be there to read it: its final answer is due now, and the module hears that it is over.
+            // No client would read the response: the final response is given now, and the policy is told that the
+            // request is finished.
             call.why = verdict == Verdict.LATE ? Reason.TOO_LATE : Reason.UNREAD;
             endNow(call);
             tally.attemptEnded(Outcome.NEVER_SENT);
@@ -551,7 +585,9 @@
         });
     }
 
-    /** A probe has ended: one that the decisions asked for, or one that another proxy made. */
+    /**
+     * A probe has ended that the policy requested or that another proxy made; {@code elapsedMs} is how long it took.
+     */
     public void probeEnded(String node, Outcome outcome, double tookMs) {
         tell(at -> router.onProbeResult(at, node, outcome, tookMs, Map.of(), this), () -> { });
     }
@@ -562,7 +598,7 @@
                 (outcome, answer) -> probeEnded(node, outcome, timers.now() - now));
     }
 
-    /** The attempt that is out; the back may end it before it has handed the exchange over. */
+    /** The attempt in flight. The backend may end it before it has returned the exchange, so that may be null. */
     private static final class Sent<C> implements Attempt<C> {
         private final Call<C> call;
         private final double sentMs;
@@ -574,7 +610,8 @@
         private boolean fresh;
         private Backend.Exchange exchange;
 
-        Sent(Call<C> call, double sentMs, double giveUpMs, Timers timers, GroupTimings times, boolean atStore, RequestCounters tally) {
+        Sent(Call<C> call, double sentMs, double giveUpMs, Timers timers, GroupTimings times, boolean atStore,
+                 RequestCounters tally) {
             this.call = call;
             this.sentMs = sentMs;
             this.giveUpMs = giveUpMs;
@@ -650,26 +687,30 @@
         }
     }
 
-    /** A request in the table: open until its final answer, kept on until its last attempt has ended. */
+    /** A request in the table: open until its final response, and kept until its last attempt has ended. */
     private static final class Call<C> {
         final Request in;
         final Command<C> command;
         final ResponseHandler<C> client;
         final double bornMs;
         double deadline;
-        /** When the last byte of its body came; infinite while one that came open is. */
+        /** When the last byte of the body arrived; infinite while the request is uploading. */
         double completeMs;
         final ClassTimings kind;
         final VersionTracker.RequestVersion under;
         Timers.Timer backstop;
         Sent<C> out;
         int attempts;
+        /** When a streamed response started; NaN before that. */
         double begunMs = Double.NaN;
         Reason why = Reason.UNSAID;
+        /** Whether the outcomes of all ended attempts prove that none of them ran. */
         boolean proven = true;
+        /** Whether the final response was given or the client disconnected. */
         boolean over;
 
-        Call(Request in, Command<C> command, ResponseHandler<C> client, double bornMs, ClassTimings kind, VersionTracker.RequestVersion under) {
+        Call(Request in, Command<C> command, ResponseHandler<C> client, double bornMs, ClassTimings kind,
+             VersionTracker.RequestVersion under) {
             this.in = in;
             this.under = under;
             this.command = command;
@@ -680,12 +721,12 @@
             this.kind = kind;
         }
 
-        /** Whether its body is still coming. */
+        /** Whether the body is still arriving. */
         boolean isOpen() {
             return completeMs == Double.POSITIVE_INFINITY;
         }
 
-        /** From when on an attempt that was begun then counts: a node begins with the last byte. */
+        /** The time from which an attempt's duration counts: a node starts when it has the last byte of the request. */
         double since(double sentMs) {
             return Math.max(sentMs, completeMs);
         }
@@ -696,7 +737,7 @@
             }
         }
 
-        /** Whether its final answer has begun. */
+        /** Whether a streamed response, which is the final one, has started. */
         boolean hasBegun() {
             return !Double.isNaN(begunMs);
         }
--- a/core/src/main/java/ridgemill/core/FaultReporter.java
+++ b/core/src/main/java/ridgemill/core/FaultReporter.java
@@ -1,19 +1,19 @@
 package ridgemill.core;
 
-/** Where a dispatcher tells of what should not happen. */
+/** Receives reports of internal errors of a dispatcher. */
 public interface FaultReporter {
 
-    /** A fault of our own, which cost one event and no more. */
+    /** An internal error that affected the handling of one event only. */
     void error(String what, Throwable cause);
 
     /**
-     * A fault after which the decisions can't be relied on any more, as a class that can't be loaded or memory that is gone:
-     * they are not asked again, what they had in hand has been answered, and each further request is refused.
+     * An error after which the routing policy is unusable, such as a class that cannot be loaded or exhausted memory.
+     * The policy is not called again, its open requests have been answered, and every later request is refused.
      */
     default void fatal(String what, Throwable cause) {
         error(what, cause);
     }
 
-    /** Something odd that was mended. */
+    /** An anomaly that was corrected. */
     void warning(String what);
 }
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -18,30 +18,31 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * Takes requests from all fronts: asks the gate about each, keeps those that wait in line, and hands each on to the
- * decisions of the group of nodes that it goes to. A request in line is owed its final answer like any other; it has it
- * at once when its wait is up, when another takes its place, or when what it came under no longer holds.
+ * Entry point for the requests of all frontends. It asks the admission controller about each request, holds queued
+ * ones, and passes the others to the dispatcher of their node group, through the forwarder and the deduplicator if
+ * these are set. A queued request gets its final response like any other: when its wait is over, when another takes its
+ * position, or when the configuration that it was admitted under no longer applies.
  *
- * <p>Not safe for use by several threads: whoever owns it calls it from one.
+ * <p>Not thread-safe: the owner calls it from one thread.
  *
- * @param <C> the type of contents that fronts and backs share
+ * @param <C> the content type that frontends and backends share
  */
 public final class Intake<C> {
 
-    /** Counted in place of a class that is not known. */
+    /** Class name under which requests of unknown classes are counted. */
     private static final String NO_CLASS = "";
-    /** The group of nodes that the platform lists. */
+    /** Name of the node group that the platform's host list defines. */
     public static final String PLATFORM_GROUP = "";
 
-    /** A request in line. */
-    private record Waiting<C>(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client, double sinceMs,
-                              Timers.Timer patience) { }
+    /** A queued request. */
+    private record Waiting<C>(AdmissionController.Admitted go, Request in, Command<C> command,
+                              ResponseHandler<C> client, double sinceMs, Timers.Timer patience) { }
 
     private final Timers timers;
     private final AdmissionController gate;
     private final Deadlines deadlines;
     private final Map<String, Dispatcher<C>> groups = new HashMap<>();
-    /** Those of the groups, and of dropped ones that still owe an answer. */
+    /** The dispatchers of all groups, and those of removed groups that still have pending requests. */
     private final List<Dispatcher<C>> dispatchers = new ArrayList<>();
     private final Map<String, Waiting<C>> line = new HashMap<>();
     private final RequestCounters tally = new RequestCounters();
@@ -50,44 +51,49 @@
     private WriteDeduplicator<C> recorder;
     private boolean advancing;
 
-    /** An intake that makes nothing of deadlines but to tell nodes of them. */
+    /** Creates an intake that does not enforce deadlines; nodes are still sent the remaining time. */
     public Intake(Timers timers, AdmissionController gate) {
         this(timers, gate, new Deadlines(DeadlinePolicy.OFF));
     }
 
-    /** An intake whose requests' time is judged. */
+    /** Creates an intake that enforces deadlines by the given policy. */
     public Intake(Timers timers, AdmissionController gate, Deadlines deadlines) {
         this.timers = timers;
         this.gate = gate;
         this.deadlines = deadlines;
     }
 
-    /** What is known of requests' time, for fronts and whoever watches. */
+    /** The deadline handling of this proxy, for frontends and metrics. */
     public Deadlines deadlines() {
         return deadlines;
     }
 
-    /** The time now, by which waits are counted. */
+    /** The current time by the clock that measures waits, in milliseconds. */
     public double now() {
         return timers.now();
     }
 
-    /** From now on keyed writes go through this; null for none, which may not be while any is open. */
+    /**
+     * Sets the deduplicator of writes with idempotency keys; null for none, which is allowed only while none is open.
+     */
     public void setDeduplicator(WriteDeduplicator<C> through) {
         recorder = through;
     }
 
-    /** Whether outcomes of keyed writes are recorded. */
+    /** Whether outcomes of writes with idempotency keys are recorded. */
     public boolean deduplicates() {
         return recorder != null;
     }
 
-    /** What is known of a key, for who gave it; null where nothing is. */
+    /** The record of an idempotency key, for the tenant that used it; null if there is none. */
     public IdempotencyRecord findLocalOutcome(String key, String tenant) {
         return recorder == null ? null : recorder.records().find(timers.now(), key, tenant);
     }
 
-    /** The same, by asking other halls too where this one knows nothing; {@code found} is told once. */
+    /**
+     * Finds the record of an idempotency key, and queries other datacenters if there is none here. {@code found} is
+     * called once.
+     */
     public void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found) {
         IdempotencyRecord known = findLocalOutcome(key, tenant);
         if (known != null || recorder == null || detour == null) {
@@ -97,14 +103,14 @@
         }
     }
 
-    /** Requests that go to this group are the dispatcher's from now on. */
+    /** Adds a node group; requests for it go to this dispatcher from now on. */
     public void addGroup(String name, Dispatcher<C> dispatcher) {
         groups.put(name, dispatcher);
         dispatchers.add(dispatcher);
         dispatcher.setVersionTracker(acts, name);
     }
 
-    /** No request goes to this group any more; those that it has are answered. */
+    /** Removes a node group; its pending requests are still answered. */
     public void removeGroup(String name) {
         groups.remove(name);
         for (Dispatcher<C> d : List.copyOf(dispatchers)) {
@@ -115,18 +121,18 @@
         }
     }
 
-    /** Requests that come from now on are kept there, in all groups that there are and that come. */
+    /** Sets the version tracker of requests that arrive from now on, in all present and future groups. */
     public void setVersionTracker(VersionTracker to) {
         acts = to;
         groups.forEach((name, dispatcher) -> dispatcher.setVersionTracker(to, name));
     }
 
-    /** From now on requests go through this; it may not change while any is open. */
+    /** Sets the forwarder that requests pass through; it must not change while any request is open. */
     public void setForwarder(RequestForwarder<C> through) {
         detour = through;
     }
 
-    /** Whether a request with this id is open: its answer and another's could not be told apart. */
+    /** Whether a request with this id is open; a second one could not be told apart from it. */
     public boolean isOpen(String id) {
         if (recorder != null && recorder.isOpen(id)) {
             return true;
@@ -143,14 +149,14 @@
     }
 
     /**
-     * What becomes of a request that has come to a front. One that goes on must be handed to {@link #submit}, or taken
-     * back by {@link #withdraw}, before anything else.
+     * Decides on a request that has arrived at a frontend. If it is admitted, {@link #submit} or {@link #withdraw} must
+     * be called for it before any other method.
      */
     public AdmissionController.Decision admit(AdmissionController.AdmissionRequest arrival) {
         return gate.admit(timers.now(), arrival);
     }
 
-    /** One that the gate let on was no request after all. */
+    /** Reverts the admission of a request that turned out to be malformed. */
     public void withdraw(AdmissionController.Admitted go, String id) {
         if (go.maxQueueMs() > 0) {
             gate.withdraw(timers.now(), id);
@@ -160,17 +166,20 @@
         displace(go);
     }
 
-    /** A limit has turned a request of this class away; the front answers it. */
+    /**
+     * Counts a request that a limit rejected and that the frontend answers; {@code serviceClass} is null if unknown.
+     */
     public void countRejected(String service) {
         count(service == null ? NO_CLASS : service, RequestCounters.RequestResult.REFUSED);
     }
 
-    /** One that no dispatcher has had. */
+    /** Counts a request that never reached a dispatcher. */
     private void count(String service, RequestCounters.RequestResult end) {
         tally.requestStarted();
         tally.requestEnded(service, end);
         double now = timers.now();
-        acts.requestStarted(now, null, service, PLATFORM_GROUP, 0).requestEnded(now, service, end, Reason.UNSAID);
+        acts.requestStarted(now, null, service, PLATFORM_GROUP, 0)
+                .requestEnded(now, service, end, Reason.UNSAID);
     }
 
     private void countRejected(String service, Reason why) {
@@ -178,14 +187,20 @@
         tally.reasonCount(service, why);
     }
 
-    /** Takes a request, whose id must not be open; {@code client} gets its one final answer, maybe before this returns. */
-    public void submit(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client) {
+    /**
+     * Takes an admitted request whose id is not in use by an open one. {@code client} gets its one final response,
+     * possibly before this method returns.
+     */
+    public void submit(AdmissionController.Admitted go, Request in, Command<C> command,
+                       ResponseHandler<C> client) {
         if (go.maxQueueMs() > 0) {
-            // One that could not be answered in time after its wait is turned away when that is certain.
-            double patience = Math.max(0, Math.min(go.maxQueueMs(), in.budgetMs() - times(go).minRemainingMs(timers.now())));
+            // The request is rejected as soon as it is certain that it could not be answered in time after its wait.
+            double patience = Math.max(0, Math.min(go.maxQueueMs(),
+                    in.budgetMs() - times(go).minRemainingMs(timers.now())));
             line.put(in.id(), new Waiting<>(go, in, command, client, timers.now(),
                     timers.scheduleAt(timers.now() + patience, () -> turnAway(in.id()))));
-            // Room may have come between: an answer that was written while this one was read makes no other event.
+            // Capacity may have become free since the admission: a response that was written while this request was
+            // being read causes no further event.
             advance();
         } else {
             start(go, in, command, client, RequestStage.INTAKE);
@@ -203,10 +218,12 @@
         return deadlines.group(go.group()).forClass(go.service().name());
     }
 
-    private void start(AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client, RequestStage from) {
+    private void start(AdmissionController.Admitted go, Request in, Command<C> command,
+                       ResponseHandler<C> client, RequestStage from) {
         Dispatcher<C> dispatcher = groups.get(go.group());
-        if (dispatcher == null || times(go).checkStage(from, timers.now(), in.budgetMs()) != Verdict.GO) {
-            // Dropped since the gate decided, or too late for any answer; nothing ran.
+        if (dispatcher == null
+                || times(go).checkStage(from, timers.now(), in.budgetMs()) != Verdict.GO) {
+            // The group was removed since the admission, or it is too late for any response; nothing ran.
             Reason why = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
             countRejected(in.serviceClass(), why);
             requestFinished(in.serviceClass());
@@ -214,8 +231,10 @@
             client.refused(0);
             return;
         }
-        if (recorder != null && command.write() && go.service().effect() == Effect.KEYED && command.idempotencyKey() != null) {
-            ResponseHandler<C> waits = recorder.submit(in, command, go.service().deduplicationWindowMs(), client, () -> requestFinished(in.serviceClass()));
+        if (recorder != null && command.write() && go.service().effect() == Effect.KEYED
+                && command.idempotencyKey() != null) {
+            ResponseHandler<C> waits = recorder.submit(in, command,
+                    go.service().deduplicationWindowMs(), client, () -> requestFinished(in.serviceClass()));
             if (waits == null) {
                 return;
             }
@@ -225,7 +244,8 @@
         }
     }
 
-    private void hand(Dispatcher<C> dispatcher, AdmissionController.Admitted go, Request in, Command<C> command, ResponseHandler<C> client) {
+    private void hand(Dispatcher<C> dispatcher, AdmissionController.Admitted go, Request in,
+                          Command<C> command, ResponseHandler<C> client) {
         if (detour != null) {
             detour.submit(dispatcher, go.service(), in, command, client);
         } else {
@@ -233,13 +253,16 @@
         }
     }
 
-    /** A request of this class that a dispatcher had has its final answer, or its client has left. */
+    /** A request of this class has its final response from a dispatcher, or its client has disconnected. */
     public void requestFinished(String service) {
         gate.requestEnded(timers.now(), service);
         advance();
     }
 
-    /** Hands on those whose turn has come. One at a time: an answer within one's start makes room for the next. */
+    /**
+     * Starts the queued requests whose turn has come, one at a time: a response that is given while one starts frees
+     * capacity for the next.
+     */
     private void advance() {
         if (advancing) {
             return;
@@ -257,7 +280,7 @@
         }
     }
 
-    /** Answers one in line that goes no further. */
+    /** Rejects a queued request; no effect if it is not queued. */
     private void turnAway(String id) {
         Waiting<C> w = line.remove(id);
         if (w != null) {
@@ -269,17 +292,18 @@
         }
     }
 
-    /** Turns away those in line for which this holds, as when the class that they came under has changed. */
+    /** Rejects the queued requests that match, such as those whose class has changed since their admission. */
     public void rejectQueuedIf(Predicate<AdmissionController.Admitted> changed) {
-        List.copyOf(line.values()).stream().filter(w -> changed.test(w.go())).forEach(w -> turnAway(w.in().id()));
+        List.copyOf(line.values()).stream().filter(w -> changed.test(w.go()))
+                .forEach(w -> turnAway(w.in().id()));
     }
 
-    /** Room may have come by other limits than before. */
+    /** Limits have changed, which may have freed capacity for queued requests. */
     public void limitsChanged() {
         advance();
     }
 
-    /** The client of an open request has left; nothing is owed any more. */
+    /** The client of an open request has disconnected; no response is needed any more. */
     public void clientGone(String id) {
         Waiting<C> w = line.remove(id);
         if (w != null) {
@@ -297,12 +321,14 @@
         }
     }
 
-    /** The last byte of a request that came open is here. */
+    /** The last byte of a request that was submitted while uploading has arrived. */
     public void bodyReceived(String id) {
         dispatchers.forEach(d -> d.bodyReceived(id));
     }
 
-    /** Whether a request's content may still be coming: who records or passes requests on to other halls looks at all of it. */
+    /**
+     * Whether a request may be submitted while its body is still arriving: deduplicator and forwarder need all of it.
+     */
     public boolean acceptsStreamingBody(AdmissionController.Admitted go) {
         return recorder == null && detour == null && go.group().equals(PLATFORM_GROUP);
     }
@@ -312,8 +338,8 @@
     }
 
     /**
-     * An open request needs its final answer now, as one behind it on its connection is due: it is given up, and refused where
-     * that is a true promise.
+     * Gives an open request its final response now, because the response of one behind it on its connection is due. The
+     * request is refused if it is certain that a retry is harmless.
      */
     public void answerNow(String id) {
         if (line.containsKey(id)) {
@@ -325,17 +351,19 @@
         }
     }
 
-    /** Other classes hold from now on, for requests that come. */
+    /** Replaces the classes for requests that arrive from now on. */
     public void updateClasses(List<ServiceClass> classes) {
         groups.values().forEach(d -> d.updateClasses(classes));
     }
 
-    /** Requests that have no final answer yet. */
+    /** The number of requests without a final response. */
     public int pendingRequests() {
-        return line.size() + (recorder == null ? 0 : recorder.pendingRequests()) + dispatchers.stream().mapToInt(Dispatcher::pendingRequests).sum() + (detour == null ? 0 : detour.pendingRequests());
+        return line.size() + (recorder == null ? 0 : recorder.pendingRequests())
+                + dispatchers.stream().mapToInt(Dispatcher::pendingRequests).sum()
+                + (detour == null ? 0 : detour.pendingRequests());
     }
 
-    /** Counts over all groups that there are, and over those in line. */
+    /** Counts over all groups, removed ones included, and over requests that never reached a dispatcher. */
     public RequestCounters counters() {
         RequestCounters all = new RequestCounters().add(tally);
         dispatchers.forEach(d -> all.add(d.counters()));
--- a/core/src/main/java/ridgemill/core/PlatformAdmissionController.java
+++ b/core/src/main/java/ridgemill/core/PlatformAdmissionController.java
@@ -6,19 +6,21 @@
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
 
-/** Lets every request on that names a class of the platform's, under that class. */
+/** Admits every request that names a class of the platform's settings, under that class and without limits. */
 public final class PlatformAdmissionController implements AdmissionController {
 
     private final Map<String, ServiceClass> classes;
 
     public PlatformAdmissionController(Settings settings) {
-        classes = settings.classes().stream().collect(Collectors.toMap(ServiceClass::name, Function.identity(), (a, b) -> b));
+        classes = settings.classes().stream()
+                .collect(Collectors.toMap(ServiceClass::name, Function.identity(), (a, b) -> b));
     }
 
     @Override
     public Decision admit(double nowMs, AdmissionRequest arrival) {
         ServiceClass service = arrival.requestedClass() == null ? null : classes.get(arrival.requestedClass());
-        return service == null ? new Invalid(InvalidReason.UNKNOWN_CLASS) : new Admitted(service, arrival.budgetMs());
+        return service == null ? new Invalid(InvalidReason.UNKNOWN_CLASS)
+                : new Admitted(service, arrival.budgetMs());
     }
 
     @Override
--- a/core/src/main/java/ridgemill/core/RequestCounters.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -8,7 +8,7 @@
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
-/** Counts since the start, for the log and for whoever watches. */
+/** Counts of requests and attempts since the start, for logs and metrics. Not thread-safe. */
 public final class RequestCounters {
 
     private final Map<String, long[]> reasons = new HashMap<>();
@@ -17,20 +17,20 @@
     private long requests;
     private long written;
 
-    /** How a request ended. */
+    /** How a request ended; {@code GONE} means that its client disconnected. */
     public enum RequestResult { SERVED, REFUSED, FAILED, GONE }
 
-    /** A request was taken. */
+    /** Counts a request that was taken. */
     public void requestStarted() {
         requests++;
     }
 
-    /** One of this class that was taken has ended so. */
+    /** Counts the end of a request of this class. */
     public void requestEnded(String service, RequestResult end) {
         add(service, end, 1);
     }
 
-    /** One that was counted as ended in one way has ended in another. */
+    /** Moves a request of this class that was counted with one result to another. */
     public void changeResult(String service, RequestResult from, RequestResult to) {
         add(service, from, -1);
         add(service, to, 1);
@@ -40,33 +40,35 @@
         ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()] += by;
     }
 
-    /** The last byte of an attempt was written to its node. */
+    /** Counts an attempt whose last byte was written to its node. */
     void attemptWritten() {
         written++;
     }
 
-    /** Attempts whose last byte was written to their node, however they ended. */
+    /** The number of attempts whose last byte was written to their node, whatever their outcome. */
     public long attemptsWritten() {
         return written;
     }
 
-    /** Requests of a class that ended so. */
+    /** The number of requests of a class with this result. */
     public long count(String service, RequestResult end) {
         long[] of = ends.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
-    /** Requests of all classes that ended so. */
+    /** The number of requests of all classes with this result. */
     public long count(RequestResult end) {
         return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
-    /** One of this class was refused or has failed, and why. */
+    /** Counts the reason for which a request of this class was refused or failed. */
     void reasonCount(String service, Reason why) {
         reasons.computeIfAbsent(service, s -> new long[Reason.values().length])[why.ordinal()]++;
     }
 
-    /** How many of each class were refused or have failed for each reason that there was; in the order of names. */
+    /**
+     * The number of refused and failed requests by class and reason code, in alphabetical order, without zero counts.
+     */
     public Map<String, Map<String, Long>> reasons() {
         Map<String, Map<String, Long>> all = new TreeMap<>();
         reasons.forEach((service, counts) -> {
@@ -81,16 +83,17 @@
         return all;
     }
 
-    /** How many were refused or have failed for a reason, of all classes. */
+    /** The number of requests of all classes that were refused or failed for this reason. */
     public long reasonCount(Reason why) {
         return reasons.values().stream().mapToLong(c -> c[why.ordinal()]).sum();
     }
 
+    /** Counts the outcome of an attempt. */
     void attemptEnded(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
-    /** Adds what another counted. */
+    /** Adds the counts of {@code other} to these and returns this object. */
     public RequestCounters add(RequestCounters other) {
         requests += other.requests;
         written += other.written;
@@ -112,7 +115,7 @@
         return this;
     }
 
-    /** Requests taken, whatever became of them. */
+    /** The number of requests taken, whatever their result. */
     public long requests() {
         return requests;
     }
@@ -129,22 +132,22 @@
         return count(RequestResult.FAILED);
     }
 
-    /** Requests whose client left before its answer. */
+    /** The number of requests whose client disconnected before the response. */
     public long gone() {
         return count(RequestResult.GONE);
     }
 
-    /** Attempts that ended so. */
+    /** The number of attempts with this outcome. */
     public long attempts(Outcome outcome) {
         return outcomes[outcome.ordinal()];
     }
 
     @Override
     public String toString() {
-        return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed() + " gone="
-                + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
-                .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" ")) + (reasons.isEmpty() ? "" : " reasons: "
-                + Arrays.stream(Reason.values()).filter(r -> reasonCount(r) > 0).map(r -> r.code() + "=" + reasonCount(r))
-                .collect(Collectors.joining(" ")));
+        return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed()
+                + " gone=" + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
+                .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" "))
+                + (reasons.isEmpty() ? "" : " reasons: " + Arrays.stream(Reason.values()).filter(r -> reasonCount(r) > 0)
+                .map(r -> r.code() + "=" + reasonCount(r)).collect(Collectors.joining(" ")));
     }
 }
--- a/core/src/main/java/ridgemill/core/RequestForwarder.java
+++ b/core/src/main/java/ridgemill/core/RequestForwarder.java
@@ -6,34 +6,44 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * Stands between an {@link Intake} and the decisions of its groups of nodes, and may have a request served elsewhere. It
- * owes what a dispatcher owes: one final answer to each request that it takes.
+ * Sits between an {@link Intake} and the dispatchers of its node groups, and may forward requests to other datacenters.
+ * Like a dispatcher, it gives one final response to each request that it takes.
  *
- * @param <C> the type of contents that fronts and backs share
+ * @param <C> the content type
  */
 public interface RequestForwarder<C> {
 
-    /** Takes a request of a class; {@code home} are the decisions that it would go to. */
-    void submit(Dispatcher<C> home, ServiceClass service, Request in, Command<C> command, ResponseHandler<C> client);
+    /** Takes a request of a class; {@code local} is the dispatcher that it would go to in this datacenter. */
+    void submit(Dispatcher<C> home, ServiceClass service, Request in, Command<C> command,
+                ResponseHandler<C> client);
 
-    /** Whether a request with this id is open here, whether or not {@code home} has it too. */
+    /** Whether a request with this id is open here, whether or not the local dispatcher also has it. */
     boolean isOpen(String id);
 
-    /** The client of an open request has left; home is told by this. Returns whether the request was open here. */
+    /**
+     * The client of an open request has disconnected; the forwarder informs the local dispatcher. Returns whether the
+     * request was open here.
+     */
     boolean clientGone(String id);
 
-    /** Whether an open request here may have run anywhere already, or be under way. */
+    /** Whether an open request here may have run anywhere, or is being executed. */
     boolean mayHaveRun(String id);
 
-    /** An open request needs its final answer now; false where it is not open here. */
+    /** Gives an open request its final response now; returns false if it is not open here. */
     boolean answerNow(String id);
 
-    /** Finds what a key came to elsewhere; {@code found} is told once, with null where nobody knows. */
+    /**
+     * Queries other datacenters for the record of an idempotency key. {@code found} is called once, with null if none
+     * of them has one.
+     */
     void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found);
 
-    /** Requests that have no final answer yet and are not at home. */
+    /** The number of requests without a final response that the local dispatcher does not have. */
     int pendingRequests();
 
-    /** What it adds to the counts of the groups: requests that never came to home, and ends that are other than home's. */
+    /**
+     * Counts to be added to those of the dispatchers: requests that never reached the local dispatcher, and results
+     * that differ from its results.
+     */
     RequestCounters counters();
 }
--- a/core/src/main/java/ridgemill/core/ResponseHandler.java
+++ b/core/src/main/java/ridgemill/core/ResponseHandler.java
@@ -2,60 +2,65 @@
 
 import ridgemill.policy.Reason;
 
-/** The side of a front that waits for one request's final answer: exactly one of these is called, once. */
+/**
+ * Receives the final response of one request: exactly one of {@link #served}, {@link #refused}, {@link
+ * #refusedMayHaveRun}, {@link #limited}, {@link #failed}, {@link #recorded} and {@link #conflict} is called, once.
+ *
+ * @param <C> the content type
+ */
 public interface ResponseHandler<C> {
 
-    /** Served with the answer that a node made for this request; its content holds until this returns. */
+    /** A node answered this request; the content is valid until this method returns. */
     void served(NodeResponse<C> answer);
 
-    /** Whether it takes an answer that is not whole yet; what breaks off then is told by the content itself. */
+    /** Whether {@link #served} accepts an incomplete response; if it breaks off later, its content reports that. */
     default boolean supportsStreaming() {
         return false;
     }
 
     /**
-     * Refused: trying again is harmless.
+     * The request was refused, and nothing ran: a retry is safe.
      *
-     * @param retryAfterMs when to come back, in milliseconds; 0 gives no advice
+     * @param retryAfterMs when to retry, in milliseconds; 0 gives no advice
      */
     void refused(double retryAfterMs);
 
     /**
-     * Refused, though an attempt may have run: trying again is harmless because the class is safe to repeat, or because
-     * nodes drop the repeat if it comes with the same idempotency key and in time.
+     * The request was refused although an attempt may have run. A retry is safe because the class is safe to repeat, or
+     * because nodes drop the duplicate if it has the same idempotency key and arrives within the deduplication window.
      *
-     * @param retryAfterMs when to come back, in milliseconds; 0 gives no advice
+     * @param retryAfterMs when to retry, in milliseconds; 0 gives no advice
      */
     default void refusedMayHaveRun(double retryAfterMs) {
         refused(retryAfterMs);
     }
 
     /**
-     * Turned away by a limit before any node was asked: trying again is harmless.
+     * A limit rejected the request before it was sent to any node: a retry is safe.
      *
-     * @param retryAfterMs when to come back, in milliseconds; follows from the limit
+     * @param retryAfterMs when to retry, in milliseconds; derived from the limit
      */
     default void limited(double retryAfterMs) {
         refused(retryAfterMs);
     }
 
-    /** Comes right before a refusal or a failure and says why that is; nobody may have anything to say. */
+    /** Called directly before a refusal or failure with its reason; {@link Reason#UNSAID} if none was given. */
     default void reason(Reason why) { }
 
-    /** Failed, with no promise about its effect. */
+    /** The request failed, and it is unknown whether it took effect. */
     void failed();
 
     /**
-     * Served: an earlier request under the same idempotency key took effect, once, and this one did not run. There is no value
-     * to go with it, as none is kept.
+     * An earlier request with the same idempotency key took effect, exactly once, and this one did not run. There is no
+     * value to return, because none is kept.
      *
-     * @param call the id of the one that ran
+     * @param callId id of the request that ran
      */
     default void recorded(String call) {
         failed();
     }
 
-    /** Nothing ran: its idempotency key was given with another request before, or by another tenant. */
+    /** Nothing ran: the idempotency key was used before with another request or by another tenant. */
     default void conflict() {
         failed();
     }
--- a/core/src/main/java/ridgemill/core/VersionTracker.java
+++ b/core/src/main/java/ridgemill/core/VersionTracker.java
@@ -3,47 +3,50 @@
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
-/** Keeps under which version each request was decided: what holds when it begins holds to its last attempt. Used by one thread. */
+/**
+ * Tracks which configuration version each request is handled under: the version in effect when a request starts applies
+ * until its last attempt. Used by one thread.
+ */
 public interface VersionTracker {
 
-    /** Keeps nothing. */
+    /** Tracks nothing. */
     VersionTracker NONE = (nowMs, id, service, group, list) -> RequestVersion.NONE;
 
     /**
-     * A request has been taken; {@link RequestVersion#requestEnded} is owed once.
+     * A request was taken; {@link RequestVersion#requestEnded} must be called once for it.
      *
-     * @param id of the request; null for one that was turned away before it had any
-     * @param service its class
-     * @param group of nodes that it goes to
-     * @param list number of that group's host list, as it holds now; 0 before there is one
+     * @param id id of the request; null for one that was rejected before it had an id
+     * @param serviceClass its class
+     * @param group node group that it goes to
+     * @param listVersion version of that group's current host list; 0 before there is one
      */
     RequestVersion requestStarted(double nowMs, String id, String service, String group, long list);
 
-    /** A group's host list has come, or been confirmed: the one of this number holds. */
+    /** A group's host list was received or confirmed; it has this version. */
     default void hostListConfirmed(double nowMs, String group, long list) { }
 
-    /** Whoever gives a group's host list can't be asked: the one that holds may be late from now on. */
+    /** The source of a group's host list is unavailable: the current list may be stale from now on. */
     default void hostListUnavailable(double nowMs, String group) { }
 
-    /** The version that one request, among others, is decided under. */
+    /** The version that one request, among others, is handled under. */
     interface RequestVersion {
 
-        /** Nothing is kept. */
+        /** Tracks nothing. */
         RequestVersion NONE = (nowMs, service, end, why) -> { };
 
-        /** The request, of this class, has ended so; {@link Reason#UNSAID} where there is nothing to say of why. */
+        /** The request, of this class, has ended; {@code why} is {@link Reason#UNSAID} if no reason was given. */
         void requestEnded(double nowMs, String service, RequestCounters.RequestResult end, Reason why);
 
-        /** An attempt of it goes to a node. */
+        /** An attempt of the request was sent to a node. */
         default void attemptSent(double nowMs, String node) { }
 
-        /** The attempt that was out has ended so. */
+        /** The current attempt has ended. */
         default void attemptEnded(double nowMs, Outcome outcome) { }
 
-        /** An attempt of it was written whole to a node. */
+        /** An attempt of the request was written completely to a node. */
         default void attemptWritten() { }
 
-        /** What nodes are told with each attempt; null for nothing. */
+        /** Label of the version that is sent to nodes with each attempt; null for none. */
         default String versionLabel() {
             return null;
         }
--- a/core/src/main/java/ridgemill/core/WriteDeduplicator.java
+++ b/core/src/main/java/ridgemill/core/WriteDeduplicator.java
@@ -12,13 +12,14 @@
 import ridgemill.policy.Router.Request;
 
 /**
- * Stands between an {@link Intake} and what runs keyed writes: hands one call of a key on at a time, lets whoever asks
- * meanwhile wait for its outcome, and tells it afterwards. A call that may have run goes on to its end when its client has
- * left, so that its outcome is known.
+ * Deduplicates writes with an idempotency key between an {@link Intake} and the dispatcher. It passes on one call of a
+ * key at a time, lets requests with the same key that arrive meanwhile wait for its outcome, and answers later ones
+ * from the record. A call that may have run continues to its end after its client has disconnected, so that its outcome
+ * becomes known.
  *
- * <p>Not safe for use by several threads: whoever owns it calls it from one.
+ * <p>Not thread-safe: the owner calls it from one thread.
  *
- * @param <C> the type of contents that fronts and backs share
+ * @param <C> the content type that frontends and backends share
  */
 public final class WriteDeduplicator<C> {
 
@@ -29,19 +30,21 @@
     private final Map<String, Asker> waiting = new HashMap<>();
     private final RequestCounters tally = new RequestCounters();
 
-    /** {@code fingerprint} tells apart what is asked for. */
+    /**
+     * Creates a deduplicator; {@code fingerprint} is a hash by which different commands with the same key are detected.
+     */
     public WriteDeduplicator(Timers timers, IdempotencyRecords outcomes, ToLongFunction<Command<C>> fingerprint) {
         this.timers = timers;
         this.outcomes = outcomes;
         this.fingerprint = fingerprint;
     }
 
-    /** What is decided on. */
+    /** The records that the decisions are based on. */
     public IdempotencyRecords records() {
         return outcomes;
     }
 
-    /** Requests that it answers by itself. */
+    /** Counts of the requests that are answered here, without a dispatcher. */
     RequestCounters counters() {
         return tally;
     }
@@ -50,21 +53,24 @@
         return waiting.size();
     }
 
-    /** Whether a request with this id waits here, or went on from here. */
+    /** Whether a request with this id waits here or was passed on from here. */
     boolean isOpen(String id) {
         return waiting.containsKey(id) || runs.containsKey(id);
     }
 
     /**
-     * Takes a keyed write.
+     * Takes a write with an idempotency key.
      *
-     * @param settled is run when one that is answered here has its answer
-     * @return who waits for the outcome in its client's place; null where it goes no further
+     * @param windowMs for how long nodes drop duplicates of the write
+     * @param onAnswered run when a request that is answered here gets its final response
+     * @return the handler of the response if the request is to be executed; null if it is answered here
      */
-    ResponseHandler<C> submit(Request in, Command<C> command, double windowMs, ResponseHandler<C> client, Runnable settled) {
+    ResponseHandler<C> submit(Request in, Command<C> command, double windowMs, ResponseHandler<C> client,
+                              Runnable settled) {
         double now = timers.now();
         String key = command.idempotencyKey();
-        IdempotencyRecords.Decision ask = outcomes.begin(now, key, in.id(), in.tenant(), fingerprint.applyAsLong(command), windowMs);
+        IdempotencyRecords.Decision ask = outcomes.begin(now, key, in.id(), in.tenant(),
+                fingerprint.applyAsLong(command), windowMs);
         if (ask instanceof IdempotencyRecords.Execute run) {
             if (!run.recorded()) {
                 return client;
@@ -78,9 +84,12 @@
             Asker asker = new Asker(in, client, settled, runs.get(join.callId()));
             asker.run.joined.add(asker);
             waiting.put(in.id(), asker);
-            asker.timeUp = timers.scheduleAt(now + in.budgetMs(), () -> asker.end(RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(0)));
-        } else if (ask instanceof IdempotencyRecords.Replay tell && tell.record().state() == IdempotencyRecord.State.RECORDED) {
-            settle(in, settled, RequestCounters.RequestResult.SERVED, () -> client.recorded(tell.record().callId()));
+            asker.timeUp = timers.scheduleAt(now + in.budgetMs(),
+                    () -> asker.end(RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(0)));
+        } else if (ask instanceof IdempotencyRecords.Replay tell
+                && tell.record().state() == IdempotencyRecord.State.RECORDED) {
+            settle(in, settled, RequestCounters.RequestResult.SERVED,
+                    () -> client.recorded(tell.record().callId()));
         } else if (ask instanceof IdempotencyRecords.Conflict) {
             settle(in, settled, RequestCounters.RequestResult.FAILED, client::conflict);
         } else {
@@ -96,9 +105,10 @@
     }
 
     /**
-     * The client of a request has left. Returns whether that ends here; else it is for whoever runs the request.
+     * The client of a request has disconnected. Returns whether that was handled here; otherwise the dispatcher or
+     * forwarder of the request must be informed.
      *
-     * @param mayHaveRun whether the call that runs may have run already, or be under way
+     * @param mayHaveRun whether the call may have run already, or is being executed
      */
     boolean clientGone(String id, BooleanSupplier mayHaveRun) {
         Asker asker = waiting.get(id);
@@ -118,7 +128,10 @@
         return false;
     }
 
-    /** A request needs its final answer now; its call, if it runs, goes on to its end. Returns whether that was given here. */
+    /**
+     * Gives a request its final response now; its call, if it is running, continues to its end. Returns whether the
+     * response was given here.
+     */
     boolean answerNow(String id) {
         Asker asker = waiting.get(id);
         if (asker != null) {
@@ -135,7 +148,7 @@
         return true;
     }
 
-    /** One that waits for a call of another's. */
+    /** A request that waits for the outcome of an open call with the same key. */
     private final class Asker {
         private final Request in;
         private final ResponseHandler<C> client;
@@ -159,7 +172,9 @@
         }
     }
 
-    /** The one call of a key that is open, and all who wait for its outcome. */
+    /**
+     * The open call of a key, with its client, if that is still connected, and the requests that wait for its outcome.
+     */
     private final class Run implements ResponseHandler<C> {
         private final String key;
         private final String id;
@@ -177,7 +192,8 @@
             outcomes.callEnded(timers.now(), key, id, how);
         }
 
-        private void tell(IdempotencyRecords.CallResult how, RequestCounters.RequestResult counted, java.util.function.Consumer<ResponseHandler<C>> answer) {
+        private void tell(IdempotencyRecords.CallResult how, RequestCounters.RequestResult counted,
+                               java.util.function.Consumer<ResponseHandler<C>> answer) {
             end(how);
             if (first != null) {
                 answer.accept(first);
@@ -195,38 +211,45 @@
 
         @Override
         public void served(NodeResponse<C> answer) {
-            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED, c -> c.served(answer));
+            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
+                    c -> c.served(answer));
         }
 
         @Override
         public void recorded(String call) {
-            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED, c -> c.recorded(call));
+            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
+                    c -> c.recorded(call));
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED, c -> c.refused(retryAfterMs));
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
+                    c -> c.refused(retryAfterMs));
         }
 
         @Override
         public void limited(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED, c -> c.limited(retryAfterMs));
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
+                    c -> c.limited(retryAfterMs));
         }
 
         @Override
         public void refusedMayHaveRun(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.REFUSED, c -> c.refusedMayHaveRun(retryAfterMs));
+            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.REFUSED,
+                    c -> c.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
         public void failed() {
-            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.FAILED, ResponseHandler::failed);
+            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.FAILED,
+                    ResponseHandler::failed);
         }
 
         @Override
         public void conflict() {
-            // Another gateway knows the key with another request: nothing of this one ran.
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.FAILED, ResponseHandler::conflict);
+            // Another gateway has recorded the key with another request: nothing of this one ran.
+            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.FAILED,
+                    ResponseHandler::conflict);
         }
     }
 }
