--- a/core/src/main/java/ridgemill/core/AdmissionController.java
+++ b/core/src/main/java/ridgemill/core/AdmissionController.java
@@ -65,10 +65,10 @@
     enum InvalidReason { UNKNOWN_CLASS, TOO_LARGE }
 
     /** Decides on a request. */
-    Decision admit(double nowMs, AdmissionRequest arrival);
+    Decision admit(double nowMs, AdmissionRequest request);
 
     /** An admitted request of this class has its final response, or its client has disconnected. */
-    void requestEnded(double nowMs, String service);
+    void requestEnded(double nowMs, String serviceClass);
 
     /** Removes the queued request whose turn has come and returns its id; null if there is none. */
     default String nextQueued() {
--- a/core/src/main/java/ridgemill/core/Attempt.java
+++ b/core/src/main/java/ridgemill/core/Attempt.java
@@ -38,7 +38,7 @@
     default void connected(double ms) { }
 
     /** The attempt is being written; {@code newConnection} says whether the connection was opened for it. */
-    default void writeStarted(boolean fresh) { }
+    default void writeStarted(boolean newConnection) { }
 
     /**
      * Label, sent to the node, of the proxy and the configuration version that the request came under; null for none.
--- a/core/src/main/java/ridgemill/core/Backend.java
+++ b/core/src/main/java/ridgemill/core/Backend.java
@@ -14,14 +14,14 @@
     interface Listener<C> {
 
         /** The exchange has ended; {@code response} is null if no complete response arrived. */
-        void ended(Outcome outcome, NodeResponse<C> answer);
+        void ended(Outcome outcome, NodeResponse<C> response);
 
         /**
          * A successful response has started, and its content arrives over time. {@link #ended} is called without a
          * response when it is complete or has broken off. Called only if {@link Attempt#supportsStreaming}. Returns
          * whether the response is accepted.
          */
-        default boolean responseStarted(NodeResponse<C> answer) {
+        default boolean responseStarted(NodeResponse<C> response) {
             return false;
         }
     }
@@ -42,10 +42,10 @@
     }
 
     /** Starts an exchange with a node; it times out after {@code timeoutMs}. */
-    Exchange send(String node, Attempt<C> attempt, double timeoutMs, Listener<C> done);
+    Exchange send(String node, Attempt<C> attempt, double timeoutMs, Listener<C> listener);
 
     /** Sends a health probe to a node; the listener gets an outcome without a response. */
-    void probe(String node, double timeoutMs, Listener<C> done);
+    void probe(String node, double timeoutMs, Listener<C> listener);
 
     /** Closes the idle connections to a node. */
     void closeIdleConnections(String node);
--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -44,36 +44,36 @@
     /** Delay before a timer whose handling failed is retried: without a retry, one error would end a periodic timer. */
     private static final double RETRY_TIMER_MS = 1000;
     /** Timeout of a probe as a multiple of the connect timeout. */
-    private static final double PROBE_CONNECTS = 2;
+    private static final double PROBE_CONNECT_TIMEOUTS = 2;
 
     private interface Event {
-        void tell(double now);
+        void deliver(double now);
     }
 
-    private record Pending(Event event, Runnable rescue) { }
+    private record PendingEvent(Event event, Runnable onFailure) { }
 
     private final Timers timers;
     private final Settings settings;
     private final Router router;
-    private final Backend<C> back;
+    private final Backend<C> backend;
     private final FaultReporter faults;
-    private final Consumer<String> settled;
+    private final Consumer<String> onRequestFinished;
     private final int maxOpen;
-    private final GroupTimings times;
+    private final GroupTimings timings;
     private final Map<String, Effect> effects = new HashMap<>();
-    private final Set<String> stores = new HashSet<>();
+    private final Set<String> origins = new HashSet<>();
     private final Map<String, Call<C>> calls = new HashMap<>();
-    private final Queue<Pending> events = new ArrayDeque<>();
+    private final Queue<PendingEvent> events = new ArrayDeque<>();
     private final List<Runnable> actions = new ArrayList<>();
-    private final RequestCounters tally = new RequestCounters();
-    private VersionTracker acts = VersionTracker.NONE;
+    private final RequestCounters counters = new RequestCounters();
+    private VersionTracker versions = VersionTracker.NONE;
     private String group = Intake.PLATFORM_GROUP;
-    private long list;
+    private long listVersion;
     private Runnable subscribe = () -> { };
-    private Consumer<byte[]> tell = contents -> { };
-    private boolean telling;
+    private Consumer<byte[]> broadcast = contents -> { };
+    private boolean delivering;
     private boolean abandoned;
-    private int owed;
+    private int pendingRequests;
 
     /**
      * Creates a dispatcher that does not enforce deadlines beyond the client's time.
@@ -82,32 +82,32 @@
      *     disconnected
      * @param maxOpen maximum number of open requests; further ones are refused without calling the policy
      */
-    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
-                      Consumer<String> settled, int maxOpen) {
-        this(timers, settings, router, back, faults, settled, maxOpen,
+    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> backend, FaultReporter faults,
+                      Consumer<String> onRequestFinished, int maxOpen) {
+        this(timers, settings, router, backend, faults, onRequestFinished, maxOpen,
                 new Deadlines(DeadlinePolicy.OFF).group(Intake.PLATFORM_GROUP));
     }
 
     /** Creates a dispatcher with the timings of its node group. */
-    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> back, FaultReporter faults,
-                      Consumer<String> settled, int maxOpen, GroupTimings times) {
+    public Dispatcher(Timers timers, Settings settings, Router router, Backend<C> backend, FaultReporter faults,
+                      Consumer<String> onRequestFinished, int maxOpen, GroupTimings timings) {
         this.timers = timers;
         this.settings = settings;
         this.router = router;
-        this.back = back;
+        this.backend = backend;
         this.faults = faults;
-        this.settled = settled;
+        this.onRequestFinished = onRequestFinished;
         this.maxOpen = maxOpen;
-        this.times = times;
+        this.timings = timings;
         settings.classes().forEach(c -> effects.put(c.name(), c.effect()));
     }
 
     /** Sets the version tracker of requests that arrive from now on, and the name of this dispatcher's node group. */
-    public void setVersionTracker(VersionTracker to, String ofGroup) {
-        acts = to;
-        group = ofGroup;
-        if (list > 0) {
-            acts.hostListConfirmed(timers.now(), group, list);
+    public void setVersionTracker(VersionTracker next, String groupName) {
+        versions = next;
+        group = groupName;
+        if (listVersion > 0) {
+            versions.hostListConfirmed(timers.now(), group, listVersion);
         }
     }
 
@@ -115,23 +115,23 @@
      * Sets the callbacks that subscribe to discovery and that send a message to the other proxies. They are not
      * constructor arguments because both may need the dispatcher to exist.
      */
-    public void setCallbacks(Runnable asksDiscovery, Consumer<byte[]> tellsPeers) {
-        subscribe = asksDiscovery;
-        tell = tellsPeers;
+    public void setCallbacks(Runnable subscribeToDiscovery, Consumer<byte[]> sendToPeers) {
+        subscribe = subscribeToDiscovery;
+        broadcast = sendToPeers;
     }
 
     /** Starts the policy; must be called before any event. */
     public void start() {
-        tell(now -> router.onStart(now, this), () -> { });
+        deliver(now -> router.onStart(now, this), () -> { });
     }
 
     /** The number of requests without a final response. */
     public int pendingRequests() {
-        return owed;
+        return pendingRequests;
     }
 
     public RequestCounters counters() {
-        return tally;
+        return counters;
     }
 
     // Events from frontends, backends, discovery and other proxies.
@@ -142,18 +142,18 @@
     public void updateNodes(ListUpdateKind kind, long version, List<Node> nodes) {
         for (Node n : nodes) {
             if (settings.originModel() != null && settings.originModel().equals(n.model())) {
-                stores.add(n.id());
+                origins.add(n.id());
             } else {
-                stores.remove(n.id());
+                origins.remove(n.id());
             }
         }
         if (kind == ListUpdateKind.REFUSED) {
-            acts.hostListUnavailable(timers.now(), group);
+            versions.hostListUnavailable(timers.now(), group);
         } else if (kind != ListUpdateKind.REMEMBERED) {
-            list = version;
-            acts.hostListConfirmed(timers.now(), group, list);
+            listVersion = version;
+            versions.hostListConfirmed(timers.now(), group, listVersion);
         }
-        tell(now -> router.onNodeList(now, kind, version, nodes, this), () -> { });
+        deliver(now -> router.onNodeList(now, kind, version, nodes, this), () -> { });
     }
 
     /** A call to discovery failed, or the subscription broke. */
@@ -163,7 +163,7 @@
 
     /** A message of the routing policy of another proxy was received. */
     public void peerMessage(int from, byte[] contents) {
-        tell(now -> router.onPeerMessage(now, from, contents, this), () -> { });
+        deliver(now -> router.onPeerMessage(now, from, contents, this), () -> { });
     }
 
     /** Whether a request with this id is open; a second one could not be told apart from it. */
@@ -174,53 +174,53 @@
     /** Replaces the classes for requests that arrive from now on. */
     public void updateClasses(List<ServiceClass> classes) {
         classes.forEach(c -> effects.put(c.name(), c.effect()));
-        tell(now -> router.onClassesChanged(now, classes), () -> { });
+        deliver(now -> router.onClassesChanged(now, classes), () -> { });
     }
 
     /**
      * Takes a request whose id is not in use by an open one. {@code client} gets its one final response, possibly
      * before this method returns.
      */
-    public void submit(Request in, Command<C> command, ResponseHandler<C> client) {
-        double cameAt = timers.now();
-        tally.requestStarted();
-        VersionTracker.RequestVersion under = acts.requestStarted(cameAt, in.id(), in.serviceClass(),
-                group, list);
+    public void submit(Request request, Command<C> command, ResponseHandler<C> client) {
+        double arrivedMs = timers.now();
+        counters.requestStarted();
+        VersionTracker.RequestVersion version = versions.requestStarted(arrivedMs, request.id(), request.serviceClass(),
+                group, listVersion);
         if (calls.size() >= maxOpen) {
             // The policy is not called, so nothing ran and the refusal is correct.
-            tally.requestEnded(in.serviceClass(), RequestCounters.RequestResult.REFUSED);
-            under.requestEnded(cameAt, in.serviceClass(), RequestCounters.RequestResult.REFUSED,
+            counters.requestEnded(request.serviceClass(), RequestCounters.RequestResult.REFUSED);
+            version.requestEnded(arrivedMs, request.serviceClass(), RequestCounters.RequestResult.REFUSED,
                     Reason.TOO_MANY_OPEN);
-            tally.reasonCount(in.serviceClass(), Reason.TOO_MANY_OPEN);
-            settled.accept(in.serviceClass());
+            counters.countReason(request.serviceClass(), Reason.TOO_MANY_OPEN);
+            onRequestFinished.accept(request.serviceClass());
             client.reason(Reason.TOO_MANY_OPEN);
             client.refused(0);
             return;
         }
-        Call<C> call = new Call<>(in, command, client, cameAt, times.forClass(in.serviceClass()),
-                under);
-        calls.put(in.id(), call);
-        owed++;
-        if (in.uploading()) {
-            call.deadline = Double.POSITIVE_INFINITY;
+        Call<C> call = new Call<>(request, command, client, arrivedMs, timings.forClass(request.serviceClass()),
+                version);
+        calls.put(request.id(), call);
+        pendingRequests++;
+        if (request.uploading()) {
+            call.deadlineMs = Double.POSITIVE_INFINITY;
         } else {
-            watch(call);
+            startBackstop(call);
         }
-        tell(now -> router.onRequest(now, in, this), () -> answerInstead(call));
+        deliver(now -> router.onRequest(now, request, this), () -> answerAfterFailure(call));
     }
 
-    private void watch(Call<C> call) {
-        call.backstop = timers.scheduleAt(call.deadline + settings.rules().answerSlackMs(), () -> overdue(call));
+    private void startBackstop(Call<C> call) {
+        call.backstop = timers.scheduleAt(call.deadlineMs + settings.rules().answerSlackMs(), () -> overdue(call));
     }
 
     /** The last byte of a request that was submitted while uploading has arrived: its time budget starts now. */
     public void bodyReceived(String id) {
         Call<C> call = calls.get(id);
-        if (call != null && !call.over && call.isOpen()) {
+        if (call != null && !call.finished && call.isUploading()) {
             call.completeMs = timers.now();
-            call.deadline = call.completeMs + call.in.budgetMs();
-            if (!call.hasBegun()) {
-                watch(call);
+            call.deadlineMs = call.completeMs + call.request.budgetMs();
+            if (!call.responseStarted()) {
+                startBackstop(call);
             }
         }
     }
@@ -228,36 +228,36 @@
     /** The client of an open request has disconnected; no response is needed any more. */
     public void clientGone(String id) {
         Call<C> call = calls.get(id);
-        if (call != null && !call.over) {
+        if (call != null && !call.finished) {
             count(call, RequestCounters.RequestResult.GONE);
-            call.kind.clientLeft(timers.now(), timers.now() - call.bornMs);
-            settle(call);
-            tell(now -> router.onClientDisconnected(now, id, this), () -> { });
+            call.timings.clientLeft(timers.now(), timers.now() - call.arrivedMs);
+            finish(call);
+            deliver(now -> router.onClientDisconnected(now, id, this), () -> { });
         }
     }
 
     /** Whether an open request may have run already, or has an attempt in flight that may run. */
     public boolean mayHaveRun(String id) {
         Call<C> call = calls.get(id);
-        return call != null && (!call.proven || call.out != null);
+        return call != null && (!call.provenNotRun || call.inFlight != null);
     }
 
     /** Gives an open request its final response now and cancels its attempt. */
     public void answerNow(String id) {
         Call<C> call = calls.get(id);
-        if (call != null && !call.over && !call.hasBegun()) {
+        if (call != null && !call.finished && !call.responseStarted()) {
             call.why = Reason.HELD_UP_ANOTHER;
             endNow(call);
-            if (call.out != null) {
-                call.out.cancel();
+            if (call.inFlight != null) {
+                call.inFlight.cancel();
             }
-            tell(now -> router.onClientDisconnected(now, id, this), () -> { });
+            deliver(now -> router.onClientDisconnected(now, id, this), () -> { });
         }
     }
 
     /** Gives a final response without the policy: a refusal if a retry is certainly harmless, otherwise a failure. */
     private void endNow(Call<C> call) {
-        if (call.proven && call.out == null || effects.get(call.in.serviceClass()) == Effect.SAFE) {
+        if (call.provenNotRun && call.inFlight == null || effects.get(call.request.serviceClass()) == Effect.SAFE) {
             refuseNow(call, 0);
         } else {
             failNow(call);
@@ -268,72 +268,72 @@
      * A response has started: it is the final response of the request, however long the rest takes and whether or not
      * it arrives.
      */
-    private boolean begun(Call<C> call, int attempt, String node, NodeResponse<C> answer) {
-        if (call.over) {
+    private boolean responseStarted(Call<C> call, int attempt, String node, NodeResponse<C> response) {
+        if (call.finished) {
             return false;
         }
         double now = timers.now();
-        call.unwatch();
-        call.begunMs = now;
-        call.kind.attemptAnswered(now, now - call.since(call.out.sentMs), call.out.atStore,
-                call.out.fresh);
-        call.client.served(answer);
-        tell(at -> router.onStreamStarted(at, call.in.id(), attempt, node, this), () -> { });
+        call.cancelBackstop();
+        call.responseStartedMs = now;
+        call.timings.attemptAnswered(now, now - call.effectiveStartMs(call.inFlight.sentMs), call.inFlight.atOrigin,
+                call.inFlight.newConnection);
+        call.client.served(response);
+        deliver(at -> router.onStreamStarted(at, call.request.id(), attempt, node, this), () -> { });
         return true;
     }
 
     /** A response that had started is complete or has broken off; its client has seen which. */
-    private void endedBegun(Call<C> call, int attempt, String node, double sentAt, Outcome outcome) {
-        tally.attemptEnded(outcome);
-        if (!call.over) {
+    private void streamEnded(Call<C> call, int attempt, String node, double sentMs, Outcome outcome) {
+        counters.attemptEnded(outcome);
+        if (!call.finished) {
             double now = timers.now();
             count(call, outcome == Outcome.OK ? RequestCounters.RequestResult.SERVED
                     : RequestCounters.RequestResult.FAILED);
-            call.kind.requestAnswered(now, call.begunMs - call.bornMs);
-            settle(call);
+            call.timings.requestAnswered(now, call.responseStartedMs - call.arrivedMs);
+            finish(call);
         }
-        report(call.in.id(), call, attempt, node, outcome,
-                call.begunMs - call.since(sentAt), NodeResponse.NO_CACHE_STATUS);
+        reportEnd(call.request.id(), call, attempt, node, outcome,
+                call.responseStartedMs - call.effectiveStartMs(sentMs), NodeResponse.NO_CACHE_STATUS);
     }
 
-    private void ended(Call<C> call, int attempt, String node, double sentAt, Outcome outcome,
-                              NodeResponse<C> answer) {
-        Sent<C> sent = call.out;
-        call.out = null;
+    private void attemptEnded(Call<C> call, int attempt, String node, double sentMs, Outcome outcome,
+                              NodeResponse<C> response) {
+        InFlight<C> ended = call.inFlight;
+        call.inFlight = null;
         double now = timers.now();
-        call.under.attemptEnded(now, outcome);
-        if (call.hasBegun()) {
-            endedBegun(call, attempt, node, sentAt, outcome);
+        call.version.attemptEnded(now, outcome);
+        if (call.responseStarted()) {
+            streamEnded(call, attempt, node, sentMs, outcome);
             return;
         }
-        call.proven &= outcome.provesNotRun();
-        double since = Math.min(now, call.since(sentAt));
+        call.provenNotRun &= outcome.provesNotRun();
+        double startMs = Math.min(now, call.effectiveStartMs(sentMs));
         if (outcome == Outcome.OK) {
-            call.kind.attemptAnswered(now, now - since, sent.atStore, sent.fresh);
+            call.timings.attemptAnswered(now, now - startMs, ended.atOrigin, ended.newConnection);
         } else if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMEOUT) {
-            call.kind.attemptAbandoned(now, now - since, sent.atStore);
+            call.timings.attemptAbandoned(now, now - startMs, ended.atOrigin);
         }
-        tally.attemptEnded(outcome);
-        if (outcome == Outcome.OK && !call.over) {
+        counters.attemptEnded(outcome);
+        if (outcome == Outcome.OK && !call.finished) {
             count(call, RequestCounters.RequestResult.SERVED);
-            call.kind.requestAnswered(now, now - call.bornMs);
-            settle(call);
-            call.client.served(answer);
+            call.timings.requestAnswered(now, now - call.arrivedMs);
+            finish(call);
+            call.client.served(response);
         }
-        report(call.in.id(), call, attempt, node, outcome, timers.now() - since,
-                answer == null ? NodeResponse.NO_CACHE_STATUS : answer.cacheStatus());
+        reportEnd(call.request.id(), call, attempt, node, outcome, timers.now() - startMs,
+                response == null ? NodeResponse.NO_CACHE_STATUS : response.cacheStatus());
     }
 
-    private void report(String id, Call<C> call, int attempt, String node, Outcome outcome, double elapsedMs,
-                           int note) {
-        boolean finished = call == null || call.over;
+    private void reportEnd(String id, Call<C> call, int attempt, String node, Outcome outcome, double elapsedMs,
+                           int cacheStatus) {
+        boolean finished = call == null || call.finished;
         if (call != null) {
-            forgetIfDone(call);
+            removeIfDone(call);
         }
-        AttemptResult end = new AttemptResult(id, attempt, node, outcome, elapsedMs, finished, note,
+        AttemptResult result = new AttemptResult(id, attempt, node, outcome, elapsedMs, finished, cacheStatus,
                 Map.of());
-        tell(now -> router.onAttemptEnded(now, end, this),
-                call == null ? () -> { } : () -> answerInstead(call));
+        deliver(now -> router.onAttemptEnded(now, result, this),
+                call == null ? () -> { } : () -> answerAfterFailure(call));
     }
 
     // Calls of the policy, one at a time.
@@ -343,29 +343,29 @@
      * the policy must never be entered recursively, and its actions must take effect in the order in which it requested
      * them.
      */
-    private void tell(Event event, Runnable rescue) {
-        events.add(new Pending(event, rescue));
-        if (telling) {
+    private void deliver(Event event, Runnable onFailure) {
+        events.add(new PendingEvent(event, onFailure));
+        if (delivering) {
             return;
         }
-        telling = true;
+        delivering = true;
         while (!events.isEmpty()) {
-            Pending next = events.remove();
-            boolean failed = abandoned || !guarded(() -> next.event().tell(timers.now()));
-            actions.forEach(this::guarded);
+            PendingEvent next = events.remove();
+            boolean failed = abandoned || !runGuarded(() -> next.event().deliver(timers.now()));
+            actions.forEach(this::runGuarded);
             actions.clear();
             if (failed) {
-                guarded(next.rescue());
+                runGuarded(next.onFailure());
             }
         }
-        telling = false;
+        delivering = false;
     }
 
     /**
      * Runs an action so that an error in it ends neither the process nor the other requests; returns whether it
      * succeeded.
      */
-    private boolean guarded(Runnable action) {
+    private boolean runGuarded(Runnable action) {
         try {
             action.run();
             return true;
@@ -373,46 +373,46 @@
             faults.error("a decision or its execution failed", e);
             return false;
         } catch (Error e) {
-            abandon(e);
+            abandonPolicy(e);
             return false;
         }
     }
 
     /** Stops calling the policy. Its open requests are answered now, or at the end of the attempt that is in flight. */
-    private void abandon(Error cause) {
+    private void abandonPolicy(Error cause) {
         if (abandoned) {
             return;
         }
         abandoned = true;
         faults.fatal("the decisions failed for good", cause);
-        List.copyOf(calls.values()).forEach(this::answerInstead);
+        List.copyOf(calls.values()).forEach(this::answerAfterFailure);
     }
 
     /**
      * Answers in place of a policy that failed. A refusal promises that nothing ran, so it is given only if that is
      * proven.
      */
-    private void answerInstead(Call<C> call) {
-        if (call.over || call.out != null) {
+    private void answerAfterFailure(Call<C> call) {
+        if (call.finished || call.inFlight != null) {
             return;
         }
         call.why = Reason.FAULT;
-        if (call.proven) {
+        if (call.provenNotRun) {
             refuseNow(call, 0);
         } else {
             failNow(call);
         }
-        tell(now -> router.onClientDisconnected(now, call.in.id(), this), () -> { });
+        deliver(now -> router.onClientDisconnected(now, call.request.id(), this), () -> { });
     }
 
     /** The policy must have answered before this runs; without this backstop the request would never be answered. */
     private void overdue(Call<C> call) {
-        if (!call.over) {
-            faults.warning("no answer was decided in time for " + call.in.id());
-            if (call.out != null) {
-                call.out.cancel();
+        if (!call.finished) {
+            faults.warning("no answer was decided in time for " + call.request.id());
+            if (call.inFlight != null) {
+                call.inFlight.cancel();
             }
-            answerInstead(call);
+            answerAfterFailure(call);
         }
     }
 
@@ -427,37 +427,37 @@
     public void cancel(String request, int attempt) {
         actions.add(() -> {
             Call<C> call = calls.get(request);
-            if (call == null || call.out == null || call.attempts - 1 != attempt) {
+            if (call == null || call.inFlight == null || call.attempts - 1 != attempt) {
                 return;
             }
             double now = timers.now();
-            if (call.over
-                    && !call.kind.shouldCloseConnection(now, now - call.out.sentMs, call.out.atStore)) {
-                call.out.leave();
+            if (call.finished
+                    && !call.timings.shouldCloseConnection(now, now - call.inFlight.sentMs, call.inFlight.atOrigin)) {
+                call.inFlight.detach();
             } else {
-                call.out.cancel();
+                call.inFlight.cancel();
             }
         });
     }
 
     @Override
     public void refuse(String request, double retryAfterMs) {
-        actions.add(() -> ifOpen(request, call -> refuseNow(call, retryAfterMs)));
+        actions.add(() -> ifUnanswered(request, call -> refuseNow(call, retryAfterMs)));
     }
 
     @Override
     public void reportReason(String request, Reason why) {
-        actions.add(() -> ifOpen(request, call -> call.why = why));
+        actions.add(() -> ifUnanswered(request, call -> call.why = why));
     }
 
     @Override
     public void fail(String request) {
-        actions.add(() -> ifOpen(request, this::failNow));
+        actions.add(() -> ifUnanswered(request, this::failNow));
     }
 
     @Override
     public void setTimer(double atMs, String token) {
-        actions.add(() -> timerNow(atMs, token));
+        actions.add(() -> setTimerNow(atMs, token));
     }
 
     @Override
@@ -474,43 +474,43 @@
     public void broadcast(byte[] contents) {
         // The policy may reuse its array before this is sent.
         byte[] copy = Arrays.copyOf(contents, contents.length);
-        actions.add(() -> tell.accept(copy));
+        actions.add(() -> broadcast.accept(copy));
     }
 
     @Override
     public void closeIdleConnections(String node) {
-        actions.add(() -> back.closeIdleConnections(node));
+        actions.add(() -> backend.closeIdleConnections(node));
     }
 
     @Override
     public double minAnswerMs(String request) {
         Call<C> call = calls.get(request);
-        return call == null ? 0 : call.kind.minRemainingMs(timers.now());
+        return call == null ? 0 : call.timings.minRemainingMs(timers.now());
     }
 
-    private void ifOpen(String request, Consumer<Call<C>> action) {
+    private void ifUnanswered(String request, Consumer<Call<C>> action) {
         Call<C> call = calls.get(request);
-        if (call != null && !call.over && !call.hasBegun()) {
+        if (call != null && !call.finished && !call.responseStarted()) {
             action.accept(call);
         }
     }
 
-    private void count(Call<C> call, RequestCounters.RequestResult end) {
-        tally.requestEnded(call.in.serviceClass(), end);
-        call.under.requestEnded(timers.now(), call.in.serviceClass(), end, call.why);
+    private void count(Call<C> call, RequestCounters.RequestResult result) {
+        counters.requestEnded(call.request.serviceClass(), result);
+        call.version.requestEnded(timers.now(), call.request.serviceClass(), result, call.why);
     }
 
-    private void say(Call<C> call) {
-        tally.reasonCount(call.in.serviceClass(), call.why);
+    private void giveReason(Call<C> call) {
+        counters.countReason(call.request.serviceClass(), call.why);
         call.client.reason(call.why);
     }
 
     private void refuseNow(Call<C> call, double retryAfterMs) {
         count(call, RequestCounters.RequestResult.REFUSED);
-        call.kind.requestAnswered(timers.now(), timers.now() - call.bornMs);
-        settle(call);
-        say(call);
-        if (call.proven && call.out == null) {
+        call.timings.requestAnswered(timers.now(), timers.now() - call.arrivedMs);
+        finish(call);
+        giveReason(call);
+        if (call.provenNotRun && call.inFlight == null) {
             call.client.refused(retryAfterMs);
         } else {
             call.client.refusedMayHaveRun(retryAfterMs);
@@ -519,68 +519,68 @@
 
     private void failNow(Call<C> call) {
         count(call, RequestCounters.RequestResult.FAILED);
-        call.kind.requestAnswered(timers.now(), timers.now() - call.bornMs);
-        settle(call);
-        say(call);
+        call.timings.requestAnswered(timers.now(), timers.now() - call.arrivedMs);
+        finish(call);
+        giveReason(call);
         call.client.failed();
     }
 
-    private void settle(Call<C> call) {
-        call.over = true;
-        owed--;
-        settled.accept(call.in.serviceClass());
-        call.unwatch();
-        forgetIfDone(call);
+    private void finish(Call<C> call) {
+        call.finished = true;
+        pendingRequests--;
+        onRequestFinished.accept(call.request.serviceClass());
+        call.cancelBackstop();
+        removeIfDone(call);
     }
 
-    private void forgetIfDone(Call<C> call) {
-        if (call.over && call.out == null) {
-            calls.remove(call.in.id(), call);
+    private void removeIfDone(Call<C> call) {
+        if (call.finished && call.inFlight == null) {
+            calls.remove(call.request.id(), call);
         }
     }
 
-    private void timerNow(double atMs, String token) {
-        timers.scheduleAt(atMs, () -> tell(now -> router.onTimer(now, token, this),
-                () -> timerNow(timers.now() + RETRY_TIMER_MS, token)));
+    private void setTimerNow(double atMs, String token) {
+        timers.scheduleAt(atMs, () -> deliver(now -> router.onTimer(now, token, this),
+                () -> setTimerNow(timers.now() + RETRY_TIMER_MS, token)));
     }
 
     private void sendNow(String request, String node, double timeoutMs) {
         Call<C> call = calls.get(request);
         int attempt = call == null ? 0 : call.attempts++;
         double now = timers.now();
-        double left = call == null ? 0 : call.deadline - now;
-        double wait = timeoutMs == UNTIL_DEADLINE ? left : Math.min(timeoutMs, left);
+        double remainingMs = call == null ? 0 : call.deadlineMs - now;
+        double waitMs = timeoutMs == UNTIL_DEADLINE ? remainingMs : Math.min(timeoutMs, remainingMs);
         // Nothing is sent for a request that is finished or late, beyond the allowed attempts, or beside another
         // attempt.
-        if (call == null || call.over || call.out != null || wait <= 0
+        if (call == null || call.finished || call.inFlight != null || waitMs <= 0
                 || attempt >= settings.limits().maxAttempts()) {
-            tally.attemptEnded(Outcome.NEVER_SENT);
-            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
+            counters.attemptEnded(Outcome.NEVER_SENT);
+            reportEnd(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
             return;
         }
-        boolean atStore = stores.contains(node);
-        Verdict verdict = call.kind.checkSend(now, now - call.bornMs, left, atStore, attempt == 0);
+        boolean atOrigin = origins.contains(node);
+        Verdict verdict = call.timings.checkSend(now, now - call.arrivedMs, remainingMs, atOrigin, attempt == 0);
         if (verdict != Verdict.GO) {
             // No client would read the response: the final response is given now, and the policy is told that the
             // request is finished.
             call.why = verdict == Verdict.LATE ? Reason.TOO_LATE : Reason.UNREAD;
             endNow(call);
-            tally.attemptEnded(Outcome.NEVER_SENT);
-            report(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
+            counters.attemptEnded(Outcome.NEVER_SENT);
+            reportEnd(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
             return;
         }
-        Sent<C> sent = new Sent<>(call, now, now + wait, timers, times, atStore, tally);
-        call.out = sent;
-        call.under.attemptSent(now, node);
-        sent.exchange = back.send(node, sent, wait, new Backend.Listener<>() {
+        InFlight<C> sent = new InFlight<>(call, now, now + waitMs, timers, timings, atOrigin, counters);
+        call.inFlight = sent;
+        call.version.attemptSent(now, node);
+        sent.exchange = backend.send(node, sent, waitMs, new Backend.Listener<>() {
             @Override
-            public void ended(Outcome outcome, NodeResponse<C> answer) {
-                Dispatcher.this.ended(call, attempt, node, now, outcome, answer);
+            public void ended(Outcome outcome, NodeResponse<C> response) {
+                Dispatcher.this.attemptEnded(call, attempt, node, now, outcome, response);
             }
 
             @Override
-            public boolean responseStarted(NodeResponse<C> answer) {
-                return Dispatcher.this.begun(call, attempt, node, answer);
+            public boolean responseStarted(NodeResponse<C> response) {
+                return Dispatcher.this.responseStarted(call, attempt, node, response);
             }
         });
     }
@@ -588,40 +588,40 @@
     /**
      * A probe has ended that the policy requested or that another proxy made; {@code elapsedMs} is how long it took.
      */
-    public void probeEnded(String node, Outcome outcome, double tookMs) {
-        tell(at -> router.onProbeResult(at, node, outcome, tookMs, Map.of(), this), () -> { });
+    public void probeEnded(String node, Outcome outcome, double elapsedMs) {
+        deliver(at -> router.onProbeResult(at, node, outcome, elapsedMs, Map.of(), this), () -> { });
     }
 
     private void probeNow(String node) {
         double now = timers.now();
-        back.probe(node, settings.limits().connectTimeoutMs() * PROBE_CONNECTS,
-                (outcome, answer) -> probeEnded(node, outcome, timers.now() - now));
+        backend.probe(node, settings.limits().connectTimeoutMs() * PROBE_CONNECT_TIMEOUTS,
+                (outcome, response) -> probeEnded(node, outcome, timers.now() - now));
     }
 
     /** The attempt in flight. The backend may end it before it has returned the exchange, so that may be null. */
-    private static final class Sent<C> implements Attempt<C> {
+    private static final class InFlight<C> implements Attempt<C> {
         private final Call<C> call;
         private final double sentMs;
-        private final double giveUpMs;
+        private final double timeoutAtMs;
         private final Timers timers;
-        private final GroupTimings times;
-        private final boolean atStore;
-        private final RequestCounters tally;
-        private boolean fresh;
+        private final GroupTimings timings;
+        private final boolean atOrigin;
+        private final RequestCounters counters;
+        private boolean newConnection;
         private Backend.Exchange exchange;
 
-        Sent(Call<C> call, double sentMs, double giveUpMs, Timers timers, GroupTimings times, boolean atStore,
-                 RequestCounters tally) {
+        InFlight(Call<C> call, double sentMs, double timeoutAtMs, Timers timers, GroupTimings timings, boolean atOrigin,
+                 RequestCounters counters) {
             this.call = call;
             this.sentMs = sentMs;
-            this.giveUpMs = giveUpMs;
+            this.timeoutAtMs = timeoutAtMs;
             this.timers = timers;
-            this.times = times;
-            this.atStore = atStore;
-            this.tally = tally;
+            this.timings = timings;
+            this.atOrigin = atOrigin;
+            this.counters = counters;
         }
 
-        void leave() {
+        void detach() {
             if (exchange != null) {
                 exchange.detach();
             }
@@ -635,7 +635,7 @@
 
         @Override
         public String requestId() {
-            return call.in.id();
+            return call.request.id();
         }
 
         @Override
@@ -645,19 +645,19 @@
 
         @Override
         public double remainingMs() {
-            double left = call.isOpen() ? call.in.budgetMs() : giveUpMs - timers.now();
-            return left - times.returnReserveMs(left);
+            double leftMs = call.isUploading() ? call.request.budgetMs() : timeoutAtMs - timers.now();
+            return leftMs - timings.returnReserveMs(leftMs);
         }
 
         @Override
         public boolean mayBeWritten() {
             double now = timers.now();
-            return !call.over && call.kind.checkWrite(now, call.deadline - now, atStore) == Verdict.GO;
+            return !call.finished && call.timings.checkWrite(now, call.deadlineMs - now, atOrigin) == Verdict.GO;
         }
 
         @Override
         public boolean hasStreamingBody() {
-            return call.in.uploading();
+            return call.request.uploading();
         }
 
         @Override
@@ -667,79 +667,79 @@
 
         @Override
         public void connected(double ms) {
-            times.recordConnectTime(ms);
+            timings.recordConnectTime(ms);
         }
 
         @Override
-        public void writeStarted(boolean onFresh) {
-            fresh = onFresh;
+        public void writeStarted(boolean onNewConnection) {
+            newConnection = onNewConnection;
         }
 
         @Override
         public void written() {
-            tally.attemptWritten();
-            call.under.attemptWritten();
+            counters.attemptWritten();
+            call.version.attemptWritten();
         }
 
         @Override
         public String versionLabel() {
-            return call.under.versionLabel();
+            return call.version.versionLabel();
         }
     }
 
     /** A request in the table: open until its final response, and kept until its last attempt has ended. */
     private static final class Call<C> {
-        final Request in;
+        final Request request;
         final Command<C> command;
         final ResponseHandler<C> client;
-        final double bornMs;
-        double deadline;
+        final double arrivedMs;
+        double deadlineMs;
         /** When the last byte of the body arrived; infinite while the request is uploading. */
         double completeMs;
-        final ClassTimings kind;
-        final VersionTracker.RequestVersion under;
+        final ClassTimings timings;
+        final VersionTracker.RequestVersion version;
         Timers.Timer backstop;
-        Sent<C> out;
+        InFlight<C> inFlight;
         int attempts;
         /** When a streamed response started; NaN before that. */
-        double begunMs = Double.NaN;
+        double responseStartedMs = Double.NaN;
         Reason why = Reason.UNSAID;
         /** Whether the outcomes of all ended attempts prove that none of them ran. */
-        boolean proven = true;
+        boolean provenNotRun = true;
         /** Whether the final response was given or the client disconnected. */
-        boolean over;
+        boolean finished;
 
-        Call(Request in, Command<C> command, ResponseHandler<C> client, double bornMs, ClassTimings kind,
-             VersionTracker.RequestVersion under) {
-            this.in = in;
-            this.under = under;
+        Call(Request request, Command<C> command, ResponseHandler<C> client, double arrivedMs, ClassTimings timings,
+             VersionTracker.RequestVersion version) {
+            this.request = request;
+            this.version = version;
             this.command = command;
             this.client = client;
-            this.bornMs = bornMs;
-            this.deadline = bornMs + in.budgetMs();
-            this.completeMs = in.uploading() ? Double.POSITIVE_INFINITY : bornMs;
-            this.kind = kind;
+            this.arrivedMs = arrivedMs;
+            this.deadlineMs = arrivedMs + request.budgetMs();
+            this.completeMs = request.uploading() ? Double.POSITIVE_INFINITY : arrivedMs;
+            this.timings = timings;
         }
 
         /** Whether the body is still arriving. */
-        boolean isOpen() {
+        boolean isUploading() {
             return completeMs == Double.POSITIVE_INFINITY;
         }
 
         /** The time from which an attempt's duration counts: a node starts when it has the last byte of the request. */
-        double since(double sentMs) {
+        double effectiveStartMs(double sentMs) {
             return Math.max(sentMs, completeMs);
         }
 
-        void unwatch() {
+        void cancelBackstop() {
             if (backstop != null) {
                 backstop.cancel();
             }
         }
 
         /** Whether a streamed response, which is the final one, has started. */
-        boolean hasBegun() {
-            return !Double.isNaN(begunMs);
+        boolean responseStarted() {
+            return !Double.isNaN(responseStartedMs);
         }
     }
 }
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -35,31 +35,31 @@
     public static final String PLATFORM_GROUP = "";
 
     /** A queued request. */
-    private record Waiting<C>(AdmissionController.Admitted go, Request in, Command<C> command,
-                              ResponseHandler<C> client, double sinceMs, Timers.Timer patience) { }
+    private record Waiting<C>(AdmissionController.Admitted admitted, Request request, Command<C> command,
+                              ResponseHandler<C> client, double sinceMs, Timers.Timer timeout) { }
 
     private final Timers timers;
-    private final AdmissionController gate;
+    private final AdmissionController admission;
     private final Deadlines deadlines;
     private final Map<String, Dispatcher<C>> groups = new HashMap<>();
     /** The dispatchers of all groups, and those of removed groups that still have pending requests. */
     private final List<Dispatcher<C>> dispatchers = new ArrayList<>();
-    private final Map<String, Waiting<C>> line = new HashMap<>();
-    private final RequestCounters tally = new RequestCounters();
-    private VersionTracker acts = VersionTracker.NONE;
-    private RequestForwarder<C> detour;
-    private WriteDeduplicator<C> recorder;
+    private final Map<String, Waiting<C>> queue = new HashMap<>();
+    private final RequestCounters counters = new RequestCounters();
+    private VersionTracker versions = VersionTracker.NONE;
+    private RequestForwarder<C> forwarder;
+    private WriteDeduplicator<C> deduplicator;
     private boolean advancing;
 
     /** Creates an intake that does not enforce deadlines; nodes are still sent the remaining time. */
-    public Intake(Timers timers, AdmissionController gate) {
-        this(timers, gate, new Deadlines(DeadlinePolicy.OFF));
+    public Intake(Timers timers, AdmissionController admission) {
+        this(timers, admission, new Deadlines(DeadlinePolicy.OFF));
     }
 
     /** Creates an intake that enforces deadlines by the given policy. */
-    public Intake(Timers timers, AdmissionController gate, Deadlines deadlines) {
+    public Intake(Timers timers, AdmissionController admission, Deadlines deadlines) {
         this.timers = timers;
-        this.gate = gate;
+        this.admission = admission;
         this.deadlines = deadlines;
     }
 
@@ -76,18 +76,18 @@
     /**
      * Sets the deduplicator of writes with idempotency keys; null for none, which is allowed only while none is open.
      */
-    public void setDeduplicator(WriteDeduplicator<C> through) {
-        recorder = through;
+    public void setDeduplicator(WriteDeduplicator<C> next) {
+        deduplicator = next;
     }
 
     /** Whether outcomes of writes with idempotency keys are recorded. */
     public boolean deduplicates() {
-        return recorder != null;
+        return deduplicator != null;
     }
 
     /** The record of an idempotency key, for the tenant that used it; null if there is none. */
     public IdempotencyRecord findLocalOutcome(String key, String tenant) {
-        return recorder == null ? null : recorder.records().find(timers.now(), key, tenant);
+        return deduplicator == null ? null : deduplicator.records().find(timers.now(), key, tenant);
     }
 
     /**
@@ -95,11 +95,11 @@
      * called once.
      */
     public void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found) {
-        IdempotencyRecord known = findLocalOutcome(key, tenant);
-        if (known != null || recorder == null || detour == null) {
-            found.accept(known);
+        IdempotencyRecord local = findLocalOutcome(key, tenant);
+        if (local != null || deduplicator == null || forwarder == null) {
+            found.accept(local);
         } else {
-            detour.findOutcome(key, tenant, found);
+            forwarder.findOutcome(key, tenant, found);
         }
     }
 
@@ -107,7 +107,7 @@
     public void addGroup(String name, Dispatcher<C> dispatcher) {
         groups.put(name, dispatcher);
         dispatchers.add(dispatcher);
-        dispatcher.setVersionTracker(acts, name);
+        dispatcher.setVersionTracker(versions, name);
     }
 
     /** Removes a node group; its pending requests are still answered. */
@@ -116,28 +116,28 @@
         for (Dispatcher<C> d : List.copyOf(dispatchers)) {
             if (!groups.containsValue(d) && d.pendingRequests() == 0) {
                 dispatchers.remove(d);
-                tally.add(d.counters());
+                counters.add(d.counters());
             }
         }
     }
 
     /** Sets the version tracker of requests that arrive from now on, in all present and future groups. */
-    public void setVersionTracker(VersionTracker to) {
-        acts = to;
-        groups.forEach((name, dispatcher) -> dispatcher.setVersionTracker(to, name));
+    public void setVersionTracker(VersionTracker next) {
+        versions = next;
+        groups.forEach((name, dispatcher) -> dispatcher.setVersionTracker(next, name));
     }
 
     /** Sets the forwarder that requests pass through; it must not change while any request is open. */
-    public void setForwarder(RequestForwarder<C> through) {
-        detour = through;
+    public void setForwarder(RequestForwarder<C> next) {
+        forwarder = next;
     }
 
     /** Whether a request with this id is open; a second one could not be told apart from it. */
     public boolean isOpen(String id) {
-        if (recorder != null && recorder.isOpen(id)) {
+        if (deduplicator != null && deduplicator.isOpen(id)) {
             return true;
         }
-        if (detour != null && detour.isOpen(id)) {
+        if (forwarder != null && forwarder.isOpen(id)) {
             return true;
         }
         for (Dispatcher<C> d : dispatchers) {
@@ -145,117 +145,117 @@
                 return true;
             }
         }
-        return line.containsKey(id);
+        return queue.containsKey(id);
     }
 
     /**
      * Decides on a request that has arrived at a frontend. If it is admitted, {@link #submit} or {@link #withdraw} must
      * be called for it before any other method.
      */
-    public AdmissionController.Decision admit(AdmissionController.AdmissionRequest arrival) {
-        return gate.admit(timers.now(), arrival);
+    public AdmissionController.Decision admit(AdmissionController.AdmissionRequest request) {
+        return admission.admit(timers.now(), request);
     }
 
     /** Reverts the admission of a request that turned out to be malformed. */
-    public void withdraw(AdmissionController.Admitted go, String id) {
-        if (go.maxQueueMs() > 0) {
-            gate.withdraw(timers.now(), id);
+    public void withdraw(AdmissionController.Admitted admitted, String id) {
+        if (admitted.maxQueueMs() > 0) {
+            admission.withdraw(timers.now(), id);
         } else {
-            requestFinished(go.service().name());
+            requestFinished(admitted.service().name());
         }
-        displace(go);
+        rejectDisplaced(admitted);
     }
 
     /**
      * Counts a request that a limit rejected and that the frontend answers; {@code serviceClass} is null if unknown.
      */
-    public void countRejected(String service) {
-        count(service == null ? NO_CLASS : service, RequestCounters.RequestResult.REFUSED);
+    public void countRejected(String serviceClass) {
+        count(serviceClass == null ? NO_CLASS : serviceClass, RequestCounters.RequestResult.REFUSED);
     }
 
     /** Counts a request that never reached a dispatcher. */
-    private void count(String service, RequestCounters.RequestResult end) {
-        tally.requestStarted();
-        tally.requestEnded(service, end);
+    private void count(String serviceClass, RequestCounters.RequestResult result) {
+        counters.requestStarted();
+        counters.requestEnded(serviceClass, result);
         double now = timers.now();
-        acts.requestStarted(now, null, service, PLATFORM_GROUP, 0)
-                .requestEnded(now, service, end, Reason.UNSAID);
+        versions.requestStarted(now, null, serviceClass, PLATFORM_GROUP, 0)
+                .requestEnded(now, serviceClass, result, Reason.UNSAID);
     }
 
-    private void countRejected(String service, Reason why) {
-        countRejected(service);
-        tally.reasonCount(service, why);
+    private void countRejected(String serviceClass, Reason why) {
+        countRejected(serviceClass);
+        counters.countReason(serviceClass, why);
     }
 
     /**
      * Takes an admitted request whose id is not in use by an open one. {@code client} gets its one final response,
      * possibly before this method returns.
      */
-    public void submit(AdmissionController.Admitted go, Request in, Command<C> command,
+    public void submit(AdmissionController.Admitted admitted, Request request, Command<C> command,
                        ResponseHandler<C> client) {
-        if (go.maxQueueMs() > 0) {
+        if (admitted.maxQueueMs() > 0) {
             // The request is rejected as soon as it is certain that it could not be answered in time after its wait.
-            double patience = Math.max(0, Math.min(go.maxQueueMs(),
-                    in.budgetMs() - times(go).minRemainingMs(timers.now())));
-            line.put(in.id(), new Waiting<>(go, in, command, client, timers.now(),
-                    timers.scheduleAt(timers.now() + patience, () -> turnAway(in.id()))));
+            double waitMs = Math.max(0, Math.min(admitted.maxQueueMs(),
+                    request.budgetMs() - timings(admitted).minRemainingMs(timers.now())));
+            queue.put(request.id(), new Waiting<>(admitted, request, command, client, timers.now(),
+                    timers.scheduleAt(timers.now() + waitMs, () -> rejectQueued(request.id()))));
             // Capacity may have become free since the admission: a response that was written while this request was
             // being read causes no further event.
             advance();
         } else {
-            start(go, in, command, client, RequestStage.INTAKE);
+            start(admitted, request, command, client, RequestStage.INTAKE);
         }
-        displace(go);
+        rejectDisplaced(admitted);
     }
 
-    private void displace(AdmissionController.Admitted go) {
-        if (go.displacedId() != null) {
-            turnAway(go.displacedId());
+    private void rejectDisplaced(AdmissionController.Admitted admitted) {
+        if (admitted.displacedId() != null) {
+            rejectQueued(admitted.displacedId());
         }
     }
 
-    private ClassTimings times(AdmissionController.Admitted go) {
-        return deadlines.group(go.group()).forClass(go.service().name());
+    private ClassTimings timings(AdmissionController.Admitted admitted) {
+        return deadlines.group(admitted.group()).forClass(admitted.service().name());
     }
 
-    private void start(AdmissionController.Admitted go, Request in, Command<C> command,
-                       ResponseHandler<C> client, RequestStage from) {
-        Dispatcher<C> dispatcher = groups.get(go.group());
+    private void start(AdmissionController.Admitted admitted, Request request, Command<C> command,
+                       ResponseHandler<C> client, RequestStage stage) {
+        Dispatcher<C> dispatcher = groups.get(admitted.group());
         if (dispatcher == null
-                || times(go).checkStage(from, timers.now(), in.budgetMs()) != Verdict.GO) {
+                || timings(admitted).checkStage(stage, timers.now(), request.budgetMs()) != Verdict.GO) {
             // The group was removed since the admission, or it is too late for any response; nothing ran.
             Reason why = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
-            countRejected(in.serviceClass(), why);
-            requestFinished(in.serviceClass());
+            countRejected(request.serviceClass(), why);
+            requestFinished(request.serviceClass());
             client.reason(why);
             client.refused(0);
             return;
         }
-        if (recorder != null && command.write() && go.service().effect() == Effect.KEYED
+        if (deduplicator != null && command.write() && admitted.service().effect() == Effect.KEYED
                 && command.idempotencyKey() != null) {
-            ResponseHandler<C> waits = recorder.submit(in, command,
-                    go.service().deduplicationWindowMs(), client, () -> requestFinished(in.serviceClass()));
-            if (waits == null) {
+            ResponseHandler<C> waiting = deduplicator.submit(request, command,
+                    admitted.service().deduplicationWindowMs(), client, () -> requestFinished(request.serviceClass()));
+            if (waiting == null) {
                 return;
             }
-            hand(dispatcher, go, in, command, waits);
+            dispatch(dispatcher, admitted, request, command, waiting);
         } else {
-            hand(dispatcher, go, in, command, client);
+            dispatch(dispatcher, admitted, request, command, client);
         }
     }
 
-    private void hand(Dispatcher<C> dispatcher, AdmissionController.Admitted go, Request in,
+    private void dispatch(Dispatcher<C> dispatcher, AdmissionController.Admitted admitted, Request request,
                           Command<C> command, ResponseHandler<C> client) {
-        if (detour != null) {
-            detour.submit(dispatcher, go.service(), in, command, client);
+        if (forwarder != null) {
+            forwarder.submit(dispatcher, admitted.service(), request, command, client);
         } else {
-            dispatcher.submit(in, command, client);
+            dispatcher.submit(request, command, client);
         }
     }
 
     /** A request of this class has its final response from a dispatcher, or its client has disconnected. */
-    public void requestFinished(String service) {
-        gate.requestEnded(timers.now(), service);
+    public void requestFinished(String serviceClass) {
+        admission.requestEnded(timers.now(), serviceClass);
         advance();
     }
 
@@ -269,11 +269,11 @@
         }
         advancing = true;
         try {
-            for (String id = gate.nextQueued(); id != null; id = gate.nextQueued()) {
-                Waiting<C> w = line.remove(id);
-                w.patience().cancel();
-                double left = w.in().budgetMs() - (timers.now() - w.sinceMs());
-                start(w.go(), w.in().withBudget(left), w.command(), w.client(), RequestStage.LINE);
+            for (String id = admission.nextQueued(); id != null; id = admission.nextQueued()) {
+                Waiting<C> w = queue.remove(id);
+                w.timeout().cancel();
+                double remainingMs = w.request().budgetMs() - (timers.now() - w.sinceMs());
+                start(w.admitted(), w.request().withBudget(remainingMs), w.command(), w.client(), RequestStage.LINE);
             }
         } finally {
             advancing = false;
@@ -281,21 +281,21 @@
     }
 
     /** Rejects a queued request; no effect if it is not queued. */
-    private void turnAway(String id) {
-        Waiting<C> w = line.remove(id);
+    private void rejectQueued(String id) {
+        Waiting<C> w = queue.remove(id);
         if (w != null) {
-            w.patience().cancel();
-            double retryAfterMs = gate.withdraw(timers.now(), id);
-            countRejected(w.in().serviceClass(), Reason.LIMIT);
+            w.timeout().cancel();
+            double retryAfterMs = admission.withdraw(timers.now(), id);
+            countRejected(w.request().serviceClass(), Reason.LIMIT);
             w.client().reason(Reason.LIMIT);
             w.client().limited(retryAfterMs);
         }
     }
 
     /** Rejects the queued requests that match, such as those whose class has changed since their admission. */
-    public void rejectQueuedIf(Predicate<AdmissionController.Admitted> changed) {
-        List.copyOf(line.values()).stream().filter(w -> changed.test(w.go()))
-                .forEach(w -> turnAway(w.in().id()));
+    public void rejectQueuedIf(Predicate<AdmissionController.Admitted> outdated) {
+        List.copyOf(queue.values()).stream().filter(w -> outdated.test(w.admitted()))
+                .forEach(w -> rejectQueued(w.request().id()));
     }
 
     /** Limits have changed, which may have freed capacity for queued requests. */
@@ -305,18 +305,18 @@
 
     /** The client of an open request has disconnected; no response is needed any more. */
     public void clientGone(String id) {
-        Waiting<C> w = line.remove(id);
+        Waiting<C> w = queue.remove(id);
         if (w != null) {
-            w.patience().cancel();
-            gate.withdraw(timers.now(), id);
-            count(w.in().serviceClass(), RequestCounters.RequestResult.GONE);
-        } else if (recorder == null || !recorder.clientGone(id, () -> mayHaveRun(id))) {
-            leave(id);
+            w.timeout().cancel();
+            admission.withdraw(timers.now(), id);
+            count(w.request().serviceClass(), RequestCounters.RequestResult.GONE);
+        } else if (deduplicator == null || !deduplicator.clientGone(id, () -> mayHaveRun(id))) {
+            dispatchClientGone(id);
         }
     }
 
-    private void leave(String id) {
-        if (detour == null || !detour.clientGone(id)) {
+    private void dispatchClientGone(String id) {
+        if (forwarder == null || !forwarder.clientGone(id)) {
             dispatchers.forEach(d -> d.clientGone(id));
         }
     }
@@ -329,12 +329,12 @@
     /**
      * Whether a request may be submitted while its body is still arriving: deduplicator and forwarder need all of it.
      */
-    public boolean acceptsStreamingBody(AdmissionController.Admitted go) {
-        return recorder == null && detour == null && go.group().equals(PLATFORM_GROUP);
+    public boolean acceptsStreamingBody(AdmissionController.Admitted admitted) {
+        return deduplicator == null && forwarder == null && admitted.group().equals(PLATFORM_GROUP);
     }
 
     private boolean mayHaveRun(String id) {
-        return detour != null && detour.mayHaveRun(id) || dispatchers.stream().anyMatch(d -> d.mayHaveRun(id));
+        return forwarder != null && forwarder.mayHaveRun(id) || dispatchers.stream().anyMatch(d -> d.mayHaveRun(id));
     }
 
     /**
@@ -342,11 +342,11 @@
      * request is refused if it is certain that a retry is harmless.
      */
     public void answerNow(String id) {
-        if (line.containsKey(id)) {
-            turnAway(id);
-        } else if (recorder != null && recorder.answerNow(id)) {
+        if (queue.containsKey(id)) {
+            rejectQueued(id);
+        } else if (deduplicator != null && deduplicator.answerNow(id)) {
             return;
-        } else if (detour == null || !detour.answerNow(id)) {
+        } else if (forwarder == null || !forwarder.answerNow(id)) {
             dispatchers.forEach(d -> d.answerNow(id));
         }
     }
@@ -358,18 +358,18 @@
 
     /** The number of requests without a final response. */
     public int pendingRequests() {
-        return line.size() + (recorder == null ? 0 : recorder.pendingRequests())
+        return queue.size() + (deduplicator == null ? 0 : deduplicator.pendingRequests())
                 + dispatchers.stream().mapToInt(Dispatcher::pendingRequests).sum()
-                + (detour == null ? 0 : detour.pendingRequests());
+                + (forwarder == null ? 0 : forwarder.pendingRequests());
     }
 
     /** Counts over all groups, removed ones included, and over requests that never reached a dispatcher. */
     public RequestCounters counters() {
-        RequestCounters all = new RequestCounters().add(tally);
+        RequestCounters all = new RequestCounters().add(counters);
         dispatchers.forEach(d -> all.add(d.counters()));
-        if (recorder != null) {
-            all.add(recorder.counters());
+        if (deduplicator != null) {
+            all.add(deduplicator.counters());
         }
-        return detour == null ? all : all.add(detour.counters());
+        return forwarder == null ? all : all.add(forwarder.counters());
     }
 }
--- a/core/src/main/java/ridgemill/core/PlatformAdmissionController.java
+++ b/core/src/main/java/ridgemill/core/PlatformAdmissionController.java
@@ -17,12 +17,12 @@
     }
 
     @Override
-    public Decision admit(double nowMs, AdmissionRequest arrival) {
-        ServiceClass service = arrival.requestedClass() == null ? null : classes.get(arrival.requestedClass());
-        return service == null ? new Invalid(InvalidReason.UNKNOWN_CLASS)
-                : new Admitted(service, arrival.budgetMs());
+    public Decision admit(double nowMs, AdmissionRequest request) {
+        ServiceClass serviceClass = request.requestedClass() == null ? null : classes.get(request.requestedClass());
+        return serviceClass == null ? new Invalid(InvalidReason.UNKNOWN_CLASS)
+                : new Admitted(serviceClass, request.budgetMs());
     }
 
     @Override
-    public void requestEnded(double nowMs, String service) { }
+    public void requestEnded(double nowMs, String serviceClass) { }
 }
--- a/core/src/main/java/ridgemill/core/RequestCounters.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -12,10 +12,10 @@
 public final class RequestCounters {
 
     private final Map<String, long[]> reasons = new HashMap<>();
-    private final Map<String, long[]> ends = new HashMap<>();
+    private final Map<String, long[]> results = new HashMap<>();
     private final long[] outcomes = new long[Outcome.values().length];
     private long requests;
-    private long written;
+    private long attemptsWritten;
 
     /** How a request ended; {@code GONE} means that its client disconnected. */
     public enum RequestResult { SERVED, REFUSED, FAILED, GONE }
@@ -26,44 +26,44 @@
     }
 
     /** Counts the end of a request of this class. */
-    public void requestEnded(String service, RequestResult end) {
-        add(service, end, 1);
+    public void requestEnded(String serviceClass, RequestResult result) {
+        add(serviceClass, result, 1);
     }
 
     /** Moves a request of this class that was counted with one result to another. */
-    public void changeResult(String service, RequestResult from, RequestResult to) {
-        add(service, from, -1);
-        add(service, to, 1);
+    public void changeResult(String serviceClass, RequestResult from, RequestResult to) {
+        add(serviceClass, from, -1);
+        add(serviceClass, to, 1);
     }
 
-    private void add(String service, RequestResult end, int by) {
-        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()] += by;
+    private void add(String serviceClass, RequestResult result, int by) {
+        results.computeIfAbsent(serviceClass, s -> new long[RequestResult.values().length])[result.ordinal()] += by;
     }
 
     /** Counts an attempt whose last byte was written to its node. */
     void attemptWritten() {
-        written++;
+        attemptsWritten++;
     }
 
     /** The number of attempts whose last byte was written to their node, whatever their outcome. */
     public long attemptsWritten() {
-        return written;
+        return attemptsWritten;
     }
 
     /** The number of requests of a class with this result. */
-    public long count(String service, RequestResult end) {
-        long[] of = ends.get(service);
-        return of == null ? 0 : of[end.ordinal()];
+    public long count(String serviceClass, RequestResult result) {
+        long[] counts = results.get(serviceClass);
+        return counts == null ? 0 : counts[result.ordinal()];
     }
 
     /** The number of requests of all classes with this result. */
-    public long count(RequestResult end) {
-        return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
+    public long count(RequestResult result) {
+        return results.values().stream().mapToLong(counts -> counts[result.ordinal()]).sum();
     }
 
     /** Counts the reason for which a request of this class was refused or failed. */
-    void reasonCount(String service, Reason why) {
-        reasons.computeIfAbsent(service, s -> new long[Reason.values().length])[why.ordinal()]++;
+    void countReason(String serviceClass, Reason why) {
+        reasons.computeIfAbsent(serviceClass, s -> new long[Reason.values().length])[why.ordinal()]++;
     }
 
     /**
@@ -71,14 +71,14 @@
      */
     public Map<String, Map<String, Long>> reasons() {
         Map<String, Map<String, Long>> all = new TreeMap<>();
-        reasons.forEach((service, counts) -> {
-            Map<String, Long> of = new TreeMap<>();
+        reasons.forEach((serviceClass, counts) -> {
+            Map<String, Long> byCode = new TreeMap<>();
             for (Reason r : Reason.values()) {
                 if (counts[r.ordinal()] > 0) {
-                    of.put(r.code(), counts[r.ordinal()]);
+                    byCode.put(r.code(), counts[r.ordinal()]);
                 }
             }
-            all.put(service, of);
+            all.put(serviceClass, byCode);
         });
         return all;
     }
@@ -96,9 +96,9 @@
     /** Adds the counts of {@code other} to these and returns this object. */
     public RequestCounters add(RequestCounters other) {
         requests += other.requests;
-        written += other.written;
-        other.ends.forEach((service, counts) -> {
-            long[] own = ends.computeIfAbsent(service, s -> new long[counts.length]);
+        attemptsWritten += other.attemptsWritten;
+        other.results.forEach((serviceClass, counts) -> {
+            long[] own = results.computeIfAbsent(serviceClass, s -> new long[counts.length]);
             for (int i = 0; i < counts.length; i++) {
                 own[i] += counts[i];
             }
@@ -106,8 +106,8 @@
         for (int i = 0; i < outcomes.length; i++) {
             outcomes[i] += other.outcomes[i];
         }
-        other.reasons.forEach((service, counts) -> {
-            long[] own = reasons.computeIfAbsent(service, s -> new long[counts.length]);
+        other.reasons.forEach((serviceClass, counts) -> {
+            long[] own = reasons.computeIfAbsent(serviceClass, s -> new long[counts.length]);
             for (int i = 0; i < counts.length; i++) {
                 own[i] += counts[i];
             }
--- a/core/src/main/java/ridgemill/core/RequestForwarder.java
+++ b/core/src/main/java/ridgemill/core/RequestForwarder.java
@@ -14,7 +14,7 @@
 public interface RequestForwarder<C> {
 
     /** Takes a request of a class; {@code local} is the dispatcher that it would go to in this datacenter. */
-    void submit(Dispatcher<C> home, ServiceClass service, Request in, Command<C> command,
+    void submit(Dispatcher<C> local, ServiceClass serviceClass, Request request, Command<C> command,
                 ResponseHandler<C> client);
 
     /** Whether a request with this id is open here, whether or not the local dispatcher also has it. */
--- a/core/src/main/java/ridgemill/core/ResponseHandler.java
+++ b/core/src/main/java/ridgemill/core/ResponseHandler.java
@@ -11,7 +11,7 @@
 public interface ResponseHandler<C> {
 
     /** A node answered this request; the content is valid until this method returns. */
-    void served(NodeResponse<C> answer);
+    void served(NodeResponse<C> response);
 
     /** Whether {@link #served} accepts an incomplete response; if it breaks off later, its content reports that. */
     default boolean supportsStreaming() {
@@ -56,7 +56,7 @@
      *
      * @param callId id of the request that ran
      */
-    default void recorded(String call) {
+    default void recorded(String callId) {
         failed();
     }
 
--- a/core/src/main/java/ridgemill/core/VersionTracker.java
+++ b/core/src/main/java/ridgemill/core/VersionTracker.java
@@ -10,7 +10,7 @@
 public interface VersionTracker {
 
     /** Tracks nothing. */
-    VersionTracker NONE = (nowMs, id, service, group, list) -> RequestVersion.NONE;
+    VersionTracker NONE = (nowMs, id, serviceClass, group, listVersion) -> RequestVersion.NONE;
 
     /**
      * A request was taken; {@link RequestVersion#requestEnded} must be called once for it.
@@ -20,10 +20,10 @@
      * @param group node group that it goes to
      * @param listVersion version of that group's current host list; 0 before there is one
      */
-    RequestVersion requestStarted(double nowMs, String id, String service, String group, long list);
+    RequestVersion requestStarted(double nowMs, String id, String serviceClass, String group, long listVersion);
 
     /** A group's host list was received or confirmed; it has this version. */
-    default void hostListConfirmed(double nowMs, String group, long list) { }
+    default void hostListConfirmed(double nowMs, String group, long listVersion) { }
 
     /** The source of a group's host list is unavailable: the current list may be stale from now on. */
     default void hostListUnavailable(double nowMs, String group) { }
@@ -32,10 +32,10 @@
     interface RequestVersion {
 
         /** Tracks nothing. */
-        RequestVersion NONE = (nowMs, service, end, why) -> { };
+        RequestVersion NONE = (nowMs, serviceClass, result, why) -> { };
 
         /** The request, of this class, has ended; {@code why} is {@link Reason#UNSAID} if no reason was given. */
-        void requestEnded(double nowMs, String service, RequestCounters.RequestResult end, Reason why);
+        void requestEnded(double nowMs, String serviceClass, RequestCounters.RequestResult result, Reason why);
 
         /** An attempt of the request was sent to a node. */
         default void attemptSent(double nowMs, String node) { }
--- a/core/src/main/java/ridgemill/core/WriteDeduplicator.java
+++ b/core/src/main/java/ridgemill/core/WriteDeduplicator.java
@@ -24,38 +24,38 @@
 public final class WriteDeduplicator<C> {
 
     private final Timers timers;
-    private final IdempotencyRecords outcomes;
+    private final IdempotencyRecords records;
     private final ToLongFunction<Command<C>> fingerprint;
     private final Map<String, Run> runs = new HashMap<>();
-    private final Map<String, Asker> waiting = new HashMap<>();
-    private final RequestCounters tally = new RequestCounters();
+    private final Map<String, Duplicate> duplicates = new HashMap<>();
+    private final RequestCounters counters = new RequestCounters();
 
     /**
      * Creates a deduplicator; {@code fingerprint} is a hash by which different commands with the same key are detected.
      */
-    public WriteDeduplicator(Timers timers, IdempotencyRecords outcomes, ToLongFunction<Command<C>> fingerprint) {
+    public WriteDeduplicator(Timers timers, IdempotencyRecords records, ToLongFunction<Command<C>> fingerprint) {
         this.timers = timers;
-        this.outcomes = outcomes;
+        this.records = records;
         this.fingerprint = fingerprint;
     }
 
     /** The records that the decisions are based on. */
     public IdempotencyRecords records() {
-        return outcomes;
+        return records;
     }
 
     /** Counts of the requests that are answered here, without a dispatcher. */
     RequestCounters counters() {
-        return tally;
+        return counters;
     }
 
     int pendingRequests() {
-        return waiting.size();
+        return duplicates.size();
     }
 
     /** Whether a request with this id waits here or was passed on from here. */
     boolean isOpen(String id) {
-        return waiting.containsKey(id) || runs.containsKey(id);
+        return duplicates.containsKey(id) || runs.containsKey(id);
     }
 
     /**
@@ -65,43 +65,43 @@
      * @param onAnswered run when a request that is answered here gets its final response
      * @return the handler of the response if the request is to be executed; null if it is answered here
      */
-    ResponseHandler<C> submit(Request in, Command<C> command, double windowMs, ResponseHandler<C> client,
-                              Runnable settled) {
+    ResponseHandler<C> submit(Request request, Command<C> command, double windowMs, ResponseHandler<C> client,
+                              Runnable onAnswered) {
         double now = timers.now();
         String key = command.idempotencyKey();
-        IdempotencyRecords.Decision ask = outcomes.begin(now, key, in.id(), in.tenant(),
+        IdempotencyRecords.Decision decision = records.begin(now, key, request.id(), request.tenant(),
                 fingerprint.applyAsLong(command), windowMs);
-        if (ask instanceof IdempotencyRecords.Execute run) {
-            if (!run.recorded()) {
+        if (decision instanceof IdempotencyRecords.Execute execute) {
+            if (!execute.recorded()) {
                 return client;
             }
-            Run open = new Run(key, in.id(), client);
-            runs.put(in.id(), open);
-            return open;
-        }
-        tally.requestStarted();
-        if (ask instanceof IdempotencyRecords.Join join && runs.containsKey(join.callId())) {
-            Asker asker = new Asker(in, client, settled, runs.get(join.callId()));
-            asker.run.joined.add(asker);
-            waiting.put(in.id(), asker);
-            asker.timeUp = timers.scheduleAt(now + in.budgetMs(),
-                    () -> asker.end(RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(0)));
-        } else if (ask instanceof IdempotencyRecords.Replay tell
-                && tell.record().state() == IdempotencyRecord.State.RECORDED) {
-            settle(in, settled, RequestCounters.RequestResult.SERVED,
-                    () -> client.recorded(tell.record().callId()));
-        } else if (ask instanceof IdempotencyRecords.Conflict) {
-            settle(in, settled, RequestCounters.RequestResult.FAILED, client::conflict);
+            Run run = new Run(key, request.id(), client);
+            runs.put(request.id(), run);
+            return run;
+        }
+        counters.requestStarted();
+        if (decision instanceof IdempotencyRecords.Join join && runs.containsKey(join.callId())) {
+            Duplicate duplicate = new Duplicate(request, client, onAnswered, runs.get(join.callId()));
+            duplicate.run.joined.add(duplicate);
+            duplicates.put(request.id(), duplicate);
+            duplicate.timeout = timers.scheduleAt(now + request.budgetMs(),
+                    () -> duplicate.end(RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(0)));
+        } else if (decision instanceof IdempotencyRecords.Replay replay
+                && replay.record().state() == IdempotencyRecord.State.RECORDED) {
+            finish(request, onAnswered, RequestCounters.RequestResult.SERVED,
+                    () -> client.recorded(replay.record().callId()));
+        } else if (decision instanceof IdempotencyRecords.Conflict) {
+            finish(request, onAnswered, RequestCounters.RequestResult.FAILED, client::conflict);
         } else {
-            settle(in, settled, RequestCounters.RequestResult.FAILED, client::failed);
+            finish(request, onAnswered, RequestCounters.RequestResult.FAILED, client::failed);
         }
         return null;
     }
 
-    private void settle(Request in, Runnable settled, RequestCounters.RequestResult end, Runnable answer) {
-        tally.requestEnded(in.serviceClass(), end);
-        settled.run();
-        answer.run();
+    private void finish(Request request, Runnable onAnswered, RequestCounters.RequestResult result, Runnable response) {
+        counters.requestEnded(request.serviceClass(), result);
+        onAnswered.run();
+        response.run();
     }
 
     /**
@@ -111,16 +111,16 @@
      * @param mayHaveRun whether the call may have run already, or is being executed
      */
     boolean clientGone(String id, BooleanSupplier mayHaveRun) {
-        Asker asker = waiting.get(id);
-        if (asker != null) {
-            asker.end(RequestCounters.RequestResult.GONE, () -> { });
+        Duplicate duplicate = duplicates.get(id);
+        if (duplicate != null) {
+            duplicate.end(RequestCounters.RequestResult.GONE, () -> { });
             return true;
         }
         Run run = runs.get(id);
         if (run == null) {
             return false;
         }
-        run.first = null;
+        run.client = null;
         if (!run.joined.isEmpty() || mayHaveRun.getAsBoolean()) {
             return true;
         }
@@ -133,41 +133,41 @@
      * response was given here.
      */
     boolean answerNow(String id) {
-        Asker asker = waiting.get(id);
-        if (asker != null) {
-            asker.end(RequestCounters.RequestResult.REFUSED, () -> asker.client.refusedMayHaveRun(0));
+        Duplicate duplicate = duplicates.get(id);
+        if (duplicate != null) {
+            duplicate.end(RequestCounters.RequestResult.REFUSED, () -> duplicate.client.refusedMayHaveRun(0));
             return true;
         }
         Run run = runs.get(id);
-        if (run == null || run.first == null) {
+        if (run == null || run.client == null) {
             return run != null;
         }
-        ResponseHandler<C> first = run.first;
-        run.first = null;
-        first.refusedMayHaveRun(0);
+        ResponseHandler<C> client = run.client;
+        run.client = null;
+        client.refusedMayHaveRun(0);
         return true;
     }
 
     /** A request that waits for the outcome of an open call with the same key. */
-    private final class Asker {
-        private final Request in;
+    private final class Duplicate {
+        private final Request request;
         private final ResponseHandler<C> client;
-        private final Runnable settled;
+        private final Runnable onAnswered;
         private final Run run;
-        private Timers.Timer timeUp;
+        private Timers.Timer timeout;
 
-        Asker(Request in, ResponseHandler<C> client, Runnable settled, Run run) {
-            this.in = in;
+        Duplicate(Request request, ResponseHandler<C> client, Runnable onAnswered, Run run) {
+            this.request = request;
             this.client = client;
-            this.settled = settled;
+            this.onAnswered = onAnswered;
             this.run = run;
         }
 
-        void end(RequestCounters.RequestResult end, Runnable answer) {
-            if (waiting.remove(in.id()) != null) {
+        void end(RequestCounters.RequestResult result, Runnable response) {
+            if (duplicates.remove(request.id()) != null) {
                 run.joined.remove(this);
-                timeUp.cancel();
-                settle(in, settled, end, answer);
+                timeout.cancel();
+                finish(request, onAnswered, result, response);
             }
         }
     }
@@ -178,77 +178,77 @@
     private final class Run implements ResponseHandler<C> {
         private final String key;
         private final String id;
-        private final List<Asker> joined = new ArrayList<>();
-        private ResponseHandler<C> first;
+        private final List<Duplicate> joined = new ArrayList<>();
+        private ResponseHandler<C> client;
 
-        Run(String key, String id, ResponseHandler<C> first) {
+        Run(String key, String id, ResponseHandler<C> client) {
             this.key = key;
             this.id = id;
-            this.first = first;
+            this.client = client;
         }
 
-        void end(IdempotencyRecords.CallResult how) {
+        void end(IdempotencyRecords.CallResult callResult) {
             runs.remove(id);
-            outcomes.callEnded(timers.now(), key, id, how);
+            records.callEnded(timers.now(), key, id, callResult);
         }
 
-        private void tell(IdempotencyRecords.CallResult how, RequestCounters.RequestResult counted,
-                               java.util.function.Consumer<ResponseHandler<C>> answer) {
-            end(how);
-            if (first != null) {
-                answer.accept(first);
+        private void answerAll(IdempotencyRecords.CallResult callResult, RequestCounters.RequestResult result,
+                               java.util.function.Consumer<ResponseHandler<C>> response) {
+            end(callResult);
+            if (client != null) {
+                response.accept(client);
             }
-            List.copyOf(joined).forEach(a -> a.end(counted, () -> answer.accept(a.client)));
+            List.copyOf(joined).forEach(d -> d.end(result, () -> response.accept(d.client)));
         }
 
         @Override
         public void reason(Reason why) {
-            if (first != null) {
-                first.reason(why);
+            if (client != null) {
+                client.reason(why);
             }
-            joined.forEach(a -> a.client.reason(why));
+            joined.forEach(d -> d.client.reason(why));
         }
 
         @Override
-        public void served(NodeResponse<C> answer) {
-            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
-                    c -> c.served(answer));
+        public void served(NodeResponse<C> response) {
+            answerAll(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
+                    c -> c.served(response));
         }
 
         @Override
-        public void recorded(String call) {
-            tell(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
-                    c -> c.recorded(call));
+        public void recorded(String callId) {
+            answerAll(IdempotencyRecords.CallResult.SERVED, RequestCounters.RequestResult.SERVED,
+                    c -> c.recorded(callId));
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
+            answerAll(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
                     c -> c.refused(retryAfterMs));
         }
 
         @Override
         public void limited(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
+            answerAll(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.REFUSED,
                     c -> c.limited(retryAfterMs));
         }
 
         @Override
         public void refusedMayHaveRun(double retryAfterMs) {
-            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.REFUSED,
+            answerAll(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.REFUSED,
                     c -> c.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
         public void failed() {
-            tell(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.FAILED,
+            answerAll(IdempotencyRecords.CallResult.MAY_HAVE_RUN, RequestCounters.RequestResult.FAILED,
                     ResponseHandler::failed);
         }
 
         @Override
         public void conflict() {
             // Another gateway has recorded the key with another request: nothing of this one ran.
-            tell(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.FAILED,
+            answerAll(IdempotencyRecords.CallResult.NOTHING_RAN, RequestCounters.RequestResult.FAILED,
                     ResponseHandler::conflict);
         }
     }
