--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -370,7 +370,7 @@
             action.run();
             return true;
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            faults.error("a decision or its execution failed", e);
+            faults.error("the routing policy or one of its actions failed", e);
             return false;
         } catch (Error e) {
             abandonPolicy(e);
@@ -384,7 +384,7 @@
             return;
         }
         abandoned = true;
-        faults.fatal("the decisions failed for good", cause);
+        faults.fatal("the routing policy failed and is not called again", cause);
         List.copyOf(calls.values()).forEach(this::answerAfterFailure);
     }
 
@@ -408,7 +408,7 @@
     /** The policy must have answered before this runs; without this backstop the request would never be answered. */
     private void overdue(Call<C> call) {
         if (!call.finished) {
-            faults.warning("no answer was decided in time for " + call.request.id());
+            faults.warning("the routing policy did not answer a request in time: " + call.request.id());
             if (call.inFlight != null) {
                 call.inFlight.cancel();
             }
