--- a/core/src/main/java/ridgemill/core/RequestCounters.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -147,7 +147,8 @@
         return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed()
                 + " gone=" + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
                 .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" "))
-                + (reasons.isEmpty() ? "" : " reasons: " + Arrays.stream(Reason.values()).filter(r -> reasonCount(r) > 0)
+                + (reasons.isEmpty() ? "" : " reasons: " + Arrays.stream(Reason.values())
+                        .filter(r -> reasonCount(r) > 0)
                 .map(r -> r.code() + "=" + reasonCount(r)).collect(Collectors.joining(" ")));
     }
 }
--- a/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
@@ -9,9 +9,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Which connection is closed when room is needed. */
 class ConnectionEvictionTest {
 
-    private record Seen(String name, boolean isBusy, boolean isKeepAlive, boolean wasRead, boolean hasPartialRequest, double lastActivityMs)
+    private record Seen(String name, boolean isBusy, boolean isKeepAlive, boolean wasRead,
+            boolean hasPartialRequest, double lastActivityMs)
             implements ConnectionEviction.Candidate { }
 
     private static final double NOW = 10_000;
@@ -39,7 +41,8 @@
     @Test
     void whoSaysNothingGoesFirstAndWhoGoesOnWritingStays() {
         Seen slow = writing("slow", NOW - 100);
-        assertEquals("silent", goes(BUSY, slow, silent("silent", NOW - 50), writing("stopped", NOW - 2000), kept("kept", NOW - 3000)));
+        assertEquals("silent", goes(BUSY, slow, silent("silent", NOW - 50), writing("stopped", NOW - 2000),
+                kept("kept", NOW - 3000)));
         assertEquals("old", goes(silent("new", NOW - 5), silent("old", NOW - 50)));
         assertEquals("stopped", goes(BUSY, slow, writing("stopped", NOW - 700), kept("kept", NOW - 3000)));
         assertEquals("kept", goes(BUSY, slow, writing("halting", NOW - 300), kept("kept", NOW - 3000)));
@@ -54,7 +57,7 @@
         assertEquals("silent", goes(kept("kept", 0), UNREAD, silent("silent", NOW - 3)));
     }
 
-    /** In virtual time: stoppers come all the time, and a request that is written over 2 s keeps its place. */
+    /** In simulated time: clients that stop keep arriving, and a request that is sent over 2 s keeps its connection. */
     @Test
     void aSlowWriterEndsAmongThoseThatStopHalfWay() {
         long seed = new SplittableRandom().nextLong();
--- a/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
@@ -9,7 +9,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Who is turned away calls, others hear it; and a fleet that is larger than a node's table comes to share it. */
+/**
+ * A rejected proxy asks the others to release idle connections, so that more proxies than a node has connection slots
+ * share them.
+ */
 class ConnectionReleaseRequestsTest {
 
     @Test
@@ -30,17 +33,19 @@
         for (int length = 0; length <= 256; length++) {
             byte[] other = new byte[length];
             Arrays.fill(other, (byte) 'R');
-            assertTrue(length == call.length || !ConnectionReleaseRequests.isReleaseRequest(other), "length " + length);
+            assertTrue(length == call.length || !ConnectionReleaseRequests.isReleaseRequest(other),
+                    "length " + length);
             assertFalse(ConnectionReleaseRequests.isForNode(other, "s-0265a7b5"));
         }
         call[0] = 'S';
         assertFalse(ConnectionReleaseRequests.isReleaseRequest(call));
     }
 
-    /** Fourteen proxies, a node that takes ten connections, and a request of each every 0.9 s on average. */
+    /** Fourteen proxies, a node that takes ten connections, and one request per proxy every 0.9 s on average. */
     @Test
     void noProxyIsKeptOutOfATableSmallerThanTheFleet() {
-        assertTrue(mostTurnedAway(false) > 0.95, "without calls some proxies never get in");
+        assertTrue(mostTurnedAway(false) > 0.95,
+                "without calls some proxies never get in");
         double shared = mostTurnedAway(true);
         assertTrue(shared < 0.25, "turned away " + shared);
     }
@@ -74,7 +79,8 @@
                 byte[] call = calls[p].connectionRejected("n", now);
                 for (int other = 0; calling && call != null && other < proxies; other++) {
                     // One datagram in ten is lost.
-                    if (now - idleSince[other] >= ConnectionReleaseRequests.IDLE_THRESHOLD_MS && random.nextInt(10) > 0) {
+                    if (now - idleSince[other] >= ConnectionReleaseRequests.IDLE_THRESHOLD_MS
+                            && random.nextInt(10) > 0) {
                         connected[other] = false;
                     }
                 }
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -26,17 +26,22 @@
 import ridgemill.policy.Router.WeightMode;
 import ridgemill.policy.Router;
 
-/** Whatever the module asks for: one final answer a request, one attempt out at a time, none past its limits. */
+/**
+ * Checks that, whatever the routing policy requests, each request gets one final response, has one attempt in flight at
+ * a time and stays within its limits.
+ */
 class DispatcherTest {
 
     private static final int MAX_ATTEMPTS = 4;
     private static final double SLACK_MS = 20;
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1,
-            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false)), List.of(), 1, false,
-            new PlatformLimits(MAX_ATTEMPTS, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, SLACK_MS, 0),
+            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false)),
+            List.of(), 1, false,
+            new PlatformLimits(MAX_ATTEMPTS, true, true, false, true, 1000, false, 100),
+            new PlatformRules(0, 1, 0, 1, 1000, SLACK_MS, 0),
             false, WeightMode.NONE, null);
 
-    /** One exchange as a scripted back has it. */
+    /** An exchange of the scripted backend. */
     private final class Sent implements Backend.Exchange {
         private final Attempt<String> attempt;
         private final Backend.Listener<String> done;
@@ -88,7 +93,7 @@
         }
     }
 
-    /** A client that keeps what it was told. */
+    /** Records the responses that a client gets. */
     private static final class Told implements ResponseHandler<String> {
         final List<String> answers = new ArrayList<>();
 
@@ -108,7 +113,7 @@
         }
     }
 
-    /** A module that does as the test says on a request and on the end of an attempt. */
+    /** The policy of a test: reacts to an event of a request. */
     private interface Script {
         void decide(String event, String request, Actions actions);
     }
@@ -242,7 +247,9 @@
         assertEquals(List.of("served v"), b.answers);
     }
 
-    /** An error, as a class that can't be loaded: the module is not asked again, and nobody waits for it. */
+    /**
+     * After an error such as a class that cannot be loaded, the policy is not called again and no request waits for it.
+     */
     @Test
     void aModuleThatCannotGoOnIsNotAskedAgainAndOwesNothing() {
         List<String> asked = new ArrayList<>();
@@ -286,12 +293,12 @@
         assertTrue(out.isEmpty());
     }
 
-    /** What can't be answered in time has its final answer before it is sent, and the module hears that it is over. */
+    /** A request that cannot be answered in time gets its final response without a send, and the policy is informed. */
     @Test
     void whatComesTooLateIsNotSent() {
         Deadlines deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
-        Dispatcher<String> timed = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(), new ScriptedBack(), quiet(),
-                service -> { }, 100, deadlines.group(""));
+        Dispatcher<String> timed = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
+                new ScriptedBack(), quiet(), service -> { }, 100, deadlines.group(""));
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
@@ -299,13 +306,15 @@
         };
         for (int i = 0; i < 60; i++) {
             Told told = new Told();
-            timed.submit(new Request("r" + i, "read", null, 1, 0, 1000, false, false), new Command<>(false, "/api/k", null, ""), told);
+            timed.submit(new Request("r" + i, "read", null, 1, 0, 1000, false, false),
+                    new Command<>(false, "/api/k", null, ""), told);
             timers.pass(100);
             out.get(0).end(Outcome.OK);
         }
         int sent = all.size();
         Told late = new Told();
-        timed.submit(new Request("late", "read", null, 1, 0, 50, false, false), new Command<>(false, "/api/k", null, ""), late);
+        timed.submit(new Request("late", "read", null, 1, 0, 50, false, false),
+                new Command<>(false, "/api/k", null, ""), late);
         assertEquals(List.of("refused 0.0"), late.answers, "at once, and nothing ran");
         assertEquals(sent, all.size());
         assertEquals(Outcome.NEVER_SENT, ends.get(ends.size() - 1).outcome());
@@ -314,7 +323,7 @@
         assertEquals(1, deadlines.dropped());
     }
 
-    /** A connection that took longer to come up than its request had: nothing is written on it. */
+    /** Nothing is written to a connection that took longer to establish than its request had left. */
     @Test
     void whatItsClientLeftOrIsTooLateMayNotBeWrittenAnyMore() {
         script = (event, request, actions) -> {
@@ -351,7 +360,7 @@
         assertEquals(0, dispatcher.pendingRequests());
     }
 
-    /** A module that asks for anything at any time, from a seed. */
+    /** The policy requests random actions at random times; the seed is printed. */
     @Test
     void noWishOfTheModuleBreaksWhatIsKept() {
         long seed = System.nanoTime();
@@ -403,7 +412,8 @@
             assertEquals(left.get(i) ? 0 : 1, told.get(i).answers.size(), "r" + i + ", seed " + seed);
         }
         all.stream().map(s -> s.attempt.requestId()).distinct().forEach(id -> assertTrue(
-                all.stream().filter(s -> s.attempt.requestId().equals(id)).count() <= MAX_ATTEMPTS, "seed " + seed));
+                all.stream().filter(s -> s.attempt.requestId().equals(id)).count() <= MAX_ATTEMPTS,
+                "seed " + seed));
         assertEquals(0, dispatcher.pendingRequests());
     }
 }
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -28,15 +28,19 @@
 import ridgemill.policy.Router;
 import ridgemill.route.RouteQuery;
 
-/** Requests that wait in line have one final answer like all others, and keep to their turns, their time and their group. */
+/**
+ * Checks that queued requests get one final response and keep to their order, their time budget and their node group.
+ */
 class IntakeTest {
 
-    private static final ServiceClass READ = new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE, DeduplicationScope.ALL, 0, false);
+    private static final ServiceClass READ = new ServiceClass("read", 500, 0, 1500, 1, 0, Effect.SAFE,
+            DeduplicationScope.ALL, 0, false);
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1, List.of(READ), List.of(), 1, false,
-            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
+            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100),
+            new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
             WeightMode.NONE, null);
 
-    /** A gate of one limiter; the group is the first segment of the path. */
+    /** An admission controller with one limiter; the node group is the first segment of the path. */
     private static final class LimiterGate implements AdmissionController {
         private final Limiter limiter;
 
@@ -49,7 +53,8 @@
             Limiter.Verdict verdict = limiter.admit(nowMs, a.id(), a.query().tenant(), "read", a.retry());
             String group = a.query().path().split("/")[1].replace("api", "");
             return verdict instanceof Limiter.Refused r ? new Rejected(r.reason().name(), r.retryAfterMs())
-                    : verdict instanceof Limiter.Queued q ? new Admitted(READ, a.budgetMs(), group, q.maxWaitMs(), q.displaced())
+                    : verdict instanceof Limiter.Queued q
+                            ? new Admitted(READ, a.budgetMs(), group, q.maxWaitMs(), q.displaced())
                     : new Admitted(READ, a.budgetMs(), group, 0, null);
         }
 
@@ -69,7 +74,7 @@
         }
     }
 
-    /** Sends each request to one node, refuses what fails. */
+    /** Sends each request to the same node and fails it if its attempt fails. */
     private static final class Simple implements Router {
         private final List<Request> seen = new ArrayList<>();
 
@@ -111,7 +116,7 @@
         public void onPeerMessage(double now, int from, byte[] contents, Actions out) { }
     }
 
-    /** Attempts that are out, by request; each ends when the test says so or its time is up. */
+    /** Holds the attempts in flight by request id; each ends when the test ends it or at its timeout. */
     private final class Held implements Backend<String> {
         private final Map<String, Listener<String>> out = new LinkedHashMap<>();
 
@@ -193,7 +198,8 @@
 
     private Told ask(String id, String path, String tenant, double budgetMs) {
         Told told = new Told();
-        AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(id, new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
+        AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(id,
+                new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
         if (entry instanceof AdmissionController.Rejected refuse) {
             intake.countRejected(null);
             told.limited(refuse.retryAfterMs());
@@ -301,7 +307,9 @@
         assertEquals(0, intake.pendingRequests());
     }
 
-    /** From a seed: whatever comes when, one answer each, and never more out than the limit. */
+    /**
+     * Requests, ends and disconnects in random order: one response each, and never more attempts than the limit allows.
+     */
     @Test
     void eachHasOneAnswerAndNeverMoreAreOutThanMayBe() {
         long seed = System.nanoTime();
@@ -324,12 +332,14 @@
             if (random.nextInt(200) == 0) {
                 intake.rejectQueuedIf(go -> true);
             }
-            // Not within a step: one whose client has left is cancelled after the next has its turn.
+            // Checked between steps only: within one, the attempt of a disconnected client is cancelled after the next
+            // starts.
             assertTrue(back.out.size() <= 5, back.out.size() + " are out, seed " + seed);
             timers.pass(random.nextInt(12));
         }
         timers.pass(1000);
-        told.forEach((id, t) -> assertEquals(left.contains(id) ? 0 : 1, t.answers.size(), id + ", seed " + seed));
+        told.forEach((id, t) -> assertEquals(left.contains(id) ? 0 : 1, t.answers.size(),
+                id + ", seed " + seed));
         assertEquals(0, intake.pendingRequests());
         assertEquals(5000, intake.counters().requests());
         for (String kind : List.of("served", "limited", "failed")) {
--- a/core/src/test/java/ridgemill/core/ManualTimers.java
+++ b/core/src/test/java/ridgemill/core/ManualTimers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Time that passes when a test says so. */
+/** Timers whose time advances only when a test calls {@link #pass}. */
 final class ManualTimers implements Timers {
 
     private record Task(double atMs, long order, Runnable run) { }
@@ -26,7 +26,7 @@
         return () -> tasks.remove(task);
     }
 
-    /** Lets so much time pass and runs what comes due, in order. */
+    /** Advances the time by {@code ms} and runs the tasks that become due, in order. */
     void pass(double ms) {
         double end = now + ms;
         for (Optional<Task> next = due(end); next.isPresent(); next = due(end)) {
--- a/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
+++ b/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
@@ -31,15 +31,23 @@
 import ridgemill.policy.Router.WeightMode;
 import ridgemill.policy.Router;
 
-/** Keyed writes whose clients leave, ask again or never come back, under the project's own decisions on passed-in time. */
+/**
+ * Writes with idempotency keys whose clients disconnect, retry or never return, with the real routing policy on
+ * simulated time.
+ */
 class WriteDeduplicatorTest {
 
-    private static final ServiceClass PAY = new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED, DeduplicationScope.ALL, 6000, false);
+    private static final ServiceClass PAY = new ServiceClass("pay", 500, 0, 1500, 1, 0, Effect.KEYED,
+            DeduplicationScope.ALL, 6000, false);
     private static final Settings SETTINGS = new Settings(0, 1, "a", 1, List.of(PAY), List.of(), 1, false,
-            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
+            new Router.PlatformLimits(4, true, true, false, true, 1000, false, 100),
+            new PlatformRules(0, 1, 0, 1, 1000, 20, 0), false,
             WeightMode.NONE, "origin");
 
-    /** A store that drops the repeats of a key for its window, and answers, resets or stays silent as it is told. */
+    /**
+     * An origin that drops duplicates of a key for its window; the test decides when it executes and how an exchange
+     * ends.
+     */
     private final class StoreBack implements Backend<String> {
         private final Map<String, Listener<String>> out = new LinkedHashMap<>();
         private final Map<String, Double> firstRan = new HashMap<>();
@@ -58,7 +66,7 @@
             return () -> end(id, Outcome.CANCELLED);
         }
 
-        /** It runs, whether or not its answer comes. */
+        /** Executes a write, independent of whether its response arrives. */
         void run(String id) {
             String key = attempts.get(id).command().idempotencyKey();
             Double first = firstRan.get(key);
@@ -71,7 +79,8 @@
         void end(String id, Outcome outcome) {
             Listener<String> done = out.remove(id);
             if (done != null) {
-                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.NO_CACHE_STATUS) : null);
+                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.NO_CACHE_STATUS)
+                        : null);
             }
         }
 
@@ -129,7 +138,8 @@
                 open--;
             }
         }, new Deadlines(DeadlinePolicy.DEFAULT));
-        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store, new FaultReporter() {
+        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store,
+                new FaultReporter() {
             @Override
             public void error(String what, Throwable cause) {
                 throw new AssertionError(what, cause);
@@ -141,7 +151,8 @@
             }
         }, intake::requestFinished, 1000, intake.deadlines().group(Intake.PLATFORM_GROUP));
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        intake.setDeduplicator(new WriteDeduplicator<>(timers, new IdempotencyRecords(kept, 60_000), c -> c.content().hashCode()));
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, new IdempotencyRecords(kept, 60_000),
+                c -> c.content().hashCode()));
         dispatcher.start();
         dispatcher.updateNodes(ListUpdateKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
                 new Node("c0", "std", "a", 0, 1, 0, Availability.UP)));
@@ -154,7 +165,8 @@
     private Told pay(String id, String key, double budgetMs, String content) {
         Told told = new Told();
         open++;
-        intake.submit(new AdmissionController.Admitted(PAY, budgetMs), new Request(id, "pay", "acme", 1, 0, budgetMs, true, false),
+        intake.submit(new AdmissionController.Admitted(PAY, budgetMs),
+                new Request(id, "pay", "acme", 1, 0, budgetMs, true, false),
                 new Command<>(true, "/api/k", key, content), told);
         return told;
     }
@@ -213,7 +225,7 @@
     void aClientThatLeavesBeforeAnyByteIsOutTakesItsRequestAlong() {
         pay("a", "k", 1000);
         store.end("a", Outcome.CONNECT_FAILED);
-        // A second attempt is out or not; where none may have run, nothing is recorded.
+        // A second attempt may be in flight. If none can have run, nothing is recorded.
         if (store.out.containsKey("a")) {
             store.end("a", Outcome.CONNECT_FAILED);
         }
@@ -230,7 +242,8 @@
         assertEquals(1, a.answers.size());
         assertEquals(IdempotencyRecord.State.UNKNOWN, intake.findLocalOutcome("k", "acme").state());
         timers.pass(PAY.deduplicationWindowMs());
-        assertEquals(List.of("failed"), pay("late", "k", 1000).answers, "nodes have forgotten it: nobody can find out by running it");
+        assertEquals(List.of("failed"), pay("late", "k", 1000).answers,
+                "nodes have forgotten it: nobody can find out by running it");
         assertEquals(1, store.effects.get("k"));
         settled();
     }
@@ -259,7 +272,10 @@
         settled();
     }
 
-    /** Leaving, asking again, resets, silence and late asks in any order: one effect a key, one answer a client that stays. */
+    /**
+     * Disconnects, retries, resets, timeouts and late requests in random order: one effect per key, one response per
+     * client.
+     */
     @Test
     void whateverClientsAndTheStoreDoEachKeyHasOneEffect() {
         long seed = System.nanoTime();
@@ -302,7 +318,8 @@
         store.effects.forEach((key, n) -> assertEquals(1, n, key + ", seed " + seed));
         asked.forEach((key, of) -> {
             boolean served = of.stream().anyMatch(i -> told.get(i).answers.contains("served"));
-            assertTrue(!served || store.effects.containsKey(key), key + " was told as done and never ran, seed " + seed);
+            assertTrue(!served || store.effects.containsKey(key),
+                    key + " was told as done and never ran, seed " + seed);
         });
         settled();
     }
--- a/core/src/test/java/ridgemill/deadline/DeadlineTest.java
+++ b/core/src/test/java/ridgemill/deadline/DeadlineTest.java
@@ -13,7 +13,7 @@
 import ridgemill.deadline.ClientTimeout.RawValue;
 import ridgemill.deadline.ClientTimeout.Format;
 
-/** What a time is made of, on time that is passed in. */
+/** Tests of deadlines and of the timings that they rest on, on simulated time. */
 class DeadlineTest {
 
     private static final double NOW = 1_700_000_000_000.0;
@@ -23,16 +23,22 @@
         "GRPC,100m,100", "GRPC,2S,2000", "GRPC,1H,3600000", "GRPC,500u,0.5", "GRPC,99999999n,99.999999", "GRPC,0m,0",
         "UNIX_MS,1700000000250,250", "UNIX_MS,1699999999000,0", "SECONDS,-0,0"})
     void aTimeIsReadInEachForm(Format form, String text, double ms) {
-        assertEquals(ms, assertInstanceOf(ClientTimeout.Remaining.class, ClientTimeout.parse(List.of(new RawValue(form, text)), NOW)).ms(), 1e-6);
+        assertEquals(ms,
+                assertInstanceOf(ClientTimeout.Remaining.class,
+                ClientTimeout.parse(List.of(new RawValue(form, text)), NOW)).ms(), 1e-6);
     }
 
     @ParameterizedTest
-    @CsvSource(value = {"SECONDS|NaN|no number", "SECONDS|Infinity|no number", "SECONDS|1e3|no number", "SECONDS|0x10|no number",
-        "SECONDS||no number", "SECONDS|1,5|no number", "SECONDS|1 2|no number", "SECONDS|.|no number", "SECONDS|-|no number",
+    @CsvSource(value = {"SECONDS|NaN|no number", "SECONDS|Infinity|no number", "SECONDS|1e3|no number",
+        "SECONDS|0x10|no number",
+        "SECONDS||no number", "SECONDS|1,5|no number", "SECONDS|1 2|no number", "SECONDS|.|no number",
+        "SECONDS|-|no number",
         "SECONDS|-0.1|negative", "SECONDS|3600.1|over an hour", "SECONDS|99999999999999999999999999999999|over an hour",
         "SECONDS|999999999999999999999999999999999999|no number",
-        "GRPC|100|no number", "GRPC|m|no number", "GRPC|123456789m|no number", "GRPC|-1m|no number", "GRPC|1.5S|no number",
-        "GRPC|2H|over an hour", "GRPC|5x|no number", "UNIX_MS|-1|negative", "UNIX_MS|1800000000000|over an hour"}, delimiter = '|')
+        "GRPC|100|no number", "GRPC|m|no number", "GRPC|123456789m|no number", "GRPC|-1m|no number",
+        "GRPC|1.5S|no number",
+        "GRPC|2H|over an hour", "GRPC|5x|no number", "UNIX_MS|-1|negative", "UNIX_MS|1800000000000|over an hour"},
+        delimiter = '|')
     void nonsenseHasOneOutcomeEach(Format form, String text, String why) {
         ClientTimeout.Parsed read = ClientTimeout.parse(List.of(new RawValue(form, text == null ? "" : text)), NOW);
         assertTrue(assertInstanceOf(ClientTimeout.Invalid.class, read).reason().contains(why), read.toString());
@@ -42,11 +48,12 @@
     void theSameFormTwiceIsNonsenseAndOfSeveralFormsTheShortestHolds() {
         RawValue half = new RawValue(Format.SECONDS, "0.5");
         assertInstanceOf(ClientTimeout.Invalid.class, ClientTimeout.parse(List.of(half, half), NOW));
-        assertEquals(new ClientTimeout.Remaining(200), ClientTimeout.parse(List.of(half, new RawValue(Format.GRPC, "200m")), NOW));
+        assertEquals(new ClientTimeout.Remaining(200),
+                ClientTimeout.parse(List.of(half, new RawValue(Format.GRPC, "200m")), NOW));
         assertInstanceOf(ClientTimeout.Absent.class, ClientTimeout.parse(List.of(), NOW));
     }
 
-    /** Whatever comes, it is read to a time within bounds or called unfit. */
+    /** Any text is either parsed to a timeout within bounds or invalid. */
     @Test
     void noTextIsReadToATimeOutOfBounds() {
         long seed = System.nanoTime();
@@ -59,7 +66,8 @@
                 text.append(alphabet.charAt(random.nextInt(random.nextBoolean() ? 11 : alphabet.length())));
             }
             Format form = Format.values()[random.nextInt(Format.values().length)];
-            if (ClientTimeout.parse(List.of(new RawValue(form, text.toString())), NOW) instanceof ClientTimeout.Remaining l) {
+            if (ClientTimeout.parse(List.of(new RawValue(form, text.toString())), NOW)
+                    instanceof ClientTimeout.Remaining l) {
                 assertTrue(l.ms() >= 0 && l.ms() <= ClientTimeout.MAX_MS, text + ", seed " + seed);
             }
         }
@@ -82,9 +90,11 @@
         assertEquals(Verdict.GO, times.checkSend(300, 0, 40, false, true), "caches are another matter");
         assertEquals(Verdict.LATE, times.checkStage(RequestStage.LINE, 300, 40));
         assertEquals(Verdict.LATE, times.checkWrite(300, 40, true));
-        assertTrue(times.minRemainingMs(300) > 60 && times.minRemainingMs(300) <= 100, "" + times.minRemainingMs(300));
+        assertTrue(times.minRemainingMs(300) > 60 && times.minRemainingMs(300) <= 100,
+                "" + times.minRemainingMs(300));
         assertEquals(3L, all.dropped());
-        assertEquals(Verdict.GO, times.checkSend(300 + ResponseTimes.RETENTION_MS, 0, 40, true, true), "it may be quicker by now");
+        assertEquals(Verdict.GO, times.checkSend(300 + ResponseTimes.RETENTION_MS, 0, 40, true, true),
+                "it may be quicker by now");
     }
 
     @Test
@@ -98,7 +108,7 @@
         assertTrue(times.medianMs(100) > 70 && times.medianMs(100) <= 100);
     }
 
-    /** Clients that leave at 300 ms, of a store that takes 400: nobody reads what it answers, but for the few that are tried. */
+    /** Clients leave after 300 ms and the origin takes 400: its responses go unread, so only a few trials are sent. */
     @Test
     void whatWouldEndUnreadIsNotSentAndIsLearnedAnewWhenClientsStay() {
         Deadlines all = new Deadlines(DeadlinePolicy.DEFAULT);
@@ -116,7 +126,8 @@
             }
         }
         assertTrue(sent >= 40 && sent < 120, sent + " were sent: a few to learn from, and then one in so many");
-        assertEquals(Verdict.GO, times.checkSend(now, 0, 1400, false, true), "a first look at a cache always goes");
+        assertEquals(Verdict.GO, times.checkSend(now, 0, 1400, false, true),
+                "a first look at a cache always goes");
         int back = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
@@ -165,7 +176,8 @@
         assertEquals(0, watch.maxAgeMs(150), "a beat that is a little late is usual");
         assertEquals(3000 - 120, watch.maxAgeMs(3000), "read in the turn that follows, before the beat");
         watch.tick(3000);
-        assertEquals(3010 - 120, watch.maxAgeMs(3010), "what came during a stall is not all read in one turn");
+        assertEquals(3010 - 120, watch.maxAgeMs(3010),
+                "what came during a stall is not all read in one turn");
         for (double t = 3020; t <= 4000; t += LoopStallDetector.TICK_INTERVAL_MS) {
             watch.tick(t);
         }
@@ -201,7 +213,8 @@
             times.attemptAnswered(i, 60, true, false);
             times.attemptAnswered(i, 72, true, true);
         }
-        assertTrue(times.shouldCloseConnection(300, 5, true), "most of 60 ms is to come, and a handshake costs 12");
+        assertTrue(times.shouldCloseConnection(300, 5, true),
+                "most of 60 ms is to come, and a handshake costs 12");
         assertFalse(times.shouldCloseConnection(300, 58, true), "its answer is all but there");
         assertTrue(times.shouldCloseConnection(300, 500, true), "it is so late that it may never come");
         int closed = 0;
@@ -209,6 +222,7 @@
             closed += times.shouldCloseConnection(300 + i * 10, 5, true) ? 1 : 0;
         }
         assertTrue(closed < 100, closed + " in 5 s: handshakes may take a tenth of a core");
-        assertTrue(times(new Deadlines(DeadlinePolicy.DEFAULT)).shouldCloseConnection(0, 58, true), "without the weighing all are closed");
+        assertTrue(times(new Deadlines(DeadlinePolicy.DEFAULT)).shouldCloseConnection(0, 58, true),
+                "without the weighing all are closed");
     }
 }
--- a/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
+++ b/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How old what is read may be, after a loop stood still. */
+/** How old a message may be that is read after the event loop stalled. */
 class LoopStallDetectorTest {
 
     private final LoopStallDetector watch = new LoopStallDetector();
 
-    /** Beats at their times, each so late, from one time to another. */
+    /** Ticks from one time to another, each late by {@code lateMs}; returns when the next one is due. */
     private double beats(double from, double to, double late) {
         double at = from;
         while (at < to) {
@@ -26,7 +26,7 @@
         assertEquals(0, watch.maxAgeMs(1000));
     }
 
-    /** The beat comes after what the same turn read. */
+    /** An iteration of the loop reads messages before it ticks. */
     @Test
     void whatIsReadBeforeTheFirstBeatAfterAStopMayBeAsOldAsTheStop() {
         beats(0, 1000, 0);
@@ -35,7 +35,7 @@
         assertEquals(2490, watch.maxAgeMs(3490), 20);
     }
 
-    /** A backlog of seconds takes longer to read than the first moments. */
+    /** A backlog of seconds is not read at once. */
     @Test
     void afterALongStopWhatIsReadMayBeOldForAWhile() {
         beats(0, 1000, 0);
@@ -55,7 +55,7 @@
         assertTrue(watch.maxAgeMs(3680) > 2600, () -> "age " + watch.maxAgeMs(3680));
     }
 
-    /** A second of service is the most that it may cost. */
+    /** Messages may be taken to be too old for one second at most. */
     @Test
     void aStopOfMinutesIsCaughtUpWithInASecond() {
         beats(0, 1000, 0);
@@ -72,18 +72,20 @@
         assertEquals(0, watch.maxAgeMs(later));
     }
 
-    /** It reads between its turns, so that nothing waits for longer than some of these. */
+    /** The loop reads in each iteration, so no message waits for longer than a few iterations. */
     @Test
     void aLoopThatIsBusyForGoodTakesNothingForOlderThanTwoOfItsTurns() {
         beats(0, 1000, 0);
         for (double at = 1000; at < 20_000; at += LoopStallDetector.TICK_INTERVAL_MS + 130) {
-            assertTrue(watch.maxAgeMs(at) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(at) + " at " + at);
+            assertTrue(watch.maxAgeMs(at) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130),
+                    "age " + watch.maxAgeMs(at) + " at " + at);
             watch.tick(at);
-            assertTrue(watch.maxAgeMs(at + 5) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(at + 5) + " after " + at);
+            assertTrue(watch.maxAgeMs(at + 5) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130),
+                    "age " + watch.maxAgeMs(at + 5) + " after " + at);
         }
     }
 
-    /** What a process could not read for stalls is still to be read after them. */
+    /** Messages that could not be read because of further stalls still have to be read after them. */
     @Test
     void stallsWhileALongStopIsCaughtUpWithPutItsEndOff() {
         beats(0, 1000, 0);
@@ -98,12 +100,13 @@
         assertEquals(0, watch.maxAgeMs(beats(now, now + 1000, 0)));
     }
 
-    /** And not for ever, where it is busy for good. */
+    /** A permanently busy loop does not extend the time of catching up forever. */
     @Test
     void aBusyLoopHasCaughtUpSomeSecondsAfterALongStop() {
         beats(0, 1000, 0);
         watch.tick(3500);
         double now = beats(3520, 8000, 130);
-        assertTrue(watch.maxAgeMs(now) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130), "age " + watch.maxAgeMs(now));
+        assertTrue(watch.maxAgeMs(now) <= 2 * (LoopStallDetector.TICK_INTERVAL_MS + 130),
+                "age " + watch.maxAgeMs(now));
     }
 }
--- a/core/src/test/java/ridgemill/flow/TransferRateTest.java
+++ b/core/src/test/java/ridgemill/flow/TransferRateTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Limits on how slowly a node or a client may send. */
 class TransferRateTest {
 
     @Test
--- a/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
+++ b/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
@@ -12,7 +12,7 @@
 import ridgemill.idempotency.IdempotencyRecord.State;
 import ridgemill.idempotency.IdempotencyRecords.CallResult;
 
-/** The one outcome of a key, on time that is passed in. */
+/** Decisions by the record of an idempotency key, on simulated time. */
 class IdempotencyRecordsTest {
 
     private static final double WINDOW = 6000;
@@ -30,11 +30,13 @@
         assertEquals(new IdempotencyRecords.Execute(true), ask(0, "k", "a"));
         assertEquals(new IdempotencyRecords.Join("a"), ask(10, "k", "b"));
         outcomes.callEnded(20, "k", "a", CallResult.SERVED);
-        assertEquals(State.RECORDED, assertInstanceOf(IdempotencyRecords.Replay.class, ask(30, "k", "c")).record().state());
+        assertEquals(State.RECORDED,
+                assertInstanceOf(IdempotencyRecords.Replay.class, ask(30, "k", "c")).record().state());
         assertEquals("a", outcomes.find(KEEP, "k", "acme").callId());
         assertNull(outcomes.find(20 + KEEP + 1, "k", "acme"));
         assertNull(outcomes.find(30, "k", "other"), "it is not theirs");
-        assertEquals(new IdempotencyRecords.Execute(true), ask(20 + KEEP + 1, "k", "d"), "as new as any");
+        assertEquals(new IdempotencyRecords.Execute(true), ask(20 + KEEP + 1, "k", "d"),
+                "as new as any");
     }
 
     @Test
@@ -48,7 +50,8 @@
         assertEquals(State.RUNNING_AGAIN, store.get("k").state());
         outcomes.callEnded(5010, "k", "c", CallResult.NOTHING_RAN);
         assertEquals(State.UNKNOWN, store.get("k").state(), "the one before may have run all the same");
-        assertEquals(State.UNKNOWN, assertInstanceOf(IdempotencyRecords.Replay.class, ask(20 + WINDOW, "k", "d")).record().state(),
+        assertEquals(State.UNKNOWN,
+                assertInstanceOf(IdempotencyRecords.Replay.class, ask(20 + WINDOW, "k", "d")).record().state(),
                 "nodes have forgotten it, and running it could record it twice");
     }
 
@@ -69,13 +72,17 @@
         o.callEnded(1, "a", "1", CallResult.SERVED);
         o.begin(0, "b", "2", "t", 7, WINDOW);
         assertEquals(new IdempotencyRecords.Execute(false), o.begin(100, "c", "3", "t", 7, WINDOW));
-        assertEquals(new IdempotencyRecords.Execute(true), o.begin(WINDOW, "c", "4", "t", 7, WINDOW), "the first one's window is over");
+        assertEquals(new IdempotencyRecords.Execute(true), o.begin(WINDOW, "c", "4", "t", 7, WINDOW),
+                "the first one's window is over");
         assertNull(small.get("a"));
         assertTrue(small.get("b").isRunning(), "one that runs stays");
         assertEquals(1, small.evicted());
     }
 
-    /** Any order of asks and ends: one call at a time, nothing runs after it was recorded, none past its window. */
+    /**
+     * Requests and ends in random order: one call of a key at a time, none after the outcome was recorded, and none of
+     * unknown outcome after its window.
+     */
     @Test
     void noOrderOfEventsRunsAKeyTwice() {
         long seed = System.nanoTime();
--- a/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
+++ b/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
@@ -10,6 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Which event loop a new connection goes to. */
 class ConnectionDistributorTest {
 
     private static ConnectionDistributor of(int loops, int most) {
@@ -38,7 +39,7 @@
         for (int i = 0; i < 4; i++) {
             assertEquals(100, d.openConnections(i), "seed " + seed);
         }
-        // All of one loop's clients leave, and as many come again.
+        // All connections of one loop close, and as many new ones are opened.
         there.stream().filter(l -> l == 2).forEach(d::connectionClosed);
         for (int i = 0; i < 100; i++) {
             assertEquals(2, deal(d, 0));
@@ -50,8 +51,10 @@
                 there.add(deal(d, 0));
             }
         }
-        int least = Math.min(Math.min(d.openConnections(0), d.openConnections(1)), Math.min(d.openConnections(2), d.openConnections(3)));
-        int most = Math.max(Math.max(d.openConnections(0), d.openConnections(1)), Math.max(d.openConnections(2), d.openConnections(3)));
+        int least = Math.min(Math.min(d.openConnections(0), d.openConnections(1)),
+                Math.min(d.openConnections(2), d.openConnections(3)));
+        int most = Math.max(Math.max(d.openConnections(0), d.openConnections(1)),
+                Math.max(d.openConnections(2), d.openConnections(3)));
         assertTrue(most - least <= 20, "seed " + seed + ": " + least + " to " + most);
     }
 
