--- a/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
@@ -12,77 +12,77 @@
 /** Which connection is closed when room is needed. */
 class ConnectionEvictionTest {
 
-    private record Seen(String name, boolean isBusy, boolean isKeepAlive, boolean wasRead,
+    private record Connection(String name, boolean isBusy, boolean isKeepAlive, boolean wasRead,
             boolean hasPartialRequest, double lastActivityMs)
             implements ConnectionEviction.Candidate { }
 
     private static final double NOW = 10_000;
 
-    private static Seen silent(String name, double last) {
-        return new Seen(name, false, false, true, false, last);
+    private static Connection silent(String name, double lastMs) {
+        return new Connection(name, false, false, true, false, lastMs);
     }
 
-    private static Seen writing(String name, double last) {
-        return new Seen(name, false, false, true, true, last);
+    private static Connection writing(String name, double lastMs) {
+        return new Connection(name, false, false, true, true, lastMs);
     }
 
-    private static Seen kept(String name, double last) {
-        return new Seen(name, false, true, true, false, last);
+    private static Connection keepAlive(String name, double lastMs) {
+        return new Connection(name, false, true, true, false, lastMs);
     }
 
-    private static final Seen BUSY = new Seen("busy", true, false, true, false, 0);
-    private static final Seen UNREAD = new Seen("unread", false, false, false, false, NOW);
+    private static final Connection BUSY = new Connection("busy", true, false, true, false, 0);
+    private static final Connection UNREAD = new Connection("unread", false, false, false, false, NOW);
 
-    private static String goes(Seen... guests) {
-        Seen goes = ConnectionEviction.selectVictim(List.of(guests), NOW);
-        return goes == null ? null : goes.name();
+    private static String victim(Connection... candidates) {
+        Connection victim = ConnectionEviction.selectVictim(List.of(candidates), NOW);
+        return victim == null ? null : victim.name();
     }
 
     @Test
-    void whoSaysNothingGoesFirstAndWhoGoesOnWritingStays() {
-        Seen slow = writing("slow", NOW - 100);
-        assertEquals("silent", goes(BUSY, slow, silent("silent", NOW - 50), writing("stopped", NOW - 2000),
-                kept("kept", NOW - 3000)));
-        assertEquals("old", goes(silent("new", NOW - 5), silent("old", NOW - 50)));
-        assertEquals("stopped", goes(BUSY, slow, writing("stopped", NOW - 700), kept("kept", NOW - 3000)));
-        assertEquals("kept", goes(BUSY, slow, writing("halting", NOW - 300), kept("kept", NOW - 3000)));
-        assertEquals("halting", goes(BUSY, slow, writing("halting", NOW - 300)));
-        assertNull(goes(BUSY, slow));
-        assertNull(goes());
+    void silentConnectionsAreClosedFirstAndSlowWritersStay() {
+        Connection slow = writing("slow", NOW - 100);
+        assertEquals("silent", victim(BUSY, slow, silent("silent", NOW - 50), writing("stopped", NOW - 2000),
+                keepAlive("kept", NOW - 3000)));
+        assertEquals("old", victim(silent("new", NOW - 5), silent("old", NOW - 50)));
+        assertEquals("stopped", victim(BUSY, slow, writing("stopped", NOW - 700), keepAlive("kept", NOW - 3000)));
+        assertEquals("kept", victim(BUSY, slow, writing("halting", NOW - 300), keepAlive("kept", NOW - 3000)));
+        assertEquals("halting", victim(BUSY, slow, writing("halting", NOW - 300)));
+        assertNull(victim(BUSY, slow));
+        assertNull(victim());
     }
 
     @Test
-    void noKeptOneGoesWhileOneIsUnread() {
-        assertNull(goes(kept("kept", 0), UNREAD));
-        assertEquals("silent", goes(kept("kept", 0), UNREAD, silent("silent", NOW - 3)));
+    void noKeepAliveConnectionIsClosedWhileOneIsUnread() {
+        assertNull(victim(keepAlive("kept", 0), UNREAD));
+        assertEquals("silent", victim(keepAlive("kept", 0), UNREAD, silent("silent", NOW - 3)));
     }
 
     /** In simulated time: clients that stop keep arriving, and a request that is sent over 2 s keeps its connection. */
     @Test
-    void aSlowWriterEndsAmongThoseThatStopHalfWay() {
+    void slowWriterFinishesAmongClientsThatStop() {
         long seed = new SplittableRandom().nextLong();
         SplittableRandom random = new SplittableRandom(seed);
-        int places = 60;
-        List<Seen> there = new ArrayList<>();
-        there.add(writing("slow", 0));
-        int turnedAway = 0;
-        for (int ms = 0; ms <= 2000; ms += 10) {
-            if (ms % 120 == 0) {
-                there.removeIf(g -> g.name().equals("slow"));
-                there.add(writing("slow", ms));
+        int capacity = 60;
+        List<Connection> connections = new ArrayList<>();
+        connections.add(writing("slow", 0));
+        int rejected = 0;
+        for (int nowMs = 0; nowMs <= 2000; nowMs += 10) {
+            if (nowMs % 120 == 0) {
+                connections.removeIf(c -> c.name().equals("slow"));
+                connections.add(writing("slow", nowMs));
             }
-            if (there.size() >= places) {
-                Seen goes = ConnectionEviction.selectVictim(there, ms);
-                assertTrue(goes == null || !goes.name().equals("slow"), "seed " + seed);
-                if (goes == null) {
-                    turnedAway++;
+            if (connections.size() >= capacity) {
+                Connection victim = ConnectionEviction.selectVictim(connections, nowMs);
+                assertTrue(victim == null || !victim.name().equals("slow"), "seed " + seed);
+                if (victim == null) {
+                    rejected++;
                     continue;
                 }
-                there.remove(goes);
+                connections.remove(victim);
             }
-            there.add(random.nextBoolean() ? silent("silent", ms) : writing("stopped", ms));
+            connections.add(random.nextBoolean() ? silent("silent", nowMs) : writing("stopped", nowMs));
         }
-        assertTrue(there.stream().anyMatch(g -> g.name().equals("slow")), "seed " + seed);
-        assertTrue(turnedAway < 100, turnedAway + " waited, seed " + seed);
+        assertTrue(connections.stream().anyMatch(c -> c.name().equals("slow")), "seed " + seed);
+        assertTrue(rejected < 100, rejected + " waited, seed " + seed);
     }
 }
--- a/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
@@ -16,68 +16,68 @@
 class ConnectionReleaseRequestsTest {
 
     @Test
-    void oneWithoutAPlaceCallsAndNotTooOften() {
-        ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
-        assertNotNull(calls.connectionRejected("n1", 0));
-        assertNull(calls.connectionRejected("n1", 99));
-        assertNotNull(calls.connectionRejected("n2", 99));
-        assertNotNull(calls.connectionRejected("n1", 100));
+    void rejectedProxySendsARequestButNotTooOften() {
+        ConnectionReleaseRequests requests = new ConnectionReleaseRequests();
+        assertNotNull(requests.connectionRejected("n1", 0));
+        assertNull(requests.connectionRejected("n1", 99));
+        assertNotNull(requests.connectionRejected("n2", 99));
+        assertNotNull(requests.connectionRejected("n1", 100));
     }
 
     @Test
-    void aCallIsForItsNodeAloneAndNoOtherMessageIsOne() {
-        byte[] call = new ConnectionReleaseRequests().connectionRejected("s-0265a7b5", 0);
-        assertTrue(ConnectionReleaseRequests.isReleaseRequest(call));
-        assertTrue(ConnectionReleaseRequests.isForNode(call, "s-0265a7b5"));
-        assertFalse(ConnectionReleaseRequests.isForNode(call, "s-0265a7b6"));
+    void requestIsForItsNodeOnlyAndNoOtherMessageIsOne() {
+        byte[] request = new ConnectionReleaseRequests().connectionRejected("s-0265a7b5", 0);
+        assertTrue(ConnectionReleaseRequests.isReleaseRequest(request));
+        assertTrue(ConnectionReleaseRequests.isForNode(request, "s-0265a7b5"));
+        assertFalse(ConnectionReleaseRequests.isForNode(request, "s-0265a7b6"));
         for (int length = 0; length <= 256; length++) {
             byte[] other = new byte[length];
             Arrays.fill(other, (byte) 'R');
-            assertTrue(length == call.length || !ConnectionReleaseRequests.isReleaseRequest(other),
+            assertTrue(length == request.length || !ConnectionReleaseRequests.isReleaseRequest(other),
                     "length " + length);
             assertFalse(ConnectionReleaseRequests.isForNode(other, "s-0265a7b5"));
         }
-        call[0] = 'S';
-        assertFalse(ConnectionReleaseRequests.isReleaseRequest(call));
+        request[0] = 'S';
+        assertFalse(ConnectionReleaseRequests.isReleaseRequest(request));
     }
 
     /** Fourteen proxies, a node that takes ten connections, and one request per proxy every 0.9 s on average. */
     @Test
-    void noProxyIsKeptOutOfATableSmallerThanTheFleet() {
-        assertTrue(mostTurnedAway(false) > 0.95,
+    void noProxyIsLockedOutOfANodeWithFewerSlotsThanProxies() {
+        assertTrue(highestRejectionRate(false) > 0.95,
                 "without calls some proxies never get in");
-        double shared = mostTurnedAway(true);
-        assertTrue(shared < 0.25, "turned away " + shared);
+        double rejectionRate = highestRejectionRate(true);
+        assertTrue(rejectionRate < 0.25, "turned away " + rejectionRate);
     }
 
-    private static double mostTurnedAway(boolean calling) {
+    private static double highestRejectionRate(boolean sendsRequests) {
         int proxies = 14;
-        int places = 10;
+        int capacity = 10;
         SplittableRandom random = new SplittableRandom(14);
-        ConnectionReleaseRequests[] calls = new ConnectionReleaseRequests[proxies];
-        Arrays.setAll(calls, i -> new ConnectionReleaseRequests());
+        ConnectionReleaseRequests[] requests = new ConnectionReleaseRequests[proxies];
+        Arrays.setAll(requests, i -> new ConnectionReleaseRequests());
         double[] idleSince = new double[proxies];
         boolean[] connected = new boolean[proxies];
-        int[] asked = new int[proxies];
-        int[] refused = new int[proxies];
+        int[] attempts = new int[proxies];
+        int[] rejected = new int[proxies];
         for (double now = 0; now < 60_000; now++) {
             for (int p = 0; p < proxies; p++) {
                 if (random.nextDouble() * 900 >= 1) {
                     continue;
                 }
-                asked[p]++;
+                attempts[p]++;
                 int open = 0;
-                for (boolean c : connected) {
-                    open += c ? 1 : 0;
+                for (boolean isConnected : connected) {
+                    open += isConnected ? 1 : 0;
                 }
-                if (connected[p] || open < places) {
+                if (connected[p] || open < capacity) {
                     connected[p] = true;
                     idleSince[p] = now;
                     continue;
                 }
-                refused[p]++;
-                byte[] call = calls[p].connectionRejected("n", now);
-                for (int other = 0; calling && call != null && other < proxies; other++) {
+                rejected[p]++;
+                byte[] request = requests[p].connectionRejected("n", now);
+                for (int other = 0; sendsRequests && request != null && other < proxies; other++) {
                     // One datagram in ten is lost.
                     if (now - idleSince[other] >= ConnectionReleaseRequests.IDLE_THRESHOLD_MS
                             && random.nextInt(10) > 0) {
@@ -86,10 +86,10 @@
                 }
             }
         }
-        double most = 0;
+        double highest = 0;
         for (int p = 0; p < proxies; p++) {
-            most = Math.max(most, refused[p] / (double) asked[p]);
+            highest = Math.max(highest, rejected[p] / (double) attempts[p]);
         }
-        return most;
+        return highest;
     }
 }
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -42,21 +42,21 @@
             false, WeightMode.NONE, null);
 
     /** An exchange of the scripted backend. */
-    private final class Sent implements Backend.Exchange {
+    private final class SentAttempt implements Backend.Exchange {
         private final Attempt<String> attempt;
-        private final Backend.Listener<String> done;
-        private boolean over;
+        private final Backend.Listener<String> listener;
+        private boolean ended;
 
-        Sent(Attempt<String> attempt, Backend.Listener<String> done) {
+        SentAttempt(Attempt<String> attempt, Backend.Listener<String> listener) {
             this.attempt = attempt;
-            this.done = done;
+            this.listener = listener;
         }
 
         void end(Outcome outcome) {
-            if (!over) {
-                over = true;
-                out.remove(this);
-                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
+            if (!ended) {
+                ended = true;
+                inFlight.remove(this);
+                listener.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
             }
         }
 
@@ -66,15 +66,15 @@
         }
     }
 
-    private final class ScriptedBack implements Backend<String> {
+    private final class ScriptedBackend implements Backend<String> {
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
-            Sent sent = new Sent(attempt, done);
-            assertTrue(out.stream().noneMatch(o -> o.attempt.requestId().equals(attempt.requestId())),
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> listener) {
+            SentAttempt sent = new SentAttempt(attempt, listener);
+            assertTrue(inFlight.stream().noneMatch(o -> o.attempt.requestId().equals(attempt.requestId())),
                     "two attempts are out at once");
             assertTrue(attempt.remainingMs() > 0);
-            out.add(sent);
-            all.add(sent);
+            inFlight.add(sent);
+            sentAttempts.add(sent);
             timers.scheduleAt(timers.now() + timeoutMs, () -> sent.end(Outcome.TIMEOUT));
             if (node.equals("refuses")) {
                 sent.end(Outcome.CONNECT_FAILED);
@@ -83,39 +83,39 @@
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Listener<String> done) {
-            done.ended(Outcome.OK, null);
+        public void probe(String node, double timeoutMs, Listener<String> listener) {
+            listener.ended(Outcome.OK, null);
         }
 
         @Override
         public void closeIdleConnections(String node) {
-            closed.add(node);
+            closedNodes.add(node);
         }
     }
 
     /** Records the responses that a client gets. */
-    private static final class Told implements ResponseHandler<String> {
-        final List<String> answers = new ArrayList<>();
+    private static final class RecordingHandler implements ResponseHandler<String> {
+        final List<String> responses = new ArrayList<>();
 
         @Override
-        public void served(NodeResponse<String> answer) {
-            answers.add("served " + answer.content());
+        public void served(NodeResponse<String> response) {
+            responses.add("served " + response.content());
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            answers.add("refused " + retryAfterMs);
+            responses.add("refused " + retryAfterMs);
         }
 
         @Override
         public void failed() {
-            answers.add("failed");
+            responses.add("failed");
         }
     }
 
     /** The policy of a test: reacts to an event of a request. */
     private interface Script {
-        void decide(String event, String request, Actions actions);
+        void handle(String event, String request, Actions actions);
     }
 
     private final class ScriptedRouter implements Router {
@@ -127,32 +127,32 @@
 
         @Override
         public void onRequest(double now, Request request, Actions actions) {
-            script.decide("request", request.id(), actions);
+            script.handle("request", request.id(), actions);
         }
 
         @Override
         public void onStreamStarted(double now, String request, int attempt, String node, Actions actions) { }
 
         @Override
-        public void onAttemptEnded(double now, AttemptResult end, Actions actions) {
-            ends.add(end);
-            script.decide(end.requestFinished() ? "late" : end.outcome().name(), end.request(), actions);
+        public void onAttemptEnded(double now, AttemptResult result, Actions actions) {
+            results.add(result);
+            script.handle(result.requestFinished() ? "late" : result.outcome().name(), result.request(), actions);
         }
 
         @Override
         public void onClientDisconnected(double now, String request, Actions actions) {
-            script.decide("gone", request, actions);
+            script.handle("gone", request, actions);
         }
 
         @Override
         public void onTimer(double now, String token, Actions actions) {
-            script.decide("timer", token, actions);
+            script.handle("timer", token, actions);
         }
 
         @Override
         public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
                            Actions actions) {
-            script.decide("probed", node, actions);
+            script.handle("probed", node, actions);
         }
 
         @Override
@@ -160,56 +160,56 @@
     }
 
     private final ManualTimers timers = new ManualTimers();
-    private final List<Sent> out = new ArrayList<>();
-    private final List<Sent> all = new ArrayList<>();
-    private final List<String> closed = new ArrayList<>();
-    private final List<AttemptResult> ends = new ArrayList<>();
+    private final List<SentAttempt> inFlight = new ArrayList<>();
+    private final List<SentAttempt> sentAttempts = new ArrayList<>();
+    private final List<String> closedNodes = new ArrayList<>();
+    private final List<AttemptResult> results = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
     private Script script = (event, request, actions) -> { };
     private final Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
-            new ScriptedBack(), quiet(), service -> { }, 100);
+            new ScriptedBackend(), recordingFaults(), service -> { }, 100);
 
-    private FaultReporter quiet() {
+    private FaultReporter recordingFaults() {
         return new FaultReporter() {
             @Override
-            public void error(String what, Throwable cause) {
-                faults.add(what);
+            public void error(String message, Throwable cause) {
+                faults.add(message);
             }
 
             @Override
-            public void warning(String what) {
-                faults.add(what);
+            public void warning(String message) {
+                faults.add(message);
             }
         };
     }
 
-    private Told ask(String id) {
-        Told told = new Told();
+    private RecordingHandler submit(String id) {
+        RecordingHandler handler = new RecordingHandler();
         dispatcher.submit(new Request(id, "read", null, 1, 0, 1000, false, false),
-                new Command<>(false, "/api/k", null, ""), told);
-        return told;
+                new Command<>(false, "/api/k", null, ""), handler);
+        return handler;
     }
 
     @Test
-    void anAnswerIsServedOnceAndReported() {
+    void responseIsDeliveredOnceAndReported() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
             }
         };
-        Told told = ask("a");
+        RecordingHandler handler = submit("a");
         assertEquals(1, dispatcher.pendingRequests());
-        out.get(0).end(Outcome.OK);
-        assertEquals(List.of("served v"), told.answers);
-        assertTrue(ends.get(0).requestFinished());
-        assertEquals(NodeResponse.HIT, ends.get(0).cacheStatus());
+        inFlight.get(0).end(Outcome.OK);
+        assertEquals(List.of("served v"), handler.responses);
+        assertTrue(results.get(0).requestFinished());
+        assertEquals(NodeResponse.HIT, results.get(0).cacheStatus());
         assertEquals(0, dispatcher.pendingRequests());
         timers.pass(5000);
-        assertEquals(List.of("served v"), told.answers);
+        assertEquals(List.of("served v"), handler.responses);
     }
 
     @Test
-    void aBackThatEndsBeforeItReturnsIsUnderstood() {
+    void exchangeThatEndsBeforeSendReturnsIsHandled() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "refuses", 0);
@@ -217,21 +217,21 @@
                 actions.refuse(request, 12);
             }
         };
-        assertEquals(List.of("refused 12.0"), ask("a").answers);
+        assertEquals(List.of("refused 12.0"), submit("a").responses);
     }
 
     @Test
-    void whatTheModuleForgetsIsAnsweredAtItsDeadline() {
-        Told told = ask("a");
+    void requestWithoutDecisionIsAnsweredAfterItsDeadline() {
+        RecordingHandler handler = submit("a");
         timers.pass(1000 + SLACK_MS - 1);
-        assertEquals(List.of(), told.answers);
+        assertEquals(List.of(), handler.responses);
         timers.pass(1);
-        assertEquals(List.of("refused 0.0"), told.answers, "nothing ran, so a refusal is a true promise");
+        assertEquals(List.of("refused 0.0"), handler.responses, "nothing ran, so a refusal is a true promise");
         assertEquals(1, faults.size());
     }
 
     @Test
-    void aModuleThatFailsCostsItsOwnRequestAlone() {
+    void exceptionInThePolicyAffectsOnlyItsRequest() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
@@ -239,45 +239,45 @@
                 throw new IllegalStateException("planned in this test");
             }
         };
-        Told a = ask("a");
-        Told b = ask("b");
-        out.get(0).end(Outcome.RESET);
-        assertEquals(List.of("failed"), a.answers, "it may have run, so nothing is promised");
-        out.get(0).end(Outcome.OK);
-        assertEquals(List.of("served v"), b.answers);
+        RecordingHandler a = submit("a");
+        RecordingHandler b = submit("b");
+        inFlight.get(0).end(Outcome.RESET);
+        assertEquals(List.of("failed"), a.responses, "it may have run, so nothing is promised");
+        inFlight.get(0).end(Outcome.OK);
+        assertEquals(List.of("served v"), b.responses);
     }
 
     /**
      * After an error such as a class that cannot be loaded, the policy is not called again and no request waits for it.
      */
     @Test
-    void aModuleThatCannotGoOnIsNotAskedAgainAndOwesNothing() {
-        List<String> asked = new ArrayList<>();
+    void policyIsNotCalledAgainAfterAFatalError() {
+        List<String> calls = new ArrayList<>();
         script = (event, request, actions) -> {
-            asked.add(event + " " + request);
+            calls.add(event + " " + request);
             if (request.equals("out")) {
                 actions.send(request, "c0", 0);
             } else if (request.equals("bad")) {
                 throw new NoClassDefFoundError("planned in this test");
             }
         };
-        Told waits = ask("waits");
-        Told sent = ask("out");
-        Told bad = ask("bad");
-        assertEquals(List.of("refused 0.0"), bad.answers);
-        assertEquals(List.of("refused 0.0"), waits.answers, "nothing ran, and nobody decides on it any more");
-        assertEquals(List.of(), sent.answers, "its attempt is out and may still be answered");
-        Told later = ask("later");
-        assertEquals(List.of("refused 0.0"), later.answers);
-        out.get(0).end(Outcome.OK);
-        assertEquals(List.of("served v"), sent.answers);
+        RecordingHandler waiting = submit("waits");
+        RecordingHandler sent = submit("out");
+        RecordingHandler bad = submit("bad");
+        assertEquals(List.of("refused 0.0"), bad.responses);
+        assertEquals(List.of("refused 0.0"), waiting.responses, "nothing ran, and nobody decides on it any more");
+        assertEquals(List.of(), sent.responses, "its attempt is out and may still be answered");
+        RecordingHandler later = submit("later");
+        assertEquals(List.of("refused 0.0"), later.responses);
+        inFlight.get(0).end(Outcome.OK);
+        assertEquals(List.of("served v"), sent.responses);
         assertEquals(0, dispatcher.pendingRequests());
         assertEquals(1, faults.size());
-        assertEquals(List.of("request waits", "request out", "request bad"), asked);
+        assertEquals(List.of("request waits", "request out", "request bad"), calls);
     }
 
     @Test
-    void aClientThatLeavesIsOwedNothing() {
+    void disconnectedClientGetsNoResponse() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
@@ -285,58 +285,58 @@
                 actions.cancel(request, 0);
             }
         };
-        Told told = ask("a");
+        RecordingHandler handler = submit("a");
         dispatcher.clientGone("a");
         assertEquals(0, dispatcher.pendingRequests());
-        assertEquals(Outcome.CANCELLED, ends.get(0).outcome());
-        assertEquals(List.of(), told.answers);
-        assertTrue(out.isEmpty());
+        assertEquals(Outcome.CANCELLED, results.get(0).outcome());
+        assertEquals(List.of(), handler.responses);
+        assertTrue(inFlight.isEmpty());
     }
 
     /** A request that cannot be answered in time gets its final response without a send, and the policy is informed. */
     @Test
-    void whatComesTooLateIsNotSent() {
+    void lateRequestIsNotSent() {
         Deadlines deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
-        Dispatcher<String> timed = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
-                new ScriptedBack(), quiet(), service -> { }, 100, deadlines.group(""));
+        Dispatcher<String> dispatcherWithDeadlines = new Dispatcher<>(timers, SETTINGS, new ScriptedRouter(),
+                new ScriptedBackend(), recordingFaults(), service -> { }, 100, deadlines.group(""));
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
             }
         };
         for (int i = 0; i < 60; i++) {
-            Told told = new Told();
-            timed.submit(new Request("r" + i, "read", null, 1, 0, 1000, false, false),
-                    new Command<>(false, "/api/k", null, ""), told);
+            RecordingHandler handler = new RecordingHandler();
+            dispatcherWithDeadlines.submit(new Request("r" + i, "read", null, 1, 0, 1000, false, false),
+                    new Command<>(false, "/api/k", null, ""), handler);
             timers.pass(100);
-            out.get(0).end(Outcome.OK);
+            inFlight.get(0).end(Outcome.OK);
         }
-        int sent = all.size();
-        Told late = new Told();
-        timed.submit(new Request("late", "read", null, 1, 0, 50, false, false),
+        int sent = sentAttempts.size();
+        RecordingHandler late = new RecordingHandler();
+        dispatcherWithDeadlines.submit(new Request("late", "read", null, 1, 0, 50, false, false),
                 new Command<>(false, "/api/k", null, ""), late);
-        assertEquals(List.of("refused 0.0"), late.answers, "at once, and nothing ran");
-        assertEquals(sent, all.size());
-        assertEquals(Outcome.NEVER_SENT, ends.get(ends.size() - 1).outcome());
-        assertTrue(ends.get(ends.size() - 1).requestFinished());
-        assertEquals(0, timed.pendingRequests());
+        assertEquals(List.of("refused 0.0"), late.responses, "at once, and nothing ran");
+        assertEquals(sent, sentAttempts.size());
+        assertEquals(Outcome.NEVER_SENT, results.get(results.size() - 1).outcome());
+        assertTrue(results.get(results.size() - 1).requestFinished());
+        assertEquals(0, dispatcherWithDeadlines.pendingRequests());
         assertEquals(1, deadlines.dropped());
     }
 
     /** Nothing is written to a connection that took longer to establish than its request had left. */
     @Test
-    void whatItsClientLeftOrIsTooLateMayNotBeWrittenAnyMore() {
+    void attemptMayNotBeWrittenAfterDisconnectOrDeadline() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
             }
         };
-        ask("a");
-        ask("b");
-        assertTrue(out.get(0).attempt.mayBeWritten());
+        submit("a");
+        submit("b");
+        assertTrue(inFlight.get(0).attempt.mayBeWritten());
         dispatcher.clientGone("a");
-        assertFalse(out.get(0).attempt.mayBeWritten(), "its client has left");
-        Sent second = out.get(1);
+        assertFalse(inFlight.get(0).attempt.mayBeWritten(), "its client has left");
+        SentAttempt second = inFlight.get(1);
         timers.pass(999);
         assertTrue(second.attempt.mayBeWritten());
         timers.pass(1);
@@ -344,31 +344,31 @@
     }
 
     @Test
-    void oneThatIsGivenUpHasItsAnswerAtOnceAndWhatIsOutIsCancelled() {
+    void answerNowRespondsAtOnceAndCancelsTheAttempt() {
         script = (event, request, actions) -> {
             if (event.equals("request")) {
                 actions.send(request, "c0", 0);
             }
         };
-        Told told = ask("a");
+        RecordingHandler handler = submit("a");
         dispatcher.answerNow("a");
-        assertEquals(1, told.answers.size());
-        assertEquals(Outcome.CANCELLED, ends.get(0).outcome());
-        assertTrue(out.isEmpty());
+        assertEquals(1, handler.responses.size());
+        assertEquals(Outcome.CANCELLED, results.get(0).outcome());
+        assertTrue(inFlight.isEmpty());
         dispatcher.answerNow("a");
-        assertEquals(1, told.answers.size());
+        assertEquals(1, handler.responses.size());
         assertEquals(0, dispatcher.pendingRequests());
     }
 
     /** The policy requests random actions at random times; the seed is printed. */
     @Test
-    void noWishOfTheModuleBreaksWhatIsKept() {
+    void invariantsHoldForRandomPolicyActions() {
         long seed = System.nanoTime();
         System.out.println("DispatcherTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         List<String> ids = new ArrayList<>();
         script = (event, request, actions) -> {
-            for (int wishes = random.nextInt(4); wishes > 0; wishes--) {
+            for (int n = random.nextInt(4); n > 0; n--) {
                 String id = ids.isEmpty() ? request : ids.get(random.nextInt(ids.size()));
                 switch (random.nextInt(9)) {
                     case 0, 1, 2 -> actions.send(id, random.nextInt(4) == 0 ? "refuses" : "c0", random.nextInt(300));
@@ -385,34 +385,34 @@
                 }
             }
         };
-        List<Told> told = new ArrayList<>();
-        List<Boolean> left = new ArrayList<>();
+        List<RecordingHandler> handlers = new ArrayList<>();
+        List<Boolean> disconnected = new ArrayList<>();
         Outcome[] outcomes = Outcome.values();
         for (int i = 0; i < 2000; i++) {
             ids.add("r" + i);
             if (ids.size() > 20) {
                 ids.remove(0);
             }
-            told.add(ask("r" + i));
-            left.add(false);
-            if (!out.isEmpty() && random.nextBoolean()) {
-                out.get(random.nextInt(out.size())).end(outcomes[random.nextInt(outcomes.length)]);
+            handlers.add(submit("r" + i));
+            disconnected.add(false);
+            if (!inFlight.isEmpty() && random.nextBoolean()) {
+                inFlight.get(random.nextInt(inFlight.size())).end(outcomes[random.nextInt(outcomes.length)]);
             }
             if (random.nextInt(10) == 0) {
-                int gone = random.nextInt(told.size());
-                if (told.get(gone).answers.isEmpty() && dispatcher.isOpen("r" + gone)) {
-                    left.set(gone, true);
-                    dispatcher.clientGone("r" + gone);
+                int index = random.nextInt(handlers.size());
+                if (handlers.get(index).responses.isEmpty() && dispatcher.isOpen("r" + index)) {
+                    disconnected.set(index, true);
+                    dispatcher.clientGone("r" + index);
                 }
             }
             timers.pass(random.nextInt(40));
         }
         timers.pass(1000 + SLACK_MS);
-        for (int i = 0; i < told.size(); i++) {
-            assertEquals(left.get(i) ? 0 : 1, told.get(i).answers.size(), "r" + i + ", seed " + seed);
+        for (int i = 0; i < handlers.size(); i++) {
+            assertEquals(disconnected.get(i) ? 0 : 1, handlers.get(i).responses.size(), "r" + i + ", seed " + seed);
         }
-        all.stream().map(s -> s.attempt.requestId()).distinct().forEach(id -> assertTrue(
-                all.stream().filter(s -> s.attempt.requestId().equals(id)).count() <= MAX_ATTEMPTS,
+        sentAttempts.stream().map(s -> s.attempt.requestId()).distinct().forEach(id -> assertTrue(
+                sentAttempts.stream().filter(s -> s.attempt.requestId().equals(id)).count() <= MAX_ATTEMPTS,
                 "seed " + seed));
         assertEquals(0, dispatcher.pendingRequests());
     }
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -75,233 +75,233 @@
     }
 
     /** Sends each request to the same node and fails it if its attempt fails. */
-    private static final class Simple implements Router {
-        private final List<Request> seen = new ArrayList<>();
+    private static final class SingleNodeRouter implements Router {
+        private final List<Request> requests = new ArrayList<>();
 
         @Override
-        public void onStart(double now, Actions out) { }
+        public void onStart(double now, Actions actions) { }
 
         @Override
-        public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions out) { }
+        public void onNodeList(double now, ListUpdateKind kind, long version, List<Node> entries, Actions actions) { }
 
         @Override
-        public void onRequest(double now, Request request, Actions out) {
-            seen.add(request);
-            out.send(request.id(), "n", 0);
+        public void onRequest(double now, Request request, Actions actions) {
+            requests.add(request);
+            actions.send(request.id(), "n", 0);
         }
 
         @Override
-        public void onStreamStarted(double now, String request, int attempt, String node, Actions out) { }
+        public void onStreamStarted(double now, String request, int attempt, String node, Actions actions) { }
 
         @Override
-        public void onAttemptEnded(double now, AttemptResult end, Actions out) {
-            if (!end.requestFinished()) {
-                out.fail(end.request());
+        public void onAttemptEnded(double now, AttemptResult result, Actions actions) {
+            if (!result.requestFinished()) {
+                actions.fail(result.request());
             }
         }
 
         @Override
-        public void onClientDisconnected(double now, String request, Actions out) {
-            out.cancel(request, 0);
+        public void onClientDisconnected(double now, String request, Actions actions) {
+            actions.cancel(request, 0);
         }
 
         @Override
-        public void onTimer(double now, String token, Actions out) { }
+        public void onTimer(double now, String token, Actions actions) { }
 
         @Override
         public void onProbeResult(double now, String node, Outcome outcome, double elapsedMs, Map<String, Double> load,
-                           Actions out) { }
+                           Actions actions) { }
 
         @Override
-        public void onPeerMessage(double now, int from, byte[] contents, Actions out) { }
+        public void onPeerMessage(double now, int from, byte[] contents, Actions actions) { }
     }
 
     /** Holds the attempts in flight by request id; each ends when the test ends it or at its timeout. */
-    private final class Held implements Backend<String> {
-        private final Map<String, Listener<String>> out = new LinkedHashMap<>();
+    private final class HoldingBackend implements Backend<String> {
+        private final Map<String, Listener<String>> inFlight = new LinkedHashMap<>();
 
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> listener) {
             String id = attempt.requestId();
-            out.put(id, done);
+            inFlight.put(id, listener);
             timers.scheduleAt(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
             return () -> end(id, Outcome.CANCELLED);
         }
 
         void end(String id, Outcome outcome) {
-            Listener<String> done = out.remove(id);
-            if (done != null) {
-                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
+            Listener<String> listener = inFlight.remove(id);
+            if (listener != null) {
+                listener.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.HIT) : null);
             }
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Listener<String> done) { }
+        public void probe(String node, double timeoutMs, Listener<String> listener) { }
 
         @Override
         public void closeIdleConnections(String node) { }
     }
 
-    private static final class Told implements ResponseHandler<String> {
-        final List<String> answers = new ArrayList<>();
+    private static final class RecordingHandler implements ResponseHandler<String> {
+        final List<String> responses = new ArrayList<>();
 
         @Override
-        public void served(NodeResponse<String> answer) {
-            answers.add("served");
+        public void served(NodeResponse<String> response) {
+            responses.add("served");
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            answers.add("refused");
+            responses.add("refused");
         }
 
         @Override
         public void limited(double retryAfterMs) {
             assertTrue(retryAfterMs > 0);
-            answers.add("limited");
+            responses.add("limited");
         }
 
         @Override
         public void failed() {
-            answers.add("failed");
+            responses.add("failed");
         }
     }
 
     private final ManualTimers timers = new ManualTimers();
-    private final Held back = new Held();
-    private final Simple router = new Simple();
+    private final HoldingBackend backend = new HoldingBackend();
+    private final SingleNodeRouter router = new SingleNodeRouter();
     private Intake<String> intake;
 
-    private void begin(int inFlight, int places, double waitMs) {
-        intake = new Intake<>(timers, new LimiterGate(new Limits(inFlight, Map.of(), Map.of(), Map.of(), null, null)
-                .withQueue(new Limits.Queue(places, waitMs))));
+    private void createIntake(int maxInFlight, int queueCapacity, double maxWaitMs) {
+        intake = new Intake<>(timers, new LimiterGate(new Limits(maxInFlight, Map.of(), Map.of(), Map.of(), null, null)
+                .withQueue(new Limits.Queue(queueCapacity, maxWaitMs))));
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher(router));
     }
 
-    private Dispatcher<String> dispatcher(Router decides) {
-        return new Dispatcher<>(timers, SETTINGS, decides, back, new FaultReporter() {
+    private Dispatcher<String> dispatcher(Router policy) {
+        return new Dispatcher<>(timers, SETTINGS, policy, backend, new FaultReporter() {
             @Override
-            public void error(String what, Throwable cause) {
-                throw new AssertionError(what, cause);
+            public void error(String message, Throwable cause) {
+                throw new AssertionError(message, cause);
             }
 
             @Override
-            public void warning(String what) {
-                throw new AssertionError(what);
+            public void warning(String message) {
+                throw new AssertionError(message);
             }
         }, intake::requestFinished, 1000);
     }
 
-    private Told ask(String id, String tenant, double budgetMs) {
-        return ask(id, "/api/k", tenant, budgetMs);
+    private RecordingHandler submit(String id, String tenant, double budgetMs) {
+        return submit(id, "/api/k", tenant, budgetMs);
     }
 
-    private Told ask(String id, String path, String tenant, double budgetMs) {
-        Told told = new Told();
-        AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(id,
+    private RecordingHandler submit(String id, String path, String tenant, double budgetMs) {
+        RecordingHandler handler = new RecordingHandler();
+        AdmissionController.Decision decision = intake.admit(new AdmissionController.AdmissionRequest(id,
                 new RouteQuery("GET", path, tenant), "read", false, 0, budgetMs));
-        if (entry instanceof AdmissionController.Rejected refuse) {
+        if (decision instanceof AdmissionController.Rejected refuse) {
             intake.countRejected(null);
-            told.limited(refuse.retryAfterMs());
+            handler.limited(refuse.retryAfterMs());
         } else {
-            AdmissionController.Admitted go = assertInstanceOf(AdmissionController.Admitted.class, entry);
-            intake.submit(go, new Request(id, "read", tenant, 1, 0, go.budgetMs(), false, false),
-                    new Command<>(false, path, null, ""), told);
+            AdmissionController.Admitted admitted = assertInstanceOf(AdmissionController.Admitted.class, decision);
+            intake.submit(admitted, new Request(id, "read", tenant, 1, 0, admitted.budgetMs(), false, false),
+                    new Command<>(false, path, null, ""), handler);
         }
-        return told;
+        return handler;
     }
 
     @Test
-    void oneInLineGoesOnWhenAnotherHasItsAnswerWithTheTimeThatIsLeft() {
-        begin(1, 4, 100);
-        Told a = ask("a", "t", 1000);
-        Told b = ask("b", "t", 1000);
+    void queuedRequestStartsWhenAnotherEndsWithItsRemainingTime() {
+        createIntake(1, 4, 100);
+        RecordingHandler a = submit("a", "t", 1000);
+        RecordingHandler b = submit("b", "t", 1000);
         assertEquals(2, intake.pendingRequests());
         assertTrue(intake.isOpen("b"));
         timers.pass(60);
-        back.end("a", Outcome.OK);
-        assertEquals(List.of("served"), a.answers);
-        assertEquals(940, router.seen.get(1).budgetMs(), 1e-6);
-        back.end("b", Outcome.OK);
-        assertEquals(List.of("served"), b.answers);
+        backend.end("a", Outcome.OK);
+        assertEquals(List.of("served"), a.responses);
+        assertEquals(940, router.requests.get(1).budgetMs(), 1e-6);
+        backend.end("b", Outcome.OK);
+        assertEquals(List.of("served"), b.responses);
         assertEquals(0, intake.pendingRequests());
         assertEquals(2, intake.counters().served());
     }
 
     @Test
-    void oneThatWaitedForLongEnoughIsTurnedAwayAtOnceAndNeverSent() {
-        begin(1, 4, 50);
-        ask("a", "t", 1000);
-        Told b = ask("b", "t", 1000);
-        Told c = ask("c", "t", 20);
+    void queuedRequestIsRejectedAfterItsMaximumWaitAndNotSent() {
+        createIntake(1, 4, 50);
+        submit("a", "t", 1000);
+        RecordingHandler b = submit("b", "t", 1000);
+        RecordingHandler c = submit("c", "t", 20);
         timers.pass(19);
-        assertEquals(List.of(), c.answers);
+        assertEquals(List.of(), c.responses);
         timers.pass(1);
-        assertEquals(List.of("limited"), c.answers, "its client waits for less than the line allows");
+        assertEquals(List.of("limited"), c.responses, "its client waits for less than the line allows");
         timers.pass(30);
-        assertEquals(List.of("limited"), b.answers);
-        back.end("a", Outcome.OK);
-        assertEquals(1, router.seen.size());
+        assertEquals(List.of("limited"), b.responses);
+        backend.end("a", Outcome.OK);
+        assertEquals(1, router.requests.size());
     }
 
     @Test
-    void aTenantWithFewTakesAPlaceOfOneWithMany() {
-        begin(1, 2, 100);
-        ask("a0", "much", 1000);
-        Told a1 = ask("a1", "much", 1000);
-        Told a2 = ask("a2", "much", 1000);
-        Told b = ask("b", "little", 1000);
-        assertEquals(List.of("limited"), a2.answers);
-        assertEquals(List.of(), a1.answers);
-        back.end("a0", Outcome.OK);
-        back.end("a1", Outcome.OK);
-        back.end("b", Outcome.OK);
-        assertEquals(List.of("served"), b.answers);
+    void tenantWithFewQueuedRequestsDisplacesOneWithMany() {
+        createIntake(1, 2, 100);
+        submit("a0", "much", 1000);
+        RecordingHandler a1 = submit("a1", "much", 1000);
+        RecordingHandler a2 = submit("a2", "much", 1000);
+        RecordingHandler b = submit("b", "little", 1000);
+        assertEquals(List.of("limited"), a2.responses);
+        assertEquals(List.of(), a1.responses);
+        backend.end("a0", Outcome.OK);
+        backend.end("a1", Outcome.OK);
+        backend.end("b", Outcome.OK);
+        assertEquals(List.of("served"), b.responses);
     }
 
     @Test
-    void aClientThatLeavesTheLineMakesRoomInIt() {
-        begin(1, 1, 100);
-        ask("a", "t", 1000);
-        Told b = ask("b", "t", 1000);
+    void disconnectedClientFreesItsQueuePosition() {
+        createIntake(1, 1, 100);
+        submit("a", "t", 1000);
+        RecordingHandler b = submit("b", "t", 1000);
         intake.clientGone("b");
-        assertEquals(List.of(), b.answers);
+        assertEquals(List.of(), b.responses);
         assertFalse(intake.isOpen("b"));
-        Told c = ask("c", "t", 1000);
-        back.end("a", Outcome.OK);
-        back.end("c", Outcome.OK);
-        assertEquals(List.of("served"), c.answers);
+        RecordingHandler c = submit("c", "t", 1000);
+        backend.end("a", Outcome.OK);
+        backend.end("c", Outcome.OK);
+        assertEquals(List.of("served"), c.responses);
         assertEquals(1, intake.counters().gone());
     }
 
     @Test
-    void whatCameUnderAnotherFileIsTurnedAway() {
-        begin(1, 4, 100);
-        ask("a", "t", 1000);
-        Told b = ask("b", "t", 1000);
-        intake.rejectQueuedIf(go -> go.service().equals(READ));
-        assertEquals(List.of("limited"), b.answers);
-        back.end("a", Outcome.OK);
-        assertEquals(1, router.seen.size());
+    void queuedRequestsOfAnOutdatedConfigurationAreRejected() {
+        createIntake(1, 4, 100);
+        submit("a", "t", 1000);
+        RecordingHandler b = submit("b", "t", 1000);
+        intake.rejectQueuedIf(admitted -> admitted.service().equals(READ));
+        assertEquals(List.of("limited"), b.responses);
+        backend.end("a", Outcome.OK);
+        assertEquals(1, router.requests.size());
         assertEquals(0, intake.pendingRequests());
     }
 
     @Test
-    void groupsHaveTheirOwnDecisionsAndADroppedOneAnswersWhatItHas() {
-        begin(10, 4, 100);
-        Simple north = new Simple();
+    void groupsHaveTheirOwnPolicyAndARemovedGroupAnswersItsRequests() {
+        createIntake(10, 4, 100);
+        SingleNodeRouter north = new SingleNodeRouter();
         intake.addGroup("north", dispatcher(north));
-        Told a = ask("a", "/north/k", "t", 1000);
-        Told b = ask("b", "/api/k", "t", 1000);
-        assertEquals(List.of("a"), north.seen.stream().map(Request::id).toList());
-        assertEquals(List.of("b"), router.seen.stream().map(Request::id).toList());
+        RecordingHandler a = submit("a", "/north/k", "t", 1000);
+        RecordingHandler b = submit("b", "/api/k", "t", 1000);
+        assertEquals(List.of("a"), north.requests.stream().map(Request::id).toList());
+        assertEquals(List.of("b"), router.requests.stream().map(Request::id).toList());
         intake.removeGroup("north");
         assertTrue(intake.isOpen("a"), "its id is not free");
-        assertEquals(List.of("refused"), ask("c", "/north/k", "t", 1000).answers, "it never ran");
-        back.end("a", Outcome.OK);
-        back.end("b", Outcome.OK);
-        assertEquals(List.of("served"), a.answers);
-        assertEquals(List.of("served"), b.answers);
+        assertEquals(List.of("refused"), submit("c", "/north/k", "t", 1000).responses, "it never ran");
+        backend.end("a", Outcome.OK);
+        backend.end("b", Outcome.OK);
+        assertEquals(List.of("served"), a.responses);
+        assertEquals(List.of("served"), b.responses);
         intake.removeGroup("north");
         assertEquals(3, intake.counters().requests(), "what a group counted is kept");
         assertEquals(0, intake.pendingRequests());
@@ -311,39 +311,39 @@
      * Requests, ends and disconnects in random order: one response each, and never more attempts than the limit allows.
      */
     @Test
-    void eachHasOneAnswerAndNeverMoreAreOutThanMayBe() {
+    void everyRequestGetsOneResponseWithinTheInFlightLimit() {
         long seed = System.nanoTime();
         System.out.println("IntakeTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        begin(5, 8, 40);
-        Map<String, Told> told = new LinkedHashMap<>();
-        List<String> left = new ArrayList<>();
+        createIntake(5, 8, 40);
+        Map<String, RecordingHandler> handlers = new LinkedHashMap<>();
+        List<String> disconnected = new ArrayList<>();
         for (int i = 0; i < 5000; i++) {
-            told.put("r" + i, ask("r" + i, "t" + random.nextInt(4), 20 + random.nextInt(200)));
-            if (!back.out.isEmpty() && random.nextInt(3) > 0) {
-                List<String> out = List.copyOf(back.out.keySet());
-                back.end(out.get(random.nextInt(out.size())), random.nextInt(5) == 0 ? Outcome.RESET : Outcome.OK);
+            handlers.put("r" + i, submit("r" + i, "t" + random.nextInt(4), 20 + random.nextInt(200)));
+            if (!backend.inFlight.isEmpty() && random.nextInt(3) > 0) {
+                List<String> ids = List.copyOf(backend.inFlight.keySet());
+                backend.end(ids.get(random.nextInt(ids.size())), random.nextInt(5) == 0 ? Outcome.RESET : Outcome.OK);
             }
-            String one = "r" + random.nextInt(i + 1);
-            if (random.nextInt(10) == 0 && told.get(one).answers.isEmpty() && intake.isOpen(one)) {
-                left.add(one);
-                intake.clientGone(one);
+            String id = "r" + random.nextInt(i + 1);
+            if (random.nextInt(10) == 0 && handlers.get(id).responses.isEmpty() && intake.isOpen(id)) {
+                disconnected.add(id);
+                intake.clientGone(id);
             }
             if (random.nextInt(200) == 0) {
-                intake.rejectQueuedIf(go -> true);
+                intake.rejectQueuedIf(admitted -> true);
             }
             // Checked between steps only: within one, the attempt of a disconnected client is cancelled after the next
             // starts.
-            assertTrue(back.out.size() <= 5, back.out.size() + " are out, seed " + seed);
+            assertTrue(backend.inFlight.size() <= 5, backend.inFlight.size() + " are out, seed " + seed);
             timers.pass(random.nextInt(12));
         }
         timers.pass(1000);
-        told.forEach((id, t) -> assertEquals(left.contains(id) ? 0 : 1, t.answers.size(),
+        handlers.forEach((id, handler) -> assertEquals(disconnected.contains(id) ? 0 : 1, handler.responses.size(),
                 id + ", seed " + seed));
         assertEquals(0, intake.pendingRequests());
         assertEquals(5000, intake.counters().requests());
         for (String kind : List.of("served", "limited", "failed")) {
-            assertTrue(told.values().stream().anyMatch(t -> t.answers.contains(kind)), kind);
+            assertTrue(handlers.values().stream().anyMatch(handler -> handler.responses.contains(kind)), kind);
         }
     }
 }
--- a/core/src/test/java/ridgemill/core/ManualTimers.java
+++ b/core/src/test/java/ridgemill/core/ManualTimers.java
@@ -8,37 +8,37 @@
 /** Timers whose time advances only when a test calls {@link #pass}. */
 final class ManualTimers implements Timers {
 
-    private record Task(double atMs, long order, Runnable run) { }
+    private record Task(double atMs, long order, Runnable action) { }
 
     private final List<Task> tasks = new ArrayList<>();
-    private double now = 1000;
+    private double nowMs = 1000;
     private long order;
 
     @Override
     public double now() {
-        return now;
+        return nowMs;
     }
 
     @Override
-    public Timer scheduleAt(double atMs, Runnable run) {
-        Task task = new Task(atMs, order++, run);
+    public Timer scheduleAt(double atMs, Runnable action) {
+        Task task = new Task(atMs, order++, action);
         tasks.add(task);
         return () -> tasks.remove(task);
     }
 
     /** Advances the time by {@code ms} and runs the tasks that become due, in order. */
     void pass(double ms) {
-        double end = now + ms;
-        for (Optional<Task> next = due(end); next.isPresent(); next = due(end)) {
+        double endMs = nowMs + ms;
+        for (Optional<Task> next = due(endMs); next.isPresent(); next = due(endMs)) {
             tasks.remove(next.get());
-            now = Math.max(now, next.get().atMs());
-            next.get().run().run();
+            nowMs = Math.max(nowMs, next.get().atMs());
+            next.get().action().run();
         }
-        now = end;
+        nowMs = endMs;
     }
 
-    private Optional<Task> due(double end) {
-        return tasks.stream().filter(t -> t.atMs() <= end)
+    private Optional<Task> due(double endMs) {
+        return tasks.stream().filter(t -> t.atMs() <= endMs)
                 .min(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::order));
     }
 }
--- a/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
+++ b/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
@@ -48,83 +48,83 @@
      * An origin that drops duplicates of a key for its window; the test decides when it executes and how an exchange
      * ends.
      */
-    private final class StoreBack implements Backend<String> {
-        private final Map<String, Listener<String>> out = new LinkedHashMap<>();
-        private final Map<String, Double> firstRan = new HashMap<>();
+    private final class OriginBackend implements Backend<String> {
+        private final Map<String, Listener<String>> inFlight = new LinkedHashMap<>();
+        private final Map<String, Double> firstRunMs = new HashMap<>();
         private final Map<String, Integer> effects = new HashMap<>();
-        private final List<String> sent = new ArrayList<>();
+        private final List<String> sentIds = new ArrayList<>();
         private final Map<String, Attempt<String>> attempts = new HashMap<>();
 
         @Override
-        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> done) {
+        public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> listener) {
             String id = attempt.requestId();
-            assertFalse(out.containsKey(id), "two attempts out at once");
-            sent.add(id);
-            out.put(id, done);
+            assertFalse(inFlight.containsKey(id), "two attempts out at once");
+            sentIds.add(id);
+            inFlight.put(id, listener);
             attempts.put(id, attempt);
             timers.scheduleAt(timers.now() + timeoutMs, () -> end(id, Outcome.TIMEOUT));
             return () -> end(id, Outcome.CANCELLED);
         }
 
         /** Executes a write, independent of whether its response arrives. */
-        void run(String id) {
+        void execute(String id) {
             String key = attempts.get(id).command().idempotencyKey();
-            Double first = firstRan.get(key);
-            if (first == null || timers.now() - first >= PAY.deduplicationWindowMs()) {
-                firstRan.put(key, timers.now());
+            Double firstMs = firstRunMs.get(key);
+            if (firstMs == null || timers.now() - firstMs >= PAY.deduplicationWindowMs()) {
+                firstRunMs.put(key, timers.now());
                 effects.merge(key, 1, Integer::sum);
             }
         }
 
         void end(String id, Outcome outcome) {
-            Listener<String> done = out.remove(id);
-            if (done != null) {
-                done.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.NO_CACHE_STATUS)
+            Listener<String> listener = inFlight.remove(id);
+            if (listener != null) {
+                listener.ended(outcome, outcome == Outcome.OK ? new NodeResponse<>("v", NodeResponse.NO_CACHE_STATUS)
                         : null);
             }
         }
 
         @Override
-        public void probe(String node, double timeoutMs, Listener<String> done) { }
+        public void probe(String node, double timeoutMs, Listener<String> listener) { }
 
         @Override
         public void closeIdleConnections(String node) { }
     }
 
-    private static final class Told implements ResponseHandler<String> {
-        final List<String> answers = new ArrayList<>();
+    private static final class RecordingHandler implements ResponseHandler<String> {
+        final List<String> responses = new ArrayList<>();
 
         @Override
-        public void served(NodeResponse<String> answer) {
-            answers.add("served");
+        public void served(NodeResponse<String> response) {
+            responses.add("served");
         }
 
         @Override
-        public void recorded(String call) {
-            answers.add("served");
+        public void recorded(String callId) {
+            responses.add("served");
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            answers.add("refused");
+            responses.add("refused");
         }
 
         @Override
         public void conflict() {
-            answers.add("conflict");
+            responses.add("conflict");
         }
 
         @Override
         public void failed() {
-            answers.add("failed");
+            responses.add("failed");
         }
     }
 
     private final ManualTimers timers = new ManualTimers();
-    private final StoreBack store = new StoreBack();
-    private final InMemoryIdempotencyStore kept = new InMemoryIdempotencyStore(10_000);
+    private final OriginBackend backend = new OriginBackend();
+    private final InMemoryIdempotencyStore records = new InMemoryIdempotencyStore(10_000);
     private final Intake<String> intake;
-    private int open;
+    private int admitted;
 
     WriteDeduplicatorTest() {
         intake = new Intake<>(timers, new AdmissionController() {
@@ -135,141 +135,141 @@
 
             @Override
             public void requestEnded(double nowMs, String service) {
-                open--;
+                admitted--;
             }
         }, new Deadlines(DeadlinePolicy.DEFAULT));
-        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), store,
+        Dispatcher<String> dispatcher = new Dispatcher<>(timers, SETTINGS, new BalancingRouter(SETTINGS, 3), backend,
                 new FaultReporter() {
             @Override
-            public void error(String what, Throwable cause) {
-                throw new AssertionError(what, cause);
+            public void error(String message, Throwable cause) {
+                throw new AssertionError(message, cause);
             }
 
             @Override
-            public void warning(String what) {
-                throw new AssertionError(what);
+            public void warning(String message) {
+                throw new AssertionError(message);
             }
         }, intake::requestFinished, 1000, intake.deadlines().group(Intake.PLATFORM_GROUP));
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        intake.setDeduplicator(new WriteDeduplicator<>(timers, new IdempotencyRecords(kept, 60_000),
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, new IdempotencyRecords(records, 60_000),
                 c -> c.content().hashCode()));
         dispatcher.start();
         dispatcher.updateNodes(ListUpdateKind.FULL, 1, List.of(new Node("db", "origin", "a", 0, 1, 0, Availability.UP),
                 new Node("c0", "std", "a", 0, 1, 0, Availability.UP)));
     }
 
-    private Told pay(String id, String key, double budgetMs) {
+    private RecordingHandler pay(String id, String key, double budgetMs) {
         return pay(id, key, budgetMs, "100");
     }
 
-    private Told pay(String id, String key, double budgetMs, String content) {
-        Told told = new Told();
-        open++;
+    private RecordingHandler pay(String id, String key, double budgetMs, String content) {
+        RecordingHandler handler = new RecordingHandler();
+        admitted++;
         intake.submit(new AdmissionController.Admitted(PAY, budgetMs),
                 new Request(id, "pay", "acme", 1, 0, budgetMs, true, false),
-                new Command<>(true, "/api/k", key, content), told);
-        return told;
+                new Command<>(true, "/api/k", key, content), handler);
+        return handler;
     }
 
-    private void settled() {
+    private void assertSettled() {
         assertEquals(0, intake.pendingRequests());
-        assertEquals(0, open, "each place was given back once");
+        assertEquals(0, admitted, "each place was given back once");
     }
 
     @Test
-    void aClientThatLeavesAfterTheSendIsToldByItsNextTry() {
+    void retryAfterDisconnectIsAnsweredFromTheRecord() {
         pay("a", "k", 1000);
         intake.clientGone("a");
-        assertTrue(store.out.containsKey("a"), "it goes on to its end");
-        store.run("a");
-        store.end("a", Outcome.OK);
-        assertEquals(List.of("served"), pay("b", "k", 1000).answers);
-        assertEquals(List.of("a"), store.sent, "nothing of the second ran");
+        assertTrue(backend.inFlight.containsKey("a"), "it goes on to its end");
+        backend.execute("a");
+        backend.end("a", Outcome.OK);
+        assertEquals(List.of("served"), pay("b", "k", 1000).responses);
+        assertEquals(List.of("a"), backend.sentIds, "nothing of the second ran");
         assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
         assertNull(intake.findLocalOutcome("k", "other"));
-        settled();
+        assertSettled();
     }
 
     @Test
-    void anotherTryWaitsForTheFirstAndIsToldTheSame() {
-        Told a = pay("a", "k", 1000);
-        Told b = pay("b", "k", 1000);
-        Told c = pay("c", "k", 100);
+    void duplicateWaitsForTheFirstCallAndGetsItsOutcome() {
+        RecordingHandler a = pay("a", "k", 1000);
+        RecordingHandler b = pay("b", "k", 1000);
+        RecordingHandler c = pay("c", "k", 100);
         assertTrue(intake.isOpen("b"));
         timers.pass(100);
-        assertEquals(List.of("refused"), c.answers, "its own time is up, and asking again is harmless");
+        assertEquals(List.of("refused"), c.responses, "its own time is up, and asking again is harmless");
         intake.clientGone("a");
-        store.run("a");
-        store.end("a", Outcome.OK);
-        assertEquals(List.of("served"), b.answers);
-        assertEquals(List.of(), a.answers);
-        assertEquals(1, store.effects.get("k"));
-        settled();
+        backend.execute("a");
+        backend.end("a", Outcome.OK);
+        assertEquals(List.of("served"), b.responses);
+        assertEquals(List.of(), a.responses);
+        assertEquals(1, backend.effects.get("k"));
+        assertSettled();
     }
 
     @Test
-    void aClientThatLeavesWhileItsRetryIsInFlightStillHasOneOutcome() {
+    void disconnectDuringARetryLeavesOneOutcome() {
         pay("a", "k", 1000);
-        store.run("a");
-        store.end("a", Outcome.RESET);
-        assertEquals(List.of("a", "a"), store.sent, "the store drops the repeat");
+        backend.execute("a");
+        backend.end("a", Outcome.RESET);
+        assertEquals(List.of("a", "a"), backend.sentIds, "the store drops the repeat");
         intake.clientGone("a");
-        store.run("a");
-        store.end("a", Outcome.OK);
+        backend.execute("a");
+        backend.end("a", Outcome.OK);
         assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
-        assertEquals(1, store.effects.get("k"));
-        settled();
+        assertEquals(1, backend.effects.get("k"));
+        assertSettled();
     }
 
     @Test
-    void aClientThatLeavesBeforeAnyByteIsOutTakesItsRequestAlong() {
+    void failedConnectsLeaveNoRecord() {
         pay("a", "k", 1000);
-        store.end("a", Outcome.CONNECT_FAILED);
+        backend.end("a", Outcome.CONNECT_FAILED);
         // A second attempt may be in flight. If none can have run, nothing is recorded.
-        if (store.out.containsKey("a")) {
-            store.end("a", Outcome.CONNECT_FAILED);
+        if (backend.inFlight.containsKey("a")) {
+            backend.end("a", Outcome.CONNECT_FAILED);
         }
         assertNull(intake.findLocalOutcome("k", "acme"), "nothing ran");
-        assertEquals(0, kept.size());
-        settled();
+        assertEquals(0, records.size());
+        assertSettled();
     }
 
     @Test
-    void whatMayHaveRunIsRunAgainInItsWindowAndNeverAfterIt() {
-        Told a = pay("a", "k", 1000);
-        store.run("a");
+    void unknownOutcomeIsNotRerunAfterTheWindow() {
+        RecordingHandler a = pay("a", "k", 1000);
+        backend.execute("a");
         timers.pass(1100);
-        assertEquals(1, a.answers.size());
+        assertEquals(1, a.responses.size());
         assertEquals(IdempotencyRecord.State.UNKNOWN, intake.findLocalOutcome("k", "acme").state());
         timers.pass(PAY.deduplicationWindowMs());
-        assertEquals(List.of("failed"), pay("late", "k", 1000).answers,
+        assertEquals(List.of("failed"), pay("late", "k", 1000).responses,
                 "nodes have forgotten it: nobody can find out by running it");
-        assertEquals(1, store.effects.get("k"));
-        settled();
+        assertEquals(1, backend.effects.get("k"));
+        assertSettled();
     }
 
     @Test
-    void theSameKeyWithAnotherAmountIsAConflict() {
+    void sameKeyWithAnotherAmountIsAConflict() {
         pay("a", "k", 1000);
-        assertEquals(List.of("conflict"), pay("b", "k", 1000, "200").answers);
-        store.end("a", Outcome.OK);
-        settled();
+        assertEquals(List.of("conflict"), pay("b", "k", 1000, "200").responses);
+        backend.end("a", Outcome.OK);
+        assertSettled();
     }
 
     @Test
-    void anAnswerInTheTurnInWhichItsClientLeavesIsRecordedOnce() {
-        Told a = pay("a", "k", 1000);
-        store.run("a");
-        store.end("a", Outcome.OK);
+    void responseAndDisconnectInTheSameIterationAreRecordedOnce() {
+        RecordingHandler a = pay("a", "k", 1000);
+        backend.execute("a");
+        backend.end("a", Outcome.OK);
         intake.clientGone("a");
-        Told b = pay("b", "j", 1000);
+        RecordingHandler b = pay("b", "j", 1000);
         intake.clientGone("b");
-        store.run("b");
-        store.end("b", Outcome.OK);
-        assertEquals(List.of("served"), a.answers);
-        assertEquals(List.of(), b.answers);
+        backend.execute("b");
+        backend.end("b", Outcome.OK);
+        assertEquals(List.of("served"), a.responses);
+        assertEquals(List.of(), b.responses);
         assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("j", "acme").state());
-        settled();
+        assertSettled();
     }
 
     /**
@@ -277,50 +277,50 @@
      * client.
      */
     @Test
-    void whateverClientsAndTheStoreDoEachKeyHasOneEffect() {
+    void everyKeyTakesEffectOnceForRandomEvents() {
         long seed = System.nanoTime();
         System.out.println("RecorderTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        List<Told> told = new ArrayList<>();
-        List<Boolean> left = new ArrayList<>();
-        Map<String, List<Integer>> asked = new HashMap<>();
+        List<RecordingHandler> handlers = new ArrayList<>();
+        List<Boolean> disconnected = new ArrayList<>();
+        Map<String, List<Integer>> requestsByKey = new HashMap<>();
         for (int i = 0; i < 5000; i++) {
             String key = "k" + i / 6 + "-" + random.nextInt(3);
-            asked.computeIfAbsent(key, k -> new ArrayList<>()).add(i);
-            told.add(pay("r" + i, key, 200 + random.nextInt(1200)));
-            left.add(false);
-            for (int n = random.nextInt(3); n > 0 && !store.out.isEmpty(); n--) {
-                String id = List.copyOf(store.out.keySet()).get(random.nextInt(store.out.size()));
+            requestsByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(i);
+            handlers.add(pay("r" + i, key, 200 + random.nextInt(1200)));
+            disconnected.add(false);
+            for (int n = random.nextInt(3); n > 0 && !backend.inFlight.isEmpty(); n--) {
+                String id = List.copyOf(backend.inFlight.keySet()).get(random.nextInt(backend.inFlight.size()));
                 switch (random.nextInt(5)) {
-                    case 0 -> store.end(id, Outcome.CONNECT_FAILED);
+                    case 0 -> backend.end(id, Outcome.CONNECT_FAILED);
                     case 1 -> {
-                        store.run(id);
-                        store.end(id, Outcome.RESET);
+                        backend.execute(id);
+                        backend.end(id, Outcome.RESET);
                     }
-                    case 2 -> store.run(id);
+                    case 2 -> backend.execute(id);
                     default -> {
-                        store.run(id);
-                        store.end(id, Outcome.OK);
+                        backend.execute(id);
+                        backend.end(id, Outcome.OK);
                     }
                 }
             }
-            int gone = random.nextInt(told.size());
-            if (random.nextInt(4) == 0 && told.get(gone).answers.isEmpty() && !left.get(gone)) {
-                left.set(gone, true);
-                intake.clientGone("r" + gone);
+            int index = random.nextInt(handlers.size());
+            if (random.nextInt(4) == 0 && handlers.get(index).responses.isEmpty() && !disconnected.get(index)) {
+                disconnected.set(index, true);
+                intake.clientGone("r" + index);
             }
             timers.pass(random.nextInt(60));
         }
         timers.pass(10_000);
-        for (int i = 0; i < told.size(); i++) {
-            assertEquals(left.get(i) ? 0 : 1, told.get(i).answers.size(), "r" + i + ", seed " + seed);
+        for (int i = 0; i < handlers.size(); i++) {
+            assertEquals(disconnected.get(i) ? 0 : 1, handlers.get(i).responses.size(), "r" + i + ", seed " + seed);
         }
-        store.effects.forEach((key, n) -> assertEquals(1, n, key + ", seed " + seed));
-        asked.forEach((key, of) -> {
-            boolean served = of.stream().anyMatch(i -> told.get(i).answers.contains("served"));
-            assertTrue(!served || store.effects.containsKey(key),
+        backend.effects.forEach((key, n) -> assertEquals(1, n, key + ", seed " + seed));
+        requestsByKey.forEach((key, requests) -> {
+            boolean served = requests.stream().anyMatch(i -> handlers.get(i).responses.contains("served"));
+            assertTrue(!served || backend.effects.containsKey(key),
                     key + " was told as done and never ran, seed " + seed);
         });
-        settled();
+        assertSettled();
     }
 }
--- a/core/src/test/java/ridgemill/flow/TransferRateTest.java
+++ b/core/src/test/java/ridgemill/flow/TransferRateTest.java
@@ -9,19 +9,19 @@
 class TransferRateTest {
 
     @Test
-    void anAnswerStandsStillSoonerWhileItCanBeReplaced() {
-        ResponseStallDetector pace = new ResponseStallDetector();
-        pace.progress(1000);
-        assertFalse(pace.isStalled(1000 + ResponseStallDetector.BUFFERED_LIMIT_MS - 1, false));
-        assertTrue(pace.isStalled(1000 + ResponseStallDetector.BUFFERED_LIMIT_MS, false));
-        assertFalse(pace.isStalled(1000 + ResponseStallDetector.STREAMED_LIMIT_MS - 1, true));
-        assertTrue(pace.isStalled(1000 + ResponseStallDetector.STREAMED_LIMIT_MS, true));
-        pace.progress(4000);
-        assertFalse(pace.isStalled(4000 + ResponseStallDetector.STREAMED_LIMIT_MS - 1, true));
+    void bufferedResponseStallsSoonerThanAStreamedOne() {
+        ResponseStallDetector detector = new ResponseStallDetector();
+        detector.progress(1000);
+        assertFalse(detector.isStalled(1000 + ResponseStallDetector.BUFFERED_LIMIT_MS - 1, false));
+        assertTrue(detector.isStalled(1000 + ResponseStallDetector.BUFFERED_LIMIT_MS, false));
+        assertFalse(detector.isStalled(1000 + ResponseStallDetector.STREAMED_LIMIT_MS - 1, true));
+        assertTrue(detector.isStalled(1000 + ResponseStallDetector.STREAMED_LIMIT_MS, true));
+        detector.progress(4000);
+        assertFalse(detector.isStalled(4000 + ResponseStallDetector.STREAMED_LIMIT_MS - 1, true));
     }
 
     @Test
-    void aRequestIsTimedAsAWholeAtFirstAndByItsPaceThen() {
+    void requestHasAGracePeriodAndThenAMinimumRate() {
         assertFalse(MinRequestRate.isTooSlow(MinRequestRate.GRACE_MS - 1, 0));
         assertTrue(MinRequestRate.isTooSlow(MinRequestRate.GRACE_MS, 100));
         assertFalse(MinRequestRate.isTooSlow(10_000, 640_000));
--- a/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
+++ b/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
@@ -15,68 +15,68 @@
 /** Decisions by the record of an idempotency key, on simulated time. */
 class IdempotencyRecordsTest {
 
-    private static final double WINDOW = 6000;
-    private static final double KEEP = 60_000;
+    private static final double WINDOW_MS = 6000;
+    private static final double RETENTION_MS = 60_000;
 
     private final InMemoryIdempotencyStore store = new InMemoryIdempotencyStore(1000);
-    private final IdempotencyRecords outcomes = new IdempotencyRecords(store, KEEP);
+    private final IdempotencyRecords records = new IdempotencyRecords(store, RETENTION_MS);
 
-    private IdempotencyRecords.Decision ask(double now, String key, String call) {
-        return outcomes.begin(now, key, call, "acme", 7, WINDOW);
+    private IdempotencyRecords.Decision begin(double now, String key, String callId) {
+        return records.begin(now, key, callId, "acme", 7, WINDOW_MS);
     }
 
     @Test
-    void oneRunsOthersWaitAndLaterOnesAreTold() {
-        assertEquals(new IdempotencyRecords.Execute(true), ask(0, "k", "a"));
-        assertEquals(new IdempotencyRecords.Join("a"), ask(10, "k", "b"));
-        outcomes.callEnded(20, "k", "a", CallResult.SERVED);
+    void firstCallRunsOthersWaitAndLaterOnesAreReplayed() {
+        assertEquals(new IdempotencyRecords.Execute(true), begin(0, "k", "a"));
+        assertEquals(new IdempotencyRecords.Join("a"), begin(10, "k", "b"));
+        records.callEnded(20, "k", "a", CallResult.SERVED);
         assertEquals(State.RECORDED,
-                assertInstanceOf(IdempotencyRecords.Replay.class, ask(30, "k", "c")).record().state());
-        assertEquals("a", outcomes.find(KEEP, "k", "acme").callId());
-        assertNull(outcomes.find(20 + KEEP + 1, "k", "acme"));
-        assertNull(outcomes.find(30, "k", "other"), "it is not theirs");
-        assertEquals(new IdempotencyRecords.Execute(true), ask(20 + KEEP + 1, "k", "d"),
+                assertInstanceOf(IdempotencyRecords.Replay.class, begin(30, "k", "c")).record().state());
+        assertEquals("a", records.find(RETENTION_MS, "k", "acme").callId());
+        assertNull(records.find(20 + RETENTION_MS + 1, "k", "acme"));
+        assertNull(records.find(30, "k", "other"), "it is not theirs");
+        assertEquals(new IdempotencyRecords.Execute(true), begin(20 + RETENTION_MS + 1, "k", "d"),
                 "as new as any");
     }
 
     @Test
-    void whatNeverRanIsForgottenAndWhatMayHaveIsRunAgainOnlyInItsWindow() {
-        ask(0, "k", "a");
-        outcomes.callEnded(10, "k", "a", CallResult.NOTHING_RAN);
+    void unknownOutcomeIsRerunOnlyWithinTheWindow() {
+        begin(0, "k", "a");
+        records.callEnded(10, "k", "a", CallResult.NOTHING_RAN);
         assertEquals(0, store.size());
-        ask(20, "k", "b");
-        outcomes.callEnded(30, "k", "b", CallResult.MAY_HAVE_RUN);
-        assertEquals(new IdempotencyRecords.Execute(true), ask(5000, "k", "c"));
+        begin(20, "k", "b");
+        records.callEnded(30, "k", "b", CallResult.MAY_HAVE_RUN);
+        assertEquals(new IdempotencyRecords.Execute(true), begin(5000, "k", "c"));
         assertEquals(State.RUNNING_AGAIN, store.get("k").state());
-        outcomes.callEnded(5010, "k", "c", CallResult.NOTHING_RAN);
+        records.callEnded(5010, "k", "c", CallResult.NOTHING_RAN);
         assertEquals(State.UNKNOWN, store.get("k").state(), "the one before may have run all the same");
         assertEquals(State.UNKNOWN,
-                assertInstanceOf(IdempotencyRecords.Replay.class, ask(20 + WINDOW, "k", "d")).record().state(),
+                assertInstanceOf(IdempotencyRecords.Replay.class, begin(20 + WINDOW_MS, "k", "d")).record().state(),
                 "nodes have forgotten it, and running it could record it twice");
     }
 
     @Test
-    void aKeyWithAnotherRequestOrOfAnotherTenantIsAConflict() {
-        ask(0, "k", "a");
-        assertInstanceOf(IdempotencyRecords.Conflict.class, outcomes.begin(1, "k", "b", "acme", 8, WINDOW));
-        assertInstanceOf(IdempotencyRecords.Conflict.class, outcomes.begin(1, "k", "b", "other", 7, WINDOW));
-        outcomes.callEnded(2, "k", "x", CallResult.SERVED);
+    void keyWithAnotherRequestOrTenantIsAConflict() {
+        begin(0, "k", "a");
+        assertInstanceOf(IdempotencyRecords.Conflict.class, records.begin(1, "k", "b", "acme", 8, WINDOW_MS));
+        assertInstanceOf(IdempotencyRecords.Conflict.class, records.begin(1, "k", "b", "other", 7, WINDOW_MS));
+        records.callEnded(2, "k", "x", CallResult.SERVED);
         assertTrue(store.get("k").isRunning(), "an end of another call ends nothing");
     }
 
     @Test
-    void aFullStoreForgetsNoneWhoseRepeatsTheNodesStillDrop() {
-        InMemoryIdempotencyStore small = new InMemoryIdempotencyStore(2);
-        IdempotencyRecords o = new IdempotencyRecords(small, KEEP);
-        o.begin(0, "a", "1", "t", 7, WINDOW);
-        o.callEnded(1, "a", "1", CallResult.SERVED);
-        o.begin(0, "b", "2", "t", 7, WINDOW);
-        assertEquals(new IdempotencyRecords.Execute(false), o.begin(100, "c", "3", "t", 7, WINDOW));
-        assertEquals(new IdempotencyRecords.Execute(true), o.begin(WINDOW, "c", "4", "t", 7, WINDOW),
+    void fullStoreEvictsNoRecordWithinItsWindow() {
+        InMemoryIdempotencyStore smallStore = new InMemoryIdempotencyStore(2);
+        IdempotencyRecords smallRecords = new IdempotencyRecords(smallStore, RETENTION_MS);
+        smallRecords.begin(0, "a", "1", "t", 7, WINDOW_MS);
+        smallRecords.callEnded(1, "a", "1", CallResult.SERVED);
+        smallRecords.begin(0, "b", "2", "t", 7, WINDOW_MS);
+        assertEquals(new IdempotencyRecords.Execute(false), smallRecords.begin(100, "c", "3", "t", 7, WINDOW_MS));
+        assertEquals(new IdempotencyRecords.Execute(true), smallRecords.begin(WINDOW_MS, "c", "4", "t", 7, WINDOW_MS),
                 "the first one's window is over");
-        assertNull(small.get("a"));
-        assertTrue(small.get("b").isRunning(), "one that runs stays");
-        assertEquals(1, small.evicted());
+        assertNull(smallStore.get("a"));
+        assertTrue(smallStore.get("b").isRunning(), "one that runs stays");
+        assertEquals(1, smallStore.evicted());
     }
 
     /**
@@ -84,44 +84,44 @@
      * unknown outcome after its window.
      */
     @Test
-    void noOrderOfEventsRunsAKeyTwice() {
+    void noOrderOfEventsExecutesAKeyTwice() {
         long seed = System.nanoTime();
         System.out.println("OutcomesTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, String> running = new HashMap<>();
+        Map<String, String> runningCalls = new HashMap<>();
         Map<String, Double> recordedAt = new HashMap<>();
-        Map<String, Double> mayHaveRunSince = new HashMap<>();
+        Map<String, Double> unknownSince = new HashMap<>();
         double now = 0;
         for (int i = 0; i < 100_000; i++) {
             now += random.nextInt(40);
             String key = "k" + random.nextInt(40);
-            String call = "c" + i;
+            String callId = "c" + i;
             if (random.nextInt(3) > 0) {
-                IdempotencyRecords.Decision ask = ask(now, key, call);
-                String where = key + " at " + now + ", seed " + seed;
-                if (ask instanceof IdempotencyRecords.Execute) {
-                    assertNull(running.put(key, call), where);
-                    assertTrue(!recordedAt.containsKey(key) || now - recordedAt.get(key) > KEEP, where);
-                    assertTrue(!mayHaveRunSince.containsKey(key) || now - mayHaveRunSince.get(key) < WINDOW
-                            || now - mayHaveRunSince.get(key) > KEEP, where);
+                IdempotencyRecords.Decision decision = begin(now, key, callId);
+                String message = key + " at " + now + ", seed " + seed;
+                if (decision instanceof IdempotencyRecords.Execute) {
+                    assertNull(runningCalls.put(key, callId), message);
+                    assertTrue(!recordedAt.containsKey(key) || now - recordedAt.get(key) > RETENTION_MS, message);
+                    assertTrue(!unknownSince.containsKey(key) || now - unknownSince.get(key) < WINDOW_MS
+                            || now - unknownSince.get(key) > RETENTION_MS, message);
                     recordedAt.remove(key);
-                } else if (ask instanceof IdempotencyRecords.Join join) {
-                    assertEquals(running.get(key), join.callId(), where);
+                } else if (decision instanceof IdempotencyRecords.Join join) {
+                    assertEquals(runningCalls.get(key), join.callId(), message);
                 } else {
-                    assertNull(running.get(key), where);
+                    assertNull(runningCalls.get(key), message);
                 }
-            } else if (running.containsKey(key)) {
-                CallResult end = CallResult.values()[random.nextInt(3)];
-                String ended = running.remove(key);
+            } else if (runningCalls.containsKey(key)) {
+                CallResult result = CallResult.values()[random.nextInt(3)];
+                String endedCall = runningCalls.remove(key);
                 double first = store.get(key).firstSentMs();
-                outcomes.callEnded(now, key, ended, end);
-                if (end == CallResult.SERVED) {
+                records.callEnded(now, key, endedCall, result);
+                if (result == CallResult.SERVED) {
                     recordedAt.put(key, now);
-                    mayHaveRunSince.remove(key);
+                    unknownSince.remove(key);
                 } else if (store.get(key) == null) {
-                    mayHaveRunSince.remove(key);
+                    unknownSince.remove(key);
                 } else {
-                    mayHaveRunSince.put(key, first);
+                    unknownSince.put(key, first);
                 }
             }
         }
--- a/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
+++ b/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
@@ -13,100 +13,100 @@
 /** Which event loop a new connection goes to. */
 class ConnectionDistributorTest {
 
-    private static ConnectionDistributor of(int loops, int most) {
-        int[] each = new int[loops];
-        Arrays.fill(each, most);
-        return new ConnectionDistributor(each, 0);
+    private static ConnectionDistributor distributor(int loops, int maxOpen) {
+        int[] limits = new int[loops];
+        Arrays.fill(limits, maxOpen);
+        return new ConnectionDistributor(limits, 0);
     }
 
-    private static int deal(ConnectionDistributor d, double now) {
-        int loop = d.nextLoop(now);
+    private static int assign(ConnectionDistributor distributor, double now) {
+        int loop = distributor.nextLoop(now);
         if (loop != ConnectionDistributor.NONE) {
-            d.connectionOpened(loop);
+            distributor.connectionOpened(loop);
         }
         return loop;
     }
 
     @Test
-    void connectionsGoRoundAndStayEvenWhoeverCloses() {
+    void connectionsStayBalancedWhicheverClose() {
         long seed = 991;
         SplittableRandom random = new SplittableRandom(seed);
-        ConnectionDistributor d = of(4, 1000);
-        List<Integer> there = new ArrayList<>();
+        ConnectionDistributor distributor = distributor(4, 1000);
+        List<Integer> loopOfConnection = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            there.add(deal(d, 0));
+            loopOfConnection.add(assign(distributor, 0));
         }
         for (int i = 0; i < 4; i++) {
-            assertEquals(100, d.openConnections(i), "seed " + seed);
+            assertEquals(100, distributor.openConnections(i), "seed " + seed);
         }
         // All connections of one loop close, and as many new ones are opened.
-        there.stream().filter(l -> l == 2).forEach(d::connectionClosed);
+        loopOfConnection.stream().filter(l -> l == 2).forEach(distributor::connectionClosed);
         for (int i = 0; i < 100; i++) {
-            assertEquals(2, deal(d, 0));
+            assertEquals(2, assign(distributor, 0));
         }
         for (int i = 0; i < 5000; i++) {
-            int gone = there.set(random.nextInt(there.size()), -1);
-            if (gone >= 0) {
-                d.connectionClosed(gone);
-                there.add(deal(d, 0));
+            int loop = loopOfConnection.set(random.nextInt(loopOfConnection.size()), -1);
+            if (loop >= 0) {
+                distributor.connectionClosed(loop);
+                loopOfConnection.add(assign(distributor, 0));
             }
         }
-        int least = Math.min(Math.min(d.openConnections(0), d.openConnections(1)),
-                Math.min(d.openConnections(2), d.openConnections(3)));
-        int most = Math.max(Math.max(d.openConnections(0), d.openConnections(1)),
-                Math.max(d.openConnections(2), d.openConnections(3)));
-        assertTrue(most - least <= 20, "seed " + seed + ": " + least + " to " + most);
+        int min = Math.min(Math.min(distributor.openConnections(0), distributor.openConnections(1)),
+                Math.min(distributor.openConnections(2), distributor.openConnections(3)));
+        int max = Math.max(Math.max(distributor.openConnections(0), distributor.openConnections(1)),
+                Math.max(distributor.openConnections(2), distributor.openConnections(3)));
+        assertTrue(max - min <= 20, "seed " + seed + ": " + min + " to " + max);
     }
 
     @Test
-    void aLoopThatRunsLateGetsNoneUntilItKeepsUpAgain() {
-        ConnectionDistributor d = of(3, 100);
-        d.reportDelay(1, 0, 80);
+    void lateLoopGetsNoConnectionUntilItKeepsUpAgain() {
+        ConnectionDistributor distributor = distributor(3, 100);
+        distributor.reportDelay(1, 0, 80);
         for (int i = 0; i < 20; i++) {
-            assertTrue(deal(d, 10) != 1);
+            assertTrue(assign(distributor, 10) != 1);
         }
-        d.reportDelay(1, 20, 2);
-        assertTrue(deal(d, 30) != 1, "one turn in time is no proof");
+        distributor.reportDelay(1, 20, 2);
+        assertTrue(assign(distributor, 30) != 1, "one turn in time is no proof");
         for (int i = 0; i < 10; i++) {
-            d.reportDelay(1, 20, 2);
+            distributor.reportDelay(1, 20, 2);
         }
-        assertEquals(1, deal(d, 30));
+        assertEquals(1, assign(distributor, 30));
     }
 
     @Test
-    void aLoopThatIsNotHeardOfGetsNone() {
-        ConnectionDistributor d = of(2, 100);
-        d.reportDelay(0, 1000, 0);
+    void silentLoopGetsNoConnection() {
+        ConnectionDistributor distributor = distributor(2, 100);
+        distributor.reportDelay(0, 1000, 0);
         for (int i = 0; i < 10; i++) {
-            assertEquals(0, deal(d, 1001));
+            assertEquals(0, assign(distributor, 1001));
         }
-        assertEquals(1001, d.sinceLastReportMs(1, 1001));
+        assertEquals(1001, distributor.sinceLastReportMs(1, 1001));
     }
 
     @Test
-    void whereNoneKeepsUpTheFewestConnectionsDecide() {
-        ConnectionDistributor d = of(2, 100);
-        d.reportDelay(0, 0, 900);
-        d.reportDelay(1, 0, 900);
-        d.connectionOpened(0);
-        assertEquals(1, deal(d, 1));
+    void fewestConnectionsDecideIfNoLoopKeepsUp() {
+        ConnectionDistributor distributor = distributor(2, 100);
+        distributor.reportDelay(0, 0, 900);
+        distributor.reportDelay(1, 0, 900);
+        distributor.connectionOpened(0);
+        assertEquals(1, assign(distributor, 1));
     }
 
     @Test
-    void aFullLoopAndARetiredOneGetNone() {
-        ConnectionDistributor d = of(3, 2);
-        d.retire(0);
-        assertTrue(d.isRetired(0));
+    void fullAndRetiredLoopsGetNoConnection() {
+        ConnectionDistributor distributor = distributor(3, 2);
+        distributor.retire(0);
+        assertTrue(distributor.isRetired(0));
         for (int i = 0; i < 4; i++) {
-            assertTrue(deal(d, 0) > 0);
+            assertTrue(assign(distributor, 0) > 0);
         }
-        assertEquals(ConnectionDistributor.NONE, d.nextLoop(0));
-        d.connectionClosed(2);
-        assertEquals(2, deal(d, 0));
+        assertEquals(ConnectionDistributor.NONE, distributor.nextLoop(0));
+        distributor.connectionClosed(2);
+        assertEquals(2, assign(distributor, 0));
     }
 
     @Test
-    void aLoopMustBeAllowedAConnection() {
+    void connectionLimitMustBeAtLeastOne() {
         assertThrows(IllegalArgumentException.class, () -> new ConnectionDistributor(new int[] {1, 0}, 0));
     }
 }
