--- a/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionEvictionTest.java
@@ -45,8 +45,8 @@
                 keepAlive("kept", NOW - 3000)));
         assertEquals("old", victim(silent("new", NOW - 5), silent("old", NOW - 50)));
         assertEquals("stopped", victim(BUSY, slow, writing("stopped", NOW - 700), keepAlive("kept", NOW - 3000)));
-        assertEquals("kept", victim(BUSY, slow, writing("halting", NOW - 300), keepAlive("kept", NOW - 3000)));
-        assertEquals("halting", victim(BUSY, slow, writing("halting", NOW - 300)));
+        assertEquals("kept", victim(BUSY, slow, writing("paused", NOW - 300), keepAlive("kept", NOW - 3000)));
+        assertEquals("paused", victim(BUSY, slow, writing("paused", NOW - 300)));
         assertNull(victim(BUSY, slow));
         assertNull(victim());
     }
@@ -83,6 +83,6 @@
             connections.add(random.nextBoolean() ? silent("silent", nowMs) : writing("stopped", nowMs));
         }
         assertTrue(connections.stream().anyMatch(c -> c.name().equals("slow")), "seed " + seed);
-        assertTrue(rejected < 100, rejected + " waited, seed " + seed);
+        assertTrue(rejected < 100, rejected + " had no victim, seed " + seed);
     }
 }
--- a/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
+++ b/core/src/test/java/ridgemill/connections/ConnectionReleaseRequestsTest.java
@@ -45,9 +45,9 @@
     @Test
     void noProxyIsLockedOutOfANodeWithFewerSlotsThanProxies() {
         assertTrue(highestRejectionRate(false) > 0.95,
-                "without calls some proxies never get in");
+                "without release requests some proxies are nearly always rejected");
         double rejectionRate = highestRejectionRate(true);
-        assertTrue(rejectionRate < 0.25, "turned away " + rejectionRate);
+        assertTrue(rejectionRate < 0.25, "rejected " + rejectionRate);
     }
 
     private static double highestRejectionRate(boolean sendsRequests) {
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -71,7 +71,7 @@
         public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> listener) {
             SentAttempt sent = new SentAttempt(attempt, listener);
             assertTrue(inFlight.stream().noneMatch(o -> o.attempt.requestId().equals(attempt.requestId())),
-                    "two attempts are out at once");
+                    "two attempts in flight at once");
             assertTrue(attempt.remainingMs() > 0);
             inFlight.add(sent);
             sentAttempts.add(sent);
@@ -226,7 +226,7 @@
         timers.pass(1000 + SLACK_MS - 1);
         assertEquals(List.of(), handler.responses);
         timers.pass(1);
-        assertEquals(List.of("refused 0.0"), handler.responses, "nothing ran, so a refusal is a true promise");
+        assertEquals(List.of("refused 0.0"), handler.responses, "nothing ran, so the request is refused");
         assertEquals(1, faults.size());
     }
 
@@ -242,7 +242,7 @@
         RecordingHandler a = submit("a");
         RecordingHandler b = submit("b");
         inFlight.get(0).end(Outcome.RESET);
-        assertEquals(List.of("failed"), a.responses, "it may have run, so nothing is promised");
+        assertEquals(List.of("failed"), a.responses, "the attempt may have run, so the request fails");
         inFlight.get(0).end(Outcome.OK);
         assertEquals(List.of("served v"), b.responses);
     }
@@ -265,8 +265,8 @@
         RecordingHandler sent = submit("out");
         RecordingHandler bad = submit("bad");
         assertEquals(List.of("refused 0.0"), bad.responses);
-        assertEquals(List.of("refused 0.0"), waiting.responses, "nothing ran, and nobody decides on it any more");
-        assertEquals(List.of(), sent.responses, "its attempt is out and may still be answered");
+        assertEquals(List.of("refused 0.0"), waiting.responses, "nothing ran, and the policy will not decide");
+        assertEquals(List.of(), sent.responses, "its attempt is in flight and may still be answered");
         RecordingHandler later = submit("later");
         assertEquals(List.of("refused 0.0"), later.responses);
         inFlight.get(0).end(Outcome.OK);
@@ -315,7 +315,7 @@
         RecordingHandler late = new RecordingHandler();
         dispatcherWithDeadlines.submit(new Request("late", "read", null, 1, 0, 50, false, false),
                 new Command<>(false, "/api/k", null, ""), late);
-        assertEquals(List.of("refused 0.0"), late.responses, "at once, and nothing ran");
+        assertEquals(List.of("refused 0.0"), late.responses, "refused at once, and nothing ran");
         assertEquals(sent, sentAttempts.size());
         assertEquals(Outcome.NEVER_SENT, results.get(results.size() - 1).outcome());
         assertTrue(results.get(results.size() - 1).requestFinished());
@@ -335,12 +335,12 @@
         submit("b");
         assertTrue(inFlight.get(0).attempt.mayBeWritten());
         dispatcher.clientGone("a");
-        assertFalse(inFlight.get(0).attempt.mayBeWritten(), "its client has left");
+        assertFalse(inFlight.get(0).attempt.mayBeWritten(), "the client has disconnected");
         SentAttempt second = inFlight.get(1);
         timers.pass(999);
         assertTrue(second.attempt.mayBeWritten());
         timers.pass(1);
-        assertFalse(second.attempt.mayBeWritten(), "its time is up");
+        assertFalse(second.attempt.mayBeWritten(), "the deadline has passed");
     }
 
     @Test
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -237,7 +237,7 @@
         timers.pass(19);
         assertEquals(List.of(), c.responses);
         timers.pass(1);
-        assertEquals(List.of("limited"), c.responses, "its client waits for less than the line allows");
+        assertEquals(List.of("limited"), c.responses, "its client waits for less time than the queue allows");
         timers.pass(30);
         assertEquals(List.of("limited"), b.responses);
         backend.end("a", Outcome.OK);
@@ -296,14 +296,14 @@
         assertEquals(List.of("a"), north.requests.stream().map(Request::id).toList());
         assertEquals(List.of("b"), router.requests.stream().map(Request::id).toList());
         intake.removeGroup("north");
-        assertTrue(intake.isOpen("a"), "its id is not free");
-        assertEquals(List.of("refused"), submit("c", "/north/k", "t", 1000).responses, "it never ran");
+        assertTrue(intake.isOpen("a"), "its id is still in use");
+        assertEquals(List.of("refused"), submit("c", "/north/k", "t", 1000).responses, "it did not run");
         backend.end("a", Outcome.OK);
         backend.end("b", Outcome.OK);
         assertEquals(List.of("served"), a.responses);
         assertEquals(List.of("served"), b.responses);
         intake.removeGroup("north");
-        assertEquals(3, intake.counters().requests(), "what a group counted is kept");
+        assertEquals(3, intake.counters().requests(), "the counts of a removed group are kept");
         assertEquals(0, intake.pendingRequests());
     }
 
@@ -334,7 +334,7 @@
             }
             // Checked between steps only: within one, the attempt of a disconnected client is cancelled after the next
             // starts.
-            assertTrue(backend.inFlight.size() <= 5, backend.inFlight.size() + " are out, seed " + seed);
+            assertTrue(backend.inFlight.size() <= 5, backend.inFlight.size() + " in flight, seed " + seed);
             timers.pass(random.nextInt(12));
         }
         timers.pass(1000);
--- a/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
+++ b/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
@@ -58,7 +58,7 @@
         @Override
         public Exchange send(String node, Attempt<String> attempt, double timeoutMs, Listener<String> listener) {
             String id = attempt.requestId();
-            assertFalse(inFlight.containsKey(id), "two attempts out at once");
+            assertFalse(inFlight.containsKey(id), "two attempts in flight at once");
             sentIds.add(id);
             inFlight.put(id, listener);
             attempts.put(id, attempt);
@@ -173,18 +173,18 @@
 
     private void assertSettled() {
         assertEquals(0, intake.pendingRequests());
-        assertEquals(0, admitted, "each place was given back once");
+        assertEquals(0, admitted, "each admission was ended once");
     }
 
     @Test
     void retryAfterDisconnectIsAnsweredFromTheRecord() {
         pay("a", "k", 1000);
         intake.clientGone("a");
-        assertTrue(backend.inFlight.containsKey("a"), "it goes on to its end");
+        assertTrue(backend.inFlight.containsKey("a"), "the call continues to its end");
         backend.execute("a");
         backend.end("a", Outcome.OK);
         assertEquals(List.of("served"), pay("b", "k", 1000).responses);
-        assertEquals(List.of("a"), backend.sentIds, "nothing of the second ran");
+        assertEquals(List.of("a"), backend.sentIds, "the second request did not run");
         assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
         assertNull(intake.findLocalOutcome("k", "other"));
         assertSettled();
@@ -197,7 +197,7 @@
         RecordingHandler c = pay("c", "k", 100);
         assertTrue(intake.isOpen("b"));
         timers.pass(100);
-        assertEquals(List.of("refused"), c.responses, "its own time is up, and asking again is harmless");
+        assertEquals(List.of("refused"), c.responses, "its own time is up, and a retry is harmless");
         intake.clientGone("a");
         backend.execute("a");
         backend.end("a", Outcome.OK);
@@ -212,7 +212,7 @@
         pay("a", "k", 1000);
         backend.execute("a");
         backend.end("a", Outcome.RESET);
-        assertEquals(List.of("a", "a"), backend.sentIds, "the store drops the repeat");
+        assertEquals(List.of("a", "a"), backend.sentIds, "the origin drops the duplicate");
         intake.clientGone("a");
         backend.execute("a");
         backend.end("a", Outcome.OK);
@@ -243,7 +243,7 @@
         assertEquals(IdempotencyRecord.State.UNKNOWN, intake.findLocalOutcome("k", "acme").state());
         timers.pass(PAY.deduplicationWindowMs());
         assertEquals(List.of("failed"), pay("late", "k", 1000).responses,
-                "nodes have forgotten it: nobody can find out by running it");
+                "the nodes have forgotten the key, so executing it would prove nothing");
         assertEquals(1, backend.effects.get("k"));
         assertSettled();
     }
@@ -279,7 +279,7 @@
     @Test
     void everyKeyTakesEffectOnceForRandomEvents() {
         long seed = System.nanoTime();
-        System.out.println("RecorderTest seed " + seed);
+        System.out.println("WriteDeduplicatorTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         List<RecordingHandler> handlers = new ArrayList<>();
         List<Boolean> disconnected = new ArrayList<>();
@@ -319,7 +319,7 @@
         requestsByKey.forEach((key, requests) -> {
             boolean served = requests.stream().anyMatch(i -> handlers.get(i).responses.contains("served"));
             assertTrue(!served || backend.effects.containsKey(key),
-                    key + " was told as done and never ran, seed " + seed);
+                    key + " was reported as done and never ran, seed " + seed);
         });
         assertSettled();
     }
--- a/core/src/test/java/ridgemill/deadline/DeadlineTest.java
+++ b/core/src/test/java/ridgemill/deadline/DeadlineTest.java
@@ -81,20 +81,20 @@
     void lateRequestsAreDroppedUntilTheSamplesExpire() {
         Deadlines deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
         ClassTimings timings = timings(deadlines);
-        assertEquals(Verdict.GO, timings.checkSend(0, 0, 1, true, true), "nothing is known yet");
+        assertEquals(Verdict.GO, timings.checkSend(0, 0, 1, true, true), "there are no samples yet");
         for (int i = 0; i < 200; i++) {
             timings.attemptAnswered(i, 100 + i % 50, true, false);
         }
         assertEquals(Verdict.LATE, timings.checkSend(300, 0, 40, true, true));
         assertEquals(Verdict.GO, timings.checkSend(300, 0, 140, true, true));
-        assertEquals(Verdict.GO, timings.checkSend(300, 0, 40, false, true), "caches are another matter");
+        assertEquals(Verdict.GO, timings.checkSend(300, 0, 40, false, true), "cache nodes have their own samples");
         assertEquals(Verdict.LATE, timings.checkStage(RequestStage.LINE, 300, 40));
         assertEquals(Verdict.LATE, timings.checkWrite(300, 40, true));
         assertTrue(timings.minRemainingMs(300) > 60 && timings.minRemainingMs(300) <= 100,
                 "" + timings.minRemainingMs(300));
         assertEquals(3L, deadlines.dropped());
         assertEquals(Verdict.GO, timings.checkSend(300 + ResponseTimes.RETENTION_MS, 0, 40, true, true),
-                "it may be quicker by now");
+                "the samples have expired");
     }
 
     @Test
@@ -125,9 +125,9 @@
                 timings.requestAnswered(now, 20);
             }
         }
-        assertTrue(sent >= 40 && sent < 120, sent + " were sent: a few to learn from, and then one in so many");
+        assertTrue(sent >= 40 && sent < 120, sent + " were sent: the first samples, and then one trial in 16");
         assertEquals(Verdict.GO, timings.checkSend(now, 0, 1400, false, true),
-                "a first look at a cache always goes");
+                "the first attempt at a cache node is always sent");
         int sentLater = 0;
         for (int i = 0; i < 4000; i++) {
             now += 10;
@@ -137,7 +137,7 @@
                 timings.requestAnswered(now, 420);
             }
         }
-        assertTrue(sentLater > 1500, sentLater + " were sent once clients stay");
+        assertTrue(sentLater > 1500, sentLater + " were sent after clients began to stay");
     }
 
     @Test
@@ -173,15 +173,15 @@
         for (double t = 0; t <= 100; t += LoopStallDetector.TICK_INTERVAL_MS) {
             detector.tick(t);
         }
-        assertEquals(0, detector.maxAgeMs(150), "a beat that is a little late is usual");
-        assertEquals(3000 - 120, detector.maxAgeMs(3000), "read in the turn that follows, before the beat");
+        assertEquals(0, detector.maxAgeMs(150), "a tick that is slightly late is not a stall");
+        assertEquals(3000 - 120, detector.maxAgeMs(3000), "read in the next iteration, before its tick");
         detector.tick(3000);
         assertEquals(3010 - 120, detector.maxAgeMs(3010),
-                "what came during a stall is not all read in one turn");
+                "messages that arrived during a stall are not all read in one iteration");
         for (double t = 3020; t <= 4000; t += LoopStallDetector.TICK_INTERVAL_MS) {
             detector.tick(t);
         }
-        assertEquals(3990 - 120, detector.maxAgeMs(3990), "nor in a few");
+        assertEquals(3990 - 120, detector.maxAgeMs(3990), "nor in the next few");
         assertEquals(0, detector.maxAgeMs(4010));
         assertEquals(2880, detector.longestStallMs());
     }
@@ -190,7 +190,7 @@
     void requestsAheadOfADueOneAreOverdue() {
         PipelineDeadlines<String> pipeline = new PipelineDeadlines<>();
         pipeline.add("slow", 1500);
-        assertEquals(Double.POSITIVE_INFINITY, pipeline.nextDeadlineMs(), "it holds nobody up");
+        assertEquals(Double.POSITIVE_INFINITY, pipeline.nextDeadlineMs(), "it holds up no other request");
         pipeline.add("quick", 300);
         pipeline.add("last", 2000);
         assertEquals(300, pipeline.nextDeadlineMs());
@@ -214,15 +214,15 @@
             timings.attemptAnswered(i, 72, true, true);
         }
         assertTrue(timings.shouldCloseConnection(300, 5, true),
-                "most of 60 ms is to come, and a handshake costs 12");
-        assertFalse(timings.shouldCloseConnection(300, 58, true), "its answer is all but there");
-        assertTrue(timings.shouldCloseConnection(300, 500, true), "it is so late that it may never come");
+                "most of the 60 ms would be saved, and a handshake costs 12");
+        assertFalse(timings.shouldCloseConnection(300, 58, true), "the response is nearly there");
+        assertTrue(timings.shouldCloseConnection(300, 500, true), "the response is so late that it may never arrive");
         int closedCount = 0;
         for (int i = 0; i < 500; i++) {
             closedCount += timings.shouldCloseConnection(300 + i * 10, 5, true) ? 1 : 0;
         }
-        assertTrue(closedCount < 100, closedCount + " in 5 s: handshakes may take a tenth of a core");
+        assertTrue(closedCount < 100, closedCount + " closed in 5 s: handshakes may take a tenth of a core");
         assertTrue(timings(new Deadlines(DeadlinePolicy.DEFAULT)).shouldCloseConnection(0, 58, true),
-                "without the weighing all are closed");
+                "a policy that does not weigh the cost always closes");
     }
 }
--- a/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
+++ b/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
@@ -50,7 +50,7 @@
     void secondStallDoesNotHideTheFirst() {
         ticks(0, 1000, 0);
         detector.tick(3500);
-        assertTrue(detector.maxAgeMs(3670) > 2600, "the beat is overdue again");
+        assertTrue(detector.maxAgeMs(3670) > 2600, "the tick is overdue again");
         detector.tick(3670);
         assertTrue(detector.maxAgeMs(3680) > 2600, () -> "age " + detector.maxAgeMs(3680));
     }
--- a/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
+++ b/core/src/test/java/ridgemill/idempotency/IdempotencyRecordsTest.java
@@ -34,9 +34,9 @@
                 assertInstanceOf(IdempotencyRecords.Replay.class, begin(30, "k", "c")).record().state());
         assertEquals("a", records.find(RETENTION_MS, "k", "acme").callId());
         assertNull(records.find(20 + RETENTION_MS + 1, "k", "acme"));
-        assertNull(records.find(30, "k", "other"), "it is not theirs");
+        assertNull(records.find(30, "k", "other"), "the record is another tenant's");
         assertEquals(new IdempotencyRecords.Execute(true), begin(20 + RETENTION_MS + 1, "k", "d"),
-                "as new as any");
+                "the record has expired, so the key is new");
     }
 
     @Test
@@ -49,10 +49,10 @@
         assertEquals(new IdempotencyRecords.Execute(true), begin(5000, "k", "c"));
         assertEquals(State.RUNNING_AGAIN, store.get("k").state());
         records.callEnded(5010, "k", "c", CallResult.NOTHING_RAN);
-        assertEquals(State.UNKNOWN, store.get("k").state(), "the one before may have run all the same");
+        assertEquals(State.UNKNOWN, store.get("k").state(), "the earlier call may have run");
         assertEquals(State.UNKNOWN,
                 assertInstanceOf(IdempotencyRecords.Replay.class, begin(20 + WINDOW_MS, "k", "d")).record().state(),
-                "nodes have forgotten it, and running it could record it twice");
+                "the nodes have forgotten the key, so executing it could take effect twice");
     }
 
     @Test
@@ -61,7 +61,7 @@
         assertInstanceOf(IdempotencyRecords.Conflict.class, records.begin(1, "k", "b", "acme", 8, WINDOW_MS));
         assertInstanceOf(IdempotencyRecords.Conflict.class, records.begin(1, "k", "b", "other", 7, WINDOW_MS));
         records.callEnded(2, "k", "x", CallResult.SERVED);
-        assertTrue(store.get("k").isRunning(), "an end of another call ends nothing");
+        assertTrue(store.get("k").isRunning(), "the end of another call is ignored");
     }
 
     @Test
@@ -73,9 +73,9 @@
         smallRecords.begin(0, "b", "2", "t", 7, WINDOW_MS);
         assertEquals(new IdempotencyRecords.Execute(false), smallRecords.begin(100, "c", "3", "t", 7, WINDOW_MS));
         assertEquals(new IdempotencyRecords.Execute(true), smallRecords.begin(WINDOW_MS, "c", "4", "t", 7, WINDOW_MS),
-                "the first one's window is over");
+                "the window of the first record is over");
         assertNull(smallStore.get("a"));
-        assertTrue(smallStore.get("b").isRunning(), "one that runs stays");
+        assertTrue(smallStore.get("b").isRunning(), "a running call is not evicted");
         assertEquals(1, smallStore.evicted());
     }
 
@@ -86,7 +86,7 @@
     @Test
     void noOrderOfEventsExecutesAKeyTwice() {
         long seed = System.nanoTime();
-        System.out.println("OutcomesTest seed " + seed);
+        System.out.println("IdempotencyRecordsTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
         Map<String, String> runningCalls = new HashMap<>();
         Map<String, Double> recordedAt = new HashMap<>();
--- a/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
+++ b/core/src/test/java/ridgemill/loops/ConnectionDistributorTest.java
@@ -66,7 +66,7 @@
             assertTrue(assign(distributor, 10) != 1);
         }
         distributor.reportDelay(1, 20, 2);
-        assertTrue(assign(distributor, 30) != 1, "one turn in time is no proof");
+        assertTrue(assign(distributor, 30) != 1, "one report in time is not enough");
         for (int i = 0; i < 10; i++) {
             distributor.reportDelay(1, 20, 2);
         }
