--- a/core/src/main/java/ridgemill/core/VersionTracker.java
+++ b/core/src/main/java/ridgemill/core/VersionTracker.java
@@ -34,7 +34,7 @@
         /** Tracks nothing. */
         RequestVersion NONE = (nowMs, serviceClass, result, why) -> { };
 
-        /** The request, of this class, has ended; {@code why} is {@link Reason#UNSAID} if no reason was given. */
+        /** The request, of this class, has ended; {@code reason} is {@link Reason#UNSAID} if no reason was given. */
         void requestEnded(double nowMs, String serviceClass, RequestCounters.RequestResult result, Reason why);
 
         /** An attempt of the request was sent to a node. */
--- a/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
+++ b/core/src/main/java/ridgemill/loops/ConnectionDistributor.java
@@ -14,7 +14,10 @@
     private static final double MAX_DELAY_MS = 25;
     /** Smoothing factor by which a reported delay fades. */
     private static final double SMOOTHING = 0.2;
-    /** Without a report for longer than this a loop is taken not to keep up. */
+    /**
+     * For how long a report counts: its delay may have changed since, and without a newer report the loop is taken not
+     * to keep up.
+     */
     private static final double MAX_SILENCE_MS = 500;
 
     private final int[] open;
