--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -246,7 +246,7 @@
     public void answerNow(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.finished && !call.responseStarted()) {
-            call.why = Reason.HELD_UP_ANOTHER;
+            call.reason = Reason.HELD_UP_ANOTHER;
             endNow(call);
             if (call.inFlight != null) {
                 call.inFlight.cancel();
@@ -396,7 +396,7 @@
         if (call.finished || call.inFlight != null) {
             return;
         }
-        call.why = Reason.FAULT;
+        call.reason = Reason.FAULT;
         if (call.provenNotRun) {
             refuseNow(call, 0);
         } else {
@@ -446,8 +446,8 @@
     }
 
     @Override
-    public void reportReason(String request, Reason why) {
-        actions.add(() -> ifUnanswered(request, call -> call.why = why));
+    public void reportReason(String request, Reason reason) {
+        actions.add(() -> ifUnanswered(request, call -> call.reason = reason));
     }
 
     @Override
@@ -497,12 +497,12 @@
 
     private void count(Call<C> call, RequestCounters.RequestResult result) {
         counters.requestEnded(call.request.serviceClass(), result);
-        call.version.requestEnded(timers.now(), call.request.serviceClass(), result, call.why);
+        call.version.requestEnded(timers.now(), call.request.serviceClass(), result, call.reason);
     }
 
     private void giveReason(Call<C> call) {
-        counters.countReason(call.request.serviceClass(), call.why);
-        call.client.reason(call.why);
+        counters.countReason(call.request.serviceClass(), call.reason);
+        call.client.reason(call.reason);
     }
 
     private void refuseNow(Call<C> call, double retryAfterMs) {
@@ -563,7 +563,7 @@
         if (verdict != Verdict.GO) {
             // No client would read the response: the final response is given now, and the policy is told that the
             // request is finished.
-            call.why = verdict == Verdict.LATE ? Reason.TOO_LATE : Reason.UNREAD;
+            call.reason = verdict == Verdict.LATE ? Reason.TOO_LATE : Reason.UNREAD;
             endNow(call);
             counters.attemptEnded(Outcome.NEVER_SENT);
             reportEnd(request, call, attempt, node, Outcome.NEVER_SENT, 0, NodeResponse.NO_CACHE_STATUS);
@@ -703,7 +703,7 @@
         int attempts;
         /** When a streamed response started; NaN before that. */
         double responseStartedMs = Double.NaN;
-        Reason why = Reason.UNSAID;
+        Reason reason = Reason.UNSAID;
         /** Whether the outcomes of all ended attempts prove that none of them ran. */
         boolean provenNotRun = true;
         /** Whether the final response was given or the client disconnected. */
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -182,9 +182,9 @@
                 .requestEnded(now, serviceClass, result, Reason.UNSAID);
     }
 
-    private void countRejected(String serviceClass, Reason why) {
+    private void countRejected(String serviceClass, Reason reason) {
         countRejected(serviceClass);
-        counters.countReason(serviceClass, why);
+        counters.countReason(serviceClass, reason);
     }
 
     /**
@@ -224,10 +224,10 @@
         if (dispatcher == null
                 || timings(admitted).checkStage(stage, timers.now(), request.budgetMs()) != Verdict.GO) {
             // The group was removed since the admission, or it is too late for any response; nothing ran.
-            Reason why = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
-            countRejected(request.serviceClass(), why);
+            Reason reason = dispatcher == null ? Reason.GROUP_GONE : Reason.TOO_LATE;
+            countRejected(request.serviceClass(), reason);
             requestFinished(request.serviceClass());
-            client.reason(why);
+            client.reason(reason);
             client.refused(0);
             return;
         }
--- a/core/src/main/java/ridgemill/core/RequestCounters.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -62,8 +62,8 @@
     }
 
     /** Counts the reason for which a request of this class was refused or failed. */
-    void countReason(String serviceClass, Reason why) {
-        reasons.computeIfAbsent(serviceClass, s -> new long[Reason.values().length])[why.ordinal()]++;
+    void countReason(String serviceClass, Reason reason) {
+        reasons.computeIfAbsent(serviceClass, s -> new long[Reason.values().length])[reason.ordinal()]++;
     }
 
     /**
@@ -84,8 +84,8 @@
     }
 
     /** The number of requests of all classes that were refused or failed for this reason. */
-    public long reasonCount(Reason why) {
-        return reasons.values().stream().mapToLong(c -> c[why.ordinal()]).sum();
+    public long reasonCount(Reason reason) {
+        return reasons.values().stream().mapToLong(c -> c[reason.ordinal()]).sum();
     }
 
     /** Counts the outcome of an attempt. */
--- a/core/src/main/java/ridgemill/core/ResponseHandler.java
+++ b/core/src/main/java/ridgemill/core/ResponseHandler.java
@@ -45,7 +45,7 @@
     }
 
     /** Called directly before a refusal or failure with its reason; {@link Reason#UNSAID} if none was given. */
-    default void reason(Reason why) { }
+    default void reason(Reason reason) { }
 
     /** The request failed, and it is unknown whether it took effect. */
     void failed();
--- a/core/src/main/java/ridgemill/core/VersionTracker.java
+++ b/core/src/main/java/ridgemill/core/VersionTracker.java
@@ -32,10 +32,10 @@
     interface RequestVersion {
 
         /** Tracks nothing. */
-        RequestVersion NONE = (nowMs, serviceClass, result, why) -> { };
+        RequestVersion NONE = (nowMs, serviceClass, result, reason) -> { };
 
         /** The request, of this class, has ended; {@code reason} is {@link Reason#UNSAID} if no reason was given. */
-        void requestEnded(double nowMs, String serviceClass, RequestCounters.RequestResult result, Reason why);
+        void requestEnded(double nowMs, String serviceClass, RequestCounters.RequestResult result, Reason reason);
 
         /** An attempt of the request was sent to a node. */
         default void attemptSent(double nowMs, String node) { }
--- a/core/src/main/java/ridgemill/core/WriteDeduplicator.java
+++ b/core/src/main/java/ridgemill/core/WriteDeduplicator.java
@@ -202,11 +202,11 @@
         }
 
         @Override
-        public void reason(Reason why) {
+        public void reason(Reason reason) {
             if (client != null) {
-                client.reason(why);
+                client.reason(reason);
             }
-            joined.forEach(d -> d.client.reason(why));
+            joined.forEach(d -> d.client.reason(reason));
         }
 
         @Override
--- a/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
+++ b/core/src/test/java/ridgemill/deadline/LoopStallDetectorTest.java
@@ -40,9 +40,9 @@
     void messagesMayBeOldForAWhileAfterALongStop() {
         ticks(0, 1000, 0);
         detector.tick(3500);
-        double still = ticks(3520, 4400, 0);
-        assertTrue(detector.maxAgeMs(still) > 2500, () -> "age " + detector.maxAgeMs(still));
-        double caughtUp = ticks(still, 4600, 0);
+        double catchingUp = ticks(3520, 4400, 0);
+        assertTrue(detector.maxAgeMs(catchingUp) > 2500, () -> "age " + detector.maxAgeMs(catchingUp));
+        double caughtUp = ticks(catchingUp, 4600, 0);
         assertEquals(0, detector.maxAgeMs(caughtUp));
     }
 
