--- a/core/src/main/java/ridgemill/core/AdmissionController.java
+++ b/core/src/main/java/ridgemill/core/AdmissionController.java
@@ -55,7 +55,12 @@
         }
     }
 
-    /** A limit rejects the request, and nothing ran. {@code retryAfterMs} is derived from the limit. */
+    /**
+     * A limit rejects the request, and nothing ran.
+     *
+     * @param limit name of the limit
+     * @param retryAfterMs when the client may retry, in milliseconds; derived from the limit
+     */
     record Rejected(String limit, double retryAfterMs) implements Decision { }
 
     /** The request can never be served as it is. */
