--- a/core/src/main/java/ridgemill/deadline/Deadlines.java
+++ b/core/src/main/java/ridgemill/deadline/Deadlines.java
@@ -5,67 +5,72 @@
 import java.util.TreeMap;
 
 /**
- * Requests' time as one proxy knows it. Fronts say what a client said and what was eaten on the way; each place that may wait
- * asks whether to go on. Not safe for use by several threads.
+ * Deadline handling of one proxy: its policy, the learned timings and the counts. Frontends report the timeout that a
+ * client sent and the part that has passed unseen; each stage at which a request may wait checks whether it may
+ * proceed. Not thread-safe.
  */
 public final class Deadlines {
 
     private final Map<String, GroupTimings> groups = new HashMap<>();
     private final Map<String, ReturnDelay> hops = new HashMap<>();
-    private final LoopStallDetector loop = new LoopStallDetector();
+    private final LoopStallDetector loopStalls = new LoopStallDetector();
     private final long[] late = new long[RequestStage.values().length];
     private final long[] unread = new long[RequestStage.values().length];
     private DeadlinePolicy policy;
     private long closed;
     private long leftToRun;
 
-    /** One that knows nothing yet. */
+    /** Creates an instance without any samples. */
     public Deadlines(DeadlinePolicy policy) {
         this.policy = policy;
     }
 
-    /** What is made of deadlines. */
+    /** The policy in effect. */
     public DeadlinePolicy policy() {
         return policy;
     }
 
-    /** Something else is made of them from now on; what was learned stays. */
+    /** Replaces the policy; learned timings are kept. */
     public void setPolicy(DeadlinePolicy next) {
         policy = next;
     }
 
-    /** Whether the loop turns. */
+    /** Detects stalls of the event loop. */
     public LoopStallDetector loopStalls() {
-        return loop;
+        return loopStalls;
     }
 
-    /** A group of nodes, by its name. */
+    /** The timings of a group of nodes, created on first use. */
     public GroupTimings group(String name) {
         return groups.computeIfAbsent(name, n -> new GroupTimings(this));
     }
 
-    /** The way of answers over one hop in one direction, by a name such as {@code http} or {@code hall teku-hall}. */
+    /**
+     * The return delay of responses over one hop in one direction, created on first use. The name, such as {@code http}
+     * or {@code hall teku-hall}, is part of a metric's name.
+     */
     public ReturnDelay returnDelay(String name) {
         return hops.computeIfAbsent(name, n -> new ReturnDelay());
     }
 
     /**
-     * What a request has left here, 0 or more.
+     * The time that remains for a request, in milliseconds, 0 or more.
      *
-     * @param saidMs how long its client waits, from when it sent it
-     * @param eatenMs what of that passed here before it was read: in a stall, or behind others of its connection
-     * @param back what its answer's way back takes
+     * @param timeoutMs the client's timeout, counted from when it sent the request
+     * @param elapsedMs time that passed here before the request was read: in a stall, or behind other requests of its
+     *     connection
+     * @param back delay of the response on the way back
      */
-    public double remainingMs(double saidMs, double eatenMs, ReturnDelay back) {
-        double left = Math.max(0, saidMs - Math.max(0, eatenMs));
-        return policy.dropsLate() ? left - back.reserveMs(left, policy.maxReserveFraction()) : left;
+    public double remainingMs(double timeoutMs, double elapsedMs, ReturnDelay back) {
+        double remaining = Math.max(0, timeoutMs - Math.max(0, elapsedMs));
+        return policy.dropsLate() ? remaining - back.reserveMs(remaining, policy.maxReserveFraction()) : remaining;
     }
 
-    Verdict counted(RequestStage place, Verdict verdict) {
+    Verdict counted(RequestStage stage, Verdict verdict) {
         if (verdict == Verdict.LATE) {
-            late[place.ordinal()]++;
+            late[stage.ordinal()]++;
         } else if (verdict == Verdict.UNREAD) {
-            unread[place.ordinal()]++;
+            unread[stage.ordinal()]++;
         }
         return verdict;
     }
@@ -75,25 +80,28 @@
         leftToRun += closes ? 0 : 1;
     }
 
-    /** How many were dropped since the start because they came too late, or as nobody would read their answer. */
+    /** The number of requests and attempts dropped since the start as late or as likely to go unread. */
     public long dropped() {
         long sum = 0;
-        for (RequestStage p : RequestStage.values()) {
-            sum += late[p.ordinal()] + unread[p.ordinal()];
+        for (RequestStage stage : RequestStage.values()) {
+            sum += late[stage.ordinal()] + unread[stage.ordinal()];
         }
         return sum;
     }
 
-    /** How it is, for whoever watches: what was dropped where, what is kept for each hop, the longest stall. */
+    /**
+     * Metrics by name: drops per stage, the reserve for the way back per hop in milliseconds, the longest stall in
+     * milliseconds, and cancelled attempts whose connection was closed or left open.
+     */
     public Map<String, Number> metrics() {
         Map<String, Number> all = new TreeMap<>();
-        for (RequestStage p : RequestStage.values()) {
-            String name = p.name().toLowerCase(java.util.Locale.ROOT);
-            all.put("late." + name, late[p.ordinal()]);
-            all.put("unread." + name, unread[p.ordinal()]);
+        for (RequestStage stage : RequestStage.values()) {
+            String name = stage.name().toLowerCase(java.util.Locale.ROOT);
+            all.put("late." + name, late[stage.ordinal()]);
+            all.put("unread." + name, unread[stage.ordinal()]);
         }
         hops.forEach((name, hop) -> all.put("wayback." + name + ".ms", Math.round(1000 * hop.reserveMs()) / 1000.0));
-        all.put("stall.ms", Math.round(loop.longestStallMs()));
+        all.put("stall.ms", Math.round(loopStalls.longestStallMs()));
         all.put("cancel.closed", closed);
         all.put("cancel.left", leftToRun);
         return all;
--- a/core/src/main/java/ridgemill/deadline/ReturnDelay.java
+++ b/core/src/main/java/ridgemill/deadline/ReturnDelay.java
@@ -1,9 +1,9 @@
 package ridgemill.deadline;
 
 /**
- * What an answer needs from when it is there until it is with whoever asked, learned for one hop in one direction: the mean
- * and four mean deviations, as TCP has its time-out (RFC 6298, section 2). Bounded to a part of the time that is left, so that
- * one stall of our own does not make every request one that comes too late.
+ * Estimates how long a response takes from when it is ready until the caller has it, for one hop in one direction. The
+ * estimate is the mean plus four mean deviations, like TCP's retransmission timeout (RFC 6298, section 2). It can be
+ * capped at a fraction of the remaining time, so that a single stall of this process does not make every request late.
  */
 public final class ReturnDelay {
 
@@ -11,32 +11,32 @@
     private static final double DEVIATION_GAIN = 1.0 / 4;
     private static final double DEVIATIONS = 4;
 
-    private double mean;
-    private double deviation;
+    private double meanMs;
+    private double deviationMs;
     private boolean known;
 
-    /** One took so long. */
+    /** Records one measured delay; negative values and NaN are ignored. */
     public void record(double ms) {
         if (!(ms >= 0)) {
             return;
         }
         if (!known) {
             known = true;
-            mean = ms;
-            deviation = ms / 2;
+            meanMs = ms;
+            deviationMs = ms / 2;
         } else {
-            deviation += DEVIATION_GAIN * (Math.abs(ms - mean) - deviation);
-            mean += MEAN_GAIN * (ms - mean);
+            deviationMs += DEVIATION_GAIN * (Math.abs(ms - meanMs) - deviationMs);
+            meanMs += MEAN_GAIN * (ms - meanMs);
         }
     }
 
-    /** What to keep for it, in milliseconds; 0 before anything is known. */
+    /** Time to reserve for the way back, in milliseconds; 0 before the first measurement. */
     public double reserveMs() {
-        return mean + DEVIATIONS * deviation;
+        return meanMs + DEVIATIONS * deviationMs;
     }
 
-    /** The same, but no more than a part of what is left. */
-    public double reserveMs(double leftMs, double mostPart) {
-        return Math.min(reserveMs(), Math.max(0, leftMs) * mostPart);
+    /** Like {@link #reserveMs()}, but at most {@code maxFraction} of the remaining time. */
+    public double reserveMs(double remainingMs, double maxFraction) {
+        return Math.min(reserveMs(), Math.max(0, remainingMs) * maxFraction);
     }
 }
--- a/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
+++ b/core/src/main/java/ridgemill/idempotency/InMemoryIdempotencyStore.java
@@ -5,47 +5,48 @@
 import java.util.Map;
 
 /**
- * Outcomes in memory, so many at most, oldest first in the order of their last change. Where there is no room, one whose
- * repeats are dropped by the nodes no longer, and of which nothing is open, goes for the next; none within its window does.
+ * A bounded store in memory, ordered by the last change of each record, oldest first. If it is full, a record is
+ * evicted that has no open call and whose duplicates the nodes no longer drop. A record within its window is never
+ * evicted.
  */
 public final class InMemoryIdempotencyStore implements IdempotencyStore {
 
-    /** A look for room goes no further than this: those that can go are the oldest. */
-    private static final int LOOKS = 64;
+    /** How many of the oldest records a search for one to evict examines: those that can be evicted are the oldest. */
+    private static final int MAX_EVICTION_PROBES = 64;
 
-    private final Map<String, IdempotencyRecord> known = new LinkedHashMap<>();
-    private final int most;
+    private final Map<String, IdempotencyRecord> records = new LinkedHashMap<>();
+    private final int capacity;
     private long evicted;
 
-    /** One that keeps so many, at least 1. */
-    public InMemoryIdempotencyStore(int most) {
-        if (most < 1) {
-            throw new IllegalArgumentException("room for " + most + " outcomes");
+    /** Creates an empty store of at most {@code capacity} records, at least 1. */
+    public InMemoryIdempotencyStore(int capacity) {
+        if (capacity < 1) {
+            throw new IllegalArgumentException("a capacity of " + capacity + " records is below the minimum of 1");
         }
-        this.most = most;
+        this.capacity = capacity;
     }
 
     @Override
     public IdempotencyRecord get(String key) {
-        return known.get(key);
+        return records.get(key);
     }
 
     @Override
     public boolean put(String key, IdempotencyRecord next) {
-        // Behind all others, as it changed last.
-        boolean there = known.remove(key) != null;
-        if (!there && known.size() >= most && !makeRoom(next.stateSinceMs())) {
+        // Removed first, so that the record moves to the end of the order.
+        boolean existed = records.remove(key) != null;
+        if (!existed && records.size() >= capacity && !evictOne(next.stateSinceMs())) {
             return false;
         }
-        known.put(key, next);
+        records.put(key, next);
         return true;
     }
 
-    private boolean makeRoom(double nowMs) {
-        Iterator<IdempotencyRecord> oldest = known.values().iterator();
-        for (int i = 0; i < LOOKS && oldest.hasNext(); i++) {
-            IdempotencyRecord k = oldest.next();
-            if (!k.isRunning() && nowMs >= k.firstSentMs() + k.windowMs()) {
+    private boolean evictOne(double nowMs) {
+        Iterator<IdempotencyRecord> oldest = records.values().iterator();
+        for (int i = 0; i < MAX_EVICTION_PROBES && oldest.hasNext(); i++) {
+            IdempotencyRecord candidate = oldest.next();
+            if (!candidate.isRunning() && nowMs >= candidate.firstSentMs() + candidate.windowMs()) {
                 oldest.remove();
                 evicted++;
                 return true;
@@ -56,18 +57,18 @@
 
     @Override
     public void remove(String key) {
-        known.remove(key);
+        records.remove(key);
     }
 
     @Override
     public void expire(double beforeMs) {
-        Iterator<IdempotencyRecord> oldest = known.values().iterator();
+        Iterator<IdempotencyRecord> oldest = records.values().iterator();
         while (oldest.hasNext()) {
-            IdempotencyRecord k = oldest.next();
-            if (k.stateSinceMs() >= beforeMs) {
+            IdempotencyRecord candidate = oldest.next();
+            if (candidate.stateSinceMs() >= beforeMs) {
                 return;
             }
-            if (!k.isRunning()) {
+            if (!candidate.isRunning()) {
                 oldest.remove();
             }
         }
@@ -75,10 +76,10 @@
 
     @Override
     public int size() {
-        return known.size();
+        return records.size();
     }
 
-    /** How many went before their time, for room. */
+    /** The number of records that were evicted to make room. */
     public long evicted() {
         return evicted;
     }
