--- a/core/src/main/java/ridgemill/lease/Candidate.java
+++ b/core/src/main/java/ridgemill/lease/Candidate.java
@@ -17,11 +17,11 @@
     /** Questions whose answers still count; an older answer is no use, as its vote has run out or soon will. */
     private static final int TRACKED_ROUNDS = 16;
     /** How long one attempt goes on, and at most how long the next waits, in times that an answer takes. */
-    private static final double ATTEMPT_ANSWERS = 4;
-    private static final double WAIT_ANSWERS = 6;
-    private static final double RENEW_PART = 1.0 / 3;
+    private static final double ATTEMPT_TIMEOUT_ANSWERS = 4;
+    private static final double MAX_BACKOFF_ANSWERS = 6;
+    private static final double RENEWAL_FRACTION = 1.0 / 3;
     /** How much of its time a renewal may be early to go with others. */
-    private static final double JOIN_PART = 1.0 / 6;
+    private static final double EARLY_RENEWAL_FRACTION = 1.0 / 6;
 
     enum State { WAITING, ASKING, HOLDING }
 
@@ -34,7 +34,7 @@
     private final double[] requestedAt = new double[TRACKED_ROUNDS];
     private final Map<Integer, Double> votes = new TreeMap<>();
     private final Map<Integer, RefusalReason> refusals = new TreeMap<>();
-    private double tryUntil;
+    private double attemptDeadline;
     private double dueAt;
     private double heldUntil = Double.NEGATIVE_INFINITY;
     private boolean wanted = true;
@@ -58,7 +58,7 @@
         return term;
     }
 
-    double until() {
+    double heldUntil() {
         return heldUntil;
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** Whether it is to have the lease from now on. */
-    void want(boolean other, double now) {
+    void setWanted(boolean other, double now) {
         if (other && !wanted) {
             dueAt = now;
         }
@@ -75,7 +75,7 @@
     }
 
     /** Looks at the clock: a lease that has run out is over, whatever comes of it later. Returns whether it was held until then. */
-    boolean lapses(double now) {
+    boolean expire(double now) {
         if (state == State.HOLDING && now >= heldUntil) {
             state = State.WAITING;
             dueAt = now;
@@ -85,12 +85,12 @@
     }
 
     /** Whether it is time for a new attempt. */
-    boolean begins(double now) {
+    boolean shouldStartAttempt(double now) {
         return state == State.WAITING && wanted && now >= dueAt;
     }
 
     /** A new attempt, under a term that is higher than all that were seen; the time itself is a term that none had before. */
-    void begin(double now, long seen) {
+    void startAttempt(double now, long seen) {
         highestTerm = Math.max(highestTerm, seen);
         term = Math.max(highestTerm + 1, (long) now);
         highestTerm = term;
@@ -98,12 +98,12 @@
         votes.clear();
         refusals.clear();
         heldUntil = Double.NEGATIVE_INFINITY;
-        tryUntil = now + ATTEMPT_ANSWERS * policy.answerMs();
+        attemptDeadline = now + ATTEMPT_TIMEOUT_ANSWERS * policy.answerMs();
         dueAt = now;
     }
 
     /** Whether a question is due now. */
-    boolean asks(double now) {
+    boolean isRequestDue(double now) {
         return state != State.WAITING && now >= dueAt;
     }
 
@@ -111,12 +111,12 @@
      * Whether a renewal that is due soon goes out with those that are due now: to ask early is always safe, and what several leases
      * ask of one voter then goes in one datagram.
      */
-    boolean joins(double now) {
-        return state == State.HOLDING && dueAt - requestedAt[round % TRACKED_ROUNDS] > 2 * policy.answerMs() && now + policy.holdMs() * JOIN_PART >= dueAt;
+    boolean mayRenewEarly(double now) {
+        return state == State.HOLDING && dueAt - requestedAt[round % TRACKED_ROUNDS] > 2 * policy.answerMs() && now + policy.holdMs() * EARLY_RENEWAL_FRACTION >= dueAt;
     }
 
     /** A question goes out now; returns its number. */
-    int ask(double now) {
+    int startRound(double now) {
         round++;
         requestedAt[round % TRACKED_ROUNDS] = now;
         dueAt = now + policy.answerMs() * 2;
@@ -124,54 +124,54 @@
     }
 
     /** Whether the attempt has taken too long, or can't succeed any more. */
-    boolean fails(double now, List<List<Integer>> voterSets) {
-        return state == State.ASKING && (now >= tryUntil || voterSets.stream().anyMatch(e ->
+    boolean attemptFailed(double now, List<List<Integer>> voterSets) {
+        return state == State.ASKING && (now >= attemptDeadline || voterSets.stream().anyMatch(e ->
                 e.stream().filter(refusals::containsKey).count() > e.size() - VoterSets.majority(e.size())));
     }
 
     /** The attempt is over; the next is after a wait of chance, and not before {@code notBefore}. */
-    void giveUp(double now, double notBefore) {
+    void backOff(double now, double notBefore) {
         state = State.WAITING;
         heldUntil = Double.NEGATIVE_INFINITY;
-        dueAt = Math.max(now, notBefore) + policy.answerMs() * (0.5 + WAIT_ANSWERS * random.nextDouble());
+        dueAt = Math.max(now, notBefore) + policy.answerMs() * (0.5 + MAX_BACKOFF_ANSWERS * random.nextDouble());
     }
 
     /** It stops to act, and never acts under this term again. */
     void stop(double now) {
-        giveUp(now, now);
+        backOff(now, now);
     }
 
     /** Looks at the lease again at this time, if it has none then. */
-    void lookAt(double at) {
+    void retryAt(double at) {
         dueAt = at;
     }
 
     /** The lease was left to this one. */
-    void inherits(double now) {
+    void becomeSuccessor(double now) {
         if (state == State.WAITING) {
             dueAt = now;
         }
     }
 
     /** The lease was given back: all that want it wait for a time of chance, so that not all ask at once. */
-    void comesFree(double now) {
+    void leaseFreed(double now) {
         if (state == State.WAITING) {
-            dueAt = Math.min(dueAt, now + policy.answerMs() * WAIT_ANSWERS * random.nextDouble());
+            dueAt = Math.min(dueAt, now + policy.answerMs() * MAX_BACKOFF_ANSWERS * random.nextDouble());
         }
     }
 
     /** A vote has come: for a question that is out, of this term; else it is of the past. Returns whether it is held from now on. */
-    boolean vote(double now, int from, LeaseMessage.Vote vote, List<List<Integer>> voterSets) {
+    boolean receiveVote(double now, int from, LeaseMessage.Vote vote, List<List<Integer>> voterSets) {
         if (state == State.WAITING || vote.term() != term || vote.round() > round || vote.round() <= round - TRACKED_ROUNDS) {
             return false;
         }
         votes.merge(from, requestedAt[vote.round() % TRACKED_ROUNDS], Math::max);
         refusals.remove(from);
-        return count(now, voterSets);
+        return countVotes(now, voterSets);
     }
 
     /** Counts the votes again, as when an electorate has settled. Returns whether the lease is held from now on. */
-    boolean count(double now, List<List<Integer>> voterSets) {
+    boolean countVotes(double now, List<List<Integer>> voterSets) {
         if (state == State.WAITING) {
             return false;
         }
@@ -186,7 +186,7 @@
         heldUntil = Math.max(heldUntil, allQuorumsUntil);
         if (allQuorumsUntil - policy.holdMs() >= requestedAt[round % TRACKED_ROUNDS]) {
             // All that were needed have answered the last question.
-            dueAt = Math.max(dueAt, requestedAt[round % TRACKED_ROUNDS] + policy.holdMs() * RENEW_PART);
+            dueAt = Math.max(dueAt, requestedAt[round % TRACKED_ROUNDS] + policy.holdMs() * RENEWAL_FRACTION);
         }
         if (state == State.ASKING && now < heldUntil) {
             state = State.HOLDING;
@@ -213,7 +213,7 @@
     }
 
     /** No vote from this one, for a question of this attempt. */
-    void refused(int from, LeaseMessage.Refusal refusal) {
+    void receiveRefusal(int from, LeaseMessage.Refusal refusal) {
         highestTerm = Math.max(highestTerm, refusal.highestTerm());
         if (state == State.ASKING && refusal.round() == round) {
             refusals.put(from, refusal.reason());
@@ -221,16 +221,16 @@
     }
 
     /** Whether a refusal of this attempt was for its term alone: a higher one may do at once. */
-    boolean onlyTermsWereOld() {
+    boolean refusedOnlyForTerm() {
         return !refusals.isEmpty() && refusals.values().stream().allMatch(w -> w == RefusalReason.OLD_TERM);
     }
 
     /** A term was seen elsewhere. */
-    void seen(long other) {
+    void observeTerm(long other) {
         highestTerm = Math.max(highestTerm, other);
     }
 
-    int votes(double now) {
+    int validVotes(double now) {
         return (int) votes.values().stream().filter(at -> now < at + policy.holdMs()).count();
     }
 
@@ -244,7 +244,7 @@
     }
 
     /** All of its state, times as they are from now on; what an attempt left that is over makes no difference. */
-    String text(double now) {
+    String stateText(double now) {
         String always = state + " " + highestTerm + " " + round + " " + Math.max(0, dueAt - now) + " " + wanted;
         if (state == State.WAITING) {
             return always;
@@ -254,6 +254,6 @@
             text.append(Math.max(-2 * policy.lengthMs(), requestedAt[(round - i) % TRACKED_ROUNDS] - now)).append(' ');
         }
         votes.forEach((m, at) -> text.append(m).append('=').append(Math.max(-2 * policy.lengthMs(), at - now)).append(' '));
-        return state == State.HOLDING ? text.toString() : text.append(refusals).append(Math.max(0, tryUntil - now)).toString();
+        return state == State.HOLDING ? text.toString() : text.append(refusals).append(Math.max(0, attemptDeadline - now)).toString();
     }
 }
--- a/core/src/main/java/ridgemill/lease/EchoTimestamps.java
+++ b/core/src/main/java/ridgemill/lease/EchoTimestamps.java
@@ -6,16 +6,16 @@
  */
 public final class EchoTimestamps {
 
-    private final double startedAt;
+    private final double origin;
 
     /** Marks count from this time on. */
     public EchoTimestamps(double now) {
-        this.startedAt = now;
+        this.origin = now;
     }
 
     /** The mark of now. */
     public int timestamp(double now) {
-        return (int) (long) (now - startedAt);
+        return (int) (long) (now - origin);
     }
 
     /** How long ago a mark was sent; infinite for one that can't have been yet. */
--- a/core/src/main/java/ridgemill/lease/LeaseManager.java
+++ b/core/src/main/java/ridgemill/lease/LeaseManager.java
@@ -52,22 +52,22 @@
      */
     public record Status(String task, boolean holds, int holder, long term, double forMs, int votes, int voters, String words) { }
 
-    private static final int FNV_START = 0x811c9dc5;
-    private static final int FNV_STEP = 0x01000193;
+    private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
+    private static final int FNV_PRIME = 0x01000193;
     /** How often more a release is told, as nobody says that it came: of three a third lost each, one in 27 reaches nobody. */
-    private static final int TOLD_AGAIN = 2;
+    private static final int RELEASE_REPEATS = 2;
 
     private final int self;
     private final int incarnation;
     private final LeasePolicy policy;
     private final SplittableRandom random;
     private final double startedAt;
-    private final Callbacks out;
+    private final Callbacks callbacks;
     private final Map<Integer, Task> tasks = new LinkedHashMap<>();
     /** What others said that they go by, and since when at the latest they do. */
     private final Map<Integer, PeerVersion> peerVersions = new HashMap<>();
     private VoterSets voterSets;
-    private double takenAt;
+    private double voterSetsSince;
     private boolean settled;
     private boolean previousSettled;
     private boolean leaving;
@@ -80,18 +80,18 @@
         private final int hash;
         private Voter voter;
         private Candidate candidate;
-        private int recalls;
-        private double recallAt;
-        private double hint;
+        private int termQueryRound;
+        private double nextTermQueryAt;
+        private double retryNotBefore;
         private int openPermits;
         /** What is told when no act is out any more; null for nothing. */
-        private LeaseMessage.Release owed;
+        private LeaseMessage.Release pendingRelease;
         /** What was told last, how often it is to be told more, and when next. */
-        private LeaseMessage.Release told;
-        private int toldAgain;
-        private double toldAgainAt;
+        private LeaseMessage.Release lastRelease;
+        private int releaseRepeatsLeft;
+        private double nextReleaseRepeatAt;
         /** The last that another gave back. */
-        private long heardFree;
+        private long lastFreedTerm;
 
         Task(String name) {
             this.name = name;
@@ -99,14 +99,14 @@
         }
 
         /** Those who must stand by a holder: more than half of each. None where that can't be known yet. */
-        List<List<Integer>> needed(double now) {
-            if (settled(now)) {
+        List<List<Integer>> requiredVoterSets(double now) {
+            if (updateSettled(now)) {
                 return List.of(voterSets.voters(hash));
             }
             return previousSettled ? List.of(voterSets.voters(hash), voterSets.previousVoters(hash)) : List.of();
         }
 
-        Set<Integer> everybody() {
+        Set<Integer> allVoters() {
             Set<Integer> all = new LinkedHashSet<>(voterSets.voters(hash));
             all.addAll(voterSets.previousVoters(hash));
             return all;
@@ -128,23 +128,23 @@
         this.voterSets = electorates;
         this.random = new SplittableRandom(seed);
         this.startedAt = startedAt;
-        this.takenAt = startedAt;
+        this.voterSetsSince = startedAt;
         this.settled = electorates.previousPool().isEmpty();
         this.previousSettled = settled;
-        this.out = out;
-        tasks.forEach(t -> add(startedAt, t));
+        this.callbacks = out;
+        tasks.forEach(t -> getOrAdd(startedAt, t));
     }
 
     /** What stands for a task's name in messages. */
     public static int hash(String task) {
-        int hash = FNV_START;
+        int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < task.length(); i++) {
-            hash = (hash ^ task.charAt(i)) * FNV_STEP;
+            hash = (hash ^ task.charAt(i)) * FNV_PRIME;
         }
         return hash;
     }
 
-    private Task add(double now, String name) {
+    private Task getOrAdd(double now, String name) {
         Task task = tasks.get(hash(name));
         if (task == null) {
             task = new Task(name);
@@ -152,27 +152,27 @@
         } else if (!task.name.equals(name)) {
             throw new IllegalArgumentException("the tasks " + name + " and " + task.name + " can't be told apart; name one otherwise");
         }
-        roles(now, task);
+        assignRoles(now, task);
         return task;
     }
 
     /** Gives this proxy its parts in a task. A vote that was given stays given, so a voter is never taken out. */
-    private void roles(double now, Task task) {
-        if (task.voter == null && task.everybody().contains(self)) {
+    private void assignRoles(double now, Task task) {
+        if (task.voter == null && task.allVoters().contains(self)) {
             task.voter = new Voter(policy, startedAt, now);
         }
         boolean elector = voterSets.voters(task.hash).contains(self);
         if (task.candidate == null && elector) {
             task.candidate = new Candidate(policy, random.split(), now);
         } else if (task.candidate != null && !elector && task.candidate.isWanted()) {
-            task.candidate.want(false, now);
-            stop(now, task, -1, "left to its electorate");
+            task.candidate.setWanted(false, now);
+            giveUp(now, task, -1, "left to its electorate");
         }
     }
 
     /** A task that there is from now on: this proxy votes on it, and wants its lease, where it is one of its electorate. */
     public void addTask(double now, String name) {
-        add(now, name);
+        getOrAdd(now, name);
     }
 
     /** Who votes on a task, and may hold its lease. */
@@ -182,15 +182,15 @@
 
     /** This proxy wants a task's lease from now on, or no longer; also one whose electorate it is not in. */
     public void setWanted(double now, String name, boolean wanted) {
-        Task task = add(now, name);
+        Task task = getOrAdd(now, name);
         if (task.candidate == null) {
             task.candidate = new Candidate(policy, random.split(), now);
         }
-        task.candidate.want(wanted && !leaving, now);
+        task.candidate.setWanted(wanted && !leaving, now);
         if (!wanted) {
-            stop(now, task, -1, "no longer wanted here");
+            giveUp(now, task, -1, "no longer wanted here");
         }
-        step(now, task);
+        advance(now, task);
     }
 
     /** Other electorates from now on; throws, and changes nothing, where they can't follow those that hold. */
@@ -207,15 +207,15 @@
             throw new IllegalArgumentException("version " + next.version() + " does not name version " + voterSets.version()
                     + "'s voters as those before");
         }
-        boolean wasSettled = settled(now);
+        boolean wasSettled = updateSettled(now);
         voterSets = next;
-        takenAt = now;
+        voterSetsSince = now;
         settled = next.previousPool().isEmpty();
         previousSettled = settled || isNext && wasSettled;
         for (Task task : tasks.values()) {
-            roles(now, task);
+            assignRoles(now, task);
             if (task.voter != null) {
-                task.voter.upToDate();
+                task.voter.clearOutdated();
             }
         }
     }
@@ -224,26 +224,26 @@
      * Whether nobody can act under the electorates before any more: of each of them more than half have gone by these, or later
      * ones, for as long as a vote is good for, and they give no votes for those before.
      */
-    private boolean settled(double now) {
+    private boolean updateSettled(double now) {
         if (!settled) {
             // For every task that there may be, of whose electorates only the size is known.
             int voters = Math.min(voterSets.votersPerTask(), voterSets.previousPool().size());
-            long behind = voterSets.previousPool().stream().filter(m -> !hasMoved(now, m)).count();
+            long behind = voterSets.previousPool().stream().filter(m -> !hasAdoptedVersion(now, m)).count();
             settled = previousSettled && behind <= voters - VoterSets.majority(voters);
         }
         return settled;
     }
 
-    private boolean hasMoved(double now, int member) {
-        PeerVersion peer = member == self ? new PeerVersion(voterSets.version(), takenAt) : peerVersions.get(member);
+    private boolean hasAdoptedVersion(double now, int member) {
+        PeerVersion peer = member == self ? new PeerVersion(voterSets.version(), voterSetsSince) : peerVersions.get(member);
         return peer != null && peer.version() >= voterSets.version() && now >= peer.since() + policy.promiseMs();
     }
 
-    private SenderState said(double now) {
-        return new SenderState(voterSets.version(), voterSets.digest(), settled(now), previousSettled);
+    private SenderState senderState(double now) {
+        return new SenderState(voterSets.version(), voterSets.digest(), updateSettled(now), previousSettled);
     }
 
-    private void note(double now, int from, SenderState said) {
+    private void recordSenderState(double now, int from, SenderState said) {
         if (said.version() == voterSets.version() && said.digest() != voterSets.digest()) {
             return;
         }
@@ -259,7 +259,7 @@
         }
     }
 
-    private boolean isOther(SenderState said) {
+    private boolean hasMismatchedVoterSets(SenderState said) {
         return said.version() < voterSets.version() || said.version() == voterSets.version() && said.digest() != voterSets.digest();
     }
 
@@ -267,200 +267,200 @@
         if (to == self) {
             receive(now, self, message);
         } else {
-            out.send(to, message);
+            callbacks.send(to, message);
         }
     }
 
     /** Another member, or this one, said something. */
     public void receive(double now, int from, LeaseMessage message) {
-        note(now, from, message.sender());
+        recordSenderState(now, from, message.sender());
         Task task = tasks.get(message.task());
         if (task == null || task.voter == null && message instanceof LeaseMessage.VoteRequest) {
             if (message instanceof LeaseMessage.VoteRequest a) {
-                send(now, from, new LeaseMessage.Refusal(a.task(), said(now), a.incarnation(), a.round(), RefusalReason.NO_VOTER, 0, 0));
+                send(now, from, new LeaseMessage.Refusal(a.task(), senderState(now), a.incarnation(), a.round(), RefusalReason.NO_VOTER, 0, 0));
             }
             return;
         }
         if (message instanceof LeaseMessage.VoteRequest ask) {
-            asked(now, from, task, ask);
+            receiveVoteRequest(now, from, task, ask);
         } else if (message instanceof LeaseMessage.Vote vote) {
-            voted(now, from, task, vote);
+            receiveVote(now, from, task, vote);
         } else if (message instanceof LeaseMessage.Refusal refusal) {
-            refused(now, from, task, refusal);
+            receiveRefusal(now, from, task, refusal);
         } else if (message instanceof LeaseMessage.Release release) {
-            released(now, from, task, release);
+            receiveRelease(now, from, task, release);
         } else if (message instanceof LeaseMessage.TermQuery recall && task.voter != null) {
-            send(now, from, new LeaseMessage.TermReply(recall.task(), said(now), recall.incarnation(), recall.round(),
-                    task.voter.highest(), task.voter.isRecovered(now)));
+            send(now, from, new LeaseMessage.TermReply(recall.task(), senderState(now), recall.incarnation(), recall.round(),
+                    task.voter.highestTerm(), task.voter.isRecovered(now)));
         } else if (message instanceof LeaseMessage.TermReply recalled && task.voter != null && recalled.incarnation() == incarnation) {
-            task.voter.recalled(from, recalled, voterSets.voters(task.hash), self, recalled.sender().version() > voterSets.version());
+            task.voter.receiveTermReply(from, recalled, voterSets.voters(task.hash), self, recalled.sender().version() > voterSets.version());
         } else if (message instanceof LeaseMessage.Forbid forbid) {
-            forbidden(now, task, forbid.durationMs());
+            applyForbid(now, task, forbid.durationMs());
         }
     }
 
-    private void asked(double now, int from, Task task, LeaseMessage.VoteRequest ask) {
-        long before = task.voter.isGiven(now) ? task.voter.term() : 0;
-        Voter.Answer answer = task.voter.handleRequest(now, from, ask, isOther(ask.sender()));
+    private void receiveVoteRequest(double now, int from, Task task, LeaseMessage.VoteRequest ask) {
+        long before = task.voter.isPromised(now) ? task.voter.term() : 0;
+        Voter.Answer answer = task.voter.handleRequest(now, from, ask, hasMismatchedVoterSets(ask.sender()));
         if (answer == null) {
             return;
         }
-        if (answer.why() != null) {
-            send(now, from, new LeaseMessage.Refusal(task.hash, said(now), ask.incarnation(), ask.round(), answer.why(), answer.highest(),
-                    (int) Math.ceil(answer.waitMs())));
+        if (answer.refusal() != null) {
+            send(now, from, new LeaseMessage.Refusal(task.hash, senderState(now), ask.incarnation(), ask.round(), answer.refusal(), answer.highestTerm(),
+                    (int) Math.ceil(answer.retryAfterMs())));
             return;
         }
         if (before != ask.term() && from != self) {
-            out.statusChanged(task.name, "this proxy's vote is " + from + "'s, term " + ask.term());
+            callbacks.statusChanged(task.name, "this proxy's vote is " + from + "'s, term " + ask.term());
         }
-        send(now, from, new LeaseMessage.Vote(task.hash, said(now), ask.incarnation(), ask.term(), ask.round()));
+        send(now, from, new LeaseMessage.Vote(task.hash, senderState(now), ask.incarnation(), ask.term(), ask.round()));
     }
 
-    private void voted(double now, int from, Task task, LeaseMessage.Vote vote) {
+    private void receiveVote(double now, int from, Task task, LeaseMessage.Vote vote) {
         if (task.candidate == null || vote.incarnation() != incarnation) {
             return;
         }
-        if (task.candidate.vote(now, from, vote, task.needed(now))) {
-            out.statusChanged(task.name, "held here, term " + task.candidate.term());
+        if (task.candidate.receiveVote(now, from, vote, task.requiredVoterSets(now))) {
+            callbacks.statusChanged(task.name, "held here, term " + task.candidate.term());
         }
     }
 
-    private void refused(double now, int from, Task task, LeaseMessage.Refusal refusal) {
+    private void receiveRefusal(double now, int from, Task task, LeaseMessage.Refusal refusal) {
         if (task.voter != null) {
-            task.voter.seen(refusal.highestTerm());
+            task.voter.observeTerm(refusal.highestTerm());
         }
         if (task.candidate == null || refusal.incarnation() != incarnation) {
             return;
         }
-        task.candidate.refused(from, refusal);
+        task.candidate.receiveRefusal(from, refusal);
         if (refusal.reason() == RefusalReason.HELD || refusal.reason() == RefusalReason.FORBIDDEN) {
-            task.hint = Math.max(task.hint, now + refusal.retryAfterMs());
+            task.retryNotBefore = Math.max(task.retryNotBefore, now + refusal.retryAfterMs());
         }
-        step(now, task);
+        advance(now, task);
     }
 
-    private void released(double now, int from, Task task, LeaseMessage.Release release) {
+    private void receiveRelease(double now, int from, Task task, LeaseMessage.Release release) {
         if (task.voter != null) {
             task.voter.release(now, from, release);
         }
         // It is told more than once: those that want the lease wait from the first.
-        if (task.candidate != null && from != self && task.heardFree != release.term()) {
-            task.heardFree = release.term();
+        if (task.candidate != null && from != self && task.lastFreedTerm != release.term()) {
+            task.lastFreedTerm = release.term();
             if (release.successor() == self) {
-                task.candidate.inherits(now);
-            } else if (task.voter != null && task.voter.busyUntil(self) <= now) {
-                task.candidate.comesFree(now);
+                task.candidate.becomeSuccessor(now);
+            } else if (task.voter != null && task.voter.unavailableUntil(self) <= now) {
+                task.candidate.leaseFreed(now);
             }
-            step(now, task);
+            advance(now, task);
         }
     }
 
-    private void forbidden(double now, Task task, double ms) {
+    private void applyForbid(double now, Task task, double ms) {
         if (task.voter != null) {
             task.voter.forbid(now + ms);
         }
-        stop(now, task, -1, "forbidden");
+        giveUp(now, task, -1, "forbidden");
         if (task.candidate != null) {
-            task.candidate.lookAt(now + ms);
+            task.candidate.retryAt(now + ms);
         }
     }
 
     /** Does what is due; returns when something will be. */
     public double tick(double now) {
         double due = Double.POSITIVE_INFINITY;
-        boolean renews = tasks.values().stream().anyMatch(t -> t.candidate != null && t.candidate.state() == State.HOLDING && t.candidate.asks(now));
+        boolean renews = tasks.values().stream().anyMatch(t -> t.candidate != null && t.candidate.state() == State.HOLDING && t.candidate.isRequestDue(now));
         for (Task task : List.copyOf(tasks.values())) {
-            recall(now, task);
-            tellAgain(now, task);
-            step(now, task);
-            if (renews && task.candidate != null && task.candidate.joins(now)) {
-                ask(now, task);
+            queryTerms(now, task);
+            repeatRelease(now, task);
+            advance(now, task);
+            if (renews && task.candidate != null && task.candidate.mayRenewEarly(now)) {
+                requestVotes(now, task);
             }
             // While an act is out of a lease that was given up, nothing is done for the next: its end says when.
             if (task.candidate != null && (task.openPermits == 0 || task.candidate.state() != State.WAITING)) {
                 due = Math.min(due, task.candidate.dueAt());
             }
             if (task.voter != null && !task.voter.isRecovered(now)) {
-                due = Math.min(due, task.recallAt);
+                due = Math.min(due, task.nextTermQueryAt);
             }
-            if (task.toldAgain > 0) {
-                due = Math.min(due, task.toldAgainAt);
+            if (task.releaseRepeatsLeft > 0) {
+                due = Math.min(due, task.nextReleaseRepeatAt);
             }
         }
         return due;
     }
 
-    private void recall(double now, Task task) {
-        if (task.voter != null && !task.voter.isRecovered(now) && now >= task.recallAt) {
-            task.recallAt = now + 2 * policy.answerMs();
-            task.recalls++;
-            for (int member : task.everybody()) {
+    private void queryTerms(double now, Task task) {
+        if (task.voter != null && !task.voter.isRecovered(now) && now >= task.nextTermQueryAt) {
+            task.nextTermQueryAt = now + 2 * policy.answerMs();
+            task.termQueryRound++;
+            for (int member : task.allVoters()) {
                 if (member != self) {
-                    send(now, member, new LeaseMessage.TermQuery(task.hash, said(now), incarnation, task.recalls));
+                    send(now, member, new LeaseMessage.TermQuery(task.hash, senderState(now), incarnation, task.termQueryRound));
                 }
             }
         }
     }
 
-    private void step(double now, Task task) {
+    private void advance(double now, Task task) {
         Candidate candidate = task.candidate;
         if (candidate == null) {
             return;
         }
-        if (candidate.lapses(now)) {
-            out.statusChanged(task.name, "lost here, term " + candidate.term() + ": not renewed in time");
+        if (candidate.expire(now)) {
+            callbacks.statusChanged(task.name, "lost here, term " + candidate.term() + ": not renewed in time");
         }
-        if (candidate.fails(now, task.needed(now))) {
-            boolean again = candidate.onlyTermsWereOld();
-            giveBack(now, task, new LeaseMessage.Release(task.hash, said(now), incarnation, candidate.term(), -1));
-            candidate.giveUp(now, task.hint);
-            task.hint = 0;
+        if (candidate.attemptFailed(now, task.requiredVoterSets(now))) {
+            boolean again = candidate.refusedOnlyForTerm();
+            announceRelease(now, task, new LeaseMessage.Release(task.hash, senderState(now), incarnation, candidate.term(), -1));
+            candidate.backOff(now, task.retryNotBefore);
+            task.retryNotBefore = 0;
             if (again) {
-                candidate.lookAt(now);
+                candidate.retryAt(now);
             }
         }
-        if (candidate.begins(now) && task.openPermits == 0 && mayBegin(now, task)) {
-            candidate.begin(now, task.voter == null ? 0 : task.voter.highest());
+        if (candidate.shouldStartAttempt(now) && task.openPermits == 0 && mayStartAttempt(now, task)) {
+            candidate.startAttempt(now, task.voter == null ? 0 : task.voter.highestTerm());
         }
-        if (candidate.asks(now)) {
-            ask(now, task);
+        if (candidate.isRequestDue(now)) {
+            requestVotes(now, task);
         }
     }
 
-    private void ask(double now, Task task) {
-        int round = task.candidate.ask(now);
-        tell(now, task, new LeaseMessage.VoteRequest(task.hash, said(now), incarnation, task.candidate.term(), round));
+    private void requestVotes(double now, Task task) {
+        int round = task.candidate.startRound(now);
+        sendToAllVoters(now, task, new LeaseMessage.VoteRequest(task.hash, senderState(now), incarnation, task.candidate.term(), round));
     }
 
     /** Whether an attempt makes sense now; when to look again is set where it does not. */
-    private boolean mayBegin(double now, Task task) {
+    private boolean mayStartAttempt(double now, Task task) {
         Candidate candidate = task.candidate;
         Voter v = task.voter;
-        if (task.needed(now).isEmpty()) {
-            candidate.lookAt(now + 2 * policy.answerMs());
-            tell(now, task, new LeaseMessage.TermQuery(task.hash, said(now), incarnation, 0));
+        if (task.requiredVoterSets(now).isEmpty()) {
+            candidate.retryAt(now + 2 * policy.answerMs());
+            sendToAllVoters(now, task, new LeaseMessage.TermQuery(task.hash, senderState(now), incarnation, 0));
             return false;
         }
         if (v == null) {
             return true;
         }
         if (now < v.forbiddenUntil()) {
-            candidate.lookAt(v.forbiddenUntil());
+            candidate.retryAt(v.forbiddenUntil());
             return false;
         }
         if (!v.isRecovered(now) || v.isQuiet(now)) {
-            candidate.lookAt(now + policy.answerMs());
+            candidate.retryAt(now + policy.answerMs());
             return false;
         }
-        if (v.busyUntil(self) > now && v.holder() != self) {
-            candidate.giveUp(now, v.busyUntil(self));
+        if (v.unavailableUntil(self) > now && v.holder() != self) {
+            candidate.backOff(now, v.unavailableUntil(self));
             return false;
         }
         return true;
     }
 
-    private void tell(double now, Task task, LeaseMessage message) {
-        for (int member : task.everybody()) {
+    private void sendToAllVoters(double now, Task task, LeaseMessage message) {
+        for (int member : task.allVoters()) {
             send(now, member, message);
         }
     }
@@ -475,19 +475,19 @@
             return Optional.empty();
         }
         task.openPermits++;
-        return Optional.of(new Permit(name, task.candidate.term(), task.candidate.until()));
+        return Optional.of(new Permit(name, task.candidate.term(), task.candidate.heldUntil()));
     }
 
     /** An act is over: nothing of it will take effect from now on. */
     public void done(double now, Permit permit) {
         Task task = tasks.get(hash(permit.task()));
         task.openPermits--;
-        if (task.openPermits == 0 && task.owed != null) {
-            LeaseMessage.Release release = task.owed;
-            task.owed = null;
-            giveBack(now, task, release);
+        if (task.openPermits == 0 && task.pendingRelease != null) {
+            LeaseMessage.Release release = task.pendingRelease;
+            task.pendingRelease = null;
+            announceRelease(now, task, release);
         }
-        step(now, task);
+        advance(now, task);
     }
 
     /** Whether a lease is held here now, as far as the clock goes; no leave to act. */
@@ -503,12 +503,12 @@
             return;
         }
         if (task.voter != null) {
-            task.voter.seen(term);
+            task.voter.observeTerm(term);
         }
         if (task.candidate != null) {
-            task.candidate.seen(term);
+            task.candidate.observeTerm(term);
             if (term > task.candidate.term()) {
-                stop(now, task, -1, "a higher term has been seen: " + term);
+                giveUp(now, task, -1, "a higher term has been seen: " + term);
             }
         }
     }
@@ -517,11 +517,11 @@
     public void release(double now, String name, int heir) {
         Task task = tasks.get(hash(name));
         if (task != null) {
-            stop(now, task, heir, "released");
+            giveUp(now, task, heir, "released");
         }
     }
 
-    private void stop(double now, Task task, int heir, String words) {
+    private void giveUp(double now, Task task, int heir, String words) {
         Candidate candidate = task.candidate;
         if (candidate == null || candidate.state() == State.WAITING) {
             return;
@@ -529,30 +529,30 @@
         boolean held = candidate.state() == State.HOLDING;
         candidate.stop(now);
         if (held) {
-            out.statusChanged(task.name, "given up here, term " + candidate.term() + ": " + words);
+            callbacks.statusChanged(task.name, "given up here, term " + candidate.term() + ": " + words);
         }
-        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, candidate.term(), heir);
+        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation, candidate.term(), heir);
         if (task.openPermits > 0) {
-            task.owed = release;
+            task.pendingRelease = release;
         } else {
-            giveBack(now, task, release);
+            announceRelease(now, task, release);
         }
     }
 
-    private void giveBack(double now, Task task, LeaseMessage.Release release) {
-        task.told = release;
-        task.toldAgain = TOLD_AGAIN;
-        task.toldAgainAt = now + policy.answerMs();
-        tell(now, task, release);
+    private void announceRelease(double now, Task task, LeaseMessage.Release release) {
+        task.lastRelease = release;
+        task.releaseRepeatsLeft = RELEASE_REPEATS;
+        task.nextReleaseRepeatAt = now + policy.answerMs();
+        sendToAllVoters(now, task, release);
     }
 
     /** Tells once more what was given back; who has heard it knows it by its term. */
-    private void tellAgain(double now, Task task) {
-        if (task.toldAgain > 0 && now >= task.toldAgainAt) {
-            task.toldAgain--;
-            task.toldAgainAt = now + policy.answerMs();
-            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, said(now), incarnation, task.told.term(), task.told.successor());
-            task.everybody().stream().filter(m -> m != self).forEach(m -> send(now, m, release));
+    private void repeatRelease(double now, Task task) {
+        if (task.releaseRepeatsLeft > 0 && now >= task.nextReleaseRepeatAt) {
+            task.releaseRepeatsLeft--;
+            task.nextReleaseRepeatAt = now + policy.answerMs();
+            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation, task.lastRelease.term(), task.lastRelease.successor());
+            task.allVoters().stream().filter(m -> m != self).forEach(m -> send(now, m, release));
         }
     }
 
@@ -561,24 +561,24 @@
         leaving = true;
         for (Task task : tasks.values()) {
             if (task.candidate != null) {
-                task.candidate.want(false, now);
+                task.candidate.setWanted(false, now);
                 int heir = voterSets.voters(task.hash).stream().filter(m -> m != self && peerVersions.containsKey(m)).findFirst().orElse(-1);
-                stop(now, task, heir, "this process ends");
+                giveUp(now, task, heir, "this process ends");
             }
         }
     }
 
     /** Nobody is to hold it for so long, as far as this proxy reaches: it tells all voters. */
     public void forbid(double now, String name, double ms) {
-        Task task = add(now, name);
-        tell(now, task, new LeaseMessage.Forbid(task.hash, said(now), (int) ms));
-        forbidden(now, task, ms);
+        Task task = getOrAdd(now, name);
+        sendToAllVoters(now, task, new LeaseMessage.Forbid(task.hash, senderState(now), (int) ms));
+        applyForbid(now, task, ms);
     }
 
     /** The members that this proxy has anything to say to. */
     public Set<Integer> peers() {
         Set<Integer> all = new LinkedHashSet<>();
-        tasks.values().stream().filter(t -> t.voter != null || t.candidate != null && t.candidate.isWanted()).forEach(t -> all.addAll(t.everybody()));
+        tasks.values().stream().filter(t -> t.voter != null || t.candidate != null && t.candidate.isWanted()).forEach(t -> all.addAll(t.allVoters()));
         all.remove(self);
         return all;
     }
@@ -591,31 +591,31 @@
     /** How all leases are, in the order of the tasks. */
     public List<Status> statuses(double now) {
         List<Status> all = new ArrayList<>();
-        tasks.values().forEach(t -> all.add(standing(now, t)));
+        tasks.values().forEach(t -> all.add(status(now, t)));
         return all;
     }
 
-    private Status standing(double now, Task task) {
+    private Status status(double now, Task task) {
         Candidate candidate = task.candidate;
         Voter v = task.voter;
         int voters = voterSets.voters(task.hash).size();
         if (candidate != null && candidate.permits(now, 0)) {
-            return new Status(task.name, true, self, candidate.term(), candidate.until() - now, candidate.votes(now), voters, "held here");
+            return new Status(task.name, true, self, candidate.term(), candidate.heldUntil() - now, candidate.validVotes(now), voters, "held here");
         }
-        int votes = candidate == null ? 0 : candidate.votes(now);
-        if (v != null && v.isGiven(now) && v.holder() != self) {
-            return new Status(task.name, false, v.holder(), v.term(), v.until() - now, votes, voters,
+        int votes = candidate == null ? 0 : candidate.validVotes(now);
+        if (v != null && v.isPromised(now) && v.holder() != self) {
+            return new Status(task.name, false, v.holder(), v.term(), v.promisedUntil() - now, votes, voters,
                     "this proxy's vote is " + v.holder() + "'s");
         }
-        return new Status(task.name, false, -1, 0, 0, votes, voters, whyNone(now, task));
+        return new Status(task.name, false, -1, 0, 0, votes, voters, describeNoHolder(now, task));
     }
 
-    private String whyNone(double now, Task task) {
+    private String describeNoHolder(double now, Task task) {
         Voter v = task.voter;
         if (v != null && now < v.forbiddenUntil()) {
             return "forbidden by operators";
         }
-        if (task.needed(now).isEmpty()) {
+        if (task.requiredVoterSets(now).isEmpty()) {
             return "nobody has said that the electorates before had settled";
         }
         if (v != null && v.isQuiet(now)) {
@@ -637,11 +637,11 @@
     /** All of its state, times as they are from now on: two with the same text act the same, but for their seeds. */
     public String stateText(double now) {
         StringBuilder text = new StringBuilder();
-        tasks.values().forEach(t -> text.append(t.voter == null ? "-" : t.voter.text(now)).append('|')
-                .append(t.candidate == null ? "-" : t.candidate.text(now)).append('|').append(Math.max(0, t.recallAt - now)).append('|')
-                .append(Math.max(0, t.hint - now)).append(t.openPermits).append(t.owed)
-                .append(t.toldAgain > 0 ? t.told + " " + t.toldAgain + " " + Math.max(0, t.toldAgainAt - now) : "")
-                .append(t.heardFree).append(';'));
+        tasks.values().forEach(t -> text.append(t.voter == null ? "-" : t.voter.stateText(now)).append('|')
+                .append(t.candidate == null ? "-" : t.candidate.stateText(now)).append('|').append(Math.max(0, t.nextTermQueryAt - now)).append('|')
+                .append(Math.max(0, t.retryNotBefore - now)).append(t.openPermits).append(t.pendingRelease)
+                .append(t.releaseRepeatsLeft > 0 ? t.lastRelease + " " + t.releaseRepeatsLeft + " " + Math.max(0, t.nextReleaseRepeatAt - now) : "")
+                .append(t.lastFreedTerm).append(';'));
         text.append(voterSets.version()).append(settled).append(previousSettled);
         // Who goes by which version matters until a change has settled.
         return settled ? text.toString() : text.append(new TreeMap<>(peerVersions)).toString();
--- a/core/src/main/java/ridgemill/lease/LeaseWire.java
+++ b/core/src/main/java/ridgemill/lease/LeaseWire.java
@@ -15,14 +15,14 @@
 
     private static final byte KIND = 'L';
     private static final byte VERSION = 1;
-    private static final int HEAD = 3;
+    private static final int HEADER_BYTES = 3;
     /** The longest message. */
-    private static final int LONGEST = 29;
-    private static final int SETTLED = 1;
-    private static final int BEFORE_SETTLED = 2;
-    private static final int KNOWS = 4;
+    private static final int MAX_MESSAGE_BYTES = 29;
+    private static final int FLAG_SETTLED = 1;
+    private static final int FLAG_PREVIOUS_SETTLED = 2;
+    private static final int FLAG_RECOVERED = 4;
     /** Waits are told in steps of this, rounded up. */
-    private static final int WAIT_STEP_MS = 100;
+    private static final int RETRY_STEP_MS = 100;
 
     private LeaseWire() { }
 
@@ -39,31 +39,31 @@
     /** Puts messages into as few datagrams as they need, in their order. */
     public static List<byte[]> encode(List<LeaseMessage> messages) {
         List<byte[]> datagrams = new ArrayList<>();
-        ByteBuffer out = begun();
+        ByteBuffer out = beginDatagram();
         for (LeaseMessage m : messages) {
-            if (out.remaining() < LONGEST + DatagramFrame.MAX_TRAILER_BYTES) {
+            if (out.remaining() < MAX_MESSAGE_BYTES + DatagramFrame.MAX_TRAILER_BYTES) {
                 datagrams.add(DatagramFrame.finish(out));
-                out = begun();
+                out = beginDatagram();
             }
             out.put(2, (byte) (out.get(2) + 1));
-            put(out, m);
+            write(out, m);
         }
-        if (out.position() > HEAD) {
+        if (out.position() > HEADER_BYTES) {
             datagrams.add(DatagramFrame.finish(out));
         }
         return datagrams;
     }
 
-    private static ByteBuffer begun() {
+    private static ByteBuffer beginDatagram() {
         return DatagramFrame.begin(KIND, VERSION).put((byte) 0);
     }
 
-    private static void put(ByteBuffer out, LeaseMessage m) {
+    private static void write(ByteBuffer out, LeaseMessage m) {
         int kind = m instanceof LeaseMessage.VoteRequest ? 1 : m instanceof LeaseMessage.Vote ? 2 : m instanceof LeaseMessage.Refusal ? 3
                 : m instanceof LeaseMessage.Release ? 4 : m instanceof LeaseMessage.TermQuery ? 5 : m instanceof LeaseMessage.TermReply ? 6 : 7;
         SenderState said = m.sender();
-        int flags = (said.settled() ? SETTLED : 0) | (said.previousSettled() ? BEFORE_SETTLED : 0)
-                | (m instanceof LeaseMessage.TermReply r && r.recovered() ? KNOWS : 0);
+        int flags = (said.settled() ? FLAG_SETTLED : 0) | (said.previousSettled() ? FLAG_PREVIOUS_SETTLED : 0)
+                | (m instanceof LeaseMessage.TermReply r && r.recovered() ? FLAG_RECOVERED : 0);
         out.put((byte) (kind << 4 | flags)).putInt(m.task()).putInt(said.version()).putShort((short) said.digest());
         if (m instanceof LeaseMessage.VoteRequest a) {
             out.putInt(a.incarnation()).putLong(a.term()).putInt(a.round());
@@ -71,7 +71,7 @@
             out.putInt(v.incarnation()).putLong(v.term()).putInt(v.round());
         } else if (m instanceof LeaseMessage.Refusal r) {
             out.putInt(r.incarnation()).putInt(r.round()).put((byte) r.reason().ordinal()).putLong(r.highestTerm())
-                    .put((byte) Math.min(Byte.MAX_VALUE, (r.retryAfterMs() + WAIT_STEP_MS - 1) / WAIT_STEP_MS));
+                    .put((byte) Math.min(Byte.MAX_VALUE, (r.retryAfterMs() + RETRY_STEP_MS - 1) / RETRY_STEP_MS));
         } else if (m instanceof LeaseMessage.Release r) {
             out.putInt(r.incarnation()).putLong(r.term()).putInt(r.successor());
         } else if (m instanceof LeaseMessage.TermQuery r) {
@@ -89,7 +89,7 @@
             List<LeaseMessage> messages = new ArrayList<>();
             try {
                 for (int i = in.get(); i > 0; i--) {
-                    messages.add(get(in));
+                    messages.add(read(in));
                 }
                 return in.hasRemaining() ? List.<LeaseMessage>of() : messages;
             } catch (BufferUnderflowException | IllegalArgumentException e) {
@@ -98,10 +98,10 @@
         }).orElse(List.of());
     }
 
-    private static LeaseMessage get(ByteBuffer in) {
+    private static LeaseMessage read(ByteBuffer in) {
         int first = in.get();
         int task = in.getInt();
-        SenderState said = new SenderState(in.getInt(), in.getShort() & 0xffff, (first & SETTLED) != 0, (first & BEFORE_SETTLED) != 0);
+        SenderState said = new SenderState(in.getInt(), in.getShort() & 0xffff, (first & FLAG_SETTLED) != 0, (first & FLAG_PREVIOUS_SETTLED) != 0);
         switch (first >> 4) {
             case 1:
                 return new LeaseMessage.VoteRequest(task, said, in.getInt(), in.getLong(), in.getInt());
@@ -114,13 +114,13 @@
                 if (why < 0 || why >= RefusalReason.values().length) {
                     throw new IllegalArgumentException("no such reason: " + why);
                 }
-                return new LeaseMessage.Refusal(task, said, incarnation, round, RefusalReason.values()[why], in.getLong(), in.get() * WAIT_STEP_MS);
+                return new LeaseMessage.Refusal(task, said, incarnation, round, RefusalReason.values()[why], in.getLong(), in.get() * RETRY_STEP_MS);
             case 4:
                 return new LeaseMessage.Release(task, said, in.getInt(), in.getLong(), in.getInt());
             case 5:
                 return new LeaseMessage.TermQuery(task, said, in.getInt(), in.getInt());
             case 6:
-                return new LeaseMessage.TermReply(task, said, in.getInt(), in.getInt(), in.getLong(), (first & KNOWS) != 0);
+                return new LeaseMessage.TermReply(task, said, in.getInt(), in.getInt(), in.getLong(), (first & FLAG_RECOVERED) != 0);
             case 7:
                 return new LeaseMessage.Forbid(task, said, in.getInt());
             default:
--- a/core/src/main/java/ridgemill/lease/TargetSchedule.java
+++ b/core/src/main/java/ridgemill/lease/TargetSchedule.java
@@ -26,29 +26,29 @@
     }
 
     private final int targets;
-    private final double everyMs;
+    private final double intervalMs;
     private final int[] tries;
-    private final Outcome[] last;
+    private final Outcome[] lastOutcomes;
     private boolean running;
     private double dueAt;
-    private int next;
+    private int current;
     private long runs;
-    private long acts;
+    private long calls;
     private long refused;
     private long failed;
 
     /** {@code everyMs} is the time from one run's beginning to the next one's; 0 where operators start each. */
     public TargetSchedule(int targets, double everyMs, double now) {
         this.targets = targets;
-        this.everyMs = everyMs;
+        this.intervalMs = everyMs;
         this.tries = new int[targets];
-        this.last = new Outcome[targets];
+        this.lastOutcomes = new Outcome[targets];
         this.dueAt = everyMs > 0 ? now : Double.POSITIVE_INFINITY;
     }
 
     /** Whether the lease is wanted now: while there is something to do, and always by one that goes on by itself. */
     public boolean wantsLease() {
-        return everyMs > 0 || running;
+        return intervalMs > 0 || running;
     }
 
     /** Operators start a run; false if one is under way. */
@@ -56,24 +56,24 @@
         if (running) {
             return false;
         }
-        begin(now);
+        beginRun(now);
         return true;
     }
 
-    private void begin(double now) {
+    private void beginRun(double now) {
         running = true;
-        next = 0;
+        current = 0;
         Arrays.fill(tries, 0);
-        Arrays.fill(last, null);
-        dueAt = everyMs > 0 ? now + everyMs : Double.POSITIVE_INFINITY;
+        Arrays.fill(lastOutcomes, null);
+        dueAt = intervalMs > 0 ? now + intervalMs : Double.POSITIVE_INFINITY;
     }
 
     /** The target to act on now; -1 for none. */
     public int nextTarget(double now) {
         if (!running && now >= dueAt) {
-            begin(now);
+            beginRun(now);
         }
-        return running ? next : -1;
+        return running ? current : -1;
     }
 
     /** When there is something to do next, where there is nothing now. */
@@ -83,15 +83,15 @@
 
     /** An act on the present target has ended. One that was refused ends nothing: it is for whoever holds the lease then. */
     public void recordOutcome(Outcome outcome) {
-        acts++;
-        tries[next]++;
-        last[next] = outcome;
+        calls++;
+        tries[current]++;
+        lastOutcomes[current] = outcome;
         refused += outcome == Outcome.REFUSED ? 1 : 0;
         failed += outcome == Outcome.FAILED ? 1 : 0;
-        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[next] >= MAX_TRIES) {
-            next++;
+        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[current] >= MAX_TRIES) {
+            current++;
         }
-        if (next == targets) {
+        if (current == targets) {
             running = false;
             runs++;
         }
@@ -106,9 +106,9 @@
     public String explain() {
         List<String> each = new ArrayList<>();
         for (int i = 0; i < targets; i++) {
-            each.add(last[i] == null ? "not yet" : last[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
+            each.add(lastOutcomes[i] == null ? "not yet" : lastOutcomes[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
         }
-        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs + " runs, " + acts
+        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs + " runs, " + calls
                 + " acts, " + refused + " refused, " + failed + " failed";
     }
 }
--- a/core/src/main/java/ridgemill/lease/Voter.java
+++ b/core/src/main/java/ridgemill/lease/Voter.java
@@ -14,14 +14,14 @@
 final class Voter {
 
     /** What came of a question: a vote where {@code why} is null. */
-    record Answer(RefusalReason why, long highest, double waitMs) { }
+    record Answer(RefusalReason refusal, long highestTerm, double retryAfterMs) { }
 
     private static final int NOBODY = Integer.MIN_VALUE;
 
     private final LeasePolicy policy;
     private final double quietUntil;
     private final double recoveryTimeoutAt;
-    private final Set<Integer> knowing = new HashSet<>();
+    private final Set<Integer> recoverySources = new HashSet<>();
     private boolean recovered;
     private boolean outdated;
     private int holder = NOBODY;
@@ -31,8 +31,8 @@
     private double promisedUntil = Double.NEGATIVE_INFINITY;
     private boolean released;
     private long highestTerm;
-    private int heir = NOBODY;
-    private double heirUntil = Double.NEGATIVE_INFINITY;
+    private int successor = NOBODY;
+    private double successorUntil = Double.NEGATIVE_INFINITY;
     private double forbiddenUntil = Double.NEGATIVE_INFINITY;
 
     /** {@code startedAt} is from when on this process has been the one that votes. */
@@ -71,8 +71,8 @@
             if (now < promisedUntil && !raisesTerm) {
                 return new Answer(RefusalReason.HELD, highestTerm, promisedUntil - now);
             }
-            if (now < heirUntil && from != heir) {
-                return new Answer(RefusalReason.HELD, highestTerm, heirUntil - now);
+            if (now < successorUntil && from != successor) {
+                return new Answer(RefusalReason.HELD, highestTerm, successorUntil - now);
             }
             if (request.term() <= highestTerm) {
                 return new Answer(RefusalReason.OLD_TERM, highestTerm, 0);
@@ -95,26 +95,26 @@
             released = true;
             promisedUntil = Math.min(promisedUntil, now);
             if (release.successor() >= 0) {
-                heir = release.successor();
-                heirUntil = now + 4 * policy.answerMs();
+                successor = release.successor();
+                successorUntil = now + 4 * policy.answerMs();
             }
         }
     }
 
     /** Another voter says which terms it has seen, and whether it knows them all; {@code newer} if it goes by newer electorates. */
-    void recalled(int from, LeaseMessage.TermReply said, List<Integer> voters, int self, boolean newer) {
+    void receiveTermReply(int from, LeaseMessage.TermReply said, List<Integer> voters, int self, boolean newer) {
         highestTerm = Math.max(highestTerm, said.highestTerm());
         outdated |= newer && !recovered;
         if (said.recovered() && from != self && voters.contains(from)) {
-            knowing.add(from);
+            recoverySources.add(from);
         }
-        if (!outdated && knowing.stream().filter(voters::contains).count() >= VoterSets.majority(voters.size())) {
+        if (!outdated && recoverySources.stream().filter(voters::contains).count() >= VoterSets.majority(voters.size())) {
             recovered = true;
         }
     }
 
     /** This proxy has taken in newer electorates: what made it outdated is over. */
-    void upToDate() {
+    void clearOutdated() {
         outdated = false;
     }
 
@@ -137,22 +137,22 @@
     }
 
     /** A term was seen elsewhere, as at who receives acts. */
-    void seen(long other) {
+    void observeTerm(long other) {
         highestTerm = Math.max(highestTerm, other);
     }
 
-    long highest() {
+    long highestTerm() {
         return highestTerm;
     }
 
     /** Whether the vote is given to somebody now. */
-    boolean isGiven(double now) {
+    boolean isPromised(double now) {
         return now < promisedUntil;
     }
 
     /** Until when it is given, or kept for an heir other than this proxy. */
-    double busyUntil(int self) {
-        return heir == self ? promisedUntil : Math.max(promisedUntil, heirUntil);
+    double unavailableUntil(int self) {
+        return successor == self ? promisedUntil : Math.max(promisedUntil, successorUntil);
     }
 
     int holder() {
@@ -163,14 +163,14 @@
         return term;
     }
 
-    double until() {
+    double promisedUntil() {
         return promisedUntil;
     }
 
     /** All of its state, times as they are from now on: two voters with the same text act the same. */
-    String text(double now) {
+    String stateText(double now) {
         return holder + " " + incarnation + " " + term + " " + round + " " + Math.max(0, promisedUntil - now) + " " + released + " " + highestTerm + " "
-                + heir + " " + Math.max(0, heirUntil - now) + " " + recovered + outdated + knowing + " " + Math.max(0, quietUntil - now) + " "
+                + successor + " " + Math.max(0, successorUntil - now) + " " + recovered + outdated + recoverySources + " " + Math.max(0, quietUntil - now) + " "
                 + Math.max(0, recoveryTimeoutAt - now) + " " + Math.max(0, forbiddenUntil - now);
     }
 }
--- a/core/src/main/java/ridgemill/lease/VoterSets.java
+++ b/core/src/main/java/ridgemill/lease/VoterSets.java
@@ -16,7 +16,7 @@
  */
 public record VoterSets(int version, List<Integer> pool, List<Integer> previousPool, int votersPerTask) {
 
-    private static final long STEP = 0x9e3779b97f4a7c15L;
+    private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
     public VoterSets {
         if (version < 1 || votersPerTask < 1 || pool.isEmpty()) {
@@ -28,15 +28,15 @@
 
     /** Who votes on a task. */
     public List<Integer> voters(int task) {
-        return chosen(task, pool);
+        return select(task, pool);
     }
 
     /** Who voted on it under the version before; empty where there was none. */
     public List<Integer> previousVoters(int task) {
-        return chosen(task, previousPool);
+        return select(task, previousPool);
     }
 
-    private List<Integer> chosen(int task, List<Integer> from) {
+    private List<Integer> select(int task, List<Integer> from) {
         List<Integer> all = new ArrayList<>(from);
         all.sort(Comparator.<Integer>comparingLong(m -> weight(task, m)).thenComparing(m -> m));
         return List.copyOf(all.subList(0, Math.min(votersPerTask, all.size())));
@@ -55,7 +55,7 @@
     }
 
     private static long weight(int task, int member) {
-        long z = (((long) task << Integer.SIZE) | (member & 0xffffffffL)) + STEP;
+        long z = (((long) task << Integer.SIZE) | (member & 0xffffffffL)) + GOLDEN_GAMMA;
         z = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
         return z ^ (z >>> 31);
--- a/core/src/main/java/ridgemill/rollout/Quarantine.java
+++ b/core/src/main/java/ridgemill/rollout/Quarantine.java
@@ -29,10 +29,10 @@
         /** It would be out, but too many are already: the version may be at fault, and not the proxies. */
         TOO_MANY(false);
 
-        private final boolean aside;
+        private final boolean outOfService;
 
         Reason(boolean aside) {
-            this.aside = aside;
+            this.outOfService = aside;
         }
     }
 
@@ -63,29 +63,29 @@
     public record Peer(int member, FileVersion version, boolean alive, boolean outOfService) { }
 
     /** After a start each hears of some four others a second at first. */
-    private static final double START_MS_A_MEMBER = 300;
-    private static final int MOST_DOUBLINGS = 5;
+    private static final double START_MS_PER_MEMBER = 300;
+    private static final int MAX_DOUBLINGS = 5;
     /** Who is out again within so many times of how long it had to stay is flapping. */
-    private static final double SOON = 10;
+    private static final double FLAP_WINDOW_FACTOR = 10;
 
     private final int self;
     private final int members;
     private final Limits limits;
-    private double majorityAt;
+    private double majorityHeardAt;
     private double differsSince = Double.NaN;
-    private double fitsSince = Double.NaN;
-    private double inSince;
+    private double matchesSince = Double.NaN;
+    private double inServiceSince;
     private int doublings;
     private boolean outOfService;
-    private Reason why = Reason.IN;
+    private Reason reason = Reason.IN;
 
     /** One that starts is in, and has both bounds, and some time for each member, to hear of others. */
     public Quarantine(int self, int members, double now, Limits bounds) {
         this.self = self;
         this.members = members;
         this.limits = bounds;
-        this.majorityAt = now + bounds.maxLagMs() + START_MS_A_MEMBER * members;
-        this.inSince = now;
+        this.majorityHeardAt = now + bounds.maxLagMs() + START_MS_PER_MEMBER * members;
+        this.inServiceSince = now;
     }
 
     /**
@@ -96,12 +96,12 @@
      */
     public boolean update(double now, FileVersion own, Collection<Peer> peers, boolean led) {
         // One that was stopped, and hears all at once what was said meanwhile, is out until it acts as the fleet does.
-        step(now, isOutOfService(now));
+        quarantineIf(now, isOutOfService(now));
         long alive = peers.stream().filter(Peer::alive).count() + 1;
         if (2 * alive > members) {
-            majorityAt = Math.max(majorityAt, now);
+            majorityHeardAt = Math.max(majorityHeardAt, now);
         }
-        FileVersion fleet = fleet(own, peers);
+        FileVersion fleet = fleetVersion(own, peers);
         boolean known = 2 * (peers.stream().filter(p -> p.alive() && p.version() != null).count() + 1) > members;
         boolean fits = led || fleet.equals(own);
         if (!fits) {
@@ -109,34 +109,34 @@
         } else if (known) {
             differsSince = Double.NaN;
         }
-        fitsSince = !fits || !known ? Double.NaN : Double.isNaN(fitsSince) ? now : fitsSince;
+        matchesSince = !fits || !known ? Double.NaN : Double.isNaN(matchesSince) ? now : matchesSince;
         Reason next = reason(now, own, fleet, fits);
-        if (next.aside && next != Reason.CUT_OFF && !outOfService && othersOut(fleet, peers) >= (int) (limits.maxOutShare() * members)) {
+        if (next.outOfService && next != Reason.CUT_OFF && !outOfService && countOthersOut(fleet, peers) >= (int) (limits.maxOutShare() * members)) {
             next = Reason.TOO_MANY;
         }
-        step(now, next.aside);
-        if (!next.aside && outOfService && now - fitsSince >= stayMs()) {
+        quarantineIf(now, next.outOfService);
+        if (!next.outOfService && outOfService && now - matchesSince >= probationMs()) {
             outOfService = false;
-            inSince = now;
+            inServiceSince = now;
         }
-        why = next.aside || !outOfService ? next : why;
+        reason = next.outOfService || !outOfService ? next : reason;
         return outOfService;
     }
 
-    private void step(double now, boolean aside) {
+    private void quarantineIf(double now, boolean aside) {
         if (aside && !outOfService) {
-            doublings = now - inSince < SOON * stayMs() ? Math.min(MOST_DOUBLINGS, doublings + 1) : 0;
+            doublings = now - inServiceSince < FLAP_WINDOW_FACTOR * probationMs() ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
             outOfService = true;
-            fitsSince = Double.NaN;
+            matchesSince = Double.NaN;
         }
     }
 
-    private double stayMs() {
+    private double probationMs() {
         return limits.probationMs() * (1 << doublings);
     }
 
     /** What most of those act under that are heard of and are not out; of as many, the higher number. */
-    private FileVersion fleet(FileVersion own, Collection<Peer> peers) {
+    private FileVersion fleetVersion(FileVersion own, Collection<Peer> peers) {
         Map<FileVersion, Integer> counts = new HashMap<>();
         if (!outOfService) {
             counts.put(own, 1);
@@ -160,11 +160,11 @@
     }
 
     private boolean isCutOff(double now) {
-        return now - majorityAt > limits.cutOffAfterMs();
+        return now - majorityHeardAt > limits.cutOffAfterMs();
     }
 
     /** How many others are out, or may be, or go first as they lag too and have lower numbers. */
-    private int othersOut(FileVersion fleet, Collection<Peer> peers) {
+    private int countOthersOut(FileVersion fleet, Collection<Peer> peers) {
         long heard = peers.stream().filter(Peer::alive).count();
         long out = peers.stream().filter(p -> p.alive() && (p.outOfService() || !fleet.equals(p.version()) && p.member() < self)).count();
         return (int) (members - 1 - heard + out);
@@ -185,6 +185,6 @@
 
     /** Why it is out, or in. */
     public Reason reason() {
-        return why;
+        return reason;
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Rollout.java
+++ b/core/src/main/java/ridgemill/rollout/Rollout.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import ridgemill.rollout.FileFingerprint.FileVersion;
-import ridgemill.rollout.RolloutCoordinator.Wish;
+import ridgemill.rollout.RolloutCoordinator.Request;
 
 /**
  * One proxy's part in taking versions through the fleet: it follows whoever holds the lease, and conducts while it does so itself.
@@ -12,9 +12,9 @@
 public final class Rollout {
 
     /** When to look again while something is under way, and while nothing is. */
-    private static final double BUSY_MS = 50;
-    private static final double IDLE_MS = 250;
-    private static final double OPEN_MS = 3000;
+    private static final double BUSY_TICK_MS = 50;
+    private static final double IDLE_TICK_MS = 250;
+    private static final double OPEN_REPORT_MS = 3000;
 
     /** Where words go and what is done; called from within the calls of {@link Rollout}. */
     public interface Callbacks {
@@ -53,12 +53,12 @@
     public record Counts(int served, int ended) { }
 
     private final int self;
-    private final Callbacks out;
-    private final Shelf shelf = new Shelf();
+    private final Callbacks callbacks;
+    private final TextStore texts = new TextStore();
     private final Follower follower;
-    private final RolloutCoordinator conductor;
-    private FileFingerprint own;
-    private double openAt = Double.NEGATIVE_INFINITY;
+    private final RolloutCoordinator coordinator;
+    private FileFingerprint inEffect;
+    private double openReportedAt = Double.NEGATIVE_INFINITY;
 
     /**
      * @param self this proxy's number
@@ -67,21 +67,21 @@
      */
     public Rollout(int self, int members, int incarnation, double now, RolloutPolicy policy, Callbacks out) {
         this.self = self;
-        this.out = out;
-        this.follower = new Follower(now, incarnation, shelf, out);
-        this.conductor = new RolloutCoordinator(self, members, policy, out);
+        this.callbacks = out;
+        this.follower = new Follower(now, incarnation, texts, out);
+        this.coordinator = new RolloutCoordinator(self, members, policy, out);
     }
 
     /** This proxy acts under a text from now on; others may have it from here. */
     public void setInEffect(FileFingerprint stamp, String text) {
-        own = stamp;
-        shelf.put(stamp, text);
-        shelf.hold(stamp);
+        inEffect = stamp;
+        texts.put(stamp, text);
+        texts.pin(stamp);
     }
 
     /** The text that this proxy acts under. */
     public String textInEffect() {
-        return shelf.text(own);
+        return texts.text(inEffect);
     }
 
     /**
@@ -92,34 +92,34 @@
      * @return whether it is begun, as soon as this proxy holds the lease; or why not
      */
     public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
-        if (conductor.isWished() || conductor.isOpen() || follower.isOpen()) {
+        if (coordinator.hasRequest() || coordinator.isActive() || follower.isOpen()) {
             return "no: a roll is under way: " + follower.explain();
         }
-        if (out.isOutOfService()) {
+        if (callbacks.isOutOfService()) {
             return "no: this proxy has stepped aside; ask another";
         }
-        if (target.number() <= out.versionInEffect().number() || back.number() <= target.number()) {
-            return "no: number " + out.versionInEffect().number() + " is acted under already";
+        if (target.number() <= callbacks.versionInEffect().number() || back.number() <= target.number()) {
+            return "no: number " + callbacks.versionInEffect().number() + " is acted under already";
         }
-        shelf.put(target, targetText);
-        shelf.put(back, backText);
-        conductor.wish(new Wish(target, back));
+        texts.put(target, targetText);
+        texts.put(back, backText);
+        coordinator.requestRollout(new Request(target, back));
         return "begun: as soon as this proxy holds the lease";
     }
 
     /** Operators want the roll that is conducted here to go back. */
     public String rollBack() {
-        return conductor.goBack() ? "it goes back" : "no roll that goes forward is conducted here";
+        return coordinator.requestRollback() ? "it goes back" : "no roll that goes forward is conducted here";
     }
 
     /** Whether this proxy wants to conduct: something is to be begun, or to be brought to its end. */
     public boolean wantsLease(double now) {
-        return conductor.isWished() || conductor.isOpen() || follower.isOpen() || now - openAt < OPEN_MS;
+        return coordinator.hasRequest() || coordinator.isActive() || follower.isOpen() || now - openReportedAt < OPEN_REPORT_MS;
     }
 
     /** Whether this proxy has its place in a roll that is under way, and was told so within so long. */
     public boolean isCoordinated(double now, double withinMs) {
-        return follower.isLed(now, withinMs);
+        return follower.isCoordinated(now, withinMs);
     }
 
     /**
@@ -129,61 +129,61 @@
      * @param lags whether others act under a later version and no roll brings it here
      */
     public double tick(double now, boolean holds, List<Integer> electors, boolean lags) {
-        long term = holds ? out.term() : 0;
-        if (conductor.isWished() && out.isOutOfService()) {
-            conductor.drop("this proxy has stepped aside");
-        } else if (conductor.isWished() && follower.isOpen()) {
-            conductor.drop("that of " + follower.stage().plan().target().text() + " is under way");
+        long term = holds ? callbacks.term() : 0;
+        if (coordinator.hasRequest() && callbacks.isOutOfService()) {
+            coordinator.dropRequest("this proxy has stepped aside");
+        } else if (coordinator.hasRequest() && follower.isOpen()) {
+            coordinator.dropRequest("that of " + follower.progress().plan().target().text() + " is under way");
         }
         if (term > 0) {
             RolloutMessage.Report own = follower.report(now);
-            conductor.tick(now, term, own);
-            RolloutMessage.Order order = conductor.reported(now, self, own);
+            coordinator.tick(now, term, own);
+            RolloutMessage.Order order = coordinator.receiveReport(now, self, own);
             if (order != null) {
-                follower.ordered(now, self, order);
+                follower.receiveOrder(now, self, order);
             }
         } else if (!holds) {
-            conductor.lost();
+            coordinator.leaseLost();
         }
         follower.tick(now, electors, lags);
-        return now + (wantsLease(now) || lags ? BUSY_MS : IDLE_MS);
+        return now + (wantsLease(now) || lags ? BUSY_TICK_MS : IDLE_TICK_MS);
     }
 
     /** A member says something. */
     public void receive(double now, int from, RolloutMessage word, boolean lags) {
         if (word instanceof RolloutMessage.ReportRequest call) {
-            follower.called(now, from, call);
+            follower.receiveReportRequest(now, from, call);
         } else if (word instanceof RolloutMessage.Order order) {
-            follower.ordered(now, from, order);
+            follower.receiveOrder(now, from, order);
         } else if (word instanceof RolloutMessage.Report report) {
-            reported(now, from, report);
+            receiveReport(now, from, report);
         } else if (word instanceof RolloutMessage.ChunkRequest want) {
-            shelf.pieces(want).forEach(p -> out.sendMessage(from, p));
+            texts.chunks(want).forEach(p -> callbacks.sendMessage(from, p));
         } else if (word instanceof RolloutMessage.Chunk piece) {
-            follower.took(piece);
+            follower.receiveChunk(piece);
         } else if (word instanceof RolloutMessage.VersionQuery seek) {
-            follower.sought(from, seek, own);
+            follower.receiveVersionQuery(from, seek, inEffect);
         } else if (word instanceof RolloutMessage.VersionReply settled) {
-            follower.settled(settled, lags);
+            follower.receiveVersionReply(settled, lags);
         }
     }
 
-    private void reported(double now, int from, RolloutMessage.Report report) {
+    private void receiveReport(double now, int from, RolloutMessage.Report report) {
         if (report.progress() != null && !report.progress().finished()) {
-            openAt = now;
+            openReportedAt = now;
         }
-        long term = out.term();
-        if (term > 0 && conductor.isUnder(term)) {
-            RolloutMessage.Order order = conductor.reported(now, from, report);
+        long term = callbacks.term();
+        if (term > 0 && coordinator.holdsTerm(term)) {
+            RolloutMessage.Order order = coordinator.receiveReport(now, from, report);
             if (order != null) {
-                out.sendMessage(from, order);
+                callbacks.sendMessage(from, order);
             }
         }
     }
 
     /** A text has been looked at; {@code problem} is empty where it may be acted on. */
     public void validated(double now, FileFingerprint stamp, String problem) {
-        follower.checked(now, stamp, problem);
+        follower.validated(now, stamp, problem);
     }
 
     /**
@@ -193,34 +193,34 @@
      * @param late whether it was not begun as its time was over
      */
     public void applied(double now, FileFingerprint stamp, String problem, boolean late) {
-        follower.acted(now, stamp, problem, late);
+        follower.applied(now, stamp, problem, late);
         if (problem.isEmpty()) {
-            own = stamp;
-            shelf.hold(stamp);
+            inEffect = stamp;
+            texts.pin(stamp);
         }
     }
 
     /** What is conducted here now; null for nothing. */
     public Plan coordinatedPlan() {
-        return conductor.plan();
+        return coordinator.plan();
     }
 
     /** Whether a roll is under way as far as this proxy knows. */
     public boolean isInProgress() {
-        return follower.isOpen() || conductor.plan() != null;
+        return follower.isOpen() || coordinator.plan() != null;
     }
 
     /** How it goes, in words. */
     public List<String> explain() {
         List<String> lines = new ArrayList<>();
         lines.add(follower.explain());
-        if (conductor.isOpen() || conductor.isWished()) {
-            lines.add("conducted here: " + conductor.explain());
-        } else if (!conductor.explain().equals("nothing")) {
-            lines.add("conducted here last: " + conductor.explain());
+        if (coordinator.isActive() || coordinator.hasRequest()) {
+            lines.add("conducted here: " + coordinator.explain());
+        } else if (!coordinator.explain().equals("nothing")) {
+            lines.add("conducted here last: " + coordinator.explain());
         }
-        if (follower.refusedOrders() > 0) {
-            lines.add(follower.refusedOrders() + " orders refused as old");
+        if (follower.rejectedOrders() > 0) {
+            lines.add(follower.rejectedOrders() + " orders refused as old");
         }
         return lines;
     }
--- a/core/src/main/java/ridgemill/rollout/RolloutCoordinator.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutCoordinator.java
@@ -23,77 +23,77 @@
  */
 final class RolloutCoordinator {
 
-    private static final double CALL_MS = 250;
+    private static final double REPORT_REQUEST_INTERVAL_MS = 250;
     /** Who has reported within so long need not be called. */
-    private static final double HEARD_MS = 400;
-    private static final double COLLECT_MS = 1500;
+    private static final double RECENT_REPORT_MS = 400;
+    private static final double COLLECT_TIMEOUT_MS = 1500;
     /** Who has not reported for so long is away. */
-    private static final double SILENT_MS = 3000;
+    private static final double MEMBER_TIMEOUT_MS = 3000;
     /** For so long a roll's end is told to those that have not said that they know. */
-    private static final double END_MS = 10_000;
+    private static final double FINISH_ANNOUNCE_MS = 10_000;
 
     /** What was heard of a member last, and how its counts were when the step was whole. */
-    private static final class Seen {
+    private static final class MemberState {
         Report report;
-        double at;
-        Report whole;
+        double reportedAt;
+        Report stepBaseline;
     }
 
     /** A roll that operators want. */
-    record Wish(FileFingerprint target, FileFingerprint back) { }
+    record Request(FileFingerprint target, FileFingerprint rollback) { }
 
     private final int self;
     private final int members;
     private final RolloutPolicy policy;
-    private final Rollout.Callbacks out;
-    private final Map<Integer, Seen> seen = new TreeMap<>();
+    private final Rollout.Callbacks callbacks;
+    private final Map<Integer, MemberState> memberStates = new TreeMap<>();
     /** Who was told to act on the target. */
-    private final Set<Integer> told = new HashSet<>();
-    private Wish wish;
-    private boolean wantsBack;
-    private boolean holds;
+    private final Set<Integer> toldForward = new HashSet<>();
+    private Request request;
+    private boolean rollbackRequested;
+    private boolean holdsLease;
     private long term;
-    private int number;
+    private int sequence;
     private boolean collecting;
     /** Somebody takes a roll for open while none is conducted here. */
-    private boolean openElsewhere;
-    private double since;
-    private double callAt;
+    private boolean openRolloutReported;
+    private double stepSince;
+    private double nextReportRequestAt;
     private Plan plan;
-    private Action way;
+    private Action action;
     private int step;
-    private boolean over;
-    private double wholeAt = Double.NaN;
+    private boolean finished;
+    private double stepCompleteAt = Double.NaN;
     private double baselineShare = Double.NaN;
-    private String words = "nothing";
+    private String statusText = "nothing";
 
     RolloutCoordinator(int self, int members, RolloutPolicy policy, Rollout.Callbacks out) {
         this.self = self;
         this.members = members;
         this.policy = policy;
-        this.out = out;
+        this.callbacks = out;
     }
 
     /** Operators want a roll. */
-    void wish(Wish next) {
-        wish = next;
-        words = "waits for the lease";
+    void requestRollout(Request next) {
+        request = next;
+        statusText = "waits for the lease";
     }
 
     /** It will not be begun; says why. */
-    void drop(String why) {
-        words = "not begun: " + why;
-        out.notifyOperators("the roll of " + wish.target().text() + " is " + words);
-        wish = null;
+    void dropRequest(String why) {
+        statusText = "not begun: " + why;
+        callbacks.notifyOperators("the roll of " + request.target().text() + " is " + statusText);
+        request = null;
     }
 
     /** Whether a roll is wanted that is not begun yet. */
-    boolean isWished() {
-        return wish != null;
+    boolean hasRequest() {
+        return request != null;
     }
 
     /** Whether a roll is conducted here now. */
-    boolean isOpen() {
+    boolean isActive() {
         return plan != null || collecting;
     }
 
@@ -103,155 +103,155 @@
     }
 
     /** Operators want the roll that is under way to go back. */
-    boolean goBack() {
-        if (plan == null || over || way != Action.FORWARD) {
+    boolean requestRollback() {
+        if (plan == null || finished || action != Action.FORWARD) {
             return false;
         }
-        wantsBack = true;
+        rollbackRequested = true;
         return true;
     }
 
     /** This proxy holds the lease, under this term. */
     void tick(double now, long under, Report own) {
-        if (under != term || !holds) {
-            begin(now, under);
+        if (under != term || !holdsLease) {
+            takeOver(now, under);
         }
-        reported(now, self, own);
-        if (now >= callAt && isOpen()) {
-            callAt = now + CALL_MS;
+        receiveReport(now, self, own);
+        if (now >= nextReportRequestAt && isActive()) {
+            nextReportRequestAt = now + REPORT_REQUEST_INTERVAL_MS;
             for (int m = 0; m < members; m++) {
-                if (m != self && (!seen.containsKey(m) || now - seen.get(m).at > HEARD_MS)) {
-                    out.sendMessage(m, new RolloutMessage.ReportRequest(term));
+                if (m != self && (!memberStates.containsKey(m) || now - memberStates.get(m).reportedAt > RECENT_REPORT_MS)) {
+                    callbacks.sendMessage(m, new RolloutMessage.ReportRequest(term));
                 }
             }
         }
         if (collecting) {
-            collect(now);
-        } else if (plan == null && (wish != null || openElsewhere)) {
-            begin(now, under);
+            collectReports(now);
+        } else if (plan == null && (request != null || openRolloutReported)) {
+            takeOver(now, under);
         }
         if (plan != null) {
             advance(now);
         }
     }
 
-    private void begin(double now, long under) {
-        number = under == term ? number : 0;
+    private void takeOver(double now, long under) {
+        sequence = under == term ? sequence : 0;
         term = under;
-        holds = true;
+        holdsLease = true;
         collecting = true;
-        openElsewhere = false;
-        since = now;
-        callAt = now;
+        openRolloutReported = false;
+        stepSince = now;
+        nextReportRequestAt = now;
         plan = null;
-        over = false;
-        seen.clear();
-        told.clear();
+        finished = false;
+        memberStates.clear();
+        toldForward.clear();
         baselineShare = Double.NaN;
-        wantsBack = false;
+        rollbackRequested = false;
     }
 
     /** It does not hold the lease any more; somebody else goes on. */
-    void lost() {
-        if (isOpen()) {
-            words = "another goes on with it";
+    void leaseLost() {
+        if (isActive()) {
+            statusText = "another goes on with it";
         }
         collecting = false;
         plan = null;
-        holds = false;
+        holdsLease = false;
     }
 
     /** Whether it was told that it holds the lease, under this term. */
-    boolean isUnder(long under) {
-        return holds && under == term;
+    boolean holdsTerm(long under) {
+        return holdsLease && under == term;
     }
 
     /** A member has said how it is; returns what it is told, or null where there is nothing to be told yet. */
-    RolloutMessage.Order reported(double now, int from, Report report) {
-        Seen s = seen.computeIfAbsent(from, m -> new Seen());
+    RolloutMessage.Order receiveReport(double now, int from, Report report) {
+        MemberState s = memberStates.computeIfAbsent(from, m -> new MemberState());
         boolean again = s.report != null && s.report.incarnation() == report.incarnation();
         if (again && report.timestamp() - s.report.timestamp() < 0) {
             return null;
         }
         if (!again) {
-            s.whole = null;
+            s.stepBaseline = null;
         }
         s.report = report;
-        s.at = now;
+        s.reportedAt = now;
         if (plan == null) {
-            openElsewhere |= !collecting && report.progress() != null && !report.progress().finished();
+            openRolloutReported |= !collecting && report.progress() != null && !report.progress().finished();
             return null;
         }
-        Action what = whatFor(now, from);
+        Action what = actionFor(now, from);
         if (what == Action.FORWARD) {
-            told.add(from);
+            toldForward.add(from);
         }
-        number++;
-        return new RolloutMessage.Order(report.timestamp(), report.incarnation(), new Progress(plan, term, number, way, step, over), what);
+        sequence++;
+        return new RolloutMessage.Order(report.timestamp(), report.incarnation(), new Progress(plan, term, sequence, action, step, finished), what);
     }
 
     private boolean isAlive(double now, int member) {
-        Seen s = seen.get(member);
-        return s != null && now - s.at <= SILENT_MS;
+        MemberState s = memberStates.get(member);
+        return s != null && now - s.reportedAt <= MEMBER_TIMEOUT_MS;
     }
 
-    private List<Integer> alive(double now) {
-        return seen.keySet().stream().filter(m -> isAlive(now, m)).toList();
+    private List<Integer> aliveMembers(double now) {
+        return memberStates.keySet().stream().filter(m -> isAlive(now, m)).toList();
     }
 
     /** How many members have said something of themselves that is so; no matter when. */
     private long count(Predicate<Report> of) {
-        return seen.values().stream().filter(s -> of.test(s.report)).count();
+        return memberStates.values().stream().filter(s -> of.test(s.report)).count();
     }
 
-    private boolean actsOn(int member, FileFingerprint stamp) {
-        return stamp.matches(seen.get(member).report.version());
+    private boolean hasInEffect(int member, FileFingerprint stamp) {
+        return stamp.matches(memberStates.get(member).report.version());
     }
 
-    private boolean anyActsOn(double now, FileFingerprint stamp) {
-        return alive(now).stream().anyMatch(m -> actsOn(m, stamp));
+    private boolean anyHasInEffect(double now, FileFingerprint stamp) {
+        return aliveMembers(now).stream().anyMatch(m -> hasInEffect(m, stamp));
     }
 
     /** Whether those of which nothing is heard have had the time to step aside, since all others were where they are to be. */
-    private boolean restIsOut(double now) {
+    private boolean silentMembersOutOfService(double now) {
         for (int m = 0; m < members; m++) {
-            Seen s = seen.get(m);
-            if (!isAlive(now, m) && now - Math.max(wholeAt, s == null ? since : s.at) <= policy.outOfServiceMs()) {
+            MemberState s = memberStates.get(m);
+            if (!isAlive(now, m) && now - Math.max(stepCompleteAt, s == null ? stepSince : s.reportedAt) <= policy.outOfServiceMs()) {
                 return false;
             }
         }
         return true;
     }
 
-    private void collect(double now) {
-        boolean enough = seen.size() == members || now - since >= COLLECT_MS && 2 * seen.size() > members;
+    private void collectReports(double now) {
+        boolean enough = memberStates.size() == members || now - stepSince >= COLLECT_TIMEOUT_MS && 2 * memberStates.size() > members;
         if (!enough) {
-            words = "hears from " + seen.size() + " of " + members;
+            statusText = "hears from " + memberStates.size() + " of " + members;
             return;
         }
         collecting = false;
         Progress latest = null;
-        for (Seen s : seen.values()) {
+        for (MemberState s : memberStates.values()) {
             if (s.report.progress() != null && s.report.progress().isLaterThan(latest)) {
                 latest = s.report.progress();
             }
         }
         if (latest != null && (!latest.finished() || anyReportsOpenRollout())) {
             plan = latest.plan();
-            over = latest.finished();
-            way = over ? latest.action() : turned(latest.action());
-            step = way == Action.FORWARD || over ? latest.step() : 1;
-            stepped(now, "goes on with " + plan.target().text() + " at step " + step);
-            if (wish != null) {
-                drop("that of " + plan.target().text() + " is under way");
+            finished = latest.finished();
+            action = finished ? latest.action() : stoppedActionOr(latest.action());
+            step = action == Action.FORWARD || finished ? latest.step() : 1;
+            enterStep(now, "goes on with " + plan.target().text() + " at step " + step);
+            if (request != null) {
+                dropRequest("that of " + plan.target().text() + " is under way");
             }
-        } else if (wish != null) {
-            beginWished(now);
+        } else if (request != null) {
+            startRequested(now);
         }
     }
 
     /** Once anybody knows that a roll goes no further it does not, whoever conducts. */
-    private Action turned(Action best) {
+    private Action stoppedActionOr(Action best) {
         for (Action turned : List.of(Action.BACK, Action.CANCEL)) {
             if (count(r -> r.knows(plan) && r.progress().action() == turned) > 0) {
                 return turned;
@@ -266,129 +266,129 @@
     }
 
     /** Begins the roll that operators want, where all that are not out act under one version. */
-    private void beginWished(double now) {
-        Set<FileVersion> bases = seen.values().stream().map(s -> s.report).filter(r -> !r.outOfService()).map(Report::version).collect(Collectors.toSet());
+    private void startRequested(double now) {
+        Set<FileVersion> bases = memberStates.values().stream().map(s -> s.report).filter(r -> !r.outOfService()).map(Report::version).collect(Collectors.toSet());
         // Numbers of rolls that were given up stay used: somebody of whom nothing is heard may have acted on them.
-        int highest = seen.values().stream().map(s -> s.report).mapToInt(r -> Math.max(r.version().number(), r.progress() == null ? 0
+        int highest = memberStates.values().stream().map(s -> s.report).mapToInt(r -> Math.max(r.version().number(), r.progress() == null ? 0
                 : r.progress().plan().rollback().number())).max().orElse(0);
-        if (bases.size() != 1 || highest >= wish.target().number()) {
-            drop(bases.size() != 1 ? "the fleet acts under " + bases.stream().map(FileVersion::text).sorted().collect(Collectors.joining(" and "))
+        if (bases.size() != 1 || highest >= request.target().number()) {
+            dropRequest(bases.size() != 1 ? "the fleet acts under " + bases.stream().map(FileVersion::text).sorted().collect(Collectors.joining(" and "))
                     : "number " + highest + " is known already");
             return;
         }
-        plan = new Plan(bases.iterator().next(), wish.target(), wish.back());
-        wish = null;
-        way = Action.FORWARD;
-        over = false;
+        plan = new Plan(bases.iterator().next(), request.target(), request.rollback());
+        request = null;
+        action = Action.FORWARD;
+        finished = false;
         step = 0;
-        stepped(now, "begins with " + plan.target().text());
+        enterStep(now, "begins with " + plan.target().text());
     }
 
-    private void stepped(double now, String what) {
-        since = now;
-        wholeAt = Double.NaN;
-        seen.values().forEach(s -> s.whole = null);
-        words = what;
-        out.notifyOperators(what);
+    private void enterStep(double now, String what) {
+        stepSince = now;
+        stepCompleteAt = Double.NaN;
+        memberStates.values().forEach(s -> s.stepBaseline = null);
+        statusText = what;
+        callbacks.notifyOperators(what);
     }
 
-    private void turn(double now, Action next, String why) {
-        way = next;
+    private void changeAction(double now, Action next, String why) {
+        action = next;
         step = 1;
-        stepped(now, (next == Action.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + why);
+        enterStep(now, (next == Action.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + why);
     }
 
-    private void end(double now, String what) {
-        over = true;
-        stepped(now, what);
+    private void finish(double now, String what) {
+        finished = true;
+        enterStep(now, what);
     }
 
     private void advance(double now) {
-        if (over) {
-            List<Integer> alive = alive(now);
-            boolean allKnow = alive.stream().map(m -> seen.get(m).report).allMatch(r -> r.knows(plan) && r.progress().finished());
-            if (allKnow || now - since > END_MS) {
+        if (finished) {
+            List<Integer> alive = aliveMembers(now);
+            boolean allKnow = alive.stream().map(m -> memberStates.get(m).report).allMatch(r -> r.knows(plan) && r.progress().finished());
+            if (allKnow || now - stepSince > FINISH_ANNOUNCE_MS) {
                 plan = null;
             }
             return;
         }
-        switch (way) {
-            case FORWARD -> forward(now);
-            case BACK -> back(now);
+        switch (action) {
+            case FORWARD -> advanceForward(now);
+            case BACK -> advanceRollback(now);
             default -> {
                 // Most have to know before it is said: whoever goes on with it hears of that from one of them.
-                if (anyActsOn(now, plan.target()) || anyActsOn(now, plan.rollback())) {
-                    turn(now, Action.BACK, "one acts on it already");
+                if (anyHasInEffect(now, plan.target()) || anyHasInEffect(now, plan.rollback())) {
+                    changeAction(now, Action.BACK, "one acts on it already");
                 } else if (2 * count(r -> r.knows(plan) && r.progress().action() == Action.CANCEL) > members) {
-                    end(now, "given up, nobody acted on " + plan.target().text());
+                    finish(now, "given up, nobody acted on " + plan.target().text());
                 }
             }
         }
     }
 
-    private void forward(double now) {
-        List<Integer> alive = alive(now);
-        boolean few = alive.size() < members - policy.away(members);
-        boolean begun = step > 0 || anyActsOn(now, plan.target());
+    private void advanceForward(double now) {
+        List<Integer> alive = aliveMembers(now);
+        boolean few = alive.size() < members - policy.maxAbsent(members);
+        boolean begun = step > 0 || anyHasInEffect(now, plan.target());
         Action stop = begun ? Action.BACK : Action.CANCEL;
         for (int m : alive) {
-            Report r = seen.get(m).report;
+            Report r = memberStates.get(m).report;
             if (r.knows(plan) && r.rejection() != null) {
-                turn(now, stop, "member " + m + ": " + r.rejection());
+                changeAction(now, stop, "member " + m + ": " + r.rejection());
                 return;
             }
         }
-        if (wantsBack) {
-            wantsBack = false;
-            turn(now, stop, "operators said so");
-        } else if (anyActsOn(now, plan.rollback())) {
-            turn(now, Action.BACK, "another took it back");
-        } else if (now - since > policy.stepTimeoutMs()) {
-            turn(now, stop, few ? "only " + alive.size() + " of " + members + " are heard of" : words);
+        if (rollbackRequested) {
+            rollbackRequested = false;
+            changeAction(now, stop, "operators said so");
+        } else if (anyHasInEffect(now, plan.rollback())) {
+            changeAction(now, Action.BACK, "another took it back");
+        } else if (now - stepSince > policy.stepTimeoutMs()) {
+            changeAction(now, stop, few ? "only " + alive.size() + " of " + members + " are heard of" : statusText);
         } else if (few) {
-            words = "step " + step + " waits: " + alive.size() + " of " + members + " are heard of";
+            statusText = "step " + step + " waits: " + alive.size() + " of " + members + " are heard of";
         } else if (step == 0) {
-            long staged = alive.stream().map(m -> seen.get(m).report).filter(r -> r.knows(plan) && r.staged()).count();
-            words = "staged at " + staged + " of " + alive.size();
+            long staged = alive.stream().map(m -> memberStates.get(m).report).filter(r -> r.knows(plan) && r.staged()).count();
+            statusText = "staged at " + staged + " of " + alive.size();
             if (staged == alive.size()) {
                 step = 1;
-                stepped(now, "staged at " + staged + ", step 1 of " + policy.steps().size());
+                enterStep(now, "staged at " + staged + ", step 1 of " + policy.steps().size());
             }
         } else {
-            moved(now, alive);
+            evaluateStep(now, alive);
         }
     }
 
-    private void moved(double now, List<Integer> alive) {
-        List<Integer> chosen = chosen(now);
+    private void evaluateStep(double now, List<Integer> alive) {
+        List<Integer> chosen = selectedMembers(now);
         boolean last = step == policy.steps().size();
-        long moved = chosen.stream().filter(m -> actsOn(m, plan.target())).count();
-        words = "step " + step + ": " + moved + " of " + chosen.size() + " act on it";
+        long moved = chosen.stream().filter(m -> hasInEffect(m, plan.target())).count();
+        statusText = "step " + step + ": " + moved + " of " + chosen.size() + " act on it";
         if (moved < chosen.size()) {
-            wholeAt = Double.NaN;
+            stepCompleteAt = Double.NaN;
             return;
         }
-        if (Double.isNaN(wholeAt)) {
-            wholeAt = now;
-            alive.forEach(m -> seen.get(m).whole = seen.get(m).report);
+        if (Double.isNaN(stepCompleteAt)) {
+            stepCompleteAt = now;
+            alive.forEach(m -> memberStates.get(m).stepBaseline = memberStates.get(m).report);
         }
-        if (now - wholeAt < policy.observationMs() || last && !restIsOut(now)) {
+        if (now - stepCompleteAt < policy.observationMs() || last && !silentMembersOutOfService(now)) {
             return;
         }
-        Verdict verdict = judge(alive);
+        Verdict verdict = compareServedShares(alive);
         if (verdict == Verdict.TOO_FEW) {
-            words = "step " + step + ": too few requests to judge by";
+            statusText = "step " + step + ": too few requests to judge by";
         } else if (verdict == Verdict.WORSE) {
-            turn(now, Action.BACK, "fewer are served by those that act on it");
+            changeAction(now, Action.BACK, "fewer are served by those that act on it");
         } else if (last) {
-            end(now, "complete: all act on " + plan.target().text() + awayWords(now));
+            finish(now, "complete: all act on " + plan.target().text() + describeAbsent(now));
         } else {
             step++;
-            stepped(now, "step " + step + " of " + policy.steps().size());
+            enterStep(now, "step " + step + " of " + policy.steps().size());
         }
     }
 
-    private String awayWords(double now) {
+    private String describeAbsent(double now) {
         List<Integer> away = IntStream.range(0, members).filter(m -> !isAlive(now, m)).boxed().toList();
         return away.isEmpty() ? "" : ", but for members " + away + ", of which nothing is heard";
     }
@@ -396,24 +396,24 @@
     private enum Verdict { GOOD, WORSE, TOO_FEW }
 
     /** Holds what those that moved served since the step was whole against what the others did, or did last. */
-    private Verdict judge(List<Integer> alive) {
+    private Verdict compareServedShares(List<Integer> alive) {
         if (policy.minSamples() == 0) {
             return Verdict.GOOD;
         }
         long[] moved = new long[2];
         long[] others = new long[2];
         for (int m : alive) {
-            Seen s = seen.get(m);
-            if (s.whole != null) {
-                long[] to = actsOn(m, plan.target()) ? moved : others;
-                to[0] += s.report.served() - s.whole.served();
-                to[1] += s.report.ended() - s.whole.ended();
+            MemberState s = memberStates.get(m);
+            if (s.stepBaseline != null) {
+                long[] to = hasInEffect(m, plan.target()) ? moved : others;
+                to[0] += s.report.served() - s.stepBaseline.served();
+                to[1] += s.report.ended() - s.stepBaseline.ended();
             }
         }
         if (others[1] >= policy.minSamples()) {
             baselineShare = (double) others[0] / others[1];
         }
-        boolean alone = alive.stream().allMatch(m -> actsOn(m, plan.target()));
+        boolean alone = alive.stream().allMatch(m -> hasInEffect(m, plan.target()));
         if (moved[1] < policy.minSamples() || Double.isNaN(baselineShare) && !alone) {
             return Verdict.TOO_FEW;
         }
@@ -421,28 +421,28 @@
         return servedShare < baselineShare - policy.maxDegradation() ? Verdict.WORSE : Verdict.GOOD;
     }
 
-    private void back(double now) {
-        List<Integer> alive = alive(now);
+    private void advanceRollback(double now) {
+        List<Integer> alive = aliveMembers(now);
         if (step == 1) {
-            boolean gone = alive.stream().noneMatch(m -> actsOn(m, plan.target()) || told.contains(m) && !actsOn(m, plan.rollback()));
+            boolean gone = alive.stream().noneMatch(m -> hasInEffect(m, plan.target()) || toldForward.contains(m) && !hasInEffect(m, plan.rollback()));
             if (gone) {
                 step = 2;
-                stepped(now, "nobody acts on " + plan.target().text() + " any more, all go to " + plan.rollback().text());
+                enterStep(now, "nobody acts on " + plan.target().text() + " any more, all go to " + plan.rollback().text());
             }
-        } else if (2 * alive.size() <= members || !alive.stream().allMatch(m -> actsOn(m, plan.rollback()))) {
-            wholeAt = Double.NaN;
+        } else if (2 * alive.size() <= members || !alive.stream().allMatch(m -> hasInEffect(m, plan.rollback()))) {
+            stepCompleteAt = Double.NaN;
         } else {
-            wholeAt = Double.isNaN(wholeAt) ? now : wholeAt;
-            if (restIsOut(now)) {
-                end(now, "back: all act on " + plan.rollback().text() + awayWords(now));
+            stepCompleteAt = Double.isNaN(stepCompleteAt) ? now : stepCompleteAt;
+            if (silentMembersOutOfService(now)) {
+                finish(now, "back: all act on " + plan.rollback().text() + describeAbsent(now));
             }
         }
     }
 
     /** Who is to act on the target at this step: who does, and others in an order that follows from the text. */
-    private List<Integer> chosen(double now) {
-        return alive(now).stream().sorted(Comparator.comparing((Integer m) -> !(actsOn(m, plan.target()) || told.contains(m))).thenComparing(this::rank))
-                .limit(policy.upTo(step, members)).toList();
+    private List<Integer> selectedMembers(double now) {
+        return aliveMembers(now).stream().sorted(Comparator.comparing((Integer m) -> !(hasInEffect(m, plan.target()) || toldForward.contains(m))).thenComparing(this::rank))
+                .limit(policy.targetCount(step, members)).toList();
     }
 
     private long rank(int member) {
@@ -450,16 +450,16 @@
         return x ^ x >>> 29;
     }
 
-    private Action whatFor(double now, int member) {
-        return switch (way) {
-            case FORWARD -> over || step > 0 && chosen(now).contains(member) ? Action.FORWARD : Action.HOLD;
-            case BACK -> over || step > 1 || told.contains(member) || actsOn(member, plan.target()) ? Action.BACK : Action.HOLD;
-            default -> way;
+    private Action actionFor(double now, int member) {
+        return switch (action) {
+            case FORWARD -> finished || step > 0 && selectedMembers(now).contains(member) ? Action.FORWARD : Action.HOLD;
+            case BACK -> finished || step > 1 || toldForward.contains(member) || hasInEffect(member, plan.target()) ? Action.BACK : Action.HOLD;
+            default -> action;
         };
     }
 
     /** In words. */
     String explain() {
-        return words;
+        return statusText;
     }
 }
--- a/core/src/main/java/ridgemill/rollout/RolloutPolicy.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutPolicy.java
@@ -38,12 +38,12 @@
     }
 
     /** How many of the members act on the target after a step, from 1 on. */
-    int upTo(int step, int members) {
+    int targetCount(int step, int members) {
         return Math.max(1, (int) Math.ceil(steps.get(step - 1) * members));
     }
 
     /** How many members may be away. */
-    int away(int members) {
+    int maxAbsent(int members) {
         return (int) (maxOutShare * members);
     }
 }
--- a/core/src/main/java/ridgemill/rollout/RolloutWire.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutWire.java
@@ -21,11 +21,11 @@
     private static final byte KIND = 'V';
     private static final byte VERSION = 1;
     /** Of the reason for which a text is refused; the rest is cut off. */
-    private static final int MOST_REASON = 72;
-    private static final int STAGED = 1;
-    private static final int OUT = 2;
+    private static final int MAX_REASON_BYTES = 72;
+    private static final int FLAG_STAGED = 1;
+    private static final int FLAG_OUT_OF_SERVICE = 2;
 
-    private enum What { CALL, REPORT, ORDER, WANT, PIECE, SEEK, SETTLED }
+    private enum MessageType { REPORT_REQUEST, REPORT, ORDER, CHUNK_REQUEST, CHUNK, VERSION_QUERY, VERSION_REPLY }
 
     private RolloutWire() { }
 
@@ -33,32 +33,32 @@
     public static byte[] encode(RolloutMessage word) {
         ByteBuffer out = DatagramFrame.begin(KIND, VERSION);
         if (word instanceof RolloutMessage.ReportRequest c) {
-            begin(out, What.CALL).putLong(c.term());
+            putType(out, MessageType.REPORT_REQUEST).putLong(c.term());
         } else if (word instanceof RolloutMessage.Report r) {
-            begin(out, What.REPORT).putInt(r.timestamp()).putInt(r.incarnation()).putInt(r.version().number()).putLong(r.version().digest())
-                    .putInt(r.served()).putInt(r.ended()).put((byte) ((r.staged() ? STAGED : 0) | (r.outOfService() ? OUT : 0))).put((byte) (r.progress() == null ? 0 : 1));
+            putType(out, MessageType.REPORT).putInt(r.timestamp()).putInt(r.incarnation()).putInt(r.version().number()).putLong(r.version().digest())
+                    .putInt(r.served()).putInt(r.ended()).put((byte) ((r.staged() ? FLAG_STAGED : 0) | (r.outOfService() ? FLAG_OUT_OF_SERVICE : 0))).put((byte) (r.progress() == null ? 0 : 1));
             if (r.progress() != null) {
                 put(out, r.progress());
             }
             byte[] why = r.rejection() == null ? new byte[0] : r.rejection().getBytes(StandardCharsets.US_ASCII);
-            int length = Math.min(MOST_REASON, why.length);
+            int length = Math.min(MAX_REASON_BYTES, why.length);
             out.put((byte) (r.rejection() == null ? -1 : length)).put(why, 0, length);
         } else if (word instanceof RolloutMessage.Order o) {
-            put(begin(out, What.ORDER).putInt(o.echoedTimestamp()).putInt(o.incarnation()).put((byte) o.action().ordinal()), o.progress());
+            put(putType(out, MessageType.ORDER).putInt(o.echoedTimestamp()).putInt(o.incarnation()).put((byte) o.action().ordinal()), o.progress());
         } else if (word instanceof RolloutMessage.ChunkRequest w) {
-            begin(out, What.WANT).putLong(w.hashHigh()).put((byte) w.indexes().size());
+            putType(out, MessageType.CHUNK_REQUEST).putLong(w.hashHigh()).put((byte) w.indexes().size());
             w.indexes().forEach(i -> out.putShort(i.shortValue()));
         } else if (word instanceof RolloutMessage.Chunk p) {
-            begin(out, What.PIECE).putLong(p.hashHigh()).putShort((short) p.index()).putShort((short) p.bytes().length).put(p.bytes());
+            putType(out, MessageType.CHUNK).putLong(p.hashHigh()).putShort((short) p.index()).putShort((short) p.bytes().length).put(p.bytes());
         } else if (word instanceof RolloutMessage.VersionQuery s) {
-            begin(out, What.SEEK).putInt(s.number());
+            putType(out, MessageType.VERSION_QUERY).putInt(s.number());
         } else if (word instanceof RolloutMessage.VersionReply s) {
-            put(begin(out, What.SETTLED), s.fingerprint());
+            put(putType(out, MessageType.VERSION_REPLY), s.fingerprint());
         }
         return DatagramFrame.finish(out);
     }
 
-    private static ByteBuffer begin(ByteBuffer out, What what) {
+    private static ByteBuffer putType(ByteBuffer out, MessageType what) {
         return out.put((byte) what.ordinal());
     }
 
@@ -73,7 +73,7 @@
         out.putLong(s.term()).putInt(s.sequence()).put((byte) s.action().ordinal()).put((byte) s.step()).put((byte) (s.finished() ? 1 : 0));
     }
 
-    private static FileFingerprint stamp(ByteBuffer in) {
+    private static FileFingerprint readFingerprint(ByteBuffer in) {
         FileFingerprint stamp = new FileFingerprint(in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getInt());
         if (stamp.lengthBytes() < 0 || stamp.lengthBytes() > FileFingerprint.MAX_BYTES) {
             throw new IllegalArgumentException("a text of " + stamp.lengthBytes() + " bytes");
@@ -81,8 +81,8 @@
         return stamp;
     }
 
-    private static Progress stage(ByteBuffer in) {
-        Plan plan = new Plan(new FileVersion(in.getInt(), in.getLong()), stamp(in), stamp(in));
+    private static Progress readProgress(ByteBuffer in) {
+        Plan plan = new Plan(new FileVersion(in.getInt(), in.getLong()), readFingerprint(in), readFingerprint(in));
         return new Progress(plan, in.getLong(), in.getInt(), Action.values()[in.get()], in.get(), in.get() != 0);
     }
 
@@ -90,16 +90,16 @@
     public static Optional<RolloutMessage> decode(byte[] datagram) {
         return DatagramFrame.open(datagram, KIND, VERSION).flatMap(in -> {
             try {
-                return Optional.of(word(in));
+                return Optional.of(readMessage(in));
             } catch (BufferUnderflowException | IndexOutOfBoundsException | IllegalArgumentException e) {
                 return Optional.empty();
             }
         });
     }
 
-    private static RolloutMessage word(ByteBuffer in) {
-        return switch (What.values()[in.get()]) {
-            case CALL -> new RolloutMessage.ReportRequest(in.getLong());
+    private static RolloutMessage readMessage(ByteBuffer in) {
+        return switch (MessageType.values()[in.get()]) {
+            case REPORT_REQUEST -> new RolloutMessage.ReportRequest(in.getLong());
             case REPORT -> {
                 int mark = in.getInt();
                 int incarnation = in.getInt();
@@ -107,18 +107,18 @@
                 int served = in.getInt();
                 int ended = in.getInt();
                 int flags = in.get();
-                Progress stage = in.get() == 0 ? null : stage(in);
+                Progress stage = in.get() == 0 ? null : readProgress(in);
                 int length = in.get();
-                String refused = length < 0 ? null : text(in, length);
-                yield new RolloutMessage.Report(mark, incarnation, acting, stage, (flags & STAGED) != 0, refused, (flags & OUT) != 0, served, ended);
+                String refused = length < 0 ? null : readText(in, length);
+                yield new RolloutMessage.Report(mark, incarnation, acting, stage, (flags & FLAG_STAGED) != 0, refused, (flags & FLAG_OUT_OF_SERVICE) != 0, served, ended);
             }
             case ORDER -> {
                 int mark = in.getInt();
                 int incarnation = in.getInt();
                 Action what = Action.values()[in.get()];
-                yield new RolloutMessage.Order(mark, incarnation, stage(in), what);
+                yield new RolloutMessage.Order(mark, incarnation, readProgress(in), what);
             }
-            case WANT -> {
+            case CHUNK_REQUEST -> {
                 long high = in.getLong();
                 List<Integer> indexes = new ArrayList<>();
                 for (int left = in.get(); left > 0; left--) {
@@ -126,19 +126,19 @@
                 }
                 yield new RolloutMessage.ChunkRequest(high, indexes);
             }
-            case PIECE -> {
+            case CHUNK -> {
                 long high = in.getLong();
                 int index = in.getShort();
                 byte[] bytes = new byte[Math.max(0, in.getShort())];
                 in.get(bytes);
                 yield new RolloutMessage.Chunk(high, index, bytes);
             }
-            case SEEK -> new RolloutMessage.VersionQuery(in.getInt());
-            case SETTLED -> new RolloutMessage.VersionReply(stamp(in));
+            case VERSION_QUERY -> new RolloutMessage.VersionQuery(in.getInt());
+            case VERSION_REPLY -> new RolloutMessage.VersionReply(readFingerprint(in));
         };
     }
 
-    private static String text(ByteBuffer in, int length) {
+    private static String readText(ByteBuffer in, int length) {
         byte[] bytes = new byte[length];
         in.get(bytes);
         return new String(bytes, StandardCharsets.US_ASCII);
--- a/core/src/main/java/ridgemill/version/AuditLineFormat.java
+++ b/core/src/main/java/ridgemill/version/AuditLineFormat.java
@@ -14,8 +14,8 @@
 
     private static final String ENTRY = "E";
     private static final String COUNTS = "C";
-    private static final int ENTRY_WORDS = 6;
-    private static final int COUNTS_WORDS = 10;
+    private static final int ENTRY_FIELDS = 6;
+    private static final int COUNTS_FIELDS = 10;
 
     /**
      * What one process counted of one version, up to some moment.
@@ -60,7 +60,7 @@
         Map<String, ProcessRecord> all = new LinkedHashMap<>();
         for (String line : lines) {
             try {
-                take(all, line);
+                parseLine(all, line);
             } catch (NumberFormatException e) {
                 // A torn line: if it was an entry, its chain shows that.
                 continue;
@@ -70,27 +70,27 @@
         return new ArrayList<>(all.values());
     }
 
-    private static void take(Map<String, ProcessRecord> all, String line) {
-        String[] words = line.split(" ", line.startsWith(ENTRY + " ") ? ENTRY_WORDS : COUNTS_WORDS);
+    private static void parseLine(Map<String, ProcessRecord> all, String line) {
+        String[] words = line.split(" ", line.startsWith(ENTRY + " ") ? ENTRY_FIELDS : COUNTS_FIELDS);
         int mark = words.length < 2 ? -1 : words[1].lastIndexOf('#');
         if (mark < 0) {
             return;
         }
         int incarnation = Integer.parseUnsignedInt(words[1].substring(mark + 1), 16);
-        if (words[0].equals(ENTRY) && words.length == ENTRY_WORDS) {
+        if (words[0].equals(ENTRY) && words.length == ENTRY_FIELDS) {
             AuditEntry entry = new AuditEntry(Long.parseLong(words[2]), Long.parseLong(words[3]), words[5], words[4]);
-            told(all, words[1], mark, incarnation).entries().add(entry);
-        } else if (words[0].equals(COUNTS) && words.length == COUNTS_WORDS) {
-            long[] n = new long[COUNTS_WORDS];
-            for (int i = 3; i < COUNTS_WORDS; i++) {
+            recordFor(all, words[1], mark, incarnation).entries().add(entry);
+        } else if (words[0].equals(COUNTS) && words.length == COUNTS_FIELDS) {
+            long[] n = new long[COUNTS_FIELDS];
+            for (int i = 3; i < COUNTS_FIELDS; i++) {
                 n[i] = Long.parseLong(words[i]);
             }
             // Later counts of a version take the place of earlier ones: they only grow.
-            told(all, words[1], mark, incarnation).counts().put(words[2], new Counts(words[2], n[3], n[4], n[5], n[6], n[7], n[8], n[9]));
+            recordFor(all, words[1], mark, incarnation).counts().put(words[2], new Counts(words[2], n[3], n[4], n[5], n[6], n[7], n[8], n[9]));
         }
     }
 
-    private static ProcessRecord told(Map<String, ProcessRecord> all, String who, int mark, int incarnation) {
+    private static ProcessRecord recordFor(Map<String, ProcessRecord> all, String who, int mark, int incarnation) {
         return all.computeIfAbsent(who, w -> new ProcessRecord(who.substring(0, mark), incarnation, new ArrayList<>(), new LinkedHashMap<>(), new ArrayList<>()));
     }
 }
--- a/core/src/main/java/ridgemill/version/FleetView.java
+++ b/core/src/main/java/ridgemill/version/FleetView.java
@@ -21,23 +21,23 @@
 
     /** From one round of telling to the next. */
     public static final double ROUND_INTERVAL_MS = 1000;
-    private static final int TOLD = 2;
+    private static final int FANOUT = 2;
     /** Who has not been heard of for so long is called silent. */
     public static final double SILENT_MS = 8000;
     /** So often news of another version goes before what is only newer: enough for all to have it, at two a round. */
-    private static final int PASSED_ON = 8;
+    private static final int CHANGE_FORWARDS = 8;
     /** The same for one that was not known: all are new to a fleet that starts. */
-    private static final int FIRST_PASSED_ON = 2;
+    private static final int NEW_MEMBER_FORWARDS = 2;
     /** Who has just been seen behind may be on its way. */
     private static final double ON_ITS_WAY_MS = 5000;
     /** Who has not come to itself for so long was stopped: what waits for it then is of any age. */
-    private static final double STOP_MS = 2500;
+    private static final double STALL_MS = 2500;
     /** For so long after a stop nothing is taken for news: what waited has been read by then. */
     private static final double CATCH_UP_MS = 500;
     /** Whoever gives host lists is asked again and again; for so long that is nothing to tell. */
     private static final int LIST_LATE_S = 5;
     /** So many of a member's past processes are known as such. */
-    private static final int MOST_PAST = 8;
+    private static final int MAX_PAST_PROCESSES = 8;
     private static final double MS_PER_S = 1000;
 
     /** Why one does not act as the others do. */
@@ -105,26 +105,26 @@
     }
 
     /** What is known of one. */
-    private static final class Known {
+    private static final class MemberState {
         Summary summary;
         double heardAt;
         double behindSince = Double.NaN;
         /** The latest sign of life: a summary's number. */
-        int aliveNumber;
+        int lastSequence;
         /** What it acted under then. */
-        short sign;
+        short fileChecksum;
         /** How often yet it goes before others, as it says that something is other. */
-        int hot;
+        int forwardsLeft;
         int processes;
         /** Its processes that were followed by others: nothing that was said of them counts any more. */
-        final Deque<Integer> past = new ArrayDeque<>();
+        final Deque<Integer> pastIncarnations = new ArrayDeque<>();
 
         /**
          * Whether a summary is of a process that follows. Mostly that is the one that started later; but a clock may have been set back
          * between the two, so one that says it started earlier follows as well, once the one that is known has been silent.
          */
         boolean isFollowedBy(double nowMs, Summary s) {
-            return s.incarnation() != summary.incarnation() && !past.contains(s.incarnation())
+            return s.incarnation() != summary.incarnation() && !pastIncarnations.contains(s.incarnation())
                     && (s.startedMs() > summary.startedMs() || nowMs - heardAt > SILENT_MS);
         }
     }
@@ -132,11 +132,11 @@
     private final int self;
     private final int members;
     private final SplittableRandom random;
-    private final Map<Integer, Known> known = new TreeMap<>();
+    private final Map<Integer, MemberState> known = new TreeMap<>();
     /** Who is yet to be told in this pass over all: so each hears from each, however unlucky both are. */
-    private final List<Integer> next = new ArrayList<>();
-    private double awakeAt = Double.NaN;
-    private double deafUntil = Double.NEGATIVE_INFINITY;
+    private final List<Integer> pendingTargets = new ArrayList<>();
+    private double lastActiveAt = Double.NaN;
+    private double ignoreUntil = Double.NEGATIVE_INFINITY;
 
     /** {@code self} is this proxy's place among so many members. */
     public FleetView(int self, int members, long seed) {
@@ -149,34 +149,34 @@
     public Map<Integer, Gossip> gossipRound(double nowMs, Summary own) {
         updateOwn(nowMs, own);
         Map<Integer, Gossip> telling = new TreeMap<>();
-        for (int i = 0; i < Math.min(TOLD, members - 1); i++) {
-            if (next.isEmpty()) {
-                next.addAll(IntStream.range(0, members).filter(m -> m != self).boxed().toList());
+        for (int i = 0; i < Math.min(FANOUT, members - 1); i++) {
+            if (pendingTargets.isEmpty()) {
+                pendingTargets.addAll(IntStream.range(0, members).filter(m -> m != self).boxed().toList());
             }
-            int to = next.remove(random.nextInt(next.size()));
+            int to = pendingTargets.remove(random.nextInt(pendingTargets.size()));
             List<Summary> words = new ArrayList<>(List.of(own));
-            List<Known> rest = new ArrayList<>();
+            List<MemberState> rest = new ArrayList<>();
             known.forEach((member, k) -> {
                 if (member != self && member != to) {
                     rest.add(k);
                 }
             });
             shuffle(rest);
-            rest.sort(Comparator.comparingInt(k -> -k.hot));
+            rest.sort(Comparator.comparingInt(k -> -k.forwardsLeft));
             while (words.size() < SummaryWire.MAX_SUMMARIES && !rest.isEmpty()) {
-                Known k = rest.remove(0);
-                k.hot = Math.max(0, k.hot - 1);
+                MemberState k = rest.remove(0);
+                k.forwardsLeft = Math.max(0, k.forwardsLeft - 1);
                 words.add(k.summary);
             }
             shuffle(rest);
             // A silent one's last sign of life says nothing to anybody.
             telling.put(to, new Gossip(words, rest.stream().filter(k -> nowMs - k.heardAt < SILENT_MS).limit(SummaryWire.MAX_HEARTBEATS)
-                    .map(k -> new Gossip.Heartbeat(k.summary.member(), (short) k.summary.incarnation(), k.aliveNumber, k.sign)).toList()));
+                    .map(k -> new Gossip.Heartbeat(k.summary.member(), (short) k.summary.incarnation(), k.lastSequence, k.fileChecksum)).toList()));
         }
         return telling;
     }
 
-    private void shuffle(List<Known> all) {
+    private void shuffle(List<MemberState> all) {
         for (int i = all.size() - 1; i > 0; i--) {
             Collections.swap(all, i, random.nextInt(i + 1));
         }
@@ -184,50 +184,50 @@
 
     /** What this proxy says of itself now. */
     public void updateOwn(double nowMs, Summary own) {
-        awake(nowMs);
-        take(nowMs, own);
+        detectStall(nowMs);
+        merge(nowMs, own);
     }
 
-    private void awake(double nowMs) {
-        if (nowMs - awakeAt > STOP_MS) {
-            deafUntil = nowMs + CATCH_UP_MS;
+    private void detectStall(double nowMs) {
+        if (nowMs - lastActiveAt > STALL_MS) {
+            ignoreUntil = nowMs + CATCH_UP_MS;
         }
-        awakeAt = nowMs;
+        lastActiveAt = nowMs;
     }
 
     /** Another proxy says what it knows. */
     public void receive(double nowMs, Gossip gossip) {
-        awake(nowMs);
-        if (nowMs < deafUntil) {
+        detectStall(nowMs);
+        if (nowMs < ignoreUntil) {
             return;
         }
-        gossip.summaries().stream().filter(s -> s.member() >= 0 && s.member() < members && s.member() != self).forEach(s -> take(nowMs, s));
+        gossip.summaries().stream().filter(s -> s.member() >= 0 && s.member() < members && s.member() != self).forEach(s -> merge(nowMs, s));
         for (Gossip.Heartbeat a : gossip.heartbeats()) {
-            Known k = known.get(a.member());
-            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.sequence() > k.aliveNumber) {
-                k.aliveNumber = a.sequence();
-                k.sign = a.fileChecksum();
+            MemberState k = known.get(a.member());
+            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.sequence() > k.lastSequence) {
+                k.lastSequence = a.sequence();
+                k.fileChecksum = a.fileChecksum();
                 k.heardAt = nowMs;
             }
         }
     }
 
-    private void take(double nowMs, Summary s) {
-        Known k = known.get(s.member());
+    private void merge(double nowMs, Summary s) {
+        MemberState k = known.get(s.member());
         boolean follows = k != null && k.isFollowedBy(nowMs, s);
         if (k == null || follows || s.isLaterThan(k.summary)) {
-            Known next = k == null ? new Known() : k;
+            MemberState next = k == null ? new MemberState() : k;
             if (follows) {
-                next.past.addLast(k.summary.incarnation());
-                if (next.past.size() > MOST_PAST) {
-                    next.past.removeFirst();
+                next.pastIncarnations.addLast(k.summary.incarnation());
+                if (next.pastIncarnations.size() > MAX_PAST_PROCESSES) {
+                    next.pastIncarnations.removeFirst();
                 }
             }
-            next.hot = k == null ? FIRST_PASSED_ON : k.summary.differsFrom(s) ? PASSED_ON : next.hot;
+            next.forwardsLeft = k == null ? NEW_MEMBER_FORWARDS : k.summary.differsFrom(s) ? CHANGE_FORWARDS : next.forwardsLeft;
             next.processes += k == null || follows ? 1 : 0;
-            if (k == null || follows || s.sequence() > k.aliveNumber) {
-                next.aliveNumber = s.sequence();
-                next.sign = s.fileChecksum();
+            if (k == null || follows || s.sequence() > k.lastSequence) {
+                next.lastSequence = s.sequence();
+                next.fileChecksum = s.fileChecksum();
                 next.heardAt = nowMs;
             }
             next.summary = s;
@@ -243,7 +243,7 @@
     }
 
     /** The text that most act under of those at the highest number; of two that as many do, the lower digest. */
-    private long text() {
+    private long majorityDigest() {
         long head = highestFileNumber();
         Map<Long, Integer> counts = new HashMap<>();
         known.values().stream().filter(k -> k.summary.fileNumber() == head).forEach(k -> counts.merge(k.summary.fileDigest(), 1, Integer::sum));
@@ -253,7 +253,7 @@
 
     /** Whether the last that is known of a member is that it has stepped aside. */
     public boolean isOutOfService(int member) {
-        Known k = known.get(member);
+        MemberState k = known.get(member);
         return k != null && k.summary.outOfService();
     }
 
@@ -266,22 +266,22 @@
     public List<MemberStatus> statuses(double nowMs) {
         List<MemberStatus> all = new ArrayList<>();
         long head = highestFileNumber();
-        long text = text();
+        long text = majorityDigest();
         for (int i = 0; i < members; i++) {
-            Known k = known.get(i);
+            MemberState k = known.get(i);
             if (k == null) {
                 all.add(new MemberStatus(i, null, 0, StatusReason.NEVER_HEARD, 0, 0, false, 0));
                 continue;
             }
             long behind = head - k.summary.fileNumber();
             double behindMs = Double.isNaN(k.behindSince) ? 0 : nowMs - k.behindSince;
-            all.add(new MemberStatus(i, k.summary, nowMs - k.heardAt, why(nowMs, i, k, behind, behindMs, text), behind, behindMs,
-                    k.sign == k.summary.fileChecksum(), k.processes - 1));
+            all.add(new MemberStatus(i, k.summary, nowMs - k.heardAt, determineReason(nowMs, i, k, behind, behindMs, text), behind, behindMs,
+                    k.fileChecksum == k.summary.fileChecksum(), k.processes - 1));
         }
         return all;
     }
 
-    private StatusReason why(double nowMs, int member, Known k, long behind, double behindMs, long text) {
+    private StatusReason determineReason(double nowMs, int member, MemberState k, long behind, double behindMs, long text) {
         Summary own = known.containsKey(self) ? known.get(self).summary : k.summary;
         if (member != self && nowMs - k.heardAt > SILENT_MS) {
             return StatusReason.SILENT;
--- a/core/src/main/java/ridgemill/version/HostListHistory.java
+++ b/core/src/main/java/ridgemill/version/HostListHistory.java
@@ -22,23 +22,23 @@
      */
     public record ActiveList(String group, long number, double sinceMs) { }
 
-    private final Map<String, ActiveList> now = new TreeMap<>();
-    private final Deque<ActiveList> last = new ArrayDeque<>();
+    private final Map<String, ActiveList> current = new TreeMap<>();
+    private final Deque<ActiveList> recentChanges = new ArrayDeque<>();
     private final Map<String, Double> lateSince = new TreeMap<>();
-    private long changes;
+    private long changeCount;
 
     /** A list holds; returns the number before it where that is higher, as after a start of whoever gives the lists. */
     OptionalLong update(double nowMs, String group, long list) {
         lateSince.remove(group);
-        ActiveList before = now.get(group);
+        ActiveList before = current.get(group);
         if (before != null && before.number() == list) {
             return OptionalLong.empty();
         }
-        now.put(group, new ActiveList(group, list, nowMs));
-        last.addLast(now.get(group));
-        changes++;
-        if (last.size() > MAX_CHANGES) {
-            last.removeFirst();
+        current.put(group, new ActiveList(group, list, nowMs));
+        recentChanges.addLast(current.get(group));
+        changeCount++;
+        if (recentChanges.size() > MAX_CHANGES) {
+            recentChanges.removeFirst();
         }
         return before != null && before.number() > list ? OptionalLong.of(before.number()) : OptionalLong.empty();
     }
@@ -55,21 +55,21 @@
 
     /** The lists that hold, by group. */
     public List<ActiveList> current() {
-        return new ArrayList<>(now.values());
+        return new ArrayList<>(current.values());
     }
 
     /** The number of the group's list; 0 where there is none. */
     public long currentNumber(String group) {
-        return now.containsKey(group) ? now.get(group).number() : 0;
+        return current.containsKey(group) ? current.get(group).number() : 0;
     }
 
     /** The last changes, the oldest first. */
     public List<ActiveList> recentChanges() {
-        return new ArrayList<>(last);
+        return new ArrayList<>(recentChanges);
     }
 
     /** How many changes there ever were. */
     public long changeCount() {
-        return changes;
+        return changeCount;
     }
 }
--- a/core/src/main/java/ridgemill/version/RequestTrace.java
+++ b/core/src/main/java/ridgemill/version/RequestTrace.java
@@ -13,61 +13,61 @@
     /** One attempt: {@code outcome} is null while it is out. */
     public record Attempt(String node, double sentMs, double endMs, Outcome outcome) { }
 
-    private final VersionPeriod era;
+    private final VersionPeriod period;
     private final String id;
     private final String service;
     private final String group;
-    private final long list;
-    private final double fromMs;
-    private final List<Attempt> sent = new ArrayList<>();
+    private final long hostList;
+    private final double startMs;
+    private final List<Attempt> attempts = new ArrayList<>();
     private RequestResult end;
-    private Reason why = Reason.UNSAID;
-    private double overMs = Double.NaN;
+    private Reason reason = Reason.UNSAID;
+    private double endMs = Double.NaN;
 
     RequestTrace(VersionPeriod era, String id, String service, String group, long list, double fromMs) {
-        this.era = era;
+        this.period = era;
         this.id = id;
         this.service = service;
         this.group = group;
-        this.list = list;
-        this.fromMs = fromMs;
+        this.hostList = list;
+        this.startMs = fromMs;
     }
 
     @Override
     public void requestEnded(double nowMs, String of, RequestResult as, Reason because) {
-        overMs = nowMs;
+        endMs = nowMs;
         end = as;
-        why = because;
-        era.requestEnded(nowMs, of, as, because);
+        reason = because;
+        period.requestEnded(nowMs, of, as, because);
     }
 
     @Override
     public void attemptSent(double nowMs, String node) {
-        sent.add(new Attempt(node, nowMs, Double.NaN, null));
+        attempts.add(new Attempt(node, nowMs, Double.NaN, null));
     }
 
     @Override
     public void attemptEnded(double nowMs, Outcome outcome) {
-        int last = sent.size() - 1;
-        Attempt out = last < 0 ? null : sent.get(last);
+        int last = attempts.size() - 1;
+        Attempt out = last < 0 ? null : attempts.get(last);
         if (out != null && out.outcome() == null) {
-            sent.set(last, new Attempt(out.node(), out.sentMs(), nowMs, outcome));
+            attempts.set(last, new Attempt(out.node(), out.sentMs(), nowMs, outcome));
         }
     }
 
     @Override
     public void attemptWritten() {
-        era.attemptWritten();
+        period.attemptWritten();
     }
 
     @Override
     public String versionLabel() {
-        return era.versionLabel();
+        return period.versionLabel();
     }
 
     /** What it was decided under. */
     public VersionPeriod period() {
-        return era;
+        return period;
     }
 
     public String id() {
@@ -86,22 +86,22 @@
 
     /** The number of that group's host list when it began. */
     public long hostList() {
-        return list;
+        return hostList;
     }
 
     /** When it was taken. */
     public double startMs() {
-        return fromMs;
+        return startMs;
     }
 
     /** When it ended; NaN while it is open. */
     public double endMs() {
-        return overMs;
+        return endMs;
     }
 
     /** Its attempts, in turn. */
     public List<Attempt> sent() {
-        return List.copyOf(sent);
+        return List.copyOf(attempts);
     }
 
     /** How it ended; null while it is open. */
@@ -111,6 +111,6 @@
 
     /** Why it ended so, as far as somebody said. */
     public Reason reason() {
-        return why;
+        return reason;
     }
 }
--- a/core/src/main/java/ridgemill/version/VersionHistory.java
+++ b/core/src/main/java/ridgemill/version/VersionHistory.java
@@ -23,19 +23,19 @@
 
     private final String name;
     private final int incarnation;
-    private final boolean tells;
-    private final Deque<VersionPeriod> eras = new ArrayDeque<>();
+    private final boolean labelsAttempts;
+    private final Deque<VersionPeriod> periods = new ArrayDeque<>();
     private final Deque<AuditEntry> entries = new ArrayDeque<>();
-    private final HostListHistory lists = new HostListHistory();
-    private final Map<String, RequestTrace> trails = new LinkedHashMap<>();
-    private int mostTrails;
-    private Consumer<AuditEntry> keeper = entry -> { };
-    private String before;
+    private final HostListHistory hostLists = new HostListHistory();
+    private final Map<String, RequestTrace> traces = new LinkedHashMap<>();
+    private int maxTraces;
+    private Consumer<AuditEntry> entryListener = entry -> { };
+    private String digestBefore;
     private String digest;
-    private long nextEra;
+    private long nextPeriod;
     private long nextEntry;
-    private long goneRequests;
-    private String refused;
+    private long evictedRequests;
+    private String lastRefusal;
 
     /**
      * The record of a process that has just started.
@@ -45,65 +45,65 @@
      * @param tells whether nodes are told with each attempt
      */
     public VersionHistory(String name, int incarnation, double nowMs, EffectiveVersion acting, boolean tells) {
-        this.tells = tells;
+        this.labelsAttempts = tells;
         this.name = name;
         this.incarnation = incarnation;
-        this.before = AuditEntry.origin(name, incarnation);
-        this.digest = before;
+        this.digestBefore = AuditEntry.origin(name, incarnation);
+        this.digest = digestBefore;
         change(nowMs, acting, "started");
     }
 
     /** So many of the last requests are kept one by one; 0 keeps none. */
     public void keepTraces(int most) {
-        mostTrails = most;
+        maxTraces = most;
     }
 
     /** Each entry is shown there too, those that there are first. */
     public void setEntryListener(Consumer<AuditEntry> to) {
-        keeper = to;
+        entryListener = to;
         entries.forEach(to);
     }
 
     /** Requests are taken under this from now on; those that are open go on as they began. Returns the era that begins. */
     public VersionPeriod change(double nowMs, EffectiveVersion acting, String cause) {
-        if (!eras.isEmpty()) {
+        if (!periods.isEmpty()) {
             currentPeriod().close(nowMs);
         }
-        VersionPeriod era = new VersionPeriod(nextEra++, acting, nowMs, cause, tells ? label(acting) : null);
-        eras.addLast(era);
-        while (eras.size() > MAX_PERIODS && eras.peekFirst().openRequests() == 0) {
-            goneRequests += eras.removeFirst().begun();
+        VersionPeriod era = new VersionPeriod(nextPeriod++, acting, nowMs, cause, labelsAttempts ? label(acting) : null);
+        periods.addLast(era);
+        while (periods.size() > MAX_PERIODS && periods.peekFirst().openRequests() == 0) {
+            evictedRequests += periods.removeFirst().begun();
         }
-        refused = null;
+        lastRefusal = null;
         recordEvent(nowMs, "acts under " + acting.text() + " build " + acting.build() + " platform " + acting.platform() + ": " + cause);
         return era;
     }
 
     /** A change was asked for and not made. */
     public void recordRefusal(double nowMs, String what) {
-        refused = what;
+        lastRefusal = what;
         recordEvent(nowMs, "refused " + what);
     }
 
     @Override
     public void hostListConfirmed(double nowMs, String group, long list) {
-        lists.update(nowMs, group, list).ifPresent(was ->
+        hostLists.update(nowMs, group, list).ifPresent(was ->
                 recordEvent(nowMs, "list of " + (group.isEmpty() ? "the platform" : group) + " fell from " + was + " to " + list));
     }
 
     @Override
     public void hostListUnavailable(double nowMs, String group) {
-        lists.markLate(nowMs, group);
+        hostLists.markLate(nowMs, group);
     }
 
     /** The host lists that it went by. */
     public HostListHistory hostLists() {
-        return lists;
+        return hostLists;
     }
 
     /** What became of the last request with this id; null where it is not kept, or not any more. */
     public RequestTrace trace(String id) {
-        return trails.get(id);
+        return traces.get(id);
     }
 
     /** Something else that this process acts under has changed, such as a lease's term. */
@@ -111,20 +111,20 @@
         AuditEntry entry = AuditEntry.after(digest, nextEntry++, nowMs, what.replaceAll("[\\r\\n]+", " "));
         digest = entry.digest();
         entries.addLast(entry);
-        keeper.accept(entry);
+        entryListener.accept(entry);
         while (entries.size() > MAX_ENTRIES) {
-            before = entries.removeFirst().digest();
+            digestBefore = entries.removeFirst().digest();
         }
     }
 
     /** The era that goes on. */
     public VersionPeriod currentPeriod() {
-        return eras.getLast();
+        return periods.getLast();
     }
 
     /** Those that are kept, the oldest first. */
     public List<VersionPeriod> periods() {
-        return new ArrayList<>(eras);
+        return new ArrayList<>(periods);
     }
 
     /** The entries that are kept, the oldest first. */
@@ -134,7 +134,7 @@
 
     /** The digest before the oldest entry that is kept. */
     public String digestBefore() {
-        return before;
+        return digestBefore;
     }
 
     /** The digest of the last entry: of all that there is. */
@@ -149,12 +149,12 @@
 
     /** Requests that were taken in eras that are kept no more. */
     public long evictedRequests() {
-        return goneRequests;
+        return evictedRequests;
     }
 
     /** What was refused last and has not been made up for; null for nothing. */
     public String lastRefusal() {
-        return refused;
+        return lastRefusal;
     }
 
     public String name() {
@@ -173,14 +173,14 @@
     @Override
     public RequestVersion requestStarted(double nowMs, String id, String service, String group, long list) {
         currentPeriod().requestBegan();
-        if (mostTrails == 0 || id == null) {
+        if (maxTraces == 0 || id == null) {
             return currentPeriod();
         }
         RequestTrace trail = new RequestTrace(currentPeriod(), id, service, group, list, nowMs);
-        trails.remove(id);
-        trails.put(id, trail);
-        if (trails.size() > mostTrails) {
-            Iterator<RequestTrace> oldest = trails.values().iterator();
+        traces.remove(id);
+        traces.put(id, trail);
+        if (traces.size() > maxTraces) {
+            Iterator<RequestTrace> oldest = traces.values().iterator();
             oldest.next();
             oldest.remove();
         }
--- a/core/src/main/java/ridgemill/version/VersionPeriod.java
+++ b/core/src/main/java/ridgemill/version/VersionPeriod.java
@@ -10,20 +10,20 @@
 public final class VersionPeriod implements VersionTracker.RequestVersion {
 
     private final long index;
-    private final EffectiveVersion acting;
-    private final double fromMs;
+    private final EffectiveVersion version;
+    private final double startMs;
     private final String cause;
     private final String label;
-    private final Map<String, long[]> ends = new TreeMap<>();
-    private double untilMs = Double.NaN;
+    private final Map<String, long[]> endCounts = new TreeMap<>();
+    private double endMs = Double.NaN;
     private long begun;
     private long attempts;
 
     VersionPeriod(long index, EffectiveVersion acting, double fromMs, String cause, String label) {
         this.label = label;
         this.index = index;
-        this.acting = acting;
-        this.fromMs = fromMs;
+        this.version = acting;
+        this.startMs = fromMs;
         this.cause = cause;
     }
 
@@ -35,7 +35,7 @@
     /** One of a class that was taken under it has ended so, now or long after. */
     @Override
     public void requestEnded(double nowMs, String service, RequestResult end, Reason why) {
-        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()]++;
+        endCounts.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()]++;
     }
 
     /** An attempt of such a request was written whole to a node. */
@@ -50,7 +50,7 @@
     }
 
     void close(double atMs) {
-        untilMs = atMs;
+        endMs = atMs;
     }
 
     /** Its place in the process' record, from 0. */
@@ -59,16 +59,16 @@
     }
 
     public EffectiveVersion version() {
-        return acting;
+        return version;
     }
 
     public double startMs() {
-        return fromMs;
+        return startMs;
     }
 
     /** When the next began; NaN for the one that goes on. */
     public double endMs() {
-        return untilMs;
+        return endMs;
     }
 
     /** Why it began, in words. */
@@ -88,13 +88,13 @@
 
     /** Requests of a class that ended so. */
     public long count(String service, RequestResult end) {
-        long[] of = ends.get(service);
+        long[] of = endCounts.get(service);
         return of == null ? 0 : of[end.ordinal()];
     }
 
     /** Requests of all classes that ended so. */
     public long count(RequestResult end) {
-        return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
+        return endCounts.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
     }
 
     /** Requests that have no final answer yet. */
@@ -108,6 +108,6 @@
 
     /** The classes of which requests have ended, in the order of their names. */
     public Iterable<String> classNames() {
-        return ends.keySet();
+        return endCounts.keySet();
     }
 }
--- a/core/src/test/java/ridgemill/lease/HandOverTest.java
+++ b/core/src/test/java/ridgemill/lease/LeaseTransferTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A lease that is given back: to whom, when, and under which term. */
-class HandOverTest {
+class LeaseTransferTest {
 
     private static final LeasePolicy POLICY = new LeasePolicy(1000, 0.05, 100, 20);
 
--- a/core/src/test/java/ridgemill/lease/SweepTest.java
+++ b/core/src/test/java/ridgemill/lease/TargetScheduleTest.java
@@ -8,7 +8,7 @@
 import ridgemill.lease.TargetSchedule.Outcome;
 
 /** Which act is next, and what came of those before. */
-class SweepTest {
+class TargetScheduleTest {
 
     @Test
     void oneThatOperatorsStartGoesOverItsTargetsOnce() {
--- a/core/src/test/java/ridgemill/lease/ElectoratesTest.java
+++ b/core/src/test/java/ridgemill/lease/VoterSetsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who votes on what, and that times make sense. */
-class ElectoratesTest {
+class VoterSetsTest {
 
     private static List<Integer> numbers(int count) {
         return IntStream.range(0, count).boxed().toList();
--- a/core/src/test/java/ridgemill/rollout/RollTest.java
+++ b/core/src/test/java/ridgemill/rollout/RolloutTest.java
@@ -18,7 +18,7 @@
 import ridgemill.rollout.RolloutMessage.Progress;
 
 /** One proxy's part by itself: what it obeys, what it takes for a text, when it steps aside. */
-class RollTest {
+class RolloutTest {
 
     private static final FileVersion BASE = new FileVersion(1, 11);
     private static final FileVersion ONE = new FileVersion(1, 1);
@@ -85,14 +85,14 @@
 
     /** Has both texts sent to it, piece by piece, and found good. */
     private void stage(double now) {
-        Shelf holder = new Shelf();
+        TextStore holder = new TextStore();
         holder.put(TARGET, TEXT);
         holder.put(BACK, OLD);
         roll.receive(now, 1, order(now, 77, 4, ++number, Action.HOLD), false);
         for (double t = now; t < now + 1000; t += 50) {
             kept.said.clear();
             roll.tick(t, false, List.of(1), false);
-            kept.all(RolloutMessage.ChunkRequest.class).forEach(w -> holder.pieces(w).forEach(p -> roll.receive(now, 1, p, false)));
+            kept.all(RolloutMessage.ChunkRequest.class).forEach(w -> holder.chunks(w).forEach(p -> roll.receive(now, 1, p, false)));
         }
         roll.validated(now, TARGET, "");
         roll.validated(now, BACK, "");
@@ -186,20 +186,20 @@
 
     @Test
     void aTextThatIsNotItsDigestsIsAskedForAgain() {
-        Shelf shelf = new Shelf();
-        Shelf liar = new Shelf();
+        TextStore shelf = new TextStore();
+        TextStore liar = new TextStore();
         String other = TEXT.replace('2', '7');
         liar.put(FileFingerprint.of(2, 22, other), other);
-        List<Integer> all = shelf.missing(TARGET, 100);
+        List<Integer> all = shelf.missingChunks(TARGET, 100);
         assertEquals((TEXT.length() + RolloutWire.CHUNK_BYTES - 1) / RolloutWire.CHUNK_BYTES, all.size());
-        liar.pieces(new RolloutMessage.ChunkRequest(FileFingerprint.of(2, 22, other).hashHigh(), all)).forEach(p -> shelf.take(TARGET, new RolloutMessage.Chunk(TARGET.hashHigh(), p.index(), p.bytes())));
+        liar.chunks(new RolloutMessage.ChunkRequest(FileFingerprint.of(2, 22, other).hashHigh(), all)).forEach(p -> shelf.addChunk(TARGET, new RolloutMessage.Chunk(TARGET.hashHigh(), p.index(), p.bytes())));
         assertNull(shelf.text(TARGET));
-        assertEquals(all, shelf.missing(TARGET, 100));
-        Shelf holder = new Shelf();
+        assertEquals(all, shelf.missingChunks(TARGET, 100));
+        TextStore holder = new TextStore();
         holder.put(TARGET, TEXT);
-        holder.pieces(new RolloutMessage.ChunkRequest(TARGET.hashHigh(), all)).forEach(p -> shelf.take(TARGET, p));
+        holder.chunks(new RolloutMessage.ChunkRequest(TARGET.hashHigh(), all)).forEach(p -> shelf.addChunk(TARGET, p));
         assertEquals(TEXT, shelf.text(TARGET));
-        shelf.take(TARGET, new RolloutMessage.Chunk(TARGET.hashHigh(), 4000, new byte[3]));
+        shelf.addChunk(TARGET, new RolloutMessage.Chunk(TARGET.hashHigh(), 4000, new byte[3]));
     }
 
     /** However many rolls are given up, what this proxy acts under is there for others, and for the way back. */
@@ -210,13 +210,13 @@
         for (int i = 0; i < 20; i++) {
             FileFingerprint other = FileFingerprint.of(2 + i, i, TEXT + i);
             Plan plan = new Plan(BASE, other, BACK);
-            Shelf holder = new Shelf();
+            TextStore holder = new TextStore();
             holder.put(other, TEXT + i);
             roll.receive(100, 1, new RolloutMessage.Order(100, 77, new Progress(plan, 4, ++number, Action.FORWARD, 0, false), Action.HOLD), false);
             for (double t = 100; t < 1100; t += 100) {
                 kept.said.clear();
                 roll.tick(2000 * i + t, false, List.of(1), false);
-                kept.all(RolloutMessage.ChunkRequest.class).forEach(w -> holder.pieces(w).forEach(p -> roll.receive(100, 1, p, false)));
+                kept.all(RolloutMessage.ChunkRequest.class).forEach(w -> holder.chunks(w).forEach(p -> roll.receive(100, 1, p, false)));
             }
         }
         assertEquals("version = 1\n", roll.textInEffect());
