--- a/core/src/main/java/ridgemill/lease/Candidate.java
+++ b/core/src/main/java/ridgemill/lease/Candidate.java
@@ -8,19 +8,23 @@
 import ridgemill.lease.LeaseMessage.RefusalReason;
 
 /**
- * One proxy that wants, has or keeps one task's lease. It holds while more than half of each electorate that counts have given
- * it their votes, and each vote is good from when it was <em>asked</em> for: the question may have taken any time, and so may
- * the answer.
+ * A proxy's candidacy for the lease of one task. The candidate holds the lease while it has valid votes from a majority
+ * of each voter set that counts. A vote is valid from the time at which it was <em>requested</em>, since both the
+ * request and the answer may have been delayed for any time.
  */
 final class Candidate {
 
-    /** Questions whose answers still count; an older answer is no use, as its vote has run out or soon will. */
+    /** Number of latest rounds whose answers still count. The vote of an older round has expired or is about to. */
     private static final int TRACKED_ROUNDS = 16;
-    /** How long one attempt goes on, and at most how long the next waits, in times that an answer takes. */
+    /**
+     * Timeout of an attempt and upper bound of the wait before the next one, as multiples of
+     * {@link LeasePolicy#answerMs}.
+     */
     private static final double ATTEMPT_TIMEOUT_ANSWERS = 4;
     private static final double MAX_BACKOFF_ANSWERS = 6;
+    /** Part of the holding time after which the lease is renewed. */
     private static final double RENEWAL_FRACTION = 1.0 / 3;
-    /** How much of its time a renewal may be early to go with others. */
+    /** Part of the holding time by which a renewal may be early to share datagrams with other renewals. */
     private static final double EARLY_RENEWAL_FRACTION = 1.0 / 6;
 
     enum State { WAITING, ASKING, HOLDING }
@@ -45,9 +49,10 @@
         this.dueAt = firstAt;
     }
 
-    /** When it has something to do next. */
+    /** Returns the time of the next action; infinite if there is none. */
     double dueAt() {
-        return wanted || state != State.WAITING ? state == State.HOLDING ? Math.min(dueAt, heldUntil) : dueAt : Double.POSITIVE_INFINITY;
+        return wanted || state != State.WAITING ? state == State.HOLDING ? Math.min(dueAt, heldUntil) : dueAt
+                : Double.POSITIVE_INFINITY;
     }
 
     State state() {
@@ -66,15 +71,18 @@
         return wanted;
     }
 
-    /** Whether it is to have the lease from now on. */
-    void setWanted(boolean other, double now) {
-        if (other && !wanted) {
+    /** Sets whether this proxy wants the lease from now on. */
+    void setWanted(boolean nowWanted, double now) {
+        if (nowWanted && !wanted) {
             dueAt = now;
         }
-        wanted = other;
+        wanted = nowWanted;
     }
 
-    /** Looks at the clock: a lease that has run out is over, whatever comes of it later. Returns whether it was held until then. */
+    /**
+     * Ends the lease if it has expired, so that later votes do not revive it. Returns whether the lease was held until
+     * now.
+     */
     boolean expire(double now) {
         if (state == State.HOLDING && now >= heldUntil) {
             state = State.WAITING;
@@ -84,12 +92,15 @@
         return false;
     }
 
-    /** Whether it is time for a new attempt. */
+    /** Returns whether a new attempt is due. */
     boolean shouldStartAttempt(double now) {
         return state == State.WAITING && wanted && now >= dueAt;
     }
 
-    /** A new attempt, under a term that is higher than all that were seen; the time itself is a term that none had before. */
+    /**
+     * Starts an attempt under a term above all terms seen. The term is at least the clock's time, which no earlier term
+     * has reached.
+     */
     void startAttempt(double now, long seen) {
         highestTerm = Math.max(highestTerm, seen);
         term = Math.max(highestTerm + 1, (long) now);
@@ -102,20 +113,21 @@
         dueAt = now;
     }
 
-    /** Whether a question is due now. */
+    /** Returns whether a vote request is due. */
     boolean isRequestDue(double now) {
         return state != State.WAITING && now >= dueAt;
     }
 
     /**
-     * Whether a renewal that is due soon goes out with those that are due now: to ask early is always safe, and what several leases
-     * ask of one voter then goes in one datagram.
+     * Returns whether a renewal that is not due yet may be sent together with renewals that are due. An early request
+     * is always safe, and requests of several leases to the same voter then share a datagram.
      */
     boolean mayRenewEarly(double now) {
-        return state == State.HOLDING && dueAt - requestedAt[round % TRACKED_ROUNDS] > 2 * policy.answerMs() && now + policy.holdMs() * EARLY_RENEWAL_FRACTION >= dueAt;
+        return state == State.HOLDING && dueAt - requestedAt[round % TRACKED_ROUNDS] > 2 * policy.answerMs()
+                && now + policy.holdMs() * EARLY_RENEWAL_FRACTION >= dueAt;
     }
 
-    /** A question goes out now; returns its number. */
+    /** Records that a vote request is sent now; returns its round number. */
     int startRound(double now) {
         round++;
         requestedAt[round % TRACKED_ROUNDS] = now;
@@ -123,46 +135,51 @@
         return round;
     }
 
-    /** Whether the attempt has taken too long, or can't succeed any more. */
+    /** Returns whether the attempt has timed out, or enough voters have refused that it can no longer succeed. */
     boolean attemptFailed(double now, List<List<Integer>> voterSets) {
-        return state == State.ASKING && (now >= attemptDeadline || voterSets.stream().anyMatch(e ->
-                e.stream().filter(refusals::containsKey).count() > e.size() - VoterSets.majority(e.size())));
+        return state == State.ASKING && (now >= attemptDeadline || voterSets.stream().anyMatch(voterSet ->
+                voterSet.stream().filter(refusals::containsKey).count()
+                        > voterSet.size() - VoterSets.majority(voterSet.size())));
     }
 
-    /** The attempt is over; the next is after a wait of chance, and not before {@code notBefore}. */
+    /** Ends the attempt. The next one starts after a random wait that begins no earlier than {@code notBefore}. */
     void backOff(double now, double notBefore) {
         state = State.WAITING;
         heldUntil = Double.NEGATIVE_INFINITY;
         dueAt = Math.max(now, notBefore) + policy.answerMs() * (0.5 + MAX_BACKOFF_ANSWERS * random.nextDouble());
     }
 
-    /** It stops to act, and never acts under this term again. */
+    /** Gives up the lease or the attempt; this proxy never acts under the current term again. */
     void stop(double now) {
         backOff(now, now);
     }
 
-    /** Looks at the lease again at this time, if it has none then. */
+    /** Sets the time of the next attempt. */
     void retryAt(double at) {
         dueAt = at;
     }
 
-    /** The lease was left to this one. */
+    /** The previous holder named this proxy as its successor: starts an attempt at once. */
     void becomeSuccessor(double now) {
         if (state == State.WAITING) {
             dueAt = now;
         }
     }
 
-    /** The lease was given back: all that want it wait for a time of chance, so that not all ask at once. */
+    /** The lease was released: waits for a random time, so that the candidates do not all send requests at once. */
     void leaseFreed(double now) {
         if (state == State.WAITING) {
             dueAt = Math.min(dueAt, now + policy.answerMs() * MAX_BACKOFF_ANSWERS * random.nextDouble());
         }
     }
 
-    /** A vote has come: for a question that is out, of this term; else it is of the past. Returns whether it is held from now on. */
+    /**
+     * Counts a vote if it answers a tracked round of the current term; other votes are stale. Returns whether the lease
+     * is held from now on.
+     */
     boolean receiveVote(double now, int from, LeaseMessage.Vote vote, List<List<Integer>> voterSets) {
-        if (state == State.WAITING || vote.term() != term || vote.round() > round || vote.round() <= round - TRACKED_ROUNDS) {
+        if (state == State.WAITING || vote.term() != term || vote.round() > round
+                || vote.round() <= round - TRACKED_ROUNDS) {
             return false;
         }
         votes.merge(from, requestedAt[vote.round() % TRACKED_ROUNDS], Math::max);
@@ -170,7 +187,10 @@
         return countVotes(now, voterSets);
     }
 
-    /** Counts the votes again, as when an electorate has settled. Returns whether the lease is held from now on. */
+    /**
+     * Counts the votes, for example after a change of voter sets has settled. Returns whether the lease is held from
+     * now on.
+     */
     boolean countVotes(double now, List<List<Integer>> voterSets) {
         if (state == State.WAITING) {
             return false;
@@ -182,10 +202,10 @@
         if (voterSets.isEmpty()) {
             allQuorumsUntil = Double.NEGATIVE_INFINITY;
         }
-        // What was good once stays good: the votes behind it are promised until then, whoever votes by now.
+        // The voters have promised their votes until then, so a later change of voter sets does not shorten the lease.
         heldUntil = Math.max(heldUntil, allQuorumsUntil);
         if (allQuorumsUntil - policy.holdMs() >= requestedAt[round % TRACKED_ROUNDS]) {
-            // All that were needed have answered the last question.
+            // A majority of each voter set has answered the latest round.
             dueAt = Math.max(dueAt, requestedAt[round % TRACKED_ROUNDS] + policy.holdMs() * RENEWAL_FRACTION);
         }
         if (state == State.ASKING && now < heldUntil) {
@@ -195,7 +215,7 @@
         return false;
     }
 
-    /** Until when more than half of them stand by this candidate. */
+    /** Returns the time until which a majority of the voter set has promised its votes to this candidate. */
     private double quorumUntil(List<Integer> voterSet) {
         List<Double> requestTimes = new ArrayList<>();
         for (int member : voterSet) {
@@ -212,7 +232,7 @@
         return requestTimes.get(requestTimes.size() - quorum) + policy.holdMs();
     }
 
-    /** No vote from this one, for a question of this attempt. */
+    /** Records that a voter refused to vote in the current attempt. */
     void receiveRefusal(int from, LeaseMessage.Refusal refusal) {
         highestTerm = Math.max(highestTerm, refusal.highestTerm());
         if (state == State.ASKING && refusal.round() == round) {
@@ -220,16 +240,20 @@
         }
     }
 
-    /** Whether a refusal of this attempt was for its term alone: a higher one may do at once. */
+    /**
+     * Returns whether the attempt was refused only because its term was too low, so that a higher term may succeed at
+     * once.
+     */
     boolean refusedOnlyForTerm() {
-        return !refusals.isEmpty() && refusals.values().stream().allMatch(w -> w == RefusalReason.OLD_TERM);
+        return !refusals.isEmpty() && refusals.values().stream().allMatch(reason -> reason == RefusalReason.OLD_TERM);
     }
 
-    /** A term was seen elsewhere. */
+    /** Records a term that was seen elsewhere. */
     void observeTerm(long other) {
         highestTerm = Math.max(highestTerm, other);
     }
 
+    /** Returns the number of votes that have not expired. */
     int validVotes(double now) {
         return (int) votes.values().stream().filter(at -> now < at + policy.holdMs()).count();
     }
@@ -238,22 +262,31 @@
         return refusals;
     }
 
-    /** Whether acts may be done until then, by a look at the clock and not by what was so before. */
+    /**
+     * Returns whether an action of this duration may start now. Compares against the clock, so an expired lease never
+     * permits one.
+     */
     boolean permits(double now, double actionMs) {
         return state == State.HOLDING && now + actionMs < heldUntil;
     }
 
-    /** All of its state, times as they are from now on; what an attempt left that is over makes no difference. */
+    /**
+     * Returns the whole state as text, with times relative to now. Leaves out what remains of an ended attempt, which
+     * has no effect.
+     */
     String stateText(double now) {
         String always = state + " " + highestTerm + " " + round + " " + Math.max(0, dueAt - now) + " " + wanted;
         if (state == State.WAITING) {
             return always;
         }
-        StringBuilder text = new StringBuilder(always).append(' ').append(term).append(' ').append(Math.max(0, heldUntil - now)).append(' ');
+        StringBuilder text = new StringBuilder(always).append(' ').append(term).append(' ')
+                .append(Math.max(0, heldUntil - now)).append(' ');
         for (int i = 0; i < Math.min(round, TRACKED_ROUNDS); i++) {
             text.append(Math.max(-2 * policy.lengthMs(), requestedAt[(round - i) % TRACKED_ROUNDS] - now)).append(' ');
         }
-        votes.forEach((m, at) -> text.append(m).append('=').append(Math.max(-2 * policy.lengthMs(), at - now)).append(' '));
-        return state == State.HOLDING ? text.toString() : text.append(refusals).append(Math.max(0, attemptDeadline - now)).toString();
+        votes.forEach((m, at) -> text.append(m).append('=').append(Math.max(-2 * policy.lengthMs(), at - now))
+                .append(' '));
+        return state == State.HOLDING ? text.toString()
+                : text.append(refusals).append(Math.max(0, attemptDeadline - now)).toString();
     }
 }
--- a/core/src/main/java/ridgemill/lease/EchoTimestamps.java
+++ b/core/src/main/java/ridgemill/lease/EchoTimestamps.java
@@ -1,31 +1,37 @@
 package ridgemill.lease;
 
 /**
- * One proxy's own time as marks that others give back with what they tell: what is told in answer to a mark is not older than the mark,
- * whatever clocks say and however long it was on its way. A mark is milliseconds since a start, cut to 32 bits.
+ * Timestamps of one proxy's clock that other proxies echo. An answer that echoes a timestamp was sent after it,
+ * whatever the clocks' offsets and the delay in transit. A timestamp is the number of milliseconds since an origin,
+ * truncated to 32 bits.
  */
 public final class EchoTimestamps {
 
     private final double origin;
 
-    /** Marks count from this time on. */
+    /** Timestamps count from this time. */
     public EchoTimestamps(double now) {
         this.origin = now;
     }
 
-    /** The mark of now. */
+    /** Returns the timestamp of this time. */
     public int timestamp(double now) {
         return (int) (long) (now - origin);
     }
 
-    /** How long ago a mark was sent; infinite for one that can't have been yet. */
-    public double ageMs(double now, int mark) {
-        int age = timestamp(now) - mark;
+    /** Returns how long ago a timestamp was sent; infinite for one that lies in the future. */
+    public double ageMs(double now, int echoed) {
+        int age = timestamp(now) - echoed;
         return age < 0 ? Double.POSITIVE_INFINITY : age;
     }
 
-    /** Whether a listener's next mark takes the place of one that came so long ago: it is later, or that one is as good as forgotten. */
-    public static boolean supersedes(int next, int before, double agoMs, double forgottenMs) {
-        return next - before > 0 || agoMs > forgottenMs;
+    /**
+     * Returns whether a timestamp of a peer replaces the one received before.
+     *
+     * @param agoMs how long ago the previous one was received
+     * @param expiryMs age after which the previous one is replaced in any case
+     */
+    public static boolean supersedes(int next, int previous, double agoMs, double expiryMs) {
+        return next - previous > 0 || agoMs > expiryMs;
     }
 }
--- a/core/src/main/java/ridgemill/lease/LeaseManager.java
+++ b/core/src/main/java/ridgemill/lease/LeaseManager.java
@@ -16,45 +16,58 @@
 import ridgemill.lease.LeaseMessage.SenderState;
 
 /**
- * One proxy's part in all leases: it votes on the tasks whose electorates it is in, and asks for the lease of those that it is
- * to do. Whoever wants to act asks {@link #permit} for each act. Times are milliseconds on this proxy's own clock, which never
- * runs back and is near Unix time, as new terms are taken from it; they are passed in.
+ * One proxy's part in all leases. It votes on the tasks whose voter sets it belongs to, and requests the leases of the
+ * tasks that it wants. The holder of a lease calls {@link #permit} before each action. Times are passed in and are
+ * milliseconds on this proxy's own clock, which never runs backwards and is close to Unix time, since new terms are
+ * taken from it.
  *
- * <p>The claim: as long as clocks run within the stated drift of true time, no two proxies have a permit for one task at the same
- * moment, whatever becomes of messages and processes; and terms of one task never repeat or fall. Its assumptions are in
- * docs/design/leases.md. One that was stopped between its permit and its act has the term alone to be stopped by.
+ * <p>Guarantees: as long as the clocks' rates stay within the configured drift of true time, no two proxies have a
+ * permit for the same task at the same moment, whatever happens to messages and processes; and the terms of a task
+ * neither repeat nor decrease. The assumptions are in docs/design/leases.md. A process that is suspended between its
+ * permit and its action is only stopped by the term, which the receiver of the action checks as a fencing token.
  */
 public final class LeaseManager {
 
-    /** Where messages go, and who is told of changes; called from within the calls of {@link LeaseManager}. */
+    /** Sends messages and is told of changes; called during calls of {@link LeaseManager}. */
     public interface Callbacks {
 
-        /** Sends to another member; never to this one. */
+        /** Sends a message to another member; never to this one. */
         void send(int to, LeaseMessage message);
 
-        /** A lease is held here now, or is not any more, or is another's. */
-        void statusChanged(String task, String words);
+        /** This proxy acquired or lost a lease, or voted for another holder. */
+        void statusChanged(String task, String description);
     }
 
-    /** Leave for one act: under which term, and until when at the latest it must be over. To be given back by {@link #done}. */
+    /**
+     * Permission for one action, to be returned with {@link #done}.
+     *
+     * @param term term of the lease
+     * @param untilMs time by which the action must be over
+     */
     public record Permit(String task, long term, double untilMs) { }
 
     /**
-     * How a lease is, as this proxy knows.
+     * The state of a lease as far as this proxy knows. The component names are the keys of the JSON that the control
+     * socket shows.
      *
      * @param holds whether this proxy holds it
-     * @param holder the member that holds it; -1 for nobody that this proxy knows of
-     * @param term the holder's; 0 for none
-     * @param forMs how much longer, as far as this proxy knows
-     * @param votes that stand by this proxy
-     * @param voters how many vote on the task
-     * @param words what there is to say, as why none is held
+     * @param holder the member that holds it; -1 if this proxy knows of none
+     * @param term the holder's term; 0 if there is no known holder
+     * @param forMs how much longer it is held, as far as this proxy knows
+     * @param votes number of valid votes for this proxy
+     * @param voters number of voters of the task
+     * @param words description, such as why there is no holder
      */
-    public record Status(String task, boolean holds, int holder, long term, double forMs, int votes, int voters, String words) { }
+    public record Status(String task, boolean holds, int holder, long term, double forMs, int votes, int voters,
+            String words) { }
 
+    /** Constants of the 32-bit FNV-1a hash. */
     private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
     private static final int FNV_PRIME = 0x01000193;
-    /** How often more a release is told, as nobody says that it came: of three a third lost each, one in 27 reaches nobody. */
+    /**
+     * How often a release is repeated, as it is not acknowledged. At a loss of one third, one release in 27 reaches no
+     * voter.
+     */
     private static final int RELEASE_REPEATS = 2;
 
     private final int self;
@@ -64,7 +77,9 @@
     private final double startedAt;
     private final Callbacks callbacks;
     private final Map<Integer, Task> tasks = new LinkedHashMap<>();
-    /** What others said that they go by, and since when at the latest they do. */
+    /**
+     * The version that each other member reported last, and the latest time at which it can have adopted that version.
+     */
     private final Map<Integer, PeerVersion> peerVersions = new HashMap<>();
     private VoterSets voterSets;
     private double voterSetsSince;
@@ -74,7 +89,7 @@
 
     private record PeerVersion(int version, double since) { }
 
-    /** One task here. */
+    /** A task and this proxy's roles in it. */
     private final class Task {
         private final String name;
         private final int hash;
@@ -84,13 +99,13 @@
         private double nextTermQueryAt;
         private double retryNotBefore;
         private int openPermits;
-        /** What is told when no act is out any more; null for nothing. */
+        /** Release that is sent when the last permit has been returned; null for none. */
         private LeaseMessage.Release pendingRelease;
-        /** What was told last, how often it is to be told more, and when next. */
+        /** Release that was sent last. */
         private LeaseMessage.Release lastRelease;
         private int releaseRepeatsLeft;
         private double nextReleaseRepeatAt;
-        /** The last that another gave back. */
+        /** Term of the latest release by another member. */
         private long lastFreedTerm;
 
         Task(String name) {
@@ -98,7 +113,7 @@
             this.hash = hash(name);
         }
 
-        /** Those who must stand by a holder: more than half of each. None where that can't be known yet. */
+        /** Voter sets of which a holder needs a majority each; empty while that is not known. */
         List<List<Integer>> requiredVoterSets(double now) {
             if (updateSettled(now)) {
                 return List.of(voterSets.voters(hash));
@@ -114,28 +129,30 @@
     }
 
     /**
-     * @param self this proxy's number
-     * @param incarnation of this process; no other process of this proxy has had it
-     * @param tasks by name
-     * @param seed of waits
-     * @param startedAt from when on this process has been the only one of its proxy that votes
+     * Creates the manager of a process.
+     *
+     * @param self this proxy's member number
+     * @param incarnation number of this process, which no other process of this proxy has used
+     * @param tasks names of the tasks
+     * @param seed seed of the random waits
+     * @param startedAt time since which this process has been the only one of its proxy that votes
      */
-    public LeaseManager(int self, int incarnation, LeasePolicy policy, VoterSets electorates, Collection<String> tasks, long seed,
-                  double startedAt, Callbacks out) {
+    public LeaseManager(int self, int incarnation, LeasePolicy policy, VoterSets voterSets, Collection<String> tasks,
+            long seed, double startedAt, Callbacks callbacks) {
         this.self = self;
         this.incarnation = incarnation;
         this.policy = policy;
-        this.voterSets = electorates;
+        this.voterSets = voterSets;
         this.random = new SplittableRandom(seed);
         this.startedAt = startedAt;
         this.voterSetsSince = startedAt;
-        this.settled = electorates.previousPool().isEmpty();
+        this.settled = voterSets.previousPool().isEmpty();
         this.previousSettled = settled;
-        this.callbacks = out;
+        this.callbacks = callbacks;
         tasks.forEach(t -> getOrAdd(startedAt, t));
     }
 
-    /** What stands for a task's name in messages. */
+    /** Returns the FNV-1a hash of a task's name, which identifies the task in messages. */
     public static int hash(String task) {
         int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < task.length(); i++) {
@@ -150,37 +167,38 @@
             task = new Task(name);
             tasks.put(task.hash, task);
         } else if (!task.name.equals(name)) {
-            throw new IllegalArgumentException("the tasks " + name + " and " + task.name + " can't be told apart; name one otherwise");
+            throw new IllegalArgumentException("the tasks " + name + " and " + task.name
+                    + " can't be told apart; name one otherwise");
         }
         assignRoles(now, task);
         return task;
     }
 
-    /** Gives this proxy its parts in a task. A vote that was given stays given, so a voter is never taken out. */
+    /** Makes this proxy voter and candidate of a task as needed. A voter stays, since its promises remain valid. */
     private void assignRoles(double now, Task task) {
         if (task.voter == null && task.allVoters().contains(self)) {
             task.voter = new Voter(policy, startedAt, now);
         }
-        boolean elector = voterSets.voters(task.hash).contains(self);
-        if (task.candidate == null && elector) {
+        boolean isVoter = voterSets.voters(task.hash).contains(self);
+        if (task.candidate == null && isVoter) {
             task.candidate = new Candidate(policy, random.split(), now);
-        } else if (task.candidate != null && !elector && task.candidate.isWanted()) {
+        } else if (task.candidate != null && !isVoter && task.candidate.isWanted()) {
             task.candidate.setWanted(false, now);
             giveUp(now, task, -1, "left to its electorate");
         }
     }
 
-    /** A task that there is from now on: this proxy votes on it, and wants its lease, where it is one of its electorate. */
+    /** Adds a task. This proxy votes on it and wants its lease if it belongs to its voter set. */
     public void addTask(double now, String name) {
         getOrAdd(now, name);
     }
 
-    /** Who votes on a task, and may hold its lease. */
+    /** Returns the members that vote on a task and may hold its lease. */
     public List<Integer> voters(String name) {
         return voterSets.voters(hash(name));
     }
 
-    /** This proxy wants a task's lease from now on, or no longer; also one whose electorate it is not in. */
+    /** Sets whether this proxy wants the lease of a task, whether or not it votes on the task. */
     public void setWanted(double now, String name, boolean wanted) {
         Task task = getOrAdd(now, name);
         if (task.candidate == null) {
@@ -193,19 +211,24 @@
         advance(now, task);
     }
 
-    /** Other electorates from now on; throws, and changes nothing, where they can't follow those that hold. */
+    /**
+     * Changes the voter sets.
+     *
+     * @throws IllegalArgumentException if they can't follow the current ones; nothing is changed then
+     */
     public void changeVoterSets(double now, VoterSets next) {
         if (next.equals(voterSets)) {
             return;
         }
         if (next.version() <= voterSets.version()) {
-            throw new IllegalArgumentException("version " + next.version() + " of the electorates does not follow version "
+            throw new IllegalArgumentException("version " + next.version()
+                    + " of the electorates does not follow version "
                     + voterSets.version() + (next.version() == voterSets.version() ? ", which is another" : ""));
         }
         boolean isNext = next.version() == voterSets.version() + 1;
         if (isNext && !next.previousPool().isEmpty() && !next.previousPool().equals(voterSets.pool())) {
-            throw new IllegalArgumentException("version " + next.version() + " does not name version " + voterSets.version()
-                    + "'s voters as those before");
+            throw new IllegalArgumentException("version " + next.version() + " does not name version "
+                    + voterSets.version() + "'s voters as those before");
         }
         boolean wasSettled = updateSettled(now);
         voterSets = next;
@@ -221,12 +244,13 @@
     }
 
     /**
-     * Whether nobody can act under the electorates before any more: of each of them more than half have gone by these, or later
-     * ones, for as long as a vote is good for, and they give no votes for those before.
+     * Returns whether no proxy can act under the previous voter sets any more. That is so once a majority of each of
+     * those sets has used the current voter sets, or later ones, for the time of a promise, as they no longer vote
+     * under the previous ones.
      */
     private boolean updateSettled(double now) {
         if (!settled) {
-            // For every task that there may be, of whose electorates only the size is known.
+            // Must hold for every possible task, of whose previous voters only the number is known.
             int voters = Math.min(voterSets.votersPerTask(), voterSets.previousPool().size());
             long behind = voterSets.previousPool().stream().filter(m -> !hasAdoptedVersion(now, m)).count();
             settled = previousSettled && behind <= voters - VoterSets.majority(voters);
@@ -235,32 +259,36 @@
     }
 
     private boolean hasAdoptedVersion(double now, int member) {
-        PeerVersion peer = member == self ? new PeerVersion(voterSets.version(), voterSetsSince) : peerVersions.get(member);
+        PeerVersion peer = member == self ? new PeerVersion(voterSets.version(), voterSetsSince)
+                : peerVersions.get(member);
         return peer != null && peer.version() >= voterSets.version() && now >= peer.since() + policy.promiseMs();
     }
 
+
+    /** Returns this proxy's knowledge of the change of voter sets, for a message. */
     private SenderState senderState(double now) {
         return new SenderState(voterSets.version(), voterSets.digest(), updateSettled(now), previousSettled);
     }
 
-    private void recordSenderState(double now, int from, SenderState said) {
-        if (said.version() == voterSets.version() && said.digest() != voterSets.digest()) {
+    private void recordSenderState(double now, int from, SenderState sender) {
+        if (sender.version() == voterSets.version() && sender.digest() != voterSets.digest()) {
             return;
         }
-        PeerVersion before = peerVersions.get(from);
-        if (before == null || said.version() != before.version()) {
-            peerVersions.put(from, new PeerVersion(said.version(), now));
+        PeerVersion known = peerVersions.get(from);
+        if (known == null || sender.version() != known.version()) {
+            peerVersions.put(from, new PeerVersion(sender.version(), now));
         }
-        if (said.version() == voterSets.version()) {
-            settled |= said.settled();
-            previousSettled |= said.previousSettled();
-        } else if (said.version() == voterSets.version() - 1) {
-            previousSettled |= said.settled();
+        if (sender.version() == voterSets.version()) {
+            settled |= sender.settled();
+            previousSettled |= sender.previousSettled();
+        } else if (sender.version() == voterSets.version() - 1) {
+            previousSettled |= sender.settled();
         }
     }
 
-    private boolean hasMismatchedVoterSets(SenderState said) {
-        return said.version() < voterSets.version() || said.version() == voterSets.version() && said.digest() != voterSets.digest();
+    private boolean hasMismatchedVoterSets(SenderState sender) {
+        return sender.version() < voterSets.version()
+                || sender.version() == voterSets.version() && sender.digest() != voterSets.digest();
     }
 
     private void send(double now, int to, LeaseMessage message) {
@@ -271,49 +299,53 @@
         }
     }
 
-    /** Another member, or this one, said something. */
+    /** Receives a message of another member or of this one. */
     public void receive(double now, int from, LeaseMessage message) {
         recordSenderState(now, from, message.sender());
         Task task = tasks.get(message.task());
         if (task == null || task.voter == null && message instanceof LeaseMessage.VoteRequest) {
-            if (message instanceof LeaseMessage.VoteRequest a) {
-                send(now, from, new LeaseMessage.Refusal(a.task(), senderState(now), a.incarnation(), a.round(), RefusalReason.NO_VOTER, 0, 0));
+            if (message instanceof LeaseMessage.VoteRequest request) {
+                send(now, from, new LeaseMessage.Refusal(request.task(), senderState(now), request.incarnation(),
+                        request.round(), RefusalReason.NO_VOTER, 0, 0));
             }
             return;
         }
-        if (message instanceof LeaseMessage.VoteRequest ask) {
-            receiveVoteRequest(now, from, task, ask);
+        if (message instanceof LeaseMessage.VoteRequest request) {
+            receiveVoteRequest(now, from, task, request);
         } else if (message instanceof LeaseMessage.Vote vote) {
             receiveVote(now, from, task, vote);
         } else if (message instanceof LeaseMessage.Refusal refusal) {
             receiveRefusal(now, from, task, refusal);
         } else if (message instanceof LeaseMessage.Release release) {
             receiveRelease(now, from, task, release);
-        } else if (message instanceof LeaseMessage.TermQuery recall && task.voter != null) {
-            send(now, from, new LeaseMessage.TermReply(recall.task(), senderState(now), recall.incarnation(), recall.round(),
-                    task.voter.highestTerm(), task.voter.isRecovered(now)));
-        } else if (message instanceof LeaseMessage.TermReply recalled && task.voter != null && recalled.incarnation() == incarnation) {
-            task.voter.receiveTermReply(from, recalled, voterSets.voters(task.hash), self, recalled.sender().version() > voterSets.version());
+        } else if (message instanceof LeaseMessage.TermQuery query && task.voter != null) {
+            send(now, from, new LeaseMessage.TermReply(query.task(), senderState(now), query.incarnation(),
+                    query.round(), task.voter.highestTerm(), task.voter.isRecovered(now)));
+        } else if (message instanceof LeaseMessage.TermReply reply && task.voter != null
+                && reply.incarnation() == incarnation) {
+            task.voter.receiveTermReply(from, reply, voterSets.voters(task.hash), self,
+                    reply.sender().version() > voterSets.version());
         } else if (message instanceof LeaseMessage.Forbid forbid) {
             applyForbid(now, task, forbid.durationMs());
         }
     }
 
-    private void receiveVoteRequest(double now, int from, Task task, LeaseMessage.VoteRequest ask) {
-        long before = task.voter.isPromised(now) ? task.voter.term() : 0;
-        Voter.Answer answer = task.voter.handleRequest(now, from, ask, hasMismatchedVoterSets(ask.sender()));
+    private void receiveVoteRequest(double now, int from, Task task, LeaseMessage.VoteRequest request) {
+        long previousTerm = task.voter.isPromised(now) ? task.voter.term() : 0;
+        Voter.Answer answer = task.voter.handleRequest(now, from, request, hasMismatchedVoterSets(request.sender()));
         if (answer == null) {
             return;
         }
         if (answer.refusal() != null) {
-            send(now, from, new LeaseMessage.Refusal(task.hash, senderState(now), ask.incarnation(), ask.round(), answer.refusal(), answer.highestTerm(),
-                    (int) Math.ceil(answer.retryAfterMs())));
+            send(now, from, new LeaseMessage.Refusal(task.hash, senderState(now), request.incarnation(),
+                    request.round(), answer.refusal(), answer.highestTerm(), (int) Math.ceil(answer.retryAfterMs())));
             return;
         }
-        if (before != ask.term() && from != self) {
-            callbacks.statusChanged(task.name, "this proxy's vote is " + from + "'s, term " + ask.term());
+        if (previousTerm != request.term() && from != self) {
+            callbacks.statusChanged(task.name, "this proxy's vote is " + from + "'s, term " + request.term());
         }
-        send(now, from, new LeaseMessage.Vote(task.hash, senderState(now), ask.incarnation(), ask.term(), ask.round()));
+        send(now, from, new LeaseMessage.Vote(task.hash, senderState(now), request.incarnation(), request.term(),
+                request.round()));
     }
 
     private void receiveVote(double now, int from, Task task, LeaseMessage.Vote vote) {
@@ -343,7 +375,7 @@
         if (task.voter != null) {
             task.voter.release(now, from, release);
         }
-        // It is told more than once: those that want the lease wait from the first.
+        // A release arrives more than once; the candidate's wait starts with the first.
         if (task.candidate != null && from != self && task.lastFreedTerm != release.term()) {
             task.lastFreedTerm = release.term();
             if (release.successor() == self) {
@@ -355,20 +387,22 @@
         }
     }
 
-    private void applyForbid(double now, Task task, double ms) {
+    private void applyForbid(double now, Task task, double durationMs) {
         if (task.voter != null) {
-            task.voter.forbid(now + ms);
+            task.voter.forbid(now + durationMs);
         }
         giveUp(now, task, -1, "forbidden");
         if (task.candidate != null) {
-            task.candidate.retryAt(now + ms);
+            task.candidate.retryAt(now + durationMs);
         }
     }
 
-    /** Does what is due; returns when something will be. */
+    /** Does everything that is due. Returns the time of the next call. */
     public double tick(double now) {
         double due = Double.POSITIVE_INFINITY;
-        boolean renews = tasks.values().stream().anyMatch(t -> t.candidate != null && t.candidate.state() == State.HOLDING && t.candidate.isRequestDue(now));
+        boolean renews = tasks.values().stream()
+                .anyMatch(t -> t.candidate != null && t.candidate.state() == State.HOLDING
+                && t.candidate.isRequestDue(now));
         for (Task task : List.copyOf(tasks.values())) {
             queryTerms(now, task);
             repeatRelease(now, task);
@@ -376,7 +410,7 @@
             if (renews && task.candidate != null && task.candidate.mayRenewEarly(now)) {
                 requestVotes(now, task);
             }
-            // While an act is out of a lease that was given up, nothing is done for the next: its end says when.
+            // While a permit of a released lease is open, no new attempt starts; done() continues.
             if (task.candidate != null && (task.openPermits == 0 || task.candidate.state() != State.WAITING)) {
                 due = Math.min(due, task.candidate.dueAt());
             }
@@ -396,7 +430,8 @@
             task.termQueryRound++;
             for (int member : task.allVoters()) {
                 if (member != self) {
-                    send(now, member, new LeaseMessage.TermQuery(task.hash, senderState(now), incarnation, task.termQueryRound));
+                    send(now, member, new LeaseMessage.TermQuery(task.hash, senderState(now), incarnation,
+                            task.termQueryRound));
                 }
             }
         }
@@ -412,7 +447,8 @@
         }
         if (candidate.attemptFailed(now, task.requiredVoterSets(now))) {
             boolean again = candidate.refusedOnlyForTerm();
-            announceRelease(now, task, new LeaseMessage.Release(task.hash, senderState(now), incarnation, candidate.term(), -1));
+            announceRelease(now, task,
+                    new LeaseMessage.Release(task.hash, senderState(now), incarnation, candidate.term(), -1));
             candidate.backOff(now, task.retryNotBefore);
             task.retryNotBefore = 0;
             if (again) {
@@ -429,31 +465,32 @@
 
     private void requestVotes(double now, Task task) {
         int round = task.candidate.startRound(now);
-        sendToAllVoters(now, task, new LeaseMessage.VoteRequest(task.hash, senderState(now), incarnation, task.candidate.term(), round));
+        sendToAllVoters(now, task,
+                new LeaseMessage.VoteRequest(task.hash, senderState(now), incarnation, task.candidate.term(), round));
     }
 
-    /** Whether an attempt makes sense now; when to look again is set where it does not. */
+    /** Returns whether an attempt may start now; otherwise sets the time of the next check. */
     private boolean mayStartAttempt(double now, Task task) {
         Candidate candidate = task.candidate;
-        Voter v = task.voter;
+        Voter voter = task.voter;
         if (task.requiredVoterSets(now).isEmpty()) {
             candidate.retryAt(now + 2 * policy.answerMs());
             sendToAllVoters(now, task, new LeaseMessage.TermQuery(task.hash, senderState(now), incarnation, 0));
             return false;
         }
-        if (v == null) {
+        if (voter == null) {
             return true;
         }
-        if (now < v.forbiddenUntil()) {
-            candidate.retryAt(v.forbiddenUntil());
+        if (now < voter.forbiddenUntil()) {
+            candidate.retryAt(voter.forbiddenUntil());
             return false;
         }
-        if (!v.isRecovered(now) || v.isQuiet(now)) {
+        if (!voter.isRecovered(now) || voter.isQuiet(now)) {
             candidate.retryAt(now + policy.answerMs());
             return false;
         }
-        if (v.unavailableUntil(self) > now && v.holder() != self) {
-            candidate.backOff(now, v.unavailableUntil(self));
+        if (voter.unavailableUntil(self) > now && voter.holder() != self) {
+            candidate.backOff(now, voter.unavailableUntil(self));
             return false;
         }
         return true;
@@ -466,8 +503,8 @@
     }
 
     /**
-     * Leave for an act that takes so long at most; empty where it must not be done. A lease that is given up meanwhile goes to
-     * nobody until the act is done, or the lease has run out.
+     * Permits an action that takes at most {@code actionMs}; empty if it must not be done. If the lease is released
+     * meanwhile, it goes to no other member until the action is done or the lease has expired.
      */
     public Optional<Permit> permit(double now, String name, double actionMs) {
         Task task = tasks.get(hash(name));
@@ -478,7 +515,7 @@
         return Optional.of(new Permit(name, task.candidate.term(), task.candidate.heldUntil()));
     }
 
-    /** An act is over: nothing of it will take effect from now on. */
+    /** Returns a permit: the action has ended and takes no effect any more. */
     public void done(double now, Permit permit) {
         Task task = tasks.get(hash(permit.task()));
         task.openPermits--;
@@ -490,13 +527,16 @@
         advance(now, task);
     }
 
-    /** Whether a lease is held here now, as far as the clock goes; no leave to act. */
+    /** Returns whether this proxy holds a lease by its clock. An action needs a {@link #permit} in addition. */
     public boolean holds(double now, String name) {
         Task task = tasks.get(hash(name));
         return task != null && task.candidate != null && task.candidate.permits(now, 0);
     }
 
-    /** Who received an act has seen a term: where it is higher than this proxy's, another has acted since. */
+    /**
+     * Records a term that the receiver of an action has seen. If it is higher than this proxy's, another proxy has
+     * acted since.
+     */
     public void observeTerm(double now, String name, long term) {
         Task task = tasks.get(hash(name));
         if (task == null) {
@@ -513,15 +553,18 @@
         }
     }
 
-    /** Gives a lease back, to an heir or to whoever asks first where that is -1; no act is begun from now on. */
-    public void release(double now, String name, int heir) {
+    /**
+     * Releases a lease to a successor, or to the first that requests it if {@code successor} is -1. No action starts
+     * from now on.
+     */
+    public void release(double now, String name, int successor) {
         Task task = tasks.get(hash(name));
         if (task != null) {
-            giveUp(now, task, heir, "released");
+            giveUp(now, task, successor, "released");
         }
     }
 
-    private void giveUp(double now, Task task, int heir, String words) {
+    private void giveUp(double now, Task task, int successor, String reason) {
         Candidate candidate = task.candidate;
         if (candidate == null || candidate.state() == State.WAITING) {
             return;
@@ -529,9 +572,10 @@
         boolean held = candidate.state() == State.HOLDING;
         candidate.stop(now);
         if (held) {
-            callbacks.statusChanged(task.name, "given up here, term " + candidate.term() + ": " + words);
+            callbacks.statusChanged(task.name, "given up here, term " + candidate.term() + ": " + reason);
         }
-        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation, candidate.term(), heir);
+        LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation,
+                candidate.term(), successor);
         if (task.openPermits > 0) {
             task.pendingRelease = release;
         } else {
@@ -539,6 +583,8 @@
         }
     }
 
+
+    /** Sends a release to all voters and schedules its repetitions. */
     private void announceRelease(double now, Task task, LeaseMessage.Release release) {
         task.lastRelease = release;
         task.releaseRepeatsLeft = RELEASE_REPEATS;
@@ -546,49 +592,52 @@
         sendToAllVoters(now, task, release);
     }
 
-    /** Tells once more what was given back; who has heard it knows it by its term. */
+    /** Repeats the last release; receivers recognise the repetition by its term. */
     private void repeatRelease(double now, Task task) {
         if (task.releaseRepeatsLeft > 0 && now >= task.nextReleaseRepeatAt) {
             task.releaseRepeatsLeft--;
             task.nextReleaseRepeatAt = now + policy.answerMs();
-            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation, task.lastRelease.term(), task.lastRelease.successor());
+            LeaseMessage.Release release = new LeaseMessage.Release(task.hash, senderState(now), incarnation,
+                    task.lastRelease.term(), task.lastRelease.successor());
             task.allVoters().stream().filter(m -> m != self).forEach(m -> send(now, m, release));
         }
     }
 
-    /** Gives all back for good, each to another of its voters, as at the end of a process. */
+    /** Releases all leases for good, each to another of its voters, before the process ends. */
     public void releaseAll(double now) {
         leaving = true;
         for (Task task : tasks.values()) {
             if (task.candidate != null) {
                 task.candidate.setWanted(false, now);
-                int heir = voterSets.voters(task.hash).stream().filter(m -> m != self && peerVersions.containsKey(m)).findFirst().orElse(-1);
-                giveUp(now, task, heir, "this process ends");
+                int successor = voterSets.voters(task.hash).stream()
+                        .filter(m -> m != self && peerVersions.containsKey(m)).findFirst().orElse(-1);
+                giveUp(now, task, successor, "this process ends");
             }
         }
     }
 
-    /** Nobody is to hold it for so long, as far as this proxy reaches: it tells all voters. */
-    public void forbid(double now, String name, double ms) {
+    /** Forbids anyone to hold a lease for this time, as far as its voters can be reached. */
+    public void forbid(double now, String name, double durationMs) {
         Task task = getOrAdd(now, name);
-        sendToAllVoters(now, task, new LeaseMessage.Forbid(task.hash, senderState(now), (int) ms));
-        applyForbid(now, task, ms);
+        sendToAllVoters(now, task, new LeaseMessage.Forbid(task.hash, senderState(now), (int) durationMs));
+        applyForbid(now, task, durationMs);
     }
 
-    /** The members that this proxy has anything to say to. */
+    /** Returns the other members that this proxy exchanges messages with. */
     public Set<Integer> peers() {
         Set<Integer> all = new LinkedHashSet<>();
-        tasks.values().stream().filter(t -> t.voter != null || t.candidate != null && t.candidate.isWanted()).forEach(t -> all.addAll(t.allVoters()));
+        tasks.values().stream().filter(t -> t.voter != null || t.candidate != null && t.candidate.isWanted())
+                .forEach(t -> all.addAll(t.allVoters()));
         all.remove(self);
         return all;
     }
 
-    /** Which version of the electorates it goes by. */
+    /** Returns the version of the voter sets in use. */
     public int voterSetsVersion() {
         return voterSets.version();
     }
 
-    /** How all leases are, in the order of the tasks. */
+    /** Returns the state of all leases in the order of the tasks. */
     public List<Status> statuses(double now) {
         List<Status> all = new ArrayList<>();
         tasks.values().forEach(t -> all.add(status(now, t)));
@@ -597,31 +646,34 @@
 
     private Status status(double now, Task task) {
         Candidate candidate = task.candidate;
-        Voter v = task.voter;
+        Voter voter = task.voter;
         int voters = voterSets.voters(task.hash).size();
         if (candidate != null && candidate.permits(now, 0)) {
-            return new Status(task.name, true, self, candidate.term(), candidate.heldUntil() - now, candidate.validVotes(now), voters, "held here");
+            return new Status(task.name, true, self, candidate.term(), candidate.heldUntil() - now,
+                    candidate.validVotes(now), voters, "held here");
         }
         int votes = candidate == null ? 0 : candidate.validVotes(now);
-        if (v != null && v.isPromised(now) && v.holder() != self) {
-            return new Status(task.name, false, v.holder(), v.term(), v.promisedUntil() - now, votes, voters,
-                    "this proxy's vote is " + v.holder() + "'s");
+        if (voter != null && voter.isPromised(now) && voter.holder() != self) {
+            return new Status(task.name, false, voter.holder(), voter.term(), voter.promisedUntil() - now, votes,
+                    voters, "this proxy's vote is " + voter.holder() + "'s");
         }
         return new Status(task.name, false, -1, 0, 0, votes, voters, describeNoHolder(now, task));
     }
 
+
+    /** Describes why there is no known holder. */
     private String describeNoHolder(double now, Task task) {
-        Voter v = task.voter;
-        if (v != null && now < v.forbiddenUntil()) {
+        Voter voter = task.voter;
+        if (voter != null && now < voter.forbiddenUntil()) {
             return "forbidden by operators";
         }
         if (task.requiredVoterSets(now).isEmpty()) {
             return "nobody has said that the electorates before had settled";
         }
-        if (v != null && v.isQuiet(now)) {
+        if (voter != null && voter.isQuiet(now)) {
             return "this proxy has started lately, and what it promised before may hold";
         }
-        if (v != null && !v.isRecovered(now)) {
+        if (voter != null && !voter.isRecovered(now)) {
             return "this proxy has started lately, and too few have told it which terms there were";
         }
         if (task.candidate == null) {
@@ -631,19 +683,26 @@
             return "not wanted here";
         }
         Map<Integer, RefusalReason> refusals = new TreeMap<>(task.candidate.refusals());
-        return task.candidate.state() == State.ASKING ? "asking; refused by " + refusals : "none known; last refused by " + refusals;
+        return task.candidate.state() == State.ASKING ? "asking; refused by " + refusals
+                : "none known; last refused by " + refusals;
     }
 
-    /** All of its state, times as they are from now on: two with the same text act the same, but for their seeds. */
+    /**
+     * Returns the whole state as text, with times relative to now. Two managers with equal text behave alike, but for
+     * their seeds.
+     */
     public String stateText(double now) {
         StringBuilder text = new StringBuilder();
         tasks.values().forEach(t -> text.append(t.voter == null ? "-" : t.voter.stateText(now)).append('|')
-                .append(t.candidate == null ? "-" : t.candidate.stateText(now)).append('|').append(Math.max(0, t.nextTermQueryAt - now)).append('|')
+                .append(t.candidate == null ? "-" : t.candidate.stateText(now)).append('|')
+                .append(Math.max(0, t.nextTermQueryAt - now)).append('|')
                 .append(Math.max(0, t.retryNotBefore - now)).append(t.openPermits).append(t.pendingRelease)
-                .append(t.releaseRepeatsLeft > 0 ? t.lastRelease + " " + t.releaseRepeatsLeft + " " + Math.max(0, t.nextReleaseRepeatAt - now) : "")
+                .append(t.releaseRepeatsLeft > 0
+                        ? t.lastRelease + " " + t.releaseRepeatsLeft + " " + Math.max(0, t.nextReleaseRepeatAt - now)
+                        : "")
                 .append(t.lastFreedTerm).append(';'));
         text.append(voterSets.version()).append(settled).append(previousSettled);
-        // Who goes by which version matters until a change has settled.
+        // The members' versions matter until a change has settled.
         return settled ? text.toString() : text.append(new TreeMap<>(peerVersions)).toString();
     }
 }
--- a/core/src/main/java/ridgemill/lease/LeaseMessage.java
+++ b/core/src/main/java/ridgemill/lease/LeaseMessage.java
@@ -1,63 +1,76 @@
 package ridgemill.lease;
 
 /**
- * What proxies say to each other about a lease. All of it may come late, twice, out of order, long after it was said, or never.
- * {@code task} is the hash of the task's name, {@code version} the sender's of its electorates, {@code incarnation} the start of
- * the candidate's process that it is about, and {@code round} which of its questions.
+ * Messages between proxies about a lease. Each may arrive late, duplicated, out of order, long after it was sent, or
+ * never. {@code task} is the hash of the task's name, {@code incarnation} identifies the candidate's process that the
+ * message is about, and {@code round} numbers the candidate's requests.
  */
 public sealed interface LeaseMessage {
 
-    /** Why a voter gives no vote. */
+    /** Why a voter refuses its vote. */
     enum RefusalReason {
-        /** It promised its vote to another, or keeps it for an heir. */
+        /** The vote is promised to another candidate, or reserved for a successor. */
         HELD,
-        /** It has seen a term as high. */
+        /** The voter has seen this term or a higher one. */
         OLD_TERM,
-        /** It goes by newer electorates, or by others of the same version. */
+        /** The voter has newer voter sets, or different ones of the same version. */
         OTHER_VERSION,
-        /** It started lately, and does not know what it promised before. */
+        /** The voter has restarted recently and does not know which votes its previous process promised. */
         QUIET,
-        /** It started lately, and has not yet heard which terms there were. */
+        /** The voter has restarted recently and has not yet recovered the highest term from the other voters. */
         JOINING,
-        /** Operators forbade it. */
+        /** Operators have forbidden the task. */
         FORBIDDEN,
-        /** It does not vote on this task. */
+        /** The receiver does not vote on this task. */
         NO_VOTER
     }
 
+    /** The hash of the task's name, see {@link LeaseManager#hash}. */
     int task();
 
-    /** What the sender knows of the change to its electorates. */
+    /** The state of the sender's voter sets. */
     SenderState sender();
 
     /**
-     * What every message tells of its sender.
+     * The state of the sender's voter sets, which each message carries.
      *
-     * @param version of its electorates
-     * @param digest of what they are, 16 bits: two that say the same version must mean the same
-     * @param settled whether it knows that nobody acts under those before
-     * @param previousSettled whether it knows that those before had settled too
+     * @param version version of the voter sets
+     * @param digest 16-bit digest of the voter sets; it must be the same for all senders with the same version
+     * @param settled whether the sender knows that no proxy acts under the previous voter sets
+     * @param previousSettled whether the sender knows that the previous voter sets had settled
      */
     record SenderState(int version, int digest, boolean settled, boolean previousSettled) { }
 
-    /** A candidate wants a vote for a term, or its vote once more. */
+    /** A candidate requests a vote for a term, or the renewal of its vote. */
     record VoteRequest(int task, SenderState sender, int incarnation, long term, int round) implements LeaseMessage { }
 
-    /** The vote is given. */
+    /** The voter grants its vote. */
     record Vote(int task, SenderState sender, int incarnation, long term, int round) implements LeaseMessage { }
 
-    /** It is not; {@code highest} is the highest term seen, and {@code waitMs} after how long to ask again, 0 where that is unknown. */
-    record Refusal(int task, SenderState sender, int incarnation, int round, RefusalReason reason, long highestTerm, int retryAfterMs) implements LeaseMessage { }
+    /**
+     * The voter refuses its vote.
+     *
+     * @param highestTerm highest term that the voter has seen
+     * @param retryAfterMs time after which a new request may succeed; 0 if it is not known
+     */
+    record Refusal(int task, SenderState sender, int incarnation, int round, RefusalReason reason, long highestTerm,
+                   int retryAfterMs) implements LeaseMessage { }
 
-    /** A candidate has stopped to act under a term and never will again; {@code heir} is to have it next, or is -1. */
+    /**
+     * A candidate has given up the lease of a term for good; {@code successor} is the member to hold it next, or -1.
+     */
     record Release(int task, SenderState sender, int incarnation, long term, int successor) implements LeaseMessage { }
 
-    /** A voter that has started asks which terms there were. */
+    /** A restarted voter asks for the highest term that the receiver has seen. */
     record TermQuery(int task, SenderState sender, int incarnation, int round) implements LeaseMessage { }
 
-    /** The highest term seen; {@code knows} is false from one that has not yet heard itself. */
-    record TermReply(int task, SenderState sender, int incarnation, int round, long highestTerm, boolean recovered) implements LeaseMessage { }
+    /**
+     * The highest term that the sender has seen; {@code recovered} is false if the sender is itself still recovering
+     * it.
+     */
+    record TermReply(int task, SenderState sender, int incarnation, int round, long highestTerm, boolean recovered)
+            implements LeaseMessage { }
 
-    /** Operators forbid the task for so long. */
+    /** Operators forbid anyone to hold the lease for this time. */
     record Forbid(int task, SenderState sender, int durationMs) implements LeaseMessage { }
 }
--- a/core/src/main/java/ridgemill/lease/LeaseWire.java
+++ b/core/src/main/java/ridgemill/lease/LeaseWire.java
@@ -8,35 +8,36 @@
 import ridgemill.lease.LeaseMessage.SenderState;
 
 /**
- * Lease messages as {@link DatagramFrame} datagrams, each a count and the messages. A build that knows no leases takes what comes for keys
- * that are asked for often, so it is sent nothing but a hello, which is too short to hold one.
+ * Encodes lease messages as {@link DatagramFrame} datagrams, each with a count and the messages. A build that does not
+ * know leases takes any datagram for keys that are requested often. So a proxy that has not announced support for
+ * leases is only sent a hello, which is too short to hold a key.
  */
 public final class LeaseWire {
 
     private static final byte KIND = 'L';
     private static final byte VERSION = 1;
     private static final int HEADER_BYTES = 3;
-    /** The longest message. */
+    /** Size of the longest message. */
     private static final int MAX_MESSAGE_BYTES = 29;
     private static final int FLAG_SETTLED = 1;
     private static final int FLAG_PREVIOUS_SETTLED = 2;
     private static final int FLAG_RECOVERED = 4;
-    /** Waits are told in steps of this, rounded up. */
+    /** Unit in which waits are encoded, rounded up. */
     private static final int RETRY_STEP_MS = 100;
 
     private LeaseWire() { }
 
-    /** What a proxy says of itself that understands this. */
+    /** Returns the datagram by which a proxy announces that it supports leases. */
     public static byte[] hello() {
         return new byte[] {KIND, VERSION, 0};
     }
 
-    /** Whether a datagram of a peer is of this kind, of whatever version. */
+    /** Returns whether a peer's datagram is of this kind, of any version. */
     public static boolean isLease(byte[] datagram) {
         return DatagramFrame.hasKind(datagram, KIND);
     }
 
-    /** Puts messages into as few datagrams as they need, in their order. */
+    /** Encodes messages in their order into as few datagrams as possible. */
     public static List<byte[]> encode(List<LeaseMessage> messages) {
         List<byte[]> datagrams = new ArrayList<>();
         ByteBuffer out = beginDatagram();
@@ -59,16 +60,17 @@
     }
 
     private static void write(ByteBuffer out, LeaseMessage m) {
-        int kind = m instanceof LeaseMessage.VoteRequest ? 1 : m instanceof LeaseMessage.Vote ? 2 : m instanceof LeaseMessage.Refusal ? 3
-                : m instanceof LeaseMessage.Release ? 4 : m instanceof LeaseMessage.TermQuery ? 5 : m instanceof LeaseMessage.TermReply ? 6 : 7;
-        SenderState said = m.sender();
-        int flags = (said.settled() ? FLAG_SETTLED : 0) | (said.previousSettled() ? FLAG_PREVIOUS_SETTLED : 0)
+        int kind = m instanceof LeaseMessage.VoteRequest ? 1 : m instanceof LeaseMessage.Vote ? 2
+                : m instanceof LeaseMessage.Refusal ? 3 : m instanceof LeaseMessage.Release ? 4
+                : m instanceof LeaseMessage.TermQuery ? 5 : m instanceof LeaseMessage.TermReply ? 6 : 7;
+        SenderState sender = m.sender();
+        int flags = (sender.settled() ? FLAG_SETTLED : 0) | (sender.previousSettled() ? FLAG_PREVIOUS_SETTLED : 0)
                 | (m instanceof LeaseMessage.TermReply r && r.recovered() ? FLAG_RECOVERED : 0);
-        out.put((byte) (kind << 4 | flags)).putInt(m.task()).putInt(said.version()).putShort((short) said.digest());
-        if (m instanceof LeaseMessage.VoteRequest a) {
-            out.putInt(a.incarnation()).putLong(a.term()).putInt(a.round());
-        } else if (m instanceof LeaseMessage.Vote v) {
-            out.putInt(v.incarnation()).putLong(v.term()).putInt(v.round());
+        out.put((byte) (kind << 4 | flags)).putInt(m.task()).putInt(sender.version()).putShort((short) sender.digest());
+        if (m instanceof LeaseMessage.VoteRequest request) {
+            out.putInt(request.incarnation()).putLong(request.term()).putInt(request.round());
+        } else if (m instanceof LeaseMessage.Vote vote) {
+            out.putInt(vote.incarnation()).putLong(vote.term()).putInt(vote.round());
         } else if (m instanceof LeaseMessage.Refusal r) {
             out.putInt(r.incarnation()).putInt(r.round()).put((byte) r.reason().ordinal()).putLong(r.highestTerm())
                     .put((byte) Math.min(Byte.MAX_VALUE, (r.retryAfterMs() + RETRY_STEP_MS - 1) / RETRY_STEP_MS));
@@ -83,7 +85,7 @@
         }
     }
 
-    /** Reads a datagram; empty where it is a hello, of another version or spoilt. */
+    /** Decodes a datagram; returns no messages if it is a hello, has another version or is corrupt. */
     public static List<LeaseMessage> decode(byte[] datagram) {
         return DatagramFrame.open(datagram, KIND, VERSION).map(in -> {
             List<LeaseMessage> messages = new ArrayList<>();
@@ -101,30 +103,33 @@
     private static LeaseMessage read(ByteBuffer in) {
         int first = in.get();
         int task = in.getInt();
-        SenderState said = new SenderState(in.getInt(), in.getShort() & 0xffff, (first & FLAG_SETTLED) != 0, (first & FLAG_PREVIOUS_SETTLED) != 0);
+        SenderState sender = new SenderState(in.getInt(), in.getShort() & 0xffff, (first & FLAG_SETTLED) != 0,
+                (first & FLAG_PREVIOUS_SETTLED) != 0);
         switch (first >> 4) {
             case 1:
-                return new LeaseMessage.VoteRequest(task, said, in.getInt(), in.getLong(), in.getInt());
+                return new LeaseMessage.VoteRequest(task, sender, in.getInt(), in.getLong(), in.getInt());
             case 2:
-                return new LeaseMessage.Vote(task, said, in.getInt(), in.getLong(), in.getInt());
+                return new LeaseMessage.Vote(task, sender, in.getInt(), in.getLong(), in.getInt());
             case 3:
                 int incarnation = in.getInt();
                 int round = in.getInt();
-                int why = in.get();
-                if (why < 0 || why >= RefusalReason.values().length) {
-                    throw new IllegalArgumentException("no such reason: " + why);
+                int reason = in.get();
+                if (reason < 0 || reason >= RefusalReason.values().length) {
+                    throw new IllegalArgumentException("unknown refusal reason: " + reason);
                 }
-                return new LeaseMessage.Refusal(task, said, incarnation, round, RefusalReason.values()[why], in.getLong(), in.get() * RETRY_STEP_MS);
+                return new LeaseMessage.Refusal(task, sender, incarnation, round, RefusalReason.values()[reason],
+                        in.getLong(), in.get() * RETRY_STEP_MS);
             case 4:
-                return new LeaseMessage.Release(task, said, in.getInt(), in.getLong(), in.getInt());
+                return new LeaseMessage.Release(task, sender, in.getInt(), in.getLong(), in.getInt());
             case 5:
-                return new LeaseMessage.TermQuery(task, said, in.getInt(), in.getInt());
+                return new LeaseMessage.TermQuery(task, sender, in.getInt(), in.getInt());
             case 6:
-                return new LeaseMessage.TermReply(task, said, in.getInt(), in.getInt(), in.getLong(), (first & FLAG_RECOVERED) != 0);
+                return new LeaseMessage.TermReply(task, sender, in.getInt(), in.getInt(), in.getLong(),
+                        (first & FLAG_RECOVERED) != 0);
             case 7:
-                return new LeaseMessage.Forbid(task, said, in.getInt());
+                return new LeaseMessage.Forbid(task, sender, in.getInt());
             default:
-                throw new IllegalArgumentException("no such message: " + first);
+                throw new IllegalArgumentException("unknown message kind: " + first);
         }
     }
 }
--- a/core/src/main/java/ridgemill/lease/TargetSchedule.java
+++ b/core/src/main/java/ridgemill/lease/TargetSchedule.java
@@ -6,22 +6,22 @@
 import java.util.Locale;
 
 /**
- * The acts of one task, one after the other: a call to each target in turn, again after a time where the task goes on by itself,
- * else once for each time that operators start it. It says what is to be done next and keeps what came of it; whether it may be
- * done is the lease's to say. Times are milliseconds.
+ * Schedules the calls of one task: one call to each target in turn. A run over all targets is repeated at an interval,
+ * or is started by operators. Selects the next target and records the outcomes; whether a call may be made is decided
+ * by the lease. Times are milliseconds.
  */
 public final class TargetSchedule {
 
-    /** How often a target is tried in one run before it is left out. */
+    /** Number of tries per target in one run, after which the target is skipped. */
     public static final int MAX_TRIES = 3;
 
-    /** What came of one act. */
+    /** Outcome of one call. */
     public enum Outcome {
-        /** It took effect. */
+        /** The call took effect. */
         DONE,
-        /** The receiver has seen a higher term: another holds the lease. */
+        /** The receiver has seen a higher term: another member holds the lease. */
         REFUSED,
-        /** No answer in time, or another that tells of no effect; it may have had one. */
+        /** No answer in time, or an answer that reports no effect; the call may have had one. */
         FAILED
     }
 
@@ -37,21 +37,23 @@
     private long refused;
     private long failed;
 
-    /** {@code everyMs} is the time from one run's beginning to the next one's; 0 where operators start each. */
-    public TargetSchedule(int targets, double everyMs, double now) {
+    /**
+     * Creates a schedule; {@code intervalMs} is the time between the starts of two runs, 0 if operators start each run.
+     */
+    public TargetSchedule(int targets, double intervalMs, double now) {
         this.targets = targets;
-        this.intervalMs = everyMs;
+        this.intervalMs = intervalMs;
         this.tries = new int[targets];
         this.lastOutcomes = new Outcome[targets];
-        this.dueAt = everyMs > 0 ? now : Double.POSITIVE_INFINITY;
+        this.dueAt = intervalMs > 0 ? now : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether the lease is wanted now: while there is something to do, and always by one that goes on by itself. */
+    /** Returns whether the lease is wanted: during a run, and always for a repeated task. */
     public boolean wantsLease() {
         return intervalMs > 0 || running;
     }
 
-    /** Operators start a run; false if one is under way. */
+    /** Starts a run on behalf of operators; returns false if one is in progress. */
     public boolean start(double now) {
         if (running) {
             return false;
@@ -68,7 +70,7 @@
         dueAt = intervalMs > 0 ? now + intervalMs : Double.POSITIVE_INFINITY;
     }
 
-    /** The target to act on now; -1 for none. */
+    /** Returns the index of the target to call now; -1 if there is none. */
     public int nextTarget(double now) {
         if (!running && now >= dueAt) {
             beginRun(now);
@@ -76,12 +78,15 @@
         return running ? current : -1;
     }
 
-    /** When there is something to do next, where there is nothing now. */
+    /** Returns the start of the next run; negative infinity during a run. */
     public double dueAt() {
         return running ? Double.NEGATIVE_INFINITY : dueAt;
     }
 
-    /** An act on the present target has ended. One that was refused ends nothing: it is for whoever holds the lease then. */
+    /**
+     * Records the outcome of the call to the current target. A refused call is to be repeated by the holder of the
+     * lease.
+     */
     public void recordOutcome(Outcome outcome) {
         calls++;
         tries[current]++;
@@ -97,18 +102,19 @@
         }
     }
 
-    /** Whether a run is under way. */
+    /** Returns whether a run is in progress. */
     public boolean isRunning() {
         return running;
     }
 
-    /** How it goes, in words. */
+    /** Describes the progress; operators are shown this text. */
     public String explain() {
         List<String> each = new ArrayList<>();
         for (int i = 0; i < targets; i++) {
-            each.add(lastOutcomes[i] == null ? "not yet" : lastOutcomes[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
+            each.add(lastOutcomes[i] == null ? "not yet"
+                    : lastOutcomes[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
         }
-        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs + " runs, " + calls
-                + " acts, " + refused + " refused, " + failed + " failed";
+        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs
+                + " runs, " + calls + " acts, " + refused + " refused, " + failed + " failed";
     }
 }
--- a/core/src/main/java/ridgemill/lease/Voter.java
+++ b/core/src/main/java/ridgemill/lease/Voter.java
@@ -6,14 +6,15 @@
 import ridgemill.lease.LeaseMessage.RefusalReason;
 
 /**
- * One proxy's vote on one task: to whom it is promised, until when, and which terms it has seen. A vote once given is given to
- * nobody else until it has run out or its holder has released it; a term once seen is given to nobody else ever. What a process
- * before this one promised is unknown, so a voter keeps still until all of that must have run out, and gives no vote until it
- * has heard from those who know which terms there were.
+ * One proxy's vote on one task: to whom it is promised, until when, and the highest term seen. A promised vote goes to
+ * no other candidate until the promise has expired or its holder has released it; a term that was seen is never voted
+ * for again. A process does not know what the previous process of its proxy promised. So after a start a voter refuses
+ * all requests until any such promise must have expired, and until it has recovered the highest term from a majority of
+ * voters that know it.
  */
 final class Voter {
 
-    /** What came of a question: a vote where {@code why} is null. */
+    /** Answer to a vote request; the vote is granted if {@code refusal} is null. */
     record Answer(RefusalReason refusal, long highestTerm, double retryAfterMs) { }
 
     private static final int NOBODY = Integer.MIN_VALUE;
@@ -35,14 +36,23 @@
     private double successorUntil = Double.NEGATIVE_INFINITY;
     private double forbiddenUntil = Double.NEGATIVE_INFINITY;
 
-    /** {@code startedAt} is from when on this process has been the one that votes. */
+    /**
+     * Creates a voter; {@code startedAt} is the time since which this process has been the only one of its proxy that
+     * votes.
+     */
     Voter(LeasePolicy policy, double startedAt, double now) {
         this.policy = policy;
         this.quietUntil = startedAt + policy.promiseMs();
         this.recoveryTimeoutAt = Math.max(quietUntil, now) + policy.promiseMs();
     }
 
-    /** A candidate asks; {@code other} if it goes by older electorates than this proxy, or by others of the same version. */
+    /**
+     * Handles a vote request.
+     *
+     * @param mismatchedVoterSets whether the candidate has older voter sets than this proxy, or different ones of the
+     *     same version
+     * @return the answer; null if the request is a duplicate or late, and there is nothing to answer
+     */
     Answer handleRequest(double now, int from, LeaseMessage.VoteRequest request, boolean mismatchedVoterSets) {
         boolean renewal = from == holder && request.incarnation() == incarnation && request.term() == term;
         if (now < quietUntil) {
@@ -62,11 +72,12 @@
                 return new Answer(RefusalReason.OLD_TERM, highestTerm, 0);
             }
             if (request.round() <= round) {
-                // It came twice or late: what it asked for was given, and is given no longer for that.
+                // A duplicate or late request: its vote was already granted, and the promise is not extended.
                 return null;
             }
         } else {
-            // One that asks under a new term has stopped under the one before, whether or not its release came.
+            // A candidate that requests a vote under a new term has stopped under its previous one, even if its release
+            // was lost.
             boolean raisesTerm = from == holder && request.incarnation() == incarnation && request.term() > term;
             if (now < promisedUntil && !raisesTerm) {
                 return new Answer(RefusalReason.HELD, highestTerm, promisedUntil - now);
@@ -88,7 +99,7 @@
         return new Answer(null, highestTerm, 0);
     }
 
-    /** A candidate has stopped; believed of the one alone that has the vote, and of its present term. */
+    /** Handles a release. It counts only from the candidate that has the vote, and for its current term. */
     void release(double now, int from, LeaseMessage.Release release) {
         highestTerm = Math.max(highestTerm, release.term());
         if (from == holder && release.incarnation() == incarnation && release.term() == term && !released) {
@@ -101,33 +112,41 @@
         }
     }
 
-    /** Another voter says which terms it has seen, and whether it knows them all; {@code newer} if it goes by newer electorates. */
-    void receiveTermReply(int from, LeaseMessage.TermReply said, List<Integer> voters, int self, boolean newer) {
-        highestTerm = Math.max(highestTerm, said.highestTerm());
+    /** Handles a voter's reply to a term query; {@code newer} is whether that voter has newer voter sets. */
+    void receiveTermReply(int from, LeaseMessage.TermReply reply, List<Integer> voters, int self, boolean newer) {
+        highestTerm = Math.max(highestTerm, reply.highestTerm());
         outdated |= newer && !recovered;
-        if (said.recovered() && from != self && voters.contains(from)) {
+        if (reply.recovered() && from != self && voters.contains(from)) {
             recoverySources.add(from);
         }
-        if (!outdated && recoverySources.stream().filter(voters::contains).count() >= VoterSets.majority(voters.size())) {
+        if (!outdated && recoverySources.stream().filter(voters::contains).count()
+                >= VoterSets.majority(voters.size())) {
             recovered = true;
         }
     }
 
-    /** This proxy has taken in newer electorates: what made it outdated is over. */
+    /** This proxy has adopted newer voter sets, so it is not known to be outdated any more. */
     void clearOutdated() {
         outdated = false;
     }
 
-    /** Whether it has heard which terms there were, or has waited for long enough that nobody can tell it. */
+    /**
+     * Returns whether the highest term is recovered, or enough time has passed that no other voter can know a higher
+     * one.
+     */
     boolean isRecovered(double now) {
         recovered |= !outdated && now >= recoveryTimeoutAt;
         return recovered;
     }
 
+
+    /** Returns whether promises of a previous process may still be valid. */
     boolean isQuiet(double now) {
         return now < quietUntil;
     }
 
+
+    /** Grants no vote until then. */
     void forbid(double untilMs) {
         forbiddenUntil = Math.max(forbiddenUntil, untilMs);
     }
@@ -136,21 +155,21 @@
         return forbiddenUntil;
     }
 
-    /** A term was seen elsewhere, as at who receives acts. */
-    void observeTerm(long other) {
-        highestTerm = Math.max(highestTerm, other);
+    /** Records a term that was seen elsewhere, such as at the receiver of an action. */
+    void observeTerm(long term) {
+        highestTerm = Math.max(highestTerm, term);
     }
 
     long highestTerm() {
         return highestTerm;
     }
 
-    /** Whether the vote is given to somebody now. */
+    /** Returns whether the vote is promised to a candidate. */
     boolean isPromised(double now) {
         return now < promisedUntil;
     }
 
-    /** Until when it is given, or kept for an heir other than this proxy. */
+    /** Returns the time until which the vote is promised, or reserved for a successor other than this proxy. */
     double unavailableUntil(int self) {
         return successor == self ? promisedUntil : Math.max(promisedUntil, successorUntil);
     }
@@ -167,10 +186,11 @@
         return promisedUntil;
     }
 
-    /** All of its state, times as they are from now on: two voters with the same text act the same. */
+    /** Returns the whole state as text, with times relative to now. Two voters with equal text behave alike. */
     String stateText(double now) {
-        return holder + " " + incarnation + " " + term + " " + round + " " + Math.max(0, promisedUntil - now) + " " + released + " " + highestTerm + " "
-                + successor + " " + Math.max(0, successorUntil - now) + " " + recovered + outdated + recoverySources + " " + Math.max(0, quietUntil - now) + " "
+        return holder + " " + incarnation + " " + term + " " + round + " " + Math.max(0, promisedUntil - now) + " "
+                + released + " " + highestTerm + " " + successor + " " + Math.max(0, successorUntil - now) + " "
+                + recovered + outdated + recoverySources + " " + Math.max(0, quietUntil - now) + " "
                 + Math.max(0, recoveryTimeoutAt - now) + " " + Math.max(0, forbiddenUntil - now);
     }
 }
--- a/core/src/main/java/ridgemill/lease/VoterSets.java
+++ b/core/src/main/java/ridgemill/lease/VoterSets.java
@@ -5,17 +5,18 @@
 import java.util.List;
 
 /**
- * Who votes on a task: a few of the tier, by rendezvous, so that a lease costs the same however many proxies there are. All
- * proxies that go by the same version have the same electorates.
+ * The members that vote on each task. A few members are chosen for each task by rendezvous hashing, so a lease costs
+ * the same however many proxies there are. All proxies with the same version have the same voter sets.
  *
- * @param version grows with each change of what follows; 1 or more
- * @param pool the members of which electorates are chosen, by their numbers
- * @param previousPool the pool of the version before, whose majorities count too until the change has settled; empty where there
- *     was none, or where operators say that nobody goes by it any more
- * @param votersPerTask how many vote on a task at most
+ * @param version grows with each change of the other components; 1 or more
+ * @param pool numbers of the members from which voters are chosen
+ * @param previousPool pool of the previous version, whose majorities also count until the change has settled; empty if
+ *     there was none, or if the operators state that no proxy uses it any more
+ * @param votersPerTask maximum number of voters of a task
  */
 public record VoterSets(int version, List<Integer> pool, List<Integer> previousPool, int votersPerTask) {
 
+    /** Increment of the SplitMix64 generator, whose mixing function {@link #weight} uses. */
     private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
     public VoterSets {
@@ -26,12 +27,12 @@
         previousPool = previousPool.stream().sorted().distinct().toList();
     }
 
-    /** Who votes on a task. */
+    /** Returns the voters of a task, which is given by the hash of its name. */
     public List<Integer> voters(int task) {
         return select(task, pool);
     }
 
-    /** Who voted on it under the version before; empty where there was none. */
+    /** Returns the voters of a task under the previous version; empty if there was none. */
     public List<Integer> previousVoters(int task) {
         return select(task, previousPool);
     }
@@ -42,7 +43,7 @@
         return List.copyOf(all.subList(0, Math.min(votersPerTask, all.size())));
     }
 
-    /** 16 bits of what they are: two of the same version and digest are the same, for all that mistakes can do. */
+    /** Returns a 16-bit digest of the contents, which tells differing contents of one version apart. */
     public int digest() {
         long hash = votersPerTask;
         for (int member : pool) {
@@ -61,7 +62,7 @@
         return z ^ (z >>> 31);
     }
 
-    /** More than half of so many. */
+    /** Returns the number of members that is a majority of {@code size} members. */
     public static int majority(int size) {
         return size / 2 + 1;
     }
--- a/core/src/main/java/ridgemill/rollout/FileFingerprint.java
+++ b/core/src/main/java/ridgemill/rollout/FileFingerprint.java
@@ -6,38 +6,39 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * What a text is known by that goes from proxy to proxy: an operator file without what is each proxy's own.
+ * Identifies the text of an operator file that is distributed to the fleet, without the sections that each proxy has of
+ * its own.
  *
- * @param number its number
- * @param digest first 64 bits of the digest of what it says
+ * @param number number of the file
+ * @param digest first 64 bits of the digest of its parsed contents
  * @param hashHigh first 64 bits of the SHA-256 of its bytes
- * @param hashLow the next 64
- * @param lengthBytes how many it has
+ * @param hashLow next 64 bits of it
+ * @param lengthBytes length of the text
  */
 public record FileFingerprint(int number, long digest, long hashHigh, long hashLow, int lengthBytes) {
 
-    /** What a text may have at most: some 300 pieces. */
+    /** Maximum length of a text, about 300 chunks. */
     public static final int MAX_BYTES = 1 << 16;
 
-    /** The stamp of a text that has been checked: {@code file} and {@code meaning} are what it was found to say. */
-    public static FileFingerprint of(int file, long meaning, String text) {
+    /** Returns the fingerprint of a validated text, whose number and digest were found by parsing it. */
+    public static FileFingerprint of(int number, long digest, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer digest = ByteBuffer.wrap(sha256(bytes));
-        return new FileFingerprint(file, meaning, digest.getLong(), digest.getLong(), bytes.length);
+        ByteBuffer hash = ByteBuffer.wrap(sha256(bytes));
+        return new FileFingerprint(number, digest, hash.getLong(), hash.getLong(), bytes.length);
     }
 
-    /** Whether these are the bytes. */
+    /** Returns whether this is the fingerprint of these bytes. */
     boolean matchesBytes(byte[] text) {
-        ByteBuffer digest = ByteBuffer.wrap(sha256(text));
-        return text.length == lengthBytes && digest.getLong() == hashHigh && digest.getLong() == hashLow;
+        ByteBuffer hash = ByteBuffer.wrap(sha256(text));
+        return text.length == lengthBytes && hash.getLong() == hashHigh && hash.getLong() == hashLow;
     }
 
-    /** Whether a proxy that acts under this acts under the text. */
-    public boolean matches(FileVersion acting) {
-        return acting.number() == number && acting.digest() == digest;
+    /** Returns whether a proxy with this version in effect uses the text. */
+    public boolean matches(FileVersion version) {
+        return version.number() == number && version.digest() == digest;
     }
 
-    /** As people read it. */
+    /** Returns number and digest as shown to operators, such as {@code 12.5f0c33a1}. */
     public String text() {
         return "%d.%08x".formatted(number, digest >>> Integer.SIZE);
     }
@@ -46,19 +47,19 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java machine has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
     /**
-     * What a proxy acts under.
+     * The version in effect at a proxy.
      *
      * @param number number of its operator file
-     * @param digest first 64 bits of the digest of what that says
+     * @param digest first 64 bits of the digest of the file's parsed contents
      */
     public record FileVersion(int number, long digest) {
 
-        /** As people read it. */
+        /** Returns number and digest as shown to operators, such as {@code 12.5f0c33a1}. */
         public String text() {
             return "%d.%08x".formatted(number, digest >>> Integer.SIZE);
         }
--- a/core/src/main/java/ridgemill/rollout/Plan.java
+++ b/core/src/main/java/ridgemill/rollout/Plan.java
@@ -3,28 +3,29 @@
 import ridgemill.rollout.FileFingerprint.FileVersion;
 
 /**
- * A roll as all know it. Both texts are staged before anybody acts on either, so that the way back needs nothing that may be gone.
+ * A rollout as all members know it. Both texts are staged before either comes into effect, so that a rollback needs
+ * nothing that may be unavailable then.
  *
- * @param base what all act under before
- * @param target what all are to act under
- * @param rollback what the base says, under a number above the target's
+ * @param base version in effect at all members before the rollout
+ * @param target text that is to come into effect at all members
+ * @param rollback the base's contents, with a number above the target's
  */
 public record Plan(FileVersion base, FileFingerprint target, FileFingerprint rollback) {
 
-    /** What a member is told to do, and where a whole roll goes. */
+    /** What a member is ordered to do, and the direction of a whole rollout. */
     public enum Action {
-        /** Stage both texts and act on none. */
+        /** Stage both texts and put neither into effect. */
         HOLD,
-        /** To the target. */
+        /** Put the target into effect. */
         FORWARD,
-        /** To what the base said, under a new number. */
+        /** Put the rollback text into effect: the base's contents under a new number. */
         BACK,
-        /** Nowhere: nobody has acted, and nobody will. */
+        /** Put neither into effect, now or later: no member has the target in effect. */
         CANCEL
     }
 
-    /** What is acted on that way; null for nothing. */
-    FileFingerprint fingerprint(Action way) {
-        return way == Action.FORWARD ? target : way == Action.BACK ? rollback : null;
+    /** Returns the text that the action puts into effect; null if there is none. */
+    FileFingerprint fingerprint(Action action) {
+        return action == Action.FORWARD ? target : action == Action.BACK ? rollback : null;
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Quarantine.java
+++ b/core/src/main/java/ridgemill/rollout/Quarantine.java
@@ -7,65 +7,73 @@
 import ridgemill.rollout.FileFingerprint.FileVersion;
 
 /**
- * Whether this proxy is one that does not act as the fleet does, and steps aside for it: it begins no request until it does again.
- * Each decides for itself, by what it hears of the others; nobody else can shut it out, nor has to be reached for it.
+ * Decides whether this proxy's version in effect differs from the fleet's, in which case the proxy takes itself out of
+ * service: it begins no request until the versions match again. Each proxy decides for itself from the announcements of
+ * the others. No other proxy can exclude it, and none needs to be reached for it.
  */
 public final class Quarantine {
 
-    /** Why a proxy is out, or in although it lags. */
+    /** Why a proxy is out of service, or in service although it lags. */
     public enum Reason {
-        /** It acts as the fleet does. */
+        /** Its version in effect is the fleet's. */
         IN(false),
-        /** It acts under a lower number than the fleet, for less than the bound: it is to be brought up. */
+        /** Its version is below the fleet's, for less than {@link Limits#maxLagMs}: it is to catch up. */
         LAGS(false),
-        /** For longer than that. */
+        /** Its version is below the fleet's for longer than that. */
         BEHIND(true),
-        /** It acts under the fleet's number, and another text. */
+        /** It has the fleet's number with another text. */
         OTHER_TEXT(true),
-        /** It acts under a higher number than the fleet, and no roll is under way. */
+        /** Its version is above the fleet's, and no rollout is in progress. */
         AHEAD(true),
-        /** It hears of half of the fleet or less, and can't know what that acts under. */
+        /** It hears of half of the fleet or less, so it can't know the fleet's version. */
         CUT_OFF(true),
-        /** It would be out, but too many are already: the version may be at fault, and not the proxies. */
+        /**
+         * It would be out of service, but too many proxies are already: the fault may be in the version and not in the
+         * proxies.
+         */
         TOO_MANY(false);
 
         private final boolean outOfService;
 
-        Reason(boolean aside) {
-            this.outOfService = aside;
+        Reason(boolean outOfService) {
+            this.outOfService = outOfService;
         }
     }
 
-    /** What a proxy does that is cut off. */
+    /** What a proxy does that is cut off from most of the fleet. */
     public enum CutOffAction { SERVE, STEP_ASIDE }
 
     /**
-     * The bounds.
+     * The limits by which a proxy is taken out of service.
      *
-     * @param maxLagMs for how long a proxy may act under something else than the fleet, as it knows
-     * @param cutOffAfterMs for how long it may hear of half of the fleet or less
-     * @param cutOffAction what it does then
-     * @param maxOutShare which share of the proxies may be out; those of which nothing is heard count as out
-     * @param probationMs for how long it has to act as the fleet does before it is in again; doubles with each time that it is out again soon
+     * @param maxLagMs how long a proxy's version may knowingly differ from the fleet's
+     * @param cutOffAfterMs how long it may hear of half of the fleet or less until it is cut off
+     * @param cutOffAction what it does when it is cut off
+     * @param maxOutShare share of the proxies that may be out of service; proxies that are not heard of count as out
+     * @param probationMs how long its version has to match the fleet's before it is in service again; doubled each time
+     *     that it goes out of service again soon
      */
-    public record Limits(double maxLagMs, double cutOffAfterMs, CutOffAction cutOffAction, double maxOutShare, double probationMs) {
+    public record Limits(double maxLagMs, double cutOffAfterMs, CutOffAction cutOffAction, double maxOutShare,
+            double probationMs) {
 
+
+        /** A lag of 10 s; cut off after 5 s, then it still serves; at most 34 % out of service; 2 s of probation. */
         public static final Limits DEFAULT = new Limits(10_000, 5000, CutOffAction.SERVE, 0.34, 2000);
     }
 
     /**
      * What is known of another proxy.
      *
-     * @param version what it acts under; null where it is known to act under something else than it said last
-     * @param alive whether anything was heard of it lately
-     * @param outOfService whether it says that it is out
+     * @param version its version in effect; null if that is known to have changed since it was announced
+     * @param alive whether it was heard of lately
+     * @param outOfService whether it has announced that it is out of service
      */
     public record Peer(int member, FileVersion version, boolean alive, boolean outOfService) { }
 
-    /** After a start each hears of some four others a second at first. */
+    /** Time allowed per member after a start: at first a proxy hears of about four others a second. */
     private static final double START_MS_PER_MEMBER = 300;
     private static final int MAX_DOUBLINGS = 5;
-    /** Who is out again within so many times of how long it had to stay is flapping. */
+    /** A proxy is flapping if it goes out of service again within this multiple of its probation. */
     private static final double FLAP_WINDOW_FACTOR = 10;
 
     private final int self;
@@ -79,39 +87,45 @@
     private boolean outOfService;
     private Reason reason = Reason.IN;
 
-    /** One that starts is in, and has both bounds, and some time for each member, to hear of others. */
-    public Quarantine(int self, int members, double now, Limits bounds) {
+    /**
+     * Creates the quarantine of a proxy that starts. It is in service, and has both limits and some time for each
+     * member to hear of the others.
+     */
+    public Quarantine(int self, int members, double now, Limits limits) {
         this.self = self;
         this.members = members;
-        this.limits = bounds;
-        this.majorityHeardAt = now + bounds.maxLagMs() + START_MS_PER_MEMBER * members;
+        this.limits = limits;
+        this.majorityHeardAt = now + limits.maxLagMs() + START_MS_PER_MEMBER * members;
         this.inServiceSince = now;
     }
 
     /**
-     * Looks at what is known; returns whether it is out.
+     * Updates the decision; returns whether the proxy is out of service.
      *
-     * @param peers the others of which anything is known
-     * @param led whether somebody takes a version through the fleet, and has spoken to this proxy lately
+     * @param peers the other proxies of which anything is known
+     * @param coordinated whether this proxy takes part in a rollout and was told so by its coordinator lately
      */
-    public boolean update(double now, FileVersion own, Collection<Peer> peers, boolean led) {
-        // One that was stopped, and hears all at once what was said meanwhile, is out until it acts as the fleet does.
+    public boolean update(double now, FileVersion own, Collection<Peer> peers, boolean coordinated) {
+        // A process that was suspended receives its queued messages at once. It stays out of service until its version
+        // matches.
         quarantineIf(now, isOutOfService(now));
         long alive = peers.stream().filter(Peer::alive).count() + 1;
         if (2 * alive > members) {
             majorityHeardAt = Math.max(majorityHeardAt, now);
         }
         FileVersion fleet = fleetVersion(own, peers);
-        boolean known = 2 * (peers.stream().filter(p -> p.alive() && p.version() != null).count() + 1) > members;
-        boolean fits = led || fleet.equals(own);
-        if (!fits) {
+        boolean majorityKnown = 2 * (peers.stream().filter(p -> p.alive() && p.version() != null).count() + 1)
+                > members;
+        boolean matches = coordinated || fleet.equals(own);
+        if (!matches) {
             differsSince = Double.isNaN(differsSince) ? now : differsSince;
-        } else if (known) {
+        } else if (majorityKnown) {
             differsSince = Double.NaN;
         }
-        matchesSince = !fits || !known ? Double.NaN : Double.isNaN(matchesSince) ? now : matchesSince;
-        Reason next = reason(now, own, fleet, fits);
-        if (next.outOfService && next != Reason.CUT_OFF && !outOfService && countOthersOut(fleet, peers) >= (int) (limits.maxOutShare() * members)) {
+        matchesSince = !matches || !majorityKnown ? Double.NaN : Double.isNaN(matchesSince) ? now : matchesSince;
+        Reason next = determineReason(now, own, fleet, matches);
+        if (next.outOfService && next != Reason.CUT_OFF && !outOfService
+                && countOthersOut(fleet, peers) >= (int) (limits.maxOutShare() * members)) {
             next = Reason.TOO_MANY;
         }
         quarantineIf(now, next.outOfService);
@@ -123,9 +137,15 @@
         return outOfService;
     }
 
-    private void quarantineIf(double now, boolean aside) {
-        if (aside && !outOfService) {
-            doublings = now - inServiceSince < FLAP_WINDOW_FACTOR * probationMs() ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
+
+    /**
+     * Takes the proxy out of service if the condition holds, with a longer probation if it was in service for a short
+     * time only.
+     */
+    private void quarantineIf(double now, boolean condition) {
+        if (condition && !outOfService) {
+            doublings = now - inServiceSince < FLAP_WINDOW_FACTOR * probationMs()
+                    ? Math.min(MAX_DOUBLINGS, doublings + 1) : 0;
             outOfService = true;
             matchesSince = Double.NaN;
         }
@@ -135,55 +155,63 @@
         return limits.probationMs() * (1 << doublings);
     }
 
-    /** What most of those act under that are heard of and are not out; of as many, the higher number. */
+    /**
+     * Returns the version in effect at most of the members that are alive and in service; of equally frequent ones the
+     * highest.
+     */
     private FileVersion fleetVersion(FileVersion own, Collection<Peer> peers) {
         Map<FileVersion, Integer> counts = new HashMap<>();
         if (!outOfService) {
             counts.put(own, 1);
         }
-        peers.stream().filter(p -> p.alive() && !p.outOfService() && p.version() != null).forEach(p -> counts.merge(p.version(), 1, Integer::sum));
+        peers.stream().filter(p -> p.alive() && !p.outOfService() && p.version() != null)
+                .forEach(p -> counts.merge(p.version(), 1, Integer::sum));
         return counts.entrySet().stream().max(Comparator.comparing((Map.Entry<FileVersion, Integer> e) -> e.getValue())
-                .thenComparing(e -> e.getKey().number()).thenComparing(e -> e.getKey().digest())).map(Map.Entry::getKey).orElse(own);
+                .thenComparing(e -> e.getKey().number()).thenComparing(e -> e.getKey().digest())).map(Map.Entry::getKey)
+                .orElse(own);
     }
 
-    private Reason reason(double now, FileVersion own, FileVersion fleet, boolean fits) {
+    private Reason determineReason(double now, FileVersion own, FileVersion fleet, boolean matches) {
         if (isCutOff(now) && limits.cutOffAction() == CutOffAction.STEP_ASIDE) {
             return Reason.CUT_OFF;
         }
-        if (fits && Double.isNaN(differsSince)) {
+        if (matches && Double.isNaN(differsSince)) {
             return Reason.IN;
         }
         if (now - differsSince < limits.maxLagMs() && !outOfService) {
             return Reason.LAGS;
         }
-        return own.number() < fleet.number() ? Reason.BEHIND : own.number() > fleet.number() ? Reason.AHEAD : Reason.OTHER_TEXT;
+        return own.number() < fleet.number() ? Reason.BEHIND : own.number() > fleet.number() ? Reason.AHEAD
+                : Reason.OTHER_TEXT;
     }
 
     private boolean isCutOff(double now) {
         return now - majorityHeardAt > limits.cutOffAfterMs();
     }
 
-    /** How many others are out, or may be, or go first as they lag too and have lower numbers. */
+    /** Counts the others that are out, may be out, or lag too and go first as they have lower numbers. */
     private int countOthersOut(FileVersion fleet, Collection<Peer> peers) {
         long heard = peers.stream().filter(Peer::alive).count();
-        long out = peers.stream().filter(p -> p.alive() && (p.outOfService() || !fleet.equals(p.version()) && p.member() < self)).count();
+        long out = peers.stream()
+                .filter(p -> p.alive() && (p.outOfService() || !fleet.equals(p.version()) && p.member() < self))
+                .count();
         return (int) (members - 1 - heard + out);
     }
 
     /**
-     * Whether no request may begin now. Looks at the clock alone, so that a process which was stopped and goes on where it was knows
-     * before it has heard of anybody.
+     * Returns whether no request may begin now. Depends on the clock alone, so that a suspended process that continues
+     * detects it before it has received any message.
      */
     public boolean isOutOfService(double now) {
         return outOfService || limits.cutOffAction() == CutOffAction.STEP_ASIDE && isCutOff(now);
     }
 
-    /** Whether it acts under something else than the fleet, whatever comes of that. */
+    /** Returns whether this proxy's version differs from the fleet's, in or out of service. */
     public boolean differsFromFleet() {
         return !Double.isNaN(differsSince);
     }
 
-    /** Why it is out, or in. */
+    /** Returns why the proxy is out of service or in service. */
     public Reason reason() {
         return reason;
     }
--- a/core/src/main/java/ridgemill/rollout/Rollout.java
+++ b/core/src/main/java/ridgemill/rollout/Rollout.java
@@ -6,49 +6,56 @@
 import ridgemill.rollout.RolloutCoordinator.Request;
 
 /**
- * One proxy's part in taking versions through the fleet: it follows whoever holds the lease, and conducts while it does so itself.
- * Members are numbered from 0, the same at all proxies. Used by one thread.
+ * One proxy's part in rollouts of operator files over the fleet. The proxy follows the coordinator, which holds the
+ * lease, and is the coordinator while it holds the lease itself. Members are numbered from 0, the same at all proxies.
+ * Used by one thread.
  */
 public final class Rollout {
 
-    /** When to look again while something is under way, and while nothing is. */
+    /** Interval of {@link #tick} while a rollout is in progress, and otherwise. */
     private static final double BUSY_TICK_MS = 50;
     private static final double IDLE_TICK_MS = 250;
+    /** How long a member's report of an unfinished rollout makes this proxy want the lease. */
     private static final double OPEN_REPORT_MS = 3000;
 
-    /** Where words go and what is done; called from within the calls of {@link Rollout}. */
+    /** Sends messages and acts on this proxy; called during calls of {@link Rollout}. */
     public interface Callbacks {
 
-        /** The term under which this proxy may conduct at this moment; 0 where it may not. */
+        /** Returns the term under which this proxy may coordinate at this moment; 0 if it may not. */
         long term();
 
-        /** Tells a member something. */
-        void sendMessage(int to, RolloutMessage word);
+        /** Sends a message to a member. */
+        void sendMessage(int to, RolloutMessage message);
 
-        /** Has a text looked at, at once or later; {@link Rollout#validated} is owed for it. */
-        void validate(FileFingerprint stamp, String text);
+        /** Validates a text, at once or later; {@link Rollout#validated} must be called with the result. */
+        void validate(FileFingerprint fingerprint, String text);
 
-        /** Has this proxy act under a text, which is not to begin after {@code byMs}; {@link Rollout#applied} is owed for it. */
-        void apply(FileFingerprint stamp, String text, double byMs, long term);
+        /**
+         * Puts a text into effect on this proxy; {@link Rollout#applied} must be called with the result.
+         *
+         * @param byMs latest time at which this may begin
+         * @param term term of the order; 0 if the proxy catches up with the others
+         */
+        void apply(FileFingerprint fingerprint, String text, double byMs, long term);
 
-        /** Something that operators want to know has happened. */
-        void notifyOperators(String words);
+        /** Reports an event to the operators. */
+        void notifyOperators(String event);
 
-        /** What this proxy acts under now. */
+        /** Returns the version in effect on this proxy. */
         FileVersion versionInEffect();
 
-        /** Whether it has stepped aside. */
+        /** Returns whether this proxy is out of service. */
         boolean isOutOfService();
 
-        /** What it has served since its start. */
+        /** Returns the numbers of requests since the start of this proxy. */
         Counts counts();
     }
 
     /**
-     * What a proxy has served since its start.
+     * Numbers of requests since the start of a proxy.
      *
-     * @param served requests
-     * @param ended requests, served or not, but for those whose client left
+     * @param served requests that were served
+     * @param ended requests that have ended, served or not, except those whose client disconnected
      */
     public record Counts(int served, int ended) { }
 
@@ -61,74 +68,78 @@
     private double openReportedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param self this proxy's number
-     * @param members how many there are
-     * @param incarnation of this process
+     * Creates a proxy's part in rollouts.
+     *
+     * @param self this proxy's member number
+     * @param members number of members
+     * @param incarnation number of this process
      */
-    public Rollout(int self, int members, int incarnation, double now, RolloutPolicy policy, Callbacks out) {
+    public Rollout(int self, int members, int incarnation, double now, RolloutPolicy policy, Callbacks callbacks) {
         this.self = self;
-        this.callbacks = out;
-        this.follower = new Follower(now, incarnation, texts, out);
-        this.coordinator = new RolloutCoordinator(self, members, policy, out);
+        this.callbacks = callbacks;
+        this.follower = new Follower(now, incarnation, texts, callbacks);
+        this.coordinator = new RolloutCoordinator(self, members, policy, callbacks);
     }
 
-    /** This proxy acts under a text from now on; others may have it from here. */
-    public void setInEffect(FileFingerprint stamp, String text) {
-        inEffect = stamp;
-        texts.put(stamp, text);
-        texts.pin(stamp);
+    /** A text is in effect on this proxy from now on, and may be fetched from it. */
+    public void setInEffect(FileFingerprint fingerprint, String text) {
+        inEffect = fingerprint;
+        texts.put(fingerprint, text);
+        texts.pin(fingerprint);
     }
 
-    /** The text that this proxy acts under. */
+    /** Returns the text in effect on this proxy. */
     public String textInEffect() {
         return texts.text(inEffect);
     }
 
     /**
-     * Operators want the fleet to act under a text, whose number is to be above all that are known.
+     * Begins a rollout at the operators' request, once this proxy holds the lease.
      *
-     * @param target has been checked here
-     * @param back what this proxy acts under, with a number above the target's; has been checked here
-     * @return whether it is begun, as soon as this proxy holds the lease; or why not
+     * @param target text with a number above all known ones; has been validated here
+     * @param rollback contents of the version in effect, with a number above the target's; has been validated here
+     * @return the result or the reason of a refusal, as operators are shown it
      */
-    public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
+    public String begin(FileFingerprint target, String targetText, FileFingerprint rollback, String rollbackText) {
         if (coordinator.hasRequest() || coordinator.isActive() || follower.isOpen()) {
             return "no: a roll is under way: " + follower.explain();
         }
         if (callbacks.isOutOfService()) {
             return "no: this proxy has stepped aside; ask another";
         }
-        if (target.number() <= callbacks.versionInEffect().number() || back.number() <= target.number()) {
+        if (target.number() <= callbacks.versionInEffect().number() || rollback.number() <= target.number()) {
             return "no: number " + callbacks.versionInEffect().number() + " is acted under already";
         }
         texts.put(target, targetText);
-        texts.put(back, backText);
-        coordinator.requestRollout(new Request(target, back));
+        texts.put(rollback, rollbackText);
+        coordinator.requestRollout(new Request(target, rollback));
         return "begun: as soon as this proxy holds the lease";
     }
 
-    /** Operators want the roll that is conducted here to go back. */
+    /** Rolls the rollout back that is coordinated here; returns the result as operators are shown it. */
     public String rollBack() {
         return coordinator.requestRollback() ? "it goes back" : "no roll that goes forward is conducted here";
     }
 
-    /** Whether this proxy wants to conduct: something is to be begun, or to be brought to its end. */
+    /** Returns whether this proxy wants to coordinate: a rollout is to begin or to be brought to its end. */
     public boolean wantsLease(double now) {
-        return coordinator.hasRequest() || coordinator.isActive() || follower.isOpen() || now - openReportedAt < OPEN_REPORT_MS;
+        return coordinator.hasRequest() || coordinator.isActive() || follower.isOpen()
+                || now - openReportedAt < OPEN_REPORT_MS;
     }
 
-    /** Whether this proxy has its place in a roll that is under way, and was told so within so long. */
+    /** Returns whether this proxy takes part in a rollout in progress and was told so within this time. */
     public boolean isCoordinated(double now, double withinMs) {
         return follower.isCoordinated(now, withinMs);
     }
 
     /**
-     * Does what is due; returns when something will be.
+     * Does everything that is due; returns the time of the next call.
      *
-     * @param electors who may conduct, but for this proxy
-     * @param lags whether others act under a later version and no roll brings it here
+     * @param holds whether this proxy holds the lease
+     * @param voters the other proxies that may hold it
+     * @param lagging whether this proxy's version is below the fleet's and no rollout raises it
      */
-    public double tick(double now, boolean holds, List<Integer> electors, boolean lags) {
+    public double tick(double now, boolean holds, List<Integer> voters, boolean lagging) {
         long term = holds ? callbacks.term() : 0;
         if (coordinator.hasRequest() && callbacks.isOutOfService()) {
             coordinator.dropRequest("this proxy has stepped aside");
@@ -145,26 +156,26 @@
         } else if (!holds) {
             coordinator.leaseLost();
         }
-        follower.tick(now, electors, lags);
-        return now + (wantsLease(now) || lags ? BUSY_TICK_MS : IDLE_TICK_MS);
+        follower.tick(now, voters, lagging);
+        return now + (wantsLease(now) || lagging ? BUSY_TICK_MS : IDLE_TICK_MS);
     }
 
-    /** A member says something. */
-    public void receive(double now, int from, RolloutMessage word, boolean lags) {
-        if (word instanceof RolloutMessage.ReportRequest call) {
-            follower.receiveReportRequest(now, from, call);
-        } else if (word instanceof RolloutMessage.Order order) {
+    /** Receives a member's message. */
+    public void receive(double now, int from, RolloutMessage message, boolean lagging) {
+        if (message instanceof RolloutMessage.ReportRequest request) {
+            follower.receiveReportRequest(now, from, request);
+        } else if (message instanceof RolloutMessage.Order order) {
             follower.receiveOrder(now, from, order);
-        } else if (word instanceof RolloutMessage.Report report) {
+        } else if (message instanceof RolloutMessage.Report report) {
             receiveReport(now, from, report);
-        } else if (word instanceof RolloutMessage.ChunkRequest want) {
-            texts.chunks(want).forEach(p -> callbacks.sendMessage(from, p));
-        } else if (word instanceof RolloutMessage.Chunk piece) {
-            follower.receiveChunk(piece);
-        } else if (word instanceof RolloutMessage.VersionQuery seek) {
-            follower.receiveVersionQuery(from, seek, inEffect);
-        } else if (word instanceof RolloutMessage.VersionReply settled) {
-            follower.receiveVersionReply(settled, lags);
+        } else if (message instanceof RolloutMessage.ChunkRequest request) {
+            texts.chunks(request).forEach(p -> callbacks.sendMessage(from, p));
+        } else if (message instanceof RolloutMessage.Chunk chunk) {
+            follower.receiveChunk(chunk);
+        } else if (message instanceof RolloutMessage.VersionQuery query) {
+            follower.receiveVersionQuery(from, query, inEffect);
+        } else if (message instanceof RolloutMessage.VersionReply reply) {
+            follower.receiveVersionReply(reply, lagging);
         }
     }
 
@@ -181,36 +192,36 @@
         }
     }
 
-    /** A text has been looked at; {@code problem} is empty where it may be acted on. */
-    public void validated(double now, FileFingerprint stamp, String problem) {
-        follower.validated(now, stamp, problem);
+    /** A text has been validated; {@code problem} is empty if it may be applied. */
+    public void validated(double now, FileFingerprint fingerprint, String problem) {
+        follower.validated(now, fingerprint, problem);
     }
 
     /**
-     * What was to be acted on is, or is not.
+     * Applying a text has ended.
      *
-     * @param problem empty where this proxy acts under it now
-     * @param late whether it was not begun as its time was over
+     * @param problem why the text is not in effect; empty if it is
+     * @param late whether it did not begin because it was too late
      */
-    public void applied(double now, FileFingerprint stamp, String problem, boolean late) {
-        follower.applied(now, stamp, problem, late);
+    public void applied(double now, FileFingerprint fingerprint, String problem, boolean late) {
+        follower.applied(now, fingerprint, problem, late);
         if (problem.isEmpty()) {
-            inEffect = stamp;
-            texts.pin(stamp);
+            inEffect = fingerprint;
+            texts.pin(fingerprint);
         }
     }
 
-    /** What is conducted here now; null for nothing. */
+    /** Returns the plan that is coordinated here; null if there is none. */
     public Plan coordinatedPlan() {
         return coordinator.plan();
     }
 
-    /** Whether a roll is under way as far as this proxy knows. */
+    /** Returns whether a rollout is in progress as far as this proxy knows. */
     public boolean isInProgress() {
         return follower.isOpen() || coordinator.plan() != null;
     }
 
-    /** How it goes, in words. */
+    /** Describes the progress; operators are shown these lines. */
     public List<String> explain() {
         List<String> lines = new ArrayList<>();
         lines.add(follower.explain());
--- a/core/src/main/java/ridgemill/rollout/RolloutCoordinator.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutCoordinator.java
@@ -15,31 +15,34 @@
 import ridgemill.rollout.RolloutMessage.Report;
 
 /**
- * Takes a version through the fleet while this proxy holds the lease. It first hears from most members how far a roll is that
- * another began, and goes on with that one; what it decides is told in answers to their reports, to each what it is to do.
+ * Coordinates a rollout while this proxy holds the lease. The coordinator first collects reports from most members to
+ * find a rollout that a previous coordinator began, and continues that one. It answers each member's report with an
+ * order.
  *
- * <p>At most two texts act at once: nobody is told to act on the target before all that are heard of, and enough of all, have
- * checked both texts; on the way back those that act on the target go first, to the base's text under a new number.
+ * <p>At most two texts are in effect at once. No member is ordered to put the target into effect before all members
+ * that are heard of, and enough of the whole fleet, have validated both texts. In a rollback the members with the
+ * target in effect go first, to the base's contents under a new number.
  */
 final class RolloutCoordinator {
 
     private static final double REPORT_REQUEST_INTERVAL_MS = 250;
-    /** Who has reported within so long need not be called. */
+    /** A member that has reported within this time is not sent a report request. */
     private static final double RECENT_REPORT_MS = 400;
+    /** Time after which the reports of a majority are enough to take over. */
     private static final double COLLECT_TIMEOUT_MS = 1500;
-    /** Who has not reported for so long is away. */
+    /** A member that has not reported for this long counts as absent. */
     private static final double MEMBER_TIMEOUT_MS = 3000;
-    /** For so long a roll's end is told to those that have not said that they know. */
+    /** How long the end of a rollout is announced to members that have not confirmed it. */
     private static final double FINISH_ANNOUNCE_MS = 10_000;
 
-    /** What was heard of a member last, and how its counts were when the step was whole. */
+    /** A member's last report, and its report at the time when the step was complete. */
     private static final class MemberState {
         Report report;
         double reportedAt;
         Report stepBaseline;
     }
 
-    /** A roll that operators want. */
+    /** A rollout that operators have requested. */
     record Request(FileFingerprint target, FileFingerprint rollback) { }
 
     private final int self;
@@ -47,7 +50,7 @@
     private final RolloutPolicy policy;
     private final Rollout.Callbacks callbacks;
     private final Map<Integer, MemberState> memberStates = new TreeMap<>();
-    /** Who was told to act on the target. */
+    /** Members that were ordered to put the target into effect. */
     private final Set<Integer> toldForward = new HashSet<>();
     private Request request;
     private boolean rollbackRequested;
@@ -55,7 +58,7 @@
     private long term;
     private int sequence;
     private boolean collecting;
-    /** Somebody takes a roll for open while none is conducted here. */
+    /** Whether a member reported an unfinished rollout while none is coordinated here. */
     private boolean openRolloutReported;
     private double stepSince;
     private double nextReportRequestAt;
@@ -67,42 +70,42 @@
     private double baselineShare = Double.NaN;
     private String statusText = "nothing";
 
-    RolloutCoordinator(int self, int members, RolloutPolicy policy, Rollout.Callbacks out) {
+    RolloutCoordinator(int self, int members, RolloutPolicy policy, Rollout.Callbacks callbacks) {
         this.self = self;
         this.members = members;
         this.policy = policy;
-        this.callbacks = out;
+        this.callbacks = callbacks;
     }
 
-    /** Operators want a roll. */
+    /** Requests a rollout, which starts once this proxy holds the lease. */
     void requestRollout(Request next) {
         request = next;
         statusText = "waits for the lease";
     }
 
-    /** It will not be begun; says why. */
-    void dropRequest(String why) {
-        statusText = "not begun: " + why;
+    /** Drops the request and reports the reason to the operators. */
+    void dropRequest(String reason) {
+        statusText = "not begun: " + reason;
         callbacks.notifyOperators("the roll of " + request.target().text() + " is " + statusText);
         request = null;
     }
 
-    /** Whether a roll is wanted that is not begun yet. */
+    /** Returns whether a requested rollout has not started yet. */
     boolean hasRequest() {
         return request != null;
     }
 
-    /** Whether a roll is conducted here now. */
+    /** Returns whether this proxy coordinates a rollout now, or collects reports to do so. */
     boolean isActive() {
         return plan != null || collecting;
     }
 
-    /** What is conducted; null for nothing. */
+    /** Returns the plan that is coordinated here; null if there is none. */
     Plan plan() {
         return plan;
     }
 
-    /** Operators want the roll that is under way to go back. */
+    /** Requests a rollback of the current rollout; returns false if no rollout goes forward here. */
     boolean requestRollback() {
         if (plan == null || finished || action != Action.FORWARD) {
             return false;
@@ -111,16 +114,17 @@
         return true;
     }
 
-    /** This proxy holds the lease, under this term. */
-    void tick(double now, long under, Report own) {
-        if (under != term || !holdsLease) {
-            takeOver(now, under);
+    /** Does everything that is due while this proxy holds the lease, under this term. */
+    void tick(double now, long heldTerm, Report own) {
+        if (heldTerm != term || !holdsLease) {
+            takeOver(now, heldTerm);
         }
         receiveReport(now, self, own);
         if (now >= nextReportRequestAt && isActive()) {
             nextReportRequestAt = now + REPORT_REQUEST_INTERVAL_MS;
             for (int m = 0; m < members; m++) {
-                if (m != self && (!memberStates.containsKey(m) || now - memberStates.get(m).reportedAt > RECENT_REPORT_MS)) {
+                if (m != self && (!memberStates.containsKey(m)
+                        || now - memberStates.get(m).reportedAt > RECENT_REPORT_MS)) {
                     callbacks.sendMessage(m, new RolloutMessage.ReportRequest(term));
                 }
             }
@@ -128,16 +132,18 @@
         if (collecting) {
             collectReports(now);
         } else if (plan == null && (request != null || openRolloutReported)) {
-            takeOver(now, under);
+            takeOver(now, heldTerm);
         }
         if (plan != null) {
             advance(now);
         }
     }
 
-    private void takeOver(double now, long under) {
-        sequence = under == term ? sequence : 0;
-        term = under;
+
+    /** Starts to collect reports, as after acquiring the lease. */
+    private void takeOver(double now, long heldTerm) {
+        sequence = heldTerm == term ? sequence : 0;
+        term = heldTerm;
         holdsLease = true;
         collecting = true;
         openRolloutReported = false;
@@ -151,7 +157,7 @@
         rollbackRequested = false;
     }
 
-    /** It does not hold the lease any more; somebody else goes on. */
+    /** This proxy does not hold the lease any more; the next holder continues the rollout. */
     void leaseLost() {
         if (isActive()) {
             statusText = "another goes on with it";
@@ -161,33 +167,34 @@
         holdsLease = false;
     }
 
-    /** Whether it was told that it holds the lease, under this term. */
-    boolean holdsTerm(long under) {
-        return holdsLease && under == term;
+    /** Returns whether this coordinator was told that this proxy holds the lease under this term. */
+    boolean holdsTerm(long heldTerm) {
+        return holdsLease && heldTerm == term;
     }
 
-    /** A member has said how it is; returns what it is told, or null where there is nothing to be told yet. */
+    /** Receives a member's report; returns the order that answers it, or null if there is none yet. */
     RolloutMessage.Order receiveReport(double now, int from, Report report) {
-        MemberState s = memberStates.computeIfAbsent(from, m -> new MemberState());
-        boolean again = s.report != null && s.report.incarnation() == report.incarnation();
-        if (again && report.timestamp() - s.report.timestamp() < 0) {
+        MemberState state = memberStates.computeIfAbsent(from, m -> new MemberState());
+        boolean sameProcess = state.report != null && state.report.incarnation() == report.incarnation();
+        if (sameProcess && report.timestamp() - state.report.timestamp() < 0) {
             return null;
         }
-        if (!again) {
-            s.stepBaseline = null;
+        if (!sameProcess) {
+            state.stepBaseline = null;
         }
-        s.report = report;
-        s.reportedAt = now;
+        state.report = report;
+        state.reportedAt = now;
         if (plan == null) {
             openRolloutReported |= !collecting && report.progress() != null && !report.progress().finished();
             return null;
         }
-        Action what = actionFor(now, from);
-        if (what == Action.FORWARD) {
+        Action ordered = actionFor(now, from);
+        if (ordered == Action.FORWARD) {
             toldForward.add(from);
         }
         sequence++;
-        return new RolloutMessage.Order(report.timestamp(), report.incarnation(), new Progress(plan, term, sequence, action, step, finished), what);
+        return new RolloutMessage.Order(report.timestamp(), report.incarnation(),
+                new Progress(plan, term, sequence, action, step, finished), ordered);
     }
 
     private boolean isAlive(double now, int member) {
@@ -199,24 +206,27 @@
         return memberStates.keySet().stream().filter(m -> isAlive(now, m)).toList();
     }
 
-    /** How many members have said something of themselves that is so; no matter when. */
-    private long count(Predicate<Report> of) {
-        return memberStates.values().stream().filter(s -> of.test(s.report)).count();
+    /** Counts the members whose last report satisfies the condition, however old that report is. */
+    private long count(Predicate<Report> condition) {
+        return memberStates.values().stream().filter(s -> condition.test(s.report)).count();
     }
 
-    private boolean hasInEffect(int member, FileFingerprint stamp) {
-        return stamp.matches(memberStates.get(member).report.version());
+    private boolean hasInEffect(int member, FileFingerprint fingerprint) {
+        return fingerprint.matches(memberStates.get(member).report.version());
     }
 
-    private boolean anyHasInEffect(double now, FileFingerprint stamp) {
-        return aliveMembers(now).stream().anyMatch(m -> hasInEffect(m, stamp));
+    private boolean anyHasInEffect(double now, FileFingerprint fingerprint) {
+        return aliveMembers(now).stream().anyMatch(m -> hasInEffect(m, fingerprint));
     }
 
-    /** Whether those of which nothing is heard have had the time to step aside, since all others were where they are to be. */
+    /**
+     * Returns whether members that are not heard of have had the time to go out of service since the step was complete.
+     */
     private boolean silentMembersOutOfService(double now) {
         for (int m = 0; m < members; m++) {
-            MemberState s = memberStates.get(m);
-            if (!isAlive(now, m) && now - Math.max(stepCompleteAt, s == null ? stepSince : s.reportedAt) <= policy.outOfServiceMs()) {
+            MemberState state = memberStates.get(m);
+            if (!isAlive(now, m) && now - Math.max(stepCompleteAt, state == null ? stepSince : state.reportedAt)
+                    <= policy.outOfServiceMs()) {
                 return false;
             }
         }
@@ -224,7 +234,8 @@
     }
 
     private void collectReports(double now) {
-        boolean enough = memberStates.size() == members || now - stepSince >= COLLECT_TIMEOUT_MS && 2 * memberStates.size() > members;
+        boolean enough = memberStates.size() == members || now - stepSince >= COLLECT_TIMEOUT_MS
+                && 2 * memberStates.size() > members;
         if (!enough) {
             statusText = "hears from " + memberStates.size() + " of " + members;
             return;
@@ -250,29 +261,40 @@
         }
     }
 
-    /** Once anybody knows that a roll goes no further it does not, whoever conducts. */
-    private Action stoppedActionOr(Action best) {
-        for (Action turned : List.of(Action.BACK, Action.CANCEL)) {
-            if (count(r -> r.knows(plan) && r.progress().action() == turned) > 0) {
-                return turned;
+    /**
+     * Returns the action to continue with. Once any member knows that the rollout was stopped, no later coordinator
+     * resumes it.
+     */
+    private Action stoppedActionOr(Action latest) {
+        for (Action stopped : List.of(Action.BACK, Action.CANCEL)) {
+            if (count(r -> r.knows(plan) && r.progress().action() == stopped) > 0) {
+                return stopped;
             }
         }
-        return best;
+        return latest;
     }
 
-    /** Whether somebody takes a roll for open, where the latest is over: it has to hear of that one. */
+    /**
+     * Returns whether a member reports an unfinished rollout. If the latest one is finished, such a member has to be
+     * told of it.
+     */
     private boolean anyReportsOpenRollout() {
         return count(r -> r.progress() != null && !r.progress().finished()) > 0;
     }
 
-    /** Begins the roll that operators want, where all that are not out act under one version. */
+    /** Starts the requested rollout if all members in service have the same version in effect. */
     private void startRequested(double now) {
-        Set<FileVersion> bases = memberStates.values().stream().map(s -> s.report).filter(r -> !r.outOfService()).map(Report::version).collect(Collectors.toSet());
-        // Numbers of rolls that were given up stay used: somebody of whom nothing is heard may have acted on them.
-        int highest = memberStates.values().stream().map(s -> s.report).mapToInt(r -> Math.max(r.version().number(), r.progress() == null ? 0
-                : r.progress().plan().rollback().number())).max().orElse(0);
+        Set<FileVersion> bases = memberStates.values().stream().map(s -> s.report).filter(r -> !r.outOfService())
+                .map(Report::version).collect(Collectors.toSet());
+        // Numbers of cancelled rollouts are not reused: a member that is not heard of may have put them into effect.
+        int highest = memberStates.values().stream().map(s -> s.report)
+                .mapToInt(r -> Math.max(r.version().number(),
+                        r.progress() == null ? 0 : r.progress().plan().rollback().number()))
+                .max().orElse(0);
         if (bases.size() != 1 || highest >= request.target().number()) {
-            dropRequest(bases.size() != 1 ? "the fleet acts under " + bases.stream().map(FileVersion::text).sorted().collect(Collectors.joining(" and "))
+            dropRequest(bases.size() != 1
+                    ? "the fleet acts under "
+                    + bases.stream().map(FileVersion::text).sorted().collect(Collectors.joining(" and "))
                     : "number " + highest + " is known already");
             return;
         }
@@ -284,6 +306,8 @@
         enterStep(now, "begins with " + plan.target().text());
     }
 
+
+    /** Begins a step of the rollout and reports it to the operators. */
     private void enterStep(double now, String what) {
         stepSince = now;
         stepCompleteAt = Double.NaN;
@@ -292,10 +316,10 @@
         callbacks.notifyOperators(what);
     }
 
-    private void changeAction(double now, Action next, String why) {
+    private void changeAction(double now, Action next, String reason) {
         action = next;
         step = 1;
-        enterStep(now, (next == Action.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + why);
+        enterStep(now, (next == Action.BACK ? "goes back from " : "gives up ") + plan.target().text() + ": " + reason);
     }
 
     private void finish(double now, String what) {
@@ -306,7 +330,8 @@
     private void advance(double now) {
         if (finished) {
             List<Integer> alive = aliveMembers(now);
-            boolean allKnow = alive.stream().map(m -> memberStates.get(m).report).allMatch(r -> r.knows(plan) && r.progress().finished());
+            boolean allKnow = alive.stream().map(m -> memberStates.get(m).report)
+                    .allMatch(r -> r.knows(plan) && r.progress().finished());
             if (allKnow || now - stepSince > FINISH_ANNOUNCE_MS) {
                 plan = null;
             }
@@ -316,7 +341,8 @@
             case FORWARD -> advanceForward(now);
             case BACK -> advanceRollback(now);
             default -> {
-                // Most have to know before it is said: whoever goes on with it hears of that from one of them.
+                // The end is announced once a majority knows of it, so that any later coordinator learns of it from one
+                // of them.
                 if (anyHasInEffect(now, plan.target()) || anyHasInEffect(now, plan.rollback())) {
                     changeAction(now, Action.BACK, "one acts on it already");
                 } else if (2 * count(r -> r.knows(plan) && r.progress().action() == Action.CANCEL) > members) {
@@ -348,7 +374,8 @@
         } else if (few) {
             statusText = "step " + step + " waits: " + alive.size() + " of " + members + " are heard of";
         } else if (step == 0) {
-            long staged = alive.stream().map(m -> memberStates.get(m).report).filter(r -> r.knows(plan) && r.staged()).count();
+            long staged = alive.stream().map(m -> memberStates.get(m).report).filter(r -> r.knows(plan) && r.staged())
+                    .count();
             statusText = "staged at " + staged + " of " + alive.size();
             if (staged == alive.size()) {
                 step = 1;
@@ -359,6 +386,8 @@
         }
     }
 
+
+    /** Ends the step once the selected members have the target in effect and were observed for long enough. */
     private void evaluateStep(double now, List<Integer> alive) {
         List<Integer> chosen = selectedMembers(now);
         boolean last = step == policy.steps().size();
@@ -395,7 +424,10 @@
 
     private enum Verdict { GOOD, WORSE, TOO_FEW }
 
-    /** Holds what those that moved served since the step was whole against what the others did, or did last. */
+    /**
+     * Compares the share of requests served since the step was complete: by members with the target in effect against
+     * the share of the others, or the others' last known share.
+     */
     private Verdict compareServedShares(List<Integer> alive) {
         if (policy.minSamples() == 0) {
             return Verdict.GOOD;
@@ -403,11 +435,11 @@
         long[] moved = new long[2];
         long[] others = new long[2];
         for (int m : alive) {
-            MemberState s = memberStates.get(m);
-            if (s.stepBaseline != null) {
+            MemberState state = memberStates.get(m);
+            if (state.stepBaseline != null) {
                 long[] to = hasInEffect(m, plan.target()) ? moved : others;
-                to[0] += s.report.served() - s.stepBaseline.served();
-                to[1] += s.report.ended() - s.stepBaseline.ended();
+                to[0] += state.report.served() - state.stepBaseline.served();
+                to[1] += state.report.ended() - state.stepBaseline.ended();
             }
         }
         if (others[1] >= policy.minSamples()) {
@@ -424,10 +456,12 @@
     private void advanceRollback(double now) {
         List<Integer> alive = aliveMembers(now);
         if (step == 1) {
-            boolean gone = alive.stream().noneMatch(m -> hasInEffect(m, plan.target()) || toldForward.contains(m) && !hasInEffect(m, plan.rollback()));
+            boolean gone = alive.stream().noneMatch(m -> hasInEffect(m, plan.target())
+                    || toldForward.contains(m) && !hasInEffect(m, plan.rollback()));
             if (gone) {
                 step = 2;
-                enterStep(now, "nobody acts on " + plan.target().text() + " any more, all go to " + plan.rollback().text());
+                enterStep(now, "nobody acts on " + plan.target().text() + " any more, all go to "
+                        + plan.rollback().text());
             }
         } else if (2 * alive.size() <= members || !alive.stream().allMatch(m -> hasInEffect(m, plan.rollback()))) {
             stepCompleteAt = Double.NaN;
@@ -439,10 +473,14 @@
         }
     }
 
-    /** Who is to act on the target at this step: who does, and others in an order that follows from the text. */
+    /**
+     * Returns the members that are to have the target in effect at this step: first those that have it or were ordered
+     * to, then others in an order that is derived from the text.
+     */
     private List<Integer> selectedMembers(double now) {
-        return aliveMembers(now).stream().sorted(Comparator.comparing((Integer m) -> !(hasInEffect(m, plan.target()) || toldForward.contains(m))).thenComparing(this::rank))
-                .limit(policy.targetCount(step, members)).toList();
+        return aliveMembers(now).stream().sorted(Comparator
+                .comparing((Integer m) -> !(hasInEffect(m, plan.target()) || toldForward.contains(m)))
+                .thenComparing(this::rank)).limit(policy.targetCount(step, members)).toList();
     }
 
     private long rank(int member) {
@@ -452,13 +490,15 @@
 
     private Action actionFor(double now, int member) {
         return switch (action) {
-            case FORWARD -> finished || step > 0 && selectedMembers(now).contains(member) ? Action.FORWARD : Action.HOLD;
-            case BACK -> finished || step > 1 || toldForward.contains(member) || hasInEffect(member, plan.target()) ? Action.BACK : Action.HOLD;
+            case FORWARD -> finished || step > 0 && selectedMembers(now).contains(member) ? Action.FORWARD
+                    : Action.HOLD;
+            case BACK -> finished || step > 1 || toldForward.contains(member) || hasInEffect(member, plan.target())
+                    ? Action.BACK : Action.HOLD;
             default -> action;
         };
     }
 
-    /** In words. */
+    /** Describes the progress; operators are shown this text. */
     String explain() {
         return statusText;
     }
--- a/core/src/main/java/ridgemill/rollout/RolloutMessage.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutMessage.java
@@ -4,50 +4,60 @@
 import ridgemill.rollout.FileFingerprint.FileVersion;
 import ridgemill.rollout.Plan.Action;
 
-/** What proxies tell each other of rolls. */
+/** Messages between proxies about rollouts. */
 public sealed interface RolloutMessage {
 
-    /** How far a roll is: {@code step} 0 stages, the last is over; of two, the one under the later term is later, and of one term the higher number. */
+    /**
+     * How far a rollout has got. Of two, the one under the higher term is later; under one term, the one with the
+     * higher sequence.
+     *
+     * @param term term of the coordinator's lease
+     * @param sequence grows with each order of a term
+     * @param action direction of the whole rollout
+     * @param step 0 while the texts are staged, then the number of the step
+     * @param finished whether the rollout has ended
+     */
     record Progress(Plan plan, long term, int sequence, Action action, int step, boolean finished) {
 
-        /** Whether it says more than another. */
-        boolean isLaterThan(Progress o) {
-            return o == null || term != o.term ? o == null || term > o.term : sequence > o.sequence;
+        /** Returns whether this is later than another progress; true if there is no other. */
+        boolean isLaterThan(Progress other) {
+            return other == null || term != other.term ? other == null || term > other.term : sequence > other.sequence;
         }
     }
 
-    /** Whoever holds the lease under this term wants to be told how all are. */
+    /** The holder of the lease under this term requests reports from the members. */
     record ReportRequest(long term) implements RolloutMessage { }
 
     /**
-     * How a member is.
+     * The state of a member.
      *
-     * @param timestamp of its own time, to be given back with the order that answers it
-     * @param incarnation of its process
-     * @param version what it acts under
-     * @param progress how far it knows the roll to be; null where it knows of none
-     * @param staged whether it has both texts and has checked them
-     * @param rejection why it does not take one of them; null where it does
-     * @param outOfService whether it has stepped aside
-     * @param served requests that were served since its start, of those that have ended
-     * @param ended requests that have ended since its start, but for those whose client left
+     * @param timestamp time by the member's clock, to be echoed by the order that answers the report
+     * @param incarnation number of its process
+     * @param version its version in effect
+     * @param progress progress of the rollout as far as it knows; null if it knows of none
+     * @param staged whether it has both texts and has validated them
+     * @param rejection why it rejects one of the texts; null if it does not
+     * @param outOfService whether it is out of service
+     * @param served requests served since its start, among those that have ended
+     * @param ended requests that have ended since its start, except those whose client disconnected
      */
-    record Report(int timestamp, int incarnation, FileVersion version, Progress progress, boolean staged, String rejection, boolean outOfService, int served, int ended) implements RolloutMessage {
+    record Report(int timestamp, int incarnation, FileVersion version, Progress progress, boolean staged,
+            String rejection, boolean outOfService, int served, int ended) implements RolloutMessage {
 
-        /** Whether it knows of this plan. */
+        /** Returns whether the member knows of this plan. */
         boolean knows(Plan plan) {
             return progress != null && progress.plan().equals(plan);
         }
     }
 
-    /** What one member is to do now, in answer to its report with this mark. */
+    /** What a member is to do now, in answer to its report with this timestamp. */
     record Order(int echoedTimestamp, int incarnation, Progress progress, Action action) implements RolloutMessage { }
 
     /**
-     * Asks for pieces of a text.
+     * Requests chunks of a text.
      *
-     * @param hashHigh of its stamp
-     * @param indexes of the pieces
+     * @param hashHigh identifies the text, see {@link FileFingerprint#hashHigh}
+     * @param indexes indexes of the chunks
      */
     record ChunkRequest(long hashHigh, List<Integer> indexes) implements RolloutMessage {
 
@@ -56,7 +66,7 @@
         }
     }
 
-    /** One piece of a text. */
+    /** One chunk of a text. */
     record Chunk(long hashHigh, int index, byte[] bytes) implements RolloutMessage {
 
         public Chunk {
@@ -69,9 +79,12 @@
         }
     }
 
-    /** Asks for the stamp of what the asked one acts under, if that is over and under this number. */
+    /**
+     * Asks for the fingerprint of the receiver's version in effect, if no rollout is in progress and its number is
+     * above this.
+     */
     record VersionQuery(int number) implements RolloutMessage { }
 
-    /** The stamp of what the teller acts under, of which no roll is open. */
+    /** The fingerprint of the sender's version in effect, of which no rollout is in progress. */
     record VersionReply(FileFingerprint fingerprint) implements RolloutMessage { }
 }
--- a/core/src/main/java/ridgemill/rollout/RolloutPolicy.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutPolicy.java
@@ -3,22 +3,28 @@
 import java.util.List;
 
 /**
- * How rolls go.
+ * The parameters of a rollout.
  *
- * @param steps which share of the proxies acts on the target after each step, growing, 1 last; at least one proxy
- * @param observationMs for how long a step is looked at, once all of it act
- * @param minSamples requests that have to have ended at those that moved before they are judged; 0 for no judging
- * @param maxDegradation by how much less of their requests may be served than of the others', as a share
- * @param maxOutShare which share of the proxies may be away or shut out
- * @param outOfServiceMs who is not heard of for so long has stepped aside by itself, if it is told to when it is cut off
- * @param stepTimeoutMs a step that takes longer ends the roll: back, or nowhere if nobody has acted
+ * @param steps share of the proxies that have the target in effect after each step, increasing, 1 at last; at least one
+ *     proxy
+ * @param observationMs how long a step is observed once it is complete
+ * @param minSamples number of requests that must have ended at the members with the target in effect before their
+ *     served share is compared; 0 for no comparison
+ * @param maxDegradation by how much their served share may be below that of the other members, as a fraction
+ * @param maxOutShare share of the proxies that may be absent or excluded
+ * @param outOfServiceMs time after which a member that is not heard of has taken itself out of service, if it is
+ *     configured to do so when it is cut off
+ * @param stepTimeoutMs time after which an incomplete step ends the rollout: by a rollback, or by cancelling it if the
+ *     target is not in effect at any member
  */
-public record RolloutPolicy(List<Double> steps, double observationMs, int minSamples, double maxDegradation, double maxOutShare, double outOfServiceMs, double stepTimeoutMs) {
+public record RolloutPolicy(List<Double> steps, double observationMs, int minSamples, double maxDegradation,
+        double maxOutShare, double outOfServiceMs, double stepTimeoutMs) {
 
-    /** One, a tenth, half, all. */
-    public static final RolloutPolicy DEFAULT = new RolloutPolicy(List.of(0.0, 0.1, 0.5, 1.0), 5000, 50, 0.05, 0.34, 12_000, 60_000);
+    /** Steps of one proxy, a tenth, a half and all. */
+    public static final RolloutPolicy DEFAULT = new RolloutPolicy(List.of(0.0, 0.1, 0.5, 1.0), 5000, 50, 0.05, 0.34,
+            12_000, 60_000);
 
-    /** Checks what is said. */
+    /** Checks the parameters. */
     public RolloutPolicy {
         steps = List.copyOf(steps);
         if (steps.isEmpty() || steps.get(steps.size() - 1) != 1) {
@@ -37,12 +43,12 @@
         }
     }
 
-    /** How many of the members act on the target after a step, from 1 on. */
+    /** Returns how many of the members have the target in effect after a step, which is 1 or more. */
     int targetCount(int step, int members) {
         return Math.max(1, (int) Math.ceil(steps.get(step - 1) * members));
     }
 
-    /** How many members may be away. */
+    /** Returns how many members may be absent. */
     int maxAbsent(int members) {
         return (int) (maxOutShare * members);
     }
--- a/core/src/main/java/ridgemill/rollout/RolloutWire.java
+++ b/core/src/main/java/ridgemill/rollout/RolloutWire.java
@@ -11,16 +11,16 @@
 import ridgemill.rollout.Plan.Action;
 import ridgemill.rollout.RolloutMessage.Progress;
 
-/** What proxies tell each other of rolls, as {@link DatagramFrame} datagrams. */
+/** Encodes rollout messages as {@link DatagramFrame} datagrams. */
 public final class RolloutWire {
 
-    /** What a piece of a text may have. */
+    /** Size of the chunks of a text. */
     public static final int CHUNK_BYTES = 216;
-    /** So many pieces are asked for in one datagram. */
+    /** Maximum number of chunks requested in one datagram. */
     public static final int MAX_CHUNKS_PER_REQUEST = 24;
     private static final byte KIND = 'V';
     private static final byte VERSION = 1;
-    /** Of the reason for which a text is refused; the rest is cut off. */
+    /** Maximum size of the reason for rejecting a text; the rest is cut off. */
     private static final int MAX_REASON_BYTES = 72;
     private static final int FLAG_STAGED = 1;
     private static final int FLAG_OUT_OF_SERVICE = 2;
@@ -29,56 +29,63 @@
 
     private RolloutWire() { }
 
-    /** Puts it into a datagram. */
-    public static byte[] encode(RolloutMessage word) {
+    /** Encodes a message. */
+    public static byte[] encode(RolloutMessage message) {
         ByteBuffer out = DatagramFrame.begin(KIND, VERSION);
-        if (word instanceof RolloutMessage.ReportRequest c) {
+        if (message instanceof RolloutMessage.ReportRequest c) {
             putType(out, MessageType.REPORT_REQUEST).putLong(c.term());
-        } else if (word instanceof RolloutMessage.Report r) {
-            putType(out, MessageType.REPORT).putInt(r.timestamp()).putInt(r.incarnation()).putInt(r.version().number()).putLong(r.version().digest())
-                    .putInt(r.served()).putInt(r.ended()).put((byte) ((r.staged() ? FLAG_STAGED : 0) | (r.outOfService() ? FLAG_OUT_OF_SERVICE : 0))).put((byte) (r.progress() == null ? 0 : 1));
+        } else if (message instanceof RolloutMessage.Report r) {
+            putType(out, MessageType.REPORT).putInt(r.timestamp()).putInt(r.incarnation())
+                    .putInt(r.version().number()).putLong(r.version().digest()).putInt(r.served()).putInt(r.ended())
+                    .put((byte) ((r.staged() ? FLAG_STAGED : 0) | (r.outOfService() ? FLAG_OUT_OF_SERVICE : 0)))
+                    .put((byte) (r.progress() == null ? 0 : 1));
             if (r.progress() != null) {
                 put(out, r.progress());
             }
-            byte[] why = r.rejection() == null ? new byte[0] : r.rejection().getBytes(StandardCharsets.US_ASCII);
-            int length = Math.min(MAX_REASON_BYTES, why.length);
-            out.put((byte) (r.rejection() == null ? -1 : length)).put(why, 0, length);
-        } else if (word instanceof RolloutMessage.Order o) {
-            put(putType(out, MessageType.ORDER).putInt(o.echoedTimestamp()).putInt(o.incarnation()).put((byte) o.action().ordinal()), o.progress());
-        } else if (word instanceof RolloutMessage.ChunkRequest w) {
+            byte[] reason = r.rejection() == null ? new byte[0] : r.rejection().getBytes(StandardCharsets.US_ASCII);
+            int length = Math.min(MAX_REASON_BYTES, reason.length);
+            out.put((byte) (r.rejection() == null ? -1 : length)).put(reason, 0, length);
+        } else if (message instanceof RolloutMessage.Order o) {
+            put(putType(out, MessageType.ORDER).putInt(o.echoedTimestamp()).putInt(o.incarnation())
+                    .put((byte) o.action().ordinal()), o.progress());
+        } else if (message instanceof RolloutMessage.ChunkRequest w) {
             putType(out, MessageType.CHUNK_REQUEST).putLong(w.hashHigh()).put((byte) w.indexes().size());
             w.indexes().forEach(i -> out.putShort(i.shortValue()));
-        } else if (word instanceof RolloutMessage.Chunk p) {
-            putType(out, MessageType.CHUNK).putLong(p.hashHigh()).putShort((short) p.index()).putShort((short) p.bytes().length).put(p.bytes());
-        } else if (word instanceof RolloutMessage.VersionQuery s) {
+        } else if (message instanceof RolloutMessage.Chunk p) {
+            putType(out, MessageType.CHUNK).putLong(p.hashHigh()).putShort((short) p.index())
+                    .putShort((short) p.bytes().length).put(p.bytes());
+        } else if (message instanceof RolloutMessage.VersionQuery s) {
             putType(out, MessageType.VERSION_QUERY).putInt(s.number());
-        } else if (word instanceof RolloutMessage.VersionReply s) {
+        } else if (message instanceof RolloutMessage.VersionReply s) {
             put(putType(out, MessageType.VERSION_REPLY), s.fingerprint());
         }
         return DatagramFrame.finish(out);
     }
 
-    private static ByteBuffer putType(ByteBuffer out, MessageType what) {
-        return out.put((byte) what.ordinal());
+    private static ByteBuffer putType(ByteBuffer out, MessageType type) {
+        return out.put((byte) type.ordinal());
     }
 
-    private static void put(ByteBuffer out, FileFingerprint s) {
-        out.putInt(s.number()).putLong(s.digest()).putLong(s.hashHigh()).putLong(s.hashLow()).putInt(s.lengthBytes());
+    private static void put(ByteBuffer out, FileFingerprint fingerprint) {
+        out.putInt(fingerprint.number()).putLong(fingerprint.digest()).putLong(fingerprint.hashHigh())
+                .putLong(fingerprint.hashLow()).putInt(fingerprint.lengthBytes());
     }
 
-    private static void put(ByteBuffer out, Progress s) {
-        out.putInt(s.plan().base().number()).putLong(s.plan().base().digest());
-        put(out, s.plan().target());
-        put(out, s.plan().rollback());
-        out.putLong(s.term()).putInt(s.sequence()).put((byte) s.action().ordinal()).put((byte) s.step()).put((byte) (s.finished() ? 1 : 0));
+    private static void put(ByteBuffer out, Progress progress) {
+        out.putInt(progress.plan().base().number()).putLong(progress.plan().base().digest());
+        put(out, progress.plan().target());
+        put(out, progress.plan().rollback());
+        out.putLong(progress.term()).putInt(progress.sequence()).put((byte) progress.action().ordinal())
+                .put((byte) progress.step()).put((byte) (progress.finished() ? 1 : 0));
     }
 
     private static FileFingerprint readFingerprint(ByteBuffer in) {
-        FileFingerprint stamp = new FileFingerprint(in.getInt(), in.getLong(), in.getLong(), in.getLong(), in.getInt());
-        if (stamp.lengthBytes() < 0 || stamp.lengthBytes() > FileFingerprint.MAX_BYTES) {
-            throw new IllegalArgumentException("a text of " + stamp.lengthBytes() + " bytes");
+        FileFingerprint fingerprint = new FileFingerprint(in.getInt(), in.getLong(), in.getLong(), in.getLong(),
+                in.getInt());
+        if (fingerprint.lengthBytes() < 0 || fingerprint.lengthBytes() > FileFingerprint.MAX_BYTES) {
+            throw new IllegalArgumentException("text length out of range: " + fingerprint.lengthBytes() + " bytes");
         }
-        return stamp;
+        return fingerprint;
     }
 
     private static Progress readProgress(ByteBuffer in) {
@@ -86,7 +93,7 @@
         return new Progress(plan, in.getLong(), in.getInt(), Action.values()[in.get()], in.get(), in.get() != 0);
     }
 
-    /** What a datagram says; empty where it is no such datagram, of another version or spoilt. */
+    /** Decodes a datagram; empty if it is of another kind or version or is corrupt. */
     public static Optional<RolloutMessage> decode(byte[] datagram) {
         return DatagramFrame.open(datagram, KIND, VERSION).flatMap(in -> {
             try {
@@ -101,37 +108,38 @@
         return switch (MessageType.values()[in.get()]) {
             case REPORT_REQUEST -> new RolloutMessage.ReportRequest(in.getLong());
             case REPORT -> {
-                int mark = in.getInt();
+                int timestamp = in.getInt();
                 int incarnation = in.getInt();
-                FileVersion acting = new FileVersion(in.getInt(), in.getLong());
+                FileVersion version = new FileVersion(in.getInt(), in.getLong());
                 int served = in.getInt();
                 int ended = in.getInt();
                 int flags = in.get();
-                Progress stage = in.get() == 0 ? null : readProgress(in);
+                Progress progress = in.get() == 0 ? null : readProgress(in);
                 int length = in.get();
-                String refused = length < 0 ? null : readText(in, length);
-                yield new RolloutMessage.Report(mark, incarnation, acting, stage, (flags & FLAG_STAGED) != 0, refused, (flags & FLAG_OUT_OF_SERVICE) != 0, served, ended);
+                String rejection = length < 0 ? null : readText(in, length);
+                yield new RolloutMessage.Report(timestamp, incarnation, version, progress,
+                        (flags & FLAG_STAGED) != 0, rejection, (flags & FLAG_OUT_OF_SERVICE) != 0, served, ended);
             }
             case ORDER -> {
-                int mark = in.getInt();
+                int timestamp = in.getInt();
                 int incarnation = in.getInt();
-                Action what = Action.values()[in.get()];
-                yield new RolloutMessage.Order(mark, incarnation, readProgress(in), what);
+                Action action = Action.values()[in.get()];
+                yield new RolloutMessage.Order(timestamp, incarnation, readProgress(in), action);
             }
             case CHUNK_REQUEST -> {
-                long high = in.getLong();
+                long hashHigh = in.getLong();
                 List<Integer> indexes = new ArrayList<>();
                 for (int left = in.get(); left > 0; left--) {
                     indexes.add((int) in.getShort());
                 }
-                yield new RolloutMessage.ChunkRequest(high, indexes);
+                yield new RolloutMessage.ChunkRequest(hashHigh, indexes);
             }
             case CHUNK -> {
-                long high = in.getLong();
+                long hashHigh = in.getLong();
                 int index = in.getShort();
                 byte[] bytes = new byte[Math.max(0, in.getShort())];
                 in.get(bytes);
-                yield new RolloutMessage.Chunk(high, index, bytes);
+                yield new RolloutMessage.Chunk(hashHigh, index, bytes);
             }
             case VERSION_QUERY -> new RolloutMessage.VersionQuery(in.getInt());
             case VERSION_REPLY -> new RolloutMessage.VersionReply(readFingerprint(in));
--- a/core/src/main/java/ridgemill/rollout/TextStore.java
+++ b/core/src/main/java/ridgemill/rollout/TextStore.java
@@ -8,89 +8,100 @@
 import java.util.List;
 import java.util.Map;
 
-/** Texts that a proxy has whole, and pieces of those that it fetches. Bounded: of many the one that was put first goes, but for the one that is held. */
+/**
+ * Complete texts, and the received chunks of texts that are being fetched. Bounded: the text that was put first is
+ * evicted, except for the pinned one.
+ */
 final class TextStore {
 
-    /** A proxy's own, a roll's two, and one that a straggler takes. */
+    /** Room for the proxy's own text, the two of a rollout, and one to catch up with the others. */
     private static final int MAX_TEXTS = 5;
 
     private final Map<Long, byte[]> texts = new LinkedHashMap<>();
     private final Map<Long, byte[][]> partialTexts = new LinkedHashMap<>();
     private long pinnedHash;
 
-    /** A whole text. */
-    void put(FileFingerprint stamp, String text) {
-        store(stamp.hashHigh(), text.getBytes(StandardCharsets.UTF_8));
+    /** Stores a complete text. */
+    void put(FileFingerprint fingerprint, String text) {
+        store(fingerprint.hashHigh(), text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** This one stays, in place of the one that was held before: others may want it, and the way back is made of it. */
-    void pin(FileFingerprint stamp) {
-        pinnedHash = stamp.hashHigh();
+    /** Pins a text in place of the one pinned before: other members may request it, and a rollback is made from it. */
+    void pin(FileFingerprint fingerprint) {
+        pinnedHash = fingerprint.hashHigh();
     }
 
-    private void store(long high, byte[] text) {
-        texts.remove(high);
-        texts.put(high, text);
+    private void store(long hashHigh, byte[] text) {
+        texts.remove(hashHigh);
+        texts.put(hashHigh, text);
         if (texts.size() > MAX_TEXTS) {
             texts.keySet().stream().filter(h -> h != pinnedHash).findFirst().ifPresent(texts::remove);
         }
     }
 
-    /** A text that is here whole; null for one that is not. */
-    String text(FileFingerprint stamp) {
-        byte[] text = texts.get(stamp.hashHigh());
+    /** Returns a text; null if it is not complete here. */
+    String text(FileFingerprint fingerprint) {
+        byte[] text = texts.get(fingerprint.hashHigh());
         return text == null ? null : new String(text, StandardCharsets.UTF_8);
     }
 
-    /** Which pieces of a text are still to be had, so many at most; none where it is whole. */
-    List<Integer> missingChunks(FileFingerprint stamp, int most) {
+    /** Returns the indexes of up to {@code maxChunks} missing chunks of a text; none if it is complete. */
+    List<Integer> missingChunks(FileFingerprint fingerprint, int maxChunks) {
         List<Integer> missing = new ArrayList<>();
-        if (texts.containsKey(stamp.hashHigh())) {
+        if (texts.containsKey(fingerprint.hashHigh())) {
             return missing;
         }
-        byte[][] got = partialTexts.computeIfAbsent(stamp.hashHigh(), h -> new byte[chunks(stamp.lengthBytes())][]);
+        byte[][] received = partialTexts.computeIfAbsent(fingerprint.hashHigh(),
+                h -> new byte[chunkCount(fingerprint.lengthBytes())][]);
         if (partialTexts.size() > MAX_TEXTS) {
             partialTexts.remove(partialTexts.keySet().iterator().next());
         }
-        for (int i = 0; i < got.length && missing.size() < most; i++) {
-            if (got[i] == null) {
+        for (int i = 0; i < received.length && missing.size() < maxChunks; i++) {
+            if (received[i] == null) {
                 missing.add(i);
             }
         }
         return missing;
     }
 
-    private static int chunks(int bytes) {
-        return (bytes + RolloutWire.CHUNK_BYTES - 1) / RolloutWire.CHUNK_BYTES;
+    private static int chunkCount(int lengthBytes) {
+        return (lengthBytes + RolloutWire.CHUNK_BYTES - 1) / RolloutWire.CHUNK_BYTES;
     }
 
-    /** A piece that was asked for; what does not fit is dropped. Once all are there and are not the text, all are forgotten. */
-    void addChunk(FileFingerprint stamp, RolloutMessage.Chunk piece) {
-        byte[][] got = partialTexts.get(piece.hashHigh());
-        byte[] bytes = piece.bytes();
-        if (got == null || piece.hashHigh() != stamp.hashHigh() || piece.index() < 0 || piece.index() >= got.length
-                || bytes.length != Math.min(RolloutWire.CHUNK_BYTES, stamp.lengthBytes() - piece.index() * RolloutWire.CHUNK_BYTES)) {
+    /**
+     * Adds a requested chunk; drops it if it does not fit. If the completed text does not match its fingerprint,
+     * discards all chunks.
+     */
+    void addChunk(FileFingerprint fingerprint, RolloutMessage.Chunk chunk) {
+        byte[][] received = partialTexts.get(chunk.hashHigh());
+        byte[] bytes = chunk.bytes();
+        if (received == null || chunk.hashHigh() != fingerprint.hashHigh() || chunk.index() < 0
+                || chunk.index() >= received.length
+                || bytes.length != Math.min(RolloutWire.CHUNK_BYTES,
+                        fingerprint.lengthBytes() - chunk.index() * RolloutWire.CHUNK_BYTES)) {
             return;
         }
-        got[piece.index()] = bytes;
-        if (Arrays.stream(got).allMatch(p -> p != null)) {
-            partialTexts.remove(stamp.hashHigh());
-            ByteBuffer all = ByteBuffer.allocate(stamp.lengthBytes());
-            Arrays.stream(got).forEach(all::put);
-            if (stamp.matchesBytes(all.array())) {
-                store(stamp.hashHigh(), all.array());
+        received[chunk.index()] = bytes;
+        if (Arrays.stream(received).allMatch(p -> p != null)) {
+            partialTexts.remove(fingerprint.hashHigh());
+            ByteBuffer all = ByteBuffer.allocate(fingerprint.lengthBytes());
+            Arrays.stream(received).forEach(all::put);
+            if (fingerprint.matchesBytes(all.array())) {
+                store(fingerprint.hashHigh(), all.array());
             }
         }
     }
 
-    /** The pieces that somebody wants, of what is here whole. */
-    List<RolloutMessage.Chunk> chunks(RolloutMessage.ChunkRequest want) {
-        byte[] text = texts.get(want.hashHigh());
-        List<RolloutMessage.Chunk> pieces = new ArrayList<>();
+    /** Returns the requested chunks of a text that is complete here. */
+    List<RolloutMessage.Chunk> chunks(RolloutMessage.ChunkRequest request) {
+        byte[] text = texts.get(request.hashHigh());
+        List<RolloutMessage.Chunk> result = new ArrayList<>();
         if (text != null) {
-            want.indexes().stream().filter(i -> i >= 0 && i < chunks(text.length)).limit(RolloutWire.MAX_CHUNKS_PER_REQUEST).forEach(i -> pieces.add(
-                    new RolloutMessage.Chunk(want.hashHigh(), i, Arrays.copyOfRange(text, i * RolloutWire.CHUNK_BYTES, Math.min(text.length, (i + 1) * RolloutWire.CHUNK_BYTES)))));
+            request.indexes().stream().filter(i -> i >= 0 && i < chunkCount(text.length))
+                    .limit(RolloutWire.MAX_CHUNKS_PER_REQUEST)
+                    .forEach(i -> result.add(new RolloutMessage.Chunk(request.hashHigh(), i, Arrays.copyOfRange(text,
+                            i * RolloutWire.CHUNK_BYTES, Math.min(text.length, (i + 1) * RolloutWire.CHUNK_BYTES)))));
         }
-        return pieces;
+        return result;
     }
 }
--- a/core/src/main/java/ridgemill/succession/ShutdownPlan.java
+++ b/core/src/main/java/ridgemill/succession/ShutdownPlan.java
@@ -4,34 +4,35 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * How a process leaves after SIGTERM, in milliseconds from then.
+ * How a process shuts down after SIGTERM. Times are milliseconds since the signal.
  *
- * @param hasSuccessor whether another process serves at its address
- * @param acceptMs until when it takes new connections
+ * @param hasSuccessor whether another process serves at the same address
+ * @param acceptMs until when new connections are accepted
  * @param idleMs until when connections without a request stay open
- * @param responseMs until when each request must have its answer; infinite where its client's time alone counts
+ * @param responseMs until when each request must be answered; infinite if only its client's deadline counts
  */
 public record ShutdownPlan(boolean hasSuccessor, double acceptMs, double idleMs, double responseMs) {
 
-    /** New connections still come for 0.4 s after SIGTERM where nobody succeeds; requests on them for a little longer. */
+    /** Without a successor, new connections arrive for 0.4 s after SIGTERM, and requests on them a little longer. */
     private static final double LINGER_MS = 600;
-    /** SIGKILL comes no sooner than the longest deadline, this at most, and then so much later. */
+    /** SIGKILL follows after the longest deadline, limited to MAX_DEADLINE_MS, and GRACE_MS at the earliest. */
     private static final double MAX_DEADLINE_MS = 3000;
     private static final double GRACE_MS = 700;
-    /** What is kept of that for the last answers to be written, and for the process to end by itself. */
+    /** Part of the grace that is reserved for writing the last responses and for the end of the process. */
     private static final double MARGIN_MS = 250;
-    /** A request that comes at the last has so long for its answer: most are answered in a tenth of it. */
+    /** Time for a request that arrives at the last moment; most are answered in a tenth of it. */
     private static final double LAST_RESPONSE_MS = 300;
 
-    /** The plan of a process that nobody succeeds. */
-    public static final ShutdownPlan WITHOUT_SUCCESSOR = new ShutdownPlan(false, LINGER_MS, LINGER_MS, Double.POSITIVE_INFINITY);
+    /** The plan of a process without a successor. */
+    public static final ShutdownPlan WITHOUT_SUCCESSOR = new ShutdownPlan(false, LINGER_MS, LINGER_MS,
+            Double.POSITIVE_INFINITY);
 
     /**
-     * The plan of a process whose classes these are. One that has been succeeded is in nobody's way: it takes nothing new, as
-     * others do, and cuts no connection that a request may be on its way on.
+     * Returns the plan of a process with these service classes. A process with a successor accepts nothing new, as the
+     * successor does, and closes no connection on which a request may be in transit.
      */
-    public static ShutdownPlan of(boolean succeeded, Collection<ServiceClass> classes) {
-        if (!succeeded) {
+    public static ShutdownPlan of(boolean hasSuccessor, Collection<ServiceClass> classes) {
+        if (!hasSuccessor) {
             return WITHOUT_SUCCESSOR;
         }
         double longest = classes.stream().mapToDouble(ServiceClass::deadlineMs).max().orElse(MAX_DEADLINE_MS);
--- a/core/src/main/java/ridgemill/succession/package-info.java
+++ b/core/src/main/java/ridgemill/succession/package-info.java
@@ -1,2 +1,5 @@
-/** How one process of a proxy takes over from another, and how the other leaves. Free of I/O, clocks and threads. */
+/**
+ * How a process of a proxy takes over from another, and how the other one shuts down. The package has no I/O, clocks or
+ * threads.
+ */
 package ridgemill.succession;
--- a/core/src/main/java/ridgemill/version/FleetView.java
+++ b/core/src/main/java/ridgemill/version/FleetView.java
@@ -13,167 +13,186 @@
 import java.util.stream.IntStream;
 
 /**
- * What one proxy knows of which versions the others act under. Each second it tells two others, by chance, of itself, of one more, first of
- * whom something is new, and of some that they live: so what changes reaches all in a few rounds, however many there are, and what a
- * process that was killed said last is known to some. Decides nothing for anybody; says of each who lags, by how much and why. Times are milliseconds.
+ * One proxy's view of the versions in effect at the other members, kept up to date by gossip. Every second the proxy
+ * sends two random members a summary of itself and of one other member, preferring members with changes, and heartbeats
+ * of several more. So a change reaches all members within a few rounds, however many there are, and the last state of a
+ * killed process is known to some. The view decides nothing; for each member it reports whether it lags, by how much,
+ * and why. Times are milliseconds.
  */
 public final class FleetView {
 
-    /** From one round of telling to the next. */
+    /** Interval of the gossip rounds. */
     public static final double ROUND_INTERVAL_MS = 1000;
+    /** Number of members that are sent messages in each round. */
     private static final int FANOUT = 2;
-    /** Who has not been heard of for so long is called silent. */
+    /** A member that has not been heard of for this long is silent. */
     public static final double SILENT_MS = 8000;
-    /** So often news of another version goes before what is only newer: enough for all to have it, at two a round. */
+    /**
+     * How often a changed version is forwarded before summaries that are only newer; with two sends a round it reaches
+     * all members.
+     */
     private static final int CHANGE_FORWARDS = 8;
-    /** The same for one that was not known: all are new to a fleet that starts. */
+    /** The same for a member that was not known: in a fleet that starts, all members are new. */
     private static final int NEW_MEMBER_FORWARDS = 2;
-    /** Who has just been seen behind may be on its way. */
+    /** A member that has been behind for less than this may still be catching up. */
     private static final double ON_ITS_WAY_MS = 5000;
-    /** Who has not come to itself for so long was stopped: what waits for it then is of any age. */
+    /** A proxy that was inactive for this long was suspended, so its queued messages may be of any age. */
     private static final double STALL_MS = 2500;
-    /** For so long after a stop nothing is taken for news: what waited has been read by then. */
+    /** Received messages are ignored for this long after a suspension, by when the queued ones have been read. */
     private static final double CATCH_UP_MS = 500;
-    /** Whoever gives host lists is asked again and again; for so long that is nothing to tell. */
+    /** The source of host lists is polled all the time; a failure for less than this is not reported. */
     private static final int LIST_LATE_S = 5;
-    /** So many of a member's past processes are known as such. */
+    /** Number of past processes of a member that are remembered. */
     private static final int MAX_PAST_PROCESSES = 8;
     private static final double MS_PER_S = 1000;
 
-    /** Why one does not act as the others do. */
+    /** Why a member's version differs from the others'. */
     public enum StatusReason {
-        /** It does. */
+        /** It does not differ. */
         UP_TO_DATE,
-        /** Nothing was ever heard of it. */
+        /** It was never heard of. */
         NEVER_HEARD,
-        /** Nothing new is heard of it: it is stopped, gone or cut off. */
+        /** It has not been heard of lately: it is suspended, has ended or is cut off. */
         SILENT,
-        /** It was given the file and does not take it. */
+        /** It was given a newer file and has refused it. */
         REFUSED,
-        /** It acts under an older file since a moment ago. */
+        /** It has had an older file in effect for a short time. */
         ON_ITS_WAY,
-        /** It acts under an older file and says nothing of a newer one: nobody gave it one. */
+        /** It has an older file in effect and has refused no newer one: it was given none. */
         BEHIND,
-        /** It acts under the same number, and another text than more of the others. */
+        /** It has the highest number with another text than most of the others. */
         OTHER_TEXT,
-        /** Its build is another. */
+        /** It has another build than this proxy. */
         OTHER_BUILD,
-        /** Its platform's configuration is another. */
+        /** It has another platform configuration than this proxy. */
         OTHER_PLATFORM,
-        /** It has stepped aside. */
+        /** It is out of service. */
         OUT,
-        /** It acts as the others do, and can't ask whoever gives the host list. */
+        /** It has the same version as the others, but can't reach the source of the host list. */
         LIST_LATE
     }
 
     /**
-     * How one proxy is, as far as is known here.
+     * The state of one member as far as this proxy knows.
      *
-     * @param summary the last of it; null if none was heard
-     * @param heardAgoMs how long ago that was new here
-     * @param behind how many numbers its file is below the highest
+     * @param summary its last summary; null if there is none
+     * @param heardAgoMs time since the last new information
+     * @param behind by how much its file number is below the highest
      * @param behindMs for how long that has been known here
-     * @param isCurrent whether its last sign of life is of the file that the summary tells of
-     * @param restarts how many of its processes have been heard of, but for the first
+     * @param isCurrent whether its last heartbeat is about the file of the summary
+     * @param restarts number of its known processes after the first
      */
-    public record MemberStatus(int member, Summary summary, double heardAgoMs, StatusReason reason, long behind, double behindMs, boolean isCurrent, int restarts) {
+    public record MemberStatus(int member, Summary summary, double heardAgoMs, StatusReason reason, long behind,
+            double behindMs, boolean isCurrent, int restarts) {
 
-        /** In words. */
+        /** Describes the state; operators are shown this text. */
         public String describe() {
             if (summary == null) {
                 return "never heard";
             }
-            String words = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(summary.fileNumber(),
-                    summary.fileDigest() >>> Integer.SIZE, (summary.inEffectMs() + heardAgoMs) / MS_PER_S, summary.build(), summary.entries(),
-                    summary.begun(), heardAgoMs / MS_PER_S) + (restarts > 0 ? ", started again " + restarts + " times" : "");
+            String text = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(
+                    summary.fileNumber(), summary.fileDigest() >>> Integer.SIZE,
+                    (summary.inEffectMs() + heardAgoMs) / MS_PER_S, summary.build(), summary.entries(),
+                    summary.begun(), heardAgoMs / MS_PER_S)
+                    + (restarts > 0 ? ", started again " + restarts + " times" : "");
             return switch (reason) {
-                case UP_TO_DATE -> words;
-                case REFUSED -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S) + ": refused file "
-                        + summary.refusedFile() + ", see its own audit";
-                case BEHIND, ON_ITS_WAY -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
+                case UP_TO_DATE -> text;
+                case REFUSED -> text + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
+                        + ": refused file " + summary.refusedFile() + ", see its own audit";
+                case BEHIND, ON_ITS_WAY -> text + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
                         + (reason == StatusReason.BEHIND ? ": nobody gave it a newer file" : "");
-                case SILENT -> words + "; SILENT: stopped, gone or cut off" + (behind > 0 ? ", and behind by " + behind : "");
-                case OTHER_TEXT -> words + "; OTHER TEXT under one number";
-                case OTHER_BUILD -> words + "; OTHER BUILD than here";
-                case OTHER_PLATFORM -> words + "; OTHER PLATFORM configuration than here";
-                case LIST_LATE -> words + "; LIST LATE: it has not reached who gives the host list for " + summary.hostListLateS() + " s, and goes by number "
-                        + Integer.toUnsignedString(summary.hostListNumber());
-                case OUT -> words + "; OUT: it has stepped aside" + (behind > 0 ? ", behind by " + behind : "");
+                case SILENT -> text + "; SILENT: stopped, gone or cut off"
+                        + (behind > 0 ? ", and behind by " + behind : "");
+                case OTHER_TEXT -> text + "; OTHER TEXT under one number";
+                case OTHER_BUILD -> text + "; OTHER BUILD than here";
+                case OTHER_PLATFORM -> text + "; OTHER PLATFORM configuration than here";
+                case LIST_LATE -> text + "; LIST LATE: it has not reached who gives the host list for "
+                        + summary.hostListLateS()
+                        + " s, and goes by number " + Integer.toUnsignedString(summary.hostListNumber());
+                case OUT -> text + "; OUT: it has stepped aside" + (behind > 0 ? ", behind by " + behind : "");
                 case NEVER_HEARD -> "never heard";
             };
         }
     }
 
-    /** What is known of one. */
+    /** What is known of one member. */
     private static final class MemberState {
         Summary summary;
         double heardAt;
         double behindSince = Double.NaN;
-        /** The latest sign of life: a summary's number. */
+        /** Sequence of the latest summary or heartbeat. */
         int lastSequence;
-        /** What it acted under then. */
+        /** Checksum of the file in effect at that time. */
         short fileChecksum;
-        /** How often yet it goes before others, as it says that something is other. */
+        /** How often it is still to be forwarded before others, because of a change. */
         int forwardsLeft;
         int processes;
-        /** Its processes that were followed by others: nothing that was said of them counts any more. */
+        /** Past processes of the member, whose messages no longer count. */
         final Deque<Integer> pastIncarnations = new ArrayDeque<>();
 
         /**
-         * Whether a summary is of a process that follows. Mostly that is the one that started later; but a clock may have been set back
-         * between the two, so one that says it started earlier follows as well, once the one that is known has been silent.
+         * Returns whether a summary is of a process that follows the known one. Usually that process has started later.
+         * But the clock may have been set back between the two, so a process with an earlier start follows too once the
+         * known one is silent.
          */
-        boolean isFollowedBy(double nowMs, Summary s) {
-            return s.incarnation() != summary.incarnation() && !pastIncarnations.contains(s.incarnation())
-                    && (s.startedMs() > summary.startedMs() || nowMs - heardAt > SILENT_MS);
+        boolean isFollowedBy(double nowMs, Summary other) {
+            return other.incarnation() != summary.incarnation() && !pastIncarnations.contains(other.incarnation())
+                    && (other.startedMs() > summary.startedMs() || nowMs - heardAt > SILENT_MS);
         }
     }
 
     private final int self;
     private final int members;
     private final SplittableRandom random;
-    private final Map<Integer, MemberState> known = new TreeMap<>();
-    /** Who is yet to be told in this pass over all: so each hears from each, however unlucky both are. */
+    private final Map<Integer, MemberState> memberStates = new TreeMap<>();
+    /**
+     * Members that have not been sent a message in the current pass over all of them; so every member hears from every
+     * other.
+     */
     private final List<Integer> pendingTargets = new ArrayList<>();
     private double lastActiveAt = Double.NaN;
     private double ignoreUntil = Double.NEGATIVE_INFINITY;
 
-    /** {@code self} is this proxy's place among so many members. */
+    /** Creates the view of the proxy that is number {@code self} of the members. */
     public FleetView(int self, int members, long seed) {
         this.self = self;
         this.members = members;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Whom to tell what in this round: two others, or all there are, each of itself and of those that were told of least. */
+    /**
+     * Returns the messages of one round by receiver: to two other members, or to all there are, each with the summary
+     * of this proxy and of the members that are still to be forwarded most often.
+     */
     public Map<Integer, Gossip> gossipRound(double nowMs, Summary own) {
         updateOwn(nowMs, own);
-        Map<Integer, Gossip> telling = new TreeMap<>();
+        Map<Integer, Gossip> messages = new TreeMap<>();
         for (int i = 0; i < Math.min(FANOUT, members - 1); i++) {
             if (pendingTargets.isEmpty()) {
                 pendingTargets.addAll(IntStream.range(0, members).filter(m -> m != self).boxed().toList());
             }
             int to = pendingTargets.remove(random.nextInt(pendingTargets.size()));
-            List<Summary> words = new ArrayList<>(List.of(own));
+            List<Summary> summaries = new ArrayList<>(List.of(own));
             List<MemberState> rest = new ArrayList<>();
-            known.forEach((member, k) -> {
+            memberStates.forEach((member, state) -> {
                 if (member != self && member != to) {
-                    rest.add(k);
+                    rest.add(state);
                 }
             });
             shuffle(rest);
-            rest.sort(Comparator.comparingInt(k -> -k.forwardsLeft));
-            while (words.size() < SummaryWire.MAX_SUMMARIES && !rest.isEmpty()) {
-                MemberState k = rest.remove(0);
-                k.forwardsLeft = Math.max(0, k.forwardsLeft - 1);
-                words.add(k.summary);
+            rest.sort(Comparator.comparingInt(state -> -state.forwardsLeft));
+            while (summaries.size() < SummaryWire.MAX_SUMMARIES && !rest.isEmpty()) {
+                MemberState state = rest.remove(0);
+                state.forwardsLeft = Math.max(0, state.forwardsLeft - 1);
+                summaries.add(state.summary);
             }
             shuffle(rest);
-            // A silent one's last sign of life says nothing to anybody.
-            telling.put(to, new Gossip(words, rest.stream().filter(k -> nowMs - k.heardAt < SILENT_MS).limit(SummaryWire.MAX_HEARTBEATS)
-                    .map(k -> new Gossip.Heartbeat(k.summary.member(), (short) k.summary.incarnation(), k.lastSequence, k.fileChecksum)).toList()));
+            // The last heartbeat of a silent member is of no use.
+            messages.put(to, new Gossip(summaries, rest.stream().filter(state -> nowMs - state.heardAt < SILENT_MS)
+                    .limit(SummaryWire.MAX_HEARTBEATS).map(state -> new Gossip.Heartbeat(state.summary.member(),
+                            (short) state.summary.incarnation(), state.lastSequence, state.fileChecksum)).toList()));
         }
-        return telling;
+        return messages;
     }
 
     private void shuffle(List<MemberState> all) {
@@ -182,12 +201,14 @@
         }
     }
 
-    /** What this proxy says of itself now. */
+    /** Updates the state of this proxy. */
     public void updateOwn(double nowMs, Summary own) {
         detectStall(nowMs);
         merge(nowMs, own);
     }
 
+
+    /** Ignores received messages for a while if this proxy was suspended, since queued ones may be of any age. */
     private void detectStall(double nowMs) {
         if (nowMs - lastActiveAt > STALL_MS) {
             ignoreUntil = nowMs + CATCH_UP_MS;
@@ -195,104 +216,119 @@
         lastActiveAt = nowMs;
     }
 
-    /** Another proxy says what it knows. */
+    /** Receives another proxy's message. */
     public void receive(double nowMs, Gossip gossip) {
         detectStall(nowMs);
         if (nowMs < ignoreUntil) {
             return;
         }
-        gossip.summaries().stream().filter(s -> s.member() >= 0 && s.member() < members && s.member() != self).forEach(s -> merge(nowMs, s));
-        for (Gossip.Heartbeat a : gossip.heartbeats()) {
-            MemberState k = known.get(a.member());
-            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.sequence() > k.lastSequence) {
-                k.lastSequence = a.sequence();
-                k.fileChecksum = a.fileChecksum();
-                k.heardAt = nowMs;
+        gossip.summaries().stream()
+                .filter(summary -> summary.member() >= 0 && summary.member() < members && summary.member() != self)
+                .forEach(summary -> merge(nowMs, summary));
+        for (Gossip.Heartbeat heartbeat : gossip.heartbeats()) {
+            MemberState state = memberStates.get(heartbeat.member());
+            if (state != null && heartbeat.member() != self
+                    && (short) state.summary.incarnation() == heartbeat.incarnation()
+                    && heartbeat.sequence() > state.lastSequence) {
+                state.lastSequence = heartbeat.sequence();
+                state.fileChecksum = heartbeat.fileChecksum();
+                state.heardAt = nowMs;
             }
         }
     }
 
-    private void merge(double nowMs, Summary s) {
-        MemberState k = known.get(s.member());
-        boolean follows = k != null && k.isFollowedBy(nowMs, s);
-        if (k == null || follows || s.isLaterThan(k.summary)) {
-            MemberState next = k == null ? new MemberState() : k;
+    private void merge(double nowMs, Summary received) {
+        MemberState state = memberStates.get(received.member());
+        boolean follows = state != null && state.isFollowedBy(nowMs, received);
+        if (state == null || follows || received.isLaterThan(state.summary)) {
+            MemberState updated = state == null ? new MemberState() : state;
             if (follows) {
-                next.pastIncarnations.addLast(k.summary.incarnation());
-                if (next.pastIncarnations.size() > MAX_PAST_PROCESSES) {
-                    next.pastIncarnations.removeFirst();
+                updated.pastIncarnations.addLast(state.summary.incarnation());
+                if (updated.pastIncarnations.size() > MAX_PAST_PROCESSES) {
+                    updated.pastIncarnations.removeFirst();
                 }
             }
-            next.forwardsLeft = k == null ? NEW_MEMBER_FORWARDS : k.summary.differsFrom(s) ? CHANGE_FORWARDS : next.forwardsLeft;
-            next.processes += k == null || follows ? 1 : 0;
-            if (k == null || follows || s.sequence() > k.lastSequence) {
-                next.lastSequence = s.sequence();
-                next.fileChecksum = s.fileChecksum();
-                next.heardAt = nowMs;
+            updated.forwardsLeft = state == null ? NEW_MEMBER_FORWARDS : state.summary.differsFrom(received)
+                    ? CHANGE_FORWARDS : updated.forwardsLeft;
+            updated.processes += state == null || follows ? 1 : 0;
+            if (state == null || follows || received.sequence() > state.lastSequence) {
+                updated.lastSequence = received.sequence();
+                updated.fileChecksum = received.fileChecksum();
+                updated.heardAt = nowMs;
             }
-            next.summary = s;
-            known.put(s.member(), next);
+            updated.summary = received;
+            memberStates.put(received.member(), updated);
         }
-        long head = highestFileNumber();
-        known.values().forEach(o -> o.behindSince = o.summary.fileNumber() >= head ? Double.NaN : Double.isNaN(o.behindSince) ? nowMs : o.behindSince);
+        long highest = highestFileNumber();
+        memberStates.values().forEach(other -> other.behindSince = other.summary.fileNumber() >= highest ? Double.NaN
+                : Double.isNaN(other.behindSince) ? nowMs : other.behindSince);
     }
 
-    /** The highest number that anybody is known to act under; 0 where nobody is known. */
+    /** Returns the highest file number known to be in effect at a member; 0 if no member is known. */
     public long highestFileNumber() {
-        return known.values().stream().mapToLong(k -> k.summary.fileNumber()).max().orElse(0);
+        return memberStates.values().stream().mapToLong(state -> state.summary.fileNumber()).max().orElse(0);
     }
 
-    /** The text that most act under of those at the highest number; of two that as many do, the lower digest. */
-    private long majorityDigest() {
-        long head = highestFileNumber();
+    /**
+     * Returns the digest that is most common among the files with the highest number; of two equally common ones the
+     * lower.
+     */
+    private long mostCommonDigest() {
+        long highest = highestFileNumber();
         Map<Long, Integer> counts = new HashMap<>();
-        known.values().stream().filter(k -> k.summary.fileNumber() == head).forEach(k -> counts.merge(k.summary.fileDigest(), 1, Integer::sum));
-        return counts.entrySet().stream().min(Comparator.comparing((Map.Entry<Long, Integer> e) -> -e.getValue()).thenComparing(Map.Entry::getKey))
-                .map(Map.Entry::getKey).orElse(0L);
+        memberStates.values().stream().filter(state -> state.summary.fileNumber() == highest)
+                .forEach(state -> counts.merge(state.summary.fileDigest(), 1, Integer::sum));
+        return counts.entrySet().stream().min(Comparator.comparing((Map.Entry<Long, Integer> e) -> -e.getValue())
+                .thenComparing(Map.Entry::getKey)).map(Map.Entry::getKey).orElse(0L);
     }
 
-    /** Whether the last that is known of a member is that it has stepped aside. */
+    /** Returns whether a member was out of service by the last that is known of it. */
     public boolean isOutOfService(int member) {
-        MemberState k = known.get(member);
-        return k != null && k.summary.outOfService();
+        MemberState state = memberStates.get(member);
+        return state != null && state.summary.outOfService();
     }
 
-    /** Whether this was heard of lately: a process of which nothing is heard for longer may be gone. */
-    public static boolean isAlive(MemberStatus s) {
-        return s.summary() != null && s.heardAgoMs() <= SILENT_MS;
+    /** Returns whether a member was heard of lately; otherwise its process may have ended. */
+    public static boolean isAlive(MemberStatus status) {
+        return status.summary() != null && status.heardAgoMs() <= SILENT_MS;
     }
 
-    /** How each member is, in their order. */
+    /** Returns the state of each member, in their order. */
     public List<MemberStatus> statuses(double nowMs) {
         List<MemberStatus> all = new ArrayList<>();
-        long head = highestFileNumber();
-        long text = majorityDigest();
+        long highest = highestFileNumber();
+        long commonDigest = mostCommonDigest();
         for (int i = 0; i < members; i++) {
-            MemberState k = known.get(i);
-            if (k == null) {
+            MemberState state = memberStates.get(i);
+            if (state == null) {
                 all.add(new MemberStatus(i, null, 0, StatusReason.NEVER_HEARD, 0, 0, false, 0));
                 continue;
             }
-            long behind = head - k.summary.fileNumber();
-            double behindMs = Double.isNaN(k.behindSince) ? 0 : nowMs - k.behindSince;
-            all.add(new MemberStatus(i, k.summary, nowMs - k.heardAt, determineReason(nowMs, i, k, behind, behindMs, text), behind, behindMs,
-                    k.fileChecksum == k.summary.fileChecksum(), k.processes - 1));
+            long behind = highest - state.summary.fileNumber();
+            double behindMs = Double.isNaN(state.behindSince) ? 0 : nowMs - state.behindSince;
+            all.add(new MemberStatus(i, state.summary, nowMs - state.heardAt,
+                    determineReason(nowMs, i, state, behind, behindMs, commonDigest),
+                    behind, behindMs, state.fileChecksum == state.summary.fileChecksum(), state.processes - 1));
         }
         return all;
     }
 
-    private StatusReason determineReason(double nowMs, int member, MemberState k, long behind, double behindMs, long text) {
-        Summary own = known.containsKey(self) ? known.get(self).summary : k.summary;
-        if (member != self && nowMs - k.heardAt > SILENT_MS) {
+    private StatusReason determineReason(double nowMs, int member, MemberState state, long behind, double behindMs,
+            long commonDigest) {
+        Summary own = memberStates.containsKey(self) ? memberStates.get(self).summary : state.summary;
+        if (member != self && nowMs - state.heardAt > SILENT_MS) {
             return StatusReason.SILENT;
         }
-        if (k.summary.outOfService()) {
+        if (state.summary.outOfService()) {
             return StatusReason.OUT;
         }
         if (behind > 0) {
-            return k.summary.refusedFile() > k.summary.fileNumber() ? StatusReason.REFUSED : behindMs < ON_ITS_WAY_MS ? StatusReason.ON_ITS_WAY : StatusReason.BEHIND;
+            return state.summary.refusedFile() > state.summary.fileNumber() ? StatusReason.REFUSED
+                    : behindMs < ON_ITS_WAY_MS ? StatusReason.ON_ITS_WAY : StatusReason.BEHIND;
         }
-        return k.summary.fileDigest() != text ? StatusReason.OTHER_TEXT : k.summary.build() != own.build() ? StatusReason.OTHER_BUILD
-                : k.summary.platform() != own.platform() ? StatusReason.OTHER_PLATFORM : k.summary.hostListLateS() >= LIST_LATE_S ? StatusReason.LIST_LATE : StatusReason.UP_TO_DATE;
+        return state.summary.fileDigest() != commonDigest ? StatusReason.OTHER_TEXT
+                : state.summary.build() != own.build() ? StatusReason.OTHER_BUILD
+                : state.summary.platform() != own.platform() ? StatusReason.OTHER_PLATFORM
+                : state.summary.hostListLateS() >= LIST_LATE_S ? StatusReason.LIST_LATE : StatusReason.UP_TO_DATE;
     }
 }
