--- a/core/src/main/java/ridgemill/version/Gossip.java
+++ b/core/src/main/java/ridgemill/version/Gossip.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What one proxy tells another in a round.
+ * What one proxy sends to another in a gossip round.
  *
- * @param summaries of itself, first, and of others
- * @param heartbeats of whom else it knows that it lives, and as of when
+ * @param summaries summary of the sender, first, and of other members
+ * @param heartbeats last signs of life of further members
  */
 public record Gossip(List<Summary> summaries, List<Heartbeat> heartbeats) {
 
     /**
-     * A process lived when it had made this summary.
+     * Sign of life of a process: it was alive when it made the summary with this sequence.
      *
-     * @param member the proxy, by its place among the peers
-     * @param incarnation the low 16 bits of its process'
-     * @param sequence of the summary
-     * @param fileChecksum of the file that it acted under then: 16 bits of its number and digest
+     * @param member index of the proxy among the peers
+     * @param incarnation low 16 bits of the process' incarnation
+     * @param sequence sequence of the summary
+     * @param fileChecksum checksum of the file in effect then: 16 bits of its number and digest
      */
     public record Heartbeat(int member, short incarnation, int sequence, short fileChecksum) { }
 
--- a/core/src/main/java/ridgemill/version/HostListHistory.java
+++ b/core/src/main/java/ridgemill/version/HostListHistory.java
@@ -8,17 +8,17 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** Which host list of each group a process went by, and the last changes. Bounded. Used by one thread. */
+/** The current host list of each group that a process uses, and the recent changes. Bounded. Used by one thread. */
 public final class HostListHistory {
 
-    /** So many changes are kept, of all groups together. */
+    /** Maximum number of changes that are kept, for all groups together. */
     public static final int MAX_CHANGES = 64;
 
     /**
-     * One list.
+     * A host list in use.
      *
-     * @param number its number, as whoever gave it says
-     * @param sinceMs from when on it held
+     * @param number number that its source gave it
+     * @param sinceMs time since which it has been in use
      */
     public record ActiveList(String group, long number, double sinceMs) { }
 
@@ -27,48 +27,49 @@
     private final Map<String, Double> lateSince = new TreeMap<>();
     private long changeCount;
 
-    /** A list holds; returns the number before it where that is higher, as after a start of whoever gives the lists. */
-    OptionalLong update(double nowMs, String group, long list) {
+    /** Sets a group's list; returns the previous number if that is higher, as after a restart of the lists' source. */
+    OptionalLong update(double nowMs, String group, long number) {
         lateSince.remove(group);
-        ActiveList before = current.get(group);
-        if (before != null && before.number() == list) {
+        ActiveList previous = current.get(group);
+        if (previous != null && previous.number() == number) {
             return OptionalLong.empty();
         }
-        current.put(group, new ActiveList(group, list, nowMs));
+        current.put(group, new ActiveList(group, number, nowMs));
         recentChanges.addLast(current.get(group));
         changeCount++;
         if (recentChanges.size() > MAX_CHANGES) {
             recentChanges.removeFirst();
         }
-        return before != null && before.number() > list ? OptionalLong.of(before.number()) : OptionalLong.empty();
+        return previous != null && previous.number() > number ? OptionalLong.of(previous.number())
+                : OptionalLong.empty();
     }
 
-    /** Whoever gives the list can't be asked. */
+    /** Records that the source of the list could not be reached. */
     void markLate(double nowMs, String group) {
         lateSince.putIfAbsent(group, nowMs);
     }
 
-    /** For how long a group's list may have been late; 0 while it is not. */
+    /** Returns for how long a group's list may have been outdated; 0 while its source is reachable. */
     public double lateMs(double nowMs, String group) {
         return lateSince.containsKey(group) ? nowMs - lateSince.get(group) : 0;
     }
 
-    /** The lists that hold, by group. */
+    /** Returns the current lists, ordered by group. */
     public List<ActiveList> current() {
         return new ArrayList<>(current.values());
     }
 
-    /** The number of the group's list; 0 where there is none. */
+    /** Returns the number of the group's current list; 0 if there is none. */
     public long currentNumber(String group) {
         return current.containsKey(group) ? current.get(group).number() : 0;
     }
 
-    /** The last changes, the oldest first. */
+    /** Returns the recent changes, oldest first. */
     public List<ActiveList> recentChanges() {
         return new ArrayList<>(recentChanges);
     }
 
-    /** How many changes there ever were. */
+    /** Returns the number of changes since the start. */
     public long changeCount() {
         return changeCount;
     }
--- a/core/src/main/java/ridgemill/version/RequestTrace.java
+++ b/core/src/main/java/ridgemill/version/RequestTrace.java
@@ -7,10 +7,10 @@
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
-/** What one request was decided under, and what became of it. Used by one thread. */
+/** The version under which one request was handled, its attempts and its result. Used by one thread. */
 public final class RequestTrace implements VersionTracker.RequestVersion {
 
-    /** One attempt: {@code outcome} is null while it is out. */
+    /** An attempt at a node; {@code outcome} is null and {@code endMs} NaN while it is open. */
     public record Attempt(String node, double sentMs, double endMs, Outcome outcome) { }
 
     private final VersionPeriod period;
@@ -24,21 +24,21 @@
     private Reason reason = Reason.UNSAID;
     private double endMs = Double.NaN;
 
-    RequestTrace(VersionPeriod era, String id, String service, String group, long list, double fromMs) {
-        this.period = era;
+    RequestTrace(VersionPeriod period, String id, String service, String group, long hostList, double startMs) {
+        this.period = period;
         this.id = id;
         this.service = service;
         this.group = group;
-        this.hostList = list;
-        this.startMs = fromMs;
+        this.hostList = hostList;
+        this.startMs = startMs;
     }
 
     @Override
-    public void requestEnded(double nowMs, String of, RequestResult as, Reason because) {
+    public void requestEnded(double nowMs, String service, RequestResult result, Reason cause) {
         endMs = nowMs;
-        end = as;
-        reason = because;
-        period.requestEnded(nowMs, of, as, because);
+        end = result;
+        reason = cause;
+        period.requestEnded(nowMs, service, result, cause);
     }
 
     @Override
@@ -49,9 +49,9 @@
     @Override
     public void attemptEnded(double nowMs, Outcome outcome) {
         int last = attempts.size() - 1;
-        Attempt out = last < 0 ? null : attempts.get(last);
-        if (out != null && out.outcome() == null) {
-            attempts.set(last, new Attempt(out.node(), out.sentMs(), nowMs, outcome));
+        Attempt open = last < 0 ? null : attempts.get(last);
+        if (open != null && open.outcome() == null) {
+            attempts.set(last, new Attempt(open.node(), open.sentMs(), nowMs, outcome));
         }
     }
 
@@ -65,7 +65,7 @@
         return period.versionLabel();
     }
 
-    /** What it was decided under. */
+    /** Returns the period under whose version the request was handled. */
     public VersionPeriod period() {
         return period;
     }
@@ -74,42 +74,42 @@
         return id;
     }
 
-    /** Its class. */
+    /** Returns the name of its service class. */
     public String service() {
         return service;
     }
 
-    /** The group of nodes that it went to. */
+    /** Returns the group of nodes that it was sent to. */
     public String group() {
         return group;
     }
 
-    /** The number of that group's host list when it began. */
+    /** Returns the number of that group's host list when the request began. */
     public long hostList() {
         return hostList;
     }
 
-    /** When it was taken. */
+    /** Returns the time at which the request was taken. */
     public double startMs() {
         return startMs;
     }
 
-    /** When it ended; NaN while it is open. */
+    /** Returns the time at which the request ended; NaN while it is open. */
     public double endMs() {
         return endMs;
     }
 
-    /** Its attempts, in turn. */
+    /** Returns its attempts in their order. */
     public List<Attempt> sent() {
         return List.copyOf(attempts);
     }
 
-    /** How it ended; null while it is open. */
+    /** Returns how the request ended; null while it is open. */
     public RequestResult end() {
         return end;
     }
 
-    /** Why it ended so, as far as somebody said. */
+    /** Returns why it ended that way, if a reason was given. */
     public Reason reason() {
         return reason;
     }
--- a/core/src/main/java/ridgemill/version/VersionHistory.java
+++ b/core/src/main/java/ridgemill/version/VersionHistory.java
@@ -11,14 +11,15 @@
 import ridgemill.core.VersionTracker;
 
 /**
- * What a process has acted under since its start: an era for each version, with counts, and a chain of entries for each change and
- * each refused one. Bounded: of the oldest eras only the sum stays, and the digest of the oldest entry that went. Used by one thread.
+ * The versions in effect at a process since its start: a period for each version, with counts of its requests, and a
+ * hash chain of entries for each change and each refused change. Bounded: of evicted periods only the sum of their
+ * requests is kept, and of evicted entries the digest of the last one. Used by one thread.
  */
 public final class VersionHistory implements VersionTracker {
 
-    /** So many eras are kept with their counts; one that still has open requests stays longer. */
+    /** Maximum number of periods that are kept; one that still has open requests is kept longer. */
     public static final int MAX_PERIODS = 64;
-    /** So many entries are kept. */
+    /** Maximum number of entries that are kept. */
     public static final int MAX_ENTRIES = 256;
 
     private final String name;
@@ -38,57 +39,64 @@
     private String lastRefusal;
 
     /**
-     * The record of a process that has just started.
+     * Creates the history of a process that has just started.
      *
-     * @param name of the proxy
-     * @param incarnation of this process; no other of the proxy has it
-     * @param tells whether nodes are told with each attempt
+     * @param name name of the proxy
+     * @param incarnation number of this process, which no other process of the proxy has
+     * @param labelsAttempts whether nodes are sent a version label with each attempt
      */
-    public VersionHistory(String name, int incarnation, double nowMs, EffectiveVersion acting, boolean tells) {
-        this.labelsAttempts = tells;
+    public VersionHistory(String name, int incarnation, double nowMs, EffectiveVersion version,
+            boolean labelsAttempts) {
+        this.labelsAttempts = labelsAttempts;
         this.name = name;
         this.incarnation = incarnation;
         this.digestBefore = AuditEntry.origin(name, incarnation);
         this.digest = digestBefore;
-        change(nowMs, acting, "started");
+        change(nowMs, version, "started");
     }
 
-    /** So many of the last requests are kept one by one; 0 keeps none. */
-    public void keepTraces(int most) {
-        maxTraces = most;
+    /** Sets how many of the last requests are traced one by one; 0 for none. */
+    public void keepTraces(int max) {
+        maxTraces = max;
     }
 
-    /** Each entry is shown there too, those that there are first. */
-    public void setEntryListener(Consumer<AuditEntry> to) {
-        entryListener = to;
-        entries.forEach(to);
+    /** Sets the listener that receives each entry, beginning with the existing ones. */
+    public void setEntryListener(Consumer<AuditEntry> listener) {
+        entryListener = listener;
+        entries.forEach(listener);
     }
 
-    /** Requests are taken under this from now on; those that are open go on as they began. Returns the era that begins. */
-    public VersionPeriod change(double nowMs, EffectiveVersion acting, String cause) {
+    /**
+     * Puts a version into effect for new requests; open requests keep the version they began under. Returns the new
+     * period.
+     */
+    public VersionPeriod change(double nowMs, EffectiveVersion version, String cause) {
         if (!periods.isEmpty()) {
             currentPeriod().close(nowMs);
         }
-        VersionPeriod era = new VersionPeriod(nextPeriod++, acting, nowMs, cause, labelsAttempts ? label(acting) : null);
-        periods.addLast(era);
+        VersionPeriod period = new VersionPeriod(nextPeriod++, version, nowMs, cause,
+                labelsAttempts ? label(version) : null);
+        periods.addLast(period);
         while (periods.size() > MAX_PERIODS && periods.peekFirst().openRequests() == 0) {
             evictedRequests += periods.removeFirst().begun();
         }
         lastRefusal = null;
-        recordEvent(nowMs, "acts under " + acting.text() + " build " + acting.build() + " platform " + acting.platform() + ": " + cause);
-        return era;
+        recordEvent(nowMs, "acts under " + version.text() + " build " + version.build() + " platform "
+                + version.platform() + ": " + cause);
+        return period;
     }
 
-    /** A change was asked for and not made. */
-    public void recordRefusal(double nowMs, String what) {
-        lastRefusal = what;
-        recordEvent(nowMs, "refused " + what);
+    /** Records that a requested change was refused. */
+    public void recordRefusal(double nowMs, String refusal) {
+        lastRefusal = refusal;
+        recordEvent(nowMs, "refused " + refusal);
     }
 
     @Override
     public void hostListConfirmed(double nowMs, String group, long list) {
-        hostLists.update(nowMs, group, list).ifPresent(was ->
-                recordEvent(nowMs, "list of " + (group.isEmpty() ? "the platform" : group) + " fell from " + was + " to " + list));
+        hostLists.update(nowMs, group, list).ifPresent(previous ->
+                recordEvent(nowMs, "list of " + (group.isEmpty() ? "the platform" : group) + " fell from " + previous
+                        + " to " + list));
     }
 
     @Override
@@ -96,19 +104,19 @@
         hostLists.markLate(nowMs, group);
     }
 
-    /** The host lists that it went by. */
+    /** Returns the host lists that this process has used. */
     public HostListHistory hostLists() {
         return hostLists;
     }
 
-    /** What became of the last request with this id; null where it is not kept, or not any more. */
+    /** Returns the trace of the last request with this id; null if it is not kept. */
     public RequestTrace trace(String id) {
         return traces.get(id);
     }
 
-    /** Something else that this process acts under has changed, such as a lease's term. */
-    public void recordEvent(double nowMs, String what) {
-        AuditEntry entry = AuditEntry.after(digest, nextEntry++, nowMs, what.replaceAll("[\\r\\n]+", " "));
+    /** Adds an entry for another change that affects this process, such as a lease's term. */
+    public void recordEvent(double nowMs, String description) {
+        AuditEntry entry = AuditEntry.after(digest, nextEntry++, nowMs, description.replaceAll("[\\r\\n]+", " "));
         digest = entry.digest();
         entries.addLast(entry);
         entryListener.accept(entry);
@@ -117,42 +125,42 @@
         }
     }
 
-    /** The era that goes on. */
+    /** Returns the current period. */
     public VersionPeriod currentPeriod() {
         return periods.getLast();
     }
 
-    /** Those that are kept, the oldest first. */
+    /** Returns the periods that are kept, oldest first. */
     public List<VersionPeriod> periods() {
         return new ArrayList<>(periods);
     }
 
-    /** The entries that are kept, the oldest first. */
+    /** Returns the entries that are kept, oldest first. */
     public List<AuditEntry> entries() {
         return new ArrayList<>(entries);
     }
 
-    /** The digest before the oldest entry that is kept. */
+    /** Returns the digest of the entry before the oldest one that is kept. */
     public String digestBefore() {
         return digestBefore;
     }
 
-    /** The digest of the last entry: of all that there is. */
+    /** Returns the digest of the last entry, which covers the whole chain. */
     public String digest() {
         return digest;
     }
 
-    /** How many entries there ever were. */
+    /** Returns the number of entries since the start of the process. */
     public long size() {
         return nextEntry;
     }
 
-    /** Requests that were taken in eras that are kept no more. */
+    /** Returns the number of requests that were taken in evicted periods. */
     public long evictedRequests() {
         return evictedRequests;
     }
 
-    /** What was refused last and has not been made up for; null for nothing. */
+    /** Returns the last refused change if no change has followed it; otherwise null. */
     public String lastRefusal() {
         return lastRefusal;
     }
@@ -165,9 +173,9 @@
         return incarnation;
     }
 
-    /** As nodes are told: proxy, process and version, such as {@code p0#1a2b3c4d/12.5f0c33a1}. */
-    public String label(EffectiveVersion acting) {
-        return name + "#" + Integer.toHexString(incarnation) + "/" + acting.text();
+    /** Returns the label that nodes are sent: proxy, process and version, such as {@code p0#1a2b3c4d/12.5f0c33a1}. */
+    public String label(EffectiveVersion version) {
+        return name + "#" + Integer.toHexString(incarnation) + "/" + version.text();
     }
 
     @Override
@@ -176,14 +184,14 @@
         if (maxTraces == 0 || id == null) {
             return currentPeriod();
         }
-        RequestTrace trail = new RequestTrace(currentPeriod(), id, service, group, list, nowMs);
+        RequestTrace trace = new RequestTrace(currentPeriod(), id, service, group, list, nowMs);
         traces.remove(id);
-        traces.put(id, trail);
+        traces.put(id, trace);
         if (traces.size() > maxTraces) {
             Iterator<RequestTrace> oldest = traces.values().iterator();
             oldest.next();
             oldest.remove();
         }
-        return trail;
+        return trace;
     }
 }
--- a/core/src/main/java/ridgemill/version/VersionPeriod.java
+++ b/core/src/main/java/ridgemill/version/VersionPeriod.java
@@ -6,7 +6,9 @@
 import ridgemill.core.VersionTracker;
 import ridgemill.policy.Reason;
 
-/** A stretch of time in which a process took requests under one version, and what became of those. Used by one thread. */
+/**
+ * A period in which a process took requests under one version, with the counts of those requests. Used by one thread.
+ */
 public final class VersionPeriod implements VersionTracker.RequestVersion {
 
     private final long index;
@@ -19,26 +21,26 @@
     private long begun;
     private long attempts;
 
-    VersionPeriod(long index, EffectiveVersion acting, double fromMs, String cause, String label) {
+    VersionPeriod(long index, EffectiveVersion version, double startMs, String cause, String label) {
         this.label = label;
         this.index = index;
-        this.version = acting;
-        this.startMs = fromMs;
+        this.version = version;
+        this.startMs = startMs;
         this.cause = cause;
     }
 
-    /** A request was taken under it; {@link #requestEnded} is owed. */
+    /** Counts a request that was taken under this version; {@link #requestEnded} must be called for it. */
     public void requestBegan() {
         begun++;
     }
 
-    /** One of a class that was taken under it has ended so, now or long after. */
+    /** Counts the end of a request that was taken under this version, also after the period has ended. */
     @Override
-    public void requestEnded(double nowMs, String service, RequestResult end, Reason why) {
-        endCounts.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()]++;
+    public void requestEnded(double nowMs, String service, RequestResult result, Reason reason) {
+        endCounts.computeIfAbsent(service, s -> new long[RequestResult.values().length])[result.ordinal()]++;
     }
 
-    /** An attempt of such a request was written whole to a node. */
+    /** Counts an attempt of such a request that was completely written to a node. */
     @Override
     public void attemptWritten() {
         attempts++;
@@ -53,7 +55,7 @@
         endMs = atMs;
     }
 
-    /** Its place in the process' record, from 0. */
+    /** Returns the period's index in the history of the process, from 0. */
     public long index() {
         return index;
     }
@@ -66,47 +68,47 @@
         return startMs;
     }
 
-    /** When the next began; NaN for the one that goes on. */
+    /** Returns the time at which the next period began; NaN for the current one. */
     public double endMs() {
         return endMs;
     }
 
-    /** Why it began, in words. */
+    /** Returns why the period began. */
     public String cause() {
         return cause;
     }
 
-    /** Requests taken under it. */
+    /** Returns the number of requests taken under this version. */
     public long begun() {
         return begun;
     }
 
-    /** Attempts of such requests that were written whole. */
+    /** Returns the number of attempts of such requests that were completely written. */
     public long attempts() {
         return attempts;
     }
 
-    /** Requests of a class that ended so. */
-    public long count(String service, RequestResult end) {
-        long[] of = endCounts.get(service);
-        return of == null ? 0 : of[end.ordinal()];
+    /** Returns the number of requests of a service class that ended with this result. */
+    public long count(String service, RequestResult result) {
+        long[] counts = endCounts.get(service);
+        return counts == null ? 0 : counts[result.ordinal()];
     }
 
-    /** Requests of all classes that ended so. */
-    public long count(RequestResult end) {
-        return endCounts.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
+    /** Returns the number of requests of all service classes that ended with this result. */
+    public long count(RequestResult result) {
+        return endCounts.values().stream().mapToLong(counts -> counts[result.ordinal()]).sum();
     }
 
-    /** Requests that have no final answer yet. */
+    /** Returns the number of requests that have no final answer yet. */
     public long openRequests() {
-        long over = 0;
-        for (RequestResult end : RequestResult.values()) {
-            over += count(end);
+        long ended = 0;
+        for (RequestResult result : RequestResult.values()) {
+            ended += count(result);
         }
-        return begun - over;
+        return begun - ended;
     }
 
-    /** The classes of which requests have ended, in the order of their names. */
+    /** Returns the names of the service classes of which requests have ended, sorted. */
     public Iterable<String> classNames() {
         return endCounts.keySet();
     }
--- a/core/src/main/java/ridgemill/version/package-info.java
+++ b/core/src/main/java/ridgemill/version/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which version of what each request was decided under, what is kept of that, and what one proxy knows of the others. Free of I/O,
- * clocks and threads; times are passed in, in milliseconds of Unix time. Design: docs/design/fleet-audit.md.
+ * The versions that requests are handled under: the history that a process keeps of them, and what one proxy knows of
+ * the other members. The package has no I/O, clocks or threads; times are passed in, in milliseconds of Unix time. The
+ * design is described in docs/design/fleet-audit.md.
  */
 package ridgemill.version;
