--- a/core/src/test/java/ridgemill/lease/TargetScheduleTest.java
+++ b/core/src/test/java/ridgemill/lease/TargetScheduleTest.java
@@ -7,58 +7,58 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.lease.TargetSchedule.Outcome;
 
-/** Which act is next, and what came of those before. */
+/** Checks which target is next, and how outcomes are recorded. */
 class TargetScheduleTest {
 
     @Test
-    void oneThatOperatorsStartGoesOverItsTargetsOnce() {
-        TargetSchedule sweep = new TargetSchedule(3, 0, 0);
-        assertFalse(sweep.wantsLease());
-        assertEquals(-1, sweep.nextTarget(1e9));
-        assertTrue(sweep.start(10));
-        assertFalse(sweep.start(11), "one is under way");
+    void runStartedByOperatorsCallsEachTargetOnce() {
+        TargetSchedule schedule = new TargetSchedule(3, 0, 0);
+        assertFalse(schedule.wantsLease());
+        assertEquals(-1, schedule.nextTarget(1e9));
+        assertTrue(schedule.start(10));
+        assertFalse(schedule.start(11), "a run is in progress");
         for (int i = 0; i < 3; i++) {
-            assertTrue(sweep.wantsLease());
-            assertEquals(i, sweep.nextTarget(20));
-            sweep.recordOutcome(Outcome.DONE);
+            assertTrue(schedule.wantsLease());
+            assertEquals(i, schedule.nextTarget(20));
+            schedule.recordOutcome(Outcome.DONE);
         }
-        assertEquals(-1, sweep.nextTarget(30));
-        assertFalse(sweep.wantsLease());
-        assertTrue(sweep.start(40));
+        assertEquals(-1, schedule.nextTarget(30));
+        assertFalse(schedule.wantsLease());
+        assertTrue(schedule.start(40));
     }
 
     @Test
-    void aTargetThatFailsIsTriedAgainAndThenLeftOut() {
-        TargetSchedule sweep = new TargetSchedule(2, 0, 0);
-        sweep.start(0);
+    void failingTargetIsRetriedAndThenSkipped() {
+        TargetSchedule schedule = new TargetSchedule(2, 0, 0);
+        schedule.start(0);
         for (int i = 0; i < TargetSchedule.MAX_TRIES; i++) {
-            assertEquals(0, sweep.nextTarget(i));
-            sweep.recordOutcome(Outcome.FAILED);
+            assertEquals(0, schedule.nextTarget(i));
+            schedule.recordOutcome(Outcome.FAILED);
         }
-        assertEquals(1, sweep.nextTarget(10));
-        assertTrue(sweep.explain().contains("failed at try 3, not yet"), sweep::explain);
+        assertEquals(1, schedule.nextTarget(10));
+        assertTrue(schedule.explain().contains("failed at try 3, not yet"), schedule::explain);
     }
 
     @Test
-    void anActThatIsRefusedIsForTheNextLease() {
-        TargetSchedule sweep = new TargetSchedule(1, 0, 0);
-        sweep.start(0);
+    void refusedCallIsRepeated() {
+        TargetSchedule schedule = new TargetSchedule(1, 0, 0);
+        schedule.start(0);
         for (int i = 0; i < 10; i++) {
-            assertEquals(0, sweep.nextTarget(i), "as often as it takes: it took no effect");
-            sweep.recordOutcome(Outcome.REFUSED);
+            assertEquals(0, schedule.nextTarget(i), "a refused call took no effect");
+            schedule.recordOutcome(Outcome.REFUSED);
         }
-        sweep.recordOutcome(Outcome.DONE);
-        assertTrue(sweep.explain().endsWith("1 runs, 11 acts, 10 refused, 0 failed"), sweep::explain);
+        schedule.recordOutcome(Outcome.DONE);
+        assertTrue(schedule.explain().endsWith("1 runs, 11 acts, 10 refused, 0 failed"), schedule::explain);
     }
 
     @Test
-    void oneThatGoesOnByItselfKeepsItsTime() {
-        TargetSchedule sweep = new TargetSchedule(1, 100, 50);
-        assertTrue(sweep.wantsLease());
-        assertEquals(0, sweep.nextTarget(50));
-        sweep.recordOutcome(Outcome.DONE);
-        assertEquals(-1, sweep.nextTarget(149));
-        assertEquals(150, sweep.dueAt());
-        assertEquals(0, sweep.nextTarget(150));
+    void repeatedTaskKeepsItsInterval() {
+        TargetSchedule schedule = new TargetSchedule(1, 100, 50);
+        assertTrue(schedule.wantsLease());
+        assertEquals(0, schedule.nextTarget(50));
+        schedule.recordOutcome(Outcome.DONE);
+        assertEquals(-1, schedule.nextTarget(149));
+        assertEquals(150, schedule.dueAt());
+        assertEquals(0, schedule.nextTarget(150));
     }
 }
--- a/core/src/test/java/ridgemill/lease/VoterSetsTest.java
+++ b/core/src/test/java/ridgemill/lease/VoterSetsTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Who votes on what, and that times make sense. */
+/** Checks how voters are chosen and changed, and that unusable lease times are rejected. */
 class VoterSetsTest {
 
     private static List<Integer> numbers(int count) {
@@ -20,53 +20,54 @@
     }
 
     @Test
-    void aTaskHasAsManyVotersHoweverLargeTheTierAndTasksAreSpread() {
-        VoterSets of100 = new VoterSets(1, numbers(100), List.of(), 5);
-        Set<Integer> all = new HashSet<>();
+    void numberOfVotersIsFixedAndTasksAreSpreadOverAllMembers() {
+        VoterSets voterSets = new VoterSets(1, numbers(100), List.of(), 5);
+        Set<Integer> voters = new HashSet<>();
         for (int task = 0; task < 1000; task++) {
-            assertEquals(5, of100.voters(LeaseManager.hash("t" + task)).size());
-            all.addAll(of100.voters(LeaseManager.hash("t" + task)));
+            assertEquals(5, voterSets.voters(LeaseManager.hash("t" + task)).size());
+            voters.addAll(voterSets.voters(LeaseManager.hash("t" + task)));
         }
-        assertEquals(100, all.size());
+        assertEquals(100, voters.size());
         assertEquals(3, new VoterSets(1, numbers(3), List.of(), 5).voters(7).size());
     }
 
     @Test
-    void aMemberThatGoesTakesAtMostItsOwnPlaceWithIt() {
-        VoterSets with = new VoterSets(1, numbers(20), List.of(), 5);
-        List<Integer> rest = new ArrayList<>(numbers(20));
-        rest.remove(Integer.valueOf(7));
-        VoterSets without = new VoterSets(2, rest, with.pool(), 5);
+    void removingAMemberChangesAtMostOneVoterPerTask() {
+        VoterSets before = new VoterSets(1, numbers(20), List.of(), 5);
+        List<Integer> remaining = new ArrayList<>(numbers(20));
+        remaining.remove(Integer.valueOf(7));
+        VoterSets after = new VoterSets(2, remaining, before.pool(), 5);
         for (int task = 0; task < 200; task++) {
-            Set<Integer> kept = new HashSet<>(with.voters(task));
-            kept.retainAll(without.voters(task));
-            assertTrue(kept.size() >= 4);
+            Set<Integer> common = new HashSet<>(before.voters(task));
+            common.retainAll(after.voters(task));
+            assertTrue(common.size() >= 4);
         }
     }
 
     @Test
-    void theOrderInAFileMakesNoDifferenceAndItsContentsDo() {
-        VoterSets a = new VoterSets(1, List.of(3, 1, 2), List.of(), 3);
-        assertEquals(a, new VoterSets(1, List.of(1, 2, 3), List.of(), 3));
-        assertEquals(a.digest(), new VoterSets(1, List.of(2, 3, 1), List.of(), 3).digest());
-        assertNotEquals(a.digest(), new VoterSets(1, List.of(1, 2, 4), List.of(), 3).digest());
-        assertNotEquals(a.digest(), new VoterSets(1, List.of(1, 2, 3), List.of(1), 3).digest());
-        assertNotEquals(a.digest(), new VoterSets(1, List.of(1, 2, 3), List.of(), 5).digest());
+    void digestDependsOnContentsButNotOnOrder() {
+        VoterSets voterSets = new VoterSets(1, List.of(3, 1, 2), List.of(), 3);
+        assertEquals(voterSets, new VoterSets(1, List.of(1, 2, 3), List.of(), 3));
+        assertEquals(voterSets.digest(), new VoterSets(1, List.of(2, 3, 1), List.of(), 3).digest());
+        assertNotEquals(voterSets.digest(), new VoterSets(1, List.of(1, 2, 4), List.of(), 3).digest());
+        assertNotEquals(voterSets.digest(), new VoterSets(1, List.of(1, 2, 3), List.of(1), 3).digest());
+        assertNotEquals(voterSets.digest(), new VoterSets(1, List.of(1, 2, 3), List.of(), 5).digest());
     }
 
     @Test
-    void electoratesThatCannotFollowAreRefusedAndNothingChanges() {
+    void voterSetsThatDoNotFollowAreRejectedWithoutAChange() {
         VoterSets first = new VoterSets(3, List.of(0, 1, 2), List.of(), 3);
-        LeaseManager leases = new LeaseManager(0, 1, LeasePolicy.DEFAULT, first, List.of("t"), 1, 0, new LeaseManager.Callbacks() {
+        LeaseManager leases = new LeaseManager(0, 1, LeasePolicy.DEFAULT, first, List.of("t"), 1, 0,
+                new LeaseManager.Callbacks() {
             @Override
             public void send(int to, LeaseMessage message) { }
 
             @Override
-            public void statusChanged(String task, String words) { }
+            public void statusChanged(String task, String description) { }
         });
-        for (VoterSets bad : List.of(new VoterSets(2, List.of(0, 1), List.of(), 3), new VoterSets(3, List.of(0, 1), List.of(), 3),
-                new VoterSets(4, List.of(0, 1), List.of(0, 1), 3))) {
-            assertThrows(IllegalArgumentException.class, () -> leases.changeVoterSets(10, bad));
+        for (VoterSets invalid : List.of(new VoterSets(2, List.of(0, 1), List.of(), 3),
+                new VoterSets(3, List.of(0, 1), List.of(), 3), new VoterSets(4, List.of(0, 1), List.of(0, 1), 3))) {
+            assertThrows(IllegalArgumentException.class, () -> leases.changeVoterSets(10, invalid));
             assertEquals(3, leases.voterSetsVersion());
         }
         leases.changeVoterSets(10, first);
@@ -75,12 +76,13 @@
     }
 
     @Test
-    void timesThatLeaveNoneToActAreRefused() {
+    void policyThatLeavesAHolderTooLittleTimeIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> new LeasePolicy(1000, 0.05, 900, 50));
         assertThrows(IllegalArgumentException.class, () -> new LeasePolicy(1000, 0.3, 0, 10));
         assertThrows(IllegalArgumentException.class, () -> new LeasePolicy(0, 0, 0, 10));
-        LeasePolicy usual = LeasePolicy.DEFAULT;
-        assertTrue(usual.holdMs() / (1 - usual.drift()) <= usual.lengthMs(), "a slow clock's holder ends in time");
-        assertTrue(usual.promiseMs() / (1 + usual.drift()) >= usual.lengthMs(), "a fast clock's voter waits for long enough");
+        LeasePolicy policy = LeasePolicy.DEFAULT;
+        assertTrue(policy.holdMs() / (1 - policy.drift()) <= policy.lengthMs(), "a slow clock's holder ends in time");
+        assertTrue(policy.promiseMs() / (1 + policy.drift()) >= policy.lengthMs(),
+                "a fast clock's voter waits for long enough");
     }
 }
