--- a/core/src/main/java/ridgemill/lease/Candidate.java
+++ b/core/src/main/java/ridgemill/lease/Candidate.java
@@ -16,10 +16,7 @@
 
     /** Number of latest rounds whose answers still count. The vote of an older round has expired or is about to. */
     private static final int TRACKED_ROUNDS = 16;
-    /**
-     * Timeout of an attempt and upper bound of the wait before the next one, as multiples of
-     * {@link LeasePolicy#answerMs}.
-     */
+    /** Timeout of an attempt and range of the random wait before the next one, in {@link LeasePolicy#answerMs}. */
     private static final double ATTEMPT_TIMEOUT_ANSWERS = 4;
     private static final double MAX_BACKOFF_ANSWERS = 6;
     /** Part of the holding time after which the lease is renewed. */
--- a/core/src/test/java/ridgemill/lease/LeaseTransferTest.java
+++ b/core/src/test/java/ridgemill/lease/LeaseTransferTest.java
@@ -39,7 +39,8 @@
 
     private void run(double ms) {
         for (double until = now + ms; now < until; now++) {
-            for (List<Packet> delivered = new ArrayList<>(network); !delivered.isEmpty(); delivered = new ArrayList<>(network)) {
+            for (List<Packet> delivered = new ArrayList<>(network); !delivered.isEmpty();
+                    delivered = new ArrayList<>(network)) {
                 network.clear();
                 delivered.forEach(p -> members.get(p.to()).receive(now, p.from(), p.message()));
             }
