--- a/core/src/main/java/ridgemill/lease/TargetSchedule.java
+++ b/core/src/main/java/ridgemill/lease/TargetSchedule.java
@@ -6,109 +6,115 @@
 import java.util.Locale;
 
 /**
- * The acts of one task, one after the other: a call to each target in turn, again after a time where the task goes on by itself,
- * else once for each time that operators start it. It says what is to be done next and keeps what came of it; whether it may be
- * done is the lease's to say. Times are milliseconds.
+ * Schedules the calls of one task: one call to each target in turn. A run over all targets is repeated at an interval,
+ * or is started by operators. Selects the next target and records the outcomes; whether a call may be made is decided
+ * by the lease. Times are milliseconds.
  */
 public final class TargetSchedule {
 
-    /** How often a target is tried in one run before it is left out. */
+    /** Number of tries per target in one run, after which the target is skipped. */
     public static final int MAX_TRIES = 3;
 
-    /** What came of one act. */
+    /** Outcome of one call. */
     public enum Outcome {
-        /** It took effect. */
+        /** The call took effect. */
         DONE,
-        /** The receiver has seen a higher term: another holds the lease. */
+        /** The receiver has seen a higher term: another member holds the lease. */
         REFUSED,
-        /** No answer in time, or another that tells of no effect; it may have had one. */
+        /** No answer in time, or an answer that reports no effect; the call may have had one. */
         FAILED
     }
 
     private final int targets;
-    private final double everyMs;
+    private final double intervalMs;
     private final int[] tries;
-    private final Outcome[] last;
+    private final Outcome[] lastOutcomes;
     private boolean running;
     private double dueAt;
-    private int next;
+    private int current;
     private long runs;
-    private long acts;
+    private long calls;
     private long refused;
     private long failed;
 
-    /** {@code everyMs} is the time from one run's beginning to the next one's; 0 where operators start each. */
-    public TargetSchedule(int targets, double everyMs, double now) {
+    /**
+     * Creates a schedule; {@code intervalMs} is the time between the starts of two runs, 0 if operators start each run.
+     */
+    public TargetSchedule(int targets, double intervalMs, double now) {
         this.targets = targets;
-        this.everyMs = everyMs;
+        this.intervalMs = intervalMs;
         this.tries = new int[targets];
-        this.last = new Outcome[targets];
-        this.dueAt = everyMs > 0 ? now : Double.POSITIVE_INFINITY;
+        this.lastOutcomes = new Outcome[targets];
+        this.dueAt = intervalMs > 0 ? now : Double.POSITIVE_INFINITY;
     }
 
-    /** Whether the lease is wanted now: while there is something to do, and always by one that goes on by itself. */
+    /** Returns whether the lease is wanted: during a run, and always for a repeated task. */
     public boolean wantsLease() {
-        return everyMs > 0 || running;
+        return intervalMs > 0 || running;
     }
 
-    /** Operators start a run; false if one is under way. */
+    /** Starts a run on behalf of operators; returns false if one is in progress. */
     public boolean start(double now) {
         if (running) {
             return false;
         }
-        begin(now);
+        beginRun(now);
         return true;
     }
 
-    private void begin(double now) {
+    private void beginRun(double now) {
         running = true;
-        next = 0;
+        current = 0;
         Arrays.fill(tries, 0);
-        Arrays.fill(last, null);
-        dueAt = everyMs > 0 ? now + everyMs : Double.POSITIVE_INFINITY;
+        Arrays.fill(lastOutcomes, null);
+        dueAt = intervalMs > 0 ? now + intervalMs : Double.POSITIVE_INFINITY;
     }
 
-    /** The target to act on now; -1 for none. */
+    /** Returns the index of the target to call now; -1 if there is none. */
     public int nextTarget(double now) {
         if (!running && now >= dueAt) {
-            begin(now);
+            beginRun(now);
         }
-        return running ? next : -1;
+        return running ? current : -1;
     }
 
-    /** When there is something to do next, where there is nothing now. */
+    /** Returns the start of the next run; negative infinity during a run. */
     public double dueAt() {
         return running ? Double.NEGATIVE_INFINITY : dueAt;
     }
 
-    /** An act on the present target has ended. One that was refused ends nothing: it is for whoever holds the lease then. */
+    /**
+     * Records the outcome of the call to the current target. A refused call is to be repeated by the holder of the
+     * lease.
+     */
     public void recordOutcome(Outcome outcome) {
-        acts++;
-        tries[next]++;
-        last[next] = outcome;
+        calls++;
+        tries[current]++;
+        lastOutcomes[current] = outcome;
         refused += outcome == Outcome.REFUSED ? 1 : 0;
         failed += outcome == Outcome.FAILED ? 1 : 0;
-        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[next] >= MAX_TRIES) {
-            next++;
+        if (outcome == Outcome.DONE || outcome == Outcome.FAILED && tries[current] >= MAX_TRIES) {
+            current++;
         }
-        if (next == targets) {
+        if (current == targets) {
             running = false;
             runs++;
         }
     }
 
-    /** Whether a run is under way. */
+    /** Returns whether a run is in progress. */
     public boolean isRunning() {
         return running;
     }
 
-    /** How it goes, in words. */
+    /** Describes the progress; operators are shown this text. */
     public String explain() {
         List<String> each = new ArrayList<>();
         for (int i = 0; i < targets; i++) {
-            each.add(last[i] == null ? "not yet" : last[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
+            each.add(lastOutcomes[i] == null ? "not yet"
+                    : lastOutcomes[i].name().toLowerCase(Locale.ROOT) + (tries[i] > 1 ? " at try " + tries[i] : ""));
         }
-        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs + " runs, " + acts
-                + " acts, " + refused + " refused, " + failed + " failed";
+        return (running ? "running: " : runs > 0 ? "last run: " : "never run: ") + String.join(", ", each) + "; " + runs
+                + " runs, " + calls + " acts, " + refused + " refused, " + failed + " failed";
     }
 }
--- a/core/src/main/java/ridgemill/rollout/Rollout.java
+++ b/core/src/main/java/ridgemill/rollout/Rollout.java
@@ -3,224 +3,235 @@
 import java.util.ArrayList;
 import java.util.List;
 import ridgemill.rollout.FileFingerprint.FileVersion;
-import ridgemill.rollout.RolloutCoordinator.Wish;
+import ridgemill.rollout.RolloutCoordinator.Request;
 
 /**
- * One proxy's part in taking versions through the fleet: it follows whoever holds the lease, and conducts while it does so itself.
- * Members are numbered from 0, the same at all proxies. Used by one thread.
+ * One proxy's part in rollouts of operator files over the fleet. The proxy follows the coordinator, which holds the
+ * lease, and is the coordinator while it holds the lease itself. Members are numbered from 0, the same at all proxies.
+ * Used by one thread.
  */
 public final class Rollout {
 
-    /** When to look again while something is under way, and while nothing is. */
-    private static final double BUSY_MS = 50;
-    private static final double IDLE_MS = 250;
-    private static final double OPEN_MS = 3000;
+    /** Interval of {@link #tick} while a rollout is in progress, and otherwise. */
+    private static final double BUSY_TICK_MS = 50;
+    private static final double IDLE_TICK_MS = 250;
+    /** How long a member's report of an unfinished rollout makes this proxy want the lease. */
+    private static final double OPEN_REPORT_MS = 3000;
 
-    /** Where words go and what is done; called from within the calls of {@link Rollout}. */
+    /** Sends messages and acts on this proxy; called during calls of {@link Rollout}. */
     public interface Callbacks {
 
-        /** The term under which this proxy may conduct at this moment; 0 where it may not. */
+        /** Returns the term under which this proxy may coordinate at this moment; 0 if it may not. */
         long term();
 
-        /** Tells a member something. */
-        void sendMessage(int to, RolloutMessage word);
+        /** Sends a message to a member. */
+        void sendMessage(int to, RolloutMessage message);
 
-        /** Has a text looked at, at once or later; {@link Rollout#validated} is owed for it. */
-        void validate(FileFingerprint stamp, String text);
+        /** Validates a text, at once or later; {@link Rollout#validated} must be called with the result. */
+        void validate(FileFingerprint fingerprint, String text);
 
-        /** Has this proxy act under a text, which is not to begin after {@code byMs}; {@link Rollout#applied} is owed for it. */
-        void apply(FileFingerprint stamp, String text, double byMs, long term);
+        /**
+         * Puts a text into effect on this proxy; {@link Rollout#applied} must be called with the result.
+         *
+         * @param byMs latest time at which this may begin
+         * @param term term of the order; 0 if the proxy catches up with the others
+         */
+        void apply(FileFingerprint fingerprint, String text, double byMs, long term);
 
-        /** Something that operators want to know has happened. */
-        void notifyOperators(String words);
+        /** Reports an event to the operators. */
+        void notifyOperators(String event);
 
-        /** What this proxy acts under now. */
+        /** Returns the version in effect on this proxy. */
         FileVersion versionInEffect();
 
-        /** Whether it has stepped aside. */
+        /** Returns whether this proxy is out of service. */
         boolean isOutOfService();
 
-        /** What it has served since its start. */
+        /** Returns the numbers of requests since the start of this proxy. */
         Counts counts();
     }
 
     /**
-     * What a proxy has served since its start.
+     * Numbers of requests since the start of a proxy.
      *
-     * @param served requests
-     * @param ended requests, served or not, but for those whose client left
+     * @param served requests that were served
+     * @param ended requests that have ended, served or not, except those whose client disconnected
      */
     public record Counts(int served, int ended) { }
 
     private final int self;
-    private final Callbacks out;
-    private final Shelf shelf = new Shelf();
+    private final Callbacks callbacks;
+    private final TextStore texts = new TextStore();
     private final Follower follower;
-    private final RolloutCoordinator conductor;
-    private FileFingerprint own;
-    private double openAt = Double.NEGATIVE_INFINITY;
+    private final RolloutCoordinator coordinator;
+    private FileFingerprint inEffect;
+    private double openReportedAt = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param self this proxy's number
-     * @param members how many there are
-     * @param incarnation of this process
+     * Creates a proxy's part in rollouts.
+     *
+     * @param self this proxy's member number
+     * @param members number of members
+     * @param incarnation number of this process
      */
-    public Rollout(int self, int members, int incarnation, double now, RolloutPolicy policy, Callbacks out) {
+    public Rollout(int self, int members, int incarnation, double now, RolloutPolicy policy, Callbacks callbacks) {
         this.self = self;
-        this.out = out;
-        this.follower = new Follower(now, incarnation, shelf, out);
-        this.conductor = new RolloutCoordinator(self, members, policy, out);
+        this.callbacks = callbacks;
+        this.follower = new Follower(now, incarnation, texts, callbacks);
+        this.coordinator = new RolloutCoordinator(self, members, policy, callbacks);
     }
 
-    /** This proxy acts under a text from now on; others may have it from here. */
-    public void setInEffect(FileFingerprint stamp, String text) {
-        own = stamp;
-        shelf.put(stamp, text);
-        shelf.hold(stamp);
+    /** A text is in effect on this proxy from now on, and may be fetched from it. */
+    public void setInEffect(FileFingerprint fingerprint, String text) {
+        inEffect = fingerprint;
+        texts.put(fingerprint, text);
+        texts.pin(fingerprint);
     }
 
-    /** The text that this proxy acts under. */
+    /** Returns the text in effect on this proxy. */
     public String textInEffect() {
-        return shelf.text(own);
+        return texts.text(inEffect);
     }
 
     /**
-     * Operators want the fleet to act under a text, whose number is to be above all that are known.
+     * Begins a rollout at the operators' request, once this proxy holds the lease.
      *
-     * @param target has been checked here
-     * @param back what this proxy acts under, with a number above the target's; has been checked here
-     * @return whether it is begun, as soon as this proxy holds the lease; or why not
+     * @param target text with a number above all known ones; has been validated here
+     * @param rollback contents of the version in effect, with a number above the target's; has been validated here
+     * @return the result or the reason of a refusal, as operators are shown it
      */
-    public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
-        if (conductor.isWished() || conductor.isOpen() || follower.isOpen()) {
+    public String begin(FileFingerprint target, String targetText, FileFingerprint rollback, String rollbackText) {
+        if (coordinator.hasRequest() || coordinator.isActive() || follower.isOpen()) {
             return "no: a roll is under way: " + follower.explain();
         }
-        if (out.isOutOfService()) {
+        if (callbacks.isOutOfService()) {
             return "no: this proxy has stepped aside; ask another";
         }
-        if (target.number() <= out.versionInEffect().number() || back.number() <= target.number()) {
-            return "no: number " + out.versionInEffect().number() + " is acted under already";
+        if (target.number() <= callbacks.versionInEffect().number() || rollback.number() <= target.number()) {
+            return "no: number " + callbacks.versionInEffect().number() + " is acted under already";
         }
-        shelf.put(target, targetText);
-        shelf.put(back, backText);
-        conductor.wish(new Wish(target, back));
+        texts.put(target, targetText);
+        texts.put(rollback, rollbackText);
+        coordinator.requestRollout(new Request(target, rollback));
         return "begun: as soon as this proxy holds the lease";
     }
 
-    /** Operators want the roll that is conducted here to go back. */
+    /** Rolls the rollout back that is coordinated here; returns the result as operators are shown it. */
     public String rollBack() {
-        return conductor.goBack() ? "it goes back" : "no roll that goes forward is conducted here";
+        return coordinator.requestRollback() ? "it goes back" : "no roll that goes forward is conducted here";
     }
 
-    /** Whether this proxy wants to conduct: something is to be begun, or to be brought to its end. */
+    /** Returns whether this proxy wants to coordinate: a rollout is to begin or to be brought to its end. */
     public boolean wantsLease(double now) {
-        return conductor.isWished() || conductor.isOpen() || follower.isOpen() || now - openAt < OPEN_MS;
+        return coordinator.hasRequest() || coordinator.isActive() || follower.isOpen()
+                || now - openReportedAt < OPEN_REPORT_MS;
     }
 
-    /** Whether this proxy has its place in a roll that is under way, and was told so within so long. */
+    /** Returns whether this proxy takes part in a rollout in progress and was told so within this time. */
     public boolean isCoordinated(double now, double withinMs) {
-        return follower.isLed(now, withinMs);
+        return follower.isCoordinated(now, withinMs);
     }
 
     /**
-     * Does what is due; returns when something will be.
+     * Does everything that is due; returns the time of the next call.
      *
-     * @param electors who may conduct, but for this proxy
-     * @param lags whether others act under a later version and no roll brings it here
+     * @param holds whether this proxy holds the lease
+     * @param voters the other proxies that may hold it
+     * @param lagging whether this proxy's version is below the fleet's and no rollout raises it
      */
-    public double tick(double now, boolean holds, List<Integer> electors, boolean lags) {
-        long term = holds ? out.term() : 0;
-        if (conductor.isWished() && out.isOutOfService()) {
-            conductor.drop("this proxy has stepped aside");
-        } else if (conductor.isWished() && follower.isOpen()) {
-            conductor.drop("that of " + follower.stage().plan().target().text() + " is under way");
+    public double tick(double now, boolean holds, List<Integer> voters, boolean lagging) {
+        long term = holds ? callbacks.term() : 0;
+        if (coordinator.hasRequest() && callbacks.isOutOfService()) {
+            coordinator.dropRequest("this proxy has stepped aside");
+        } else if (coordinator.hasRequest() && follower.isOpen()) {
+            coordinator.dropRequest("that of " + follower.progress().plan().target().text() + " is under way");
         }
         if (term > 0) {
             RolloutMessage.Report own = follower.report(now);
-            conductor.tick(now, term, own);
-            RolloutMessage.Order order = conductor.reported(now, self, own);
+            coordinator.tick(now, term, own);
+            RolloutMessage.Order order = coordinator.receiveReport(now, self, own);
             if (order != null) {
-                follower.ordered(now, self, order);
+                follower.receiveOrder(now, self, order);
             }
         } else if (!holds) {
-            conductor.lost();
+            coordinator.leaseLost();
         }
-        follower.tick(now, electors, lags);
-        return now + (wantsLease(now) || lags ? BUSY_MS : IDLE_MS);
-    }
-
-    /** A member says something. */
-    public void receive(double now, int from, RolloutMessage word, boolean lags) {
-        if (word instanceof RolloutMessage.ReportRequest call) {
-            follower.called(now, from, call);
-        } else if (word instanceof RolloutMessage.Order order) {
-            follower.ordered(now, from, order);
-        } else if (word instanceof RolloutMessage.Report report) {
-            reported(now, from, report);
-        } else if (word instanceof RolloutMessage.ChunkRequest want) {
-            shelf.pieces(want).forEach(p -> out.sendMessage(from, p));
-        } else if (word instanceof RolloutMessage.Chunk piece) {
-            follower.took(piece);
-        } else if (word instanceof RolloutMessage.VersionQuery seek) {
-            follower.sought(from, seek, own);
-        } else if (word instanceof RolloutMessage.VersionReply settled) {
-            follower.settled(settled, lags);
+        follower.tick(now, voters, lagging);
+        return now + (wantsLease(now) || lagging ? BUSY_TICK_MS : IDLE_TICK_MS);
+    }
+
+    /** Receives a member's message. */
+    public void receive(double now, int from, RolloutMessage message, boolean lagging) {
+        if (message instanceof RolloutMessage.ReportRequest request) {
+            follower.receiveReportRequest(now, from, request);
+        } else if (message instanceof RolloutMessage.Order order) {
+            follower.receiveOrder(now, from, order);
+        } else if (message instanceof RolloutMessage.Report report) {
+            receiveReport(now, from, report);
+        } else if (message instanceof RolloutMessage.ChunkRequest request) {
+            texts.chunks(request).forEach(p -> callbacks.sendMessage(from, p));
+        } else if (message instanceof RolloutMessage.Chunk chunk) {
+            follower.receiveChunk(chunk);
+        } else if (message instanceof RolloutMessage.VersionQuery query) {
+            follower.receiveVersionQuery(from, query, inEffect);
+        } else if (message instanceof RolloutMessage.VersionReply reply) {
+            follower.receiveVersionReply(reply, lagging);
         }
     }
 
-    private void reported(double now, int from, RolloutMessage.Report report) {
+    private void receiveReport(double now, int from, RolloutMessage.Report report) {
         if (report.progress() != null && !report.progress().finished()) {
-            openAt = now;
+            openReportedAt = now;
         }
-        long term = out.term();
-        if (term > 0 && conductor.isUnder(term)) {
-            RolloutMessage.Order order = conductor.reported(now, from, report);
+        long term = callbacks.term();
+        if (term > 0 && coordinator.holdsTerm(term)) {
+            RolloutMessage.Order order = coordinator.receiveReport(now, from, report);
             if (order != null) {
-                out.sendMessage(from, order);
+                callbacks.sendMessage(from, order);
             }
         }
     }
 
-    /** A text has been looked at; {@code problem} is empty where it may be acted on. */
-    public void validated(double now, FileFingerprint stamp, String problem) {
-        follower.checked(now, stamp, problem);
+    /** A text has been validated; {@code problem} is empty if it may be applied. */
+    public void validated(double now, FileFingerprint fingerprint, String problem) {
+        follower.validated(now, fingerprint, problem);
     }
 
     /**
-     * What was to be acted on is, or is not.
+     * Applying a text has ended.
      *
-     * @param problem empty where this proxy acts under it now
-     * @param late whether it was not begun as its time was over
+     * @param problem why the text is not in effect; empty if it is
+     * @param late whether it did not begin because it was too late
      */
-    public void applied(double now, FileFingerprint stamp, String problem, boolean late) {
-        follower.acted(now, stamp, problem, late);
+    public void applied(double now, FileFingerprint fingerprint, String problem, boolean late) {
+        follower.applied(now, fingerprint, problem, late);
         if (problem.isEmpty()) {
-            own = stamp;
-            shelf.hold(stamp);
+            inEffect = fingerprint;
+            texts.pin(fingerprint);
         }
     }
 
-    /** What is conducted here now; null for nothing. */
+    /** Returns the plan that is coordinated here; null if there is none. */
     public Plan coordinatedPlan() {
-        return conductor.plan();
+        return coordinator.plan();
     }
 
-    /** Whether a roll is under way as far as this proxy knows. */
+    /** Returns whether a rollout is in progress as far as this proxy knows. */
     public boolean isInProgress() {
-        return follower.isOpen() || conductor.plan() != null;
+        return follower.isOpen() || coordinator.plan() != null;
     }
 
-    /** How it goes, in words. */
+    /** Describes the progress; operators are shown these lines. */
     public List<String> explain() {
         List<String> lines = new ArrayList<>();
         lines.add(follower.explain());
-        if (conductor.isOpen() || conductor.isWished()) {
-            lines.add("conducted here: " + conductor.explain());
-        } else if (!conductor.explain().equals("nothing")) {
-            lines.add("conducted here last: " + conductor.explain());
+        if (coordinator.isActive() || coordinator.hasRequest()) {
+            lines.add("conducted here: " + coordinator.explain());
+        } else if (!coordinator.explain().equals("nothing")) {
+            lines.add("conducted here last: " + coordinator.explain());
         }
-        if (follower.refusedOrders() > 0) {
-            lines.add(follower.refusedOrders() + " orders refused as old");
+        if (follower.rejectedOrders() > 0) {
+            lines.add(follower.rejectedOrders() + " orders refused as old");
         }
         return lines;
     }
