--- a/core/src/main/java/ridgemill/datacenter/DatacenterPath.java
+++ b/core/src/main/java/ridgemill/datacenter/DatacenterPath.java
@@ -6,15 +6,15 @@
 import java.util.TreeSet;
 
 /**
- * Where a request has been: the halls that it entered, the first of them its client's own, and those of them in which it
- * may have run. A request never enters a hall twice, whatever any of them believes of the others.
+ * The datacenters that a request has entered, its client's own first, and those of them in which it may have run. A
+ * request never enters a datacenter twice, whatever the datacenters assume of each other.
  *
- * @param datacenters in order; empty for a request of this hall's own clients that has not left it
- * @param mayHaveRun those of them whose nodes may have carried it out
+ * @param datacenters in order; empty for a request of a local client that has not left this datacenter
+ * @param mayHaveRun those of them whose nodes may have run it
  */
 public record DatacenterPath(List<String> datacenters, Set<String> mayHaveRun) {
 
-    /** A request of this hall's own clients. */
+    /** The path of a request of a local client. */
     public static final DatacenterPath LOCAL = new DatacenterPath(List.of(), Set.of());
 
     public DatacenterPath {
@@ -22,26 +22,26 @@
         mayHaveRun = Set.copyOf(mayHaveRun);
     }
 
-    /** Whether it came from another hall. */
+    /** Whether the request came from another datacenter. */
     public boolean isForwarded() {
         return !datacenters.isEmpty();
     }
 
-    /** Whether it was in a hall. */
-    public boolean contains(String hall) {
-        return datacenters.contains(hall);
+    /** Whether the request has entered a datacenter. */
+    public boolean contains(String datacenter) {
+        return datacenters.contains(datacenter);
     }
 
-    /** The same after a stay in a hall, in which it may have run or not. */
-    public DatacenterPath append(String hall, boolean mayRun) {
-        List<String> all = new ArrayList<>(datacenters);
-        if (!all.contains(hall)) {
-            all.add(hall);
+    /** This path extended by a datacenter, in which the request may have run or not. */
+    public DatacenterPath append(String datacenter, boolean mayHaveRunThere) {
+        List<String> visited = new ArrayList<>(datacenters);
+        if (!visited.contains(datacenter)) {
+            visited.add(datacenter);
         }
-        Set<String> ran = new TreeSet<>(mayHaveRun);
-        if (mayRun) {
-            ran.add(hall);
+        Set<String> runs = new TreeSet<>(mayHaveRun);
+        if (mayHaveRunThere) {
+            runs.add(datacenter);
         }
-        return new DatacenterPath(all, ran);
+        return new DatacenterPath(visited, runs);
     }
 }
--- a/core/src/main/java/ridgemill/datacenter/DatacenterRouter.java
+++ b/core/src/main/java/ridgemill/datacenter/DatacenterRouter.java
@@ -15,92 +15,115 @@
 import ridgemill.policy.Router.Effect;
 
 /**
- * Decides for each request whether home or another hall is asked, in which order, and when it ends. It is told how attempts
- * ended and answers with the next step; whoever asks it carries the step out.
+ * Decides for each request whether the home datacenter (the one of this gateway) or another one is tried, in which
+ * order, and when the request ends. It is told how attempts ended and returns the next {@link Step}, which the caller
+ * carries out.
  *
- * <p>What it keeps, whatever the other halls say or do: a request enters each hall once at most; nothing is sent on while
- * an attempt may be out elsewhere; a keyed write goes to no second hall once it may have run in one, unless both drop each
- * other's repeats; where nobody can say in which hall a client's earlier try may have run, it runs nowhere.
+ * <p>Invariants, whatever other datacenters report or do: a request enters each datacenter at most once; nothing is
+ * forwarded while an attempt may be in progress elsewhere; a keyed write that may have run in one datacenter goes to no
+ * second one, unless both drop each other's duplicates; and a request runs nowhere if nobody can say in which
+ * datacenter an earlier try of its client may have run.
  */
 public final class DatacenterRouter {
 
-    /** How a request ended at this hall's own nodes. */
+    /** How a request ended on the home datacenter's nodes. */
     public enum HomeOutcome {
         SERVED,
         /** Nothing ran. */
         REFUSED,
-        /** It may have run, and trying again is harmless. */
+        /** It may have run, and repeating it is harmless. */
         UNPROVEN,
         /** It may have run. */
         FAILED,
-        /** Its client left. */
+        /** Its client disconnected. */
         GONE
     }
 
-    /** How a crossing ended. */
+    /** How a forwarded request ended. */
     public enum ForwardOutcome {
         SERVED,
-        /** The other hall says that nothing ran there or beyond. */
+        /** The other datacenter reports that nothing ran there or beyond. */
         REFUSED,
-        /** The other hall says that it may have run there. */
+        /** The other datacenter reports that it may have run there. */
         FAILED,
-        /** The link went here or beyond, or the time was up: it may have run, or may be running still. */
+        /** The link was lost, here or beyond, or the time was up: it may have run or may still be running. */
         LOST,
         /** It was never handed to the network. */
         UNSENT,
-        /** Its client left. */
+        /** Its client disconnected. */
         GONE
     }
 
-    /** What is to be done next. */
+    /** What to do next with a request. */
     public sealed interface Step { }
 
-    /** Ask this hall's own nodes, and leave so much of its time for another hall. */
+    /**
+     * Send it to the home datacenter's nodes.
+     *
+     * @param reserveMs how much of its time to keep for another datacenter
+     */
     public record TryHome(double reserveMs) implements Step { }
 
-    /** Send it to a gateway of another hall, which has so long. */
+    /**
+     * Forward it to a gateway of another datacenter.
+     *
+     * @param timeoutMs how long that datacenter has
+     */
     public record Forward(String gateway, String datacenter, double timeoutMs) implements Step { }
 
-    /** Ask these gateways where the key may have run; {@link #keyQueries} is owed by then. */
+    /**
+     * Ask these gateways where the key may have run; {@link DatacenterRouter#keyStatusesReceived} must be called by the
+     * end of the timeout.
+     */
     public record QueryKey(List<String> gateways, double timeoutMs) implements Step { }
 
-    /** Answer at once that it is refused. {@code proven} is false where it may have run and is safe to repeat. */
+    /**
+     * Answer now that it is refused.
+     *
+     * @param provenNotRun false if it may have run and is safe to repeat
+     */
     public record Refuse(double retryAfterMs, boolean provenNotRun) implements Step { }
 
-    /** Answer at once that it has failed. */
+    /** Answer now that it has failed. */
     public record Fail() implements Step { }
 
-    /** Answer as home did; or nothing is to be done. */
+    /** Answer as the home datacenter's nodes did; without such an answer there is nothing to do. */
     public record UseHomeAnswer() implements Step { }
 
-    /** What a gateway tells others of itself. */
+    /**
+     * The state that a gateway reports to gateways of other datacenters.
+     *
+     * @param level of throttling
+     * @param accepting whether it accepts requests of other datacenters
+     * @param leaving whether it asks to be sent nothing more, as it shuts down
+     */
     public record GatewayState(int level, boolean accepting, boolean leaving) { }
 
-    /** What a gateway knows of a key. */
+    /** What a gateway knows about an idempotency key. */
     public sealed interface KeyStatus { }
 
-    /** It knows nothing of it, and will not run it. */
+    /** It does not know the key and will not run it. */
     public record NotSeen() implements KeyStatus { }
 
-    /** It may have run in this hall, so long ago. */
+    /** The key may have run in this datacenter, this long ago. */
     public record MayHaveRun(String datacenter, double ageMs) implements KeyStatus { }
 
-    /** It can't say, as after a start. */
+    /** It cannot tell, as after a start. */
     public record Indeterminate() implements KeyStatus { }
 
-    /** Counts since the start. */
-    public record Counts(long across, long rescued, long taken, long refusedForeign, long loops, long overBudget, long asked,
-                         long unknown, int ledger) { }
+    /** Counters since the start. Operators see the text form of this record, so its names stay. */
+    public record Counts(long across, long rescued, long taken, long refusedForeign, long loops, long overBudget,
+                         long asked, long unknown, int ledger) { }
 
-    /** Below this a crossing is not worth its frames. */
+    /** With less time than this, forwarding is not worthwhile. */
     private static final double MIN_FORWARD_MS = 10;
-    /** An answer that is back by then can still be written in time. */
+    /** An answer that arrives this long before the deadline can still be written in time. */
     private static final double ANSWER_MARGIN_MS = 15;
     private static final double MIN_HOME_MS = 30;
     private static final double RETRY_AFTER_MS = 250;
     private static final double MAX_RESERVE_FRACTION = 0.4;
     private static final double DEDUPLICATION_MARGIN_MS = 100;
-    /** How long after a start a gateway can't say what the one before it ran, in repeat windows. */
+    /** For this many deduplication windows after its start, a gateway cannot tell what its predecessor ran. */
     private static final double WARM_UP_WINDOWS = 1.5;
     private static final double SEEN_ID_TTL_MS = 10_000;
     private static final int MAX_SEEN_IDS = 200_000;
@@ -138,17 +161,17 @@
     }
 
     private void updateGateways() {
-        policy.gateways().forEach((hall, of) -> of.forEach(g -> gateways.computeIfAbsent(g,
-                n -> new RemoteGateway(n, hall, policy.maxInFlightPerGateway()))));
+        policy.gateways().forEach((datacenter, names) -> names.forEach(g -> gateways.computeIfAbsent(g,
+                n -> new RemoteGateway(n, datacenter, policy.maxInFlightPerGateway()))));
         gateways.keySet().retainAll(policy.allGateways());
     }
 
-    /** Another policy holds from now on; what was learned of gateways that stay, stays. */
+    /** Applies another policy; what is known of gateways that remain is kept. */
     public void changeTo(DatacenterPolicy next, double nowMs) {
-        boolean others = next.maxRemoteRequests() != policy.maxRemoteRequests();
+        boolean remoteLimitChanged = next.maxRemoteRequests() != policy.maxRemoteRequests();
         policy = next;
         budget.changeTo(budgetRate(next), nowMs);
-        if (others) {
+        if (remoteLimitChanged) {
             remoteLimit = new RemoteRequestLimit(next.maxRemoteRequests());
         }
         updateGateways();
@@ -158,9 +181,9 @@
         return policy;
     }
 
-    // What is known of other halls.
+    // State of other datacenters.
 
-    /** How the link to a gateway is. */
+    /** The state of the link to a gateway. */
     public void linkStateChanged(String gateway, LinkHealth.State state, double rttMs) {
         RemoteGateway g = gateways.get(gateway);
         if (g != null) {
@@ -170,7 +193,11 @@
         }
     }
 
-    /** A connection to a gateway was refused, which shows that nobody listens there; or not had for another reason. */
+    /**
+     * A connection to a gateway failed.
+     *
+     * @param refused whether it was refused, which shows that nobody listens there
+     */
     public void connectionFailed(double nowMs, String gateway, boolean refused) {
         RemoteGateway g = gateways.get(gateway);
         if (g != null) {
@@ -179,7 +206,7 @@
         }
     }
 
-    /** What a gateway says of itself. */
+    /** The state that a gateway reports of itself. */
     public void gatewayStateReceived(double nowMs, String gateway, GatewayState state) {
         RemoteGateway g = gateways.get(gateway);
         if (g != null) {
@@ -187,245 +214,268 @@
         }
     }
 
-    /** What this gateway says of itself; {@code level} is its decisions' level of throttling. */
+    /** The state of this gateway to report to others; {@code level} is the routing policy's level of throttling. */
     public GatewayState gatewayState(int level, boolean leaving) {
-        boolean away = !homeBreakers.isEmpty() && homeBreakers.values().stream().allMatch(h -> h.state() == HomeCircuitBreaker.State.AWAY);
-        return new GatewayState(level, policy.maxRemoteRequests() > 0 && !away, leaving);
+        boolean allAway = !homeBreakers.isEmpty()
+                && homeBreakers.values().stream().allMatch(h -> h.state() == HomeCircuitBreaker.State.AWAY);
+        return new GatewayState(level, policy.maxRemoteRequests() > 0 && !allAway, leaving);
     }
 
-    // The way of a request.
+    // The steps of a request.
 
-    /** A request has come. Whatever becomes of it, {@link #requestFinished} is owed. */
-    public Step requestArrived(double nowMs, RoutedRequest p) {
-        if (!policy.isForwardable(p.service().name())) {
-            // Of a class that stays at home nothing can have run elsewhere, and nobody is asked.
-            if (p.path().isForwarded()) {
+    /** A request has arrived. However it ends, {@link #requestFinished} must be called. */
+    public Step requestArrived(double nowMs, RoutedRequest request) {
+        if (!policy.isForwardable(request.service().name())) {
+            // Requests of a class that stays at home cannot have run elsewhere, so no gateway is queried.
+            if (request.path().isForwarded()) {
                 remoteRefused++;
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            p.triedHome = true;
+            request.triedHome = true;
             return new TryHome(0);
         }
-        if (p.path().isForwarded()) {
-            if (isLoop(nowMs, p)) {
+        if (request.path().isForwarded()) {
+            if (isLoop(nowMs, request)) {
                 loopsRefused++;
                 return new Refuse(0, true);
             }
-            if (p.deadlineMs() - nowMs < MIN_FORWARD_MS || !remoteLimit.tryAdmit(nowMs)) {
+            if (request.deadlineMs() - nowMs < MIN_FORWARD_MS || !remoteLimit.tryAdmit(nowMs)) {
                 remoteRefused++;
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            p.holdsRemoteSlot = true;
+            request.holdsRemoteSlot = true;
             remoteAdmitted++;
         }
-        if (p.isKeyed()) {
-            IdempotencyKeyTable.Entry e = keyTable.find(nowMs, p.idempotencyKey());
-            if (e == null && p.isRetry() && p.path().isForwarded() && isRecentlyStarted(nowMs, p.service().deduplicationWindowMs())) {
-                // The gateway before this one may have promised that it does not run here.
+        if (request.isKeyed()) {
+            IdempotencyKeyTable.Entry entry = keyTable.find(nowMs, request.idempotencyKey());
+            if (entry == null && request.isRetry() && request.path().isForwarded()
+                    && isRecentlyStarted(nowMs, request.service().deduplicationWindowMs())) {
+                // The previous process of this gateway may have promised that the key does not run here.
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            if (e != null && e.fence() && p.path().isForwarded()) {
-                // Who was promised that it does not run here may have run it.
+            if (entry != null && entry.fence() && request.path().isForwarded()) {
+                // The datacenter that was promised that the key does not run here may have run it.
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            if (mayHaveRunElsewhere(e)) {
-                return forwardToRecorded(nowMs, p, e);
+            if (mayHaveRunElsewhere(entry)) {
+                return forwardToRecorded(nowMs, request, entry);
             }
-            // A gateway that sends one on has made sure of it.
-            if (e != null && e.fence() || e == null && p.isRetry() && !p.path().isForwarded() && !policy.gateways().isEmpty()) {
-                return queryKey(nowMs, p);
+            // For a forwarded request, the gateway that sent it has already checked where the key may have run.
+            if (entry != null && entry.fence() || entry == null && request.isRetry() && !request.path().isForwarded()
+                    && !policy.gateways().isEmpty()) {
+                return queryKey(nowMs, request);
             }
-            if (e != null || p.isRetry()) {
-                bindToHome(p);
+            if (entry != null || request.isRetry()) {
+                bindToHome(request);
             }
         }
-        return firstStep(nowMs, p);
+        return firstStep(nowMs, request);
     }
 
-    private boolean mayHaveRunElsewhere(IdempotencyKeyTable.Entry e) {
-        return e != null && !e.fence() && !e.datacenter().equals(policy.datacenter());
+    private boolean mayHaveRunElsewhere(IdempotencyKeyTable.Entry entry) {
+        return entry != null && !entry.fence() && !entry.datacenter().equals(policy.datacenter());
     }
 
-    /** An earlier try may have run at this hall's nodes, through this gateway or one beside it: this one stays here too. */
-    private void bindToHome(RoutedRequest p) {
-        p.boundDatacenter = policy.sharedDeduplication().isEmpty() ? policy.datacenter() : null;
-        p.sharedDeduplicationOnly = true;
+    /**
+     * An earlier try may have run on the home nodes, through this gateway or another one here, so this one stays here
+     * too.
+     */
+    private void bindToHome(RoutedRequest request) {
+        request.boundDatacenter = policy.sharedDeduplication().isEmpty() ? policy.datacenter() : null;
+        request.sharedDeduplicationOnly = true;
     }
 
-    /** Whether the gateway that ran here before may have done and promised what this one knows nothing of. */
+    /** Whether the previous process of this gateway may have run keys or made promises that this one does not know. */
     private boolean isRecentlyStarted(double nowMs, double windowMs) {
         return nowMs - startedMs < WARM_UP_WINDOWS * windowMs;
     }
 
-    private boolean isLoop(double nowMs, RoutedRequest p) {
-        while (!seenOrder.isEmpty() && (seenOrder.peekFirst().atMs() < nowMs - SEEN_ID_TTL_MS || seenIds.size() >= MAX_SEEN_IDS)) {
+    private boolean isLoop(double nowMs, RoutedRequest request) {
+        while (!seenOrder.isEmpty()
+                && (seenOrder.peekFirst().atMs() < nowMs - SEEN_ID_TTL_MS || seenIds.size() >= MAX_SEEN_IDS)) {
             seenIds.remove(seenOrder.removeFirst().id());
         }
-        if (p.path().contains(policy.datacenter()) || p.path().datacenters().size() > policy.hopLimit() || !seenIds.add(p.id())) {
+        if (request.path().contains(policy.datacenter()) || request.path().datacenters().size() > policy.hopLimit()
+                || !seenIds.add(request.id())) {
             return true;
         }
-        seenOrder.addLast(new Seen(p.id(), nowMs));
+        seenOrder.addLast(new Seen(request.id(), nowMs));
         return false;
     }
 
-    /** One that may have run in another hall goes there or nowhere. */
-    private Step forwardToRecorded(double nowMs, RoutedRequest p, IdempotencyKeyTable.Entry e) {
-        p.boundDatacenter = e.datacenter();
-        double until = e.firstMs() + e.windowMs() - DEDUPLICATION_MARGIN_MS;
-        if (until <= nowMs) {
-            // Its nodes may have forgotten it, and no other may run it.
+    /** A request that may have run in another datacenter goes there or nowhere. */
+    private Step forwardToRecorded(double nowMs, RoutedRequest request, IdempotencyKeyTable.Entry entry) {
+        request.boundDatacenter = entry.datacenter();
+        double untilMs = entry.firstMs() + entry.windowMs() - DEDUPLICATION_MARGIN_MS;
+        if (untilMs <= nowMs) {
+            // The nodes there may have forgotten the key, and no other datacenter may run it.
             return new Fail();
         }
-        p.deadlineMs = Math.min(p.deadlineMs, until);
-        Step step = tryForward(nowMs, p);
+        request.deadlineMs = Math.min(request.deadlineMs, untilMs);
+        Step step = tryForward(nowMs, request);
         return step == null ? new Refuse(RETRY_AFTER_MS, true) : step;
     }
 
-    private Step queryKey(double nowMs, RoutedRequest p) {
-        List<String> whom = new ArrayList<>();
-        double slowest = 0;
+    private Step queryKey(double nowMs, RoutedRequest request) {
+        List<String> queried = new ArrayList<>();
+        double maxRttMs = 0;
         for (RemoteGateway g : gateways.values()) {
             if (!Double.isNaN(g.refusingSinceMs) && nowMs - g.refusingSinceMs >= policy.gatewayGoneAfterMs()) {
-                // Nobody has listened there for longer than nodes remember.
+                // Nothing has listened there for longer than nodes remember keys.
                 continue;
             }
             if (g.linkState != LinkHealth.State.UP) {
                 indeterminateKeys++;
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            slowest = Math.max(slowest, g.rttMs);
-            whom.add(g.name);
+            maxRttMs = Math.max(maxRttMs, g.rttMs);
+            queried.add(g.name);
         }
-        if (whom.isEmpty()) {
-            bindToHome(p);
-            return firstStep(nowMs, p);
+        if (queried.isEmpty()) {
+            bindToHome(request);
+            return firstStep(nowMs, request);
         }
         keyQueries++;
-        p.queriedAtMs = nowMs;
-        keyTable.setQueryPending(p.idempotencyKey(), true);
-        return new QueryKey(whom, Math.min((p.deadlineMs() - nowMs) / 3, Math.max(50, 4 * slowest)));
-    }
-
-    /** Those asked have answered, or the wait for them is over: {@code words} has what came, by gateway. */
-    public Step keyStatusesReceived(double nowMs, RoutedRequest p, List<String> whom, Map<String, KeyStatus> words) {
-        keyTable.setQueryPending(p.idempotencyKey(), false);
-        MayHaveRun ran = null;
-        for (String g : whom) {
-            KeyStatus word = words.getOrDefault(g, new Indeterminate());
-            if (word instanceof Indeterminate) {
+        request.queriedAtMs = nowMs;
+        keyTable.setQueryPending(request.idempotencyKey(), true);
+        return new QueryKey(queried, Math.min((request.deadlineMs() - nowMs) / 3, Math.max(50, 4 * maxRttMs)));
+    }
+
+    /**
+     * The queried gateways have answered, or the timeout is over. {@code statuses} holds the answers received, by
+     * gateway.
+     */
+    public Step keyStatusesReceived(double nowMs, RoutedRequest request, List<String> queried,
+                                    Map<String, KeyStatus> statuses) {
+        keyTable.setQueryPending(request.idempotencyKey(), false);
+        MayHaveRun found = null;
+        for (String g : queried) {
+            KeyStatus status = statuses.getOrDefault(g, new Indeterminate());
+            if (status instanceof Indeterminate) {
                 indeterminateKeys++;
                 return new Refuse(RETRY_AFTER_MS, true);
             }
-            if (word instanceof MayHaveRun r) {
-                if (ran != null && !r.datacenter().equals(ran.datacenter())) {
+            if (status instanceof MayHaveRun r) {
+                if (found != null && !r.datacenter().equals(found.datacenter())) {
                     indeterminateKeys++;
                     return new Refuse(RETRY_AFTER_MS, true);
                 }
-                ran = ran == null || r.ageMs() > ran.ageMs() ? r : ran;
+                found = found == null || r.ageMs() > found.ageMs() ? r : found;
             }
         }
-        if (ran != null && !ran.datacenter().equals(policy.datacenter())) {
-            keyTable.recordRun(nowMs, p.idempotencyKey(), ran.datacenter(), nowMs - ran.ageMs(), p.service().deduplicationWindowMs());
+        if (found != null && !found.datacenter().equals(policy.datacenter())) {
+            keyTable.recordRun(nowMs, request.idempotencyKey(), found.datacenter(), nowMs - found.ageMs(),
+                    request.service().deduplicationWindowMs());
         }
-        IdempotencyKeyTable.Entry e = keyTable.find(nowMs, p.idempotencyKey());
-        if (e != null && e.fence() && e.firstMs() >= p.queriedAtMs) {
-            // Another has asked us meanwhile, and was told that it does not run here.
+        IdempotencyKeyTable.Entry entry = keyTable.find(nowMs, request.idempotencyKey());
+        if (entry != null && entry.fence() && entry.firstMs() >= request.queriedAtMs) {
+            // Another datacenter has asked in the meantime and was promised that the key does not run here.
             return new Refuse(RETRY_AFTER_MS, true);
         }
-        if (mayHaveRunElsewhere(e)) {
-            return forwardToRecorded(nowMs, p, e);
+        if (mayHaveRunElsewhere(entry)) {
+            return forwardToRecorded(nowMs, request, entry);
         }
-        bindToHome(p);
-        return firstStep(nowMs, p);
+        bindToHome(request);
+        return firstStep(nowMs, request);
     }
 
-    private Step firstStep(double nowMs, RoutedRequest p) {
-        if (!mayForward(p) || homeBreaker(p).tryHomeFirst(nowMs)) {
-            return tryHome(nowMs, p);
+    private Step firstStep(double nowMs, RoutedRequest request) {
+        if (!mayForward(request) || homeBreaker(request).tryHomeFirst(nowMs)) {
+            return tryHome(nowMs, request);
         }
-        Step step = tryForward(nowMs, p);
+        Step step = tryForward(nowMs, request);
         if (step != null) {
             return step;
         }
-        // Another hall's request finds here what it has left behind; it hears so at once.
-        return p.path().isForwarded() ? new Refuse(RETRY_AFTER_MS, true) : tryHome(nowMs, p);
+        // A forwarded request meets here the same problem that it left behind, so it is refused at once.
+        return request.path().isForwarded() ? new Refuse(RETRY_AFTER_MS, true) : tryHome(nowMs, request);
     }
 
-    private boolean mayForward(RoutedRequest p) {
-        return policy.isForwardable(p.service().name()) && !policy.datacenter().equals(p.boundDatacenter);
+    private boolean mayForward(RoutedRequest request) {
+        return policy.isForwardable(request.service().name()) && !policy.datacenter().equals(request.boundDatacenter);
     }
 
-    private HomeCircuitBreaker homeBreaker(RoutedRequest p) {
-        return homeBreakers.computeIfAbsent(p.service().name(), n -> new HomeCircuitBreaker(p.service().effect() != Effect.SAFE));
+    private HomeCircuitBreaker homeBreaker(RoutedRequest request) {
+        return homeBreakers.computeIfAbsent(request.service().name(),
+                n -> new HomeCircuitBreaker(request.service().effect() != Effect.SAFE));
     }
 
-    private Step tryHome(double nowMs, RoutedRequest p) {
-        if (p.isKeyed()) {
-            IdempotencyKeyTable.Entry before = keyTable.find(nowMs, p.idempotencyKey());
+    private Step tryHome(double nowMs, RoutedRequest request) {
+        if (request.isKeyed()) {
+            IdempotencyKeyTable.Entry before = keyTable.find(nowMs, request.idempotencyKey());
             boolean isNew = before == null || before.fence();
-            IdempotencyKeyTable.Entry e = keyTable.recordRun(nowMs, p.idempotencyKey(), policy.datacenter(), nowMs, p.service().deduplicationWindowMs());
-            p.createdEntry = isNew ? e : null;
+            IdempotencyKeyTable.Entry entry = keyTable.recordRun(nowMs, request.idempotencyKey(), policy.datacenter(),
+                    nowMs, request.service().deduplicationWindowMs());
+            request.createdEntry = isNew ? entry : null;
         }
-        p.triedHome = true;
-        double left = p.deadlineMs() - nowMs;
-        RemoteGateway spare = mayForward(p) && homeBreaker(p).isDegraded(nowMs) ? bestGateway(nowMs, p, left) : null;
-        return new TryHome(spare == null ? 0 : Math.min(MAX_RESERVE_FRACTION * left, 2 * spare.expectedMs() + ANSWER_MARGIN_MS));
+        request.triedHome = true;
+        double leftMs = request.deadlineMs() - nowMs;
+        RemoteGateway fallback = mayForward(request) && homeBreaker(request).isDegraded(nowMs)
+                ? bestGateway(nowMs, request, leftMs) : null;
+        return new TryHome(fallback == null ? 0
+                : Math.min(MAX_RESERVE_FRACTION * leftMs, 2 * fallback.expectedMs() + ANSWER_MARGIN_MS));
     }
 
     /**
-     * It has ended at home.
+     * A request has ended on the home nodes.
      *
-     * @param quiet whether no attempt of it is out any more
+     * @param quiet whether no attempt of it is in progress any more
      */
-    public Step homeEnded(double nowMs, RoutedRequest p, HomeOutcome end, boolean quiet) {
-        p.homeOutcome = end;
-        p.mayBeInProgress |= !quiet;
-        if (end == HomeOutcome.GONE) {
+    public Step homeEnded(double nowMs, RoutedRequest request, HomeOutcome outcome, boolean quiet) {
+        request.homeOutcome = outcome;
+        request.mayBeInProgress |= !quiet;
+        if (outcome == HomeOutcome.GONE) {
             return new UseHomeAnswer();
         }
-        homeBreaker(p).recordOutcome(nowMs, end == HomeOutcome.SERVED);
-        if (!p.path().isForwarded()) {
-            remoteLimit.recordLocalOutcome(nowMs, end == HomeOutcome.SERVED);
+        homeBreaker(request).recordOutcome(nowMs, outcome == HomeOutcome.SERVED);
+        if (!request.path().isForwarded()) {
+            remoteLimit.recordLocalOutcome(nowMs, outcome == HomeOutcome.SERVED);
         }
-        if (end == HomeOutcome.SERVED) {
+        if (outcome == HomeOutcome.SERVED) {
             return new UseHomeAnswer();
         }
-        if (end == HomeOutcome.REFUSED) {
-            clearCreatedEntry(p);
-        } else if (!p.isSafe()) {
-            p.sharedDeduplicationOnly = true;
+        if (outcome == HomeOutcome.REFUSED) {
+            clearCreatedEntry(request);
+        } else if (!request.isSafe()) {
+            request.sharedDeduplicationOnly = true;
         }
-        boolean goes = quiet && mayForward(p) && (end == HomeOutcome.REFUSED || p.isSafe() || p.isKeyed());
-        Step step = goes ? tryForward(nowMs, p) : null;
+        boolean mayGoOn = quiet && mayForward(request)
+                && (outcome == HomeOutcome.REFUSED || request.isSafe() || request.isKeyed());
+        Step step = mayGoOn ? tryForward(nowMs, request) : null;
         if (step == null) {
-            return finalStep(p, 0);
+            return finalStep(request, 0);
         }
         rescues++;
         return step;
     }
 
-    private void clearCreatedEntry(RoutedRequest p) {
-        if (p.createdEntry != null) {
-            keyTable.clear(p.idempotencyKey(), p.createdEntry);
-            p.createdEntry = null;
+    private void clearCreatedEntry(RoutedRequest request) {
+        if (request.createdEntry != null) {
+            keyTable.clear(request.idempotencyKey(), request.createdEntry);
+            request.createdEntry = null;
         }
     }
 
-    private RemoteGateway bestGateway(double nowMs, RoutedRequest p, double leftMs) {
-        // What must not run twice crosses once: who sent it here has noted this hall, and knows of none beyond.
-        if (p.path().datacenters().size() + p.enteredDatacenters.size() + 1 > policy.hopLimit() || p.path().isForwarded() && !p.isSafe()) {
+    private RemoteGateway bestGateway(double nowMs, RoutedRequest request, double leftMs) {
+        // A request that must not run twice is forwarded once: its sender has recorded this datacenter and knows of
+        // none beyond.
+        if (request.path().datacenters().size() + request.enteredDatacenters.size() + 1 > policy.hopLimit()
+                || request.path().isForwarded() && !request.isSafe()) {
             return null;
         }
-        for (Map.Entry<String, List<String>> hall : policy.gateways().entrySet()) {
-            if (p.hasVisited(hall.getKey()) || p.boundDatacenter != null && !p.boundDatacenter.equals(hall.getKey())
-                    || p.sharedDeduplicationOnly && p.boundDatacenter == null && !policy.sharedDeduplication().contains(hall.getKey())) {
+        for (Map.Entry<String, List<String>> peer : policy.gateways().entrySet()) {
+            if (request.hasVisited(peer.getKey())
+                    || request.boundDatacenter != null && !request.boundDatacenter.equals(peer.getKey())
+                    || request.sharedDeduplicationOnly && request.boundDatacenter == null
+                    && !policy.sharedDeduplication().contains(peer.getKey())) {
                 continue;
             }
             RemoteGateway best = null;
-            for (String name : hall.getValue()) {
+            for (String name : peer.getValue()) {
                 RemoteGateway g = gateways.get(name);
-                boolean usable = g.linkState == LinkHealth.State.UP && g.isAccepting(nowMs) && !p.unreachableGateways.contains(name)
-                        && g.window.hasRoom(nowMs) && leftMs - ANSWER_MARGIN_MS > Math.max(g.rttMs + MIN_FORWARD_MS, g.expectedMs());
+                boolean usable = g.linkState == LinkHealth.State.UP && g.isAccepting(nowMs)
+                        && !request.unreachableGateways.contains(name) && g.window.hasRoom(nowMs)
+                        && leftMs - ANSWER_MARGIN_MS > Math.max(g.rttMs + MIN_FORWARD_MS, g.expectedMs());
                 if (usable && (best == null || g.window.utilization() < best.window.utilization())) {
                     best = g;
                 }
@@ -437,10 +487,10 @@
         return null;
     }
 
-    /** Sends it across if some hall takes it; null if none does. */
-    private Step tryForward(double nowMs, RoutedRequest p) {
-        double left = p.deadlineMs() - nowMs;
-        RemoteGateway g = bestGateway(nowMs, p, left);
+    /** Forwards the request if some datacenter can take it; null if none can. */
+    private Step tryForward(double nowMs, RoutedRequest request) {
+        double leftMs = request.deadlineMs() - nowMs;
+        RemoteGateway g = bestGateway(nowMs, request, leftMs);
         if (g == null) {
             return null;
         }
@@ -448,130 +498,139 @@
             budgetExceeded++;
             return null;
         }
-        if (p.isKeyed()) {
-            IdempotencyKeyTable.Entry before = keyTable.find(nowMs, p.idempotencyKey());
-            IdempotencyKeyTable.Entry e = keyTable.recordRun(nowMs, p.idempotencyKey(), g.datacenter, before == null ? nowMs : before.firstMs(),
-                    p.service().deduplicationWindowMs());
-            if (e == null) {
+        if (request.isKeyed()) {
+            IdempotencyKeyTable.Entry before = keyTable.find(nowMs, request.idempotencyKey());
+            IdempotencyKeyTable.Entry entry = keyTable.recordRun(nowMs, request.idempotencyKey(), g.datacenter,
+                    before == null ? nowMs : before.firstMs(),
+                    request.service().deduplicationWindowMs());
+            if (entry == null) {
                 return null;
             }
-            p.createdEntry = before == null ? e : null;
+            request.createdEntry = before == null ? entry : null;
             if (before != null) {
-                p.deadlineMs = Math.min(p.deadlineMs, e.firstMs() + e.windowMs() - DEDUPLICATION_MARGIN_MS);
-                left = p.deadlineMs - nowMs;
+                request.deadlineMs = Math.min(request.deadlineMs, entry.firstMs()
+                        + entry.windowMs() - DEDUPLICATION_MARGIN_MS);
+                leftMs = request.deadlineMs - nowMs;
             }
         }
-        p.gateway = g;
-        p.forwardedAtMs = nowMs;
-        p.enteredDatacenters.add(g.datacenter);
+        request.gateway = g;
+        request.forwardedAtMs = nowMs;
+        request.enteredDatacenters.add(g.datacenter);
         g.window.started(nowMs);
         forwards++;
-        return new Forward(g.name, g.datacenter, left - ANSWER_MARGIN_MS);
+        return new Forward(g.name, g.datacenter, leftMs - ANSWER_MARGIN_MS);
     }
 
     /**
-     * Its crossing has ended.
+     * A forwarded request has ended.
      *
-     * @param retryAfterMs what the other hall told, 0 for nothing
-     * @param beyond halls that it has entered through that one
+     * @param retryAfterMs as the other datacenter reported it, 0 for none
+     * @param beyond datacenters that it entered through the other one
      */
-    public Step forwardEnded(double nowMs, RoutedRequest p, ForwardOutcome end, double retryAfterMs, Collection<String> beyond) {
-        p.enteredDatacenters.addAll(beyond);
-        RemoteGateway g = p.gateway;
-        p.gateway = null;
-        switch (end) {
+    public Step forwardEnded(double nowMs, RoutedRequest request, ForwardOutcome outcome, double retryAfterMs,
+            Collection<String> beyond) {
+        request.enteredDatacenters.addAll(beyond);
+        RemoteGateway g = request.gateway;
+        request.gateway = null;
+        switch (outcome) {
             case SERVED -> {
                 g.served++;
-                g.recordDuration(nowMs - p.forwardedAtMs);
+                g.recordDuration(nowMs - request.forwardedAtMs);
                 g.window.served();
                 return new UseHomeAnswer();
             }
             case REFUSED -> {
                 g.refused++;
                 g.window.refused(nowMs);
-                clearCreatedEntry(p);
+                clearCreatedEntry(request);
             }
             case FAILED -> {
                 g.failed++;
                 g.window.refused(nowMs);
-                p.mayHaveRunIn.add(g.datacenter);
+                request.mayHaveRunIn.add(g.datacenter);
             }
             case LOST -> {
                 g.lost++;
-                p.mayBeInProgress = true;
+                request.mayBeInProgress = true;
                 g.window.lost(nowMs);
-                p.mayHaveRunIn.add(g.datacenter);
+                request.mayHaveRunIn.add(g.datacenter);
             }
             case UNSENT -> {
                 g.window.abandoned();
-                p.unreachableGateways.add(g.name);
-                p.enteredDatacenters.remove(g.datacenter);
-                clearCreatedEntry(p);
+                request.unreachableGateways.add(g.name);
+                request.enteredDatacenters.remove(g.datacenter);
+                clearCreatedEntry(request);
             }
             case GONE -> {
                 g.window.abandoned();
                 return new UseHomeAnswer();
             }
         }
-        // One that is lost may be running still: two attempts must not be out at once.
-        boolean goesOn = end != ForwardOutcome.LOST && (p.isSafe() || p.mayHaveRunIn.isEmpty());
-        Step step = goesOn ? nextStep(nowMs, p) : null;
-        return step != null ? step : finalStep(p, retryAfterMs);
+        // A lost request may still be running, and two attempts must not be in progress at once.
+        boolean mayGoOn = outcome != ForwardOutcome.LOST && (request.isSafe() || request.mayHaveRunIn.isEmpty());
+        Step step = mayGoOn ? nextStep(nowMs, request) : null;
+        return step != null ? step : finalStep(request, retryAfterMs);
     }
 
-    private Step nextStep(double nowMs, RoutedRequest p) {
-        Step step = tryForward(nowMs, p);
-        boolean home = !p.triedHome && (p.boundDatacenter == null || p.boundDatacenter.equals(policy.datacenter())) && !p.path().isForwarded()
-                && p.deadlineMs() - nowMs > MIN_HOME_MS;
-        return step != null ? step : home ? tryHome(nowMs, p) : null;
+    private Step nextStep(double nowMs, RoutedRequest request) {
+        Step step = tryForward(nowMs, request);
+        boolean home = !request.triedHome
+                && (request.boundDatacenter == null || request.boundDatacenter.equals(policy.datacenter()))
+                && !request.path().isForwarded()
+                && request.deadlineMs() - nowMs > MIN_HOME_MS;
+        return step != null ? step : home ? tryHome(nowMs, request) : null;
     }
 
-    private static Step finalStep(RoutedRequest p, double retryAfterMs) {
-        if (!p.mayHaveRunIn.isEmpty()) {
-            return p.isSafe() ? new Refuse(RETRY_AFTER_MS, false) : new Fail();
+    private static Step finalStep(RoutedRequest request, double retryAfterMs) {
+        if (!request.mayHaveRunIn.isEmpty()) {
+            return request.isSafe() ? new Refuse(RETRY_AFTER_MS, false) : new Fail();
         }
-        return p.homeOutcome != null ? new UseHomeAnswer() : new Refuse(retryAfterMs > 0 ? retryAfterMs : RETRY_AFTER_MS, true);
+        return request.homeOutcome != null ? new UseHomeAnswer()
+                : new Refuse(retryAfterMs > 0 ? retryAfterMs : RETRY_AFTER_MS, true);
     }
 
-    /** A request has its final answer, or its client has left. */
-    public void requestFinished(RoutedRequest p) {
-        if (p.holdsRemoteSlot) {
-            p.holdsRemoteSlot = false;
+    /** A request has its final response, or its client has disconnected. */
+    public void requestFinished(RoutedRequest request) {
+        if (request.holdsRemoteSlot) {
+            request.holdsRemoteSlot = false;
             remoteLimit.release();
         }
     }
 
     /**
-     * Another hall asks whether a key may have run here. Where nothing is known of it, it will not run here from now on
-     * unless all others say in their turn that they know nothing of it.
+     * Answers another datacenter's query whether a key may have run here. An unknown key will not run here from now on,
+     * unless all other datacenters report in turn that they do not know it.
      */
     public KeyStatus answerKeyQuery(double nowMs, String key, String from, double windowMs) {
         if (isRecentlyStarted(nowMs, windowMs) || !policy.gateways().containsKey(from)
                 || keyTable.isQueryPending(key) && policy.datacenter().compareTo(from) < 0) {
             return new Indeterminate();
         }
-        IdempotencyKeyTable.Entry e = keyTable.find(nowMs, key);
-        if (e == null || e.fence()) {
+        IdempotencyKeyTable.Entry entry = keyTable.find(nowMs, key);
+        if (entry == null || entry.fence()) {
             return keyTable.fence(nowMs, key, from, windowMs) == null ? new Indeterminate() : new NotSeen();
         }
-        return new MayHaveRun(e.datacenter(), nowMs - e.firstMs());
+        return new MayHaveRun(entry.datacenter(), nowMs - entry.firstMs());
     }
 
-    // For whoever watches.
+    // Monitoring.
 
-    /** Counts since the start. */
+    /** Counters since the start. */
     public Counts counts() {
-        return new Counts(forwards, rescues, remoteAdmitted, remoteRefused, loopsRefused, budgetExceeded, keyQueries, indeterminateKeys, keyTable.size());
+        return new Counts(forwards, rescues, remoteAdmitted, remoteRefused, loopsRefused, budgetExceeded, keyQueries,
+                indeterminateKeys, keyTable.size());
     }
 
-    /** How each class and each gateway is, a line each. */
+    /** The state of each class and each gateway for operators, one line each. */
     public List<String> explain() {
         List<String> lines = new ArrayList<>();
-        homeBreakers.forEach((name, h) -> lines.add("class " + name + " " + h.state() + " home share " + Math.round(h.homeShare() * 100)
-                + "%"));
+        homeBreakers.forEach((name, h) -> lines.add("class " + name + " " + h.state() + " home share "
+                + Math.round(h.homeShare() * 100) + "%"));
         Collection<RemoteGateway> all = gateways.values();
-        all.forEach(g -> lines.add("gateway " + g.name + " of " + g.datacenter + " " + g.linkState + " rtt " + Math.round(g.rttMs * 10) / 10.0
-                + " ms out " + g.window.inFlight() + " of " + g.window.size() + " served " + g.served + " refused " + g.refused
+        all.forEach(g -> lines.add("gateway " + g.name + " of " + g.datacenter + " " + g.linkState + " rtt "
+                + Math.round(g.rttMs * 10) / 10.0
+                + " ms out " + g.window.inFlight() + " of " + g.window.size() + " served " + g.served + " refused "
+                + g.refused
                 + " failed " + g.failed + " lost " + g.lost));
         lines.add("others' requests open " + remoteLimit.open() + " of " + remoteLimit.limit());
         return lines;
--- a/core/src/main/java/ridgemill/datacenter/ForwardingWindow.java
+++ b/core/src/main/java/ridgemill/datacenter/ForwardingWindow.java
@@ -1,15 +1,16 @@
 package ridgemill.datacenter;
 
 /**
- * How many crossings may be out to one gateway at once. It begins low, as the other hall's nodes are cold for keys that
- * they never saw, grows with what is served and falls when the other side refuses: additive increase and multiplicative
- * decrease (RFC 5681, section 3.1) over requests in place of segments.
+ * The congestion window for requests forwarded to one gateway: how many of them may be in flight at once. It starts
+ * small because the nodes of the other datacenter are cold for keys that they have never served, grows with successes
+ * and shrinks when the other side refuses: additive increase and multiplicative decrease (RFC 5681, section 3.1),
+ * counted in requests instead of segments.
  */
 final class ForwardingWindow {
 
     private static final double INITIAL_SIZE = 4;
     private static final double DECREASE_FACTOR = 0.7;
-    /** Refusals that were under way together count once. */
+    /** Refusals within this time count once, as the requests were in flight together. */
     private static final double DECREASE_INTERVAL_MS = 200;
     private static final double IDLE_RESET_MS = 10_000;
 
@@ -20,14 +21,14 @@
     private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
     private double lastUseMs;
 
-    ForwardingWindow(int most) {
-        this.maxSize = most;
+    ForwardingWindow(int maxSize) {
+        this.maxSize = maxSize;
     }
 
-    /** Whether one more may go out. */
+    /** Whether one more request may be sent. */
     boolean hasRoom(double nowMs) {
         if (inFlight == 0 && nowMs - lastUseMs > IDLE_RESET_MS) {
-            // What the other side could take then says little about now.
+            // After an idle period the old window says little about the current capacity.
             window = Math.min(window, Math.max(INITIAL_SIZE, window / 2));
             lastUseMs = nowMs;
             slowStart = true;
@@ -43,7 +44,7 @@
         return (int) Math.min(maxSize, Math.floor(window));
     }
 
-    /** How full it is, 0 to 1 and over. */
+    /** How full the window is, as a ratio of 0 or more; above 1 after the window has shrunk. */
     double utilization() {
         return inFlight / Math.max(1.0, Math.min(maxSize, window));
     }
@@ -53,16 +54,16 @@
         lastUseMs = nowMs;
     }
 
-    /** One was served. */
+    /** A request was served. */
     void served() {
-        // Growth without use would make a bound that nothing has tried.
+        // Grows only while the window is about half used or more, so that it never exceeds a load that was tested.
         if (inFlight + 1 >= Math.floor(window) / 2) {
             window = Math.min(maxSize, window + (slowStart ? 1 : 1 / window));
         }
         inFlight--;
     }
 
-    /** One was refused, or the other side could not serve it. */
+    /** A request was refused, or the other datacenter could not serve it. */
     void refused(double nowMs) {
         inFlight--;
         slowStart = false;
@@ -72,7 +73,7 @@
         }
     }
 
-    /** One was lost with its link, or went unanswered. */
+    /** A request was lost with its link or timed out. */
     void lost(double nowMs) {
         inFlight--;
         if (nowMs - lastDecreaseMs >= DECREASE_INTERVAL_MS) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /** One ended in a way that says nothing about the other side, as when its client left. */
+    /** A request ended in a way that says nothing about the other side, for example because its client disconnected. */
     void abandoned() {
         inFlight--;
     }
--- a/core/src/main/java/ridgemill/datacenter/HomeCircuitBreaker.java
+++ b/core/src/main/java/ridgemill/datacenter/HomeCircuitBreaker.java
@@ -1,19 +1,19 @@
 package ridgemill.datacenter;
 
 /**
- * Whether the next request of one class tries home first or goes across at once. It goes away when home serves less than
- * half of what it is asked, looks now and then whether home serves again, and comes back by degrees, so that a home that
- * has just recovered is not met by everything at once. Each return that fails makes the looks rarer for a while, and what
- * sends requests away (half) is far from what lets them come home (nine of ten): there is no point around which it could
- * swing.
+ * Decides for one request class whether the next request tries the home datacenter first or is forwarded at once. The
+ * breaker opens when home serves less than half of the requests, probes now and then whether home serves again, and
+ * closes in steps, so that a home datacenter that has just recovered does not get the full load at once. Each return
+ * that fails makes the probes rarer for a while. The threshold for leaving (half of the requests fail) is far from the
+ * one for returning (nine of ten are served), so the state cannot oscillate between them.
  */
 final class HomeCircuitBreaker {
 
-    /** Where requests of the class go. */
+    /** Where the requests of the class go. */
     enum State {
         /** All try home first. */
         HOME,
-        /** All go across but a look now and then. */
+        /** All are forwarded, except for a probe now and then. */
         AWAY,
         /** A growing share tries home first. */
         RETURNING
@@ -24,14 +24,14 @@
     private static final double AWAY_FAILURE_RATIO = 0.5;
     private static final double RETURN_FAILURE_RATIO = 0.1;
     private static final double DEGRADED_FAILURE_RATIO = 0.05;
-    /** So many in a row and no other between them: for classes that are asked for too seldom to fill the window. */
+    /** This many failures in a row open the breaker too, for classes with too few requests to fill the window. */
     private static final int FAILURE_STREAK = 3;
     private static final int PROBES_TO_RETURN = 3;
     private static final double INITIAL_PROBE_INTERVAL_MS = 500;
     private static final double MAX_PROBE_INTERVAL_MS = 8000;
     private static final double INITIAL_RETURN_SHARE = 0.1;
     private static final double RETURN_STEP_MS = 1000;
-    /** After so long at home without going away the looks are as often as at first. */
+    /** After this time at home without opening, the probe interval is the initial one again. */
     private static final double BACKOFF_RESET_MS = 60_000;
 
     private final boolean countStreaks;
@@ -45,21 +45,24 @@
     private int consecutiveFailures;
     private int consecutiveSuccesses;
 
-    /** {@code streaks} says whether a few failures in a row count, which they must not where some always fail. */
-    HomeCircuitBreaker(boolean streaks) {
-        this.countStreaks = streaks;
+    /**
+     * @param countStreaks whether a few failures in a row open the breaker; false for classes in which some requests
+     *     always fail
+     */
+    HomeCircuitBreaker(boolean countStreaks) {
+        this.countStreaks = countStreaks;
     }
 
     State state() {
         return state;
     }
 
-    /** Whether home has of late failed often enough for others to be kept ready. */
+    /** Whether home has failed often enough of late that another datacenter should be kept ready as a fallback. */
     boolean isDegraded(double nowMs) {
         return state != State.HOME || outcomes.failureRatio(nowMs) > DEGRADED_FAILURE_RATIO;
     }
 
-    /** The part that tries home first, 0 to 1. */
+    /** The share of requests that try home first, 0 to 1. */
     double homeShare() {
         return state == State.HOME ? 1 : state == State.AWAY ? 0 : share;
     }
@@ -75,7 +78,7 @@
         }
         if (state == State.RETURNING) {
             increaseShare(nowMs);
-            // Spread evenly, not by chance: the same share at any rate.
+            // Spread evenly instead of at random, so that the share is the same at any request rate.
             credit += share;
             if (credit < 1) {
                 return false;
@@ -85,15 +88,16 @@
         return true;
     }
 
-    /** Home has served one that tried it, or not. */
+    /** Records whether home served a request that tried it. */
     void recordOutcome(double nowMs, boolean served) {
         outcomes.add(nowMs, served);
         consecutiveFailures = served ? 0 : consecutiveFailures + 1;
         consecutiveSuccesses = served ? consecutiveSuccesses + 1 : 0;
         switch (state) {
             case HOME, RETURNING -> {
-                boolean mostly = outcomes.total(nowMs) >= MIN_SAMPLES && outcomes.failureRatio(nowMs) > AWAY_FAILURE_RATIO;
-                if (mostly || countStreaks && consecutiveFailures >= FAILURE_STREAK) {
+                boolean mostlyFailing = outcomes.total(nowMs) >= MIN_SAMPLES
+                        && outcomes.failureRatio(nowMs) > AWAY_FAILURE_RATIO;
+                if (mostlyFailing || countStreaks && consecutiveFailures >= FAILURE_STREAK) {
                     switchAway(nowMs);
                 }
             }
@@ -121,8 +125,10 @@
     }
 
     private void switchAway(double nowMs) {
-        boolean fellBack = state == State.RETURNING || nowMs - stateSinceMs < BACKOFF_RESET_MS && probeIntervalMs > INITIAL_PROBE_INTERVAL_MS;
-        probeIntervalMs = fellBack ? Math.min(MAX_PROBE_INTERVAL_MS, 2 * probeIntervalMs) : nowMs - stateSinceMs >= BACKOFF_RESET_MS ? INITIAL_PROBE_INTERVAL_MS : probeIntervalMs;
+        boolean returnFailed = state == State.RETURNING || nowMs - stateSinceMs < BACKOFF_RESET_MS
+                && probeIntervalMs > INITIAL_PROBE_INTERVAL_MS;
+        probeIntervalMs = returnFailed ? Math.min(MAX_PROBE_INTERVAL_MS, 2 * probeIntervalMs)
+                : nowMs - stateSinceMs >= BACKOFF_RESET_MS ? INITIAL_PROBE_INTERVAL_MS : probeIntervalMs;
         enterState(nowMs, State.AWAY);
         nextProbeMs = nowMs + probeIntervalMs;
     }
--- a/core/src/main/java/ridgemill/datacenter/IdempotencyKeyTable.java
+++ b/core/src/main/java/ridgemill/datacenter/IdempotencyKeyTable.java
@@ -8,26 +8,27 @@
 import java.util.Set;
 
 /**
- * In which hall each keyed write of late may have run, by its key, so that its repeats go there and nowhere else: only one
- * hall's nodes remember it. A gateway that was asked by another hall and knew nothing of a key has promised not to run it:
- * it is fenced, and whoever comes for it later makes this gateway ask in its turn. A fence says nothing of where the key
- * ran, as a gateway beside this one may have run it here. Entries are kept for longer than nodes remember, as a
- * repeat that comes too late must be told from a key that is new. Bounded; what does not fit is said, and the write then
- * must stay at home.
+ * Records for each recent keyed write in which datacenter it may have run, so that its duplicates go there and nowhere
+ * else: only the nodes of one datacenter remember a key. If another datacenter asks about a key that this gateway does
+ * not know, the gateway promises not to run it and records a fence; a later request with that key makes this gateway
+ * query the others in turn. A fence does not say where the key ran, as another gateway of this datacenter may have run
+ * it here. Entries are kept for longer than nodes remember keys, because a duplicate that arrives too late must be told
+ * apart from a new key. The table is bounded; callers learn when an entry does not fit, and the write must then stay in
+ * the home datacenter.
  */
 final class IdempotencyKeyTable {
 
-    /** So much longer than nodes remember. */
+    /** How long entries are kept, as a multiple of the time for which nodes remember keys. */
     private static final double RETENTION_WINDOWS = 2;
     private static final int MAX_ENTRIES = 200_000;
 
     /**
-     * Where a key may have run, since when, and for how long the nodes there drop its repeats; or, for a fence, which hall
-     * was told that it does not run here.
+     * Where a key may have run, since when, and for how long the nodes there drop its duplicates; for a fence, the
+     * datacenter that was promised that it does not run here.
      */
     record Entry(String datacenter, double firstMs, double windowMs, boolean fence) {
 
-        /** Whether a repeat that arrives by then is dropped. */
+        /** Whether nodes drop a duplicate that arrives at this time. */
         boolean dropsDuplicateAt(double atMs) {
             return atMs < firstMs + windowMs;
         }
@@ -39,43 +40,46 @@
     private final Deque<Expiration> expirations = new ArrayDeque<>();
     private final Set<String> pendingQueries = new HashSet<>();
 
-    /** Where the key may have run; null where nothing is known of it. */
+    /** The entry of a key; null if nothing is known of it. */
     Entry find(double nowMs, String key) {
         expire(nowMs);
         return entries.get(key);
     }
 
-    /** The key goes to a hall; null where it can't be remembered. The first time counts, as with the nodes. */
-    Entry recordRun(double nowMs, String key, String hall, double firstMs, double windowMs) {
+    /**
+     * Records that the key is sent to a datacenter; null if the table is full. The first time counts, as it does for
+     * nodes.
+     */
+    Entry recordRun(double nowMs, String key, String datacenter, double firstMs, double windowMs) {
         expire(nowMs);
         Entry known = entries.get(key);
-        return known != null && !known.fence() && known.datacenter().equals(hall) ? known
-                : put(nowMs, key, new Entry(hall, firstMs, windowMs, false), windowMs);
+        return known != null && !known.fence() && known.datacenter().equals(datacenter) ? known
+                : put(nowMs, key, new Entry(datacenter, firstMs, windowMs, false), windowMs);
     }
 
-    /** The key does not run here from now on, as a hall was told; null where that can't be remembered. */
-    Entry fence(double nowMs, String key, String hall, double windowMs) {
+    /** Records the promise to a datacenter that the key does not run here from now on; null if the table is full. */
+    Entry fence(double nowMs, String key, String datacenter, double windowMs) {
         expire(nowMs);
-        return put(nowMs, key, new Entry(hall, nowMs, windowMs, true), windowMs);
+        return put(nowMs, key, new Entry(datacenter, nowMs, windowMs, true), windowMs);
     }
 
-    private Entry put(double nowMs, String key, Entry next, double windowMs) {
+    private Entry put(double nowMs, String key, Entry entry, double windowMs) {
         if (!entries.containsKey(key) && entries.size() >= MAX_ENTRIES) {
             return null;
         }
-        entries.put(key, next);
-        expirations.addLast(new Expiration(nowMs + RETENTION_WINDOWS * windowMs, key, next));
-        return next;
+        entries.put(key, entry);
+        expirations.addLast(new Expiration(nowMs + RETENTION_WINDOWS * windowMs, key, entry));
+        return entry;
     }
 
-    /** It was proven that what made this entry never ran. */
+    /** Removes an entry once it is proven that the request that made it never ran. */
     void clear(String key, Entry entry) {
         entries.remove(key, entry);
     }
 
-    /** This gateway asks others about the key, or has its answer. */
-    void setQueryPending(String key, boolean begins) {
-        if (begins) {
+    /** Records whether this gateway is querying others about the key. */
+    void setQueryPending(String key, boolean pending) {
+        if (pending) {
             pendingQueries.add(key);
         } else {
             pendingQueries.remove(key);
--- a/core/src/main/java/ridgemill/datacenter/LinkHealth.java
+++ b/core/src/main/java/ridgemill/datacenter/LinkHealth.java
@@ -3,20 +3,25 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Whether a link answers, from what is asked and answered on it at short intervals. One for each connection. */
+/**
+ * The health of one link, measured by heartbeats that are sent on it at short intervals. One instance for each
+ * connection.
+ */
 public final class LinkHealth {
 
-    /** How a link is. */
+    /** The state of a link. */
     public enum State {
-        /** It answers. */
+        /** Heartbeats are answered. */
         UP,
-        /** It has not answered for too long: nothing new goes out on it, and what is out goes on waiting. */
+        /**
+         * A heartbeat has waited too long for its answer: no new requests are sent, and those in flight keep waiting.
+         */
         STALLED,
-        /** It is given up: what is out on it is lost. */
+        /** The link is given up: requests in flight on it are lost. */
         DEAD
     }
 
-    /** How often it is asked, in milliseconds. */
+    /** The interval between heartbeats, in milliseconds. */
     public static final double INTERVAL_MS = 250;
     private static final double MIN_STALL_MS = 300;
     private static final double MIN_DEAD_MS = 3000;
@@ -27,36 +32,38 @@
     private double rttVariation;
     private double minRtt = Double.POSITIVE_INFINITY;
 
-    /** It is asked now. */
+    /** A heartbeat was sent. */
     public void heartbeatSent(double nowMs) {
         pendingHeartbeats.addLast(nowMs);
     }
 
-    /** The oldest question that is out is answered; answers keep the order of questions. */
+    /** The oldest pending heartbeat was answered; answers arrive in the order of the heartbeats. */
     public void heartbeatAnswered(double nowMs) {
-        Double at = pendingHeartbeats.pollFirst();
-        if (at == null) {
+        Double sentMs = pendingHeartbeats.pollFirst();
+        if (sentMs == null) {
             return;
         }
-        double rtt = nowMs - at;
+        double rtt = nowMs - sentMs;
         minRtt = Math.min(minRtt, rtt);
-        // RFC 6298, section 2.
+        // Smoothed round-trip time and its variation, RFC 6298, section 2.
         rttVariation = Double.isNaN(srtt) ? rtt / 2 : 0.75 * rttVariation + 0.25 * Math.abs(srtt - rtt);
         srtt = Double.isNaN(srtt) ? rtt : (1 - SRTT_GAIN) * srtt + SRTT_GAIN * rtt;
     }
 
+    /** The state of the link, by how long the oldest pending heartbeat has waited compared to usual round trips. */
     public State state(double nowMs) {
-        double waited = pendingHeartbeats.isEmpty() ? 0 : nowMs - pendingHeartbeats.peekFirst();
-        double patience = Double.isNaN(srtt) ? MIN_STALL_MS : Math.max(MIN_STALL_MS, 2 * srtt + 4 * rttVariation);
-        return waited > Math.max(MIN_DEAD_MS, 2 * patience) ? State.DEAD : waited > patience ? State.STALLED : State.UP;
+        double waitedMs = pendingHeartbeats.isEmpty() ? 0 : nowMs - pendingHeartbeats.peekFirst();
+        double stallMs = Double.isNaN(srtt) ? MIN_STALL_MS : Math.max(MIN_STALL_MS, 2 * srtt + 4 * rttVariation);
+        return waitedMs > Math.max(MIN_DEAD_MS, 2 * stallMs) ? State.DEAD
+                : waitedMs > stallMs ? State.STALLED : State.UP;
     }
 
-    /** The smoothed round trip, in milliseconds; 0 before the first answer. */
+    /** The smoothed round-trip time in milliseconds; 0 before the first answer. */
     public double rttMs() {
         return Double.isNaN(srtt) ? 0 : srtt;
     }
 
-    /** The least round trip so far, in milliseconds; 0 before the first answer. */
+    /** The smallest round-trip time so far in milliseconds; 0 before the first answer. */
     public double minRttMs() {
         return Double.isInfinite(minRtt) ? 0 : minRtt;
     }
--- a/core/src/main/java/ridgemill/datacenter/OutcomeWindow.java
+++ b/core/src/main/java/ridgemill/datacenter/OutcomeWindow.java
@@ -1,6 +1,6 @@
 package ridgemill.datacenter;
 
-/** Counts what went well and what did not over the last while, in slots that are used again. */
+/** Counts successes and failures of the last while, in a ring of time slots. */
 final class OutcomeWindow {
 
     private static final int SLOTS = 10;
@@ -10,21 +10,21 @@
     private final int[] failures = new int[SLOTS];
     private long currentSlot = Long.MIN_VALUE;
 
-    /** Counts over so many milliseconds, up to a tenth of it less. */
+    /** Counts over the given time, or up to a tenth of it less. */
     OutcomeWindow(double windowMs) {
         this.slotMs = windowMs / SLOTS;
     }
 
-    void add(double nowMs, boolean well) {
-        int at = advance(nowMs);
-        if (well) {
-            successes[at]++;
+    void add(double nowMs, boolean success) {
+        int index = advance(nowMs);
+        if (success) {
+            successes[index]++;
         } else {
-            failures[at]++;
+            failures[index]++;
         }
     }
 
-    /** How many there were. */
+    /** The number of outcomes. */
     int total(double nowMs) {
         advance(nowMs);
         int sum = 0;
@@ -34,7 +34,7 @@
         return sum;
     }
 
-    /** The part that did not go well; 0 if there were none. */
+    /** The fraction of failures; 0 without outcomes. */
     double failureRatio(double nowMs) {
         int total = total(nowMs);
         int sum = 0;
@@ -59,9 +59,9 @@
         }
         while (currentSlot < now) {
             currentSlot++;
-            int at = (int) Math.floorMod(currentSlot, (long) SLOTS);
-            successes[at] = 0;
-            failures[at] = 0;
+            int index = (int) Math.floorMod(currentSlot, (long) SLOTS);
+            successes[index] = 0;
+            failures[index] = 0;
         }
         return (int) Math.floorMod(currentSlot, (long) SLOTS);
     }
--- a/core/src/main/java/ridgemill/datacenter/RemoteGateway.java
+++ b/core/src/main/java/ridgemill/datacenter/RemoteGateway.java
@@ -1,11 +1,11 @@
 package ridgemill.datacenter;
 
-/** What is known of one gateway of another hall. */
+/** What this gateway knows about one gateway of another datacenter. */
 final class RemoteGateway {
 
     private static final double INITIAL_SERVICE_TIME_MS = 20;
     private static final double SMOOTHING = 0.1;
-    /** News of it that is older says nothing. */
+    /** A reported state that is older than this is ignored. */
     private static final double STATE_VALID_MS = 3000;
 
     final String name;
@@ -13,7 +13,7 @@
     final ForwardingWindow window;
     LinkHealth.State linkState = LinkHealth.State.DEAD;
     double rttMs;
-    /** Since when it has done nothing but refuse connections; NaN if it has not. */
+    /** When it began to refuse all connections; NaN while it does not. */
     double refusingSinceMs = Double.NaN;
     private DatacenterRouter.GatewayState reportedState;
     private double reportedAtMs = Double.NEGATIVE_INFINITY;
@@ -23,10 +23,10 @@
     long failed;
     long lost;
 
-    RemoteGateway(String name, String hall, int most) {
+    RemoteGateway(String name, String datacenter, int maxInFlight) {
         this.name = name;
-        this.datacenter = hall;
-        this.window = new ForwardingWindow(most);
+        this.datacenter = datacenter;
+        this.window = new ForwardingWindow(maxInFlight);
     }
 
     void stateReported(double nowMs, DatacenterRouter.GatewayState state) {
@@ -34,12 +34,16 @@
         reportedAtMs = nowMs;
     }
 
-    /** Whether its own word, if it is fresh, lets others in. */
+    /**
+     * Whether it accepts requests from other datacenters by its last reported state; true if that is missing or too
+     * old.
+     */
     boolean isAccepting(double nowMs) {
-        return reportedState == null || nowMs - reportedAtMs > STATE_VALID_MS || reportedState.accepting() && !reportedState.leaving();
+        return reportedState == null || nowMs - reportedAtMs > STATE_VALID_MS || reportedState.accepting()
+                && !reportedState.leaving();
     }
 
-    /** How long a crossing to it takes as a rule. */
+    /** How long a request forwarded to it is expected to take, in milliseconds. */
     double expectedMs() {
         return rttMs + serviceTimeMs;
     }
--- a/core/src/main/java/ridgemill/datacenter/RemoteRequestLimit.java
+++ b/core/src/main/java/ridgemill/datacenter/RemoteRequestLimit.java
@@ -1,19 +1,21 @@
 package ridgemill.datacenter;
 
 /**
- * How many requests of other halls may be open here at once. This hall's own clients come first: the share grows only
- * while they are served as usual, and is halved as soon as they are not, down to nothing while it goes on.
+ * The limit on requests from other datacenters that may be open here at once. Local clients come first: the limit grows
+ * only while they are served as usual, and is halved, down to 0, for as long as they are not.
  */
 final class RemoteRequestLimit {
 
     private static final double INITIAL_LIMIT = 8;
     private static final double WINDOW_MS = 1000;
     private static final int MIN_SAMPLES = 10;
-    /** Own requests that are not served, above what is usual here, at which others make room and may take it. */
+    /** The rise of the local failure ratio above its baseline at which the limit is reduced. */
     private static final double MAX_FAILURE_INCREASE = 0.02;
     private static final double DECREASE_INTERVAL_MS = 250;
     private static final double INCREASE_INTERVAL_MS = 100;
-    /** How slowly the usual part is learned while nobody else's requests are here, per outcome. */
+    /**
+     * The weight of one outcome in the baseline failure ratio, which is learned only while no remote request is open.
+     */
     private static final double BASELINE_WEIGHT = 0.01;
 
     private final int maxLimit;
@@ -24,12 +26,12 @@
     private double lastDecreaseMs = Double.NEGATIVE_INFINITY;
     private double lastIncreaseMs = Double.NEGATIVE_INFINITY;
 
-    RemoteRequestLimit(int most) {
-        this.maxLimit = most;
-        this.limit = Math.min(INITIAL_LIMIT, most);
+    RemoteRequestLimit(int maxLimit) {
+        this.maxLimit = maxLimit;
+        this.limit = Math.min(INITIAL_LIMIT, maxLimit);
     }
 
-    /** One of this hall's own clients was served or not. */
+    /** Records whether a request of a local client was served. */
     void recordLocalOutcome(double nowMs, boolean served) {
         localOutcomes.add(nowMs, served);
         if (open == 0) {
@@ -42,10 +44,11 @@
     }
 
     private boolean isDegraded(double nowMs) {
-        return localOutcomes.total(nowMs) >= MIN_SAMPLES && localOutcomes.failureRatio(nowMs) > Math.min(0.5, baselineFailureRatio) + MAX_FAILURE_INCREASE;
+        return localOutcomes.total(nowMs) >= MIN_SAMPLES
+                && localOutcomes.failureRatio(nowMs) > Math.min(0.5, baselineFailureRatio) + MAX_FAILURE_INCREASE;
     }
 
-    /** Whether one more may come in now; if so it is open until {@link #release}. */
+    /** Admits one more remote request if the limit allows it. It then counts as open until {@link #release}. */
     boolean tryAdmit(double nowMs) {
         if (!isDegraded(nowMs) && nowMs - lastIncreaseMs >= INCREASE_INTERVAL_MS && open + 1 >= limit) {
             lastIncreaseMs = nowMs;
--- a/core/src/main/java/ridgemill/datacenter/RoutedRequest.java
+++ b/core/src/main/java/ridgemill/datacenter/RoutedRequest.java
@@ -7,7 +7,7 @@
 import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.ServiceClass;
 
-/** One request on its way through this hall, as {@link DatacenterRouter} knows it. */
+/** A request on its way through this datacenter, with the state that {@link DatacenterRouter} keeps for it. */
 public final class RoutedRequest {
 
     private final String id;
@@ -16,38 +16,40 @@
     private final boolean retry;
     private final DatacenterPath path;
     double deadlineMs;
-    /** Halls that it has entered across; none is entered twice. */
+    /** Datacenters that it has entered by being forwarded; none is entered twice. */
     final Set<String> enteredDatacenters = new HashSet<>();
-    /** Gateways that could not be reached. */
+    /** Gateways that it could not be sent to. */
     final Set<String> unreachableGateways = new HashSet<>();
-    /** Halls other than this in which it may have run. */
+    /** Datacenters other than this one in which it may have run. */
     final Set<String> mayHaveRunIn = new HashSet<>();
     RemoteGateway gateway;
     double forwardedAtMs;
     double queriedAtMs;
-    /** The hall that alone may run it; null for any. */
+    /** The only datacenter that may run it; null for any. */
     String boundDatacenter;
     boolean sharedDeduplicationOnly;
     boolean triedHome;
     boolean mayBeInProgress;
     DatacenterRouter.HomeOutcome homeOutcome;
-    /** The entry that this call made in the ledger, which goes if it is proven that it never ran. */
+    /** The entry that this request made in the key table; removed if it is proven that the request never ran. */
     IdempotencyKeyTable.Entry createdEntry;
     boolean holdsRemoteSlot;
 
     /**
-     * A request that has come.
+     * A request that has arrived.
      *
-     * @param key the idempotency key; null for none
+     * @param idempotencyKey null for none
      * @param retry whether its client marked it as a retry
+     * @param path the datacenters that it passed before
      * @param deadlineMs until when its client waits
      */
-    public RoutedRequest(String id, ServiceClass service, String key, boolean retry, DatacenterPath trail, double deadlineMs) {
+    public RoutedRequest(String id, ServiceClass service, String idempotencyKey, boolean retry, DatacenterPath path,
+            double deadlineMs) {
         this.id = id;
         this.service = service;
-        this.idempotencyKey = key;
+        this.idempotencyKey = idempotencyKey;
         this.retry = retry;
-        this.path = trail;
+        this.path = path;
         this.deadlineMs = deadlineMs;
     }
 
@@ -68,43 +70,44 @@
         return retry;
     }
 
-    /** Where it was before it came here. */
+    /** Where it was before it arrived here. */
     public DatacenterPath path() {
         return path;
     }
 
-    /** When its time is up; earlier than its client's where repeats are forgotten sooner. */
+    /** When its time is up; earlier than its client's deadline if nodes forget its key sooner. */
     public double deadlineMs() {
         return deadlineMs;
     }
 
-    /** Halls that it has entered from here or beyond. */
+    /** Datacenters that it has entered from here, directly or through another one. */
     public Set<String> enteredDatacenters() {
         return Set.copyOf(enteredDatacenters);
     }
 
-    /** Where it has been, this hall last, as the next one is told. */
-    public DatacenterPath forwardedPath(String hall) {
-        List<String> all = new ArrayList<>(path.datacenters());
-        enteredDatacenters.stream().filter(h -> gateway == null || !h.equals(gateway.datacenter)).forEach(all::add);
-        Set<String> ran = new HashSet<>(path.mayHaveRun());
-        ran.addAll(mayHaveRunIn);
-        return new DatacenterPath(all, ran).append(hall, mayHaveRunAtHome());
+    /** Its path with this datacenter as the last element, as it is sent to the next datacenter. */
+    public DatacenterPath forwardedPath(String datacenter) {
+        List<String> visited = new ArrayList<>(path.datacenters());
+        enteredDatacenters.stream().filter(h -> gateway == null || !h.equals(gateway.datacenter)).forEach(visited::add);
+        Set<String> mayHaveRun = new HashSet<>(path.mayHaveRun());
+        mayHaveRun.addAll(mayHaveRunIn);
+        return new DatacenterPath(visited, mayHaveRun).append(datacenter, mayHaveRunAtHome());
     }
 
-    /** Whether it has been to this hall's nodes, or is there. */
+    /** Whether it was sent to this datacenter's nodes, and may still be there. */
     public boolean triedHome() {
         return triedHome;
     }
 
-    /** Whether an attempt of it may still be out somewhere, so that nobody may begin another. */
+    /** Whether an attempt may still be in progress somewhere, so that no other may be started. */
     public boolean mayBeInProgress() {
         return mayBeInProgress;
     }
 
-    /** Whether it may have run at this hall's nodes. */
+    /** Whether it may have run on this datacenter's nodes. */
     public boolean mayHaveRunAtHome() {
-        return homeOutcome == DatacenterRouter.HomeOutcome.UNPROVEN || homeOutcome == DatacenterRouter.HomeOutcome.FAILED;
+        return homeOutcome == DatacenterRouter.HomeOutcome.UNPROVEN
+                || homeOutcome == DatacenterRouter.HomeOutcome.FAILED;
     }
 
     boolean isKeyed() {
@@ -115,7 +118,7 @@
         return service.effect() == Effect.SAFE;
     }
 
-    boolean hasVisited(String hall) {
-        return path.contains(hall) || enteredDatacenters.contains(hall);
+    boolean hasVisited(String datacenter) {
+        return path.contains(datacenter) || enteredDatacenters.contains(datacenter);
     }
 }
--- a/core/src/main/java/ridgemill/datacenter/TransitDelayEstimator.java
+++ b/core/src/main/java/ridgemill/datacenter/TransitDelayEstimator.java
@@ -1,10 +1,10 @@
 package ridgemill.datacenter;
 
 /**
- * How long messages of one connection were on their way beyond the least that any of them took, from the sender's stamps
- * and the receiver's clock, which need not agree: only differences between messages are compared, as in LEDBAT (RFC 6817,
- * section 3.4.2). A message that a stall held back for 10 s is seen to be 10 s old. The least is kept for some minutes and
- * not for ever, since two clocks drift.
+ * Estimates how much longer messages of one connection were in transit than the fastest of them, from the sender's
+ * timestamps and the receiver's clock. The clocks need not agree: only differences between messages are compared, as in
+ * LEDBAT (RFC 6817, section 3.4.2). A message that a stall held back for 10 s is recognised as 10 s old. The minimum is
+ * kept for a few minutes only, because the two clocks drift.
  */
 public final class TransitDelayEstimator {
 
@@ -15,20 +15,20 @@
     private double windowStartMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * A message has come.
+     * A message has arrived.
      *
-     * @param stampMs the sender's clock when it was written, of any origin
+     * @param stampMs the sender's clock when the message was written, of any origin
      * @param nowMs the receiver's clock, of any origin
-     * @return by how much longer it took than the quickest of late, 0 or more
+     * @return how much longer it took than the fastest recent message, in milliseconds, 0 or more
      */
     public double excessMs(double stampMs, double nowMs) {
-        double d = nowMs - stampMs;
+        double differenceMs = nowMs - stampMs;
         if (nowMs - windowStartMs > WINDOW_MS) {
             previousMinDifference = minDifference;
-            minDifference = d;
+            minDifference = differenceMs;
             windowStartMs = nowMs;
         }
-        minDifference = Math.min(minDifference, d);
-        return Math.max(0, d - Math.min(minDifference, previousMinDifference));
+        minDifference = Math.min(minDifference, differenceMs);
+        return Math.max(0, differenceMs - Math.min(minDifference, previousMinDifference));
     }
 }
--- a/core/src/main/java/ridgemill/limit/FairQueue.java
+++ b/core/src/main/java/ridgemill/limit/FairQueue.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * A bounded line of requests in which tenants take turns, one request each, so that a tenant that asks much waits behind
- * itself and not before others. A full line gives a place of its longest tenant to one whose share is smaller (as
- * longest-queue drop does, RFC 7567, section 4.2.1 names the kind); the newest goes, which has waited least.
+ * A bounded queue of requests that serves tenants round robin, one request each, so that a tenant with many requests
+ * delays only itself. When the queue is full, a tenant with fewer queued requests takes a place from the tenant with
+ * the most (longest-queue drop, a kind of active queue management that RFC 7567, section 4.2.1 names). The newest
+ * request of that tenant is dropped, as it has waited least.
  *
- * <p>It is as large as what stands in it: a tenant with nothing in line takes no memory. Not safe for use by several
- * threads.
+ * <p>Memory use is proportional to the queued requests: a tenant without any takes none. Not thread-safe.
  */
 final class FairQueue {
 
-    /** What became of one that asked for a place. */
+    /** The result of an offer. */
     enum OfferResult { ACCEPTED, FULL }
 
     private static final class TenantQueue {
@@ -28,7 +28,7 @@
     private final Map<String, String> tenants = new HashMap<>();
     private String displaced;
 
-    /** How many stand in it. */
+    /** The number of queued requests. */
     int size() {
         return tenants.size();
     }
@@ -38,10 +38,11 @@
     }
 
     /**
-     * Asks for a place in a line of so many; {@link #displaced} then tells whether another lost its own for it.
+     * Offers a request to the queue; {@link #displaced} then tells whether another request lost its place to it.
      *
-     * @param id of the request, not in line yet
-     * @param tenant whose it is; the empty text where it names none
+     * @param id of the request, which is not queued yet
+     * @param tenant the tenant of the request; empty if it names none
+     * @param capacity how many requests the queue may hold now
      */
     OfferResult offer(String id, String tenant, int capacity) {
         displaced = null;
@@ -59,38 +60,38 @@
         return OfferResult.ACCEPTED;
     }
 
-    /** Who lost its place to the last that was offered; null if nobody did. */
+    /** The request that lost its place to the last accepted one; null if none did. */
     String displaced() {
         return displaced;
     }
 
-    /** Takes out the one whose turn it is; null where nobody waits. */
+    /** Removes and returns the next request in turn; null if the queue is empty. */
     String poll() {
         Iterator<Map.Entry<String, TenantQueue>> first = queues.entrySet().iterator();
         if (!first.hasNext()) {
             return null;
         }
-        Map.Entry<String, TenantQueue> turn = first.next();
-        String tenant = turn.getKey();
-        TenantQueue line = turn.getValue();
+        Map.Entry<String, TenantQueue> next = first.next();
+        String tenant = next.getKey();
+        TenantQueue queue = next.getValue();
         first.remove();
-        String id = line.ids.pollFirst();
+        String id = queue.ids.pollFirst();
         tenants.remove(id);
-        if (!line.ids.isEmpty()) {
-            queues.put(tenant, line);
+        if (!queue.ids.isEmpty()) {
+            queues.put(tenant, queue);
         }
         return id;
     }
 
-    /** Takes one out before its turn; false if it was not in line. */
+    /** Removes a request before its turn; false if it was not queued. */
     boolean remove(String id) {
         String tenant = tenants.remove(id);
         if (tenant == null) {
             return false;
         }
-        TenantQueue line = queues.get(tenant);
-        line.ids.remove(id);
-        if (line.ids.isEmpty()) {
+        TenantQueue queue = queues.get(tenant);
+        queue.ids.remove(id);
+        if (queue.ids.isEmpty()) {
             queues.remove(tenant);
         }
         return true;
--- a/core/src/main/java/ridgemill/limit/LimitKey.java
+++ b/core/src/main/java/ridgemill/limit/LimitKey.java
@@ -1,36 +1,36 @@
 package ridgemill.limit;
 
 /**
- * A limit that several loops of one process keep together.
+ * Identifies a limit that the event loops of one process enforce together.
  *
- * @param kind what it bounds
- * @param name of the class or tenant; empty where the kind has but one
+ * @param kind what it limits
+ * @param name the class or tenant; empty if there is only one limit of the kind
  */
 public record LimitKey(Kind kind, String name) {
 
-    /** What a limit bounds. */
+    /** What a limit applies to. */
     public enum Kind {
-        /** Requests without a final answer, over all classes. */
+        /** Requests without a final response, over all classes. */
         IN_FLIGHT,
-        /** The same of one class. */
+        /** Requests without a final response, of one class. */
         CLASS_IN_FLIGHT,
         /** The rate of a class. */
         CLASS_RATE,
-        /** The rate of a tenant that the file names. */
+        /** The rate of a tenant that the configuration names. */
         TENANT_RATE,
-        /** The rate of a tenant that it does not name. */
+        /** The rate of a tenant that the configuration does not name. */
         UNKNOWN_TENANT;
 
-        /** Whether it bounds how many there are at once, and not how many come. */
+        /** Whether it limits how many requests are in flight, as opposed to a rate. */
         public boolean isCount() {
             return this == IN_FLIGHT || this == CLASS_IN_FLIGHT;
         }
     }
 
-    /** The one limit on all requests in flight. */
+    /** The limit on all requests in flight. */
     public static final LimitKey ALL_IN_FLIGHT = new LimitKey(Kind.IN_FLIGHT, "");
 
-    /** What a whole of limits says of it: how many at once; 0 where it says nothing. */
+    /** The number of requests that may be in flight under this limit; 0 if the configuration has no such limit. */
     static int inFlightLimit(Limits limits, LimitKey key) {
         return switch (key.kind()) {
             case IN_FLIGHT -> limits.inFlight();
@@ -39,7 +39,7 @@
         };
     }
 
-    /** What a whole of limits says of it: at which rate; null where it says nothing. */
+    /** The rate of this limit; null if the configuration has no such limit. */
     static Rate rate(Limits limits, LimitKey key) {
         return switch (key.kind()) {
             case CLASS_RATE -> limits.classRate().get(key.name());
@@ -49,14 +49,14 @@
         };
     }
 
-    /** What a loop has of a count before anybody lent it more or less. */
+    /** A loop's even share of a limit on requests in flight, which it has before anything is granted. */
     static int evenCount(int whole, int loop, int loops) {
         return whole / loops + (loop < whole % loops ? 1 : 0);
     }
 
-    /** What a loop has of a rate when it has this part of it. */
+    /** A loop's rate when it has this fraction of the whole. */
     static Rate fractionOf(Rate whole, double part) {
-        // A bucket that holds less than one lets nobody through; so a burst below the loops' number grows to it.
+        // A bucket of less than one token admits nothing, so a burst below the number of loops grows to that number.
         return new Rate(whole.perSecond() * part, Math.max(1, whole.burst() * part));
     }
 }
--- a/core/src/main/java/ridgemill/limit/Limiter.java
+++ b/core/src/main/java/ridgemill/limit/Limiter.java
@@ -4,36 +4,37 @@
 import java.util.Map;
 
 /**
- * Decides whether a request may go on to the decisions, and if not, when to come back. It has a bounded number of
- * buckets whatever names clients send. Not safe for use by several threads.
+ * Decides whether a request is admitted, and if not, when its client may retry. The number of buckets is bounded
+ * whatever tenant names clients send. Not thread-safe.
  */
 public final class Limiter {
 
-    /** How long room takes to come where no answer has been seen to make any. */
+    /** The time between two releases that is assumed before any was measured. */
     private static final double INITIAL_RELEASE_INTERVAL_MS = 50;
-    /** What one gap between two answers counts for against those before it. */
+    /** The weight of the newest time between two releases in their moving average. */
     private static final double RELEASE_INTERVAL_WEIGHT = 0.1;
-    /** Nobody is told to come back later than this for want of room: what was measured may be long past. */
+    /** The longest retry time given for lack of room, as the measured release rate may be out of date. */
     private static final double MAX_RETRY_AFTER_MS = 5000;
 
-    /** Which limit refuses. */
+    /** The limit that refuses a request. */
     public enum Reason { IN_FLIGHT, QUEUE_FULL, CLASS_IN_FLIGHT, CLASS_RATE, TENANT_RATE, RETRY_BUDGET }
 
-    /** What becomes of a request. */
+    /** The decision about a request. */
     public sealed interface Verdict { }
 
-    /** It may go on; {@link Limiter#ended} is owed when it has its final answer. */
+    /** It is admitted; {@link Limiter#ended} must be called when it has its final response. */
     public record Admitted() implements Verdict { }
 
     /**
-     * It stands in line: {@link Limiter#admitNext} names it when its turn comes, or {@link Limiter#withdraw} is owed.
+     * It is queued: {@link Limiter#admitNext} returns it when its turn comes; otherwise {@link Limiter#withdraw} must
+     * be called.
      *
-     * @param maxWaitMs how long it may wait at most
-     * @param displaced another that lost its place in line for it and is turned away; null if none did
+     * @param maxWaitMs how long it may wait
+     * @param displaced another queued request that lost its place to this one and is refused; null if none did
      */
     public record Queued(double maxWaitMs, String displaced) implements Verdict { }
 
-    /** It is turned away; nothing ran. {@code retryAfterMs} follows from the limit that refuses and is above 0. */
+    /** It is refused and nothing ran. {@code retryAfterMs} follows from the limit that refuses it and is above 0. */
     public record Refused(Reason reason, double retryAfterMs) implements Verdict { }
 
     private static final Admitted ADMITTED = new Admitted();
@@ -49,17 +50,17 @@
     private double releaseIntervalMs = INITIAL_RELEASE_INTERVAL_MS;
     private double lastReleaseMs = Double.NaN;
     private int inFlight;
-    /** What this loop may use where several keep the limits together; null where there is one. */
+    /** This loop's share if several loops enforce the limits together; null if there is only one. */
     private final LoopShare share;
 
-    /** One in line, and the buckets that it has a token of. */
+    /** A queued request, and the buckets that it took a token from. */
     private record QueuedRequest(String service, TokenBucket tenantBucket, TokenBucket classBucket) { }
 
     public Limiter(Limits limits, double nowMs) {
         this(limits, nowMs, null);
     }
 
-    /** Keeps limits together with the limiters of other loops of this process, of which each has a share. */
+    /** Enforces limits together with the limiters of other loops of this process, each of which has a share. */
     public Limiter(Limits limits, double nowMs, LoopShare share) {
         this.limits = limits;
         this.share = share;
@@ -67,41 +68,42 @@
     }
 
     /**
-     * Decides on a request. Limits that cost nothing to ask come first, and a token that one limit gave goes back if the
-     * next refuses, so that a request that is turned away counts against nobody.
+     * Decides on a request. Limits that are cheap to check come first, and a token that was taken from one limit is
+     * given back if the next one refuses, so that a refused request counts against no limit.
      *
-     * @param id by which it is named when it comes out of the line
-     * @param tenant null where it names none, which is a tenant like any other that is not named
-     * @param retry whether it is marked as a client's retry
+     * @param id under which {@link #admitNext} returns it
+     * @param tenant null if it names none; such requests count as one more unnamed tenant
+     * @param retry whether the client marked it as a retry
      */
     public Verdict admit(double nowMs, String id, String tenant, String service, boolean retry) {
-        // Nobody overtakes those in line.
+        // A new request must not overtake queued ones.
         boolean full = isFull() || !queue.isEmpty();
         if (full && limits.queue() == null) {
             recordRefusal(LimitKey.ALL_IN_FLIGHT);
             return new Refused(Reason.IN_FLIGHT, retryAfterMs(0));
         }
-        Integer most = limits.classInFlight().get(service);
-        if (most != null && isFull(service, most)) {
+        Integer maxInFlight = limits.classInFlight().get(service);
+        if (maxInFlight != null && isFull(service, maxInFlight)) {
             return new Refused(Reason.CLASS_IN_FLIGHT, retryAfterMs(0));
         }
-        TokenBucket ofTenant = tenantBucket(nowMs, tenant);
-        if (ofTenant != null && !tryTake(ofTenant, nowMs, share == null ? null : tenantKey(tenant))) {
-            return new Refused(Reason.TENANT_RATE, ofTenant.waitMs(nowMs));
+        TokenBucket tenantBucket = tenantBucket(nowMs, tenant);
+        if (tenantBucket != null && !tryTake(tenantBucket, nowMs, share == null ? null : tenantKey(tenant))) {
+            return new Refused(Reason.TENANT_RATE, tenantBucket.waitMs(nowMs));
         }
-        TokenBucket ofClass = classBucket(nowMs, service);
-        if (ofClass != null && !tryTake(ofClass, nowMs, share == null ? null : new LimitKey(LimitKey.Kind.CLASS_RATE, service))) {
-            giveBack(ofTenant, nowMs);
-            return new Refused(Reason.CLASS_RATE, ofClass.waitMs(nowMs));
+        TokenBucket classBucket = classBucket(nowMs, service);
+        if (classBucket != null && !tryTake(classBucket, nowMs,
+                share == null ? null : new LimitKey(LimitKey.Kind.CLASS_RATE, service))) {
+            giveBack(tenantBucket, nowMs);
+            return new Refused(Reason.CLASS_RATE, classBucket.waitMs(nowMs));
         }
         if (retryBudget != null && retry && !retryBudget.tryRetry(nowMs)) {
-            giveBack(ofTenant, nowMs);
-            giveBack(ofClass, nowMs);
+            giveBack(tenantBucket, nowMs);
+            giveBack(classBucket, nowMs);
             return new Refused(Reason.RETRY_BUDGET, Math.max(1, retryBudget.waitMs(nowMs)));
         }
         if (full && queue.offer(id, tenant == null ? "" : tenant, queueCapacity()) == FairQueue.OfferResult.FULL) {
-            giveBack(ofTenant, nowMs);
-            giveBack(ofClass, nowMs);
+            giveBack(tenantBucket, nowMs);
+            giveBack(classBucket, nowMs);
             recordRefusal(LimitKey.ALL_IN_FLIGHT);
             return new Refused(Reason.QUEUE_FULL, retryAfterMs(queue.size()));
         }
@@ -114,24 +116,28 @@
             if (displaced != null) {
                 removeQueued(nowMs, displaced);
             }
-            queued.put(id, new QueuedRequest(service, ofTenant, ofClass));
+            queued.put(id, new QueuedRequest(service, tenantBucket, classBucket));
             return new Queued(limits.queue().maxWaitMs(), displaced);
         }
         inFlight++;
         return ADMITTED;
     }
 
-    /** A request of this class that was admitted has its final answer. */
+    /** An admitted request of this class has its final response. */
     public void ended(double nowMs, String service) {
         if (!Double.isNaN(lastReleaseMs)) {
-            releaseIntervalMs += RELEASE_INTERVAL_WEIGHT * (Math.min(MAX_RETRY_AFTER_MS, nowMs - lastReleaseMs) - releaseIntervalMs);
+            releaseIntervalMs += RELEASE_INTERVAL_WEIGHT
+                    * (Math.min(MAX_RETRY_AFTER_MS, nowMs - lastReleaseMs) - releaseIntervalMs);
         }
         lastReleaseMs = nowMs;
         inFlight--;
         classRequestLeft(service);
     }
 
-    /** Names one in line whose turn it is, which is admitted with that; null where none has it. To be asked till then. */
+    /**
+     * Admits the next queued request if there is room, and returns its id; null if there is none. Call it until it
+     * returns null.
+     */
     public String admitNext() {
         if (queue.isEmpty() || isFull()) {
             return null;
@@ -143,9 +149,10 @@
     }
 
     /**
-     * One in line leaves it without its turn: its client has gone, or it has waited for long enough. Its tokens go back.
+     * Removes a queued request before its turn, because its client disconnected or it has waited too long. Its tokens
+     * are given back.
      *
-     * @return when one like it may come back, in milliseconds
+     * @return when a similar request may be retried, in milliseconds
      */
     public double withdraw(double nowMs, String id) {
         if (queue.remove(id)) {
@@ -155,24 +162,24 @@
     }
 
     private void removeQueued(double nowMs, String id) {
-        QueuedRequest gone = queued.remove(id);
-        giveBack(gone.tenantBucket(), nowMs);
-        giveBack(gone.classBucket(), nowMs);
-        classRequestLeft(gone.service());
+        QueuedRequest removed = queued.remove(id);
+        giveBack(removed.tenantBucket(), nowMs);
+        giveBack(removed.classBucket(), nowMs);
+        classRequestLeft(removed.service());
     }
 
     private void classRequestLeft(String service) {
         classInFlight.computeIfPresent(service, (s, n) -> n > 1 ? n - 1 : null);
     }
 
-    /** When there may be room for one behind so many others, by how fast answers have made room of late. */
-    private double retryAfterMs(int before) {
-        return Math.max(1, Math.min(MAX_RETRY_AFTER_MS, (before + 1) * releaseIntervalMs));
+    /** When there may be room behind this many others, estimated from the recent release rate. */
+    private double retryAfterMs(int ahead) {
+        return Math.max(1, Math.min(MAX_RETRY_AFTER_MS, (ahead + 1) * releaseIntervalMs));
     }
 
     /**
-     * Goes on under other limits. Requests in flight go on counting; a bucket whose rate stays keeps what it holds, one
-     * whose rate changes keeps it up to the new burst, and one that is new is full.
+     * Applies other limits. Requests in flight keep counting. A bucket whose rate is unchanged keeps its tokens, one
+     * whose rate changes keeps them up to the new burst, and a new one is full.
      */
     public void changeTo(Limits next, double nowMs) {
         if (share != null) {
@@ -181,7 +188,8 @@
         limits = next;
         updateBuckets(classBuckets, LimitKey.Kind.CLASS_RATE, next.classRate(), nowMs);
         updateBuckets(tenantBuckets, LimitKey.Kind.TENANT_RATE, next.tenantRate(), nowMs);
-        unknownTenantBuckets.changeTo(next.unknownTenantRate(), nowMs, (name, whole) -> shareOf(LimitKey.Kind.UNKNOWN_TENANT, name, whole));
+        unknownTenantBuckets.changeTo(next.unknownTenantRate(), nowMs,
+                (name, whole) -> shareOf(LimitKey.Kind.UNKNOWN_TENANT, name, whole));
         if (next.retryBudget() == null) {
             retryBudget = null;
         } else if (retryBudget == null) {
@@ -191,23 +199,24 @@
         }
     }
 
-    private RetryBudget.Config retryConfig(Limits of) {
-        return share == null ? of.retryBudget() : share.retryBudget(of.retryBudget());
+    private RetryBudget.Config retryConfig(Limits from) {
+        return share == null ? from.retryBudget() : share.retryBudget(from.retryBudget());
     }
 
-    // What is shared with other loops.
+    // Limits shared with other loops.
 
     private boolean isFull() {
-        return inFlight >= (share == null ? limits.inFlight() : share.inFlightLimit(LimitKey.ALL_IN_FLIGHT, limits.inFlight()));
+        return inFlight >= (share == null
+                ? limits.inFlight() : share.inFlightLimit(LimitKey.ALL_IN_FLIGHT, limits.inFlight()));
     }
 
     private boolean isFull(String service, int whole) {
-        int there = classInFlight.getOrDefault(service, 0);
+        int count = classInFlight.getOrDefault(service, 0);
         if (share == null) {
-            return there >= whole;
+            return count >= whole;
         }
         LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, service);
-        boolean full = there >= share.inFlightLimit(key, whole);
+        boolean full = count >= share.inFlightLimit(key, whole);
         if (full) {
             recordRefusal(key);
         }
@@ -229,21 +238,22 @@
     }
 
     private boolean tryTake(TokenBucket bucket, double nowMs, LimitKey key) {
-        boolean there = bucket.tryTake(nowMs);
+        boolean taken = bucket.tryTake(nowMs);
         if (key != null) {
             LoopShare.UsageCounters c = share.counters(key);
             c.requested++;
-            c.refused += there ? 0 : 1;
+            c.refused += taken ? 0 : 1;
         }
-        return there;
+        return taken;
     }
 
     private LimitKey tenantKey(String tenant) {
-        return tenant != null && limits.tenantRate().containsKey(tenant) ? new LimitKey(LimitKey.Kind.TENANT_RATE, tenant)
+        return tenant != null && limits.tenantRate().containsKey(tenant)
+                ? new LimitKey(LimitKey.Kind.TENANT_RATE, tenant)
                 : new LimitKey(LimitKey.Kind.UNKNOWN_TENANT, tenant == null ? "" : tenant);
     }
 
-    /** The bucket of a rate that is shared, if there is one. */
+    /** The bucket of a shared rate, if it exists. */
     private TokenBucket bucket(LimitKey key) {
         return switch (key.kind()) {
             case CLASS_RATE -> classBuckets.get(key.name());
@@ -261,7 +271,7 @@
         }
     }
 
-    /** Tells what this loop used since it last told. */
+    /** Reports this loop's usage since its last report. */
     public LoopShare.UsageReport report(double nowMs) {
         Map<LimitKey, LoopShare.Usage> uses = new HashMap<>();
         Map<LimitKey, LoopShare.UsageCounters> counted = share.drainCounters();
@@ -273,33 +283,35 @@
                 uses.put(key, new LoopShare.Usage(c.requested, c.refused, b == null ? 0 : b.tokens(nowMs), c.spare));
             }
         });
-        // What is in flight counts whether or not anybody asked since.
+        // Requests in flight are reported even if no request has arrived since the last report.
         if (limits.inFlight() < Integer.MAX_VALUE) {
             uses.putIfAbsent(LimitKey.ALL_IN_FLIGHT, new LoopShare.Usage(0, 0, inFlight, 0));
         }
-        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name),
+        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(
+                new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name),
                 key -> new LoopShare.Usage(0, 0, inFlightOf(key), 0)));
         return new LoopShare.UsageReport(share.lastGrant(), nowMs, uses);
     }
 
-    /** Tells what this loop has in flight, between two reports. */
+    /** Reports this loop's requests in flight, between two usage reports. */
     public LoopShare.InFlightReport inFlightReport() {
-        Map<LimitKey, Integer> there = new HashMap<>();
-        there.put(LimitKey.ALL_IN_FLIGHT, inFlight);
+        Map<LimitKey, Integer> inFlightByLimit = new HashMap<>();
+        inFlightByLimit.put(LimitKey.ALL_IN_FLIGHT, inFlight);
         limits.classInFlight().keySet().forEach(name -> {
             LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name);
-            there.put(key, inFlightOf(key));
+            inFlightByLimit.put(key, inFlightOf(key));
         });
-        return new LoopShare.InFlightReport(share.lastGrant(), there);
+        return new LoopShare.InFlightReport(share.lastGrant(), inFlightByLimit);
     }
 
     private int inFlightOf(LimitKey key) {
         return key.kind() == LimitKey.Kind.IN_FLIGHT ? inFlight : classInFlight.getOrDefault(key.name(), 0);
     }
 
-    /** May use another share from now on; those in line may have room with it. */
+    /** Applies another share; queued requests may have room under it. */
     public void apply(LoopShare.Grant grant, double nowMs) {
-        // One that nobody has asked for yet is full, and what a smaller part cuts off it is for others too.
+        // A bucket that was not used yet is full, and the tokens that a smaller share cuts off must be reported as
+        // spare.
         grant.rateFractions().keySet().forEach(key -> ensureBucket(key, nowMs));
         share.apply(grant);
         grant.rateFractions().keySet().forEach(key -> {
@@ -314,24 +326,25 @@
         });
         grant.tokens().forEach((key, tokens) -> {
             TokenBucket bucket = LimitKey.rate(limits, key) == null ? null : bucket(key);
-            double back = bucket == null ? tokens : bucket.add(tokens, nowMs);
-            if (back > 0) {
-                share.counters(key).spare += back;
+            double excess = bucket == null ? tokens : bucket.add(tokens, nowMs);
+            if (excess > 0) {
+                share.counters(key).spare += excess;
             }
         });
     }
 
-    /** How many stand in line. */
+    /** The number of queued requests. */
     public int queueLength() {
         return queue.size();
     }
 
-    /** Requests that were admitted and have no final answer yet. */
+    /** The number of admitted requests without a final response. */
     public int inFlight() {
         return inFlight;
     }
 
-    private void updateBuckets(Map<String, TokenBucket> buckets, LimitKey.Kind kind, Map<String, Rate> rates, double nowMs) {
+    private void updateBuckets(Map<String, TokenBucket> buckets, LimitKey.Kind kind, Map<String, Rate> rates,
+            double nowMs) {
         buckets.keySet().retainAll(rates.keySet());
         buckets.forEach((name, bucket) -> {
             Rate next = shareOf(kind, name, rates.get(name));
--- a/core/src/main/java/ridgemill/limit/Limits.java
+++ b/core/src/main/java/ridgemill/limit/Limits.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * What an operator allows. Absent rates are without limit.
+ * The admission limits that an operator configures. A rate that is absent is unlimited.
  *
- * @param inFlight requests without a final answer, over all classes, that are not in line; at least 1
- * @param classInFlight the same for a class, by its name, with those in line; classes that are not named have no limit
- *     of their own
+ * @param inFlight requests without a final response, over all classes, not counting queued ones; at least 1
+ * @param classInFlight the same for a class by its name, counting queued ones; a class that is not in the map has no
+ *     limit of its own
  * @param classRate the rate of a class over all tenants, by its name
  * @param tenantRate the rate of a tenant over all classes, by its name
  * @param unknownTenantRate the rate of each tenant that is not named; null for none
  * @param retryBudget the budget for clients' retries; null for none
- * @param queue where requests past {@code inFlight} wait; null where they are refused at once
+ * @param queue where requests beyond {@code inFlight} wait; null if they are refused at once
  * @param connectionsPerClient connections from one address; at least 1
  */
 public record Limits(int inFlight, Map<String, Integer> classInFlight, Map<String, Rate> classRate,
@@ -20,24 +20,24 @@
                      int connectionsPerClient) {
 
     /**
-     * A queue before the limit of requests in flight.
+     * The queue for requests beyond the limit of requests in flight.
      *
-     * @param capacity how many may wait, at least 1
-     * @param maxWaitMs for how long each may at most, greater than 0
+     * @param capacity how many requests may wait, at least 1
+     * @param maxWaitMs how long each may wait, greater than 0
      */
     public record Queue(int capacity, double maxWaitMs) {
 
         public Queue {
             if (capacity < 1 || !(maxWaitMs > 0)) {
-                throw new IllegalArgumentException("a queue has at least 1 place and a wait greater than 0");
+                throw new IllegalArgumentException("a queue needs a capacity of at least 1 and a wait greater than 0");
             }
         }
     }
 
-    /** Everything goes through. */
+    /** No limits: every request is admitted. */
     public static final Limits NONE = new Limits(Integer.MAX_VALUE, Map.of(), Map.of(), Map.of(), null, null);
 
-    /** Limits without a queue and without one on connections. */
+    /** Limits without a queue and without a limit on connections. */
     public Limits(int inFlight, Map<String, Integer> classInFlight, Map<String, Rate> classRate,
                   Map<String, Rate> tenantRate, Rate unknownTenant, RetryBudget.Config retries) {
         this(inFlight, classInFlight, classRate, tenantRate, unknownTenant, retries, null, Integer.MAX_VALUE);
@@ -48,16 +48,17 @@
         classRate = Map.copyOf(classRate);
         tenantRate = Map.copyOf(tenantRate);
         if (inFlight < 1) {
-            throw new IllegalArgumentException("fewer than one request in flight refuses everything: " + inFlight);
+            throw new IllegalArgumentException("the limit of requests in flight must be at least 1: " + inFlight);
         }
         if (connectionsPerClient < 1) {
-            throw new IllegalArgumentException("fewer than one connection refuses everything: " + connectionsPerClient);
+            throw new IllegalArgumentException("the limit of connections from one client must be at least 1: "
+                    + connectionsPerClient);
         }
     }
 
-    /** The same with a queue. */
-    public Limits withQueue(Queue there) {
-        return new Limits(inFlight, classInFlight, classRate, tenantRate, unknownTenantRate, retryBudget, there,
+    /** These limits with a queue. */
+    public Limits withQueue(Queue newQueue) {
+        return new Limits(inFlight, classInFlight, classRate, tenantRate, unknownTenantRate, retryBudget, newQueue,
                 connectionsPerClient);
     }
 }
--- a/core/src/main/java/ridgemill/limit/LoopShare.java
+++ b/core/src/main/java/ridgemill/limit/LoopShare.java
@@ -4,49 +4,51 @@
 import java.util.Map;
 
 /**
- * One loop's share of limits that all loops of a process keep together: what it may use, and what it has used since it last
- * told. The {@link ShareAllocator} moves shares to where they are asked for. Owned by the loop.
+ * One event loop's share of limits that all loops of a process enforce together: what the loop may use, and what it has
+ * used since its last report. The {@link ShareAllocator} moves shares to the loops that need them. Owned by the loop.
  */
 public final class LoopShare {
 
     /**
-     * What a loop has made of one limit since it last told.
+     * A loop's usage of one limit since its last report.
      *
-     * @param requested requests that asked, whether they were let through or not
-     * @param refused of them those that this limit turned away
-     * @param held tokens in its bucket, or requests in flight
-     * @param spare tokens that it gives back, as its bucket has shrunk
+     * @param requested requests checked against the limit, admitted or not
+     * @param refused those that this limit refused
+     * @param held tokens in the loop's bucket, or requests in flight
+     * @param spare tokens that the loop gives back because its bucket shrank
      */
     public record Usage(double requested, double refused, double held, double spare) { }
 
     /**
-     * What a loop tells.
+     * A loop's report to the allocator.
      *
-     * @param lastGrant the number of the last grant that it had taken
-     * @param nowMs when it told
-     * @param usages of the limits that were asked, or that it holds more or less of than its even part
+     * @param lastGrant the number of the last grant that the loop applied
+     * @param nowMs the time of the report
+     * @param usages of the limits that were used, or of which the loop holds more or less than its even share
      */
     public record UsageReport(long lastGrant, double nowMs, Map<LimitKey, Usage> usages) { }
 
     /**
-     * What a loop has in flight, as it tells when it has taken a grant: what it does not need any more may be lent on then.
+     * A loop's requests in flight, reported after it applied a grant: what the loop does not need any more can then be
+     * granted to others.
      *
-     * @param lastGrant the number of the grant
-     * @param inFlight for each limit on requests in flight
+     * @param lastGrant the number of that grant
+     * @param inFlight by limit
      */
     public record InFlightReport(long lastGrant, Map<LimitKey, Integer> inFlight) { }
 
     /**
-     * What a loop may use from now on.
+     * The share that a loop may use from now on.
      *
-     * @param number counts a loop's grants
-     * @param rateFractions of rates, each from 0 to 1
-     * @param inFlightLimits of requests in flight
-     * @param tokens to put into buckets, which another loop gave back
+     * @param number numbers the grants of one loop
+     * @param rateFractions fractions of rates, each from 0 to 1
+     * @param inFlightLimits limits on requests in flight
+     * @param tokens to add to buckets, given back by another loop
      */
-    public record Grant(long number, Map<LimitKey, Double> rateFractions, Map<LimitKey, Integer> inFlightLimits, Map<LimitKey, Double> tokens) { }
+    public record Grant(long number, Map<LimitKey, Double> rateFractions, Map<LimitKey, Integer> inFlightLimits,
+            Map<LimitKey, Double> tokens) { }
 
-    /** What was counted since the last report. */
+    /** Counts since the last report. */
     static final class UsageCounters {
         double requested;
         double refused;
@@ -60,7 +62,7 @@
     private final Map<LimitKey, UsageCounters> counters = new HashMap<>();
     private long lastGrant;
 
-    /** The share of a loop, by its number from 0, among so many. */
+    /** The share of one loop, by its number from 0. */
     public LoopShare(int loop, int loops) {
         if (loop < 0 || loop >= loops) {
             throw new IllegalArgumentException("loop " + loop + " of " + loops);
@@ -69,37 +71,41 @@
         this.loops = loops;
     }
 
-    /** What it may use of a rate. */
+    /** The rate that this loop may use. */
     Rate rate(LimitKey key, Rate whole) {
         return LimitKey.fractionOf(whole, rateFractions.getOrDefault(key, 1.0 / loops));
     }
 
-    /** What a new bucket holds: its part of a full one, and no more, however small that is. */
+    /** The tokens of a new bucket: the loop's fraction of a full one, however small that is. */
     double initialTokens(LimitKey key, Rate whole) {
         return whole.burst() * rateFractions.getOrDefault(key, 1.0 / loops);
     }
 
-    /** How many it may have in flight. */
+    /** How many requests this loop may have in flight. */
     int inFlightLimit(LimitKey key, int whole) {
-        Integer lent = inFlightLimits.get(key);
-        return whole == Integer.MAX_VALUE ? whole : lent == null ? LimitKey.evenCount(whole, loop, loops) : lent;
+        Integer granted = inFlightLimits.get(key);
+        return whole == Integer.MAX_VALUE ? whole : granted == null ? LimitKey.evenCount(whole, loop, loops) : granted;
     }
 
-    /** What the others leave it of a queue's places. */
+    /** This loop's part of a queue's capacity. */
     int queueCapacity(int whole) {
         return Math.max(1, whole / loops);
     }
 
-    /** The others' part of a retry budget: its share is of a loop's own first tries, its least is divided evenly. */
+    /**
+     * This loop's part of a retry budget: the ratio applies to the loop's own first tries, the minimum rate is divided
+     * evenly.
+     */
     RetryBudget.Config retryBudget(RetryBudget.Config whole) {
-        return whole == null ? null : new RetryBudget.Config(whole.retryRatio(), whole.minPerSecond() / loops, whole.windowMs());
+        return whole == null ? null
+                : new RetryBudget.Config(whole.retryRatio(), whole.minPerSecond() / loops, whole.windowMs());
     }
 
     UsageCounters counters(LimitKey key) {
         return counters.computeIfAbsent(key, k -> new UsageCounters());
     }
 
-    /** Takes what was counted, for a report. */
+    /** Returns the counts since the last report and resets them. */
     Map<LimitKey, UsageCounters> drainCounters() {
         Map<LimitKey, UsageCounters> all = new HashMap<>(counters);
         counters.clear();
@@ -122,9 +128,13 @@
         inFlightLimits.putAll(grant.inFlightLimits());
     }
 
-    /** Other limits hold: what was lent of those that are gone, or of counts that are others now, is forgotten. */
+    /**
+     * Other limits apply: grants for limits that are gone, and for limits on requests in flight that changed, are
+     * dropped.
+     */
     void limitsChanged(Limits before, Limits next) {
         rateFractions.keySet().removeIf(key -> LimitKey.rate(next, key) == null);
-        inFlightLimits.keySet().removeIf(key -> LimitKey.inFlightLimit(before, key) != LimitKey.inFlightLimit(next, key));
+        inFlightLimits.keySet().removeIf(
+                key -> LimitKey.inFlightLimit(before, key) != LimitKey.inFlightLimit(next, key));
     }
 }
--- a/core/src/main/java/ridgemill/limit/RetryBudget.java
+++ b/core/src/main/java/ridgemill/limit/RetryBudget.java
@@ -1,22 +1,23 @@
 package ridgemill.limit;
 
 /**
- * Holds clients' retries to a share of their first tries, so that a fleet that fails is not asked several times as often
- * as one that works. Each first try adds the share to what retries may take; what is not taken is kept for a while and no
- * longer. A few retries a second go through however little is asked, or a quiet proxy would refuse its first one.
+ * Limits clients' retries to a ratio of their first tries, so that a failing fleet does not receive several times the
+ * load of a working one. Each first try adds the ratio to the budget; what is unused is kept for a limited time. A few
+ * retries a second always go through, otherwise a proxy with little traffic would refuse its first retry.
  *
- * <p>As in Finagle's and Envoy's retry budgets, over a window that fades instead of sliding, which needs no history.
+ * <p>Like the retry budgets of Finagle and Envoy, but with exponential decay instead of a sliding window, which needs
+ * no history.
  */
 public final class RetryBudget {
 
     private static final double MS_PER_S = 1000;
 
     /**
-     * The figures of a budget.
+     * The parameters of a budget.
      *
      * @param retryRatio retries for each first try, 0 or more
      * @param minPerSecond retries a second that always go through, 0 or more
-     * @param windowMs how long what was not taken is of use, greater than 0
+     * @param windowMs how long unused budget is kept, greater than 0
      */
     public record Config(double retryRatio, double minPerSecond, double windowMs) {
 
@@ -38,13 +39,13 @@
         this.updatedMs = nowMs;
     }
 
-    /** A first try has come. */
+    /** A first try has arrived. */
     public void recordFirstTry(double nowMs) {
         decay(nowMs);
         firstTries++;
     }
 
-    /** Takes a retry from the budget if it has one left. */
+    /** Takes one retry from the budget; false if none is left. */
     public boolean tryRetry(double nowMs) {
         decay(nowMs);
         if (retries + 1 > allowed()) {
@@ -55,21 +56,21 @@
     }
 
     /**
-     * How long until a retry may go through if nothing else comes, in milliseconds; the window where only first tries can
-     * make room for it.
+     * How long until a retry may go through if no other request arrives, in milliseconds; the whole window if only
+     * first tries can make room for it.
      */
     public double waitMs(double nowMs) {
         decay(nowMs);
         if (retries + 1 <= allowed()) {
             return 0;
         }
-        // Both counts fade alike, so what retries have beyond their share shrinks until the least leaves room for one.
-        double beyond = retries - firstTries * config.retryRatio();
+        // Both counts decay alike, so the retries beyond the ratio shrink until the minimum leaves room for one more.
+        double excess = retries - firstTries * config.retryRatio();
         double room = minRetries() - 1;
-        return room <= 0 ? config.windowMs() : Math.min(config.windowMs(), config.windowMs() * Math.log(beyond / room));
+        return room <= 0 ? config.windowMs() : Math.min(config.windowMs(), config.windowMs() * Math.log(excess / room));
     }
 
-    /** Goes on under other terms; what was counted stays. */
+    /** Applies other parameters; the counts are kept. */
     public void changeTo(Config next, double nowMs) {
         decay(nowMs);
         config = next;
@@ -88,9 +89,9 @@
     }
 
     private void decay(double nowMs) {
-        double kept = Math.exp(-Math.max(0, nowMs - updatedMs) / config.windowMs());
-        firstTries *= kept;
-        retries *= kept;
+        double factor = Math.exp(-Math.max(0, nowMs - updatedMs) / config.windowMs());
+        firstTries *= factor;
+        retries *= factor;
         updatedMs = Math.max(updatedMs, nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/limit/ShareAllocator.java
+++ b/core/src/main/java/ridgemill/limit/ShareAllocator.java
@@ -12,31 +12,32 @@
 import ridgemill.limit.LoopShare.Usage;
 
 /**
- * Divides limits that a process's loops keep together, and moves shares to the loops that are asked most. Each loop counts
- * against its own share without asking anybody; it reports at intervals, and what one leaves unused another is lent.
+ * Divides limits that the event loops of a process enforce together, and moves shares to the loops with the highest
+ * demand. Each loop counts against its own share without synchronization. It reports at intervals, and what one loop
+ * leaves unused is granted to another.
  *
- * <p>The sum of shares is never above the whole. Of a rate the parts add up to one, and tokens that a smaller part cuts off
- * go to those that refuse, never into two buckets. Of requests in flight what is taken from one loop is lent to another
- * only when the first has told that it is free: one with more in flight than its new share keeps that much until they end.
- * What it costs against one counter for all is that a loop may refuse, for one interval and what it takes to tell, while
- * another has room; see docs/design/scale.md for how much.
+ * <p>The sum of the shares never exceeds the whole limit. The fractions of a rate add up to 1, and tokens that a
+ * smaller fraction cuts off go to loops that refuse requests, never into two buckets. For requests in flight, what is
+ * taken from one loop is granted to another only after the first has reported that it is free; a loop with more in
+ * flight than its new share keeps that many until they end. Compared to one common counter, a loop may refuse requests
+ * for one interval and one report while another has room; docs/design/scale.md has measurements.
  *
- * <p>Not safe for use by several threads; its owner hands reports in and grants out.
+ * <p>Not thread-safe; the owner passes reports in and grants out.
  */
 public final class ShareAllocator {
 
-    /** Tenants that no file names whose shares are moved; each further one stays at even parts. */
+    /** The number of unnamed tenants whose shares are moved; further ones keep even shares. */
     static final int MAX_UNKNOWN_TENANTS = 256;
-    /** Part of a rate that is divided evenly whatever is asked, so that a loop that wakes has something. */
+    /** The fraction of a rate that is always divided evenly, so that a loop that becomes active has something. */
     private static final double EVEN_RATE_FRACTION = 0.02;
-    /** The same of requests in flight, of which a loop that wakes needs more at once. */
+    /** The same for requests in flight, of which a loop that becomes active needs more at once. */
     private static final double EVEN_COUNT_FRACTION = 0.05;
-    /** What the newest interval counts for in a loop's demand against those before it. */
+    /** The weight of the newest interval in the moving average of a loop's demand. */
     private static final double DEMAND_WEIGHT = 0.5;
-    /** Demand below this many requests a second is none. */
+    /** Demand below this counts as none. */
     private static final double MIN_DEMAND_PER_SECOND = 0.05;
     private static final double MS_PER_S = 1000;
-    /** Parts that move less than this stay: what is asked changes a little all the time. */
+    /** Smaller changes of a fraction are not applied, as demand fluctuates all the time. */
     private static final double MIN_FRACTION_CHANGE = 0.02;
 
     private final int loops;
@@ -47,7 +48,7 @@
     private Limits limits;
     private int unknownTenants;
 
-    /** Divides these limits between so many loops, evenly at first. */
+    /** Divides these limits between the given number of loops, evenly at first. */
     public ShareAllocator(Limits limits, int loops) {
         this.limits = limits;
         this.loops = loops;
@@ -56,7 +57,7 @@
         Arrays.fill(lastReportMs, Double.NaN);
     }
 
-    /** Other limits hold, also for the loops, which are told by whoever tells this. */
+    /** Applies other limits. The caller informs the loops, to which they apply as well. */
     public void changeTo(Limits next) {
         Limits before = limits;
         limits = next;
@@ -65,14 +66,14 @@
         unknownTenants = (int) rates.keySet().stream().filter(k -> k.kind() == LimitKey.Kind.UNKNOWN_TENANT).count();
     }
 
-    /** A loop has told what it used. */
+    /** Takes a loop's usage report. */
     public void report(int loop, UsageReport report) {
         double seconds = (report.nowMs() - lastReportMs[loop]) / MS_PER_S;
         lastReportMs[loop] = report.nowMs();
         report.usages().forEach((key, use) -> recordUsage(loop, key, use));
         for (RateShares r : rates.values()) {
             Usage use = report.usages().get(r.key);
-            // A loop that told for the first time has told of no interval.
+            // The first report of a loop covers no interval.
             double perSecond = use == null || !(seconds > 0) ? 0 : use.requested() / seconds;
             r.demand[loop] += DEMAND_WEIGHT * (perSecond - r.demand[loop]);
             if (use == null) {
@@ -82,13 +83,16 @@
         }
         for (CountShares c : counts.values()) {
             Usage use = report.usages().get(c.key);
-            double wanted = use == null ? 0 : use.held() + use.refused();
-            c.demand[loop] = Math.max(wanted, c.demand[loop] * DEMAND_WEIGHT);
+            double demand = use == null ? 0 : use.held() + use.refused();
+            c.demand[loop] = Math.max(demand, c.demand[loop] * DEMAND_WEIGHT);
             c.inFlightReported(loop, use == null ? 0 : (int) use.held(), report.lastGrant() == grantNumbers[loop]);
         }
     }
 
-    /** A loop has taken its grant, and tells what it still has in flight; what that frees the next decision lends. */
+    /**
+     * Takes a loop's report of requests in flight after it applied a grant; the next allocation grants what is free
+     * now.
+     */
     public void reportInFlight(int loop, LoopShare.InFlightReport held) {
         for (CountShares c : counts.values()) {
             c.inFlightReported(loop, held.inFlight().getOrDefault(c.key, 0), held.lastGrant() == grantNumbers[loop]);
@@ -104,46 +108,48 @@
             return;
         }
         Rate whole = LimitKey.rate(limits, key);
-        RateShares there = whole == null ? null : rates.get(key);
-        if (whole != null && there == null) {
+        RateShares shares = whole == null ? null : rates.get(key);
+        if (whole != null && shares == null) {
             if (key.kind() == LimitKey.Kind.UNKNOWN_TENANT && ++unknownTenants > MAX_UNKNOWN_TENANTS) {
                 unknownTenants--;
                 return;
             }
-            there = new RateShares(key);
-            rates.put(key, there);
+            shares = new RateShares(key);
+            rates.put(key, shares);
         }
-        if (there != null) {
-            there.tokens[loop] = use.held();
-            there.refused[loop] = use.refused();
-            there.spareTokens += use.spare();
+        if (shares != null) {
+            shares.tokens[loop] = use.held();
+            shares.refused[loop] = use.refused();
+            shares.spareTokens += use.spare();
         }
     }
 
-    /** Rates whose shares are moved. */
+    /** The number of rates whose shares are moved. */
     int trackedRates() {
         return rates.size();
     }
 
-    /** What each loop may use from now on, by its number; null for one whose share stays. */
+    /** The new grant of each loop, by its number; null for a loop whose share is unchanged. */
     public List<Grant> allocate() {
-        List<Map<LimitKey, Double>> parts = maps();
-        List<Map<LimitKey, Integer>> whole = maps();
+        List<Map<LimitKey, Double>> rateFractions = maps();
+        List<Map<LimitKey, Integer>> inFlightLimits = maps();
         List<Map<LimitKey, Double>> tokens = maps();
         for (Iterator<RateShares> all = rates.values().iterator(); all.hasNext();) {
             RateShares r = all.next();
-            r.divide(parts);
+            r.divide(rateFractions);
             r.distributeSpare(tokens);
             if (r.isIdle()) {
                 all.remove();
                 unknownTenants -= r.key.kind() == LimitKey.Kind.UNKNOWN_TENANT ? 1 : 0;
             }
         }
-        counts.values().forEach(c -> c.divide(whole));
+        counts.values().forEach(c -> c.divide(inFlightLimits));
         List<Grant> grants = new ArrayList<>();
         for (int i = 0; i < loops; i++) {
-            boolean same = parts.get(i).isEmpty() && whole.get(i).isEmpty() && tokens.get(i).isEmpty();
-            grants.add(same ? null : new Grant(++grantNumbers[i], parts.get(i), whole.get(i), tokens.get(i)));
+            boolean unchanged = rateFractions.get(i).isEmpty() && inFlightLimits.get(i).isEmpty()
+                    && tokens.get(i).isEmpty();
+            grants.add(unchanged ? null
+                    : new Grant(++grantNumbers[i], rateFractions.get(i), inFlightLimits.get(i), tokens.get(i)));
         }
         return grants;
     }
@@ -156,21 +162,21 @@
         return maps;
     }
 
-    /** How much each gets of a whole where each wants so much: what is wanted if that fits, else in proportion. */
-    private double[] divide(double whole, double[] wants, double even) {
+    /** Divides a whole by demand: each gets its demand if the sum fits, otherwise a proportional part. */
+    private double[] divide(double whole, double[] demands, double evenFraction) {
         double sum = 0;
-        for (double w : wants) {
-            sum += w;
+        for (double demand : demands) {
+            sum += demand;
         }
-        double[] gets = new double[loops];
+        double[] shares = new double[loops];
         for (int i = 0; i < loops; i++) {
-            double asked = sum <= whole ? wants[i] + (whole - sum) / loops : whole * wants[i] / sum;
-            gets[i] = (1 - even) * asked + even * whole / loops;
+            double proportional = sum <= whole ? demands[i] + (whole - sum) / loops : whole * demands[i] / sum;
+            shares[i] = (1 - evenFraction) * proportional + evenFraction * whole / loops;
         }
-        return gets;
+        return shares;
     }
 
-    /** A rate, and what each loop has of it. */
+    /** A rate and each loop's share of it. */
     private final class RateShares {
         final LimitKey key;
         final double[] demand = new double[loops];
@@ -184,7 +190,10 @@
             Arrays.fill(fraction, 1.0 / loops);
         }
 
-        /** Nothing is asked and each has its even part, which is what a loop has of a rate that nobody lent. */
+        /**
+         * Whether there is no demand and each loop has its even share, which is what a loop has of a rate without
+         * grants.
+         */
         boolean isIdle() {
             for (int i = 0; i < loops; i++) {
                 if (demand[i] > MIN_DEMAND_PER_SECOND || fraction[i] != 1.0 / loops) {
@@ -196,12 +205,12 @@
 
         void divide(List<Map<LimitKey, Double>> into) {
             double sum = 0;
-            double[] wants = new double[loops];
+            double[] demands = new double[loops];
             for (int i = 0; i < loops; i++) {
-                wants[i] = demand[i] / LimitKey.rate(limits, key).perSecond();
+                demands[i] = demand[i] / LimitKey.rate(limits, key).perSecond();
                 sum += demand[i];
             }
-            double[] next = ShareAllocator.this.divide(1, wants, EVEN_RATE_FRACTION);
+            double[] next = ShareAllocator.this.divide(1, demands, EVEN_RATE_FRACTION);
             double most = 0;
             for (int i = 0; i < loops; i++) {
                 next[i] = sum <= MIN_DEMAND_PER_SECOND ? 1.0 / loops : next[i];
@@ -215,7 +224,7 @@
             }
         }
 
-        /** Tokens that were given back go to loops that refuse; a full bucket would have had no room for the rest. */
+        /** Gives spare tokens to loops that refuse requests; the rest is dropped, as full buckets would not hold it. */
         void distributeSpare(List<Map<LimitKey, Double>> into) {
             Rate whole = LimitKey.rate(limits, key);
             double sum = 0;
@@ -226,10 +235,10 @@
             }
             spareTokens = Math.max(0, Math.min(spareTokens, whole.burst() - inBuckets));
             for (int i = 0; i < loops && sum > 0 && spareTokens > 0; i++) {
-                double gets = Math.min(spareTokens * refused[i] / sum, refused[i]);
-                if (gets > 0) {
-                    into.get(i).put(key, gets);
-                    tokens[i] += gets;
+                double granted = Math.min(spareTokens * refused[i] / sum, refused[i]);
+                if (granted > 0) {
+                    into.get(i).put(key, granted);
+                    tokens[i] += granted;
                     refused[i] = 0;
                 }
             }
@@ -239,14 +248,16 @@
         }
     }
 
-    /** Requests in flight, and how many each loop may have. */
+    /** A limit on requests in flight and each loop's share of it. */
     private final class CountShares {
         final LimitKey key;
         final int whole;
         final double[] demand = new double[loops];
-        /** What a loop may have, by the last grant. */
+        /** What each loop may have in flight by its last grant. */
         final int[] granted = new int[loops];
-        /** What counts against the whole for it: what it is lent, or has in flight from before. */
+        /**
+         * What each loop counts for against the whole: its granted share, or what it still has in flight from before.
+         */
         final int[] reserved = new int[loops];
 
         CountShares(LimitKey key, int whole) {
@@ -258,10 +269,10 @@
             }
         }
 
-        /** Only what a loop told after it had taken its last grant frees anything. */
-        void inFlightReported(int loop, int held, boolean current) {
+        /** Only a report that a loop made after it applied its last grant frees anything. */
+        void inFlightReported(int loop, int inFlight, boolean current) {
             if (current) {
-                reserved[loop] = Math.max(granted[loop], held);
+                reserved[loop] = Math.max(granted[loop], inFlight);
             }
         }
 
@@ -274,12 +285,12 @@
             for (int i = 0; i < loops; i++) {
                 int next = (int) Math.floor(target[i]);
                 if (next < granted[i]) {
-                    // It goes on counting in full until the loop has told what it still has.
+                    // It is reserved in full until the loop has reported what it still has in flight.
                     granted[i] = next;
                     into.get(i).put(key, next);
                 }
             }
-            // What rounding leaves goes to whoever wants most.
+            // The remainder of rounding goes to the loops with the highest demand.
             List<Integer> order = byDemand();
             for (int pass = 0; pass < 2 && free > 0; pass++) {
                 for (int i : order) {
@@ -295,7 +306,7 @@
             }
         }
 
-        /** The loops, the one that wants most first. */
+        /** The loops, highest demand first. */
         private List<Integer> byDemand() {
             List<Integer> order = new ArrayList<>();
             for (int i = 0; i < loops; i++) {
--- a/core/src/main/java/ridgemill/limit/TokenBucket.java
+++ b/core/src/main/java/ridgemill/limit/TokenBucket.java
@@ -1,10 +1,10 @@
 package ridgemill.limit;
 
-/** A bucket that fills evenly and from which each request takes one token. Not safe for use by several threads. */
+/** A token bucket that fills at a constant rate; each request takes one token. Not thread-safe. */
 public final class TokenBucket {
 
     private static final double MS_PER_S = 1000;
-    /** So little is missing by rounding alone. */
+    /** Tokens that may be missing because of rounding. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
     private Rate rate;
@@ -16,27 +16,27 @@
         this(rate, rate.burst(), nowMs);
     }
 
-    /** A bucket that holds so much, which is cut to the burst. */
+    /** A bucket with the given number of tokens, at most the burst. */
     TokenBucket(Rate rate, double tokens, double nowMs) {
         this.rate = rate;
         this.tokens = Math.min(tokens, rate.burst());
         this.lastFillMs = nowMs;
     }
 
-    /** Puts in tokens that were taken elsewhere; what does not fit comes back. */
-    double add(double more, double nowMs) {
+    /** Adds tokens that were taken from another bucket; returns what does not fit. */
+    double add(double count, double nowMs) {
         fill(nowMs);
-        double fits = Math.min(more, rate.burst() - tokens);
+        double fits = Math.min(count, rate.burst() - tokens);
         tokens += fits;
-        return more - fits;
+        return count - fits;
     }
 
-    /** Takes a token if one is there. */
+    /** Takes a token if there is one. */
     public boolean tryTake(double nowMs) {
         return tryTake(nowMs, 1);
     }
 
-    /** Takes so many tokens, or parts of one, if they are there. */
+    /** Takes this many tokens, or fractions of one, if they are there. */
     public boolean tryTake(double nowMs, double count) {
         fill(nowMs);
         if (tokens + ROUNDING_TOLERANCE < count) {
@@ -46,19 +46,19 @@
         return true;
     }
 
-    /** Gives a token back that was taken for a request that another limit then refused. */
+    /** Gives back a token of a request that another limit then refused. */
     public void giveBack(double nowMs) {
         fill(nowMs);
         tokens = Math.min(rate.burst(), tokens + 1);
     }
 
-    /** How long until a token will be there if nobody takes one, in milliseconds; 0 if one is. */
+    /** How long until a token is available if nobody takes one, in milliseconds; 0 if there is one. */
     public double waitMs(double nowMs) {
         fill(nowMs);
         return tokens + ROUNDING_TOLERANCE >= 1 ? 0 : (1 - tokens) / rate.perSecond() * MS_PER_S;
     }
 
-    /** What it holds. */
+    /** The tokens in the bucket. */
     public double tokens(double nowMs) {
         fill(nowMs);
         return tokens;
@@ -68,7 +68,7 @@
         return rate;
     }
 
-    /** Goes on at another rate; what it holds stays, cut to the new burst. Returns what was cut off. */
+    /** Changes the rate and keeps the tokens up to the new burst. Returns the tokens that were cut off. */
     public double changeTo(Rate next, double nowMs) {
         fill(nowMs);
         rate = next;
@@ -78,8 +78,8 @@
     }
 
     private void fill(double nowMs) {
-        double passed = Math.max(0, nowMs - lastFillMs);
-        tokens = Math.min(rate.burst(), tokens + passed / MS_PER_S * rate.perSecond());
+        double elapsedMs = Math.max(0, nowMs - lastFillMs);
+        tokens = Math.min(rate.burst(), tokens + elapsedMs / MS_PER_S * rate.perSecond());
         lastFillMs = Math.max(lastFillMs, nowMs);
     }
 }
--- a/core/src/main/java/ridgemill/limit/package-info.java
+++ b/core/src/main/java/ridgemill/limit/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What is turned away before any node is asked: rates of tenants and classes, requests in flight, and a budget for
- * clients' retries. Free of I/O; the time is passed in, in milliseconds, and never runs back.
+ * Decides which requests are refused before any node is involved: rates of tenants and classes, requests in flight, and
+ * a budget for clients' retries. Free of I/O; times are passed in, in milliseconds, and never go back.
  */
 package ridgemill.limit;
--- a/core/src/main/java/ridgemill/membership/Member.java
+++ b/core/src/main/java/ridgemill/membership/Member.java
@@ -1,35 +1,35 @@
 package ridgemill.membership;
 
 /**
- * A node as the decisions are to see it.
+ * A node as the routing policy sees it.
  *
- * @param id its own
+ * @param id of the instance
  * @param address where it is reached
- * @param state what may be sent to it
- * @param zone empty where none is told
- * @param weight its share of work against others
+ * @param state which requests may be sent to it
+ * @param zone empty if none is reported
+ * @param weight its share of the load relative to others
  * @param startedAtMs when this incarnation started; 0 for long ago. Another start time is another incarnation, of which
  *     nothing is known
  * @param stateSinceMs since when it has been in this state
- * @param source the source whose word decides
- * @param reason in words, for operators
+ * @param source the source that decides on its state
+ * @param reason for the state, as text for operators
  */
-public record Member(String id, String address, State state, String zone, double weight, double startedAtMs, double stateSinceMs,
-                     String source, String reason) {
+public record Member(String id, String address, State state, String zone, double weight, double startedAtMs,
+                     double stateSinceMs, String source, String reason) {
 
-    /** What may be sent to a node. */
+    /** Which requests may be sent to a node. */
     public enum State {
-        /** Whatever there is. */
+        /** All requests. */
         IN,
-        /** Nothing new. */
+        /** No new requests. */
         DRAINING,
-        /** Nothing, and what is kept of it goes. */
+        /** None; what is stored about the node is dropped. */
         OUT
     }
 
-    /** Whether the decisions would see the same. */
-    boolean isSameAs(Member o) {
-        return o != null && id.equals(o.id) && address.equals(o.address) && state == o.state && zone.equals(o.zone)
-                && weight == o.weight && startedAtMs == o.startedAtMs;
+    /** Whether the routing policy sees no difference between the two. */
+    boolean isSameAs(Member other) {
+        return other != null && id.equals(other.id) && address.equals(other.address) && state == other.state
+                && zone.equals(other.zone) && weight == other.weight && startedAtMs == other.startedAtMs;
     }
 }
--- a/core/src/main/java/ridgemill/membership/Membership.java
+++ b/core/src/main/java/ridgemill/membership/Membership.java
@@ -15,40 +15,42 @@
 import ridgemill.membership.Member.State;
 
 /**
- * Merges what several sources say into one list of members, and can say of each who is in, why, since when and told by
- * whom.
+ * Merges the reports of several sources into one list of members, and can explain for each member its state, the
+ * reason, since when, and by which source.
  *
  * <ul>
- * <li>A node is in if any source names it as up and none that names it says otherwise: the most cautious word counts, as a
- *     drain that one source knows of is a drain.
- * <li>What a source no longer names is gone at once, unless too many go together (the <em>floor</em>): then those are kept
- *     until they come back, or the same news has held for long. A source that can't be read changes nothing.
- * <li>Another address or a later start under the same id is another <em>incarnation</em>. One that comes later than the
- *     first list has just started, unless its source tells otherwise: it is better taken for cold than pushed over.
- * <li>Of two ids at one address the one whose record is newer has it.
- * <li>One that comes and goes too often must stay up for a while before it is taken back; it is let go at once.
+ * <li>A node is in if a source reports it as up and no other source that lists it reports another status: the most
+ *     restrictive status counts, so a drain that a single source knows of is a drain.
+ * <li>A node that a source no longer lists is removed at once, unless too many disappear together (the <em>floor</em>):
+ *     then they are kept until they return, or until the source has reported the same for a long time. A source that
+ *     cannot be read changes nothing.
+ * <li>Another address or a later start under the same id is another <em>incarnation</em>. A node that appears after the
+ *     first list is taken to have just started, unless its source reports otherwise: treating a warm node as cold is
+ *     safer than overloading a cold one.
+ * <li>If two ids have the same address, the one with the newer record keeps it.
+ * <li>A node that comes and goes too often must stay up for a while before it is taken back; it is removed at once.
  * </ul>
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class Membership {
 
     private static final int MAX_DOUBLINGS = 3;
 
-    /** What a source last said, and how it has been heard of. */
+    /** The last report of a source, and when it was received. */
     private static final class Source {
         final String name;
         final Map<String, Instance> instances = new LinkedHashMap<>();
-        /** Those that it names no more and that are kept, by when it first did not. */
+        /** Instances that the source no longer lists but that are kept, by when it first did not list them. */
         final Map<String, Double> missing = new HashMap<>();
-        /** Older records than what is held, by when each was first told. */
+        /** When a record older than the stored one was first reported, by id. */
         final Map<String, Double> olderRecords = new HashMap<>();
-        /** How many it named as up, at times within the window; the greatest comes first. */
+        /** How many instances were reported as up, with times, within the window; the greatest count comes first. */
         final Deque<double[]> upCounts = new ArrayDeque<>();
         double lastContactMs = Double.NaN;
         double firstContactMs = Double.NaN;
         String lastFailure;
-        /** Whether it is believed whatever it takes away: an operator's own list. */
+        /** Whether every removal is accepted, as for an operator's own list. */
         boolean trusted;
 
         Source(String name) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /** How often an id has come and gone. */
+    /** How often an instance has come and gone. */
     private static final class Flapping {
         final Deque<Double> downTimes = new ArrayDeque<>();
         int holds;
@@ -73,30 +75,37 @@
         this.policy = policy;
     }
 
-    /** A source is believed whatever it takes away, as an operator's own list is. */
+    /** Accepts every removal by this source, as for an operator's own list. */
     public void trustSource(String source) {
         source(source).trusted = true;
     }
 
-    /** A source has told all that it knows. Returns what changed, those that went as {@link State#OUT}. */
-    public List<Member> applySnapshot(double nowMs, String source, Collection<Instance> all) {
+    /**
+     * Applies a complete list from a source. Returns the members that changed; removed ones have the state {@link
+     * State#OUT}.
+     */
+    public List<Member> applySnapshot(double nowMs, String source, Collection<Instance> instances) {
         Source s = recordContact(nowMs, source);
-        Map<String, Instance> named = new LinkedHashMap<>();
-        for (Instance i : all) {
-            // Of two records with one id the newer counts, whatever their order.
-            named.merge(i.id(), i, (a, b) -> b.changedAtMs() >= a.changedAtMs() ? b : a);
+        Map<String, Instance> reported = new LinkedHashMap<>();
+        for (Instance i : instances) {
+            // Of two records with the same id the newer one counts, whatever their order.
+            reported.merge(i.id(), i, (a, b) -> b.changedAtMs() >= a.changedAtMs() ? b : a);
         }
-        named.values().forEach(i -> storeRecord(nowMs, s, i));
-        List<String> gone = s.instances.keySet().stream().filter(id -> !named.containsKey(id)).toList();
-        named.keySet().forEach(s.missing::remove);
+        reported.values().forEach(i -> storeRecord(nowMs, s, i));
+        List<String> gone = s.instances.keySet().stream().filter(id -> !reported.containsKey(id)).toList();
+        reported.keySet().forEach(s.missing::remove);
         removeMissing(nowMs, s, gone);
         return recompute(nowMs);
     }
 
-    /** A source has told what changed: records that are new or other, and ids that are gone. */
-    public List<Member> applyChanges(double nowMs, String source, Collection<Instance> some, Collection<String> gone) {
+    /**
+     * Applies changes from a source: records that are new or changed, and ids that are gone. Returns the changed
+     * members.
+     */
+    public List<Member> applyChanges(double nowMs, String source, Collection<Instance> updated,
+                                     Collection<String> gone) {
         Source s = recordContact(nowMs, source);
-        for (Instance i : some) {
+        for (Instance i : updated) {
             storeRecord(nowMs, s, i);
             s.missing.remove(i.id());
         }
@@ -104,29 +113,29 @@
         return recompute(nowMs);
     }
 
-    /** A source can't be read: what it said goes on holding. */
-    public void sourceFailed(double nowMs, String source, String why) {
-        source(source).lastFailure = why;
+    /** A source could not be read: its last report stays in effect. */
+    public void sourceFailed(double nowMs, String source, String reason) {
+        source(source).lastFailure = reason;
     }
 
-    /** A source is asked no more: what it said holds no longer. */
+    /** Removes a source and its reports, as it is not read any more. */
     public List<Member> removeSource(double nowMs, String source) {
         sources.remove(source);
         return recompute(nowMs);
     }
 
-    /** Time has passed: what was waited for may be due. To be called now and then. */
+    /** Applies what has become due by the passing of time; to be called regularly. Returns the changed members. */
     public List<Member> tick(double nowMs) {
         for (Source s : sources.values()) {
-            List<String> believed = s.missing.entrySet().stream().filter(e -> nowMs - e.getValue() >= policy.acceptLossAfterMs())
-                    .map(Map.Entry::getKey).toList();
-            // Only while the source can be read: an old word is no news.
+            List<String> expired = s.missing.entrySet().stream()
+                    .filter(e -> nowMs - e.getValue() >= policy.acceptLossAfterMs()).map(Map.Entry::getKey).toList();
+            // Only while the source can be read: its last report says nothing new about the missing instances.
             if (s.lastFailure == null) {
-                believed.forEach(id -> {
+                expired.forEach(id -> {
                     s.missing.remove(id);
                     s.instances.remove(id);
                 });
-                if (!believed.isEmpty()) {
+                if (!expired.isEmpty()) {
                     s.upCounts.clear();
                     recordUpCount(nowMs, s);
                 }
@@ -135,22 +144,23 @@
         return recompute(nowMs);
     }
 
-    /** All members that are in or drain, by id. */
+    /** All members that are in or draining, by id. */
     public List<Member> members() {
         return List.copyOf(members.values());
     }
 
-    /** How each source is doing, in words, by its name. */
+    /** The state of each source as text for operators, by its name. */
     public Map<String, String> describeSources(double nowMs) {
-        Map<String, String> all = new LinkedHashMap<>();
+        Map<String, String> descriptions = new LinkedHashMap<>();
         for (Source s : sources.values()) {
-            double age = nowMs - s.lastContactMs;
-            String text = Double.isNaN(age) ? "never heard" : "%d instances, heard %.1f s ago".formatted(s.instances.size(), age / 1000);
-            text += age > policy.staleAfterMs() ? ", stale" : "";
+            double ageMs = nowMs - s.lastContactMs;
+            String text = Double.isNaN(ageMs) ? "never heard"
+                    : "%d instances, heard %.1f s ago".formatted(s.instances.size(), ageMs / 1000);
+            text += ageMs > policy.staleAfterMs() ? ", stale" : "";
             text += s.missing.isEmpty() ? "" : ", " + s.missing.size() + " kept that it no longer names";
-            all.put(s.name, text + (s.lastFailure == null ? "" : ", last failure: " + s.lastFailure));
+            descriptions.put(s.name, text + (s.lastFailure == null ? "" : ", last failure: " + s.lastFailure));
         }
-        return all;
+        return descriptions;
     }
 
     private Source source(String name) {
@@ -165,25 +175,29 @@
         return s;
     }
 
-    /** An older record never takes the place of a newer one, unless it is told for so long that its clock must be behind. */
+    /**
+     * Stores a record. An older one does not replace a newer one, unless it is reported for so long that the instance's
+     * clock must have been set back.
+     */
     private void storeRecord(double nowMs, Source s, Instance next) {
         Instance held = s.instances.get(next.id());
-        boolean behind = held != null && next.changedAtMs() > 0 && next.changedAtMs() < held.changedAtMs()
+        boolean isOlder = held != null && next.changedAtMs() > 0 && next.changedAtMs() < held.changedAtMs()
                 && !s.missing.containsKey(next.id());
-        if (behind && nowMs - s.olderRecords.computeIfAbsent(next.id(), id -> nowMs) < policy.clockSkewMs()) {
+        if (isOlder && nowMs - s.olderRecords.computeIfAbsent(next.id(), id -> nowMs) < policy.clockSkewMs()) {
             return;
         }
         s.olderRecords.remove(next.id());
         s.instances.put(next.id(), next);
     }
 
-    /** Lets go of what a source names no more, unless that leaves too few of those that it named of late. */
+    /** Removes instances that a source no longer lists, unless too few of those that it listed lately would remain. */
     private void removeMissing(double nowMs, Source s, Collection<String> gone) {
         long left = s.instances.values().stream().filter(i -> i.status() == Status.UP && !gone.contains(i.id())
                 && !s.missing.containsKey(i.id())).count();
-        boolean believed = s.trusted || gone.isEmpty() && s.missing.isEmpty() || left >= Math.max(1, policy.floorShare() * maxUpCount(nowMs, s));
-        if (believed) {
-            // Enough are there: those that were kept when too few were are gone as well.
+        boolean accepted = s.trusted || gone.isEmpty() && s.missing.isEmpty()
+                || left >= Math.max(1, policy.floorShare() * maxUpCount(nowMs, s));
+        if (accepted) {
+            // Enough remain, so instances that were kept under the floor are removed as well.
             s.missing.keySet().forEach(s.instances::remove);
             s.missing.clear();
             gone.forEach(s.instances::remove);
@@ -201,10 +215,13 @@
         s.upCounts.addLast(new double[] {nowMs, up});
     }
 
-    /** The most that it named as up within the window. Kept in falling order, so that the first is the greatest. */
+    /**
+     * The most instances reported as up within the window. Counts are kept in descending order, so the first is the
+     * greatest.
+     */
     private double maxUpCount(double nowMs, Source s) {
         double[] first = s.upCounts.pollFirst();
-        // One that is too old held until the next came.
+        // A count that is too old was valid until the next one.
         while (!s.upCounts.isEmpty() && s.upCounts.peekFirst()[0] < nowMs - policy.floorWindowMs()) {
             first = s.upCounts.pollFirst();
         }
@@ -215,20 +232,20 @@
         return first[1];
     }
 
-    /** Puts the sources' words together, and tells what is other than before. */
+    /** Merges the reports of all sources, and returns the members that changed. */
     private List<Member> recompute(double nowMs) {
-        Map<String, List<Source>> naming = new TreeMap<>();
+        Map<String, List<Source>> sourcesById = new TreeMap<>();
         for (Source s : sources.values()) {
-            s.instances.keySet().forEach(id -> naming.computeIfAbsent(id, i -> new ArrayList<>()).add(s));
+            s.instances.keySet().forEach(id -> sourcesById.computeIfAbsent(id, i -> new ArrayList<>()).add(s));
         }
         Map<String, Member> next = new TreeMap<>();
-        naming.forEach((id, by) -> {
-            Member m = merge(nowMs, id, by);
+        sourcesById.forEach((id, reportedBy) -> {
+            Member m = merge(nowMs, id, reportedBy);
             if (m.state() != State.OUT) {
                 next.put(id, m);
             }
         });
-        resolveAddressConflicts(next, naming);
+        resolveAddressConflicts(next, sourcesById);
         List<Member> changes = new ArrayList<>();
         members.forEach((id, was) -> {
             if (!next.containsKey(id)) {
@@ -244,45 +261,50 @@
         });
         members.clear();
         members.putAll(next);
-        flapping.entrySet().removeIf(e -> !naming.containsKey(e.getKey()) && e.getValue().holdUntilMs <= nowMs
-                && (e.getValue().downTimes.isEmpty() || e.getValue().downTimes.peekLast() < nowMs - policy.flapWindowMs()));
+        flapping.entrySet().removeIf(e -> !sourcesById.containsKey(e.getKey()) && e.getValue().holdUntilMs <= nowMs
+                && (e.getValue().downTimes.isEmpty()
+                        || e.getValue().downTimes.peekLast() < nowMs - policy.flapWindowMs()));
         return changes;
     }
 
-    private Member merge(double nowMs, String id, List<Source> by) {
+    private Member merge(double nowMs, String id, List<Source> reportedBy) {
         Member was = members.get(id);
-        Source decides = by.get(0);
-        Instance word = decides.instances.get(id);
-        for (Source s : by.subList(1, by.size())) {
+        Source decisiveSource = reportedBy.get(0);
+        Instance decisive = decisiveSource.instances.get(id);
+        for (Source s : reportedBy.subList(1, reportedBy.size())) {
             Instance other = s.instances.get(id);
-            if (precedence(other.status()) > precedence(word.status())) {
-                decides = s;
-                word = other;
+            if (precedence(other.status()) > precedence(decisive.status())) {
+                decisiveSource = s;
+                decisive = other;
             }
         }
-        // The newest record knows where it is and since when, whoever decides on its state.
-        Instance newest = by.stream().map(s -> s.instances.get(id)).max(Comparator.comparingLong(Instance::changedAtMs)
-                .thenComparingDouble(Instance::startedAtMs)).orElse(word);
-        boolean anew = was != null && (!was.address().equals(newest.address()) || newest.startedAtMs() > was.startedAtMs());
-        boolean first = was == null && by.stream().allMatch(s -> s.lastContactMs == s.firstContactMs);
-        double started = newest.startedAtMs() > 0 || first ? newest.startedAtMs()
-                : anew || was == null ? nowMs : was.startedAtMs();
-        State state = switch (word.status()) {
+        // The newest record has the address and start time, whichever source decides on the state.
+        Instance newest = reportedBy.stream().map(s -> s.instances.get(id))
+                .max(Comparator.comparingLong(Instance::changedAtMs).thenComparingDouble(Instance::startedAtMs))
+                .orElse(decisive);
+        boolean restarted = was != null
+                && (!was.address().equals(newest.address()) || newest.startedAtMs() > was.startedAtMs());
+        boolean inFirstSnapshot = was == null && reportedBy.stream().allMatch(s -> s.lastContactMs == s.firstContactMs);
+        double startedMs = newest.startedAtMs() > 0 || inFirstSnapshot ? newest.startedAtMs()
+                : restarted || was == null ? nowMs : was.startedAtMs();
+        State state = switch (decisive.status()) {
             case UP -> State.IN;
             case OUT_OF_SERVICE, DOWN -> State.DRAINING;
             case STARTING -> State.OUT;
-            // Nobody knows: it stays as it was, and one that never was in does not come in by this.
+            // The state stays as it was; an instance that was never in is not added because of an unknown status.
             case UNKNOWN -> was == null ? State.OUT : was.state();
         };
-        String why = word.status().name() + (anew ? ", started anew" : "") + (decides.missing.containsKey(id)
+        String reason = decisive.status().name() + (restarted ? ", started anew" : "")
+                + (decisiveSource.missing.containsKey(id)
                 ? ", kept though it is named no more: too many went together" : "");
         if (state == State.IN && !isStable(nowMs, id)) {
             state = State.DRAINING;
-            why = "UP, but it came and went too often: it must stay up for a while";
+            reason = "UP, but it came and went too often: it must stay up for a while";
         }
-        trackFlapping(nowMs, id, word.status() == Status.UP);
-        double since = was != null && was.state() == state && !anew ? was.stateSinceMs() : nowMs;
-        return new Member(id, newest.address(), state, newest.zone(), newest.weight(), started, since, decides.name, why);
+        trackFlapping(nowMs, id, decisive.status() == Status.UP);
+        double stateSinceMs = was != null && was.state() == state && !restarted ? was.stateSinceMs() : nowMs;
+        return new Member(id, newest.address(), state, newest.zone(), newest.weight(), startedMs, stateSinceMs,
+                decisiveSource.name, reason);
     }
 
     private static int precedence(Status s) {
@@ -295,7 +317,7 @@
         };
     }
 
-    /** Notes that an id has come or gone. */
+    /** Records that an instance has come or gone. */
     private void trackFlapping(double nowMs, String id, boolean up) {
         Flapping f = flapping.computeIfAbsent(id, i -> new Flapping());
         if (f.up && !up) {
@@ -313,7 +335,7 @@
         f.up = up;
     }
 
-    /** Whether it has been up for long enough since it came and went too often. */
+    /** Whether an instance that came and went too often has been up for long enough since. */
     private boolean isStable(double nowMs, String id) {
         Flapping f = flapping.get(id);
         if (f != null && f.holds > 0 && f.holdUntilMs <= nowMs - policy.flapWindowMs() && (f.downTimes.isEmpty()
@@ -323,24 +345,27 @@
         return f == null || f.holdUntilMs <= nowMs;
     }
 
-    /** Of several ids at one address the one with the newest record has it; the others are what was there before. */
-    private static void resolveAddressConflicts(Map<String, Member> next, Map<String, List<Source>> naming) {
-        Map<String, Member> at = new HashMap<>();
-        Set<String> lost = new HashSet<>();
+    /**
+     * If several ids have the same address, the one with the newest record keeps it; the others are earlier users of
+     * it.
+     */
+    private static void resolveAddressConflicts(Map<String, Member> next, Map<String, List<Source>> sourcesById) {
+        Map<String, Member> byAddress = new HashMap<>();
+        Set<String> superseded = new HashSet<>();
         for (Member m : next.values()) {
-            Member other = at.get(m.address());
+            Member other = byAddress.get(m.address());
             if (other == null) {
-                at.put(m.address(), m);
+                byAddress.put(m.address(), m);
             } else {
-                Member keeps = changedAt(m, naming) > changedAt(other, naming) ? m : other;
-                lost.add(keeps == m ? other.id() : m.id());
-                at.put(m.address(), keeps);
+                Member winner = changedAt(m, sourcesById) > changedAt(other, sourcesById) ? m : other;
+                superseded.add(winner == m ? other.id() : m.id());
+                byAddress.put(m.address(), winner);
             }
         }
-        lost.forEach(next::remove);
+        superseded.forEach(next::remove);
     }
 
-    private static long changedAt(Member m, Map<String, List<Source>> naming) {
-        return naming.get(m.id()).stream().mapToLong(s -> s.instances.get(m.id()).changedAtMs()).max().orElse(0);
+    private static long changedAt(Member m, Map<String, List<Source>> sourcesById) {
+        return sourcesById.get(m.id()).stream().mapToLong(s -> s.instances.get(m.id()).changedAtMs()).max().orElse(0);
     }
 }
--- a/core/src/main/java/ridgemill/membership/Status.java
+++ b/core/src/main/java/ridgemill/membership/Status.java
@@ -1,14 +1,17 @@
 package ridgemill.membership;
 
-/** What a source says of an instance; the words are Eureka's (com.netflix.appinfo.InstanceInfo.InstanceStatus). */
+/**
+ * The status that a source reports for an instance; the names are Eureka's
+ * (com.netflix.appinfo.InstanceInfo.InstanceStatus).
+ */
 public enum Status {
-    /** It takes work. */
+    /** It accepts requests. */
     UP,
-    /** It will, and does not yet. */
+    /** It does not accept requests yet. */
     STARTING,
-    /** Its own check of itself fails. */
+    /** Its own health check fails. */
     DOWN,
-    /** An operator has taken it out: it drains. */
+    /** An operator has taken it out of service: it drains. */
     OUT_OF_SERVICE,
     /** The source does not know. */
     UNKNOWN
--- a/core/src/main/java/ridgemill/membership/package-info.java
+++ b/core/src/main/java/ridgemill/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which nodes there are, of several sources that may be late, stale, mistaken or at odds. Free of I/O, clocks and threads:
- * the time is passed in, in milliseconds, and never runs back.
+ * Determines which nodes exist, from several sources that may be late, stale, wrong or contradictory. Free of I/O,
+ * clocks and threads: times are passed in, in milliseconds, and never go back.
  */
 package ridgemill.membership;
--- a/core/src/main/java/ridgemill/probing/ElectedProber.java
+++ b/core/src/main/java/ridgemill/probing/ElectedProber.java
@@ -13,46 +13,50 @@
 import ridgemill.probing.ProbeCodec.ProbeResult;
 
 /**
- * One proxy's part in asking spared nodes whether they are back. Whoever spares one says so to the one that holds the lease, as long
- * as it does; that one probes each node that anybody spares, one probe at a time, and tells those that spare it what came of it. A proxy
- * that is told nothing tries its spared nodes with requests when their time is over, as one without peers does. Nothing is sent while
- * nobody spares anything. Times are milliseconds on this proxy's own clock.
+ * One proxy's part in probing unreachable nodes for a fleet. A proxy with unreachable nodes reports them to the holder
+ * of the lease for as long as they are unreachable. The holder probes each reported node, one probe at a time, and
+ * sends the result to the proxies that reported it. A proxy that receives no results tries its unreachable nodes with
+ * requests when their time is over, as a proxy without peers does. Nothing is sent while no node is unreachable. Times
+ * are milliseconds on this proxy's own clock.
  *
- * <p>What is told is passed on to the decisions where the probe began after the node was spared here: it answers a mark that was sent
- * since, comes under no lower term and later than what was told before.
+ * <p>A result is passed to the routing policy only if the probe began after the node became unreachable here: the
+ * result must echo a timestamp sent since then, have no lower term, and be later than the previous result.
  */
 public final class ElectedProber {
 
-    /** From one probe of a node to the next, and from one saying that it is spared to the next. */
+    /** The time between two probes of a node, and between two reports that it is unreachable. */
     public static final double PROBE_INTERVAL_MS = 250;
-    /** Who has not said for so long that it spares a node is told no more. */
+    /** A subscriber that has not reported a node for this long is sent no more results. */
     private static final double REQUEST_TTL_MS = 4 * PROBE_INTERVAL_MS;
-    /** A mark that old, but for the probe's own time, was too long on its way. */
+    /**
+     * A result whose echoed timestamp is older than this, apart from the duration of the probe, was in transit for too
+     * long.
+     */
     private static final double MAX_RESULT_AGE_MS = 3 * PROBE_INTERVAL_MS;
-    /** How often it looks whether anything is spared. */
+    /** The time between two checks for unreachable nodes. */
     private static final double TICK_INTERVAL_MS = 100;
-    /** Who told something within this long is the one to ask. */
+    /** The member that sent a result within this time is the one to send requests to. */
     private static final double PROBER_TTL_MS = 4 * PROBE_INTERVAL_MS;
 
-    /** Where words go, and what is done; called from within the calls of {@link ElectedProber}. */
+    /** The actions of a prober; called from within the calls of {@link ElectedProber}. */
     public interface Out {
 
-        /** Says to another member what this proxy spares. */
-        void sendRequest(int to, ProbeRequest asks);
+        /** Reports the unreachable nodes of this proxy to another member. */
+        void sendRequest(int to, ProbeRequest request);
 
-        /** Tells a member what came of a probe. */
-        void sendResult(int to, ProbeResult tells);
+        /** Sends the result of a probe to a member. */
+        void sendResult(int to, ProbeResult result);
 
-        /** Begins a probe of a node; {@link ElectedProber#probeEnded} is owed for it, now or later. */
+        /** Starts a probe of a node; {@link ElectedProber#probeEnded} must be called for it, now or later. */
         void startProbe(int node);
 
-        /** A probe of a node that is spared here has ended, made by whomever. */
-        void nodeProbed(int node, boolean answered, double tookMs);
+        /** A probe of a node that is unreachable here has ended, made by any member. */
+        void nodeProbed(int node, boolean answered, double durationMs);
     }
 
     private record Subscriber(int timestamp, double receivedMs, Set<Integer> nodes) { }
 
-    /** A probe of a node: when it began, and the marks of those that spared it then. */
+    /** A probe of a node: when it started, and the timestamps of the subscribers that had reported the node then. */
     private record Probe(double startedMs, boolean inProgress, Map<Integer, Integer> subscriberTimestamps) { }
 
     private final Out out;
@@ -76,24 +80,25 @@
     }
 
     /**
-     * Does what is due; returns when something will be.
+     * Does what is due and returns when something will be due next.
      *
-     * @param holds whether this proxy probes for all
-     * @param electors who may do so: all of them are asked as long as it is not known which does
-     * @param spared the nodes that this proxy spares now and that a probe may bring back
+     * @param holdsLease whether this proxy probes for all
+     * @param voters the members of which one may be the prober: all of them receive requests until it is known which
+     *     one is
+     * @param unreachable the nodes that are unreachable from here now and that a probe may bring back
      */
-    public double tick(double now, boolean holds, Collection<Integer> electors, Collection<Integer> spared) {
-        unreachableSince.keySet().retainAll(Set.copyOf(spared));
-        spared.forEach(n -> unreachableSince.putIfAbsent(n, now));
-        if (holds) {
+    public double tick(double now, boolean holdsLease, Collection<Integer> voters, Collection<Integer> unreachable) {
+        unreachableSince.keySet().retainAll(Set.copyOf(unreachable));
+        unreachable.forEach(n -> unreachableSince.putIfAbsent(n, now));
+        if (holdsLease) {
             startProbes(now);
         } else if (!unreachableSince.isEmpty() && now >= nextRequestMs) {
             nextRequestMs = now + PROBE_INTERVAL_MS;
-            ProbeRequest asks = new ProbeRequest(timestamps.timestamp(now), List.copyOf(unreachableSince.keySet()));
+            ProbeRequest request = new ProbeRequest(timestamps.timestamp(now), List.copyOf(unreachableSince.keySet()));
             if (now - lastResultMs <= PROBER_TTL_MS) {
-                out.sendRequest(proberMember, asks);
+                out.sendRequest(proberMember, request);
             } else {
-                electors.forEach(e -> out.sendRequest(e, asks));
+                voters.forEach(e -> out.sendRequest(e, request));
             }
         }
         return now + TICK_INTERVAL_MS;
@@ -107,13 +112,13 @@
         for (int node : wanted) {
             Probe last = probes.get(node);
             if (last == null || !last.inProgress() && now - last.startedMs() >= PROBE_INTERVAL_MS) {
-                Map<Integer, Integer> marks = new TreeMap<>();
+                Map<Integer, Integer> subscriberTimestamps = new TreeMap<>();
                 subscribers.forEach((member, l) -> {
                     if (l.nodes().contains(node)) {
-                        marks.put(member, l.timestamp());
+                        subscriberTimestamps.put(member, l.timestamp());
                     }
                 });
-                probes.put(node, new Probe(now, true, marks));
+                probes.put(node, new Probe(now, true, subscriberTimestamps));
                 probesStarted++;
                 out.startProbe(node);
             }
@@ -121,64 +126,67 @@
     }
 
     /**
-     * A probe of this proxy's own has ended.
+     * A probe by this proxy has ended.
      *
-     * @param holding the term under which others may be told now; 0 where they may not
+     * @param leaseTerm the term under which results may be sent now; 0 if they may not
      */
-    public void probeEnded(double now, int node, boolean answered, long holding) {
+    public void probeEnded(double now, int node, boolean answered, long leaseTerm) {
         Probe probe = probes.get(node);
         if (probe == null || !probe.inProgress()) {
             return;
         }
         probes.put(node, new Probe(probe.startedMs(), false, Map.of()));
-        double took = now - probe.startedMs();
+        double durationMs = now - probe.startedMs();
         if (unreachableSince.getOrDefault(node, Double.POSITIVE_INFINITY) <= probe.startedMs()) {
-            out.nodeProbed(node, answered, took);
+            out.nodeProbed(node, answered, durationMs);
         }
-        if (holding > 0 && holding >= term) {
-            sequence = holding == term ? sequence : 0;
-            term = holding;
-            probe.subscriberTimestamps().forEach((member, mark) -> {
+        if (leaseTerm > 0 && leaseTerm >= term) {
+            sequence = leaseTerm == term ? sequence : 0;
+            term = leaseTerm;
+            probe.subscriberTimestamps().forEach((member, timestamp) -> {
                 sequence++;
                 resultsSent++;
-                out.sendResult(member, new ProbeResult(term, sequence, mark, node, answered, (int) Math.ceil(took)));
+                out.sendResult(member,
+                        new ProbeResult(term, sequence, timestamp, node, answered, (int) Math.ceil(durationMs)));
             });
         }
     }
 
-    /** A member says what it spares. */
-    public void requestReceived(double now, int member, ProbeRequest asks) {
+    /** A member reports its unreachable nodes. */
+    public void requestReceived(double now, int member, ProbeRequest request) {
         Subscriber before = subscribers.get(member);
-        if (before == null || EchoTimestamps.supersedes(asks.timestamp(), before.timestamp(), now - before.receivedMs(), REQUEST_TTL_MS)) {
-            subscribers.put(member, new Subscriber(asks.timestamp(), now, new LinkedHashSet<>(asks.nodes())));
+        if (before == null || EchoTimestamps.supersedes(request.timestamp(), before.timestamp(),
+                now - before.receivedMs(), REQUEST_TTL_MS)) {
+            subscribers.put(member, new Subscriber(request.timestamp(), now, new LinkedHashSet<>(request.nodes())));
         }
     }
 
-    /** A member tells what came of a probe. */
-    public void resultReceived(double now, int from, ProbeResult tells) {
+    /** A member has sent the result of a probe. */
+    public void resultReceived(double now, int from, ProbeResult result) {
         resultsReceived++;
-        boolean later = tells.term() > term || tells.term() == term && tells.sequence() > sequence;
-        double age = timestamps.ageMs(now, tells.echoTimestamp());
-        double markedAt = now - age;
-        if (!later || age - tells.durationMs() > MAX_RESULT_AGE_MS) {
+        boolean isNewer = result.term() > term || result.term() == term && result.sequence() > sequence;
+        double ageMs = timestamps.ageMs(now, result.echoTimestamp());
+        double requestedAtMs = now - ageMs;
+        if (!isNewer || ageMs - result.durationMs() > MAX_RESULT_AGE_MS) {
             resultsRejected++;
             return;
         }
-        term = tells.term();
-        sequence = tells.sequence();
+        term = result.term();
+        sequence = result.sequence();
         proberMember = from;
         lastResultMs = now;
-        // One that began before it was spared here says nothing of what it was spared for.
-        if (markedAt >= unreachableSince.getOrDefault(tells.node(), Double.POSITIVE_INFINITY)) {
-            out.nodeProbed(tells.node(), tells.answered(), tells.durationMs());
+        // A probe that began before the node became unreachable here says nothing about the current failure.
+        if (requestedAtMs >= unreachableSince.getOrDefault(result.node(), Double.POSITIVE_INFINITY)) {
+            out.nodeProbed(result.node(), result.answered(), result.durationMs());
         } else {
             resultsRejected++;
         }
     }
 
-    /** How it goes, in words. */
-    public String explain(boolean holds) {
-        return "probes: this proxy " + (holds ? "asks for all, " + probes.size() + " nodes now" : "is told") + ", spares " + unreachableSince.size()
-                + "; " + probesStarted + " made, " + resultsSent + " told, " + resultsReceived + " heard, " + resultsRejected + " of them refused as old";
+    /** The state of the prober as text for operators. */
+    public String explain(boolean holdsLease) {
+        return "probes: this proxy " + (holdsLease ? "asks for all, " + probes.size() + " nodes now" : "is told")
+                + ", spares " + unreachableSince.size() + "; " + probesStarted + " made, "
+                + resultsSent + " told, " + resultsReceived + " heard, " + resultsRejected + " of them refused as old";
     }
 }
--- a/core/src/main/java/ridgemill/registry/ElectedRegistryReader.java
+++ b/core/src/main/java/ridgemill/registry/ElectedRegistryReader.java
@@ -14,44 +14,45 @@
 import ridgemill.membership.Instance;
 
 /**
- * One proxy's part in reading a registry for a fleet. Whoever holds the lease reads at the interval and tells those that listen;
- * they go by what they are told as long as it comes, in time and borne out, and read for themselves otherwise. Times are
- * milliseconds on this proxy's own clock and are passed in.
+ * One proxy's part in reading a registry for a fleet. The proxy that holds the lease polls at the interval and sends
+ * updates to those that listen. They rely on the updates as long as these arrive in time and are confirmed, and poll
+ * for themselves otherwise. Times are milliseconds on this proxy's own clock and are passed in.
  *
- * <p>What is told is believed where it comes under no lower term and later than what was told before, answers a mark that this
- * proxy has sent lately, and leads by its changes to just the digest that it names. The mark is one that the reader had when it asked the
- * registry: so what is told can't be older than the mark, whatever clocks say and however long it was on its way, and it is left
- * alone where it may be older than what this proxy knows. So a proxy goes by nothing that the registry did not have, as far as its
- * reader read it, and does not go back.
+ * <p>An update is accepted if it has no lower term and is later than the previous one, echoes a timestamp that this
+ * proxy has sent recently, and if its changes lead to exactly the digest that it states. The timestamp is the last that
+ * the reader had received before it polled the registry, so the update cannot be older than the timestamp, whatever
+ * clocks show and however long it was in transit. It is ignored if it may be older than what this proxy has. So a proxy
+ * never uses a state that the registry did not have, as far as its reader read it, and never goes back to an earlier
+ * one.
  */
 public final class ElectedRegistryReader {
 
-    /** How many tellings' changes are told again, so that one or two that are lost cost nobody a poll. */
+    /** In how many updates each change is sent, so that the loss of one or two updates costs no listener a poll. */
     private static final int REPEATED_UPDATES = 3;
-    /** A mark that is so many intervals old was on its way too long, there or back. */
+    /** An echoed timestamp older than this many poll intervals was in transit for too long, in either direction. */
     private static final double MAX_AGE_INTERVALS = 2.2;
-    /** Who has not said for so many intervals that it listens is told no more. */
+    /** A listener that has not asked for updates for this many poll intervals is sent no more. */
     private static final double LISTENER_TTL_INTERVALS = 10;
     private static final double CHECK_JITTER = 0.25;
     private static final double MS_PER_S = 1000;
 
-    /** Where words go; called from within the calls of {@link ElectedRegistryReader}. */
+    /** The actions of a reader; called from within the calls of {@link ElectedRegistryReader}. */
     public interface Out {
 
-        /** Says to another member that this proxy wants to be told. */
-        void sendListen(int to, int mark);
+        /** Asks another member for updates. */
+        void sendListen(int to, int timestamp);
 
-        /** Tells a member. */
-        void sendUpdate(int to, RegistryUpdate telling, int mark);
+        /** Sends an update to a member. */
+        void sendUpdate(int to, RegistryUpdate update, int echoTimestamp);
 
-        /** Goes by these instances from now on. */
-        void instancesChanged(String stream, List<Instance> instances);
+        /** Uses these instances from now on. */
+        void instancesChanged(String application, List<Instance> instances);
 
-        /** Reads for itself as soon as it can. */
+        /** Polls the registry as soon as possible. */
         void pollNow();
 
-        /** For the log. */
-        void log(String words);
+        /** Writes a message to the log. */
+        void log(String message);
     }
 
     private static final class Application {
@@ -61,11 +62,11 @@
         InstanceSnapshot snapshot = InstanceSnapshot.EMPTY;
         double confirmedAtMs = Double.NEGATIVE_INFINITY;
         double nextCheckMs = Double.NEGATIVE_INFINITY;
-        /** Since when what this proxy knows is known not to be all: nothing is known at first. */
+        /** Since when the snapshot is known to be incomplete. At first nothing is known. */
         double suspectSinceMs = Double.POSITIVE_INFINITY;
-        /** When what it was told last made a difference. */
+        /** When an update last changed the snapshot. */
         double updateAppliedMs = Double.NEGATIVE_INFINITY;
-        /** When what it goes by came, and under which term; 0 where it has read it for itself. */
+        /** When the snapshot was received, and under which term; 0 if this proxy has polled it itself. */
         double snapshotAtMs = Double.NEGATIVE_INFINITY;
         long snapshotTerm;
         long term;
@@ -80,7 +81,9 @@
         }
     }
 
-    /** {@code asked} is the mark that was there when the registry was asked last; null where there was none. */
+    /**
+     * {@code pollTimestamp} is the timestamp that had been received when the last poll started; null if there was none.
+     */
     private record Listener(int timestamp, double receivedMs, Integer pollTimestamp) { }
 
     private final RegistryReadPolicy policy;
@@ -103,40 +106,46 @@
     private long updatesRejected;
     private long updatesMismatched;
 
-    /** {@code names} are the applications that the registry is asked for. */
-    public ElectedRegistryReader(RegistryReadPolicy policy, Collection<String> names, long seed, double now, Out out) {
+    /** {@code applicationNames} are the applications that the registry is polled for. */
+    public ElectedRegistryReader(RegistryReadPolicy policy, Collection<String> applicationNames, long seed, double now,
+                                 Out out) {
         this.policy = policy;
         this.random = new SplittableRandom(seed);
         this.out = out;
         this.timestamps = new EchoTimestamps(now);
-        names.forEach(n -> {
-            Application app = new Application(n);
+        applicationNames.forEach(name -> {
+            Application app = new Application(name);
             if (applications.put(app.id, app) != null) {
-                throw new IllegalArgumentException("the applications " + n + " and another can't be told apart");
+                throw new IllegalArgumentException("the application " + name + " has the same id as another one");
             }
         });
     }
 
-    /** Whether this proxy wants to be the one that reads: not while it could not lately. */
+    /** Whether this proxy wants the lease; not for a while after it failed to read the registry. */
     public boolean wantsLease(double now) {
         return now >= leaseBackoffUntilMs;
     }
 
-    /** Until when this proxy need not read for itself, by what it was told; {@code holds} says whether it reads for all. */
-    public double pollNotDueUntil(double now, boolean holds) {
-        double until = Double.POSITIVE_INFINITY;
+    /**
+     * Until when this proxy need not poll, because of the updates received; {@code holdsLease} says whether it polls
+     * for all.
+     */
+    public double pollNotDueUntil(double now, boolean holdsLease) {
+        double untilMs = Double.POSITIVE_INFINITY;
         for (Application app : applications.values()) {
-            until = Math.min(until, app.suspectSinceMs > Double.NEGATIVE_INFINITY || holds || now < distrustUntilMs ? now : Math.min(app.confirmedAtMs + policy.updateTimeoutMs(), app.nextCheckMs));
+            untilMs = Math.min(untilMs, app.suspectSinceMs > Double.NEGATIVE_INFINITY || holdsLease
+                    || now < distrustUntilMs ? now
+                    : Math.min(app.confirmedAtMs + policy.updateTimeoutMs(), app.nextCheckMs));
         }
-        return Math.max(now, until);
+        return Math.max(now, untilMs);
     }
 
     /**
-     * This proxy has read for itself what the registry has in an application. What was asked for before this proxy was told of
-     * something newer is older than that, and changes nothing.
+     * This proxy has polled the instances of an application. A poll that started before a newer update was received is
+     * older than that update and changes nothing.
      *
-     * @param startedMs when it was asked for
-     * @param term under which all others may be told now; 0 where they may not
+     * @param startedMs when the poll started
+     * @param term the lease term under which updates may be sent now; 0 if they may not
      */
     public void pollSucceeded(double now, double startedMs, String name, Collection<Instance> instances, long term) {
         Application app = applications.get(LeaseManager.hash(name));
@@ -148,7 +157,8 @@
         app.snapshotAtMs = now;
         app.snapshotTerm = 0;
         app.snapshot = InstanceSnapshot.of(instances, app.snapshot);
-        app.suspectSinceMs = !app.initialized || startedMs >= app.suspectSinceMs ? Double.NEGATIVE_INFINITY : app.suspectSinceMs;
+        app.suspectSinceMs = !app.initialized || startedMs >= app.suspectSinceMs ? Double.NEGATIVE_INFINITY
+                : app.suspectSinceMs;
         app.initialized = true;
         app.nextCheckMs = now + policy.checkIntervalMs() * (1 - CHECK_JITTER * random.nextDouble());
         if (app.snapshot.digest() == app.updateDigest) {
@@ -162,14 +172,16 @@
         }
     }
 
-    private void sendUpdates(double now, double tookMs, Application app, long term) {
+    private void sendUpdates(double now, double pollDurationMs, Application app, long term) {
         app.sequence = term == app.term ? app.sequence + 1 : 1;
         app.term = term;
         if (app.sentSnapshots.isEmpty()) {
-            // A new reader can't know what others have: those that have the same are told so, and the others read.
+            // A new reader cannot know what others have: those with the same snapshot are told that they have it, the
+            // others poll.
             app.sentSnapshots.add(app.snapshot);
         }
-        RegistryUpdate update = new RegistryUpdate(app.id, term, app.sequence, app.snapshot.digest(), (int) Math.ceil(tookMs),
+        RegistryUpdate update = new RegistryUpdate(app.id, term, app.sequence, app.snapshot.digest(),
+                (int) Math.ceil(pollDurationMs),
                 app.snapshot.changesSince(app.sentSnapshots.peekFirst()));
         app.sentSnapshots.add(app.snapshot);
         while (app.sentSnapshots.size() > REPEATED_UPDATES) {
@@ -184,31 +196,33 @@
         });
     }
 
-    /** This proxy asks the registry now. */
+    /** A poll of the registry starts. */
     public void pollStarted() {
         listeners.replaceAll((member, l) -> new Listener(l.timestamp(), l.receivedMs(), l.timestamp()));
     }
 
-    /** This proxy could not read; returns whether it should leave the lease to others, as it read for all. */
-    public boolean pollFailed(double now, boolean holds) {
+    /** A poll has failed. Returns whether this proxy should release the lease under which it polls for all. */
+    public boolean pollFailed(double now, boolean holdsLease) {
         failedPolls++;
-        if (!holds || failedPolls < RegistryReadPolicy.MAX_FAILED_POLLS) {
+        if (!holdsLease || failedPolls < RegistryReadPolicy.MAX_FAILED_POLLS) {
             return false;
         }
         leaseBackoffUntilMs = now + policy.leaseBackoffMs();
-        out.log("this proxy cannot read the registry and leaves the lease to others for " + policy.leaseBackoffMs() / MS_PER_S + " s");
+        out.log("this proxy cannot read the registry and leaves the lease to others for "
+                + policy.leaseBackoffMs() / MS_PER_S + " s");
         return true;
     }
 
-    /** A member says that it listens. */
-    public void listenReceived(double now, int member, int mark) {
+    /** A member asks for updates. */
+    public void listenReceived(double now, int member, int timestamp) {
         Listener before = listeners.get(member);
-        if (before == null || EchoTimestamps.supersedes(mark, before.timestamp(), now - before.receivedMs(), LISTENER_TTL_INTERVALS * policy.pollIntervalMs())) {
-            listeners.put(member, new Listener(mark, now, before == null ? null : before.pollTimestamp()));
+        if (before == null || EchoTimestamps.supersedes(timestamp, before.timestamp(), now - before.receivedMs(),
+                LISTENER_TTL_INTERVALS * policy.pollIntervalMs())) {
+            listeners.put(member, new Listener(timestamp, now, before == null ? null : before.pollTimestamp()));
         }
     }
 
-    /** A member tells what it has read. */
+    /** A member has sent an update. */
     public void updateReceived(double now, int from, RegistryUpdatePart update) {
         Application app = applications.get(update.applicationId());
         if (app == null) {
@@ -218,7 +232,8 @@
         double age = timestamps.ageMs(now, update.echoTimestamp());
         double sentAtMs = now - age;
         boolean isLater = update.term() > app.term || update.term() == app.term && update.sequence() > app.sequence;
-        boolean isSame = update.term() == app.term && update.sequence() == app.sequence && update.digest() == app.updateDigest && !app.parts.isEmpty();
+        boolean isSame = update.term() == app.term && update.sequence() == app.sequence
+                && update.digest() == app.updateDigest && !app.parts.isEmpty();
         if (!isLater && !isSame || age - update.pollDurationMs() > MAX_AGE_INTERVALS * policy.pollIntervalMs()) {
             updatesRejected++;
             return;
@@ -240,7 +255,7 @@
             return;
         }
         if (sentAtMs < app.snapshotAtMs && app.snapshotTerm != update.term()) {
-            // Read before what this proxy goes by came, as far as it can know. What is told next is later.
+            // It may have been read before this proxy's snapshot was received. The next update is later.
             updatesRejected++;
             return;
         }
@@ -264,8 +279,8 @@
     }
 
     /**
-     * What was told was read after this proxy had sent the mark, and marks are an interval apart; one's own poll would have taken
-     * as long.
+     * The registry was read after this proxy sent the timestamp, and timestamps are a poll interval apart; a poll by
+     * this proxy would have taken as long.
      */
     private void updateConfirmed(double sentAtMs, Application app) {
         updatesConfirmed++;
@@ -282,44 +297,49 @@
         if (mismatches >= RegistryReadPolicy.MAX_MISMATCHES) {
             mismatches = 0;
             distrustUntilMs = now + policy.distrustMs();
-            out.log("updates received for " + app.name + " do not match the registry; this proxy polls for itself for " + policy.distrustMs() / MS_PER_S + " s");
+            out.log("updates received for " + app.name + " do not match the registry; this proxy polls for itself for "
+                    + policy.distrustMs() / MS_PER_S + " s");
         }
         out.pollNow();
     }
 
     /**
-     * Does what is due; returns when something will be.
+     * Does what is due and returns when something will be due next.
      *
-     * @param holds whether this proxy reads for all, and listens to nobody
-     * @param electors who may be reading: all of them are told that this proxy listens as long as it does not know which
+     * @param holdsLease whether this proxy polls for all, and needs no updates
+     * @param voters the members of which one may be the reader: all of them are asked for updates until it is known
+     *     which one is
      */
-    public double tick(double now, boolean holds, Collection<Integer> electors) {
-        if (now >= nextListenMs && !holds) {
+    public double tick(double now, boolean holdsLease, Collection<Integer> voters) {
+        if (now >= nextListenMs && !holdsLease) {
             nextListenMs = now + policy.pollIntervalMs();
             if (now - lastUpdateMs <= policy.updateTimeoutMs()) {
                 out.sendListen(readerMember, timestamps.timestamp(now));
             } else {
-                electors.forEach(e -> out.sendListen(e, timestamps.timestamp(now)));
+                voters.forEach(e -> out.sendListen(e, timestamps.timestamp(now)));
             }
         }
-        return holds ? now + policy.pollIntervalMs() : nextListenMs;
+        return holdsLease ? now + policy.pollIntervalMs() : nextListenMs;
     }
 
-    /** How it goes, in words. */
-    public List<String> explain(double now, boolean holds) {
+    /** The state of the reader as text for operators. */
+    public List<String> explain(double now, boolean holdsLease) {
         List<String> lines = new ArrayList<>();
-        String how = holds ? "reads for all, told to " + listeners.size()
+        String mode = holdsLease ? "reads for all, told to " + listeners.size()
                 : now < distrustUntilMs ? "reads for itself: what it was told did not hold"
                 : pollNotDueUntil(now, false) > now ? "goes by what it is told" : "reads for itself";
-        lines.add("registry: this proxy " + how + "; " + pollsAnswered + " polls answered, " + updatesSent + " told, " + updatesReceived + " heard: " + updatesConfirmed
+        lines.add("registry: this proxy " + mode + "; " + pollsAnswered + " polls answered, " + updatesSent
+                + " told, " + updatesReceived + " heard: " + updatesConfirmed
                 + " borne out, " + updatesRejected + " refused as old, " + updatesMismatched + " not borne out");
-        applications.values().forEach(app -> lines.add("registry " + app.name + ": " + app.snapshot.size() + " instances, digest "
-                + Long.toHexString(app.snapshot.digest()) + ", borne out " + (app.confirmedAtMs > 0 ? "%.1f s ago".formatted((now - app.confirmedAtMs) / MS_PER_S)
+        applications.values().forEach(app -> lines.add("registry " + app.name + ": " + app.snapshot.size()
+                + " instances, digest "
+                + Long.toHexString(app.snapshot.digest())
+                + ", borne out " + (app.confirmedAtMs > 0 ? "%.1f s ago".formatted((now - app.confirmedAtMs) / MS_PER_S)
                 : "never") + (app.term > 0 ? ", term " + app.term + " telling " + app.sequence : "")));
         return lines;
     }
 
-    /** What this proxy goes by in an application. */
+    /** The snapshot of an application that this proxy uses. */
     public InstanceSnapshot snapshot(String name) {
         return applications.get(LeaseManager.hash(name)).snapshot;
     }
