--- a/core/src/main/java/ridgemill/registry/InstanceChange.java
+++ b/core/src/main/java/ridgemill/registry/InstanceChange.java
@@ -2,13 +2,13 @@
 
 import ridgemill.membership.Instance;
 
-/** One thing that became different in a registry. Applied twice it is applied once. */
+/** A change in a registry. Applying it twice has the same effect as applying it once. */
 public sealed interface InstanceChange {
 
-    /** Which instance it is of. */
+    /** The id of the instance. */
     String id();
 
-    /** An instance is new or has another record. */
+    /** An instance is new or its record has changed. */
     record Put(Instance instance) implements InstanceChange {
         @Override
         public String id() {
@@ -16,6 +16,6 @@
         }
     }
 
-    /** An instance is gone. */
+    /** An instance was removed. */
     record Removed(String id) implements InstanceChange { }
 }
--- a/core/src/main/java/ridgemill/registry/InstanceSnapshot.java
+++ b/core/src/main/java/ridgemill/registry/InstanceSnapshot.java
@@ -13,13 +13,14 @@
 import ridgemill.membership.Instance;
 
 /**
- * The instances that a registry has in one application, and a digest by which two proxies know that they have the same: the sum of
- * 64 bits of SHA-256 of each record, so that it does not depend on their order and a change costs no more than what changed. When an
- * instance started is not in it, as each proxy can tell that only of restarts that it has seen. Immutable.
+ * The instances that a registry has in one application, with a digest by which two proxies can tell that they have the
+ * same: the sum of 64 bits of the SHA-256 of each record, so that it does not depend on their order and an update costs
+ * no more than its changes. Start times are not part of the digest, as a proxy knows them only of restarts that it has
+ * observed. Immutable.
  */
 public final class InstanceSnapshot {
 
-    /** Nothing. */
+    /** A snapshot without instances. */
     public static final InstanceSnapshot EMPTY = new InstanceSnapshot(Map.of(), 0);
     private static final char SEPARATOR = 0;
 
@@ -32,20 +33,23 @@
     }
 
     /**
-     * What a poll has found; of two records with one id the newer counts. One that tells no start keeps what {@code known} tells of
-     * the same record: whoever told that had seen its restart.
+     * The result of a poll; of two records with the same id the newer one counts. A record without a start time takes
+     * that of the same record in {@code known}, whose source observed the restart.
      */
-    public static InstanceSnapshot of(Collection<Instance> found, InstanceSnapshot known) {
+    public static InstanceSnapshot of(Collection<Instance> polled, InstanceSnapshot known) {
         Map<String, Instance> all = new LinkedHashMap<>();
-        for (Instance i : found) {
+        for (Instance i : polled) {
             all.merge(i.id(), i, (a, b) -> b.changedAtMs() >= a.changedAtMs() ? b : a);
         }
         all.replaceAll((id, i) -> {
             Instance before = known.instances.get(id);
-            return before != null && i.startedAtMs() == 0 && before.startedAtMs() > 0 && before.changedAtMs() == i.changedAtMs()
-                    ? new Instance(id, i.address(), i.status(), i.zone(), i.weight(), before.startedAtMs(), i.changedAtMs()) : i;
+            return before != null && i.startedAtMs() == 0 && before.startedAtMs() > 0
+                    && before.changedAtMs() == i.changedAtMs()
+                    ? new Instance(id, i.address(), i.status(), i.zone(), i.weight(), before.startedAtMs(),
+                            i.changedAtMs())
+                    : i;
         });
-        // What is as it was known is not hashed again: most of a poll's answer is.
+        // Records that did not change are not hashed again; most of a poll's result is unchanged.
         return new InstanceSnapshot(all, known.digestWith(new InstanceSnapshot(all, 0).changesSince(known)));
     }
 
@@ -59,7 +63,7 @@
         return next;
     }
 
-    /** This with changes made to it. */
+    /** This snapshot with changes applied. */
     public InstanceSnapshot withChanges(Collection<InstanceChange> changes) {
         Map<String, Instance> all = new LinkedHashMap<>(instances);
         Map<String, InstanceChange> last = new LinkedHashMap<>();
@@ -74,13 +78,13 @@
         return new InstanceSnapshot(all, digestWith(last.values()));
     }
 
-    /** Whether, of what was changed, it has an older record than another has. */
-    boolean hasOlderRecordThan(InstanceSnapshot than, Collection<InstanceChange> changed) {
-        return changed.stream().anyMatch(c -> instances.containsKey(c.id()) && than.instances.containsKey(c.id())
-                && instances.get(c.id()).changedAtMs() < than.instances.get(c.id()).changedAtMs());
+    /** Whether any of the changed records is older here than in another snapshot. */
+    boolean hasOlderRecordThan(InstanceSnapshot other, Collection<InstanceChange> changed) {
+        return changed.stream().anyMatch(c -> instances.containsKey(c.id()) && other.instances.containsKey(c.id())
+                && instances.get(c.id()).changedAtMs() < other.instances.get(c.id()).changedAtMs());
     }
 
-    /** What makes this of {@code before}, by id. */
+    /** The changes that lead from {@code before} to this snapshot, ordered by id. */
     public List<InstanceChange> changesSince(InstanceSnapshot before) {
         Map<String, InstanceChange> changes = new TreeMap<>();
         instances.forEach((id, i) -> {
@@ -88,7 +92,8 @@
                 changes.put(id, new InstanceChange.Put(i));
             }
         });
-        before.instances.keySet().stream().filter(id -> !instances.containsKey(id)).forEach(id -> changes.put(id, new InstanceChange.Removed(id)));
+        before.instances.keySet().stream().filter(id -> !instances.containsKey(id))
+                .forEach(id -> changes.put(id, new InstanceChange.Removed(id)));
         return new ArrayList<>(changes.values());
     }
 
@@ -96,12 +101,12 @@
         return List.copyOf(instances.values());
     }
 
-    /** Two with the same have the same instances. */
+    /** Snapshots with the same digest have the same instances. */
     public long digest() {
         return digest;
     }
 
-    /** How many instances there are. */
+    /** The number of instances. */
     public int size() {
         return instances.size();
     }
@@ -110,9 +115,10 @@
         String text = i.id() + SEPARATOR + i.address() + SEPARATOR + i.status() + SEPARATOR + i.zone() + SEPARATOR
                 + i.weight() + SEPARATOR + i.changedAtMs();
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8))).getLong();
+            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)))
+                    .getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java machine has SHA-256", e);
+            throw new IllegalStateException("every Java platform must support SHA-256", e);
         }
     }
 }
--- a/core/src/main/java/ridgemill/registry/RegistryUpdate.java
+++ b/core/src/main/java/ridgemill/registry/RegistryUpdate.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a reader tells after a poll, to each listener in as many {@link RegistryUpdatePart} as it needs.
+ * The result of a poll as the reader sends it, to each listener in as many {@link RegistryUpdatePart}s as it needs.
  *
- * @param applicationId stands for the application that it is of
- * @param term under which it was read
- * @param sequence of the telling within the term; grows
- * @param digest of all that the registry has now
+ * @param applicationId hash of the application's name
+ * @param term under which the registry was read
+ * @param sequence numbers the updates of a term, increasing
+ * @param digest of all instances that the registry has now
  * @param pollDurationMs how long the registry took to answer
- * @param changes of the last few tellings: whoever has missed no more than these has all
+ * @param changes of the last few updates: a listener that has missed no more than these is complete
  */
-public record RegistryUpdate(int applicationId, long term, int sequence, long digest, int pollDurationMs, List<InstanceChange> changes) {
+public record RegistryUpdate(int applicationId, long term, int sequence, long digest, int pollDurationMs,
+                             List<InstanceChange> changes) {
 
     public RegistryUpdate {
         changes = List.copyOf(changes);
--- a/core/src/main/java/ridgemill/registry/RegistryUpdateCodec.java
+++ b/core/src/main/java/ridgemill/registry/RegistryUpdateCodec.java
@@ -12,11 +12,11 @@
 import ridgemill.membership.Status;
 
 /**
- * News as {@link DatagramFrame} datagrams. Who listens says so in a datagram of the same kind.
+ * Encodes registry updates as {@link DatagramFrame} datagrams, and the requests for them, which are of the same kind.
  */
 public final class RegistryUpdateCodec {
 
-    /** A telling of more parts is told as one that each is to read for itself. */
+    /** An update of more parts is sent as a single one that makes each listener poll for itself. */
     public static final int MAX_PARTS = 8;
     private static final byte KIND = 'N';
     private static final byte VERSION = 1;
@@ -30,33 +30,34 @@
 
     private RegistryUpdateCodec() { }
 
-    /** Whether a datagram is of this kind, of whatever version. */
+    /** Whether a datagram is of this kind, of any version. */
     public static boolean isUpdate(byte[] datagram) {
         return DatagramFrame.hasKind(datagram, KIND);
     }
 
-    /** Says that its sender wants to be told, and understands it; {@code mark} is given back with what it is told. */
-    public static byte[] encodeListen(int mark) {
-        return DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(LISTEN).putInt(mark));
+    /** A request for updates, whose sender understands them; {@code timestamp} is echoed in the updates. */
+    public static byte[] encodeListen(int timestamp) {
+        return DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(LISTEN).putInt(timestamp));
     }
 
-    /** The mark of a datagram that says so; empty where it says something else. */
+    /** The timestamp of a request for updates; empty for any other datagram. */
     public static OptionalInt decodeListen(byte[] datagram) {
-        return DatagramFrame.open(datagram, KIND, VERSION).filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTEN)
+        return DatagramFrame.open(datagram, KIND, VERSION)
+                .filter(in -> in.limit() == 1 + Integer.BYTES && in.get(0) == LISTEN)
                 .map(in -> OptionalInt.of(in.getInt(1))).orElse(OptionalInt.empty());
     }
 
-    /** A telling in as many datagrams as it needs. */
-    public static List<byte[]> encode(RegistryUpdate telling, int mark) {
+    /** An update in as many datagrams as it needs. */
+    public static List<byte[]> encode(RegistryUpdate update, int echoTimestamp) {
         List<byte[]> parts = new ArrayList<>();
         ByteBuffer part = ByteBuffer.allocate(MAX_CHANGES_BYTES);
         int count = 0;
-        boolean tooMuch = false;
+        boolean tooLarge = false;
         List<Integer> counts = new ArrayList<>();
-        for (InstanceChange c : telling.changes()) {
+        for (InstanceChange c : update.changes()) {
             byte[] bytes = encodeChange(c);
-            tooMuch |= bytes.length > MAX_CHANGES_BYTES;
-            if (tooMuch) {
+            tooLarge |= bytes.length > MAX_CHANGES_BYTES;
+            if (tooLarge) {
                 break;
             }
             if (bytes.length > part.remaining()) {
@@ -69,17 +70,18 @@
         }
         parts.add(drain(part));
         counts.add(count);
-        if (tooMuch || parts.size() > MAX_PARTS) {
+        if (tooLarge || parts.size() > MAX_PARTS) {
             parts = List.of(new byte[0]);
             counts = List.of(0);
-            tooMuch = true;
+            tooLarge = true;
         }
         List<byte[]> datagrams = new ArrayList<>();
         for (int i = 0; i < parts.size(); i++) {
-            datagrams.add(DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(UPDATE).putInt(telling.applicationId())
-                    .putLong(telling.term()).putInt(telling.sequence()).putLong(telling.digest()).putInt(mark)
-                    .putShort((short) Math.min(Short.MAX_VALUE, telling.pollDurationMs())).put((byte) i).put((byte) (tooMuch ? 0 : parts.size())).put(counts.get(i).byteValue())
-                    .put(parts.get(i))));
+            datagrams.add(DatagramFrame.finish(DatagramFrame.begin(KIND, VERSION).put(UPDATE)
+                    .putInt(update.applicationId()).putLong(update.term()).putInt(update.sequence())
+                    .putLong(update.digest()).putInt(echoTimestamp)
+                    .putShort((short) Math.min(Short.MAX_VALUE, update.pollDurationMs())).put((byte) i)
+                    .put((byte) (tooLarge ? 0 : parts.size())).put(counts.get(i).byteValue()).put(parts.get(i))));
         }
         return datagrams;
     }
@@ -99,37 +101,41 @@
         Instance i = p.instance();
         byte[] address = text(i.address());
         byte[] zone = text(i.zone());
-        return ByteBuffer.allocate(5 + id.length + address.length + zone.length + 3 * Long.BYTES).put(PUT).put((byte) id.length).put(id)
-                .put((byte) address.length).put(address).put((byte) i.status().ordinal()).put((byte) zone.length).put(zone)
-                .putDouble(i.weight()).putLong((long) i.startedAtMs()).putLong(i.changedAtMs()).array();
+        return ByteBuffer.allocate(5 + id.length + address.length + zone.length + 3 * Long.BYTES)
+                .put(PUT).put((byte) id.length).put(id)
+                .put((byte) address.length).put(address).put((byte) i.status().ordinal()).put((byte) zone.length)
+                .put(zone).putDouble(i.weight()).putLong((long) i.startedAtMs()).putLong(i.changedAtMs()).array();
     }
 
-    /** A text that is too long makes its change one that fits into no datagram. */
+    /** Encodes a text; one that is too long yields a change too large for any datagram. */
     private static byte[] text(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         return bytes.length > MAX_TEXT_BYTES ? new byte[DatagramFrame.MAX_BYTES] : bytes;
     }
 
-    /** Reads a telling; empty where it is none, of another version or spoilt. */
+    /** Decodes a part of an update; empty if the datagram is something else, of another version or corrupt. */
     public static Optional<RegistryUpdatePart> decode(byte[] datagram) {
-        return DatagramFrame.open(datagram, KIND, VERSION).filter(in -> in.limit() > 0 && in.get(0) == UPDATE).flatMap(in -> {
+        return DatagramFrame.open(datagram, KIND, VERSION)
+                .filter(in -> in.limit() > 0 && in.get(0) == UPDATE).flatMap(in -> {
             try {
                 in.position(1);
-                int stream = in.getInt();
+                int applicationId = in.getInt();
                 long term = in.getLong();
-                int number = in.getInt();
+                int sequence = in.getInt();
                 long digest = in.getLong();
-                int mark = in.getInt();
-                int tookMs = in.getShort();
-                int part = in.get();
-                int parts = in.get();
+                int echoTimestamp = in.getInt();
+                int pollDurationMs = in.getShort();
+                int partIndex = in.get();
+                int partCount = in.get();
                 int count = in.get();
                 List<InstanceChange> changes = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     changes.add(decodeChange(in));
                 }
-                return tookMs < 0 || part < 0 || parts < 0 || parts > MAX_PARTS || part >= Math.max(1, parts) ? Optional.empty()
-                        : Optional.of(new RegistryUpdatePart(stream, term, number, digest, mark, tookMs, part, parts, changes));
+                return pollDurationMs < 0 || partIndex < 0 || partCount < 0 || partCount > MAX_PARTS
+                        || partIndex >= Math.max(1, partCount) ? Optional.empty()
+                        : Optional.of(new RegistryUpdatePart(applicationId, term, sequence, digest, echoTimestamp,
+                        pollDurationMs, partIndex, partCount, changes));
             } catch (BufferUnderflowException | IllegalArgumentException e) {
                 return Optional.empty();
             }
@@ -145,9 +151,10 @@
         String address = text(in);
         int status = in.get();
         if (kind != PUT || status < 0 || status >= Status.values().length) {
-            throw new IllegalArgumentException("no such change");
+            throw new IllegalArgumentException("unknown type of change or status");
         }
-        return new InstanceChange.Put(new Instance(id, address, Status.values()[status], text(in), in.getDouble(), in.getLong(), in.getLong()));
+        return new InstanceChange.Put(new Instance(id, address, Status.values()[status], text(in), in.getDouble(),
+                in.getLong(), in.getLong()));
     }
 
     private static String text(ByteBuffer in) {
