--- a/core/src/test/java/ridgemill/datacenter/MultiDatacenterTest.java
+++ b/core/src/test/java/ridgemill/datacenter/MultiDatacenterTest.java
@@ -22,9 +22,10 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * Halls in a ring on passed-in time, with gateways that restart, stores that go and come, links that lose, stall and are
- * cut one way, and clients that ask again at any hall. What happened is read from what the nodes did, not from what any
- * hall believes.
+ * Simulates several datacenters, each connected to all others, on simulated time: gateways restart, stores fail and
+ * recover, links lose or delay messages and are cut in one direction, and clients retry at any datacenter. The test
+ * guards against writes that run twice, requests that enter a datacenter twice, and requests that are not answered. It
+ * checks what the nodes did, not what the gateways recorded.
  */
 class MultiDatacenterTest {
 
@@ -33,156 +34,160 @@
     private static final double RUN_MS = 120_000;
     private static final ServiceClass READ = service("reading", Effect.SAFE);
     private static final ServiceClass CREDIT = service("credit", Effect.KEYED);
-    private static final ServiceClass ONCE = service("once", Effect.UNSAFE);
+    private static final ServiceClass UNSAFE = service("once", Effect.UNSAFE);
 
     private static ServiceClass service(String name, Effect effect) {
-        return new ServiceClass(name, 500, 0, DEADLINE_MS, 1, 0, effect, DeduplicationScope.ALL, effect == Effect.KEYED ? WINDOW_MS : 0, false);
+        return new ServiceClass(name, 500, 0, DEADLINE_MS, 1, 0, effect, DeduplicationScope.ALL,
+                effect == Effect.KEYED ? WINDOW_MS : 0, false);
     }
 
     private record Event(double atMs, long order, Runnable task) { }
 
-    /** The answer of one hall to another, or to a client. */
-    private enum Final { SERVED, REFUSED, UNPROVEN, FAILED }
+    /** The result that one datacenter reports to another or to a client. */
+    private enum Result { SERVED, REFUSED, UNPROVEN, FAILED }
 
-    private final class Hall {
+    private final class Datacenter {
         final String name;
-        final Map<String, Double> remembered = new HashMap<>();
+        final Map<String, Double> keyTimes = new HashMap<>();
         boolean storeUp = true;
-        boolean answers = true;
+        boolean nodesAnswer = true;
 
-        Hall(String name) {
+        Datacenter(String name) {
             this.name = name;
         }
     }
 
-    private final class Gate {
-        final Hall hall;
+    private final class Gateway {
+        final Datacenter datacenter;
         final String name;
-        DatacenterRouter module;
+        DatacenterRouter router;
         int epoch;
 
-        Gate(Hall hall, String name) {
-            this.hall = hall;
+        Gateway(Datacenter datacenter, String name) {
+            this.datacenter = datacenter;
             this.name = name;
         }
     }
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs() ? Double.compare(a.atMs(), b.atMs())
-            : Long.compare(a.order(), b.order()));
-    private final Map<String, Gate> gates = new HashMap<>();
-    private final List<Hall> halls = new ArrayList<>();
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.atMs() != b.atMs()
+            ? Double.compare(a.atMs(), b.atMs()) : Long.compare(a.order(), b.order()));
+    private final Map<String, Gateway> gateways = new HashMap<>();
+    private final List<Datacenter> datacenters = new ArrayList<>();
     private final Map<String, Double> cutUntil = new HashMap<>();
     private final Map<String, Double> slowUntil = new HashMap<>();
-    private final Map<String, Integer> recorded = new HashMap<>();
-    private final Map<String, Set<String>> entered = new HashMap<>();
+    private final Map<String, Integer> runsByKey = new HashMap<>();
+    private final Map<String, Set<String>> visited = new HashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
-    private final Set<String> ran = new HashSet<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Set<String> executed = new HashSet<>();
+    private final List<String> violations = new ArrayList<>();
     private SplittableRandom random;
     private double now;
     private long order;
     private int answered;
     private int served;
-    private int crossed;
+    private int forwarded;
 
     private void at(double ms, Runnable task) {
         events.add(new Event(ms, order++, task));
     }
 
-    private DatacenterPolicy policy(Hall of, int each) {
+    private DatacenterPolicy policy(Datacenter datacenter, int gatewaysEach) {
         Map<String, List<String>> others = new java.util.LinkedHashMap<>();
-        for (Hall h : halls) {
-            if (h != of) {
+        for (Datacenter h : datacenters) {
+            if (h != datacenter) {
                 List<String> names = new ArrayList<>();
-                for (int i = 0; i < each; i++) {
+                for (int i = 0; i < gatewaysEach; i++) {
                     names.add(h.name + i);
                 }
                 others.put(h.name, names);
             }
         }
-        return new DatacenterPolicy(of.name, others, Set.of(), Set.of(), 1000, 50, 50, halls.size(), 30_000);
+        return new DatacenterPolicy(datacenter.name, others, Set.of(), Set.of(), 1000, 50, 50, datacenters.size(),
+                30_000);
     }
 
-    private void start(Gate g, int each) {
+    private void startGateway(Gateway g, int gatewaysEach) {
         g.epoch++;
-        g.module = new DatacenterRouter(policy(g.hall, each), now);
+        g.router = new DatacenterRouter(policy(g.datacenter, gatewaysEach), now);
     }
 
     @ParameterizedTest
     @CsvSource({"2,1", "2,2", "2,3", "2,4", "3,5", "3,6", "3,7", "3,8", "4,9", "4,150", "4,162", "3,101"})
-    void noCreditIsDoubledNoHallIsEnteredTwiceAndNothingIsLost(int count, long seed) {
+    void noWriteRunsTwiceNoDatacenterIsEnteredTwiceAndEveryRequestIsAnswered(int count, long seed) {
         random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
-            halls.add(new Hall("h" + i));
+            datacenters.add(new Datacenter("h" + i));
         }
-        for (Hall h : halls) {
+        for (Datacenter h : datacenters) {
             for (int j = 0; j < 2; j++) {
-                Gate g = new Gate(h, h.name + j);
-                gates.put(g.name, g);
-                start(g, 2);
+                Gateway g = new Gateway(h, h.name + j);
+                gateways.put(g.name, g);
+                startGateway(g, 2);
             }
         }
-        List<Gate> all = List.copyOf(gates.values());
-        beat(all);
+        List<Gateway> all = List.copyOf(gateways.values());
+        reportLinkStates(all);
         for (double t = 100; t < RUN_MS; t += 5 + random.nextInt(20)) {
-            at(t, () -> client(all));
+            at(t, () -> startClient(all));
         }
         for (double t = 5000; t < RUN_MS; t += 500 + random.nextInt(3000)) {
-            at(t, () -> fault(all));
+            at(t, () -> injectFault(all));
         }
-        long asked = 0;
+        long steps = 0;
         while (!events.isEmpty()) {
             Event e = events.remove();
             now = e.atMs();
             e.task().run();
-            asked++;
-            assertTrue(asked < 10_000_000, "it never ends");
+            steps++;
+            assertTrue(steps < 10_000_000, "the simulation does not end");
         }
-        recorded.forEach((key, times) -> {
+        runsByKey.forEach((key, times) -> {
             if (times > 1) {
-                broken.add(key + " recorded " + times + " times");
+                violations.add(key + " recorded " + times + " times");
             }
         });
-        assertEquals(List.of(), broken.stream().limit(10).toList(), "seed " + seed);
-        assertTrue(crossed > 100, crossed + " crossed");
+        assertEquals(List.of(), violations.stream().limit(10).toList(), "seed " + seed);
+        assertTrue(forwarded > 100, forwarded + " forwarded");
         assertTrue(served > answered / 3, served + " served of " + answered);
     }
 
-    /** Links' states are told as a pulse would, late. */
-    private void beat(List<Gate> all) {
-        for (Gate g : all) {
-            for (String other : g.module.policy().allGateways()) {
-                double since = cutUntil.getOrDefault(g.name + other, 0.0);
-                boolean cut = since > now || cutUntil.getOrDefault(other + g.name, 0.0) > now;
-                boolean slow = slowUntil.getOrDefault(g.name + other, 0.0) > now || slowUntil.getOrDefault(other + g.name, 0.0) > now;
-                g.module.linkStateChanged(other, cut ? LinkHealth.State.DEAD : slow ? LinkHealth.State.STALLED : LinkHealth.State.UP, 10);
-                g.module.gatewayStateReceived(now, other, gates.get(other).module.gatewayState(0, false));
+    /** Reports the states of links as heartbeats would, with a delay. */
+    private void reportLinkStates(List<Gateway> all) {
+        for (Gateway g : all) {
+            for (String other : g.router.policy().allGateways()) {
+                double cutUntilMs = cutUntil.getOrDefault(g.name + other, 0.0);
+                boolean cut = cutUntilMs > now || cutUntil.getOrDefault(other + g.name, 0.0) > now;
+                boolean slow = slowUntil.getOrDefault(g.name + other, 0.0) > now
+                        || slowUntil.getOrDefault(other + g.name, 0.0) > now;
+                g.router.linkStateChanged(other, cut ? LinkHealth.State.DEAD : slow ? LinkHealth.State.STALLED
+                        : LinkHealth.State.UP, 10);
+                g.router.gatewayStateReceived(now, other, gateways.get(other).router.gatewayState(0, false));
             }
         }
         if (now < RUN_MS + 20_000) {
-            at(now + 300, () -> beat(all));
+            at(now + 300, () -> reportLinkStates(all));
         }
     }
 
-    private void fault(List<Gate> all) {
-        Hall h = halls.get(random.nextInt(halls.size()));
-        Gate a = all.get(random.nextInt(all.size()));
-        Gate b = all.get(random.nextInt(all.size()));
+    private void injectFault(List<Gateway> all) {
+        Datacenter h = datacenters.get(random.nextInt(datacenters.size()));
+        Gateway a = all.get(random.nextInt(all.size()));
+        Gateway b = all.get(random.nextInt(all.size()));
         switch (random.nextInt(7)) {
             case 0 -> h.storeUp = !h.storeUp;
-            case 1 -> h.answers = !h.answers;
+            case 1 -> h.nodesAnswer = !h.nodesAnswer;
             case 2 -> cutUntil.put(a.name + b.name, now + random.nextInt(4000));
             case 3 -> slowUntil.put(a.name + b.name, now + random.nextInt(10_000));
-            case 4 -> start(a, 2);
+            case 4 -> startGateway(a, 2);
             default -> {
                 h.storeUp = true;
-                h.answers = true;
+                h.nodesAnswer = true;
             }
         }
     }
 
-    /** A message on the way: lost, late, or there after a few milliseconds. */
-    private void send(Gate from, Gate to, Runnable arrives) {
+    /** Sends a message, which is lost, late or arrives after a few milliseconds. */
+    private void send(Gateway from, Gateway to, Runnable arrives) {
         double cut = cutUntil.getOrDefault(from.name + to.name, 0.0);
         if (cut > now || random.nextInt(200) == 0) {
             return;
@@ -192,190 +197,198 @@
 
     // Clients.
 
-    private void client(List<Gate> all) {
-        int kind = random.nextInt(3);
-        ServiceClass service = kind == 0 ? READ : kind == 1 ? CREDIT : ONCE;
-        String wish = "w" + order++;
-        ask(all, service, wish, 0, now, all.get(random.nextInt(all.size())));
+    private void startClient(List<Gateway> all) {
+        int type = random.nextInt(3);
+        ServiceClass service = type == 0 ? READ : type == 1 ? CREDIT : UNSAFE;
+        String operation = "w" + order++;
+        sendRequest(all, service, operation, 0, now, all.get(random.nextInt(all.size())));
     }
 
-    private void ask(List<Gate> all, ServiceClass service, String wish, int tries, double firstMs, Gate at) {
-        String id = wish + "-" + tries;
-        RoutedRequest p = new RoutedRequest(id, service, service == CREDIT ? wish : null, tries > 0, DatacenterPath.LOCAL, now + DEADLINE_MS);
+    private void sendRequest(List<Gateway> all, ServiceClass service, String operation, int tries, double firstMs,
+                             Gateway at) {
+        String id = operation + "-" + tries;
+        RoutedRequest p = new RoutedRequest(id, service, service == CREDIT ? operation : null, tries > 0,
+                DatacenterPath.LOCAL, now + DEADLINE_MS);
         int epoch = at.epoch;
         double sent = now;
         boolean[] done = {false};
-        enter(at, p, end -> {
+        enterGateway(at, p, end -> {
             if (done[0] || at.epoch != epoch) {
                 return;
             }
             done[0] = true;
             answered++;
-            served += end == Final.SERVED ? 1 : 0;
+            served += end == Result.SERVED ? 1 : 0;
             if (now > sent + DEADLINE_MS + 0.001) {
-                broken.add(id + " was answered late");
+                violations.add(id + " was answered late");
             }
-            if (end == Final.REFUSED) {
-                // A promise, which holds for ever.
-                if (ran.contains(id)) {
-                    broken.add(id + " was refused and had run");
+            if (end == Result.REFUSED) {
+                // A refusal promises that the request never runs.
+                if (executed.contains(id)) {
+                    violations.add(id + " was refused and had run");
                 }
-                ran.remove(id);
-                entered.computeIfAbsent(id, i -> new HashSet<>()).add("promised");
+                executed.remove(id);
+                visited.computeIfAbsent(id, i -> new HashSet<>()).add("promised");
             }
-            if (end != Final.SERVED && tries < 3 && service != ONCE && now - firstMs < WINDOW_MS - 2 * DEADLINE_MS) {
-                at(now + 20 + random.nextInt(800), () -> ask(all, service, wish, tries + 1, firstMs,
+            if (end != Result.SERVED && tries < 3 && service != UNSAFE && now - firstMs < WINDOW_MS - 2 * DEADLINE_MS) {
+                at(now + 20 + random.nextInt(800), () -> sendRequest(all, service, operation, tries + 1, firstMs,
                         all.get(random.nextInt(all.size()))));
             }
         });
         at(now + DEADLINE_MS + 1, () -> {
             if (!done[0] && at.epoch == epoch) {
-                broken.add(id + " was not answered");
+                violations.add(id + " was not answered");
             }
-            // A client whose gateway died asks again, like any other.
-            if (!done[0] && at.epoch != epoch && tries < 3 && service != ONCE && now - firstMs < WINDOW_MS - 2 * DEADLINE_MS) {
-                ask(all, service, wish, tries + 1, firstMs, all.get(random.nextInt(all.size())));
+            // A client whose gateway has restarted retries like any other.
+            if (!done[0] && at.epoch != epoch && tries < 3 && service != UNSAFE
+                    && now - firstMs < WINDOW_MS - 2 * DEADLINE_MS) {
+                sendRequest(all, service, operation, tries + 1, firstMs, all.get(random.nextInt(all.size())));
             }
         });
     }
 
-    // Halls.
+    // Datacenters.
 
-    /** A request enters a gateway, whose answer comes once. */
-    private void enter(Gate at, RoutedRequest p, Consumer<Final> answer) {
+    /** A request enters a gateway, which answers it once. */
+    private void enterGateway(Gateway at, RoutedRequest p, Consumer<Result> answer) {
         int epoch = at.epoch;
-        carryOut(at, p, at.module.requestArrived(now, p), Final.REFUSED, end -> {
+        executeStep(at, p, at.router.requestArrived(now, p), Result.REFUSED, end -> {
             if (at.epoch == epoch) {
-                at.module.requestFinished(p);
+                at.router.requestFinished(p);
                 answer.accept(end);
             }
         });
     }
 
-    private void carryOut(Gate at, RoutedRequest p, Step step, Final home, Consumer<Final> answer) {
+    private void executeStep(Gateway at, RoutedRequest p, Step step, Result home, Consumer<Result> answer) {
         if (step instanceof DatacenterRouter.TryHome h) {
-            home(at, p, h.reserveMs(), answer);
+            runAtHome(at, p, h.reserveMs(), answer);
         } else if (step instanceof DatacenterRouter.Forward a) {
-            across(at, p, a, home, answer);
+            forward(at, p, a, home, answer);
         } else if (step instanceof DatacenterRouter.QueryKey a) {
-            asks(at, p, a, answer);
+            queryKey(at, p, a, answer);
         } else if (step instanceof DatacenterRouter.Refuse r) {
-            answer.accept(r.provenNotRun() ? Final.REFUSED : Final.UNPROVEN);
+            answer.accept(r.provenNotRun() ? Result.REFUSED : Result.UNPROVEN);
         } else if (step instanceof DatacenterRouter.Fail) {
-            answer.accept(Final.FAILED);
+            answer.accept(Result.FAILED);
         } else {
             answer.accept(home);
         }
     }
 
-    private void home(Gate at, RoutedRequest p, double reserve, Consumer<Final> answer) {
-        Hall h = at.hall;
-        Set<String> visits = entered.computeIfAbsent(p.id(), i -> new HashSet<>());
+    private void runAtHome(Gateway at, RoutedRequest p, double reserve, Consumer<Result> answer) {
+        Datacenter h = at.datacenter;
+        Set<String> visits = visited.computeIfAbsent(p.id(), i -> new HashSet<>());
         if (!visits.add(h.name)) {
-            broken.add(p.id() + " ran twice in " + h.name);
+            violations.add(p.id() + " ran twice in " + h.name);
         }
         if (visits.contains("promised")) {
-            broken.add(p.id() + " was sent to nodes after a refusal that promised that nothing ran");
+            violations.add(p.id() + " was sent to nodes after a refusal that promised that nothing ran");
         }
         if (running.merge(p.id(), 1, Integer::sum) > 1) {
-            broken.add(p.id() + " has two attempts out at once");
+            violations.add(p.id() + " has two attempts in progress at once");
         }
         double left = p.deadlineMs() - now - reserve;
         int epoch = at.epoch;
         boolean hit = p.service() == READ && random.nextInt(2) == 0;
         HomeOutcome end;
-        Final as;
-        double takes;
-        if (hit || h.storeUp && h.answers) {
-            takes = Math.min(left, 2 + random.nextInt(40));
-            run(h, p);
+        Result result;
+        double durationMs;
+        if (hit || h.storeUp && h.nodesAnswer) {
+            durationMs = Math.min(left, 2 + random.nextInt(40));
+            execute(h, p);
             end = HomeOutcome.SERVED;
-            as = Final.SERVED;
+            result = Result.SERVED;
         } else if (!h.storeUp) {
-            takes = Math.min(left, 1 + random.nextInt(20));
+            durationMs = Math.min(left, 1 + random.nextInt(20));
             end = HomeOutcome.REFUSED;
-            as = Final.REFUSED;
+            result = Result.REFUSED;
         } else {
-            // It may run and says nothing.
-            takes = Math.min(left, 400);
+            // The request may run without an answer.
+            durationMs = Math.min(left, 400);
             if (random.nextBoolean()) {
-                run(h, p);
+                execute(h, p);
             }
-            end = p.service() == ONCE || p.service() == CREDIT && random.nextBoolean() ? HomeOutcome.FAILED : HomeOutcome.UNPROVEN;
-            as = end == HomeOutcome.FAILED ? Final.FAILED : Final.UNPROVEN;
+            end = p.service() == UNSAFE || p.service() == CREDIT && random.nextBoolean() ? HomeOutcome.FAILED
+                    : HomeOutcome.UNPROVEN;
+            result = end == HomeOutcome.FAILED ? Result.FAILED : Result.UNPROVEN;
         }
-        at(now + Math.max(0, takes), () -> {
+        at(now + Math.max(0, durationMs), () -> {
             running.merge(p.id(), -1, Integer::sum);
             if (at.epoch == epoch) {
-                carryOut(at, p, at.module.homeEnded(now, p, end, true), as, answer);
+                executeStep(at, p, at.router.homeEnded(now, p, end, true), result, answer);
             }
         });
     }
 
-    private void run(Hall h, RoutedRequest p) {
-        ran.add(p.id());
+    private void execute(Datacenter h, RoutedRequest p) {
+        executed.add(p.id());
         if (p.idempotencyKey() != null) {
-            Double known = h.remembered.get(p.idempotencyKey());
+            Double known = h.keyTimes.get(p.idempotencyKey());
             if (known == null || now - known >= WINDOW_MS) {
-                h.remembered.put(p.idempotencyKey(), now);
-                recorded.merge(p.idempotencyKey(), 1, Integer::sum);
+                h.keyTimes.put(p.idempotencyKey(), now);
+                runsByKey.merge(p.idempotencyKey(), 1, Integer::sum);
             }
-        } else if (p.service() == ONCE) {
-            recorded.merge(p.id(), 1, Integer::sum);
+        } else if (p.service() == UNSAFE) {
+            runsByKey.merge(p.id(), 1, Integer::sum);
         }
     }
 
-    private void across(Gate from, RoutedRequest p, DatacenterRouter.Forward a, Final home, Consumer<Final> answer) {
-        crossed++;
-        Gate to = gates.get(a.gateway());
+    private void forward(Gateway from, RoutedRequest p, DatacenterRouter.Forward a, Result home,
+                         Consumer<Result> answer) {
+        forwarded++;
+        Gateway to = gateways.get(a.gateway());
         int epoch = from.epoch;
-        double until = now + a.timeoutMs();
-        boolean[] over = {false};
+        double untilMs = now + a.timeoutMs();
+        boolean[] finished = {false};
         Set<String> beyond = new HashSet<>();
         Consumer<ForwardOutcome> ended = end -> {
-            if (!over[0] && from.epoch == epoch) {
-                over[0] = true;
-                Step next = from.module.forwardEnded(now, p, end, 0, beyond);
-                carryOut(from, p, next, end == ForwardOutcome.SERVED ? Final.SERVED : home, answer);
+            if (!finished[0] && from.epoch == epoch) {
+                finished[0] = true;
+                Step next = from.router.forwardEnded(now, p, end, 0, beyond);
+                executeStep(from, p, next, end == ForwardOutcome.SERVED ? Result.SERVED : home, answer);
             }
         };
-        at(until, () -> ended.accept(ForwardOutcome.LOST));
+        at(untilMs, () -> ended.accept(ForwardOutcome.LOST));
         send(from, to, () -> {
-            if (until - now <= 0) {
-                // Too old when it came: the transit clock has seen that.
+            if (untilMs - now <= 0) {
+                // It was too old on arrival, as the receiver measures by the transit delay.
                 send(to, from, () -> ended.accept(ForwardOutcome.REFUSED));
                 return;
             }
-            RoutedRequest there = new RoutedRequest(p.id(), p.service(), p.idempotencyKey(), p.isRetry(), p.forwardedPath(from.hall.name), until);
-            enter(to, there, end -> send(to, from, () -> {
-                beyond.addAll(there.enteredDatacenters());
+            RoutedRequest remote = new RoutedRequest(p.id(), p.service(), p.idempotencyKey(), p.isRetry(),
+                    p.forwardedPath(from.datacenter.name), untilMs);
+            enterGateway(to, remote, end -> send(to, from, () -> {
+                beyond.addAll(remote.enteredDatacenters());
                 ended.accept(switch (end) {
                     case SERVED -> ForwardOutcome.SERVED;
                     case REFUSED -> ForwardOutcome.REFUSED;
-                    default -> there.mayBeInProgress() ? ForwardOutcome.LOST : ForwardOutcome.FAILED;
+                    default -> remote.mayBeInProgress() ? ForwardOutcome.LOST : ForwardOutcome.FAILED;
                 });
             }));
         });
     }
 
-    private void asks(Gate at, RoutedRequest p, DatacenterRouter.QueryKey a, Consumer<Final> answer) {
-        Map<String, DatacenterRouter.KeyStatus> words = new HashMap<>();
-        boolean[] over = {false};
+    private void queryKey(Gateway at, RoutedRequest p, DatacenterRouter.QueryKey a, Consumer<Result> answer) {
+        Map<String, DatacenterRouter.KeyStatus> statuses = new HashMap<>();
+        boolean[] finished = {false};
         int epoch = at.epoch;
         Runnable done = () -> {
-            if (!over[0] && at.epoch == epoch) {
-                over[0] = true;
-                carryOut(at, p, at.module.keyStatusesReceived(now, p, a.gateways(), words), Final.REFUSED, answer);
+            if (!finished[0] && at.epoch == epoch) {
+                finished[0] = true;
+                executeStep(at, p, at.router.keyStatusesReceived(now, p, a.gateways(), statuses), Result.REFUSED,
+                        answer);
             }
         };
         at(now + a.timeoutMs(), done);
         for (String g : a.gateways()) {
-            Gate other = gates.get(g);
+            Gateway other = gateways.get(g);
             send(at, other, () -> {
-                DatacenterRouter.KeyStatus word = other.module.answerKeyQuery(now, p.idempotencyKey(), at.hall.name, WINDOW_MS);
+                DatacenterRouter.KeyStatus status = other.router.answerKeyQuery(now, p.idempotencyKey(),
+                        at.datacenter.name, WINDOW_MS);
                 send(other, at, () -> {
-                    words.put(g, word);
-                    if (words.size() == a.gateways().size()) {
+                    statuses.put(g, status);
+                    if (statuses.size() == a.gateways().size()) {
                         done.run();
                     }
                 });
--- a/core/src/test/java/ridgemill/limit/FairQueueTest.java
+++ b/core/src/test/java/ridgemill/limit/FairQueueTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.limit.FairQueue.OfferResult;
 
-/** Tenants take turns, and a full line is shared out rather than held by whoever came first. */
+/** Tenants are served in turn, and a full queue is shared among them instead of being held by the first. */
 class FairQueueTest {
 
     private final FairQueue queue = new FairQueue();
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void tenantsTakeTurnsAndEachOnesOwnStayInOrder() {
+    void tenantsAreServedInTurnAndEachInOrder() {
         for (String id : List.of("a1", "a2", "a3", "b1", "c1", "c2")) {
             assertEquals(OfferResult.ACCEPTED, queue.offer(id, id.substring(0, 1), 10));
         }
@@ -37,22 +37,22 @@
     }
 
     @Test
-    void aFullLineTakesAPlaceOfTheLongestTenantsNewest() {
+    void fullQueueDropsTheNewestRequestOfTheTenantWithTheMost() {
         for (int i = 0; i < 4; i++) {
             queue.offer("a" + i, "a", 4);
         }
-        assertEquals(OfferResult.FULL, queue.offer("a4", "a", 4), "its own line is the longest");
+        assertEquals(OfferResult.FULL, queue.offer("a4", "a", 4), "the tenant itself has the most requests");
         assertEquals(OfferResult.ACCEPTED, queue.offer("b0", "b", 4));
         assertEquals("a3", queue.displaced());
         assertEquals(OfferResult.ACCEPTED, queue.offer("b1", "b", 4));
         assertEquals("a2", queue.displaced());
-        assertEquals(OfferResult.FULL, queue.offer("b2", "b", 4), "both have as many now");
+        assertEquals(OfferResult.FULL, queue.offer("b2", "b", 4), "both tenants have the same number now");
         assertNull(queue.displaced());
         assertEquals(List.of("a0", "b0", "a1", "b1"), drain());
     }
 
     @Test
-    void oneThatLeavesIsNotNamedLater() {
+    void removedRequestIsNotReturnedLater() {
         queue.offer("a0", "a", 4);
         queue.offer("b0", "b", 4);
         assertTrue(queue.remove("a0"));
@@ -60,13 +60,13 @@
         assertEquals(List.of("b0"), drain());
     }
 
-    /** Against a plain list: what is in line, and that nobody waits for more than one turn of each other tenant. */
+    /** Random operations against a plain map: the queue holds the requests that were accepted and have not left. */
     @Test
-    void whatStandsInItIsWhatWasTakenAndHasNotLeft() {
+    void queueHoldsExactlyTheAcceptedRequestsThatHaveNotLeft() {
         long seed = System.nanoTime();
         System.out.println("FairQueueTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        Map<String, String> there = new HashMap<>();
+        Map<String, String> expected = new HashMap<>();
         int capacity = 12;
         for (int i = 0; i < 20_000; i++) {
             String tenant = "t" + random.nextInt(5);
@@ -74,24 +74,25 @@
                 case 0, 1 -> {
                     String id = tenant + "-" + i;
                     if (queue.offer(id, tenant, capacity) == OfferResult.ACCEPTED) {
-                        there.put(id, tenant);
+                        expected.put(id, tenant);
                         if (queue.displaced() != null) {
-                            assertTrue(there.remove(queue.displaced()) != null, "seed " + seed);
+                            assertTrue(expected.remove(queue.displaced()) != null, "seed " + seed);
                         }
                     }
                 }
                 case 2 -> {
                     String id = queue.poll();
-                    assertEquals(there.isEmpty(), id == null, "seed " + seed);
-                    there.remove(id);
+                    assertEquals(expected.isEmpty(), id == null, "seed " + seed);
+                    expected.remove(id);
                 }
-                default -> there.keySet().stream().skip(random.nextInt(1 + there.size() / 2)).findFirst().ifPresent(id -> {
+                default -> expected.keySet().stream().skip(random.nextInt(1 + expected.size() / 2)).findFirst()
+                        .ifPresent(id -> {
                     assertTrue(queue.remove(id));
-                    there.remove(id);
+                    expected.remove(id);
                 });
             }
-            assertTrue(there.size() <= capacity);
-            assertEquals(there.size(), queue.size(), "seed " + seed);
+            assertTrue(expected.size() <= capacity);
+            assertEquals(expected.size(), queue.size(), "seed " + seed);
         }
     }
 }
--- a/core/src/test/java/ridgemill/membership/MembershipTest.java
+++ b/core/src/test/java/ridgemill/membership/MembershipTest.java
@@ -12,15 +12,17 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.membership.Member.State;
 
-/** Sources that are late, stale, mistaken or at odds: who is in, and why. */
+/** Sources that are late, stale, wrong or contradictory: which members result, and why. */
 class MembershipTest {
 
-    private static final MembershipPolicy POLICY = new MembershipPolicy(0.5, 120_000, 600_000, 30_000, 30_000, 3, 60_000, 10_000);
+    private static final MembershipPolicy POLICY = new MembershipPolicy(0.5, 120_000, 600_000, 30_000, 30_000, 3,
+            60_000, 10_000);
     private final Membership membership = new Membership(POLICY);
     private double now = 1_000_000;
 
     private static Instance instance(String id, Status status, long changed) {
-        return new Instance(id, "10.0.0." + id.length() + ":" + Math.abs(id.hashCode() % 60_000), status, "a", 1, 0, changed);
+        return new Instance(id, "10.0.0." + id.length() + ":" + Math.abs(id.hashCode() % 60_000), status, "a", 1, 0,
+                changed);
     }
 
     private static List<Instance> fleet(int from, int to) {
@@ -28,7 +30,8 @@
     }
 
     private State state(String id) {
-        return membership.members().stream().filter(m -> m.id().equals(id)).map(Member::state).findFirst().orElse(State.OUT);
+        return membership.members().stream().filter(m -> m.id().equals(id)).map(Member::state).findFirst()
+                .orElse(State.OUT);
     }
 
     private Member member(String id) {
@@ -36,35 +39,38 @@
     }
 
     @Test
-    void eachStatusMeansWhatItSays() {
-        membership.applySnapshot(now, "eureka", List.of(instance("up", Status.UP, 1), instance("starting", Status.STARTING, 1),
-                instance("down", Status.DOWN, 1), instance("out", Status.OUT_OF_SERVICE, 1), instance("unknown", Status.UNKNOWN, 1)));
+    void statusDeterminesTheState() {
+        membership.applySnapshot(now, "eureka",
+                List.of(instance("up", Status.UP, 1), instance("starting", Status.STARTING, 1),
+                instance("down", Status.DOWN, 1), instance("out", Status.OUT_OF_SERVICE, 1),
+                instance("unknown", Status.UNKNOWN, 1)));
         assertEquals(State.IN, state("up"));
         assertEquals(State.OUT, state("starting"));
         assertEquals(State.DRAINING, state("down"));
         assertEquals(State.DRAINING, state("out"));
-        assertEquals(State.OUT, state("unknown"), "one that never was in does not come in by this");
+        assertEquals(State.OUT, state("unknown"), "an instance that was never in is not added by it");
         membership.applyChanges(now + 1, "eureka", List.of(instance("up", Status.UNKNOWN, 2)), List.of());
-        assertEquals(State.IN, state("up"), "and one that is in does not go by it");
+        assertEquals(State.IN, state("up"), "and one that is in is not removed by it");
     }
 
     @Test
-    void aDrainThatOneSourceKnowsOfIsADrain() {
+    void drainReportedByOneSourceIsADrain() {
         membership.applySnapshot(now, "platform", fleet(0, 4));
-        List<Member> changes = membership.applySnapshot(now, "eureka", List.of(instance("n1", Status.OUT_OF_SERVICE, 5)));
+        List<Member> changes = membership.applySnapshot(now, "eureka",
+                List.of(instance("n1", Status.OUT_OF_SERVICE, 5)));
         assertEquals(1, changes.size());
         assertEquals(State.DRAINING, state("n1"));
         assertEquals("eureka", member("n1").source());
         assertEquals("OUT_OF_SERVICE", member("n1").reason());
         assertEquals(now, member("n1").stateSinceMs());
         membership.applySnapshot(now + 10, "platform", fleet(0, 4));
-        assertEquals(State.DRAINING, state("n1"), "whatever the other says again");
+        assertEquals(State.DRAINING, state("n1"), "whatever the other source repeats");
         membership.applySnapshot(now + 20, "eureka", List.of(instance("n1", Status.UP, 6)));
         assertEquals(State.IN, state("n1"));
     }
 
     @Test
-    void aSourceThatCannotBeReadChangesNothing() {
+    void unreadableSourceChangesNothing() {
         membership.applySnapshot(now, "eureka", fleet(0, 10));
         for (int minute = 0; minute < 20; minute++) {
             now += 60_000;
@@ -72,24 +78,24 @@
             assertEquals(List.of(), membership.tick(now));
         }
         assertEquals(10, membership.members().size());
-        String told = membership.describeSources(now).get("eureka");
-        assertTrue(told.contains("stale") && told.contains("connection refused"), told);
+        String description = membership.describeSources(now).get("eureka");
+        assertTrue(description.contains("stale") && description.contains("connection refused"), description);
     }
 
     @Test
-    void whatGoesTogetherIsNotBelievedUntilItHasHeldForLong() {
+    void massDisappearanceIsAcceptedOnlyAfterALongTime() {
         membership.applySnapshot(now, "eureka", fleet(0, 9));
-        for (List<Instance> odd : List.of(List.<Instance>of(), fleet(0, 3), fleet(3, 6))) {
+        for (List<Instance> snapshot : List.of(List.<Instance>of(), fleet(0, 3), fleet(3, 6))) {
             now += 1000;
-            membership.applySnapshot(now, "eureka", odd);
-            assertEquals(9, membership.members().size(), odd.size() + " named");
+            membership.applySnapshot(now, "eureka", snapshot);
+            assertEquals(9, membership.members().size(), snapshot.size() + " named");
         }
         assertTrue(member("n8").reason().contains("kept though it is named no more"));
-        // Status is no disappearance: what is told of one is heard.
+        // A reported status is no disappearance and takes effect.
         membership.applySnapshot(now, "eureka", List.of(instance("n1", Status.OUT_OF_SERVICE, 7)));
         assertEquals(State.DRAINING, state("n1"));
-        double from = now;
-        while (now < from + POLICY.acceptLossAfterMs() - 10_000) {
+        double startMs = now;
+        while (now < startMs + POLICY.acceptLossAfterMs() - 10_000) {
             now += 1000;
             membership.applySnapshot(now, "eureka", fleet(0, 3));
             membership.tick(now);
@@ -98,18 +104,18 @@
         now += 20_000;
         membership.applySnapshot(now, "eureka", fleet(0, 3));
         membership.tick(now);
-        assertEquals(3, membership.members().size(), "after so long it is believed");
+        assertEquals(3, membership.members().size(), "the loss is accepted after this time");
     }
 
     @Test
-    void whatGoesBitByBitStopsAtTheFloorToo() {
+    void gradualDisappearanceStopsAtTheFloorToo() {
         membership.applySnapshot(now, "eureka", fleet(0, 20));
         for (int left = 19; left >= 0; left--) {
             now += 1000;
             membership.applySnapshot(now, "eureka", fleet(0, left));
         }
         assertTrue(membership.members().size() >= 10, membership.members().size() + " are left");
-        // Slower than the window it is a fleet that is being taken down.
+        // If it is slower than the window, the fleet is being scaled down.
         Membership slow = new Membership(POLICY);
         slow.applySnapshot(now, "eureka", fleet(0, 20));
         for (int left = 19; left >= 1; left--) {
@@ -120,41 +126,47 @@
     }
 
     @Test
-    void oneThatLeavesIsGoneAtOnce() {
+    void singleRemovalTakesEffectAtOnce() {
         membership.applySnapshot(now, "eureka", fleet(0, 4));
         List<Member> changes = membership.applyChanges(now + 5, "eureka", List.of(), List.of("n2"));
         assertEquals(List.of("n2 OUT"), changes.stream().map(m -> m.id() + " " + m.state()).toList());
-        assertEquals(List.of(), membership.applyChanges(now + 6, "eureka", List.of(), List.of("n2")), "told twice, gone once");
+        assertEquals(List.of(), membership.applyChanges(now + 6, "eureka", List.of(), List.of("n2")),
+                "a repeated removal changes nothing");
     }
 
     @Test
-    void oneThatStartsAnewIsAnotherIncarnation() {
+    void restartIsAnotherIncarnation() {
         Instance before = new Instance("n0", "10.0.0.1:80", Status.UP, "a", 1, 5000, 1);
         membership.applySnapshot(now, "eureka", List.of(before, instance("n1", Status.UP, 1)));
-        List<Member> anew = membership.applySnapshot(now + 10, "eureka", List.of(new Instance("n0", "10.0.0.1:80", Status.UP, "a", 1, 9000, 2),
-                instance("n1", Status.UP, 1)));
-        assertEquals(9000, anew.get(0).startedAtMs());
-        assertTrue(anew.get(0).reason().contains("started anew"));
-        List<Member> moved = membership.applySnapshot(now + 20, "eureka", List.of(new Instance("n0", "10.0.0.9:80", Status.UP, "a", 1, 0, 3),
-                instance("n1", Status.UP, 1)));
-        assertEquals(now + 20, moved.get(0).startedAtMs(), "at another address it is cold, whatever it tells");
-        assertEquals(List.of(), membership.applySnapshot(now + 30, "eureka", List.of(new Instance("n0", "10.0.0.9:80", Status.UP, "a", 1, 0, 3),
-                instance("n1", Status.UP, 1))), "and it stays the same one");
+        List<Member> restarted = membership.applySnapshot(now + 10, "eureka",
+                List.of(new Instance("n0", "10.0.0.1:80", Status.UP, "a", 1, 9000, 2), instance("n1", Status.UP, 1)));
+        assertEquals(9000, restarted.get(0).startedAtMs());
+        assertTrue(restarted.get(0).reason().contains("started anew"));
+        List<Member> moved = membership.applySnapshot(now + 20, "eureka",
+                List.of(new Instance("n0", "10.0.0.9:80", Status.UP, "a", 1, 0, 3), instance("n1", Status.UP, 1)));
+        assertEquals(now + 20, moved.get(0).startedAtMs(), "at another address it is cold, whatever the record says");
+        assertEquals(List.of(),
+                membership.applySnapshot(now + 30, "eureka",
+                        List.of(new Instance("n0", "10.0.0.9:80", Status.UP, "a", 1, 0, 3),
+                        instance("n1", Status.UP, 1))), "and it stays the same incarnation");
     }
 
     @Test
-    void anOlderRecordNeverTakesTheNewersPlaceUnlessItsClockIsBehind() {
-        membership.applySnapshot(now, "eureka", List.of(instance("n0", Status.OUT_OF_SERVICE, 100), instance("n1", Status.UP, 1)));
-        membership.applySnapshot(now + 10, "eureka", List.of(instance("n0", Status.UP, 99), instance("n1", Status.UP, 1)));
-        assertEquals(State.DRAINING, state("n0"), "a replica that lags");
+    void olderRecordDoesNotReplaceANewerOneUnlessItsClockIsBehind() {
+        membership.applySnapshot(now, "eureka",
+                List.of(instance("n0", Status.OUT_OF_SERVICE, 100), instance("n1", Status.UP, 1)));
+        membership.applySnapshot(now + 10, "eureka",
+                List.of(instance("n0", Status.UP, 99), instance("n1", Status.UP, 1)));
+        assertEquals(State.DRAINING, state("n0"), "from a replica that lags");
         membership.applyChanges(now + 20, "eureka", List.of(instance("n0", Status.UP, 99)), List.of());
         assertEquals(State.DRAINING, state("n0"));
-        membership.applySnapshot(now + 10 + POLICY.clockSkewMs(), "eureka", List.of(instance("n0", Status.UP, 99), instance("n1", Status.UP, 1)));
-        assertEquals(State.IN, state("n0"), "told for so long it is the instance's clock that was set back");
+        membership.applySnapshot(now + 10 + POLICY.clockSkewMs(), "eureka",
+                List.of(instance("n0", Status.UP, 99), instance("n1", Status.UP, 1)));
+        assertEquals(State.IN, state("n0"), "reported for so long, the instance's clock must have been set back");
     }
 
     @Test
-    void anAddressThatMovesToAnotherIdIsTheNewerOnes() {
+    void addressBelongsToTheIdWithTheNewerRecord() {
         Instance old = new Instance("a", "10.0.0.1:80", Status.UP, "", 1, 0, 10);
         Instance next = new Instance("b", "10.0.0.1:80", Status.UP, "", 1, 0, 20);
         membership.applySnapshot(now, "eureka", List.of(old, instance("n1", Status.UP, 1)));
@@ -164,12 +176,12 @@
     }
 
     @Test
-    void oneThatComesAndGoesMustStayUpForAWhile() {
+    void flappingInstanceMustStayUpForAWhile() {
         membership.applySnapshot(now, "eureka", fleet(0, 4));
         long version = 2;
         for (int i = 0; i < 3; i++) {
             membership.applyChanges(now += 1000, "eureka", List.of(instance("n0", Status.DOWN, version++)), List.of());
-            assertEquals(State.DRAINING, state("n0"), "it is let go at once");
+            assertEquals(State.DRAINING, state("n0"), "it is drained at once");
             membership.applyChanges(now += 1000, "eureka", List.of(instance("n0", Status.UP, version++)), List.of());
             assertEquals(i < 2 ? State.IN : State.DRAINING, state("n0"), "time " + i);
         }
@@ -181,22 +193,22 @@
     }
 
     @Test
-    void twoRecordsWithOneIdAreTheNewer() {
+    void newerOfTwoRecordsWithOneIdCounts() {
         membership.applySnapshot(now, "eureka", List.of(instance("n0", Status.DOWN, 9), instance("n0", Status.UP, 8)));
         assertEquals(State.DRAINING, state("n0"));
     }
 
     @Test
-    void aSourceThatIsAskedNoMoreHoldsNothing() {
+    void removedSourceHasNoEffect() {
         membership.applySnapshot(now, "file", fleet(0, 2));
         membership.applySnapshot(now, "eureka", fleet(1, 3));
         membership.removeSource(now + 1, "file");
         assertEquals(List.of("n1", "n2"), membership.members().stream().map(Member::id).toList());
     }
 
-    /** From a seed: what is told as changes adds up to the members, and the floor holds whatever comes. */
+    /** Random reports from a seed: the returned changes add up to the members. */
     @Test
-    void theChangesAddUpToTheMembers() {
+    void changesAddUpToTheMembers() {
         long seed = System.nanoTime();
         System.out.println("MembershipTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
@@ -205,13 +217,14 @@
         for (int i = 0; i < 5000; i++) {
             now += random.nextInt(3000);
             String source = "s" + random.nextInt(3);
-            List<Instance> some = new ArrayList<>();
+            List<Instance> reported = new ArrayList<>();
             for (int n = random.nextInt(8); n > 0; n--) {
-                some.add(instance("n" + random.nextInt(12), statuses[random.nextInt(statuses.length)], random.nextInt(100)));
+                reported.add(instance("n" + random.nextInt(12), statuses[random.nextInt(statuses.length)],
+                        random.nextInt(100)));
             }
             List<Member> changes = switch (random.nextInt(4)) {
-                case 0 -> membership.applySnapshot(now, source, some);
-                case 1 -> membership.applyChanges(now, source, some, List.of("n" + random.nextInt(12)));
+                case 0 -> membership.applySnapshot(now, source, reported);
+                case 1 -> membership.applyChanges(now, source, reported, List.of("n" + random.nextInt(12)));
                 case 2 -> membership.tick(now);
                 default -> {
                     membership.sourceFailed(now, source, "planned");
@@ -229,9 +242,11 @@
         }
     }
 
-    /** Each second some of a thousand are replaced, a fifth of them in a minute; what is told is what is in. */
+    /**
+     * Of a thousand instances, three or four are replaced each second, about a fifth of them a minute; all are tracked.
+     */
     @Test
-    void aThousandInstancesOfWhichAFifthIsReplacedEachMinuteAreFollowed() {
+    void thousandInstancesWithAFifthReplacedEachMinuteAreTracked() {
         SplittableRandom random = new SplittableRandom(3);
         Set<String> expected = new HashSet<>();
         List<Instance> first = fleet(0, 1000);
@@ -241,7 +256,7 @@
         for (int second = 0; second < 180; second++) {
             now += 1000;
             List<String> gone = new ArrayList<>();
-            List<Instance> come = new ArrayList<>();
+            List<Instance> added = new ArrayList<>();
             for (int i = 0; i < 3 + second % 2; i++) {
                 List<String> all = new ArrayList<>(expected);
                 String leaves = all.get(random.nextInt(all.size()));
@@ -250,13 +265,14 @@
                 Instance fresh = new Instance("m" + next, "10.1.0.1:" + next, Status.UP, "a", 1, 0, second + 2L);
                 next++;
                 expected.add(fresh.id());
-                come.add(fresh);
+                added.add(fresh);
             }
-            membership.applyChanges(now, "eureka", come, gone);
+            membership.applyChanges(now, "eureka", added, gone);
             membership.tick(now);
-            assertEquals(expected, new HashSet<>(membership.members().stream().map(Member::id).toList()), "second " + second);
+            assertEquals(expected, new HashSet<>(membership.members().stream().map(Member::id).toList()), "second "
+                    + second);
         }
         assertTrue(membership.members().stream().filter(m -> m.id().startsWith("m")).allMatch(m -> m.startedAtMs() > 0),
-                "whoever came later is cold");
+                "instances that were added later are cold");
     }
 }
--- a/core/src/test/java/ridgemill/registry/RegistryUpdateCodecTest.java
+++ b/core/src/test/java/ridgemill/registry/RegistryUpdateCodecTest.java
@@ -16,13 +16,15 @@
 import ridgemill.membership.Instance;
 import ridgemill.membership.Status;
 
+/** Registry updates and requests for them as datagrams, whole, too large and corrupt. */
 class RegistryUpdateCodecTest {
 
     private static Instance instance(int i) {
-        return new Instance("node-" + i, "10.0.0." + i + ":90", Status.values()[i % 5], i % 2 == 0 ? "teku" : "", 1 + i / 3.0, 1.7e12 + i, 5 + i);
+        return new Instance("node-" + i, "10.0.0." + i + ":90", Status.values()[i % 5], i % 2 == 0 ? "teku" : "",
+                1 + i / 3.0, 1.7e12 + i, 5 + i);
     }
 
-    private static RegistryUpdate telling(int puts, int gone) {
+    private static RegistryUpdate update(int puts, int gone) {
         List<InstanceChange> changes = new ArrayList<>();
         IntStream.range(0, puts).forEach(i -> changes.add(new InstanceChange.Put(instance(i))));
         IntStream.range(0, gone).forEach(i -> changes.add(new InstanceChange.Removed("was-" + i)));
@@ -30,59 +32,63 @@
     }
 
     @Test
-    void allComesBackFromDatagramsOfTheirSize() {
+    void updateIsDecodedFromDatagramsOfBoundedSize() {
         for (int puts = 0; puts <= 20; puts++) {
-            RegistryUpdate told = telling(puts, puts / 2);
+            RegistryUpdate sent = update(puts, puts / 2);
             List<InstanceChange> changes = new ArrayList<>();
-            List<byte[]> datagrams = RegistryUpdateCodec.encode(told, -9);
+            List<byte[]> datagrams = RegistryUpdateCodec.encode(sent, -9);
             for (byte[] d : datagrams) {
                 assertTrue(d.length <= DatagramFrame.MAX_BYTES && d.length % 4 == 3);
                 assertTrue(RegistryUpdateCodec.isUpdate(d));
                 assertFalse(LeaseWire.isLease(d));
                 assertEquals(OptionalInt.empty(), RegistryUpdateCodec.decodeListen(d));
-                RegistryUpdatePart news = RegistryUpdateCodec.decode(d).orElseThrow();
-                assertEquals(told, new RegistryUpdate(news.applicationId(), news.term(), news.sequence(), news.digest(), news.pollDurationMs(), told.changes()));
-                assertEquals(-9, news.echoTimestamp());
-                assertEquals(datagrams.size(), news.partCount());
-                changes.addAll(news.changes());
+                RegistryUpdatePart part = RegistryUpdateCodec.decode(d).orElseThrow();
+                assertEquals(sent, new RegistryUpdate(part.applicationId(), part.term(), part.sequence(), part.digest(),
+                        part.pollDurationMs(), sent.changes()));
+                assertEquals(-9, part.echoTimestamp());
+                assertEquals(datagrams.size(), part.partCount());
+                changes.addAll(part.changes());
             }
-            assertEquals(told.changes(), changes);
+            assertEquals(sent.changes(), changes);
         }
     }
 
     @Test
-    void whatIsTooMuchIsNotTold() {
-        for (RegistryUpdate t : List.of(telling(40, 0), new RegistryUpdate(7, 1, 1, 1, 0, List.of(new InstanceChange.Removed("x".repeat(250)))),
+    void tooLargeUpdateIsSentWithoutChanges() {
+        for (RegistryUpdate t : List.of(update(40, 0),
+                new RegistryUpdate(7, 1, 1, 1, 0, List.of(new InstanceChange.Removed("x".repeat(250)))),
                 new RegistryUpdate(7, 1, 1, 1, 0, List.of(new InstanceChange.Removed("x".repeat(300)))))) {
             List<byte[]> datagrams = RegistryUpdateCodec.encode(t, 0);
             assertEquals(1, datagrams.size());
-            RegistryUpdatePart news = RegistryUpdateCodec.decode(datagrams.get(0)).orElseThrow();
-            assertEquals(0, news.partCount());
-            assertEquals(List.of(), news.changes());
-            assertEquals(t.digest(), news.digest());
+            RegistryUpdatePart part = RegistryUpdateCodec.decode(datagrams.get(0)).orElseThrow();
+            assertEquals(0, part.partCount());
+            assertEquals(List.of(), part.changes());
+            assertEquals(t.digest(), part.digest());
         }
     }
 
     @Test
-    void whoListensSaysSo() {
-        byte[] listening = RegistryUpdateCodec.encodeListen(-77);
-        assertEquals(OptionalInt.of(-77), RegistryUpdateCodec.decodeListen(listening));
-        assertTrue(RegistryUpdateCodec.decode(listening).isEmpty());
-        assertTrue(LeaseWire.decode(listening).isEmpty());
+    void listenRequestCarriesItsTimestamp() {
+        byte[] listen = RegistryUpdateCodec.encodeListen(-77);
+        assertEquals(OptionalInt.of(-77), RegistryUpdateCodec.decodeListen(listen));
+        assertTrue(RegistryUpdateCodec.decode(listen).isEmpty());
+        assertTrue(LeaseWire.decode(listen).isEmpty());
     }
 
-    /** One bit is other, or bytes are missing: it is nothing at all. */
+    /** A datagram with a flipped bit or missing bytes is rejected. */
     @Test
-    void whatIsSpoiltIsNothing() {
-        List<byte[]> whole = new ArrayList<>(RegistryUpdateCodec.encode(telling(6, 2), 4));
+    void corruptDatagramIsRejected() {
+        List<byte[]> whole = new ArrayList<>(RegistryUpdateCodec.encode(update(6, 2), 4));
         whole.add(RegistryUpdateCodec.encodeListen(8));
         for (byte[] d : whole) {
             for (int bit = 0; bit < 8 * d.length; bit++) {
-                byte[] spoilt = d.clone();
-                spoilt[bit / 8] ^= (byte) (1 << bit % 8);
-                // Bytes of nothing at the end mean nothing.
-                if (!RegistryUpdateCodec.decode(spoilt).equals(RegistryUpdateCodec.decode(d)) || !RegistryUpdateCodec.decodeListen(spoilt).equals(RegistryUpdateCodec.decodeListen(d))) {
-                    assertTrue(RegistryUpdateCodec.decode(spoilt).isEmpty() && RegistryUpdateCodec.decodeListen(spoilt).isEmpty());
+                byte[] corrupt = d.clone();
+                corrupt[bit / 8] ^= (byte) (1 << bit % 8);
+                // Changed padding bytes at the end have no effect.
+                if (!RegistryUpdateCodec.decode(corrupt).equals(RegistryUpdateCodec.decode(d))
+                        || !RegistryUpdateCodec.decodeListen(corrupt).equals(RegistryUpdateCodec.decodeListen(d))) {
+                    assertTrue(RegistryUpdateCodec.decode(corrupt).isEmpty()
+                            && RegistryUpdateCodec.decodeListen(corrupt).isEmpty());
                 } else {
                     assertTrue(bit / 8 >= d.length - 3);
                 }
