--- a/core/src/test/java/ridgemill/registry/ElectedRegistryReaderTest.java
+++ b/core/src/test/java/ridgemill/registry/ElectedRegistryReaderTest.java
@@ -40,7 +40,7 @@
 
         @Override
         public void pollNow() {
-            actions.add("poll");
+            actions.add("read");
         }
 
         @Override
@@ -114,25 +114,25 @@
         takeActions();
         // An update after a lost one, one with older records than those known, and one that is too large.
         reader.updateReceived(10, 1, updatePart(1, 1, B_DRAINING, 0));
-        assertEquals(List.of("poll"), takeActions());
+        assertEquals(List.of("read"), takeActions());
         assertEquals(11, reader.pollNotDueUntil(11, false));
         reader.pollSucceeded(20, 11, APP, B_DRAINING, 0);
         takeActions();
         reader.updateReceived(30, 1, updatePart(1, 2, BOTH_UP, 21, new InstanceChange.Put(BOTH_UP.get(1))));
-        assertEquals(List.of("poll"), takeActions());
+        assertEquals(List.of("read"), takeActions());
         reader.pollSucceeded(40, 31, APP, B_DRAINING, 0);
         takeActions();
         reader.updateReceived(50, 1, new RegistryUpdatePart(APP_ID, 1, 3, 5, 41, 0, 0, 0, List.of()));
-        assertEquals(List.of("poll"), takeActions());
+        assertEquals(List.of("read"), takeActions());
         reader.updateReceived(60, 1, updatePart(1, 4, BOTH_UP, 51));
-        assertEquals(List.of("poll"), takeActions(),
+        assertEquals(List.of("read"), takeActions(),
                 "the first was confirmed by the own poll and does not count any more");
         reader.pollSucceeded(65, 61, APP, B_DRAINING, 0);
         takeActions();
         reader.updateReceived(66, 1, updatePart(1, 5, BOTH_UP, 65));
         assertEquals(List.of(
                 "updates received for METERS do not match the registry; this proxy polls for itself for 30.0 s",
-                "poll"), takeActions());
+                "read"), takeActions());
         reader.pollSucceeded(70, 67, APP, B_DRAINING, 0);
         takeActions();
         reader.updateReceived(80, 1, updatePart(1, 6, BOTH_UP, 70, new InstanceChange.Put(BOTH_UP.get(1))));
