--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -12,23 +12,23 @@
  */
 final class Attempt implements ConnectionListener {
 
-    private static final double LEAST_LEFT_MS = 1;
+    private static final double MIN_REMAINING_MS = 1;
 
     private final ProxyContext context;
     private final Upstream upstream;
     private final InstanceStats instance;
-    private final InstancePool pool;
+    private final ConnectionPool pool;
     private final OutgoingRequest request;
-    private final boolean repeatable;
+    private final boolean retryable;
     private final Consumer<Attempt> callback;
     private InstanceConnection connection;
     private Timers.Timer timer;
     private double deadlineMs;
-    private double endMs;
+    private double responseTimeoutAtMs;
     private double sentAtMs = Double.NaN;
-    private AttemptOutcome verdict;
-    private InstanceAnswer answer;
-    private boolean over;
+    private AttemptOutcome outcome;
+    private InstanceResponse response;
+    private boolean finished;
 
     Attempt(
             ProxyContext context,
@@ -42,7 +42,7 @@
         this.instance = instance;
         this.pool = upstream.pool(instance);
         this.request = request;
-        this.repeatable = repeatable;
+        this.retryable = repeatable;
         this.callback = callback;
     }
 
@@ -51,18 +51,18 @@
     }
 
     /** How it ended. */
-    AttemptOutcome verdict() {
-        return verdict;
+    AttemptOutcome outcome() {
+        return outcome;
     }
 
     /** The answer, if the verdict is that there is one. */
-    InstanceAnswer answer() {
-        return answer;
+    InstanceResponse response() {
+        return response;
     }
 
     /** Whether the request was handed to a connection, so that it may have arrived. */
     boolean isSent() {
-        return !Double.isNaN(sentAtMs) && verdict != AttemptOutcome.NEVER_WRITTEN;
+        return !Double.isNaN(sentAtMs) && outcome != AttemptOutcome.NEVER_WRITTEN;
     }
 
     /**
@@ -73,18 +73,18 @@
      */
     void start(double requestDeadlineMs, double silentUntilMs) {
         deadlineMs = requestDeadlineMs;
-        endMs = silentUntilMs;
+        responseTimeoutAtMs = silentUntilMs;
         instance.requestStarted();
-        pool.acquire(repeatable, this::connected);
+        pool.acquire(retryable, this::connected);
     }
 
     private void connected(InstanceConnection given) {
         double nowMs = context.now();
-        if (over) {
-            abandoned(given);
+        if (finished) {
+            connectedAfterCancel(given);
         } else if (given == null) {
             end(AttemptOutcome.CONNECT_FAILED, null);
-        } else if (pool.isClosed() || deadlineMs - nowMs < LEAST_LEFT_MS) {
+        } else if (pool.isClosed() || deadlineMs - nowMs < MIN_REMAINING_MS) {
             // The instance began to leave while the connection came up, or this process stood still: what is sent now
             // would run too late.
             pool.release(given);
@@ -98,11 +98,11 @@
                             upstream.originShare().isWithinShare(),
                             Invariant.REQUESTS_WITHIN_PART,
                             instance.instance().service());
-            if (endMs < Double.POSITIVE_INFINITY) {
-                timer = context.timers().scheduleAt(endMs, this::silent);
+            if (responseTimeoutAtMs < Double.POSITIVE_INFINITY) {
+                timer = context.timers().scheduleAt(responseTimeoutAtMs, this::timedOut);
             }
             given.send(
-                    request.bytes(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
+                    request.encode(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
                     request.attemptId(),
                     request.isHead(),
                     nowMs,
@@ -111,16 +111,16 @@
     }
 
     /** It was cancelled while its connection came up: the place that this held is free from now on. */
-    private void abandoned(InstanceConnection given) {
+    private void connectedAfterCancel(InstanceConnection given) {
         instance.requestWithdrawn();
         if (given != null) {
             pool.release(given);
         }
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
-    private void silent() {
-        if (!over) {
+    private void timedOut() {
+        if (!finished) {
             connection.abort();
             end(AttemptOutcome.SILENT, null);
         }
@@ -128,10 +128,10 @@
 
     /** Gives it up without a word to the callback. A connection that is coming up holds its place until it is there. */
     void cancel(boolean late) {
-        if (over) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         stopTimer();
         if (connection != null) {
             connection.abort();
@@ -142,43 +142,43 @@
             if (connection != null) {
                 instance.requestWithdrawn();
             }
-            giveBackShare();
+            returnOriginShare();
         }
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
     @Override
-    public void ended(AttemptOutcome how, InstanceAnswer whole, String load) {
+    public void exchangeEnded(AttemptOutcome how, InstanceResponse whole, String load) {
         if (load != null) {
-            LoadHeader.tell(instance, load, context.now());
+            LoadHeader.apply(instance, load, context.now());
         }
         boolean broke = how == AttemptOutcome.RESET || how == AttemptOutcome.NEVER_WRITTEN;
         if (broke && connection.idleBeforeMs() == 0) {
             upstream.meters().countBrokenUnused();
         }
-        pool.used(connection, broke);
+        pool.exchangeEnded(connection, broke);
         end(how, whole);
     }
 
-    private void end(AttemptOutcome how, InstanceAnswer whole) {
-        if (over) {
+    private void end(AttemptOutcome how, InstanceResponse whole) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         stopTimer();
-        verdict = how;
-        answer = whole;
+        outcome = how;
+        response = whole;
         if (connection == null && how == AttemptOutcome.NEVER_WRITTEN) {
             instance.requestWithdrawn();
         } else {
             report(how);
         }
-        giveBackShare();
+        returnOriginShare();
         callback.accept(this);
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
-    private void giveBackShare() {
+    private void returnOriginShare() {
         if (!isSent()) {
             upstream.originShare().giveBack(context.now());
         }
@@ -187,8 +187,8 @@
     private void report(AttemptOutcome how) {
         double nowMs = context.now();
         double elapsedMs = nowMs - sentAtMs;
-        boolean failedInside = answer != null && answer.isFailure();
-        boolean timely = elapsedMs <= request.targetMs();
+        boolean failedInside = response != null && response.isFailure();
+        boolean timely = elapsedMs <= request.targetLatencyMs();
         instance.requestEnded(
                 nowMs, how, elapsedMs, failedInside, upstream.picker().mayEject(nowMs));
         switch (how) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CacheHeaders.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CacheHeaders.java
@@ -17,19 +17,19 @@
     /** Why a shared cache refused; its answer is no answer of an instance. */
     static final String REFUSAL = "X-Ridgemill-Refusal";
 
-    private static final int MOST_DIGITS = 15;
+    private static final int MAX_DIGITS = 15;
 
     private CacheHeaders() {}
 
     /** A number of a header; {@code otherwise} if it is absent or malformed. */
-    static long number(Headers headers, String name, long otherwise) {
+    static long getLong(Headers headers, String name, long otherwise) {
         String text = headers.get(name);
-        long number = text == null ? -1 : Digits.parse(text, MOST_DIGITS);
+        long number = text == null ? -1 : Digits.parse(text, MAX_DIGITS);
         return number < 0 ? otherwise : number;
     }
 
     /** Drops all of them. */
-    static Headers without(Headers headers) {
+    static Headers removeFrom(Headers headers) {
         return headers.remove(SERVICE)
                 .remove(ROUTE_VERSION)
                 .remove(MAX_AGE)
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CacheProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CacheProgram.java
@@ -20,9 +20,9 @@
     private static final System.Logger LOG = System.getLogger(CacheProgram.class.getName());
     private static final long CHECK_INTERVAL_MS = 20;
     /** How long edge proxies take to hear that it leaves, before its connections say so too, in milliseconds. */
-    private static final long WITHDRAWAL_MS = 500;
+    private static final long WITHDRAWAL_DELAY_MS = 500;
     /** The share of the grace period after which the process ends whatever is left. */
-    private static final double END_SHARE = 0.75;
+    private static final double EXIT_GRACE_FRACTION = 0.75;
 
     private final Settings settings;
     private final EventLoop loop;
@@ -50,19 +50,19 @@
         dataPath.listen().syncUninterruptibly();
         loop.execute(() -> {
             control.start();
-            offerOnceReady();
+            announceWhenReady();
         });
     }
 
-    private void offerOnceReady() {
+    private void announceWhenReady() {
         if (draining) {
             return;
         }
         if (control.isReady()) {
-            control.offer();
+            control.announce();
             LOG.log(System.Logger.Level.INFO, "event=serving address=" + node.address());
         } else {
-            loop.schedule(this::offerOnceReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::announceWhenReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -75,22 +75,22 @@
             draining = true;
             LOG.log(System.Logger.Level.INFO, "event=draining in_flight=" + dataPath.inFlight());
             control.withdraw();
-            loop.schedule(() -> finish(ended), WITHDRAWAL_MS, TimeUnit.MILLISECONDS);
-            long endMs = (long) (settings.bounds().gracePeriodMs() * END_SHARE);
+            loop.schedule(() -> drainAndExit(ended), WITHDRAWAL_DELAY_MS, TimeUnit.MILLISECONDS);
+            long endMs = (long) (settings.bounds().gracePeriodMs() * EXIT_GRACE_FRACTION);
             loop.schedule(ended, endMs, TimeUnit.MILLISECONDS);
         });
     }
 
-    private void finish(Runnable ended) {
+    private void drainAndExit(Runnable ended) {
         dataPath.drain();
-        endOnceIdle(ended);
+        exitWhenIdle(ended);
     }
 
-    private void endOnceIdle(Runnable ended) {
+    private void exitWhenIdle(Runnable ended) {
         if (dataPath.inFlight() == 0) {
             ended.run();
         } else {
-            loop.schedule(() -> endOnceIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> exitWhenIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
@@ -9,25 +9,25 @@
 final class CachedExchange extends Exchange {
 
     /** How often a request may wait for fetches that others started and that failed. */
-    private static final int MOST_FETCHES = 2;
+    private static final int MAX_FETCHES = 2;
 
     private final ServiceState service;
-    private final ObjectFetches objects;
+    private final ObjectFetcher fetcher;
     private ObjectFetch fetch;
     private int fetches;
-    private double askedMs;
-    private boolean ownMayHaveRun;
+    private double requestedAtMs;
+    private boolean ownFetchMayHaveRun;
 
     CachedExchange(
             ProxyContext context,
-            FrontConnection client,
+            ClientConnection client,
             ClientRequest request,
             Route route,
             ServiceState service,
-            ObjectFetches objects) {
+            ObjectFetcher objects) {
         super(context, client, request, route);
         this.service = service;
-        this.objects = objects;
+        this.fetcher = objects;
     }
 
     @Override
@@ -37,62 +37,64 @@
 
     /** How old a copy was as the request arrived, in milliseconds; 0 if its fetch began later. */
     private String ageOnArrival(CachedObject copy) {
-        return Long.toString((long) Math.max(0, Math.ceil(arrivedMs() - copy.fetchStartedMs())));
+        return Long.toString((long) Math.max(0, Math.ceil(arrivedAtMs() - copy.fetchStartedMs())));
     }
 
     /** How old a copy may be that answers it, in milliseconds: infinite but for what edge proxies ask shared caches. */
     double maxAgeMs() {
-        long told = CacheHeaders.number(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
+        long told = CacheHeaders.getLong(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
         return context().isSharedCache() && told < Long.MAX_VALUE ? told : Double.POSITIVE_INFINITY;
     }
 
     /** When it began to wait for the fetch that it waits for. */
-    double askedMs() {
-        return askedMs;
+    double requestedAtMs() {
+        return requestedAtMs;
     }
 
     @Override
     void run() {
-        askedMs = context().now();
+        requestedAtMs = context().now();
         fetches++;
-        fetch = objects.ask(this);
+        fetch = fetcher.serveOrFetch(this);
     }
 
     /** The object is there. */
-    void found(CachedObject copy) {
+    void copyAvailable(CachedObject copy) {
         fetch = null;
         context()
                 .invariants()
-                .check(objects.isAsNewAsPurges(copy, askedMs), Invariant.COPY_NEWER_THAN_PURGE, copy.key());
-        FinalAnswer answer = FinalAnswer.of(copy, request());
+                .check(fetcher.isNotOlderThanPurges(copy, requestedAtMs), Invariant.COPY_NEWER_THAN_PURGE, copy.key());
+        FinalResponse answer = FinalResponse.of(copy, request());
         boolean tellsAge = context().isSharedCache();
-        answer(tellsAge ? answer.with(CacheHeaders.AGE, ageOnArrival(copy)) : answer);
+        respond(tellsAge ? answer.addHeader(CacheHeaders.AGE, ageOnArrival(copy)) : answer);
     }
 
     /** It started the fetch and this came of it, which is no copy. */
-    void failed(Delivery.Result result) {
+    void ownFetchFailed(UpstreamCall.Result result) {
         fetch = null;
-        answer(result);
+        respond(result);
     }
 
     /** Another one's fetch brought nothing that it may have. */
-    void again(Delivery.Result result) {
+    void sharedFetchFailed(UpstreamCall.Result result) {
         fetch = null;
-        if (isOver()) {
+        if (isFinished()) {
             return;
         }
-        boolean refused = result instanceof Delivery.Result.Failed failed && !failed.mayHaveRun();
-        if (refused || fetches > MOST_FETCHES) {
-            refuse(RefusalReason.SHARED_FETCH, result instanceof Delivery.Result.Failed failed ? failed.waitMs() : 0);
+        boolean refused = result instanceof UpstreamCall.Result.Failed failed && !failed.mayHaveRun();
+        if (refused || fetches > MAX_FETCHES) {
+            refuse(
+                    RefusalReason.SHARED_FETCH,
+                    result instanceof UpstreamCall.Result.Failed failed ? failed.retryAfterMs() : 0);
         } else {
             run();
         }
     }
 
     @Override
-    void giveUp(boolean late) {
+    void cancel(boolean late) {
         if (fetch != null) {
-            ownMayHaveRun = fetch.isOf(this) && fetch.mayHaveRun();
+            ownFetchMayHaveRun = fetch.isInitiatedBy(this) && fetch.mayHaveRun();
             fetch.leave(this, late);
             fetch = null;
         }
@@ -100,6 +102,6 @@
 
     @Override
     boolean mayHaveRun() {
-        return ownMayHaveRun || fetch != null && fetch.isOf(this) && fetch.mayHaveRun();
+        return ownFetchMayHaveRun || fetch != null && fetch.isInitiatedBy(this) && fetch.mayHaveRun();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/FrontConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
@@ -18,18 +18,18 @@
 import ridgemill.cdn.proxy.http.RequestReader;
 
 /** A client's connection: reads one request at a time and writes its answer before it looks at the next. */
-final class FrontConnection extends ChannelInboundHandlerAdapter {
+final class ClientConnection extends ChannelInboundHandlerAdapter {
 
     /** Bytes of further requests that are taken in while one is under way. */
-    private static final int MOST_AHEAD = 64 * 1_024;
+    private static final int MAX_PIPELINED_BYTES = 64 * 1_024;
     /** How long a connection whose last answer is out is kept for its client to close it, in milliseconds. */
     private static final double LINGER_MS = 1_000;
     /** The stated idle time is this much below the true one, in milliseconds. */
-    private static final long IDLE_MARGIN_MS = 1_000;
+    private static final long KEEP_ALIVE_MARGIN_MS = 1_000;
 
     private static final long MS_PER_SECOND = 1_000;
-    private static final String CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n";
-    private static final String CLOSE = "Connection: close\r\n";
+    private static final String CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n";
+    private static final String CONNECTION_CLOSE_LINE = "Connection: close\r\n";
 
     private enum State {
         IDLE,
@@ -39,30 +39,30 @@
         CLOSING
     }
 
-    private final DataPath path;
+    private final DataPath dataPath;
     private final RequestReader reader = new RequestReader();
     private Channel channel;
     private ByteBuf pending = Unpooled.EMPTY_BUFFER;
     private State state = State.IDLE;
-    private double untilMs;
-    private Exchange current;
+    private double timeoutAtMs;
+    private Exchange currentExchange;
     private boolean keepAlive;
     private boolean processing;
 
-    FrontConnection(DataPath path) {
-        this.path = path;
+    ClientConnection(DataPath path) {
+        this.dataPath = path;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        idle();
-        path.opened(this);
+        becomeIdle();
+        dataPath.opened(this);
     }
 
-    private void idle() {
+    private void becomeIdle() {
         state = State.IDLE;
-        untilMs = path.now() + path.limits().idleTimeoutMs();
+        timeoutAtMs = dataPath.now() + dataPath.limits().idleTimeoutMs();
     }
 
     @Override
@@ -74,7 +74,7 @@
         }
         pending = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context.alloc(), pending, bytes);
         if (state == State.BUSY) {
-            if (pending.readableBytes() > MOST_AHEAD) {
+            if (pending.readableBytes() > MAX_PIPELINED_BYTES) {
                 channel.config().setAutoRead(false);
             }
         } else {
@@ -90,19 +90,19 @@
         processing = true;
         try {
             while (state != State.BUSY && state != State.CLOSING && pending.isReadable()) {
-                Limits limits = path.limits();
-                reader.limits(limits.maxHeaderBytes(), limits.maxBodyBytes());
+                Limits limits = dataPath.limits();
+                reader.setLimits(limits.maxHeaderBytes(), limits.maxBodyBytes());
                 if (!reader.read(pending)) {
-                    partial(limits);
+                    requestIncomplete(limits);
                     break;
                 }
                 state = State.BUSY;
                 keepAlive = reader.isKeepAlive();
-                begin();
+                handleRequest();
             }
         } catch (BadMessageException e) {
-            path.log().line("event=bad-request status=" + e.status() + " reason=\"" + e.getMessage() + "\"");
-            last(FinalAnswer.own(e.status(), null));
+            dataPath.log().info("event=bad-request status=" + e.status() + " reason=\"" + e.getMessage() + "\"");
+            respondAndClose(FinalResponse.generated(e.status(), null));
         } finally {
             processing = false;
         }
@@ -113,86 +113,86 @@
     }
 
     /** A part of a request has come. */
-    private void partial(Limits limits) {
+    private void requestIncomplete(Limits limits) {
         if (!reader.hasHead()) {
             if (state == State.IDLE) {
                 state = State.HEAD;
-                untilMs = path.now() + limits.headerTimeoutMs();
+                timeoutAtMs = dataPath.now() + limits.headerTimeoutMs();
             }
             return;
         }
         if (state != State.BODY && reader.expectsContinue()) {
-            channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), CONTINUE));
+            channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), CONTINUE_RESPONSE));
         }
         state = State.BODY;
-        untilMs = path.now() + limits.idleTimeoutMs();
+        timeoutAtMs = dataPath.now() + limits.idleTimeoutMs();
     }
 
-    private void begin() {
+    private void handleRequest() {
         String host = reader.headers().get("Host");
         if (reader.headers().count("Host") != 1 || host.isEmpty()) {
             keepAlive = false;
-            answer(null, FinalAnswer.own(400, null));
+            respond(null, FinalResponse.generated(400, null));
             return;
         }
         ClientRequest request = new ClientRequest(
                 reader.method(),
                 reader.target(),
-                name(host),
+                hostname(host),
                 reader.headers().get(ClientRequest.ATTEMPT_ID),
                 reader.headers(),
                 reader.body());
         reader.reset();
-        Exchange exchange = path.route(this, request);
+        Exchange exchange = dataPath.route(this, request);
         if (exchange != null) {
-            current = exchange;
+            currentExchange = exchange;
             exchange.start();
         }
     }
 
-    private static String name(String host) {
+    private static String hostname(String host) {
         int colon = host.lastIndexOf(':');
         return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
     }
 
     /** Writes the answer of the request that is under way; {@code exchange} is null if none was made for it. */
-    void answer(Exchange exchange, FinalAnswer answer) {
-        if (state != State.BUSY || exchange != current) {
+    void respond(Exchange exchange, FinalResponse answer) {
+        if (state != State.BUSY || exchange != currentExchange) {
             return;
         }
-        current = null;
-        if (!keepAlive || path.isDraining()) {
-            last(answer);
+        currentExchange = null;
+        if (!keepAlive || dataPath.isDraining()) {
+            respondAndClose(answer);
             return;
         }
-        write(answer, keepAliveLine());
+        writeResponse(answer, keepAliveLine());
         reader.reset();
-        idle();
-        path.becameIdle(this);
+        becomeIdle();
+        dataPath.becameIdle(this);
         channel.config().setAutoRead(true);
         process();
     }
 
     private String keepAliveLine() {
-        long seconds = (path.limits().idleTimeoutMs() - IDLE_MARGIN_MS) / MS_PER_SECOND;
+        long seconds = (dataPath.limits().idleTimeoutMs() - KEEP_ALIVE_MARGIN_MS) / MS_PER_SECOND;
         return seconds < 1 ? "" : "Keep-Alive: timeout=" + seconds + "\r\n";
     }
 
     /** Writes an answer behind which the connection ends; what still comes is not read, so that it can't reset it. */
-    private void last(FinalAnswer answer) {
+    private void respondAndClose(FinalResponse answer) {
         state = State.CLOSING;
-        untilMs = path.now() + LINGER_MS;
+        timeoutAtMs = dataPath.now() + LINGER_MS;
         channel.config().setAutoRead(true);
-        write(answer, CLOSE);
+        writeResponse(answer, CONNECTION_CLOSE_LINE);
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
     }
 
-    private void write(FinalAnswer answer, String more) {
-        ByteBuf bytes = MessageWriter.answer(
-                channel.alloc(), answer.status(), answer.headers(), more, answer.length(), answer.body());
+    private void writeResponse(FinalResponse answer, String more) {
+        ByteBuf bytes = MessageWriter.response(
+                channel.alloc(), answer.status(), answer.headers(), more, answer.contentLength(), answer.body());
         if (state == State.CLOSING) {
-            endOutput(channel.writeAndFlush(bytes));
+            shutdownOutputAfter(channel.writeAndFlush(bytes));
         } else {
             channel.writeAndFlush(bytes);
         }
@@ -200,20 +200,20 @@
 
     /** Closes it if its time has passed. */
     void tick(double nowMs) {
-        if (state == State.BUSY || nowMs < untilMs) {
+        if (state == State.BUSY || nowMs < timeoutAtMs) {
             return;
         }
         if (state == State.HEAD || state == State.BODY) {
-            last(FinalAnswer.own(408, null));
-        } else if (!hasUnsent() || state != State.IDLE && !channel.isWritable()) {
+            respondAndClose(FinalResponse.generated(408, null));
+        } else if (!hasUnsentOutput() || state != State.IDLE && !channel.isWritable()) {
             channel.close();
         } else {
-            untilMs = nowMs + LINGER_MS;
+            timeoutAtMs = nowMs + LINGER_MS;
         }
     }
 
     /** Whether a part of an answer waits to be taken by the client's side. */
-    boolean hasUnsent() {
+    boolean hasUnsentOutput() {
         return channel.isActive()
                 && channel.unsafe().outboundBuffer() != null
                 && !channel.unsafe().outboundBuffer().isEmpty();
@@ -221,22 +221,22 @@
 
     /** Whether no request is under way or coming, and the last answer has gone out whole. */
     boolean isIdle() {
-        return state == State.IDLE && !pending.isReadable() && !hasUnsent();
+        return state == State.IDLE && !pending.isReadable() && !hasUnsentOutput();
     }
 
     /** Closes it, behind what is still to be sent, if no request is under way or coming. */
     void closeIfIdle() {
         if (state == State.IDLE) {
             state = State.CLOSING;
-            endOutput(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
+            shutdownOutputAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
     }
 
     /** Ends the output once a write is out; a close at once would drop what a slow client has not taken yet. */
-    private void endOutput(ChannelFuture written) {
-        untilMs = path.now() + LINGER_MS;
+    private void shutdownOutputAfter(ChannelFuture written) {
+        timeoutAtMs = dataPath.now() + LINGER_MS;
         written.addListener((ChannelFutureListener) done -> {
-            untilMs = path.now() + LINGER_MS;
+            timeoutAtMs = dataPath.now() + LINGER_MS;
             ((DuplexChannel) done.channel()).shutdownOutput();
         });
     }
@@ -250,18 +250,18 @@
         state = State.CLOSING;
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
-        path.closed(this);
-        if (current != null) {
-            Exchange abandoned = current;
-            current = null;
-            abandoned.clientGone();
+        dataPath.closed(this);
+        if (currentExchange != null) {
+            Exchange abandoned = currentExchange;
+            currentExchange = null;
+            abandoned.clientDisconnected();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            EventLog.fault("event=fault place=front", cause);
+            EventLog.error("event=fault place=front", cause);
         }
         context.close();
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnections.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnections.java
@@ -11,36 +11,36 @@
 final class ClientConnections {
 
     /** Descriptors for files, for listeners and for the links to the control plane, of which there may be two dozen. */
-    private static final int OWN_DESCRIPTORS = 232;
+    private static final int RESERVED_DESCRIPTORS = 232;
     /** One in so many of the others is kept for connections to instances and shared caches. */
-    private static final int UPSTREAM_PART = 2;
+    private static final int UPSTREAM_DIVISOR = 2;
 
-    private static final int LEAST = 4;
+    private static final int MIN_CONNECTIONS = 4;
 
-    private final int most;
+    private final int maxConnections;
     /** In the order in which they last became idle, or were opened. */
-    private final Set<FrontConnection> open = new LinkedHashSet<>();
+    private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
 
     /** No connections yet, in a process that may have so many descriptors open. */
     ClientConnections(int fileDescriptors) {
-        int shared = fileDescriptors - OWN_DESCRIPTORS;
-        most = Math.max(LEAST, shared - shared / UPSTREAM_PART);
+        int shared = fileDescriptors - RESERVED_DESCRIPTORS;
+        maxConnections = Math.max(MIN_CONNECTIONS, shared - shared / UPSTREAM_DIVISOR);
     }
 
     /** A connection was opened; it is closed if there is no place for it. */
-    void opened(FrontConnection client) {
-        if (open.size() >= most && !closeLongestIdle()) {
+    void opened(ClientConnection client) {
+        if (openConnections.size() >= maxConnections && !closeLongestIdle()) {
             client.close();
             return;
         }
-        open.add(client);
+        openConnections.add(client);
     }
 
     private boolean closeLongestIdle() {
-        for (FrontConnection client : open) {
+        for (ClientConnection client : openConnections) {
             if (client.isIdle()) {
                 // It is counted as closed from now on: the news of its end comes later.
-                open.remove(client);
+                openConnections.remove(client);
                 client.close();
                 return true;
             }
@@ -49,19 +49,19 @@
     }
 
     /** A connection's request was answered, and it waits for the next. */
-    void becameIdle(FrontConnection client) {
-        if (open.remove(client)) {
-            open.add(client);
+    void becameIdle(ClientConnection client) {
+        if (openConnections.remove(client)) {
+            openConnections.add(client);
         }
     }
 
     /** A connection has ended. */
-    void closed(FrontConnection client) {
-        open.remove(client);
+    void closed(ClientConnection client) {
+        openConnections.remove(client);
     }
 
     /** All that are open, of which some may be closed while they are gone through. */
-    Iterable<FrontConnection> all() {
-        return new ArrayList<>(open);
+    Iterable<ClientConnection> snapshot() {
+        return new ArrayList<>(openConnections);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientRequest.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientRequest.java
@@ -25,7 +25,7 @@
     }
 
     /** What a copy of its object is kept under. */
-    String objectKey() {
+    String cacheKey() {
         return host + target;
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
@@ -11,5 +11,5 @@
      * @param answer what was read of an answer, if it is whole; else null
      * @param load the load that the answer told; null if it told none
      */
-    void ended(AttemptOutcome verdict, InstanceAnswer answer, String load);
+    void exchangeEnded(AttemptOutcome verdict, InstanceResponse answer, String load);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstancePool.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionPool.java
@@ -17,15 +17,15 @@
 import ridgemill.gateway.net.Addresses;
 
 /** The connections to one life of one instance; the one that became idle last is used first. */
-final class InstancePool {
+final class ConnectionPool {
 
     private static final int CONNECT_TIMEOUT_MS = 400;
     /** Idle connections are closed this long before the instance does so, as the news of it takes time. */
-    private static final double MARGIN_MS = 400;
+    private static final double IDLE_MARGIN_MS = 400;
     /** An idle time that instances are taken to grant where they state none. */
-    private static final double UNSTATED_IDLE_MS = 700;
+    private static final double DEFAULT_IDLE_MS = 700;
     /** The part of the granted idle time in which a connection is trusted with what can't be repeated. */
-    private static final double TRUSTED_PART = 0.4;
+    private static final double NON_RETRYABLE_IDLE_FRACTION = 0.4;
 
     private final ProxyContext context;
     private final InstanceStats stats;
@@ -33,18 +33,18 @@
     private final ServiceMeters meters;
     private final InetSocketAddress address;
     private final ArrayDeque<InstanceConnection> idle = new ArrayDeque<>();
-    private final boolean ofCache;
+    private final boolean toSharedCache;
     private int open;
-    private int most;
+    private int maxConnections;
     private int connecting;
     private boolean closed;
 
-    InstancePool(ProxyContext context, Instance instance, IdleAges ages, ServiceMeters meters, boolean ofCache) {
+    ConnectionPool(ProxyContext context, Instance instance, IdleAges ages, ServiceMeters meters, boolean ofCache) {
         this.context = context;
         this.stats = new InstanceStats(instance);
         this.ages = ages;
         this.meters = meters;
-        this.ofCache = ofCache;
+        this.toSharedCache = ofCache;
         this.address = Addresses.parse(instance.address());
     }
 
@@ -54,20 +54,20 @@
     }
 
     /** Whether the other side is a shared cache and no instance. */
-    boolean isOfCache() {
-        return ofCache;
+    boolean isToSharedCache() {
+        return toSharedCache;
     }
 
     /** At most so many connections are held from now on; idle ones beyond that are closed. */
-    void limit(int connections) {
-        most = connections;
-        while (open > most && !idle.isEmpty()) {
+    void setMaxConnections(int connections) {
+        maxConnections = connections;
+        while (open > maxConnections && !idle.isEmpty()) {
             idle.pollLast().close();
         }
     }
 
     /** Connections that are open now, in use or idle. */
-    int open() {
+    int openConnections() {
         return open;
     }
 
@@ -83,7 +83,8 @@
     void acquire(boolean repeatable, Consumer<InstanceConnection> callback) {
         double nowMs = now();
         for (InstanceConnection newest = idle.pollFirst(); newest != null; newest = idle.pollFirst()) {
-            if (newest.isUsable() && newest.idleMs(nowMs) < limitMs(newest) * (repeatable ? 1 : TRUSTED_PART)) {
+            if (newest.isUsable()
+                    && newest.idleMs(nowMs) < maxIdleMs(newest) * (repeatable ? 1 : NON_RETRYABLE_IDLE_FRACTION)) {
                 callback.accept(newest);
                 return;
             }
@@ -92,15 +93,16 @@
         connect(callback);
     }
 
-    private double limitMs(InstanceConnection connection) {
-        double stated = connection.statedIdleMs();
-        double granted = Double.isNaN(stated) ? UNSTATED_IDLE_MS : Math.max(stated / 2, stated - MARGIN_MS);
+    private double maxIdleMs(InstanceConnection connection) {
+        double stated = connection.keepAliveTimeoutMs();
+        double granted = Double.isNaN(stated) ? DEFAULT_IDLE_MS : Math.max(stated / 2, stated - IDLE_MARGIN_MS);
         return Math.min(granted, ages.limitMs(System.nanoTime()));
     }
 
     private void connect(Consumer<InstanceConnection> callback) {
         connecting++;
-        context.invariants().check(open + connecting <= most, Invariant.CONNECTIONS_WITHIN_PART, address.toString());
+        context.invariants()
+                .check(open + connecting <= maxConnections, Invariant.CONNECTIONS_WITHIN_PART, address.toString());
         InstanceConnection connection = new InstanceConnection(this);
         ChannelFuture opening = new Bootstrap()
                 .group(context.loop())
@@ -127,13 +129,13 @@
     }
 
     /** Learns from how an exchange on a connection ended. */
-    void used(InstanceConnection connection, boolean broke) {
+    void exchangeEnded(InstanceConnection connection, boolean broke) {
         ages.used(connection.idleBeforeMs(), broke, System.nanoTime());
     }
 
     /** Takes a connection back that may be used again. */
     void release(InstanceConnection connection) {
-        if (closed || open > most) {
+        if (closed || open > maxConnections) {
             connection.close();
         } else {
             idle.addFirst(connection);
@@ -147,11 +149,11 @@
     }
 
     /** Closes connections that have been idle for so long that the instance may close them. */
-    void closeOld(double nowMs) {
+    void closeExpired(double nowMs) {
         List<InstanceConnection> old = null;
         for (Iterator<InstanceConnection> i = idle.descendingIterator(); i.hasNext(); ) {
             InstanceConnection connection = i.next();
-            if (connection.idleMs(nowMs) < limitMs(connection)) {
+            if (connection.idleMs(nowMs) < maxIdleMs(connection)) {
                 break;
             }
             old = old == null ? new ArrayList<>() : old;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
@@ -26,19 +26,19 @@
  */
 public final class DataPath {
 
-    private static final double TICK_MS = 250;
-    private static final int BACKLOG = 1_024;
+    private static final double TICK_INTERVAL_MS = 250;
+    private static final int ACCEPT_BACKLOG = 1_024;
     /** The part of the heap that copies of objects may take. */
-    private static final double CACHE_PART = 0.45;
+    private static final double CACHE_HEAP_FRACTION = 0.45;
     /** The same in a shared cache, which does little else. */
-    private static final double SHARED_CACHE_PART = 0.6;
+    private static final double SHARED_CACHE_HEAP_FRACTION = 0.6;
 
     private final ProxyContext context;
     private final Router router;
     private final ClientConnections clients;
-    private final String frontAddress;
+    private final String listenAddress;
     private Channel listener;
-    private Timers.Timer tick;
+    private Timers.Timer tickTimer;
 
     /** The data path of a shared cache: takes reads of edge proxies where it offers to, and fetches from instances alone. */
     public static DataPath ofCache(
@@ -58,7 +58,7 @@
                 OperationRegister.NONE,
                 registry,
                 Optional.of(cache),
-                (long) (SHARED_CACHE_PART * Runtime.getRuntime().maxMemory()));
+                (long) (SHARED_CACHE_HEAP_FRACTION * Runtime.getRuntime().maxMemory()));
     }
 
     /** A data path that keeps copies of objects in a part of the heap. */
@@ -71,7 +71,7 @@
             OperationRegister register,
             MeterRegistry registry) {
         this(loop, sockets, new LoopTimers(loop, clock), settings, control, register, registry, Optional.empty(), (long)
-                (CACHE_PART * Runtime.getRuntime().maxMemory()));
+                (CACHE_HEAP_FRACTION * Runtime.getRuntime().maxMemory()));
     }
 
     /**
@@ -92,9 +92,9 @@
             long cacheBytes) {
         context = new ProxyContext(loop, sockets, timers, settings, control, register, registry, cache, cacheBytes);
         router = context.isSharedCache() ? new SharedCacheRouter(context) : new RequestRouter(context);
-        frontAddress = cache.map(CacheNode::address).orElse(settings.frontAddress());
+        listenAddress = cache.map(CacheNode::address).orElse(settings.frontAddress());
         clients = new ClientConnections(settings.fileDescriptors());
-        control.addListener(context.objects());
+        control.addListener(context.fetcher());
         control.addListener(new ControlListener() {
             @Override
             public void configurationChanged() {
@@ -120,9 +120,9 @@
         ChannelFuture bound = Listening.bootstrap(
                         context.loop(),
                         context.sockets(),
-                        BACKLOG,
-                        channel -> channel.pipeline().addLast(new FrontConnection(this)))
-                .bind(Addresses.parse(frontAddress));
+                        ACCEPT_BACKLOG,
+                        channel -> channel.pipeline().addLast(new ClientConnection(this)))
+                .bind(Addresses.parse(listenAddress));
         listener = bound.channel();
         scheduleTick();
         return bound;
@@ -144,7 +144,7 @@
     /** From now on answers say that their connection is closed behind them; idle connections are closed. */
     public void drain() {
         context.startDraining();
-        for (FrontConnection client : clients.all()) {
+        for (ClientConnection client : clients.snapshot()) {
             client.closeIfIdle();
         }
     }
@@ -152,15 +152,15 @@
     /** How many requests are not over: their answer is not out, or their operation still runs. */
     public int inFlight() {
         int unsent = 0;
-        for (FrontConnection client : clients.all()) {
-            unsent += client.hasUnsent() ? 1 : 0;
+        for (ClientConnection client : clients.snapshot()) {
+            unsent += client.hasUnsentOutput() ? 1 : 0;
         }
         return context.inFlight() + unsent;
     }
 
     /** Sets this proxy's share of a service's bound on its requests in place of an even one, in requests a second. */
     public void setShare(String service, double perSecond) {
-        context.service(service).lend(perSecond);
+        context.service(service).assignShare(perSecond);
     }
 
     /** What of a service's admission outlives a restart. */
@@ -174,8 +174,8 @@
     }
 
     /** How often something did not hold that must hold at any time. */
-    public long brokenInvariants() {
-        return context.invariants().broken();
+    public long invariantViolations() {
+        return context.invariants().violationCount();
     }
 
     /** Closes the listener and all connections. */
@@ -183,10 +183,10 @@
         if (listener != null) {
             listener.close();
         }
-        if (tick != null) {
-            tick.cancel();
+        if (tickTimer != null) {
+            tickTimer.cancel();
         }
-        clients.all().forEach(FrontConnection::close);
+        clients.snapshot().forEach(ClientConnection::close);
         for (ServiceState service : context.services()) {
             service.close();
         }
@@ -194,34 +194,34 @@
     }
 
     private void scheduleTick() {
-        tick = context.timers().scheduleAt(context.now() + TICK_MS, () -> {
+        tickTimer = context.timers().scheduleAt(context.now() + TICK_INTERVAL_MS, () -> {
             double nowMs = context.now();
-            for (FrontConnection client : clients.all()) {
+            for (ClientConnection client : clients.snapshot()) {
                 client.tick(nowMs);
             }
             for (ServiceState service : context.services()) {
                 service.tick(nowMs);
             }
             context.caches().tick(nowMs);
-            context.objects().tick(nowMs);
+            context.fetcher().tick(nowMs);
             scheduleTick();
         });
     }
 
     /** The exchange for a request; null if it was answered at once. */
-    Exchange route(FrontConnection client, ClientRequest request) {
+    Exchange route(ClientConnection client, ClientRequest request) {
         return router.route(client, request);
     }
 
-    void opened(FrontConnection client) {
+    void opened(ClientConnection client) {
         clients.opened(client);
     }
 
-    void becameIdle(FrontConnection client) {
+    void becameIdle(ClientConnection client) {
         clients.becameIdle(client);
     }
 
-    void closed(FrontConnection client) {
+    void closed(ClientConnection client) {
         clients.closed(client);
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/EventLog.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/EventLog.java
@@ -7,11 +7,11 @@
 
     private static final System.Logger LOGGER = System.getLogger("ridgemill.cdn.proxy");
     private static final double WINDOW_MS = 10_000;
-    private static final int LINES_A_WINDOW = 20;
+    private static final int MAX_LINES_PER_WINDOW = 20;
 
     private final Timers timers;
     private double windowStartMs = Double.NEGATIVE_INFINITY;
-    private int lines;
+    private int linesInWindow;
     private int dropped;
 
     EventLog(Timers timers) {
@@ -19,17 +19,17 @@
     }
 
     /** Logs an event; past a few lines each ten seconds they are only counted. */
-    void line(String event) {
+    void info(String event) {
         double nowMs = timers.now();
         if (nowMs - windowStartMs > WINDOW_MS) {
             if (dropped > 0) {
                 LOGGER.log(System.Logger.Level.INFO, "event=lines-left-out count=" + dropped);
             }
             windowStartMs = nowMs;
-            lines = 0;
+            linesInWindow = 0;
             dropped = 0;
         }
-        if (lines++ < LINES_A_WINDOW) {
+        if (linesInWindow++ < MAX_LINES_PER_WINDOW) {
             LOGGER.log(System.Logger.Level.INFO, event);
         } else {
             dropped++;
@@ -37,7 +37,7 @@
     }
 
     /** Logs a fault of this program. */
-    static void fault(String event, Throwable cause) {
+    static void error(String event, Throwable cause) {
         LOGGER.log(System.Logger.Level.ERROR, event, cause);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
@@ -8,31 +8,31 @@
 abstract class Exchange {
 
     /** The answer leaves this long before the deadline, in milliseconds. */
-    private static final double GUARD_MS = 5;
+    private static final double RESPONSE_MARGIN_MS = 5;
 
     private final ProxyContext context;
-    private final FrontConnection client;
+    private final ClientConnection client;
     private final ClientRequest request;
     private final Route route;
-    private final double arrivedMs;
+    private final double arrivedAtMs;
     private final double deadlineMs;
-    private Timers.Timer deadline;
-    private boolean over;
+    private Timers.Timer deadlineTimer;
+    private boolean finished;
 
-    Exchange(ProxyContext context, FrontConnection client, ClientRequest request, Route route) {
+    Exchange(ProxyContext context, ClientConnection client, ClientRequest request, Route route) {
         this.context = context;
         this.client = client;
         this.request = request;
         this.route = route;
-        this.arrivedMs = context.now();
-        this.deadlineMs = arrivedMs + Math.min(request.remainingMs(), route.timeoutMs()) - GUARD_MS;
+        this.arrivedAtMs = context.now();
+        this.deadlineMs = arrivedAtMs + Math.min(request.remainingMs(), route.timeoutMs()) - RESPONSE_MARGIN_MS;
     }
 
     /** Does what the request asks for; it answers sooner or later, or the deadline does. */
     abstract void run();
 
     /** The deadline has passed or the client has left: gives up what is under way. */
-    abstract void giveUp(boolean late);
+    abstract void cancel(boolean late);
 
     /** Whether the request may have run, or may be running. */
     abstract boolean mayHaveRun();
@@ -42,23 +42,23 @@
 
     /** Starts the request and its deadline. */
     final void start() {
-        context.countInFlight(1);
-        if (deadlineMs <= arrivedMs) {
+        context.addInFlight(1);
+        if (deadlineMs <= arrivedAtMs) {
             refuse(RefusalReason.OUT_OF_TIME, 0);
             return;
         }
-        deadline = context.timers().scheduleAt(deadlineMs, this::deadlinePassed);
+        deadlineTimer = context.timers().scheduleAt(deadlineMs, this::deadlinePassed);
         run();
     }
 
     private void deadlinePassed() {
-        if (over) {
+        if (finished) {
             return;
         }
         boolean ran = mayHaveRun();
-        over = true;
-        giveUp(true);
-        over = false;
+        finished = true;
+        cancel(true);
+        finished = false;
         if (ran) {
             fail(RefusalReason.OUT_OF_TIME);
         } else {
@@ -67,62 +67,62 @@
     }
 
     /** The client has closed its connection. */
-    final void clientGone() {
-        if (!over) {
+    final void clientDisconnected() {
+        if (!finished) {
             end();
-            giveUp(false);
+            cancel(false);
         }
     }
 
     /** Gives the final answer, if none was given. */
-    final void answer(FinalAnswer answer) {
-        if (!over) {
+    final void respond(FinalResponse answer) {
+        if (!finished) {
             end();
-            client.answer(this, answer);
+            client.respond(this, answer);
         }
     }
 
     /** Refuses the request, which has not run and will not. */
     final void refuse(RefusalReason reason, double waitMs) {
-        if (!over) {
+        if (!finished) {
             service().meters().countRefused(reason);
         }
-        FinalAnswer refusal = FinalAnswer.later(503, request.attemptId(), waitMs);
-        answer(context.isSharedCache() ? refusal.with(CacheHeaders.REFUSAL, reason.label()) : refusal);
+        FinalResponse refusal = FinalResponse.retryLater(503, request.attemptId(), waitMs);
+        respond(context.isSharedCache() ? refusal.addHeader(CacheHeaders.REFUSAL, reason.label()) : refusal);
     }
 
     /** Ends the request, which may have run, without an answer of an instance. */
     private void fail(RefusalReason reason) {
-        if (!over) {
+        if (!finished) {
             service().meters().countFailed(reason);
         }
-        answer(FinalAnswer.own(reason == RefusalReason.OUT_OF_TIME ? 504 : 502, request.attemptId()));
+        respond(FinalResponse.generated(reason == RefusalReason.OUT_OF_TIME ? 504 : 502, request.attemptId()));
     }
 
     /** Answers with what came of a delivery. */
-    final void answer(Delivery.Result result) {
-        if (result instanceof Delivery.Result.Answered answered) {
-            answer(FinalAnswer.of(answered.answer(), request.method().equals("HEAD")));
-        } else if (result instanceof Delivery.Result.Failed failed) {
+    final void respond(UpstreamCall.Result result) {
+        if (result instanceof UpstreamCall.Result.Answered answered) {
+            respond(FinalResponse.of(answered.response(), request.method().equals("HEAD")));
+        } else if (result instanceof UpstreamCall.Result.Failed failed) {
             if (failed.mayHaveRun()) {
                 fail(failed.reason());
             } else {
-                refuse(failed.reason(), failed.waitMs());
+                refuse(failed.reason(), failed.retryAfterMs());
             }
         }
     }
 
     private void end() {
-        over = true;
-        if (deadline != null) {
-            deadline.cancel();
+        finished = true;
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel();
         }
-        context.countInFlight(-1);
+        context.addInFlight(-1);
     }
 
     /** Whether the client needs no answer any more. */
-    final boolean isOver() {
-        return over;
+    final boolean isFinished() {
+        return finished;
     }
 
     final ProxyContext context() {
@@ -137,8 +137,8 @@
         return route;
     }
 
-    final double arrivedMs() {
-        return arrivedMs;
+    final double arrivedAtMs() {
+        return arrivedAtMs;
     }
 
     /** When the client gives up, on the proxy's clock. */
--- a/cdn/src/main/java/ridgemill/cdn/proxy/OperationsUnderWay.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InFlightOperations.java
@@ -3,18 +3,18 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import ridgemill.cdn.proxy.control.OperationRegister.RecordedAnswer;
+import ridgemill.cdn.proxy.control.OperationRegister.RecordedResponse;
 
 /**
  * The keyed operations that this proxy is claiming or running. For each key one request at a time leads: it alone asks
  * the register. Repeats wait for what comes of it, which costs no votes.
  */
-final class OperationsUnderWay {
+final class InFlightOperations {
 
     private final Map<String, ArrayDeque<KeyedExchange>> waitingByKey = new HashMap<>();
 
     /** Makes a request the leader of its key, or lets it wait for the one that leads. Returns whether it leads. */
-    boolean lead(String key, KeyedExchange exchange) {
+    boolean tryLead(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
             waitingByKey.put(key, new ArrayDeque<>(0));
@@ -25,7 +25,7 @@
     }
 
     /** A request does not wait any more. */
-    void forget(String key, KeyedExchange exchange) {
+    void removeWaiter(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting != null) {
             waiting.remove(exchange);
@@ -33,7 +33,7 @@
     }
 
     /** The operation has run: all that wait receive its answer. */
-    void finished(String key, RecordedAnswer answer) {
+    void completed(String key, RecordedResponse answer) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.remove(key);
         while (waiting != null && !waiting.isEmpty()) {
             waiting.poll().leaderFinished(answer);
@@ -41,7 +41,7 @@
     }
 
     /** The leader ends without an answer to give again: the first of those that wait leads on. */
-    void leftOpen(String key) {
+    void leaderAbandoned(String key) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
             return;
@@ -50,7 +50,7 @@
         if (next == null) {
             waitingByKey.remove(key);
         } else {
-            next.leadOn();
+            next.becomeLeader();
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
@@ -8,43 +8,43 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.ByteToMessageDecoder;
 import ridgemill.cdn.edge.AttemptOutcome;
-import ridgemill.cdn.proxy.http.AnswerReader;
 import ridgemill.cdn.proxy.http.BadMessageException;
 import ridgemill.cdn.proxy.http.Headers;
+import ridgemill.cdn.proxy.http.ResponseReader;
 
 /** One connection to an instance; it carries one request at a time. */
 final class InstanceConnection extends ChannelInboundHandlerAdapter {
 
-    private static final int MISDIRECTED = 421;
+    private static final int MISDIRECTED_STATUS = 421;
     /** Surplus answers of earlier requests that are passed over before the one that is due. */
-    private static final int MOST_SURPLUS = 2;
+    private static final int MAX_SURPLUS_RESPONSES = 2;
 
     private static final double MS_PER_SECOND = 1_000;
 
-    private final InstancePool pool;
-    private final AnswerReader reader = new AnswerReader();
+    private final ConnectionPool pool;
+    private final ResponseReader reader = new ResponseReader();
     private Channel channel;
     private ByteBuf pending = Unpooled.EMPTY_BUFFER;
     private ConnectionListener listener;
     private String attemptId;
-    private boolean written;
-    private boolean answersEarly;
-    private int surplus;
-    private boolean spent;
-    private boolean up;
-    private boolean over;
-    private boolean countsOpen;
+    private boolean requestWritten;
+    private boolean respondsEarly;
+    private int surplusResponses;
+    private boolean notReusable;
+    private boolean connected;
+    private boolean closeReported;
+    private boolean usedBefore;
     private double idleSinceMs;
     private double idleBeforeMs;
-    private double statedIdleMs = Double.NaN;
+    private double keepAliveTimeoutMs = Double.NaN;
 
-    InstanceConnection(InstancePool pool) {
+    InstanceConnection(ConnectionPool pool) {
         this.pool = pool;
     }
 
     /** Whether a request may be sent on it. */
     boolean isUsable() {
-        return channel != null && channel.isActive() && listener == null && !spent;
+        return channel != null && channel.isActive() && listener == null && !notReusable;
     }
 
     /** How long it has been idle, in milliseconds. */
@@ -53,8 +53,8 @@
     }
 
     /** After which idle time the instance said it would close it, in milliseconds; not a number if it did not say. */
-    double statedIdleMs() {
-        return statedIdleMs;
+    double keepAliveTimeoutMs() {
+        return keepAliveTimeoutMs;
     }
 
     /** How long it had been idle before its current or last request; 0 for its first. */
@@ -72,21 +72,21 @@
     void send(ByteBuf bytes, String id, boolean isHead, double nowMs, ConnectionListener to) {
         listener = to;
         attemptId = id;
-        written = false;
-        answersEarly = false;
-        surplus = 0;
-        idleBeforeMs = countsOpen ? idleMs(nowMs) : 0;
-        countsOpen = true;
+        requestWritten = false;
+        respondsEarly = false;
+        surplusResponses = 0;
+        idleBeforeMs = usedBefore ? idleMs(nowMs) : 0;
+        usedBefore = true;
         reader.reset();
-        reader.toHead(isHead);
+        reader.setHeadRequest(isHead);
         channel.writeAndFlush(bytes).addListener((ChannelFuture future) -> {
             if (listener != to) {
                 return;
             }
             if (future.isSuccess()) {
-                written = true;
+                requestWritten = true;
             } else {
-                end(brokenOff(), null, null);
+                endExchange(disconnectOutcome(), null, null);
             }
         });
     }
@@ -99,17 +99,17 @@
 
     /** Closes the connection. */
     void close() {
-        spent = true;
+        notReusable = true;
         if (channel != null) {
-            over();
+            reportClosed();
             channel.close();
         }
     }
 
     /** It holds no place any more; told to the pool once, when it is closed from here or has ended. */
-    private void over() {
-        if (up && !over) {
-            over = true;
+    private void reportClosed() {
+        if (connected && !closeReported) {
+            closeReported = true;
             pool.closed(this);
         }
     }
@@ -122,7 +122,7 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         idleSinceMs = pool.now();
-        up = true;
+        connected = true;
         pool.opened();
     }
 
@@ -135,10 +135,10 @@
             close();
             return;
         }
-        if (!written) {
+        if (!requestWritten) {
             // It answers before it has taken the whole request, of which the rest may still be on its way.
-            spent = true;
-            answersEarly = true;
+            notReusable = true;
+            respondsEarly = true;
         }
         pending = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context.alloc(), pending, bytes);
         read();
@@ -147,17 +147,17 @@
     private void read() {
         try {
             while (listener != null && reader.read(pending)) {
-                answered();
+                responseRead();
             }
         } catch (BadMessageException e) {
-            end(AttemptOutcome.GARBLED, null, null);
+            endExchange(AttemptOutcome.GARBLED, null, null);
         }
         if (listener == null || !pending.isReadable()) {
-            drop();
+            discardPending();
         }
     }
 
-    private void drop() {
+    private void discardPending() {
         if (pending.isReadable()) {
             close();
         }
@@ -165,30 +165,31 @@
         pending = Unpooled.EMPTY_BUFFER;
     }
 
-    private void answered() {
+    private void responseRead() {
         Headers headers = reader.headers();
-        spent |= !reader.isKeepAlive();
+        notReusable |= !reader.isKeepAlive();
         if (!attemptId.equals(headers.get("X-Attempt-Id"))) {
-            spent = true;
-            if (++surplus > MOST_SURPLUS || !reader.isKeepAlive()) {
-                end(AttemptOutcome.GARBLED, null, null);
+            notReusable = true;
+            if (++surplusResponses > MAX_SURPLUS_RESPONSES || !reader.isKeepAlive()) {
+                endExchange(AttemptOutcome.GARBLED, null, null);
             } else {
                 reader.reset();
             }
             return;
         }
-        statedIdleMs = statedIdle(headers.get("Keep-Alive"));
+        keepAliveTimeoutMs = parseKeepAliveTimeoutMs(headers.get("Keep-Alive"));
         if (pending.isReadable()) {
-            spent = true;
+            notReusable = true;
         }
         String load = headers.get("X-Server-Load");
-        InstanceAnswer answer = new InstanceAnswer(reader.status(), headers.endToEnd(), length(headers), reader.body());
-        boolean refused = pool.isOfCache() && headers.get(CacheHeaders.REFUSAL) != null;
-        end(refused ? AttemptOutcome.REFUSED_BY_CACHE : verdict(answer, headers), answer, load);
+        InstanceResponse answer =
+                new InstanceResponse(reader.status(), headers.endToEnd(), contentLength(headers), reader.body());
+        boolean refused = pool.isToSharedCache() && headers.get(CacheHeaders.REFUSAL) != null;
+        endExchange(refused ? AttemptOutcome.REFUSED_BY_CACHE : outcomeOf(answer, headers), answer, load);
     }
 
-    private static AttemptOutcome verdict(InstanceAnswer answer, Headers headers) {
-        if (answer.status() == MISDIRECTED) {
+    private static AttemptOutcome outcomeOf(InstanceResponse answer, Headers headers) {
+        if (answer.status() == MISDIRECTED_STATUS) {
             return AttemptOutcome.MISDIRECTED;
         }
         if (headers.get("X-Not-Executed") != null) {
@@ -198,7 +199,7 @@
         return garbled ? AttemptOutcome.GARBLED : AttemptOutcome.ANSWERED;
     }
 
-    private static long length(Headers headers) {
+    private static long contentLength(Headers headers) {
         String text = headers.get("Content-Length");
         try {
             return text == null ? -1 : Long.parseLong(text);
@@ -207,7 +208,7 @@
         }
     }
 
-    private static double statedIdle(String keepAlive) {
+    private static double parseKeepAliveTimeoutMs(String keepAlive) {
         int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
         if (at < 0) {
             return Double.NaN;
@@ -220,36 +221,36 @@
     }
 
     /** What the end of a connection before a whole answer means: who began to answer may have run the request. */
-    private AttemptOutcome brokenOff() {
-        return written || answersEarly ? AttemptOutcome.RESET : AttemptOutcome.NEVER_WRITTEN;
+    private AttemptOutcome disconnectOutcome() {
+        return requestWritten || respondsEarly ? AttemptOutcome.RESET : AttemptOutcome.NEVER_WRITTEN;
     }
 
-    private void end(AttemptOutcome verdict, InstanceAnswer answer, String load) {
+    private void endExchange(AttemptOutcome verdict, InstanceResponse answer, String load) {
         ConnectionListener told = listener;
         listener = null;
         boolean intact = verdict == AttemptOutcome.ANSWERED
                 || verdict == AttemptOutcome.DECLINED
                 || verdict == AttemptOutcome.REFUSED_BY_CACHE;
         if (!intact) {
-            spent = true;
+            notReusable = true;
         }
         idleSinceMs = pool.now();
-        if (spent) {
+        if (notReusable) {
             close();
         } else {
             pool.release(this);
         }
         if (told != null) {
-            told.ended(verdict, answer, load);
+            told.exchangeEnded(verdict, answer, load);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        spent = true;
-        over();
+        notReusable = true;
+        reportClosed();
         if (listener != null) {
-            end(brokenOff(), null, null);
+            endExchange(disconnectOutcome(), null, null);
         }
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceAnswer.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceResponse.java
@@ -7,10 +7,10 @@
  *
  * @param status its HTTP status
  * @param headers its end-to-end headers, without the length of the body
- * @param length the length that its head states; negative if it states none
+ * @param contentLength the length that its head states; negative if it states none
  * @param body its whole body
  */
-record InstanceAnswer(int status, Headers headers, long length, byte[] body) {
+record InstanceResponse(int status, Headers headers, long contentLength, byte[] body) {
 
     /** The header that vouches for a success. */
     private static final double MS_PER_SECOND = 1_000;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -17,17 +17,17 @@
 final class InstanceSet {
 
     /** How many connections may be held to one of the instances, by its index in the order of identifiers. */
-    interface ConnectionParts {
-        int part(int index);
+    interface ConnectionShares {
+        int share(int index);
     }
 
     private final ProxyContext context;
     private final InstancePicker picker;
     private final ServiceMeters meters;
-    private final boolean ofCaches;
+    private final boolean sharedCaches;
     private final IdleAges ages = new IdleAges();
-    private final Map<String, InstancePool> pools = new HashMap<>();
-    private final ArrayDeque<Delivery> waiting = new ArrayDeque<>();
+    private final Map<String, ConnectionPool> pools = new HashMap<>();
+    private final ArrayDeque<UpstreamCall> waiting = new ArrayDeque<>();
 
     /**
      * An empty set.
@@ -38,27 +38,27 @@
         this.context = context;
         this.picker = picker;
         this.meters = meters;
-        this.ofCaches = ofCaches;
+        this.sharedCaches = ofCaches;
     }
 
     InstancePicker picker() {
         return picker;
     }
 
-    InstancePool pool(InstanceStats stats) {
+    ConnectionPool pool(InstanceStats stats) {
         return pools.get(stats.instance().id());
     }
 
     /** Requests may be sent to these from now on, and to no others. */
-    void set(List<Instance> instances, ConnectionParts parts) {
+    void update(List<Instance> instances, ConnectionShares parts) {
         List<InstanceStats> ready = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         int index = 0;
         for (Instance instance : instances) {
-            InstancePool pool = pools.computeIfAbsent(
-                    instance.id(), id -> new InstancePool(context, instance, ages, meters, ofCaches));
-            int part = parts.part(index++);
-            pool.limit(part);
+            ConnectionPool pool = pools.computeIfAbsent(
+                    instance.id(), id -> new ConnectionPool(context, instance, ages, meters, sharedCaches));
+            int part = parts.share(index++);
+            pool.setMaxConnections(part);
             ids.add(instance.id());
             if (part > 0) {
                 pool.stats().update(instance, context.isLocal(instance), part);
@@ -73,42 +73,42 @@
             }
             return gone;
         });
-        recall();
+        retryWaiting();
     }
 
-    void await(Delivery delivery) {
+    void awaitCapacity(UpstreamCall delivery) {
         waiting.add(delivery);
     }
 
-    void forget(Delivery delivery) {
+    void stopAwaiting(UpstreamCall delivery) {
         waiting.remove(delivery);
     }
 
-    void recall() {
+    void retryWaiting() {
         for (int i = waiting.size(); i > 0 && !waiting.isEmpty(); i--) {
-            waiting.pollFirst().roomAgain();
+            waiting.pollFirst().capacityAvailable();
         }
     }
 
     /** Connections to all places that are open now. */
     int openConnections() {
         int open = 0;
-        for (InstancePool pool : pools.values()) {
-            open += pool.open();
+        for (ConnectionPool pool : pools.values()) {
+            open += pool.openConnections();
         }
         return open;
     }
 
     /** Closes connections that have been idle for too long and lets those that wait try again. */
     void tick(double nowMs) {
-        for (InstancePool pool : pools.values()) {
-            pool.closeOld(nowMs);
+        for (ConnectionPool pool : pools.values()) {
+            pool.closeExpired(nowMs);
         }
-        recall();
+        retryWaiting();
     }
 
     /** Closes all connections. */
     void close() {
-        pools.values().forEach(InstancePool::close);
+        pools.values().forEach(ConnectionPool::close);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InvariantCheck.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InvariantChecker.java
@@ -7,12 +7,12 @@
 import ridgemill.cdn.edge.Invariant;
 
 /** Checks what must hold at any time: breaks are counted and logged; the program goes on. */
-final class InvariantCheck {
+final class InvariantChecker {
 
     private final Map<Invariant, Counter> violations = new EnumMap<>(Invariant.class);
     private final EventLog log;
 
-    InvariantCheck(MeterRegistry registry, EventLog log) {
+    InvariantChecker(MeterRegistry registry, EventLog log) {
         this.log = log;
         for (Invariant invariant : Invariant.values()) {
             violations.put(
@@ -28,12 +28,12 @@
     void check(boolean holds, Invariant invariant, String where) {
         if (!holds) {
             violations.get(invariant).increment();
-            log.line("event=invariant_broken invariant=" + invariant.label() + " where=" + where);
+            log.info("event=invariant_broken invariant=" + invariant.label() + " where=" + where);
         }
     }
 
     /** All breaks since the start. */
-    long broken() {
+    long violationCount() {
         return (long) violations.values().stream().mapToDouble(Counter::count).sum();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -4,40 +4,40 @@
 import ridgemill.cdn.edge.RefusalReason;
 import ridgemill.cdn.proxy.control.OperationRegister.Claim;
 import ridgemill.cdn.proxy.control.OperationRegister.ClaimOutcome;
-import ridgemill.cdn.proxy.control.OperationRegister.RecordedAnswer;
+import ridgemill.cdn.proxy.control.OperationRegister.RecordedResponse;
 import ridgemill.core.Timers;
 import ridgemill.policy.RendezvousHash;
 
 /**
  * A request of a keyed operation. It runs only under a claim of the register; the claim is given back only where
  * nothing ran, and what ran is recorded, also after the client has left. Of several requests with one key at this proxy
- * one leads, see {@link OperationsUnderWay}; the others wait a while for its answer.
+ * one leads, see {@link InFlightOperations}; the others wait a while for its answer.
  */
 final class KeyedExchange extends Exchange {
 
-    private static final double CLAIM_AGAIN_MS = 120;
+    private static final double CLAIM_RETRY_MS = 120;
     /** Part of the route's target that a repeat waits for the first one's answer. */
-    private static final double PATIENCE = 0.25;
+    private static final double WAIT_FRACTION = 0.25;
     /** How long an operation that was sent may take beyond its deadline, so that its answer is recorded. */
-    private static final double LINGER_MS = 5_000;
+    private static final double RECORDING_GRACE_MS = 5_000;
 
-    private static final int MOST_RECORDED_BYTES = 1024 * 1024;
+    private static final int MAX_RECORDED_BYTES = 1024 * 1024;
 
     private final ServiceState service;
-    private final OperationsUnderWay operations;
+    private final InFlightOperations operations;
     private final String key;
     private Claim claim;
-    private Delivery delivery;
+    private UpstreamCall call;
     private Timers.Timer timer;
     /** Whether it leads and an answer of the register is due. */
-    private boolean claiming;
+    private boolean claimPending;
 
-    private boolean leads;
-    private boolean lingers;
+    private boolean leader;
+    private boolean finishingInBackground;
 
     KeyedExchange(
             ProxyContext context,
-            FrontConnection client,
+            ClientConnection client,
             ClientRequest request,
             Route route,
             ServiceState service,
@@ -55,155 +55,157 @@
             refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
-        leads = operations.lead(key, this);
-        if (leads) {
+        leader = operations.tryLead(key, this);
+        if (leader) {
             claim();
         } else {
-            timer = context().timers().scheduleAt(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
+            timer = context().timers().scheduleAt(Math.max(nowMs, waitEndMs()), this::waitExpired);
         }
     }
 
     /** Until when a repeat waits for the first one's answer. */
-    private double patienceEndMs() {
-        return Math.min(deadlineMs(), arrivedMs() + PATIENCE * route().targetLatencyMs());
+    private double waitEndMs() {
+        return Math.min(deadlineMs(), arrivedAtMs() + WAIT_FRACTION * route().targetLatencyMs());
     }
 
-    private void outOfPatience() {
-        operations.forget(key, this);
-        answerBusy();
+    private void waitExpired() {
+        operations.removeWaiter(key, this);
+        respondConflict();
     }
 
-    private void answerBusy() {
-        answer(FinalAnswer.later(409, request().attemptId(), PATIENCE * route().targetLatencyMs()));
+    private void respondConflict() {
+        respond(FinalResponse.retryLater(409, request().attemptId(), WAIT_FRACTION * route().targetLatencyMs()));
     }
 
     /** The request that led has run the operation; its answer is this one's too. */
-    void leaderFinished(RecordedAnswer answer) {
+    void leaderFinished(RecordedResponse answer) {
         stopTimer();
-        answer(FinalAnswer.of(answer, request().attemptId()));
+        respond(FinalResponse.of(answer, request().attemptId()));
     }
 
     /** The request that led has ended without an answer; this one leads from now on. */
-    void leadOn() {
+    void becomeLeader() {
         stopTimer();
-        leads = true;
+        leader = true;
         claim();
     }
 
     /** Ceases to lead; what was learned goes to those that wait. */
-    private void stopLeading(RecordedAnswer answer) {
-        if (!leads) {
+    private void endLeadership(RecordedResponse answer) {
+        if (!leader) {
             return;
         }
-        leads = false;
+        leader = false;
         if (answer != null) {
-            operations.finished(key, answer);
+            operations.completed(key, answer);
         } else {
-            operations.leftOpen(key);
+            operations.leaderAbandoned(key);
         }
     }
 
     private void claim() {
         timer = null;
-        claiming = true;
-        context().register().claim(key, deadlineMs(), this::claimed);
+        claimPending = true;
+        context().register().claim(key, deadlineMs(), this::claimEnded);
     }
 
-    private void claimed(ClaimOutcome outcome) {
-        claiming = false;
+    private void claimEnded(ClaimOutcome outcome) {
+        claimPending = false;
         if (outcome instanceof ClaimOutcome.Granted granted) {
             granted(granted.claim());
         } else if (outcome instanceof ClaimOutcome.Finished finished) {
-            answer(FinalAnswer.of(finished.answer(), request().attemptId()));
-            stopLeading(finished.answer());
-        } else if (isOver()) {
-            stopLeading(null);
+            respond(FinalResponse.of(finished.response(), request().attemptId()));
+            endLeadership(finished.response());
+        } else if (isFinished()) {
+            endLeadership(null);
         } else if (outcome instanceof ClaimOutcome.Busy) {
-            busy();
+            keyHeld();
         } else {
-            refuse(RefusalReason.NO_CLAIM, PATIENCE * route().targetLatencyMs());
-            stopLeading(null);
+            refuse(RefusalReason.NO_CLAIM, WAIT_FRACTION * route().targetLatencyMs());
+            endLeadership(null);
         }
     }
 
     private void granted(Claim given) {
-        if (isOver()) {
+        if (isFinished()) {
             context().register().release(given);
-            stopLeading(null);
+            endLeadership(null);
             return;
         }
         claim = given;
         long place = RendezvousHash.hashText(request().attemptId());
         OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
-        delivery = new Delivery(context(), service, route(), outgoing, false, deadlineMs(), this::delivered);
-        delivery.start();
+        call = new UpstreamCall(context(), service, route(), outgoing, false, deadlineMs(), this::callEnded);
+        call.start();
     }
 
     /** Another proxy's claim holds the key. */
-    private void busy() {
-        double nextMs = context().now() + CLAIM_AGAIN_MS;
-        if (nextMs < patienceEndMs()) {
+    private void keyHeld() {
+        double nextMs = context().now() + CLAIM_RETRY_MS;
+        if (nextMs < waitEndMs()) {
             timer = context().timers().scheduleAt(nextMs, this::claim);
         } else {
-            answerBusy();
-            stopLeading(null);
+            respondConflict();
+            endLeadership(null);
         }
     }
 
-    private void delivered(Delivery.Result result) {
-        if (lingers) {
-            lingers = false;
+    private void callEnded(UpstreamCall.Result result) {
+        if (finishingInBackground) {
+            finishingInBackground = false;
             stopTimer();
-            context().countInFlight(-1);
+            context().addInFlight(-1);
         }
-        RecordedAnswer recorded = null;
-        if (result instanceof Delivery.Result.Answered answered) {
-            recorded = record(answered.answer());
-        } else if (result instanceof Delivery.Result.Failed failed && !failed.mayHaveRun()) {
+        RecordedResponse recorded = null;
+        if (result instanceof UpstreamCall.Result.Answered answered) {
+            recorded = record(answered.response());
+        } else if (result instanceof UpstreamCall.Result.Failed failed && !failed.mayHaveRun()) {
             context().register().release(claim);
         }
-        answer(result);
-        stopLeading(recorded);
+        respond(result);
+        endLeadership(recorded);
     }
 
-    private RecordedAnswer record(InstanceAnswer answer) {
-        if (answer.body().length > MOST_RECORDED_BYTES) {
+    private RecordedResponse record(InstanceResponse answer) {
+        if (answer.body().length > MAX_RECORDED_BYTES) {
             return null;
         }
-        RecordedAnswer recorded = new RecordedAnswer(
-                answer.status(), OwnHeaders.without(answer.headers().lines(), false), answer.body());
+        RecordedResponse recorded = new RecordedResponse(
+                answer.status(),
+                RequestSpecificHeaders.removeFrom(answer.headers().lines(), false),
+                answer.body());
         context().register().finish(claim, recorded);
         return recorded;
     }
 
     @Override
-    void giveUp(boolean late) {
+    void cancel(boolean late) {
         stopTimer();
-        if (delivery != null && delivery.mayHaveRun()) {
-            linger();
+        if (call != null && call.mayHaveRun()) {
+            finishInBackground();
             return;
         }
-        if (delivery != null) {
-            delivery.cancel(late);
+        if (call != null) {
+            call.cancel(late);
             context().register().release(claim);
         }
-        if (!leads) {
-            operations.forget(key, this);
-        } else if (!claiming) {
-            stopLeading(null);
+        if (!leader) {
+            operations.removeWaiter(key, this);
+        } else if (!claimPending) {
+            endLeadership(null);
         }
     }
 
     /** Lets the operation end, so that repeats receive its answer. */
-    private void linger() {
-        delivery.stopRepeating();
-        lingers = true;
-        context().countInFlight(1);
-        timer = context().timers().scheduleAt(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
-            lingers = false;
-            context().countInFlight(-1);
-            delivery.cancel(true);
-            stopLeading(null);
+    private void finishInBackground() {
+        call.disableRetries();
+        finishingInBackground = true;
+        context().addInFlight(1);
+        timer = context().timers().scheduleAt(Math.max(deadlineMs(), context().now()) + RECORDING_GRACE_MS, () -> {
+            finishingInBackground = false;
+            context().addInFlight(-1);
+            call.cancel(true);
+            endLeadership(null);
         });
     }
 
@@ -221,6 +223,6 @@
 
     @Override
     boolean mayHaveRun() {
-        return delivery != null && delivery.mayHaveRun();
+        return call != null && call.mayHaveRun();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
@@ -6,26 +6,26 @@
 /** Reads the header in which instances tell their load: running, waiting and slots, separated by commas. */
 final class LoadHeader {
 
-    private static final int MOST_DIGITS = 6;
+    private static final int MAX_DIGITS = 6;
 
     private LoadHeader() {}
 
     /** Tells an instance's load to its statistics; what can't be read is ignored. */
-    static void tell(InstanceStats instance, String text, double nowMs) {
+    static void apply(InstanceStats instance, String text, double nowMs) {
         int first = text.indexOf(',');
         int second = text.indexOf(',', first + 1);
         if (first < 0 || second < 0) {
             return;
         }
-        int running = number(text.substring(0, first).trim());
-        int waiting = number(text.substring(first + 1, second).trim());
-        int slots = number(text.substring(second + 1).trim());
+        int running = parseNumber(text.substring(0, first).trim());
+        int waiting = parseNumber(text.substring(first + 1, second).trim());
+        int slots = parseNumber(text.substring(second + 1).trim());
         if (running >= 0 && waiting >= 0 && slots > 0) {
             instance.loadReported(nowMs, running, waiting, slots);
         }
     }
 
-    private static int number(String text) {
-        return (int) Digits.parse(text, MOST_DIGITS);
+    private static int parseNumber(String text) {
+        return (int) Digits.parse(text, MAX_DIGITS);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
@@ -10,12 +10,12 @@
     private record PurgedTag(String tag, double atMs) {}
 
     private final String key;
-    private final CachedExchange starter;
-    private final CachedObject older;
+    private final CachedExchange initiator;
+    private final CachedObject storedCopy;
     private final double startedMs;
     private final List<CachedExchange> waiters = new ArrayList<>(2);
     private final List<PurgedTag> purgedTags = new ArrayList<>(0);
-    private Delivery delivery;
+    private UpstreamCall call;
     private boolean purged;
 
     /**
@@ -26,8 +26,8 @@
      */
     ObjectFetch(String key, CachedExchange starter, CachedObject older, double startedMs) {
         this.key = key;
-        this.starter = starter;
-        this.older = older;
+        this.initiator = starter;
+        this.storedCopy = older;
         this.startedMs = startedMs;
         if (starter != null) {
             waiters.add(starter);
@@ -38,34 +38,34 @@
         return key;
     }
 
-    CachedObject older() {
-        return older;
+    CachedObject storedCopy() {
+        return storedCopy;
     }
 
     double startedMs() {
         return startedMs;
     }
 
-    void deliverBy(Delivery by) {
-        delivery = by;
+    void setCall(UpstreamCall by) {
+        call = by;
     }
 
     /** Whether a copy that it brought had been fetched by another process before. */
-    boolean isOfOther(CachedObject copy) {
+    boolean isFromOtherProcess(CachedObject copy) {
         return copy.fetchStartedMs() < startedMs;
     }
 
     /** Whether a request waits for it. */
-    boolean isAwaited() {
+    boolean hasWaiters() {
         return !waiters.isEmpty();
     }
 
-    boolean isOf(CachedExchange exchange) {
-        return exchange == starter;
+    boolean isInitiatedBy(CachedExchange exchange) {
+        return exchange == initiator;
     }
 
     boolean mayHaveRun() {
-        return delivery != null && delivery.mayHaveRun();
+        return call != null && call.mayHaveRun();
     }
 
     void join(CachedExchange exchange) {
@@ -75,9 +75,9 @@
     /** A request does not wait any more. The fetch goes on, as its object will be asked for again. */
     void leave(CachedExchange exchange, boolean late) {
         waiters.remove(exchange);
-        if (waiters.isEmpty() && delivery != null && (late || !delivery.mayHaveRun())) {
-            delivery.cancel(late);
-            exchange.context().objects().ended(this);
+        if (waiters.isEmpty() && call != null && (late || !call.mayHaveRun())) {
+            call.cancel(late);
+            exchange.context().fetcher().remove(this);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/PassingExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/PassThroughExchange.java
@@ -5,13 +5,13 @@
 import ridgemill.policy.RendezvousHash;
 
 /** A request that is passed to an instance and whose answer is passed back. */
-final class PassingExchange extends Exchange {
+final class PassThroughExchange extends Exchange {
 
     private final ServiceState service;
-    private Delivery delivery;
+    private UpstreamCall call;
 
-    PassingExchange(
-            ProxyContext context, FrontConnection client, ClientRequest request, Route route, ServiceState service) {
+    PassThroughExchange(
+            ProxyContext context, ClientConnection client, ClientRequest request, Route route, ServiceState service) {
         super(context, client, request, route);
         this.service = service;
     }
@@ -25,15 +25,15 @@
         }
         long place = RendezvousHash.hashText(request().attemptId());
         OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
-        delivery = new Delivery(
-                context(), service, route(), outgoing, route().kind().isRetryable(), deadlineMs(), this::answer);
-        delivery.start();
+        call = new UpstreamCall(
+                context(), service, route(), outgoing, route().kind().isRetryable(), deadlineMs(), this::respond);
+        call.start();
     }
 
     @Override
-    void giveUp(boolean late) {
-        if (delivery != null) {
-            delivery.cancel(late);
+    void cancel(boolean late) {
+        if (call != null) {
+            call.cancel(late);
         }
     }
 
@@ -44,6 +44,6 @@
 
     @Override
     boolean mayHaveRun() {
-        return delivery != null && delivery.mayHaveRun();
+        return call != null && call.mayHaveRun();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
@@ -27,13 +27,13 @@
     private final OperationRegister register;
     private final EventLog log;
     private final ProxyMeters meters;
-    private final InvariantCheck invariants;
+    private final InvariantChecker invariants;
     private final Optional<CacheNode> sharedCache;
     private final SharedCaches caches;
-    private final String region;
+    private final String localRegion;
     private final Map<String, ServiceState> services = new HashMap<>();
-    private final ObjectFetches objects;
-    private final OperationsUnderWay operations = new OperationsUnderWay();
+    private final ObjectFetcher fetcher;
+    private final InFlightOperations operations = new InFlightOperations();
     private boolean draining;
     private int inFlight;
 
@@ -56,9 +56,9 @@
         this.sharedCache = sharedCache;
         this.meters = new ProxyMeters(registry);
         this.log = new EventLog(timers);
-        this.invariants = new InvariantCheck(registry, log);
-        this.objects = new ObjectFetches(this, new ObjectCache(cacheBytes));
-        this.region = settings.regionOf(settings.zone());
+        this.invariants = new InvariantChecker(registry, log);
+        this.fetcher = new ObjectFetcher(this, new ObjectCache(cacheBytes));
+        this.localRegion = settings.regionOf(settings.zone());
         this.caches = new SharedCaches(this);
     }
 
@@ -97,7 +97,7 @@
     }
 
     /** Checks what must hold at any time. */
-    InvariantCheck invariants() {
+    InvariantChecker invariants() {
         return invariants;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** The place of this shared cache among all. */
-    CachePosition cachePlace() {
+    CachePosition cachePosition() {
         return control.fleet().cachePosition(sharedCache.orElseThrow(), settings::regionOf);
     }
 
@@ -127,16 +127,16 @@
 
     /** Whether an instance is in this proxy's region. */
     boolean isLocal(Instance instance) {
-        return region.equals(settings.regionOf(instance.zone()));
+        return localRegion.equals(settings.regionOf(instance.zone()));
     }
 
     /** The copies of objects and the fetches that bring them. */
-    ObjectFetches objects() {
-        return objects;
+    ObjectFetcher fetcher() {
+        return fetcher;
     }
 
     /** The keyed operations that this proxy claims or runs. */
-    OperationsUnderWay operations() {
+    InFlightOperations operations() {
         return operations;
     }
 
@@ -170,7 +170,7 @@
     }
 
     /** Counts a request as begun (1) or over (-1). */
-    void countInFlight(int change) {
+    void addInFlight(int change) {
         inFlight += change;
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyMeters.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyMeters.java
@@ -95,7 +95,7 @@
         }
 
         /** Shows the service's state, read when the figures are asked for. */
-        void show(ServiceState state) {
+        void registerGauges(ServiceState state) {
             gauge("ridgemill.instance.connections.open", state, ServiceState::openConnections);
             gauge("ridgemill.admission.level", state, s -> s.admission().level());
             gauge("ridgemill.origin.share", state, s -> s.originShare().perSecond());
@@ -106,7 +106,7 @@
         }
 
         /** What was refused and failed since the start, by reason, as pairs for the log; empty if nothing was. */
-        String describe() {
+        String describeRefusals() {
             StringBuilder text = new StringBuilder();
             append(text, "refused_", refused);
             append(text, "failed_", failed);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
@@ -18,22 +18,22 @@
 public final class ProxyProgram {
 
     private static final System.Logger LOG = System.getLogger(ProxyProgram.class.getName());
-    private static final String READINESS = "/ridgemill/readiness";
+    private static final String READINESS_PATH = "/ridgemill/readiness";
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
     private static final long CHECK_INTERVAL_MS = 20;
     /** The share of the grace period after which no new connections are accepted; the platform has noticed by then. */
-    private static final double ACCEPT_SHARE = 0.45;
+    private static final double ACCEPT_GRACE_FRACTION = 0.45;
     /** The share of the grace period after which the process ends whatever is left. */
-    private static final double END_SHARE = 0.92;
+    private static final double EXIT_GRACE_FRACTION = 0.92;
 
     private final Settings settings;
     private final EventLoop loop;
     private final SocketKind sockets;
     private final ControlClient control;
     private final DataPath dataPath;
-    private CallServer readiness;
+    private CallServer readinessServer;
     private boolean listening;
     private boolean draining;
 
@@ -54,15 +54,16 @@
      */
     public void start() {
         if (settings.readyAddress() != null) {
-            readiness = CallServer.listen(loop, sockets, Addresses.parse(settings.readyAddress()), this::tellReadiness);
+            readinessServer =
+                    CallServer.listen(loop, sockets, Addresses.parse(settings.readyAddress()), this::answerReadiness);
         }
         loop.execute(() -> {
             control.start();
-            listenOnceReady();
+            listenWhenReady();
         });
     }
 
-    private void listenOnceReady() {
+    private void listenWhenReady() {
         if (draining) {
             return;
         }
@@ -71,12 +72,12 @@
             listening = true;
             LOG.log(System.Logger.Level.INFO, "event=serving address=" + settings.frontAddress());
         } else {
-            loop.schedule(this::listenOnceReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::listenWhenReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tellReadiness(CallServer.Call call) {
-        int status = !call.path().equals(READINESS) ? NOT_FOUND : listening && !draining ? OK : UNAVAILABLE;
+    private void answerReadiness(CallServer.Call call) {
+        int status = !call.path().equals(READINESS_PATH) ? NOT_FOUND : listening && !draining ? OK : UNAVAILABLE;
         call.answer().accept(CallServer.Answer.empty(status));
     }
 
@@ -93,21 +94,21 @@
             LOG.log(System.Logger.Level.INFO, "event=draining in_flight=" + dataPath.inFlight());
             dataPath.drain();
             long grace = settings.bounds().gracePeriodMs();
-            loop.schedule(() -> stopAccepting(ended), (long) (grace * ACCEPT_SHARE), TimeUnit.MILLISECONDS);
-            loop.schedule(ended, (long) (grace * END_SHARE), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> stopAccepting(ended), (long) (grace * ACCEPT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
+            loop.schedule(ended, (long) (grace * EXIT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
         });
     }
 
     private void stopAccepting(Runnable ended) {
         dataPath.stopAccepting();
-        endOnceIdle(ended);
+        exitWhenIdle(ended);
     }
 
-    private void endOnceIdle(Runnable ended) {
+    private void exitWhenIdle(Runnable ended) {
         if (dataPath.inFlight() == 0) {
             ended.run();
         } else {
-            loop.schedule(() -> endOnceIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> exitWhenIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
@@ -8,7 +8,7 @@
 final class RequestRouter implements Router {
 
     /** When a client is asked to come back while the configuration is not known yet, in milliseconds. */
-    private static final double UNKNOWN_WAIT_MS = 250;
+    private static final double NOT_READY_RETRY_AFTER_MS = 250;
 
     private final ProxyContext context;
 
@@ -18,37 +18,37 @@
 
     /** The exchange for a request; null if it was answered at once, as it has no id, no route or no key. */
     @Override
-    public Exchange route(FrontConnection client, ClientRequest request) {
+    public Exchange route(ClientConnection client, ClientRequest request) {
         if (request.attemptId() == null
                 || request.attemptId().isEmpty()
                 || request.headers().count(ClientRequest.ATTEMPT_ID) != 1) {
-            client.answer(null, FinalAnswer.own(400, null));
+            client.respond(null, FinalResponse.generated(400, null));
             return null;
         }
         Route route = context.control().routing().match(request.host(), request.path());
         if (route == null) {
-            client.answer(
+            client.respond(
                     null,
                     context.control().isReady()
-                            ? FinalAnswer.own(404, request.attemptId())
-                            : FinalAnswer.later(503, request.attemptId(), UNKNOWN_WAIT_MS));
+                            ? FinalResponse.generated(404, request.attemptId())
+                            : FinalResponse.retryLater(503, request.attemptId(), NOT_READY_RETRY_AFTER_MS));
             return null;
         }
         String operationKey = request.headers().get(ClientRequest.OPERATION_KEY);
         if (route.kind() == RouteKind.KEYED_IDEMPOTENT && (operationKey == null || operationKey.isEmpty())) {
-            client.answer(null, FinalAnswer.own(400, request.attemptId()));
+            client.respond(null, FinalResponse.generated(400, request.attemptId()));
             return null;
         }
         double draw = 1 - RendezvousHash.unitInterval(RendezvousHash.hashText(request.attemptId()));
         ServiceState service = context.service(route.destination(draw));
-        service.budget().countRequest(context.now());
+        service.retryBudget().countRequest(context.now());
         return switch (route.kind()) {
             case KEYED_IDEMPOTENT -> new KeyedExchange(context, client, request, route, service, operationKey);
             case CACHEABLE ->
                 isRead(request)
-                        ? new CachedExchange(context, client, request, route, service, context.objects())
-                        : new PassingExchange(context, client, request, route, service);
-            default -> new PassingExchange(context, client, request, route, service);
+                        ? new CachedExchange(context, client, request, route, service, context.fetcher())
+                        : new PassThroughExchange(context, client, request, route, service);
+            default -> new PassThroughExchange(context, client, request, route, service);
         };
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/OwnHeaders.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/RequestSpecificHeaders.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /** Headers of an answer that belong to the one request that it was given to. */
-final class OwnHeaders {
+final class RequestSpecificHeaders {
 
-    private OwnHeaders() {}
+    private RequestSpecificHeaders() {}
 
     /**
      * The other headers, to be given again to other requests.
@@ -14,7 +14,7 @@
      * @param lines names and values in turn
      * @param asCopy whether they are kept with a copy of an object
      */
-    static List<String> without(List<String> lines, boolean asCopy) {
+    static List<String> removeFrom(List<String> lines, boolean asCopy) {
         List<String> kept = new ArrayList<>(lines.size());
         for (int i = 0; i < lines.size(); i += 2) {
             String name = lines.get(i);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Router.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Router.java
@@ -4,5 +4,5 @@
 interface Router {
 
     /** The exchange for a request; null if it was answered at once. */
-    Exchange route(FrontConnection client, ClientRequest request);
+    Exchange route(ClientConnection client, ClientRequest request);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
@@ -19,28 +19,28 @@
 final class ServiceState implements Upstream {
 
     /** An instance's connections are used up to this share of its cap by all processes together. */
-    private static final double CONNECTIONS_USED = 0.9;
+    private static final double CONNECTION_CAP_FRACTION = 0.9;
     /** The part of those that shared caches have at a service whose objects they fetch. */
-    private static final double CACHE_CONNECTIONS = 0.5;
+    private static final double CACHE_CONNECTION_FRACTION = 0.5;
 
-    private static final int UNKNOWN_CAP = 2;
+    private static final int DEFAULT_CONNECTION_CAP = 2;
     /** The part of the retry budget's share that shared caches have, as the edge proxies count the same requests. */
-    private static final double CACHE_RETRIES = 0.25;
+    private static final double CACHE_RETRY_FRACTION = 0.25;
 
-    private static final double BREAKS_WITHIN_MS = 3_000;
+    private static final double CONNECTION_FAILURE_WINDOW_MS = 3_000;
     /** How often figures are logged of a service that refused something, in milliseconds. */
-    private static final double FIGURES_INTERVAL_MS = 5_000;
+    private static final double SUMMARY_INTERVAL_MS = 5_000;
 
     private final ProxyContext context;
     private final String name;
     private final ServiceAdmission admission;
-    private final RetryBudget budget;
+    private final RetryBudget retryBudget;
     private final OriginShare originShare;
     private final RateDivision division;
     private final ServiceMeters meters;
     private final InstanceSet instances;
-    private double figuresAtMs;
-    private double lentShare = Double.NaN;
+    private double nextSummaryAtMs;
+    private double assignedShare = Double.NaN;
 
     ServiceState(ProxyContext context, String name) {
         this.context = context;
@@ -48,14 +48,14 @@
         Bounds bounds = context.settings().bounds();
         double phase = RendezvousHash.unitInterval(
                 RendezvousHash.hashText(context.settings().nodeName() + "/" + name));
-        double ratio = bounds.retryBudgetRatio() * (context.isSharedCache() ? CACHE_RETRIES : 1);
+        double ratio = bounds.retryBudgetRatio() * (context.isSharedCache() ? CACHE_RETRY_FRACTION : 1);
         this.admission = new ServiceAdmission(phase, context.now());
-        this.budget = new RetryBudget(ratio, bounds.retryBudgetSlack(), bounds.retryWindowMs());
+        this.retryBudget = new RetryBudget(ratio, bounds.retryBudgetSlack(), bounds.retryWindowMs());
         this.originShare = new OriginShare(bounds.originCeilingOverage(), bounds.originWindowMs());
         this.division = new RateDivision(bounds.originCeilingOverage(), bounds.originWindowMs());
         this.meters = context.meters().service(name);
         this.instances = new InstanceSet(context, new InstancePicker(), meters, false);
-        meters.show(this);
+        meters.registerGauges(this);
         refresh();
     }
 
@@ -74,8 +74,8 @@
     }
 
     @Override
-    public RetryBudget budget() {
-        return budget;
+    public RetryBudget retryBudget() {
+        return retryBudget;
     }
 
     @Override
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public InstancePool pool(InstanceStats stats) {
+    public ConnectionPool pool(InstanceStats stats) {
         return instances.pool(stats);
     }
 
@@ -99,8 +99,8 @@
     }
 
     /** Sets this process' share of the service's bound on requests a second in place of an even one. */
-    void lend(double perSecond) {
-        lentShare = perSecond;
+    void assignShare(double perSecond) {
+        assignedShare = perSecond;
         refresh();
     }
 
@@ -108,32 +108,32 @@
     void refresh() {
         Service service = context.control().routing().service(name);
         Fleet fleet = context.control().fleet();
-        shareRate(service == null ? 0 : service.ratePerSecond(), fleet);
+        updateRateShare(service == null ? 0 : service.ratePerSecond(), fleet);
         List<Instance> ready = context.control().readyInstances(name);
-        int connections = connections(service, fleet, ready.size());
-        instances.set(
+        int connections = totalConnections(service, fleet, ready.size());
+        instances.update(
                 ready,
                 context.isSharedCache()
-                        ? index -> context.cachePlace().share(connections, index)
+                        ? index -> context.cachePosition().share(connections, index)
                         : index -> fleet.proxies().share(connections, index));
     }
 
-    private void shareRate(double rate, Fleet fleet) {
-        if (rate > 0 && !Double.isNaN(lentShare)) {
-            originShare.setShare(lentShare, context.now());
+    private void updateRateShare(double rate, Fleet fleet) {
+        if (rate > 0 && !Double.isNaN(assignedShare)) {
+            originShare.setShare(assignedShare, context.now());
             return;
         }
         RateDivision.Share part = context.isSharedCache()
-                ? division.forCache(rate, context.cachePlace())
+                ? division.forCache(rate, context.cachePosition())
                 : division.forProxy(rate, fleet.proxies(), !fleet.caches().isEmpty());
         originShare.assign(part, context.now());
     }
 
     /** How many connections the processes of this one's kind may have to one instance together. */
-    private int connections(Service service, Fleet fleet, int instanceCount) {
-        int cap = service == null ? UNKNOWN_CAP : service.connectionCap();
-        int all = Math.max(1, (int) Math.floor(cap * CONNECTIONS_USED));
-        int ofCaches = connectionsOfCaches(all, fleet, instanceCount);
+    private int totalConnections(Service service, Fleet fleet, int instanceCount) {
+        int cap = service == null ? DEFAULT_CONNECTION_CAP : service.connectionCap();
+        int all = Math.max(1, (int) Math.floor(cap * CONNECTION_CAP_FRACTION));
+        int ofCaches = cacheConnections(all, fleet, instanceCount);
         return context.isSharedCache() ? ofCaches : all - ofCaches;
     }
 
@@ -141,12 +141,12 @@
      * How many of an instance's connections shared caches have together: half, but where proxies send other requests there
      * too, no more than leaves one for each proxy over all instances.
      */
-    private int connectionsOfCaches(int all, Fleet fleet, int instanceCount) {
+    private int cacheConnections(int all, Fleet fleet, int instanceCount) {
         RoutingTable routing = context.control().routing();
         if (fleet.caches().isEmpty() || !routing.hasCacheableRoute(name)) {
             return 0;
         }
-        int half = (int) Math.floor(all * CACHE_CONNECTIONS);
+        int half = (int) Math.floor(all * CACHE_CONNECTION_FRACTION);
         if (!routing.hasUncacheableRoute(name) || instanceCount == 0) {
             return half;
         }
@@ -155,41 +155,42 @@
     }
 
     @Override
-    public void await(Delivery delivery) {
-        instances.await(delivery);
+    public void awaitCapacity(UpstreamCall delivery) {
+        instances.awaitCapacity(delivery);
     }
 
     @Override
-    public void forget(Delivery delivery) {
-        instances.forget(delivery);
+    public void stopAwaiting(UpstreamCall delivery) {
+        instances.stopAwaiting(delivery);
     }
 
     @Override
-    public void recall() {
-        instances.recall();
+    public void retryWaiting() {
+        instances.retryWaiting();
     }
 
     /** What is due from time to time. */
     void tick(double nowMs) {
         if (admission.isIntervalOver(nowMs)) {
             int before = admission.level();
-            admission.endInterval(nowMs, picker().hasWidespreadConnectionFailures(nowMs, BREAKS_WITHIN_MS) ? 0 : 1);
+            admission.endInterval(
+                    nowMs, picker().hasWidespreadConnectionFailures(nowMs, CONNECTION_FAILURE_WINDOW_MS) ? 0 : 1);
             if (admission.level() != before) {
-                context.log().line("event=level service=" + name + " level=" + admission.level());
+                context.log().info("event=level service=" + name + " level=" + admission.level());
             }
         }
-        if (nowMs >= figuresAtMs) {
-            figuresAtMs = nowMs + FIGURES_INTERVAL_MS;
-            logFigures();
+        if (nowMs >= nextSummaryAtMs) {
+            nextSummaryAtMs = nowMs + SUMMARY_INTERVAL_MS;
+            logSummary();
         }
         instances.tick(nowMs);
     }
 
-    private void logFigures() {
-        String refusals = meters.describe();
+    private void logSummary() {
+        String refusals = meters.describeRefusals();
         if (!refusals.isEmpty()) {
             context.log()
-                    .line("event=figures service=" + name + " level=" + admission.level() + " open=" + openConnections()
+                    .info("event=figures service=" + name + " level=" + admission.level() + " open=" + openConnections()
                             + meters.describeConnections() + refusals);
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCacheRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCacheRouter.java
@@ -18,19 +18,19 @@
     }
 
     @Override
-    public Exchange route(FrontConnection client, ClientRequest request) {
+    public Exchange route(ClientConnection client, ClientRequest request) {
         Route route = context.control().routing().match(request.host(), request.path());
         String service = request.headers().get(CacheHeaders.SERVICE);
         if (request.attemptId() == null || route == null || !allows(route, request, service)) {
-            client.answer(
+            client.respond(
                     null,
-                    FinalAnswer.later(503, request.attemptId(), 0)
-                            .with(CacheHeaders.REFUSAL, RefusalReason.ROUTE_UNKNOWN.label()));
+                    FinalResponse.retryLater(503, request.attemptId(), 0)
+                            .addHeader(CacheHeaders.REFUSAL, RefusalReason.ROUTE_UNKNOWN.label()));
             return null;
         }
         ServiceState state = context.service(service);
-        state.budget().countRequest(context.now());
-        return new CachedExchange(context, client, request, route, state, context.objects());
+        state.retryBudget().countRequest(context.now());
+        return new CachedExchange(context, client, request, route, state, context.fetcher());
     }
 
     private static boolean allows(Route route, ClientRequest request, String service) {
@@ -38,7 +38,7 @@
                 .filter(destination -> destination.weight() > 0)
                 .map(Destination::service)
                 .anyMatch(name -> name.equals(service));
-        long version = CacheHeaders.number(request.headers(), CacheHeaders.ROUTE_VERSION, Long.MAX_VALUE);
+        long version = CacheHeaders.getLong(request.headers(), CacheHeaders.ROUTE_VERSION, Long.MAX_VALUE);
         return route.kind() == RouteKind.CACHEABLE && leadsThere && route.version() >= version;
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
@@ -23,30 +23,30 @@
     private static final String NAME = "shared-cache";
 
     private final ProxyContext context;
-    private final InstanceSet set;
+    private final InstanceSet instances;
     private final ServiceMeters meters;
-    private final OriginShare unbounded;
+    private final OriginShare unlimitedShare;
 
     SharedCaches(ProxyContext context) {
         this.context = context;
         this.meters = context.meters().service(NAME);
-        this.set = new InstanceSet(context, InstancePicker.singleCandidate(), meters, true);
-        this.unbounded = new OriginShare(
+        this.instances = new InstanceSet(context, InstancePicker.singleCandidate(), meters, true);
+        this.unlimitedShare = new OriginShare(
                 context.settings().bounds().originCeilingOverage(),
                 context.settings().bounds().originWindowMs());
         refresh();
     }
 
     /** Whether there is one to read from. A shared cache itself reads from none. */
-    boolean isAny() {
-        return !set.picker().instances().isEmpty();
+    boolean isAvailable() {
+        return !instances.picker().instances().isEmpty();
     }
 
     /** Takes in which shared caches there are. */
     void refresh() {
         List<CacheNode> nodes =
                 context.isSharedCache() ? List.of() : context.control().fleet().caches();
-        set.set(nodes.stream().map(SharedCaches::instance).toList(), index -> SLOTS);
+        instances.update(nodes.stream().map(SharedCaches::instance).toList(), index -> SLOTS);
     }
 
     private static Instance instance(CacheNode node) {
@@ -54,44 +54,44 @@
     }
 
     /** The way to a service's objects over the shared caches; attempts draw on the service's budget and teach its admission. */
-    Upstream of(ServiceState service) {
-        return new Way(service);
+    Upstream upstreamFor(ServiceState service) {
+        return new CacheUpstream(service);
     }
 
     void tick(double nowMs) {
-        set.tick(nowMs);
+        instances.tick(nowMs);
     }
 
     void close() {
-        set.close();
+        instances.close();
     }
 
-    private final class Way implements Upstream {
+    private final class CacheUpstream implements Upstream {
 
         private final ServiceState service;
 
-        private Way(ServiceState service) {
+        private CacheUpstream(ServiceState service) {
             this.service = service;
         }
 
         @Override
         public InstancePicker picker() {
-            return set.picker();
+            return instances.picker();
         }
 
         @Override
-        public InstancePool pool(InstanceStats stats) {
-            return set.pool(stats);
+        public ConnectionPool pool(InstanceStats stats) {
+            return instances.pool(stats);
         }
 
         @Override
         public OriginShare originShare() {
-            return unbounded;
+            return unlimitedShare;
         }
 
         @Override
-        public RetryBudget budget() {
-            return service.budget();
+        public RetryBudget retryBudget() {
+            return service.retryBudget();
         }
 
         @Override
@@ -105,18 +105,18 @@
         }
 
         @Override
-        public void await(Delivery delivery) {
-            set.await(delivery);
+        public void awaitCapacity(UpstreamCall delivery) {
+            instances.awaitCapacity(delivery);
         }
 
         @Override
-        public void forget(Delivery delivery) {
-            set.forget(delivery);
+        public void stopAwaiting(UpstreamCall delivery) {
+            instances.stopAwaiting(delivery);
         }
 
         @Override
-        public void recall() {
-            set.recall();
+        public void retryWaiting() {
+            instances.retryWaiting();
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
@@ -13,13 +13,13 @@
     InstancePicker picker();
 
     /** The connections to a place, also while it is leaving. */
-    InstancePool pool(InstanceStats stats);
+    ConnectionPool pool(InstanceStats stats);
 
     /** The bound on requests a second. */
     OriginShare originShare();
 
     /** The bound on attempts beyond each request's first. */
-    RetryBudget budget();
+    RetryBudget retryBudget();
 
     /** Learns from the outcome of each attempt. */
     ServiceAdmission admission();
@@ -27,11 +27,11 @@
     ServiceMeters meters();
 
     /** Lets a delivery know once a place may have room. */
-    void await(Delivery delivery);
+    void awaitCapacity(UpstreamCall delivery);
 
     /** A delivery does not wait any more. */
-    void forget(Delivery delivery);
+    void stopAwaiting(UpstreamCall delivery);
 
     /** Lets those that wait for room try again. */
-    void recall();
+    void retryWaiting();
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
@@ -55,13 +55,13 @@
     private final PurgeCoverage coverage = new PurgeCoverage();
     private final List<ControlListener> listeners = new ArrayList<>();
     private final Map<String, List<Instance>> readyByService = new HashMap<>();
-    private final Optional<CacheNode> cache;
+    private final Optional<CacheNode> sharedCache;
     private RoutingTable routing = RoutingTable.EMPTY;
     private Fleet fleet;
     /** The fleet as settled registries last told it; null before one has. */
     private Fleet settledFleet;
 
-    private boolean offering;
+    private boolean announcing;
 
     /** The client of an edge proxy; it connects when it is started. */
     public ControlClient(Settings settings, EventLoop loop, SocketKind sockets, Clock clock) {
@@ -81,7 +81,7 @@
             Clock clock,
             String program,
             Optional<CacheNode> cache) {
-        this.cache = cache;
+        this.sharedCache = cache;
         this.settings = settings;
         this.loop = loop;
         this.sockets = sockets;
@@ -105,14 +105,14 @@
     }
 
     /** Offers this shared cache to edge proxies, over every registry. */
-    public void offer() {
-        offering = true;
-        cache.ifPresent(node -> registries.values().forEach(feed -> feed.offer(node)));
+    public void announce() {
+        announcing = true;
+        sharedCache.ifPresent(node -> registries.values().forEach(feed -> feed.announce(node)));
     }
 
     /** Ends the connections to all registries, which then tell edge proxies that this process has left. */
     public void withdraw() {
-        offering = false;
+        announcing = false;
         registries.values().forEach(RegistryFeed::close);
     }
 
@@ -120,7 +120,7 @@
         if (!stores.containsKey(host)) {
             StoreFeed feed = new StoreFeed(this);
             stores.put(host, feed);
-            feed.start(held(host, settings.storePort(), feed));
+            feed.start(newLink(host, settings.storePort(), feed));
         }
     }
 
@@ -129,15 +129,15 @@
             if (!registries.containsKey(host)) {
                 RegistryFeed feed = new RegistryFeed(this);
                 registries.put(host, feed);
-                feed.start(held(host, settings.registryPort(), feed));
-                if (offering) {
-                    cache.ifPresent(feed::offer);
+                feed.start(newLink(host, settings.registryPort(), feed));
+                if (announcing) {
+                    sharedCache.ifPresent(feed::announce);
                 }
             }
         }
     }
 
-    private HeldLink held(String host, int port, LinkListener listener) {
+    private HeldLink newLink(String host, int port, LinkListener listener) {
         return new HeldLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
     }
 
@@ -146,10 +146,10 @@
         if (members.addCoreHosts(coreHosts)) {
             connectRegistries();
         }
-        learnVoters(voters);
+        updateVoters(voters);
     }
 
-    private void learnVoters(VoterSet voters) {
+    private void updateVoters(VoterSet voters) {
         if (!members.updateVoters(voters)) {
             return;
         }
@@ -185,15 +185,15 @@
 
     @Override
     public void snapshotReceived(StoreFeed feed, VoterSet voters, List<Item> all) {
-        learnVoters(voters);
+        updateVoters(voters);
         coverage.streamStarted(feed.store(), clock.now());
-        itemsReceived(all);
+        mergeItems(all);
     }
 
     @Override
-    public void newsReceived(VoterSet voters, List<Item> changed, List<Purge> purges) {
-        learnVoters(voters);
-        itemsReceived(changed);
+    public void updateReceived(VoterSet voters, List<Item> changed, List<Purge> purges) {
+        updateVoters(voters);
+        mergeItems(changed);
         for (Purge purge : purges) {
             for (ControlListener listener : listeners) {
                 if (purge.isByTag()) {
@@ -205,7 +205,7 @@
         }
     }
 
-    private void itemsReceived(List<Item> received) {
+    private void mergeItems(List<Item> received) {
         if (items.mergeAll(received).isEmpty()) {
             return;
         }
@@ -242,7 +242,7 @@
         for (Instance instance : instances.all()) {
             boolean serves = instance.state() == InstanceState.READY
                     && instance.service().equals(service);
-            if (serves && !isSilent(instance.id())) {
+            if (serves && !isUnresponsive(instance.id())) {
                 ready.add(instance);
             }
         }
@@ -251,11 +251,11 @@
     }
 
     /** An instance counts as silent if every registry that could know says so. */
-    private boolean isSilent(String instanceId) {
+    private boolean isUnresponsive(String instanceId) {
         boolean silent = false;
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
-                if (!registry.isSilent(instanceId)) {
+                if (!registry.isUnresponsive(instanceId)) {
                     return false;
                 }
                 silent = true;
@@ -313,11 +313,11 @@
 
     @Override
     public boolean isReady() {
-        return !routing.isEmpty() && knowsInstances() && knowsNewestItems();
+        return !routing.isEmpty() && hasInstances() && hasNewestItems();
     }
 
     /** A registry that has run for long enough knows all; one that has just started may know some of each service. */
-    private boolean knowsInstances() {
+    private boolean hasInstances() {
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
                 return true;
@@ -332,7 +332,7 @@
     }
 
     /** A majority of the voters has told its decided items: each order that was confirmed before is on one of them. */
-    private boolean knowsNewestItems() {
+    private boolean hasNewestItems() {
         return voters().hasQuorum(voter -> feedOf(voter) != null);
     }
 
@@ -342,7 +342,7 @@
     }
 
     @Override
-    public boolean hearsPurges() {
+    public boolean receivesPurges() {
         return voters().hasQuorum(
                         voter -> feedOf(voter) != null && feedOf(voter).isLive());
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlView.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlView.java
@@ -31,7 +31,7 @@
      * Whether a majority of the stores can be heard at this moment, so that an acknowledged purge is known here. Not so
      * in a process that is cut off, or that has just gone on after it stood still.
      */
-    boolean hearsPurges();
+    boolean receivesPurges();
 
     /** Adds a listener of changes. */
     void addListener(ControlListener listener);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/OperationRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/OperationRegister.java
@@ -17,7 +17,7 @@
         }
 
         @Override
-        public void finish(Claim claim, RecordedAnswer answer) {
+        public void finish(Claim claim, RecordedResponse answer) {
             throw new IllegalStateException("nothing was claimed");
         }
 
@@ -37,7 +37,7 @@
     void claim(String key, double deadlineMs, Consumer<ClaimOutcome> callback);
 
     /** Records the answer of an operation that ran, so that repeats receive it. */
-    void finish(Claim claim, RecordedAnswer answer);
+    void finish(Claim claim, RecordedResponse answer);
 
     /** Gives a claim back after it is certain that nothing ran and nothing will; the claim must not be used again. */
     void release(Claim claim);
@@ -55,7 +55,7 @@
         record Busy() implements ClaimOutcome {}
 
         /** The operation has run; its answer is to be given again. */
-        record Finished(RecordedAnswer answer) implements ClaimOutcome {}
+        record Finished(RecordedResponse response) implements ClaimOutcome {}
 
         /** No quorum answered in time; nothing was granted and nothing will be. */
         record Unavailable() implements ClaimOutcome {}
@@ -68,5 +68,5 @@
      * @param headers names and values of the end-to-end headers to give again, in turn
      * @param body the whole body
      */
-    record RecordedAnswer(int status, java.util.List<String> headers, byte[] body) {}
+    record RecordedResponse(int status, java.util.List<String> headers, byte[] body) {}
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
@@ -28,20 +28,20 @@
     /** How long a record or a release waits for its confirmation, in milliseconds. */
     private static final long WRITE_TIMEOUT_MS = 3_000;
     /** After how long a record that not all have is sent again, in milliseconds. */
-    private static final long RECORD_AGAIN_MS = 700;
+    private static final long RECORD_RETRY_MS = 700;
     /** How often a record is sent at most, and how often once a majority has it. */
-    private static final int MOST_ROUNDS = 25;
+    private static final int MAX_ROUNDS = 25;
 
     private static final int ROUNDS_WITH_MAJORITY = 4;
     /** Pause after a split vote, with as much again at random, in milliseconds. */
-    private static final long SPLIT_PAUSE_MS = 20;
+    private static final long SPLIT_VOTE_PAUSE_MS = 20;
 
     private static final System.Logger LOG = System.getLogger(QuorumRegister.class.getName());
 
     private final ControlClient control;
     private final EventLoop loop;
     private final Clock clock;
-    private final String lifeId = UUID.randomUUID().toString();
+    private final String incarnationId = UUID.randomUUID().toString();
     private long nextClaim = 1;
 
     /** A register that asks the stores which the client knows. */
@@ -58,14 +58,14 @@
             callback.accept(new ClaimOutcome.Unavailable());
             return;
         }
-        new Round(key, deadlineMs, voters, callback).begin();
+        new ClaimRound(key, deadlineMs, voters, callback).start();
     }
 
     @Override
-    public void finish(Claim claim, RecordedAnswer answer) {
+    public void finish(Claim claim, RecordedResponse answer) {
         byte[] encoded;
         try {
-            encoded = RecordedAnswerCodec.encode(answer);
+            encoded = RecordedResponseCodec.encode(answer);
         } catch (IOException impossible) {
             LOG.log(System.Logger.Level.ERROR, "event=answer_not_recorded key=" + claim.key());
             return;
@@ -78,7 +78,7 @@
 
         private final Claim claim;
         private final byte[] encoded;
-        private final Set<Voter> written = new HashSet<>();
+        private final Set<Voter> recordedAt = new HashSet<>();
         private int rounds;
 
         Recording(Claim claim, byte[] encoded) {
@@ -89,26 +89,26 @@
         void send() {
             rounds++;
             for (StoreFeed feed : control.voterFeeds()) {
-                if (feed.store() == null || !written.contains(feed.store())) {
+                if (feed.store() == null || !recordedAt.contains(feed.store())) {
                     feed.call(
                             callId -> new StoreMessages.FinishKey(callId, claim.key(), claim.claimId(), encoded),
                             WRITE_TIMEOUT_MS,
-                            this::answered);
+                            this::writeEnded);
                 }
             }
-            loop.schedule(this::sendAgain, RECORD_AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::sendAgain, RECORD_RETRY_MS, TimeUnit.MILLISECONDS);
         }
 
-        private void answered(Either<CallFailure, Message.Reply> result) {
+        private void writeEnded(Either<CallFailure, Message.Reply> result) {
             if (result.isRight() && result.get() instanceof StoreMessages.Written done && done.durable()) {
-                written.add(done.store());
+                recordedAt.add(done.store());
             }
         }
 
         private void sendAgain() {
-            boolean everywhere = control.voters().members().stream().allMatch(written::contains);
-            boolean enough = control.voters().hasQuorum(written::contains);
-            if (!everywhere && rounds < (enough ? ROUNDS_WITH_MAJORITY : MOST_ROUNDS)) {
+            boolean everywhere = control.voters().members().stream().allMatch(recordedAt::contains);
+            boolean enough = control.voters().hasQuorum(recordedAt::contains);
+            if (!everywhere && rounds < (enough ? ROUNDS_WITH_MAJORITY : MAX_ROUNDS)) {
                 send();
             }
         }
@@ -125,36 +125,36 @@
     }
 
     /** One vote on one claim. */
-    private final class Round {
+    private final class ClaimRound {
 
         private final String key;
         private final double deadlineMs;
         private final VoterSet voters;
         private final Consumer<ClaimOutcome> callback;
         private final Claim claim;
-        private final ClaimTally vote;
+        private final ClaimTally tally;
         private boolean decided;
 
-        Round(String key, double deadlineMs, VoterSet voters, Consumer<ClaimOutcome> callback) {
+        ClaimRound(String key, double deadlineMs, VoterSet voters, Consumer<ClaimOutcome> callback) {
             this.key = key;
             this.deadlineMs = deadlineMs;
             this.voters = voters;
             this.callback = callback;
-            this.claim = new Claim(key, lifeId + "-" + nextClaim++);
-            this.vote = new ClaimTally(claim.claimId(), voters);
+            this.claim = new Claim(key, incarnationId + "-" + nextClaim++);
+            this.tally = new ClaimTally(claim.claimId(), voters);
         }
 
-        void begin() {
+        void start() {
             long timeoutMs = (long) Math.min(VOTE_TIMEOUT_MS, Math.max(1, deadlineMs - clock.now()));
             for (Voter voter : voters.members()) {
                 StoreFeed feed = control.feedOf(voter);
                 if (feed == null) {
-                    vote.countUnavailable(voter);
+                    tally.countUnavailable(voter);
                 } else {
                     feed.call(
                             callId -> new StoreMessages.ClaimKey(callId, voters.epoch(), key, claim.claimId()),
                             timeoutMs,
-                            result -> counted(voter, result));
+                            result -> voteEnded(voter, result));
                 }
             }
             if (!decided) {
@@ -162,27 +162,27 @@
             }
         }
 
-        private void counted(Voter voter, Either<CallFailure, Message.Reply> result) {
+        private void voteEnded(Voter voter, Either<CallFailure, Message.Reply> result) {
             if (result.isRight() && result.get() instanceof StoreMessages.KeyStatus status) {
-                count(voter, status);
+                countVote(voter, status);
             } else {
-                vote.countUnavailable(voter);
+                tally.countUnavailable(voter);
             }
             if (!decided) {
                 decide();
             }
         }
 
-        private void count(Voter voter, StoreMessages.KeyStatus status) {
+        private void countVote(Voter voter, StoreMessages.KeyStatus status) {
             switch (status.availability()) {
-                case VOTES -> vote.countVote(voter, status.state(), status.claimId(), status.answer());
-                case OTHER_EPOCH -> vote.countEpochMismatch(voter);
-                case UNAVAILABLE -> vote.countUnavailable(voter);
+                case VOTES -> tally.countVote(voter, status.state(), status.claimId(), status.answer());
+                case OTHER_EPOCH -> tally.countEpochMismatch(voter);
+                case UNAVAILABLE -> tally.countUnavailable(voter);
             }
         }
 
         private void decide() {
-            ClaimTally.Result result = vote.result();
+            ClaimTally.Result result = tally.result();
             if (result == ClaimTally.Result.OPEN) {
                 return;
             }
@@ -191,7 +191,7 @@
                 case GRANTED -> callback.accept(new ClaimOutcome.Granted(claim));
                 case FINISHED -> {
                     release(claim);
-                    callback.accept(finished());
+                    callback.accept(finishedOutcome());
                 }
                 case HELD_BY_OTHER -> {
                     release(claim);
@@ -199,7 +199,7 @@
                 }
                 case SPLIT -> {
                     release(claim);
-                    claimAgain();
+                    retry();
                 }
                 default -> {
                     release(claim);
@@ -208,17 +208,17 @@
             }
         }
 
-        private ClaimOutcome finished() {
+        private ClaimOutcome finishedOutcome() {
             try {
-                return new ClaimOutcome.Finished(RecordedAnswerCodec.decode(vote.answer()));
+                return new ClaimOutcome.Finished(RecordedResponseCodec.decode(tally.answer()));
             } catch (IOException unreadable) {
                 LOG.log(System.Logger.Level.ERROR, "event=recorded_answer_unreadable key=" + key);
                 return new ClaimOutcome.Busy();
             }
         }
 
-        private void claimAgain() {
-            long pauseMs = SPLIT_PAUSE_MS + ThreadLocalRandom.current().nextLong(SPLIT_PAUSE_MS);
+        private void retry() {
+            long pauseMs = SPLIT_VOTE_PAUSE_MS + ThreadLocalRandom.current().nextLong(SPLIT_VOTE_PAUSE_MS);
             if (clock.now() + pauseMs >= deadlineMs) {
                 callback.accept(new ClaimOutcome.Busy());
             } else {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedAnswerCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
@@ -8,11 +8,11 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** The form in which stores keep recorded answers, which they do not read. */
-final class RecordedAnswerCodec {
+final class RecordedResponseCodec {
 
-    private RecordedAnswerCodec() {}
+    private RecordedResponseCodec() {}
 
-    static byte[] encode(OperationRegister.RecordedAnswer answer) throws IOException {
+    static byte[] encode(OperationRegister.RecordedResponse answer) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packInt(answer.status());
             packer.packArrayHeader(answer.headers().size());
@@ -25,7 +25,7 @@
         }
     }
 
-    static OperationRegister.RecordedAnswer decode(byte[] encoded) throws IOException {
+    static OperationRegister.RecordedResponse decode(byte[] encoded) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(encoded)) {
             int status = unpacker.unpackInt();
             int count = unpacker.unpackArrayHeader();
@@ -34,7 +34,7 @@
                 headers.add(unpacker.unpackString());
             }
             byte[] body = unpacker.readPayload(unpacker.unpackBinaryHeader());
-            return new OperationRegister.RecordedAnswer(status, headers, body);
+            return new OperationRegister.RecordedResponse(status, headers, body);
         } catch (RuntimeException malformed) {
             throw new IOException("a recorded answer can't be read", malformed);
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
@@ -31,11 +31,11 @@
 
     private final Receiver receiver;
     private HeldLink link;
-    private Set<String> silent = Set.of();
+    private Set<String> unresponsive = Set.of();
     private boolean settled;
     private boolean connected;
     private Fleet fleet = Fleet.ALONE;
-    private Optional<CacheNode> offered = Optional.empty();
+    private Optional<CacheNode> announcedCache = Optional.empty();
 
     RegistryFeed(Receiver receiver) {
         this.receiver = receiver;
@@ -47,8 +47,8 @@
     }
 
     /** Offers this process as a shared cache, now and whenever the registry is connected again. */
-    void offer(CacheNode cache) {
-        offered = Optional.of(cache);
+    void announce(CacheNode cache) {
+        announcedCache = Optional.of(cache);
         link.send(new RegistryMessages.OfferCache(cache));
     }
 
@@ -68,8 +68,8 @@
     }
 
     /** Whether the registry has not heard an instance for too long. */
-    boolean isSilent(String instanceId) {
-        return silent.contains(instanceId);
+    boolean isUnresponsive(String instanceId) {
+        return unresponsive.contains(instanceId);
     }
 
     /** Who shares the services' bounds, as the registry last told. */
@@ -80,22 +80,22 @@
     @Override
     public void opened(Link opened) {
         opened.send(new RegistryMessages.Subscribe("", 0));
-        offered.ifPresent(cache -> opened.send(new RegistryMessages.OfferCache(cache)));
+        announcedCache.ifPresent(cache -> opened.send(new RegistryMessages.OfferCache(cache)));
     }
 
     @Override
     public void received(Link from, Message message) {
         if (message instanceof RegistryMessages.Snapshot snapshot) {
             connected = true;
-            take(from, snapshot.number(), snapshot.overview());
+            apply(from, snapshot.number(), snapshot.overview());
         } else if (message instanceof RegistryMessages.News news) {
-            take(from, news.number(), news.overview());
+            apply(from, news.number(), news.overview());
         }
     }
 
-    private void take(Link from, long number, RegistryMessages.Overview overview) {
+    private void apply(Link from, long number, RegistryMessages.Overview overview) {
         settled = overview.settled();
-        silent = Set.copyOf(overview.silent());
+        unresponsive = Set.copyOf(overview.silent());
         fleet = overview.fleet();
         receiver.membersReceived(overview.registries(), overview.voters());
         receiver.instancesReceived(overview.instances());
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
@@ -25,13 +25,13 @@
         void snapshotReceived(StoreFeed feed, VoterSet voters, List<Item> items);
 
         /** The store told of changes. */
-        void newsReceived(VoterSet voters, List<Item> items, List<Purge> purges);
+        void updateReceived(VoterSet voters, List<Item> items, List<Purge> purges);
     }
 
     private final Receiver receiver;
     private HeldLink link;
-    private String lifeId = "";
-    private long number;
+    private String incarnationId = "";
+    private long lastNumber;
     private Voter store;
 
     StoreFeed(Receiver receiver) {
@@ -66,34 +66,34 @@
 
     @Override
     public void opened(Link opened) {
-        opened.send(new StoreMessages.Subscribe(lifeId, number));
+        opened.send(new StoreMessages.Subscribe(incarnationId, lastNumber));
     }
 
     @Override
     public void received(Link from, Message message) {
         if (message instanceof StoreMessages.Snapshot snapshot) {
-            lifeId = snapshot.lifeId();
-            number = snapshot.number();
+            incarnationId = snapshot.lifeId();
+            lastNumber = snapshot.number();
             store = snapshot.store();
             receiver.snapshotReceived(this, snapshot.voters(), snapshot.items());
-            from.send(new StoreMessages.NewsAcknowledged(number));
+            from.send(new StoreMessages.NewsAcknowledged(lastNumber));
         } else if (message instanceof StoreMessages.News news) {
-            newsReceived(from, news);
+            applyUpdate(from, news);
         }
     }
 
-    private void newsReceived(Link from, StoreMessages.News news) {
-        if (news.number() <= number) {
+    private void applyUpdate(Link from, StoreMessages.News news) {
+        if (news.number() <= lastNumber) {
             return;
         }
-        if (news.number() != number + 1) {
+        if (news.number() != lastNumber + 1) {
             // A gap would hide purges: asking anew brings what is missing, or a snapshot.
-            from.send(new StoreMessages.Subscribe(lifeId, number));
+            from.send(new StoreMessages.Subscribe(incarnationId, lastNumber));
             return;
         }
-        number = news.number();
-        receiver.newsReceived(news.voters(), news.items(), news.purges());
-        from.send(new StoreMessages.NewsAcknowledged(number));
+        lastNumber = news.number();
+        receiver.updateReceived(news.voters(), news.items(), news.purges());
+        from.send(new StoreMessages.NewsAcknowledged(lastNumber));
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
@@ -5,21 +5,23 @@
 /** Reads single header lines and their values. */
 final class HeaderLine {
 
-    private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
-    private static final int MOST_DIGITS = 18;
-    private static final boolean[] TOKEN = new boolean[128];
+    private static final String TOKEN_SYMBOLS = "!#$%&'*+-.^_`|~";
+    private static final int MAX_LENGTH_DIGITS = 18;
+    private static final boolean[] TOKEN_CHARS = new boolean[128];
 
     static {
-        for (int c = 0; c < TOKEN.length; c++) {
-            TOKEN[c] =
-                    c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || TOKEN_MARKS.indexOf(c) >= 0;
+        for (int c = 0; c < TOKEN_CHARS.length; c++) {
+            TOKEN_CHARS[c] = c >= '0' && c <= '9'
+                    || c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || TOKEN_SYMBOLS.indexOf(c) >= 0;
         }
     }
 
     private HeaderLine() {}
 
     /** Reads a line into the headers. A line that goes on with the one before it is refused, as is any odd name. */
-    static void read(byte[] bytes, int start, int end, Headers into) throws BadMessageException {
+    static void parse(byte[] bytes, int start, int end, Headers into) throws BadMessageException {
         int colon = start;
         while (colon < end && isToken(bytes[colon])) {
             colon++;
@@ -46,8 +48,8 @@
     }
 
     /** The value of a Content-Length header. */
-    static long length(String text) throws BadMessageException {
-        if (text.isEmpty() || text.length() > MOST_DIGITS) {
+    static long parseContentLength(String text) throws BadMessageException {
+        if (text.isEmpty() || text.length() > MAX_LENGTH_DIGITS) {
             throw new BadMessageException(text.isEmpty() ? 400 : 413, "a length out of bounds");
         }
         for (int i = 0; i < text.length(); i++) {
@@ -61,7 +63,7 @@
     /** Whether a text is a token, as methods and names of headers are. */
     static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) >= TOKEN.length || !TOKEN[text.charAt(i)]) {
+            if (text.charAt(i) >= TOKEN_CHARS.length || !TOKEN_CHARS[text.charAt(i)]) {
                 return false;
             }
         }
@@ -69,7 +71,7 @@
     }
 
     private static boolean isToken(byte b) {
-        return b >= 0 && TOKEN[b];
+        return b >= 0 && TOKEN_CHARS[b];
     }
 
     private static boolean isSpace(byte b) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/Headers.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/Headers.java
@@ -85,9 +85,9 @@
     }
 
     /** Whether a line of this name lists this word, which is given in lower case. */
-    public boolean lists(String name, String word) {
+    public boolean containsToken(String name, String word) {
         for (int i = 0; i < lines.size(); i += 2) {
-            if (lines.get(i).equalsIgnoreCase(name) && listed(lines.get(i + 1), word)) {
+            if (lines.get(i).equalsIgnoreCase(name) && hasListElement(lines.get(i + 1), word)) {
                 return true;
             }
         }
@@ -100,7 +100,7 @@
         boolean names = get("Connection") != null;
         for (int i = 0; i < lines.size(); i += 2) {
             String name = lines.get(i);
-            if (!isHopByHop(name) && !(names && lists("Connection", name.toLowerCase(Locale.ROOT)))) {
+            if (!isHopByHop(name) && !(names && containsToken("Connection", name.toLowerCase(Locale.ROOT)))) {
                 kept.add(name, lines.get(i + 1));
             }
         }
@@ -116,7 +116,7 @@
         return false;
     }
 
-    private static boolean listed(String value, String word) {
+    private static boolean hasListElement(String value, String word) {
         int start = 0;
         while (start <= value.length()) {
             int comma = value.indexOf(',', start);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -11,19 +11,19 @@
 public abstract class MessageReader {
 
     private static final byte[] EMPTY = {};
-    private static final int LONGEST_CHUNK_LINE = 1_024;
-    private static final int MOST_CHUNK_DIGITS = 8;
+    private static final int MAX_CHUNK_LINE_BYTES = 1_024;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
     /** A body takes this much at once at most, whatever length its head states. */
-    private static final int FIRST_PIECE = 256 * 1_024;
+    private static final int INITIAL_BODY_BYTES = 256 * 1_024;
 
     private enum State {
         HEAD,
         FIXED,
-        CHUNK_LINE,
+        CHUNK_HEADER,
         CHUNK,
         CHUNK_END,
         TRAILER,
-        WHOLE
+        COMPLETE
     }
 
     private State state = State.HEAD;
@@ -31,7 +31,7 @@
     private int trailerBytes;
     private byte[] body = EMPTY;
     private int filled;
-    private long left;
+    private long remaining;
     private Headers headers;
 
     /** Reads the first line of a head. */
@@ -56,18 +56,18 @@
      * @throws BadMessageException if it can't be one; the connection is of no use any more
      */
     public final boolean read(ByteBuf in) throws BadMessageException {
-        while (state != State.WHOLE) {
+        while (state != State.COMPLETE) {
             boolean more = switch (state) {
                 case HEAD -> readHead(in);
-                case FIXED -> readBody(in, State.WHOLE);
-                case CHUNK_LINE -> readChunkLine(in);
+                case FIXED -> readBody(in, State.COMPLETE);
+                case CHUNK_HEADER -> readChunkLine(in);
                 case CHUNK -> readBody(in, State.CHUNK_END);
                 case CHUNK_END -> readChunkEnd(in);
                 case TRAILER -> readTrailer(in);
-                case WHOLE -> false;
+                case COMPLETE -> false;
             };
             if (!more) {
-                return state == State.WHOLE;
+                return state == State.COMPLETE;
             }
         }
         return true;
@@ -95,7 +95,7 @@
         trailerBytes = 0;
         body = EMPTY;
         filled = 0;
-        left = 0;
+        remaining = 0;
         headers = null;
     }
 
@@ -112,9 +112,9 @@
         headers = new Headers();
         for (int start = lineEnd + 2; bytes[start] != '\r'; start = lineEnd + 2) {
             lineEnd = endOfLine(bytes, start);
-            HeaderLine.read(bytes, start, lineEnd, headers);
+            HeaderLine.parse(bytes, start, lineEnd, headers);
         }
-        frame();
+        startBody();
         return true;
     }
 
@@ -151,58 +151,58 @@
         return at;
     }
 
-    private void frame() throws BadMessageException {
+    private void startBody() throws BadMessageException {
         int codings = headers.count("Transfer-Encoding");
         int lengths = headers.count("Content-Length");
         if (codings > 0) {
             if (lengths > 0 || codings > 1 || !"chunked".equalsIgnoreCase(headers.get("Transfer-Encoding"))) {
                 throw new BadMessageException(400, "the coding leaves the length open");
             }
-            state = isBodiless() ? State.WHOLE : State.CHUNK_LINE;
+            state = isBodiless() ? State.COMPLETE : State.CHUNK_HEADER;
         } else if (lengths > 1) {
             throw new BadMessageException(400, "more than one length");
         } else if (lengths == 1) {
-            fixed(HeaderLine.length(headers.get("Content-Length")));
+            startFixedBody(HeaderLine.parseContentLength(headers.get("Content-Length")));
         } else if (isBodiless() || isEmptyWithoutLength()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
         } else {
             throw new BadMessageException(400, "nothing tells the end of the body");
         }
     }
 
-    private void fixed(long length) throws BadMessageException {
+    private void startFixedBody(long length) throws BadMessageException {
         if (isBodiless()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
             return;
         }
         if (length > maxBodyBytes()) {
             throw new BadMessageException(413, "the body is too long");
         }
-        left = length;
-        body = length == 0 ? EMPTY : new byte[(int) Math.min(length, FIRST_PIECE)];
-        state = length == 0 ? State.WHOLE : State.FIXED;
+        remaining = length;
+        body = length == 0 ? EMPTY : new byte[(int) Math.min(length, INITIAL_BODY_BYTES)];
+        state = length == 0 ? State.COMPLETE : State.FIXED;
     }
 
     private boolean readBody(ByteBuf in, State next) {
-        int take = (int) Math.min(left, in.readableBytes());
+        int take = (int) Math.min(remaining, in.readableBytes());
         if (take == 0) {
             return false;
         }
         if (filled + take > body.length) {
-            long wanted = Math.max(filled + take, Math.min(2L * body.length, filled + left));
+            long wanted = Math.max(filled + take, Math.min(2L * body.length, filled + remaining));
             body = Arrays.copyOf(body, (int) wanted);
         }
         in.readBytes(body, filled, take);
         filled += take;
-        left -= take;
-        if (left == 0) {
+        remaining -= take;
+        if (remaining == 0) {
             state = next;
         }
-        return left == 0;
+        return remaining == 0;
     }
 
     private boolean readChunkLine(ByteBuf in) throws BadMessageException {
-        String line = line(in, LONGEST_CHUNK_LINE);
+        String line = readLine(in, MAX_CHUNK_LINE_BYTES);
         if (line == null) {
             return false;
         }
@@ -210,14 +210,14 @@
         while (digits < line.length() && Character.digit(line.charAt(digits), 16) >= 0 && line.charAt(digits) < 128) {
             digits++;
         }
-        if (digits == 0 || digits > MOST_CHUNK_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
+        if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
             throw new BadMessageException(400, "a chunk without a length");
         }
-        left = Long.parseLong(line.substring(0, digits), 16);
-        if (filled + left > maxBodyBytes()) {
+        remaining = Long.parseLong(line.substring(0, digits), 16);
+        if (filled + remaining > maxBodyBytes()) {
             throw new BadMessageException(413, "the body is too long");
         }
-        state = left == 0 ? State.TRAILER : State.CHUNK;
+        state = remaining == 0 ? State.TRAILER : State.CHUNK;
         return true;
     }
 
@@ -228,13 +228,13 @@
         if (in.readByte() != '\r' || in.readByte() != '\n') {
             throw new BadMessageException(400, "a chunk is longer than it says");
         }
-        state = State.CHUNK_LINE;
+        state = State.CHUNK_HEADER;
         return true;
     }
 
     /** Reads and drops the lines behind the last chunk. */
     private boolean readTrailer(ByteBuf in) throws BadMessageException {
-        String line = line(in, maxHeadBytes());
+        String line = readLine(in, maxHeadBytes());
         if (line == null) {
             return false;
         }
@@ -243,15 +243,15 @@
             throw new BadMessageException(431, "the trailer is too long");
         }
         if (line.isEmpty()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
         } else {
             byte[] bytes = line.getBytes(StandardCharsets.ISO_8859_1);
-            HeaderLine.read(bytes, 0, bytes.length, new Headers());
+            HeaderLine.parse(bytes, 0, bytes.length, new Headers());
         }
         return true;
     }
 
-    private static String line(ByteBuf in, int most) throws BadMessageException {
+    private static String readLine(ByteBuf in, int most) throws BadMessageException {
         int start = in.readerIndex();
         int lineFeed = in.indexOf(start, in.writerIndex(), (byte) '\n');
         if (lineFeed < 0) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageWriter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageWriter.java
@@ -11,16 +11,16 @@
 public final class MessageWriter {
 
     /** Bodies up to this are copied behind their heads, so that one write takes both. */
-    private static final int COPIED = 8 * 1_024;
+    private static final int MAX_COPIED_BODY_BYTES = 8 * 1_024;
 
-    private static final int HEAD = 1_024;
+    private static final int INITIAL_HEAD_BYTES = 1_024;
 
     private MessageWriter() {}
 
     /** The bytes of a request; {@code headers} have no length of the body, which is added. */
     public static ByteBuf request(
             ByteBufAllocator allocator, String method, String target, Headers headers, byte[] body) {
-        ByteBuf out = allocator.buffer(HEAD + Math.min(COPIED, body.length));
+        ByteBuf out = allocator.buffer(INITIAL_HEAD_BYTES + Math.min(MAX_COPIED_BODY_BYTES, body.length));
         text(out, method);
         out.writeByte(' ');
         text(out, target);
@@ -37,13 +37,13 @@
      * @param more further lines, whole and with their ends
      * @param length the length to state; negative for none
      */
-    public static ByteBuf answer(
+    public static ByteBuf response(
             ByteBufAllocator allocator, int status, List<String> headers, String more, long length, byte[] body) {
-        ByteBuf out = allocator.buffer(HEAD + Math.min(COPIED, body.length));
+        ByteBuf out = allocator.buffer(INITIAL_HEAD_BYTES + Math.min(MAX_COPIED_BODY_BYTES, body.length));
         text(out, "HTTP/1.1 ");
         text(out, Integer.toString(status));
         out.writeByte(' ');
-        text(out, reason(status));
+        text(out, reasonPhrase(status));
         text(out, "\r\n");
         lines(out, headers);
         text(out, more);
@@ -57,7 +57,7 @@
             text(out, "\r\n");
         }
         text(out, "\r\n");
-        if (body.length <= COPIED) {
+        if (body.length <= MAX_COPIED_BODY_BYTES) {
             return out.writeBytes(body);
         }
         return Unpooled.wrappedBuffer(out, Unpooled.wrappedBuffer(body));
@@ -89,7 +89,7 @@
         return true;
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 206 -> "Partial Content";
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
@@ -7,10 +7,10 @@
     private long maxBodyBytes;
     private String method;
     private String target;
-    private boolean oldVersion;
+    private boolean http10;
 
     /** Bounds what is read from now on. */
-    public void limits(int headBytes, long bodyBytes) {
+    public void setLimits(int headBytes, long bodyBytes) {
         maxHeadBytes = headBytes;
         maxBodyBytes = bodyBytes;
     }
@@ -27,7 +27,7 @@
 
     /** Whether the client wants the connection to stay open. */
     public boolean isKeepAlive() {
-        return !oldVersion && !headers().lists("Connection", "close");
+        return !http10 && !headers().containsToken("Connection", "close");
     }
 
     /** Whether the client waits for a word before it sends the body. */
@@ -45,13 +45,13 @@
         method = line.substring(0, first);
         target = line.substring(first + 1, second);
         String version = line.substring(second + 1);
-        oldVersion = version.equals("HTTP/1.0");
-        if (!HeaderLine.isToken(method) || !isPath(target) || !oldVersion && !version.equals("HTTP/1.1")) {
+        http10 = version.equals("HTTP/1.0");
+        if (!HeaderLine.isToken(method) || !isOriginForm(target) || !http10 && !version.equals("HTTP/1.1")) {
             throw new BadMessageException(400, "the request line makes no sense");
         }
     }
 
-    private static boolean isPath(String text) {
+    private static boolean isOriginForm(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= 127 || text.charAt(i) == '#') {
                 return false;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/AnswerReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
@@ -1,20 +1,20 @@
 package ridgemill.cdn.proxy.http;
 
 /** Reads answers. One whose end only the end of the connection would tell is refused: it could have been cut. */
-public final class AnswerReader extends MessageReader {
+public final class ResponseReader extends MessageReader {
 
     private static final int MAX_HEAD_BYTES = 32 * 1_024;
     private static final long MAX_BODY_BYTES = 32L * 1_024 * 1_024;
-    private static final int STATUS_AT = 9;
+    private static final int STATUS_START = 9;
     private static final int STATUS_END = 12;
 
     private int status;
-    private boolean toHead;
-    private boolean oldVersion;
+    private boolean headRequest;
+    private boolean http10;
 
     /** Says whether the next answer is to a HEAD request, and so has no body. */
-    public void toHead(boolean isToHead) {
-        toHead = isToHead;
+    public void setHeadRequest(boolean isToHead) {
+        headRequest = isToHead;
     }
 
     /** The status. */
@@ -24,19 +24,19 @@
 
     /** Whether the connection stays open behind this answer. */
     public boolean isKeepAlive() {
-        return !oldVersion && !headers().lists("Connection", "close");
+        return !http10 && !headers().containsToken("Connection", "close");
     }
 
     @Override
     void startLine(String line) throws BadMessageException {
-        oldVersion = line.startsWith("HTTP/1.0 ");
-        if (!oldVersion && !line.startsWith("HTTP/1.1 ")
+        http10 = line.startsWith("HTTP/1.0 ");
+        if (!http10 && !line.startsWith("HTTP/1.1 ")
                 || line.length() < STATUS_END
                 || line.length() > STATUS_END && line.charAt(STATUS_END) != ' ') {
             throw new BadMessageException(502, "no status line");
         }
         status = 0;
-        for (int i = STATUS_AT; i < STATUS_END; i++) {
+        for (int i = STATUS_START; i < STATUS_END; i++) {
             int digit = line.charAt(i) - '0';
             if (digit < 0 || digit > 9) {
                 throw new BadMessageException(502, "no status");
@@ -50,7 +50,7 @@
 
     @Override
     boolean isBodiless() {
-        return toHead || status == 204 || status == 304;
+        return headRequest || status == 204 || status == 304;
     }
 
     @Override
--- a/cdn/src/test/java/ridgemill/cdn/proxy/JumpingTimers.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/AdvanceableTimers.java
@@ -6,28 +6,28 @@
 import ridgemill.gateway.net.LoopTimers;
 
 /** A loop's timers whose time a test may move on, as if the process had stood still: timers are late then. */
-final class JumpingTimers implements Timers {
+final class AdvanceableTimers implements Timers {
 
     private final Clock clock = new Clock();
     private final LoopTimers timers;
-    private volatile double jumpedMs;
+    private volatile double advancedMs;
 
-    JumpingTimers(EventLoop loop) {
+    AdvanceableTimers(EventLoop loop) {
         timers = new LoopTimers(loop, clock);
     }
 
     /** Time passes without anything being done. */
-    void jump(double ms) {
-        jumpedMs += ms;
+    void advance(double ms) {
+        advancedMs += ms;
     }
 
     @Override
     public double now() {
-        return clock.now() + jumpedMs;
+        return clock.now() + advancedMs;
     }
 
     @Override
     public Timer scheduleAt(double atMs, Runnable task) {
-        return timers.scheduleAt(atMs - jumpedMs, task);
+        return timers.scheduleAt(atMs - advancedMs, task);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
@@ -15,7 +15,7 @@
     private static final double CACHE_TTL_MS = 60_000;
 
     private ProxyFixture proxy;
-    private StandInInstance origin;
+    private StubInstance origin;
 
     @BeforeEach
     void start() throws Exception {
@@ -28,12 +28,12 @@
         proxy.close();
     }
 
-    private static StandInInstance.Script object(String body) {
-        return (request, socket) -> StandInInstance.write(
+    private static StubInstance.Script object(String body) {
+        return (request, socket) -> StubInstance.write(
                 socket,
                 "\"1\"".equals(request.header("If-None-Match"))
-                        ? "HTTP/1.1 304 X\r\nX-Attempt-Id: " + request.id() + "\r\nETag: \"1\"\r\n\r\n"
-                        : StandInInstance.answer(request, 200, HEADERS, body));
+                        ? "HTTP/1.1 304 X\r\nX-Attempt-Id: " + request.attemptId() + "\r\nETag: \"1\"\r\n\r\n"
+                        : StubInstance.response(request, 200, HEADERS, body));
     }
 
     private void purgePath(String path) throws Exception {
@@ -45,65 +45,66 @@
     }
 
     @Test
-    void aCopyIsGivenToOthersWithItsStamp() throws Exception {
-        proxy.ask("GET", "/c/1", "1", "");
-        ProxyFixture.Reply reply = proxy.ask("GET", "/c/1", "2", "");
+    void copyIsServedToOtherRequestsWithItsSeal() throws Exception {
+        proxy.request("GET", "/c/1", "1", "");
+        ProxyFixture.Reply reply = proxy.request("GET", "/c/1", "2", "");
         assertThat(reply.body()).isEqualTo("0123456789");
         assertThat(reply.header("X-Response-Seal")).isEqualTo("s");
         assertThat(reply.header("X-Attempt-Id")).isEqualTo("2");
-        assertThat(proxy.ask("GET", "/c/1", "3", "If-None-Match: \"1\"\r\n").status())
+        assertThat(proxy.request("GET", "/c/1", "3", "If-None-Match: \"1\"\r\n").status())
                 .isEqualTo(304);
         assertThat(origin.received).hasSize(1);
     }
 
     @Test
-    void rangesAreCutFromTheWholeObject() throws Exception {
-        ProxyFixture.Reply part = proxy.ask("GET", "/c/1", "1", "Range: bytes=2-4\r\nIf-None-Match: \"0\"\r\n");
+    void rangesAreServedFromTheCompleteObject() throws Exception {
+        ProxyFixture.Reply part = proxy.request("GET", "/c/1", "1", "Range: bytes=2-4\r\nIf-None-Match: \"0\"\r\n");
         assertThat(part.status()).isEqualTo(206);
         assertThat(part.body()).isEqualTo("234");
         assertThat(part.header("Content-Range")).isEqualTo("bytes 2-4/10");
         assertThat(part.header("X-Response-Seal")).isEqualTo("s");
-        assertThat(proxy.ask("GET", "/c/1", "2", "Range: bytes=7-\r\n").body()).isEqualTo("789");
-        ProxyFixture.Reply beyond = proxy.ask("GET", "/c/1", "3", "Range: bytes=10-\r\n");
+        assertThat(proxy.request("GET", "/c/1", "2", "Range: bytes=7-\r\n").body())
+                .isEqualTo("789");
+        ProxyFixture.Reply beyond = proxy.request("GET", "/c/1", "3", "Range: bytes=10-\r\n");
         assertThat(beyond.status()).isEqualTo(416);
         assertThat(beyond.header("Content-Range")).isEqualTo("bytes */10");
-        StandInInstance.Received fetch = origin.take();
+        StubInstance.Received fetch = origin.take();
         assertThat(fetch.header("Range")).isNull();
         assertThat(fetch.header("If-None-Match")).isNull();
         assertThat(origin.received).isEmpty();
     }
 
     @Test
-    void purgesEndTheUseOfCopies() throws Exception {
-        proxy.ask("GET", "/c/1", "1", "");
+    void purgedCopiesAreFetchedAgain() throws Exception {
+        proxy.request("GET", "/c/1", "1", "");
         purgePath("/c/1");
-        proxy.ask("GET", "/c/1", "2", "");
+        proxy.request("GET", "/c/1", "2", "");
         purgeTag("t2");
-        proxy.ask("GET", "/c/1", "3", "");
+        proxy.request("GET", "/c/1", "3", "");
         purgeTag("unknown");
-        proxy.ask("GET", "/c/1", "4", "");
+        proxy.request("GET", "/c/1", "4", "");
         assertThat(origin.received).hasSize(3);
     }
 
     @Test
-    void aCopyThatMayHaveMissedAPurgeIsConfirmedBeforeItsUse() throws Exception {
-        proxy.ask("GET", "/c/1", "1", "");
+    void copyThatMayHaveMissedAPurgeIsRevalidated() throws Exception {
+        proxy.request("GET", "/c/1", "1", "");
         proxy.control.coveredSinceMs = proxy.timers.now();
-        assertThat(proxy.ask("GET", "/c/1", "2", "").body()).isEqualTo("0123456789");
-        proxy.ask("GET", "/c/1", "3", "");
+        assertThat(proxy.request("GET", "/c/1", "2", "").body()).isEqualTo("0123456789");
+        proxy.request("GET", "/c/1", "3", "");
         assertThat(origin.take().header("If-None-Match")).isNull();
         assertThat(origin.take().header("If-None-Match")).isEqualTo("\"1\"");
         assertThat(origin.received).isEmpty();
     }
 
     @Test
-    void whatAFetchBringsAfterAPurgeGoesToThoseWhoAskedBeforeItOnly() throws Exception {
+    void fetchPurgedInFlightServesOnlyRequestsFromBeforeThePurge() throws Exception {
         for (boolean byTag : new boolean[] {true, false}) {
             String path = "/c/" + byTag;
             CountDownLatch purged = new CountDownLatch(1);
             origin.script = (request, socket) -> {
                 purged.await();
-                return object(request.id()).answer(request, socket);
+                return object(request.attemptId()).respond(request, socket);
             };
             ProxyFixture.Client before = proxy.client();
             before.send("GET " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: before\r\n\r\n");
@@ -119,13 +120,13 @@
             purged.countDown();
             assertThat(before.read().body()).isEqualTo("before");
             assertThat(after.read().body()).isEqualTo("after");
-            assertThat(proxy.ask("GET", path, "last", "").body()).isEqualTo("after");
+            assertThat(proxy.request("GET", path, "last", "").body()).isEqualTo("after");
             origin.take();
         }
     }
 
     @Test
-    void manyWaitForOneFetchAndOneAsksAgainIfItFails() throws Exception {
+    void requestsShareOneFetchAndOneOfThemRetriesIfItFails() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         origin.script = (request, socket) -> {
             go.await();
@@ -148,21 +149,21 @@
     }
 
     @Test
-    void aCopyThatIsAskedForOftenIsFetchedAnewOnceBeforeItsEnd() throws Exception {
+    void frequentlyRequestedCopyIsRefreshedOnceBeforeItExpires() throws Exception {
         for (int i = 0; i < 8; i++) {
-            proxy.ask("GET", "/c/1", "a" + i, "");
+            proxy.request("GET", "/c/1", "a" + i, "");
         }
-        proxy.timers.jump(CACHE_TTL_MS * 0.8);
-        proxy.ask("GET", "/c/1", "early", "");
+        proxy.timers.advance(CACHE_TTL_MS * 0.8);
+        proxy.request("GET", "/c/1", "early", "");
         assertThat(origin.received).hasSize(1);
         CountDownLatch go = new CountDownLatch(1);
         origin.script = (request, socket) -> {
             go.await();
-            return object("x").answer(request, socket);
+            return object("x").respond(request, socket);
         };
-        proxy.timers.jump(CACHE_TTL_MS * 0.1);
+        proxy.timers.advance(CACHE_TTL_MS * 0.1);
         for (int i = 0; i < 20; i++) {
-            assertThat(proxy.ask("GET", "/c/1", "b" + i, "").body())
+            assertThat(proxy.request("GET", "/c/1", "b" + i, "").body())
                     .as("nobody waits")
                     .isEqualTo("0123456789");
         }
@@ -170,45 +171,45 @@
         assertThat(origin.take().header("If-None-Match")).isEqualTo("\"1\"");
         assertThat(origin.received).isEmpty();
         go.countDown();
-        proxy.timers.jump(CACHE_TTL_MS * 0.2);
-        assertThat(proxy.ask("GET", "/c/1", "last", "").body()).isEqualTo("0123456789");
+        proxy.timers.advance(CACHE_TTL_MS * 0.2);
+        assertThat(proxy.request("GET", "/c/1", "last", "").body()).isEqualTo("0123456789");
         assertThat(origin.received).as("the copy lives on").isEmpty();
     }
 
     @Test
-    void aCopyThatIsSeldomAskedForIsNotFetchedAnewBeforeItsEnd() throws Exception {
-        proxy.ask("GET", "/c/1", "1", "");
-        proxy.timers.jump(CACHE_TTL_MS * 0.95);
+    void rarelyRequestedCopyIsNotRefreshedBeforeItExpires() throws Exception {
+        proxy.request("GET", "/c/1", "1", "");
+        proxy.timers.advance(CACHE_TTL_MS * 0.95);
         for (int i = 0; i < 7; i++) {
-            proxy.ask("GET", "/c/1", "a" + i, "");
+            proxy.request("GET", "/c/1", "a" + i, "");
         }
         assertThat(origin.received).hasSize(1);
     }
 
     @Test
-    void nothingIsFetchedAheadFromAShareThatClientsNeed() throws Exception {
+    void refreshAheadDoesNotUseTheOriginShareThatClientsNeed() throws Exception {
         proxy.onLoop(() -> {
-            proxy.control.routes(
+            proxy.control.setRoutes(
                     ProxyFixture.LIMITS, 1, ProxyFixture.route(ridgemill.cdn.config.RouteKind.CACHEABLE, "/c/", 2));
             proxy.control.listeners.forEach(l -> l.configurationChanged());
         });
         for (int i = 0; i < 9; i++) {
-            proxy.ask("GET", "/c/1", "a" + i, "");
+            proxy.request("GET", "/c/1", "a" + i, "");
         }
-        proxy.timers.jump(CACHE_TTL_MS * 0.9);
-        proxy.ask("GET", "/c/1", "b", "");
-        assertThat(proxy.ask("GET", "/c/2", "client", "").status())
+        proxy.timers.advance(CACHE_TTL_MS * 0.9);
+        proxy.request("GET", "/c/1", "b", "");
+        assertThat(proxy.request("GET", "/c/2", "client", "").status())
                 .as("a share of one at a time has nothing to spare")
                 .isEqualTo(200);
-        assertThat(origin.take().id()).isEqualTo("a0");
-        assertThat(origin.take().id()).isEqualTo("client");
+        assertThat(origin.take().attemptId()).isEqualTo("a0");
+        assertThat(origin.take().attemptId()).isEqualTo("client");
         assertThat(origin.received).isEmpty();
     }
 
     @Test
-    void whatIsNoReadIsNotKept() throws Exception {
-        proxy.ask("POST", "/c/1", "1", "");
-        proxy.ask("POST", "/c/1", "2", "");
+    void responsesToPostAreNotCached() throws Exception {
+        proxy.request("POST", "/c/1", "1", "");
+        proxy.request("POST", "/c/1", "2", "");
         assertThat(origin.received).hasSize(2);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FrontTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What clients may send, and how their connections fare. */
-class FrontTest {
+class ClientConnectionTest {
 
-    private static final int LONG_ANSWER_BYTES = 8 << 20;
+    private static final int LARGE_BODY_BYTES = 8 << 20;
     private static final int SMALL_BUFFER_BYTES = 4_096;
 
     private static final String SLOW_REQUEST =
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void framingThatTwoReadersCouldSeeDifferentlyIsRefused() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
+    void ambiguousFramingIsRejected() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
         String start = "POST /i/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\n";
         String[] smuggled = {
             start + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -57,17 +57,17 @@
             ProxyFixture.Client client = proxy.client();
             client.send(request);
             assertThat(client.read().status()).as(request).isEqualTo(400);
-            assertThat(client.isEnded()).as(request).isTrue();
+            assertThat(client.isClosed()).as(request).isTrue();
         }
         assertThat(instance.received).isEmpty();
     }
 
     @Test
     void pipelinedRequestsAreAnsweredInOrder() throws Exception {
-        StandInInstance instance = proxy.instance(
+        StubInstance instance = proxy.instance(
                 "a",
-                (request, socket) -> StandInInstance.write(
-                        socket, StandInInstance.answer(request, 200, "X-Response-Seal: s\r\n", request.body())));
+                (request, socket) -> StubInstance.write(
+                        socket, StubInstance.response(request, 200, "X-Response-Seal: s\r\n", request.body())));
         ProxyFixture.Client client = proxy.client();
         String head = " HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: ";
         client.send("POST /i/1" + head + "1\r\nContent-Length: 3\r\n\r\noneGET /none" + head + "2\r\n\r\n"
@@ -78,12 +78,12 @@
         ProxyFixture.Reply third = client.read();
         assertThat(third.body()).isEqualTo("three");
         assertThat(third.header("Keep-Alive")).isEqualTo("timeout=1");
-        assertThat(instance.take().id()).isEqualTo("1");
-        assertThat(instance.take().id()).isEqualTo("3");
+        assertThat(instance.take().attemptId()).isEqualTo("1");
+        assertThat(instance.take().attemptId()).isEqualTo("3");
     }
 
     @Test
-    void limitsHaveTheirStatuses() throws Exception {
+    void exceededLimitsHaveTheirStatusCodes() throws Exception {
         ProxyFixture.Client tooLong = proxy.client();
         tooLong.send("GET /i/1 HTTP/1.1\r\nX: " + "y".repeat(3_000));
         assertThat(tooLong.read().status()).isEqualTo(431);
@@ -93,48 +93,48 @@
         ProxyFixture.Client slow = proxy.client();
         slow.send("GET /i/1 HTTP/1.1\r\n");
         assertThat(slow.read().status()).isEqualTo(408);
-        assertThat(slow.isEnded()).isTrue();
-        assertThat(proxy.client().isEnded()).as("idle for too long").isTrue();
+        assertThat(slow.isClosed()).isTrue();
+        assertThat(proxy.client().isClosed()).as("idle for too long").isTrue();
     }
 
     @Test
-    void requestsWithoutAnIdOrARouteAreTurnedAway() throws Exception {
+    void requestsWithoutIdOrRouteOrKeyAreRejected() throws Exception {
         ProxyFixture.Client client = proxy.client();
         client.send("GET /i/1 HTTP/1.1\r\nHost: h.example\r\n\r\n");
         assertThat(client.read().status()).isEqualTo(400);
-        assertThat(client.ask("GET", "/nowhere/", "1", "").status()).isEqualTo(404);
-        assertThat(client.ask("POST", "/k/1", "1", "").status())
+        assertThat(client.request("GET", "/nowhere/", "1", "").status()).isEqualTo(404);
+        assertThat(client.request("POST", "/k/1", "1", "").status())
                 .as("without its key")
                 .isEqualTo(400);
     }
 
     @Test
-    void beyondTheBoundTheLongestIdleConnectionEnds() throws Exception {
+    void atTheLimitTheLongestIdleConnectionIsClosed() throws Exception {
         proxy.close();
         proxy = new ProxyFixture(DESCRIPTORS_FOR_FOUR);
-        proxy.instance("a", StandInInstance.sealed("x"));
+        proxy.instance("a", StubInstance.sealed("x"));
         ProxyFixture.Client[] clients = new ProxyFixture.Client[4];
         for (int i = 0; i < clients.length; i++) {
             clients[i] = proxy.client();
-            assertThat(clients[i].ask("GET", "/i/1", "a" + i, "").status()).isEqualTo(200);
+            assertThat(clients[i].request("GET", "/i/1", "a" + i, "").status()).isEqualTo(200);
         }
-        assertThat(clients[0].ask("GET", "/i/1", "again", "").status()).isEqualTo(200);
+        assertThat(clients[0].request("GET", "/i/1", "again", "").status()).isEqualTo(200);
         ProxyFixture.Client fifth = proxy.client();
-        assertThat(fifth.ask("GET", "/i/1", "b", "").status()).isEqualTo(200);
-        assertThat(clients[1].isEnded()).as("idle for longest").isTrue();
+        assertThat(fifth.request("GET", "/i/1", "b", "").status()).isEqualTo(200);
+        assertThat(clients[1].isClosed()).as("idle for longest").isTrue();
         for (ProxyFixture.Client open : new ProxyFixture.Client[] {clients[0], clients[2], clients[3], fifth}) {
-            assertThat(open.ask("GET", "/i/1", "c", "").status()).isEqualTo(200);
+            assertThat(open.request("GET", "/i/1", "c", "").status()).isEqualTo(200);
         }
     }
 
     @Test
-    void whereNoConnectionIsIdleANewOneEnds() throws Exception {
+    void atTheLimitANewConnectionIsClosedIfNoneIsIdle() throws Exception {
         proxy.close();
         proxy = new ProxyFixture(DESCRIPTORS_FOR_FOUR);
         java.util.concurrent.CountDownLatch go = new java.util.concurrent.CountDownLatch(1);
         proxy.instance("a", (request, socket) -> {
             go.await();
-            return StandInInstance.sealed("x").answer(request, socket);
+            return StubInstance.sealed("x").respond(request, socket);
         });
         ProxyFixture.Client[] clients = new ProxyFixture.Client[4];
         for (int i = 0; i < clients.length; i++) {
@@ -142,7 +142,7 @@
             clients[i].send("GET /i/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + i + "\r\n\r\n");
             proxy.awaitInFlight(i + 1);
         }
-        assertThat(proxy.client().isEnded()).isTrue();
+        assertThat(proxy.client().isClosed()).isTrue();
         go.countDown();
         for (ProxyFixture.Client client : clients) {
             assertThat(client.read().body()).isEqualTo("x");
@@ -150,72 +150,73 @@
     }
 
     @Test
-    void aDrainingProxyAnswersWhatItHasAndCloses() throws Exception {
-        proxy.instance("a", StandInInstance.sealed("x"));
+    void drainingProxyFinishesRequestsAndCloses() throws Exception {
+        proxy.instance("a", StubInstance.sealed("x"));
         ProxyFixture.Client idle = proxy.client();
-        assertThat(idle.ask("GET", "/i/1", "1", "").status()).isEqualTo(200);
-        StandInInstance slow = proxy.instance("b", (request, socket) -> {
-            proxy.onLoop(proxy.path::drain);
-            return StandInInstance.sealed("late").answer(request, socket);
+        assertThat(idle.request("GET", "/i/1", "1", "").status()).isEqualTo(200);
+        StubInstance slow = proxy.instance("b", (request, socket) -> {
+            proxy.onLoop(proxy.dataPath::drain);
+            return StubInstance.sealed("late").respond(request, socket);
         });
         proxy.control.instances = java.util.List.of(slow.instance("s"));
         proxy.onLoop(() -> proxy.control.listeners.forEach(l -> l.instancesChanged()));
         ProxyFixture.Client busy = proxy.client();
-        ProxyFixture.Reply last = busy.ask("GET", "/i/2", "2", "");
+        ProxyFixture.Reply last = busy.request("GET", "/i/2", "2", "");
         assertThat(last.body()).isEqualTo("late");
         assertThat(last.header("Connection")).isEqualTo("close");
-        assertThat(busy.isEnded()).isTrue();
-        assertThat(idle.isEnded()).isTrue();
+        assertThat(busy.isClosed()).isTrue();
+        assertThat(idle.isClosed()).isTrue();
     }
 
     /** A client that reads slowly still has a part of its answer to come when the proxy begins to leave. */
     @Test
-    void leavingCutsNoAnswerThatItsClientHasNotTakenYet() throws Exception {
-        String body = "x".repeat(LONG_ANSWER_BYTES);
-        StandInInstance instance = proxy.instance("long", StandInInstance.sealed(body));
+    void drainingDoesNotTruncateAResponseThatIsBeingSent() throws Exception {
+        String body = "x".repeat(LARGE_BODY_BYTES);
+        StubInstance instance = proxy.instance("long", StubInstance.sealed(body));
         proxy.control.instances = java.util.List.of(instance.instance("s"));
         proxy.onLoop(() -> proxy.control.listeners.forEach(l -> l.instancesChanged()));
         try (Socket client = new Socket()) {
             client.setReceiveBufferSize(SMALL_BUFFER_BYTES);
-            client.connect(proxy.path.address());
+            client.connect(proxy.dataPath.address());
             String request = "GET /i/9 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 9\r\n"
                     + "X-Deadline-Remaining: 5000\r\n\r\n";
             client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             byte[] first = client.getInputStream().readNBytes(1);
             int[] inFlight = new int[1];
             proxy.onLoop(() -> {
-                inFlight[0] = proxy.path.inFlight();
-                proxy.path.drain();
+                inFlight[0] = proxy.dataPath.inFlight();
+                proxy.dataPath.drain();
             });
             assertThat(inFlight[0]).as("not over while a part is unsent").isEqualTo(1);
             byte[] rest = client.getInputStream().readAllBytes();
-            assertThat(first.length + rest.length).isGreaterThan(LONG_ANSWER_BYTES);
+            assertThat(first.length + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
         }
     }
 
     /** At its bound of connections, and after its idle time, a proxy closes none whose last answer is still going out. */
     @Test
-    void aConnectionWhoseAnswerIsStillGoingOutIsNotIdle() throws Exception {
+    void connectionWithUnsentOutputIsNotIdle() throws Exception {
         proxy.close();
         proxy = new ProxyFixture(DESCRIPTORS_FOR_FOUR);
-        proxy.instance("long", StandInInstance.sealed("x".repeat(LONG_ANSWER_BYTES)));
+        proxy.instance("long", StubInstance.sealed("x".repeat(LARGE_BODY_BYTES)));
         try (Socket slow = new Socket()) {
             slow.setReceiveBufferSize(SMALL_BUFFER_BYTES);
-            slow.connect(proxy.path.address());
+            slow.connect(proxy.dataPath.address());
             slow.getOutputStream().write(SLOW_REQUEST.getBytes(StandardCharsets.US_ASCII));
             int first = slow.getInputStream().readNBytes(1).length;
             ProxyFixture.Client[] others = new ProxyFixture.Client[3];
             for (int i = 0; i < others.length; i++) {
                 others[i] = proxy.client();
-                assertThat(others[i].ask("GET", "/none", "o" + i, "").status()).isEqualTo(404);
+                assertThat(others[i].request("GET", "/none", "o" + i, "").status())
+                        .isEqualTo(404);
             }
             ProxyFixture.Client fifth = proxy.client();
-            assertThat(fifth.ask("GET", "/none", "f", "").status()).isEqualTo(404);
-            assertThat(others[0].isEnded()).as("idle for longest").isTrue();
-            assertThat(fifth.isEnded()).as("the idle time of all has passed").isTrue();
+            assertThat(fifth.request("GET", "/none", "f", "").status()).isEqualTo(404);
+            assertThat(others[0].isClosed()).as("idle for longest").isTrue();
+            assertThat(fifth.isClosed()).as("the idle time of all has passed").isTrue();
             byte[] rest = slow.getInputStream().readAllBytes();
-            assertThat(first + rest.length).isGreaterThan(LONG_ANSWER_BYTES);
+            assertThat(first + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
         }
     }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FakeControl.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FakeControl.java
@@ -17,12 +17,12 @@
     volatile RoutingTable routing = RoutingTable.EMPTY;
     volatile List<Instance> instances = List.of();
     volatile Fleet fleet = Fleet.ALONE;
-    volatile boolean hearsPurges = true;
+    volatile boolean receivesPurges = true;
     volatile int connectionCap = 100;
     volatile double coveredSinceMs = Double.NEGATIVE_INFINITY;
     final List<ControlListener> listeners = new ArrayList<>();
 
-    void routes(Limits limits, double ratePerSecond, Route... routes) {
+    void setRoutes(Limits limits, double ratePerSecond, Route... routes) {
         routing = new RoutingTable(
                 List.of(routes), List.of(new Service("s", "/health", connectionCap, false, ratePerSecond, 1)), limits);
     }
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public boolean hearsPurges() {
-        return hearsPurges;
+    public boolean receivesPurges() {
+        return receivesPurges;
     }
 
     @Override
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FakeRegister.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FakeRegister.java
@@ -14,17 +14,17 @@
 
     final BlockingQueue<String> claims = new LinkedBlockingQueue<>();
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
-    final Queue<Runnable> held = new ConcurrentLinkedQueue<>();
-    /** Whether claims wait in {@link #held} for the test. */
-    volatile boolean holding;
+    final Queue<Runnable> deferred = new ConcurrentLinkedQueue<>();
+    /** Whether claims wait in {@link #deferred} for the test. */
+    volatile boolean deferring;
 
     private final Map<String, Object> states = new HashMap<>();
 
     @Override
     public void claim(String key, double deadlineMs, Consumer<ClaimOutcome> callback) {
         claims.add(key);
-        if (holding) {
-            held.add(() -> decide(key, callback));
+        if (deferring) {
+            deferred.add(() -> decide(key, callback));
         } else {
             decide(key, callback);
         }
@@ -32,7 +32,7 @@
 
     private void decide(String key, Consumer<ClaimOutcome> callback) {
         Object state = states.get(key);
-        if (state instanceof RecordedAnswer answer) {
+        if (state instanceof RecordedResponse answer) {
             callback.accept(new ClaimOutcome.Finished(answer));
         } else if (state != null) {
             callback.accept(new ClaimOutcome.Busy());
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void finish(Claim claim, RecordedAnswer answer) {
+    public void finish(Claim claim, RecordedResponse answer) {
         states.put(claim.key(), answer);
         calls.add("finish");
     }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
@@ -26,19 +26,19 @@
 final class FleetFixture implements AutoCloseable {
 
     private static final long CACHE_BYTES = 1_000_000;
-    private static final int DESCRIPTORS = 1_000;
+    private static final int FILE_DESCRIPTORS = 1_000;
     private static final int CACHES = 2;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final JumpingTimers timers = new JumpingTimers(loop);
+    private final AdvanceableTimers timers = new AdvanceableTimers(loop);
     private final double ratePerSecond;
     private final int connectionCap;
     final List<CacheNode> nodes = new ArrayList<>();
     private final List<DataPath> caches = new ArrayList<>();
     private final List<FakeControl> controls = new ArrayList<>();
     private final List<DataPath> proxies = new ArrayList<>();
-    private final List<StandInInstance> instances = new ArrayList<>();
+    private final List<StubInstance> instances = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
 
     /** Proxies before instances that together take so many requests a second and each so many connections. */
@@ -54,14 +54,14 @@
         for (int rank = 0; rank < size; rank++) {
             proxies.add(start(new FleetPosition(size, rank), Optional.empty()));
         }
-        showCaches(nodes);
+        setSharedCaches(nodes);
     }
 
     private DataPath start(FleetPosition position, Optional<CacheNode> cache) throws Exception {
         FakeControl control = new FakeControl();
         control.fleet = new Fleet(position, List.of());
         control.connectionCap = connectionCap;
-        control.routes(
+        control.setRoutes(
                 ProxyFixture.LIMITS,
                 ratePerSecond,
                 ProxyFixture.route(RouteKind.CACHEABLE, "/c/", 2),
@@ -82,7 +82,7 @@
     }
 
     /** All processes hear of these shared caches, and of no others. */
-    void showCaches(List<CacheNode> shown) throws Exception {
+    void setSharedCaches(List<CacheNode> shown) throws Exception {
         loop.submit(() -> {
                     for (FakeControl control : controls) {
                         control.fleet = new Fleet(control.fleet.proxies(), shown);
@@ -108,7 +108,7 @@
                 null,
                 1_000,
                 new Bounds(Map.of("retryBudgetRatio", "0.2", "retryBudgetSlack", "50")),
-                DESCRIPTORS,
+                FILE_DESCRIPTORS,
                 0,
                 false);
     }
@@ -125,12 +125,12 @@
     }
 
     /** Time passes without anything being done. */
-    void timePasses(double ms) {
-        timers.jump(ms);
+    void advanceTime(double ms) {
+        timers.advance(ms);
     }
 
-    StandInInstance instance(String id, StandInInstance.Script script) throws Exception {
-        StandInInstance instance = new StandInInstance(id, script);
+    StubInstance instance(String id, StubInstance.Script script) throws Exception {
+        StubInstance instance = new StubInstance(id, script);
         instances.add(instance);
         loop.submit(() -> {
                     for (FakeControl control : controls) {
@@ -158,7 +158,7 @@
         long[] broken = new long[1];
         loop.submit(() -> {
                     for (DataPath path : all) {
-                        broken[0] += path.brokenInvariants();
+                        broken[0] += path.invariantViolations();
                         path.close();
                     }
                 })
@@ -166,7 +166,7 @@
         for (Socket client : clients) {
             client.close();
         }
-        for (StandInInstance instance : instances) {
+        for (StubInstance instance : instances) {
             instance.close();
         }
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetLimitsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What a whole fleet of edge proxies does with bounds that hold for all of it together. */
-class FleetTest {
+class FleetLimitsTest {
 
     private static final int PROXIES = 40;
     private static final double MS_PER_SECOND = 1_000;
@@ -16,19 +16,20 @@
 
     /** New objects come at a quarter of the origin's rate, and each is read at every proxy. */
     @Test
-    void anObjectIsFetchedForTheWholeFleetAndNotByEachProxy() throws Exception {
+    void objectIsFetchedOnceForTheWholeFleet() throws Exception {
         int objects = 10;
         double ratePerSecond = 20;
         try (FleetFixture fleet = new FleetFixture(PROXIES, ratePerSecond, 500)) {
-            StandInInstance origin = fleet.instance(
+            StubInstance origin = fleet.instance(
                     "a",
                     (request, socket) ->
-                            StandInInstance.write(socket, StandInInstance.answer(request, 200, SEALED, "object")));
+                            StubInstance.write(socket, StubInstance.response(request, 200, SEALED, "object")));
             int answered = 0;
             for (int object = 0; object < objects; object++) {
-                fleet.timePasses(4 * MS_PER_SECOND / ratePerSecond);
+                fleet.advanceTime(4 * MS_PER_SECOND / ratePerSecond);
                 for (int proxy = 0; proxy < PROXIES; proxy++) {
-                    ProxyFixture.Reply reply = fleet.client(proxy).ask("GET", "/c/" + object, object + "-" + proxy, "");
+                    ProxyFixture.Reply reply =
+                            fleet.client(proxy).request("GET", "/c/" + object, object + "-" + proxy, "");
                     answered += reply.status() == 200 ? 1 : 0;
                 }
             }
@@ -39,15 +40,15 @@
 
     /** Requests of all proxies at once don't open more connections than the instances take. */
     @Test
-    void connectionsOfTheWholeFleetStayWithinEachInstancesCap() throws Exception {
+    void connectionsOfTheFleetStayWithinTheCapOfEachInstance() throws Exception {
         int cap = 24;
         CountDownLatch held = new CountDownLatch(1);
-        StandInInstance.Script holding = (request, socket) -> {
+        StubInstance.Script holding = (request, socket) -> {
             held.await();
-            return StandInInstance.write(socket, StandInInstance.answer(request, 200, SEALED, "done"));
+            return StubInstance.write(socket, StubInstance.response(request, 200, SEALED, "done"));
         };
         try (FleetFixture fleet = new FleetFixture(PROXIES, 0, cap)) {
-            List<StandInInstance> instances = new ArrayList<>();
+            List<StubInstance> instances = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 instances.add(fleet.instance("i" + i, holding));
             }
@@ -60,7 +61,7 @@
                     clients.add(client);
                 }
             }
-            for (StandInInstance instance : instances) {
+            for (StubInstance instance : instances) {
                 instance.take();
             }
             held.countDown();
@@ -68,24 +69,24 @@
                 assertThat(client.read().status()).isIn(200, 503);
             }
             for (int proxy = 0; proxy < PROXIES; proxy++) {
-                assertThat(isServedInTime(fleet, proxy))
+                assertThat(isEventuallyServed(fleet, proxy))
                         .as("no part is so small that proxy %d is left out", proxy)
                         .isTrue();
             }
-            for (StandInInstance instance : instances) {
+            for (StubInstance instance : instances) {
                 assertThat(instance.connections()).isLessThanOrEqualTo(cap);
             }
         }
     }
 
     /** Asks until it is answered: on a busy machine a connection may come up too late for one request. */
-    private static boolean isServedInTime(FleetFixture fleet, int proxy) throws Exception {
+    private static boolean isEventuallyServed(FleetFixture fleet, int proxy) throws Exception {
         for (int attempt = 0; attempt < 100; attempt++) {
             String id = "later-" + proxy + "-" + attempt;
-            if (fleet.client(proxy).ask("GET", "/i/1", id, "").status() == 200) {
+            if (fleet.client(proxy).request("GET", "/i/1", id, "").status() == 200) {
                 return true;
             }
-            fleet.timePasses(200);
+            fleet.advanceTime(200);
         }
         return false;
     }
