--- a/cdn/src/test/java/ridgemill/cdn/proxy/DeliveryTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ForwardingTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.api.Test;
 
 /** How requests go to instances, and what clients hear of it. */
-class DeliveryTest {
+class ForwardingTest {
 
     private static final String SEAL = "X-Response-Seal: s\r\n";
-    private static final StandInInstance.Script DECLINES = (request, socket) ->
-            StandInInstance.write(socket, StandInInstance.answer(request, 503, "X-Not-Executed: 1\r\n", ""));
-    private static final StandInInstance.Script RESETS = (request, socket) -> false;
+    private static final StubInstance.Script DECLINES = (request, socket) ->
+            StubInstance.write(socket, StubInstance.response(request, 503, "X-Not-Executed: 1\r\n", ""));
+    private static final StubInstance.Script RESETS = (request, socket) -> false;
 
     private ProxyFixture proxy;
 
@@ -28,12 +28,12 @@
     }
 
     @Test
-    void aRequestIsPassedOnUnchangedButForHopByHopHeaders() throws Exception {
-        StandInInstance instance = proxy.instance(
+    void requestIsForwardedUnchangedExceptHopByHopHeaders() throws Exception {
+        StubInstance instance = proxy.instance(
                 "a",
-                (request, socket) -> StandInInstance.write(
+                (request, socket) -> StubInstance.write(
                         socket,
-                        StandInInstance.answer(request, 201, SEAL + "X-B: c\r\nKeep-Alive: timeout=9\r\n", "ok")));
+                        StubInstance.response(request, 201, SEAL + "X-B: c\r\nKeep-Alive: timeout=9\r\n", "ok")));
         ProxyFixture.Client client = proxy.client();
         client.send("PUT /n/a%20b?q=1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 7\r\nX-Other: o\r\nX-Hop: h\r\n"
                 + "Connection: keep-alive, x-hop\r\nX-Deadline-Remaining: 900\r\nContent-Length: 4\r\n\r\nbody");
@@ -43,7 +43,7 @@
         assertThat(reply.header("X-Response-Seal")).isEqualTo("s");
         assertThat(reply.header("X-B")).isEqualTo("c");
         assertThat(reply.header("X-Attempt-Id")).isEqualTo("7");
-        StandInInstance.Received received = instance.take();
+        StubInstance.Received received = instance.take();
         assertThat(received.head()).startsWith("PUT /n/a%20b?q=1 HTTP/1.1\r\n");
         assertThat(received.body()).isEqualTo("body");
         assertThat(received.header("X-Other")).isEqualTo("o");
@@ -54,31 +54,31 @@
     }
 
     @Test
-    void whatWasNotRunIsTriedElsewhere() throws Exception {
-        StandInInstance one = proxy.instance("a", DECLINES);
-        StandInInstance other = proxy.instance("b", DECLINES);
-        ProxyFixture.Reply reply = proxy.ask("POST", "/n/1", "1", "");
+    void requestThatWasNotExecutedIsRetriedElsewhere() throws Exception {
+        StubInstance one = proxy.instance("a", DECLINES);
+        StubInstance other = proxy.instance("b", DECLINES);
+        ProxyFixture.Reply reply = proxy.request("POST", "/n/1", "1", "");
         assertThat(reply.status()).isEqualTo(503);
         assertThat(reply.header("Retry-After")).isNotNull();
         one.take();
         other.take();
-        one.script = (request, socket) -> StandInInstance.write(socket, StandInInstance.answer(request, 421, "", ""));
+        one.script = (request, socket) -> StubInstance.write(socket, StubInstance.response(request, 421, "", ""));
         other.script = one.script;
-        assertThat(proxy.ask("POST", "/n/2", "2", "").status()).isEqualTo(503);
+        assertThat(proxy.request("POST", "/n/2", "2", "").status()).isEqualTo(503);
     }
 
     @Test
-    void whatMayHaveRunIsRepeatedOnlyWhereTheRouteAllowsIt() throws Exception {
-        StandInInstance one = proxy.instance("a", RESETS);
-        StandInInstance other = proxy.instance("b", RESETS);
-        assertThat(proxy.ask("POST", "/n/1", "1", "").status()).isEqualTo(502);
+    void requestThatMayHaveRunIsRetriedOnlyIfTheRouteAllowsIt() throws Exception {
+        StubInstance one = proxy.instance("a", RESETS);
+        StubInstance other = proxy.instance("b", RESETS);
+        assertThat(proxy.request("POST", "/n/1", "1", "").status()).isEqualTo(502);
         assertThat(one.received.size() + other.received.size()).isEqualTo(1);
-        assertThat(proxy.ask("GET", "/i/1", "2", "").status()).isEqualTo(502);
+        assertThat(proxy.request("GET", "/i/1", "2", "").status()).isEqualTo(502);
         assertThat(one.received.size() + other.received.size()).isEqualTo(3);
     }
 
     @Test
-    void answersThatAreNotWholeOrNotOursAreNeverPassedOn() throws Exception {
+    void incompleteOrForeignResponsesAreNeverForwarded() throws Exception {
         String[] spoilt = {
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Response-Seal: s\r\nContent-Length: 9\r\n\r\ncut",
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Seal: s\r\nContent-Length: 1\r\n\r\nx",
@@ -88,27 +88,27 @@
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\n" + SEAL + "Content-Length: 0\r\n\r\n",
             "no answer at all\r\n\r\n",
         };
-        StandInInstance instance = proxy.instance("a", RESETS);
+        StubInstance instance = proxy.instance("a", RESETS);
         for (int i = 0; i < spoilt.length; i++) {
             String text = spoilt[i];
             instance.script = (request, socket) -> {
-                StandInInstance.write(socket, text.replace("ID", request.id()));
+                StubInstance.write(socket, text.replace("ID", request.attemptId()));
                 return false;
             };
-            assertThat(proxy.ask("POST", "/n/1", "1", "").status()).as(text).isEqualTo(502);
+            assertThat(proxy.request("POST", "/n/1", "1", "").status()).as(text).isEqualTo(502);
         }
         assertThat(instance.received).hasSize(spoilt.length);
     }
 
     @Test
-    void anAnswerBeforeTheWholeRequestWasTakenIsPassedOnIfItIsWhole() throws Exception {
+    void completeResponseBeforeTheEndOfTheRequestIsForwarded() throws Exception {
         int bytes = 16_000_000;
-        proxy.onLoop(() -> proxy.control.routes(
+        proxy.onLoop(() -> proxy.control.setRoutes(
                 new ridgemill.cdn.config.Limits(2_000, bytes, 300, 2_000),
                 0,
                 ProxyFixture.route(ridgemill.cdn.config.RouteKind.NON_IDEMPOTENT, "/n/", 2)));
         CountDownLatch over = new CountDownLatch(1);
-        StandInInstance instance = proxy.instance("a", RESETS);
+        StubInstance instance = proxy.instance("a", RESETS);
         String[] answers = {
             "HTTP/1.1 413 X\r\nX-Attempt-Id: ID\r\nContent-Length: 3\r\n\r\nbig",
             "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\n" + SEAL + "Content-Length: 3\r\n\r\nyes",
@@ -118,8 +118,8 @@
         int[] statuses = {413, 200, 504, 504};
         for (int i = 0; i < answers.length; i++) {
             String text = answers[i];
-            instance.early = (request, socket) -> {
-                StandInInstance.write(socket, text.replace("ID", request.id()));
+            instance.earlyScript = (request, socket) -> {
+                StubInstance.write(socket, text.replace("ID", request.attemptId()));
                 over.await();
                 return false;
             };
@@ -132,16 +132,16 @@
     }
 
     @Test
-    void anAnswerThatBreaksOffBeforeTheWholeRequestWasTakenMayMeanARun() throws Exception {
+    void truncatedResponseBeforeTheEndOfTheRequestMeansItMayHaveRun() throws Exception {
         int bytes = 16_000_000;
-        proxy.onLoop(() -> proxy.control.routes(
+        proxy.onLoop(() -> proxy.control.setRoutes(
                 new ridgemill.cdn.config.Limits(2_000, bytes, 300, 2_000),
                 0,
                 ProxyFixture.route(ridgemill.cdn.config.RouteKind.NON_IDEMPOTENT, "/n/", 2)));
-        StandInInstance instance = proxy.instance("a", RESETS);
+        StubInstance instance = proxy.instance("a", RESETS);
         CountDownLatch over = new CountDownLatch(1);
-        instance.early = (request, socket) -> {
-            StandInInstance.write(socket, "HTTP/1.1 200 X\r\nX-Attempt-Id: " + request.id() + "\r\n");
+        instance.earlyScript = (request, socket) -> {
+            StubInstance.write(socket, "HTTP/1.1 200 X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n");
             socket.shutdownOutput();
             over.await();
             return false;
@@ -154,51 +154,52 @@
     }
 
     @Test
-    void aSurplusAnswerIsPassedOverForTheOneThatIsDue() throws Exception {
-        StandInInstance instance = proxy.instance(
+    void surplusResponseIsSkipped() throws Exception {
+        StubInstance instance = proxy.instance(
                 "a",
-                (request, socket) -> StandInInstance.write(
+                (request, socket) -> StubInstance.write(
                         socket,
                         "HTTP/1.1 200 OK\r\nX-Attempt-Id: old\r\nX-Response-Seal: s\r\nContent-Length: 3\r\n\r\nold"
-                                + StandInInstance.answer(request, 200, "X-Response-Seal: s\r\n", "new")));
-        assertThat(proxy.ask("POST", "/n/1", "1", "").body()).isEqualTo("new");
+                                + StubInstance.response(request, 200, "X-Response-Seal: s\r\n", "new")));
+        assertThat(proxy.request("POST", "/n/1", "1", "").body()).isEqualTo("new");
         instance.take();
     }
 
     @Test
-    void aStatusThatPromisesTooMuchIsNotPassedOn() throws Exception {
+    void statusThatImpliesNoExecutionIsNotForwarded() throws Exception {
         proxy.instance(
-                "a", (request, socket) -> StandInInstance.write(socket, StandInInstance.answer(request, 503, "", "")));
-        assertThat(proxy.ask("POST", "/n/1", "1", "").status()).isEqualTo(502);
+                "a", (request, socket) -> StubInstance.write(socket, StubInstance.response(request, 503, "", "")));
+        assertThat(proxy.request("POST", "/n/1", "1", "").status()).isEqualTo(502);
     }
 
     @Test
-    void everyRequestHasItsAnswerAtItsDeadline() throws Exception {
+    void everyRequestIsAnsweredAtItsDeadline() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        StandInInstance silent = proxy.instance("a", (request, socket) -> {
+        StubInstance silent = proxy.instance("a", (request, socket) -> {
             over.await();
             return false;
         });
-        assertThat(proxy.ask("POST", "/n/1", "1", "X-Deadline-Remaining: 150\r\n")
+        assertThat(proxy.request("POST", "/n/1", "1", "X-Deadline-Remaining: 150\r\n")
                         .status())
                 .isEqualTo(504);
-        assertThat(silent.take().id()).isEqualTo("1");
-        assertThat(proxy.ask("POST", "/n/1", "2", "X-Deadline-Remaining: 0\r\n").status())
+        assertThat(silent.take().attemptId()).isEqualTo("1");
+        assertThat(proxy.request("POST", "/n/1", "2", "X-Deadline-Remaining: 0\r\n")
+                        .status())
                 .isEqualTo(503);
         assertThat(silent.received).isEmpty();
         over.countDown();
     }
 
     @Test
-    void aRepeatableRequestThatMeetsSilenceIsTriedElsewhere() throws Exception {
+    void retryableRequestWithoutResponseIsRetriedElsewhere() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
-        StandInInstance one = proxy.instance("a", StandInInstance.sealed("x"));
-        StandInInstance other = proxy.instance("b", StandInInstance.sealed("x"));
+        StubInstance one = proxy.instance("a", StubInstance.sealed("x"));
+        StubInstance other = proxy.instance("b", StubInstance.sealed("x"));
         for (int i = 0; one.received.isEmpty() || other.received.isEmpty(); i++) {
-            assertThat(proxy.ask("GET", "/i/1", "w" + i, "").status()).isEqualTo(200);
+            assertThat(proxy.request("GET", "/i/1", "w" + i, "").status()).isEqualTo(200);
         }
-        StandInInstance.Script once = one.script;
-        StandInInstance.Script hangs = (request, socket) -> {
+        StubInstance.Script once = one.script;
+        StubInstance.Script hangs = (request, socket) -> {
             one.script = once;
             other.script = once;
             over.await();
@@ -206,12 +207,12 @@
         };
         one.script = hangs;
         other.script = hangs;
-        assertThat(proxy.ask("GET", "/i/1", "1", "").body()).isEqualTo("x");
+        assertThat(proxy.request("GET", "/i/1", "1", "").body()).isEqualTo("x");
         over.countDown();
     }
 
     @Test
-    void aRequestWhoseClientLeftIsGivenUp() throws Exception {
+    void requestIsCancelledWhenItsClientDisconnects() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         proxy.instance("a", (request, socket) -> {
             if (socket.getInputStream().read() < 0) {
@@ -227,17 +228,17 @@
     }
 
     @Test
-    void arrivalsStayUnderTheShareOfTheOriginsRate() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
+    void requestsStayWithinTheShareOfTheOriginRate() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
         proxy.onLoop(() -> {
-            proxy.control.routes(
+            proxy.control.setRoutes(
                     ProxyFixture.LIMITS, 10, ProxyFixture.route(ridgemill.cdn.config.RouteKind.IDEMPOTENT, "/i/", 2));
             proxy.control.listeners.forEach(l -> l.configurationChanged());
         });
         ProxyFixture.Client client = proxy.client();
         int refused = 0;
         for (int i = 0; i < 20; i++) {
-            refused += client.ask("GET", "/i/1", "r" + i, "").status() == 503 ? 1 : 0;
+            refused += client.request("GET", "/i/1", "r" + i, "").status() == 503 ? 1 : 0;
         }
         assertThat(refused).isGreaterThan(10);
         assertThat(instance.received.size()).isEqualTo(20 - refused);
--- a/cdn/src/test/java/ridgemill/cdn/proxy/KeyedTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/KeyedOperationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Keyed operations run once. */
-class KeyedTest {
+class KeyedOperationTest {
 
     private static final String KEY = "X-Operation-Key: k\r\n";
 
@@ -26,10 +26,10 @@
     }
 
     @Test
-    void aRepeatReceivesTheFirstOnesAnswer() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("done"));
-        assertThat(proxy.ask("POST", "/k/1", "1", KEY).body()).isEqualTo("done");
-        ProxyFixture.Reply again = proxy.ask("POST", "/k/1", "2", KEY);
+    void duplicateReceivesTheRecordedResponse() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("done"));
+        assertThat(proxy.request("POST", "/k/1", "1", KEY).body()).isEqualTo("done");
+        ProxyFixture.Reply again = proxy.request("POST", "/k/1", "2", KEY);
         assertThat(again.body()).isEqualTo("done");
         assertThat(again.header("X-Response-Seal")).isEqualTo("s");
         assertThat(again.header("X-Attempt-Id")).isEqualTo("2");
@@ -37,10 +37,10 @@
     }
 
     @Test
-    void whatMayHaveRunStaysClaimed() throws Exception {
-        StandInInstance instance = proxy.instance("a", (request, socket) -> false);
-        assertThat(proxy.ask("POST", "/k/1", "1", KEY).status()).isEqualTo(502);
-        ProxyFixture.Reply again = proxy.ask("POST", "/k/1", "2", KEY);
+    void operationThatMayHaveRunStaysClaimed() throws Exception {
+        StubInstance instance = proxy.instance("a", (request, socket) -> false);
+        assertThat(proxy.request("POST", "/k/1", "1", KEY).status()).isEqualTo(502);
+        ProxyFixture.Reply again = proxy.request("POST", "/k/1", "2", KEY);
         assertThat(again.status()).isEqualTo(409);
         assertThat(again.header("Retry-After")).isNotNull();
         assertThat(instance.received).hasSize(1);
@@ -48,24 +48,24 @@
     }
 
     @Test
-    void whatCertainlyDidNotRunIsGivenBack() throws Exception {
-        StandInInstance instance = proxy.instance(
+    void claimOfAnOperationThatDidNotRunIsReleased() throws Exception {
+        StubInstance instance = proxy.instance(
                 "a",
-                (request, socket) -> StandInInstance.write(
-                        socket, StandInInstance.answer(request, 429, "X-Not-Executed: 1\r\n", "")));
-        assertThat(proxy.ask("POST", "/k/1", "1", KEY).status()).isEqualTo(503);
+                (request, socket) ->
+                        StubInstance.write(socket, StubInstance.response(request, 429, "X-Not-Executed: 1\r\n", "")));
+        assertThat(proxy.request("POST", "/k/1", "1", KEY).status()).isEqualTo(503);
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("release");
-        instance.script = StandInInstance.sealed("done");
-        assertThat(proxy.ask("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
+        instance.script = StubInstance.sealed("done");
+        assertThat(proxy.request("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
     }
 
     @Test
-    void repeatsAtOneProxyWaitForTheFirstWithoutVotesOfTheirOwn() throws Exception {
-        proxy.routes(ProxyFixture.route(ridgemill.cdn.config.RouteKind.KEYED_IDEMPOTENT, "/k/", 2, 8_000));
+    void duplicatesAtOneProxyWaitForTheLeaderWithoutClaims() throws Exception {
+        proxy.setRoutes(ProxyFixture.route(ridgemill.cdn.config.RouteKind.KEYED_IDEMPOTENT, "/k/", 2, 8_000));
         CountDownLatch go = new CountDownLatch(1);
-        StandInInstance instance = proxy.instance("a", (request, socket) -> {
+        StubInstance instance = proxy.instance("a", (request, socket) -> {
             go.await();
-            return StandInInstance.sealed("done").answer(request, socket);
+            return StubInstance.sealed("done").respond(request, socket);
         });
         ProxyFixture.Client[] clients = send(4);
         instance.take();
@@ -81,21 +81,21 @@
     }
 
     @Test
-    void aRepeatWaitsForTheFirstNoLongerThanForAnotherProxys() throws Exception {
+    void duplicateWaitsForTheLeaderForALimitedTime() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         proxy.instance("a", (request, socket) -> {
             go.await();
-            return StandInInstance.sealed("done").answer(request, socket);
+            return StubInstance.sealed("done").respond(request, socket);
         });
         ProxyFixture.Client[] clients = send(2);
         assertThat(clients[1].read().status()).isEqualTo(409);
         go.countDown();
         assertThat(clients[0].read().body()).isEqualTo("done");
-        assertThat(proxy.ask("POST", "/k/1", "later", KEY).body()).isEqualTo("done");
+        assertThat(proxy.request("POST", "/k/1", "later", KEY).body()).isEqualTo("done");
     }
 
     @Test
-    void aRepeatThatWaitsNoMoreClaimsNothing() throws Exception {
+    void duplicateThatStoppedWaitingDoesNotClaim() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         proxy.instance("a", (request, socket) -> {
             go.await();
@@ -110,18 +110,18 @@
     }
 
     @Test
-    void whereTheFirstLeavesUnsentTheNextClaims() throws Exception {
-        proxy.routes(ProxyFixture.route(ridgemill.cdn.config.RouteKind.KEYED_IDEMPOTENT, "/k/", 2, 8_000));
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("done"));
-        proxy.register.holding = true;
+    void nextDuplicateClaimsIfTheLeaderLeavesBeforeSending() throws Exception {
+        proxy.setRoutes(ProxyFixture.route(ridgemill.cdn.config.RouteKind.KEYED_IDEMPOTENT, "/k/", 2, 8_000));
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("done"));
+        proxy.register.deferring = true;
         ProxyFixture.Client[] clients = send(3);
         clients[0].socket().close();
         proxy.awaitInFlight(2);
-        proxy.register.holding = false;
-        proxy.onLoop(proxy.register.held.remove());
+        proxy.register.deferring = false;
+        proxy.onLoop(proxy.register.deferred.remove());
         assertThat(clients[1].read().body()).isEqualTo("done");
         assertThat(clients[2].read().body()).isEqualTo("done");
-        assertThat(instance.take().id()).isEqualTo("1");
+        assertThat(instance.take().attemptId()).isEqualTo("1");
         assertThat(instance.received).isEmpty();
         assertThat(proxy.register.claims).hasSize(2);
     }
@@ -138,11 +138,11 @@
     }
 
     @Test
-    void anOperationWhoseClientLeftIsStillRecorded() throws Exception {
+    void operationIsRecordedAfterItsClientDisconnects() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        StandInInstance instance = proxy.instance("a", (request, socket) -> {
+        StubInstance instance = proxy.instance("a", (request, socket) -> {
             left.await();
-            return StandInInstance.sealed("done").answer(request, socket);
+            return StubInstance.sealed("done").respond(request, socket);
         });
         ProxyFixture.Client client = proxy.client();
         client.send("POST /k/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\n" + KEY + "\r\n");
@@ -150,7 +150,7 @@
         client.socket().close();
         left.countDown();
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("finish");
-        assertThat(proxy.ask("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
+        assertThat(proxy.request("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
         assertThat(instance.received).isEmpty();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
@@ -32,10 +32,10 @@
     final FakeRegister register = new FakeRegister();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     final EventLoop loop = group.next();
-    final JumpingTimers timers = new JumpingTimers(loop);
+    final AdvanceableTimers timers = new AdvanceableTimers(loop);
     final Settings settings;
-    final DataPath path;
-    private final List<StandInInstance> instances = new ArrayList<>();
+    final DataPath dataPath;
+    private final List<StubInstance> instances = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
 
     ProxyFixture() throws Exception {
@@ -62,16 +62,16 @@
                 fileDescriptors,
                 0,
                 false);
-        control.routes(
+        control.setRoutes(
                 LIMITS,
                 0,
                 route(RouteKind.CACHEABLE, "/c/", 2),
                 route(RouteKind.IDEMPOTENT, "/i/", 2),
                 route(RouteKind.NON_IDEMPOTENT, "/n/", 2),
                 route(RouteKind.KEYED_IDEMPOTENT, "/k/", 2));
-        path = new DataPath(
+        dataPath = new DataPath(
                 loop, SocketKind.NIO, timers, settings, control, register, meters, Optional.empty(), 1_000_000);
-        path.listen().sync();
+        dataPath.listen().sync();
     }
 
     static Route route(RouteKind kind, String prefix, int maxAttempts) {
@@ -94,7 +94,7 @@
     }
 
     /** The same route in its next version. */
-    static Route newer(Route route) {
+    static Route nextVersion(Route route) {
         return new Route(
                 route.name(),
                 route.hostname(),
@@ -109,8 +109,8 @@
                 route.version() + 1);
     }
 
-    StandInInstance instance(String id, StandInInstance.Script script) throws Exception {
-        StandInInstance instance = new StandInInstance(id, script);
+    StubInstance instance(String id, StubInstance.Script script) throws Exception {
+        StubInstance instance = new StubInstance(id, script);
         instances.add(instance);
         onLoop(() -> {
             control.instances = instances.stream().map(i -> i.instance("s")).toList();
@@ -120,15 +120,15 @@
     }
 
     /** Puts other routes in place. */
-    void routes(Route... routes) throws Exception {
+    void setRoutes(Route... routes) throws Exception {
         onLoop(() -> {
-            control.routes(LIMITS, 0, routes);
+            control.setRoutes(LIMITS, 0, routes);
             control.listeners.forEach(ControlListener::configurationChanged);
         });
     }
 
     /** The instances that are ready from now on. */
-    void ready(StandInInstance... ready) throws Exception {
+    void setReadyInstances(StubInstance... ready) throws Exception {
         onLoop(() -> {
             control.instances =
                     java.util.Arrays.stream(ready).map(i -> i.instance("s")).toList();
@@ -139,9 +139,9 @@
     /** Waits until so many requests are under way. */
     void awaitInFlight(int count) throws Exception {
         long endNanos = System.nanoTime() + 10_000_000_000L;
-        for (int now = loop.submit(path::inFlight).get();
+        for (int now = loop.submit(dataPath::inFlight).get();
                 now != count;
-                now = loop.submit(path::inFlight).get()) {
+                now = loop.submit(dataPath::inFlight).get()) {
             if (System.nanoTime() > endNanos) {
                 throw new AssertionError(now + " requests are under way instead of " + count);
             }
@@ -154,29 +154,29 @@
 
     /** A client's connection. */
     Client client() throws IOException {
-        Socket socket = new Socket("127.0.0.1", path.address().getPort());
+        Socket socket = new Socket("127.0.0.1", dataPath.address().getPort());
         socket.setSoTimeout(6_000);
         clients.add(socket);
         return new Client(socket);
     }
 
     /** Asks on a connection of its own. */
-    Reply ask(String method, String target, String id, String more) throws IOException {
-        return client().ask(method, target, id, more);
+    Reply request(String method, String target, String id, String more) throws IOException {
+        return client().request(method, target, id, more);
     }
 
     /** An answer as a client reads it. */
     record Reply(int status, String head, String body) {
 
         String header(String name) {
-            return new StandInInstance.Received(head, "").header(name);
+            return new StubInstance.Received(head, "").header(name);
         }
     }
 
     /** A client's connection. */
     record Client(Socket socket) {
 
-        Reply ask(String method, String target, String id, String more) throws IOException {
+        Reply request(String method, String target, String id, String more) throws IOException {
             send(method + " " + target + " HTTP/1.1\r\nHost: h.example\r\n" + "X-Attempt-Id: " + id + "\r\n" + more
                     + "\r\n");
             return read();
@@ -198,24 +198,24 @@
                 head.write(b);
             }
             String text = head.toString(StandardCharsets.ISO_8859_1);
-            String length = new StandInInstance.Received(text, "").header("Content-Length");
+            String length = new StubInstance.Received(text, "").header("Content-Length");
             byte[] body = length == null ? new byte[0] : in.readNBytes(Integer.parseInt(length));
             return new Reply(
                     Integer.parseInt(text.substring(9, 12)), text, new String(body, StandardCharsets.ISO_8859_1));
         }
 
-        boolean isEnded() throws IOException {
+        boolean isClosed() throws IOException {
             return socket.getInputStream().read() < 0;
         }
     }
 
     @Override
     public void close() throws IOException {
-        loop.submit(path::close).syncUninterruptibly();
+        loop.submit(dataPath::close).syncUninterruptibly();
         for (Socket client : clients) {
             client.close();
         }
-        for (StandInInstance instance : instances) {
+        for (StubInstance instance : instances) {
             instance.close();
         }
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SendingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
@@ -18,29 +18,29 @@
 import ridgemill.gateway.net.SocketKind;
 
 /** What happens between a request's admission and its sending. */
-class SendingTest {
+class RequestSendingTest {
 
     private static final String KEY = "X-Operation-Key: k\r\n";
     private static final int SLOTS_AND_QUEUE = 9;
 
     private ProxyFixture proxy;
-    private final CountDownLatch end = new CountDownLatch(1);
-    private final StandInInstance.Script waits = (request, socket) -> {
-        end.await();
-        return StandInInstance.sealed("x").answer(request, socket);
+    private final CountDownLatch unblocked = new CountDownLatch(1);
+    private final StubInstance.Script blockingScript = (request, socket) -> {
+        unblocked.await();
+        return StubInstance.sealed("x").respond(request, socket);
     };
 
     @BeforeEach
     void start() throws Exception {
         proxy = new ProxyFixture();
-        proxy.routes(
+        proxy.setRoutes(
                 ProxyFixture.route(RouteKind.NON_IDEMPOTENT, "/n/", 2, 8_000),
                 ProxyFixture.route(RouteKind.KEYED_IDEMPOTENT, "/k/", 2, 8_000));
     }
 
     @AfterEach
     void stop() throws Exception {
-        end.countDown();
+        unblocked.countDown();
         proxy.close();
     }
 
@@ -50,13 +50,13 @@
         return client;
     }
 
-    private void grantHeld() throws Exception {
-        Runnable claim = proxy.register.held.remove();
+    private void grantDeferredClaim() throws Exception {
+        Runnable claim = proxy.register.deferred.remove();
         proxy.onLoop(claim);
     }
 
     /** Fills an instance and takes note of what filled it. */
-    private void fill(StandInInstance instance) throws Exception {
+    private void fill(StubInstance instance) throws Exception {
         for (int i = 0; i < SLOTS_AND_QUEUE; i++) {
             send("/n/1", "full" + i, "");
             instance.take();
@@ -64,61 +64,61 @@
     }
 
     @Test
-    void aClaimThatIsGrantedAfterItsClientLeftIsReleased() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("done"));
-        proxy.register.holding = true;
+    void claimGrantedAfterItsClientDisconnectedIsReleased() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("done"));
+        proxy.register.deferring = true;
         ProxyFixture.Client client = send("/k/1", "1", KEY);
         proxy.awaitInFlight(1);
         client.socket().close();
         proxy.awaitInFlight(0);
-        grantHeld();
+        grantDeferredClaim();
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("release");
-        proxy.register.holding = false;
-        assertThat(proxy.ask("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
-        assertThat(instance.take().id()).isEqualTo("2");
+        proxy.register.deferring = false;
+        assertThat(proxy.request("POST", "/k/1", "2", KEY).body()).isEqualTo("done");
+        assertThat(instance.take().attemptId()).isEqualTo("2");
     }
 
     @Test
-    void aClaimWhoseClientLeavesWhileItWaitsForRoomIsReleased() throws Exception {
-        StandInInstance instance = proxy.instance("a", waits);
+    void claimIsReleasedIfItsClientDisconnectsWhileWaitingForCapacity() throws Exception {
+        StubInstance instance = proxy.instance("a", blockingScript);
         fill(instance);
         ProxyFixture.Client client = send("/k/1", "1", KEY);
         proxy.awaitInFlight(SLOTS_AND_QUEUE + 1);
         client.socket().close();
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("release");
-        end.countDown();
-        assertThat(proxy.ask("POST", "/k/1", "2", KEY).body()).isEqualTo("x");
-        assertThat(instance.take().id()).isEqualTo("2");
+        unblocked.countDown();
+        assertThat(proxy.request("POST", "/k/1", "2", KEY).body()).isEqualTo("x");
+        assertThat(instance.take().attemptId()).isEqualTo("2");
     }
 
     @Test
     void nothingIsSentWhenAClaimIsGrantedAfterTheDeadline() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("done"));
-        proxy.register.holding = true;
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("done"));
+        proxy.register.deferring = true;
         ProxyFixture.Client client = send("/k/1", "1", KEY + "X-Deadline-Remaining: 1900\r\n");
         proxy.awaitInFlight(1);
-        proxy.timers.jump(2_000);
-        grantHeld();
+        proxy.timers.advance(2_000);
+        grantDeferredClaim();
         assertThat(client.read().status()).isEqualTo(503);
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("release");
         assertThat(instance.received).isEmpty();
     }
 
     @Test
-    void nothingIsSentWhenRoomComesAfterTheDeadline() throws Exception {
-        StandInInstance instance = proxy.instance("a", waits);
+    void nothingIsSentWhenCapacityIsFreedAfterTheDeadline() throws Exception {
+        StubInstance instance = proxy.instance("a", blockingScript);
         fill(instance);
         ProxyFixture.Client client = send("/n/1", "late", "X-Deadline-Remaining: 1900\r\n");
         proxy.awaitInFlight(SLOTS_AND_QUEUE + 1);
-        proxy.timers.jump(2_000);
-        end.countDown();
+        proxy.timers.advance(2_000);
+        unblocked.countDown();
         assertThat(client.read().status()).isEqualTo(503);
         proxy.awaitInFlight(0);
         assertThat(instance.received).isEmpty();
     }
 
     /** An attempt of the proxy's own making; what is done with it right after its start comes before its connection. */
-    private AttemptOutcome attempt(StandInInstance instance, Runnable meanwhile) throws Exception {
+    private AttemptOutcome runAttempt(StubInstance instance, Runnable meanwhile) throws Exception {
         CompletableFuture<Attempt> ended = new CompletableFuture<>();
         proxy.onLoop(() -> {
             ProxyContext context = new ProxyContext(
@@ -147,15 +147,15 @@
             meanwhile.run();
         });
         Attempt attempt = ended.get(5, TimeUnit.SECONDS);
-        assertThat(attempt.isSent()).isEqualTo(attempt.verdict() == AttemptOutcome.ANSWERED);
+        assertThat(attempt.isSent()).isEqualTo(attempt.outcome() == AttemptOutcome.ANSWERED);
         assertThat(attempt.instance().inFlight()).isZero();
-        return attempt.verdict();
+        return attempt.outcome();
     }
 
     /** Found by the soak: a process that went on after it stood still cancelled such attempts and opened more than its part. */
     @Test
-    void anAttemptThatIsCancelledWhileItsConnectionComesUpHoldsItsPlaceUntilItIsThere() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
+    void cancelledAttemptHoldsItsSlotUntilItsConnectionIsEstablished() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
         proxy.onLoop(() -> proxy.control.instances = List.of(instance.instance("s")));
         CompletableFuture<ServiceState> made = new CompletableFuture<>();
         proxy.onLoop(() -> {
@@ -195,18 +195,18 @@
     }
 
     @Test
-    void nothingIsSentOnAConnectionThatComesUpAfterTheDeadline() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
-        assertThat(attempt(instance, () -> proxy.timers.jump(0))).isEqualTo(AttemptOutcome.ANSWERED);
+    void nothingIsSentOnAConnectionEstablishedAfterTheDeadline() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
+        assertThat(runAttempt(instance, () -> proxy.timers.advance(0))).isEqualTo(AttemptOutcome.ANSWERED);
         instance.take();
-        assertThat(attempt(instance, () -> proxy.timers.jump(1_000))).isEqualTo(AttemptOutcome.NEVER_WRITTEN);
+        assertThat(runAttempt(instance, () -> proxy.timers.advance(1_000))).isEqualTo(AttemptOutcome.NEVER_WRITTEN);
         assertThat(instance.received).isEmpty();
     }
 
     @Test
-    void nothingIsSentOnAConnectionThatComesUpAfterItsInstanceBeganToLeave() throws Exception {
-        StandInInstance instance = proxy.instance("a", StandInInstance.sealed("x"));
-        assertThat(attempt(instance, () -> {
+    void nothingIsSentOnAConnectionEstablishedAfterItsInstanceBeganToDrain() throws Exception {
+        StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
+        assertThat(runAttempt(instance, () -> {
                     proxy.control.instances = List.of();
                     proxy.control.listeners.forEach(l -> l.instancesChanged());
                 }))
@@ -215,41 +215,41 @@
     }
 
     @Test
-    void whoWaitsForRoomAtAnInstanceThatLeavesGoesElsewhere() throws Exception {
-        StandInInstance leaving = proxy.instance("a", waits);
+    void requestWaitingForCapacityMovesToAnotherInstanceOnDrain() throws Exception {
+        StubInstance leaving = proxy.instance("a", blockingScript);
         fill(leaving);
         ProxyFixture.Client client = send("/n/1", "waits", "");
         proxy.awaitInFlight(SLOTS_AND_QUEUE + 1);
-        StandInInstance other = proxy.instance("b", StandInInstance.sealed("elsewhere"));
-        proxy.ready(other);
-        end.countDown();
+        StubInstance other = proxy.instance("b", StubInstance.sealed("elsewhere"));
+        proxy.setReadyInstances(other);
+        unblocked.countDown();
         assertThat(client.read().body()).isEqualTo("elsewhere");
         assertThat(leaving.received).isEmpty();
-        proxy.ready();
-        assertThat(proxy.ask("POST", "/n/1", "last", "").status()).isEqualTo(503);
+        proxy.setReadyInstances();
+        assertThat(proxy.request("POST", "/n/1", "last", "").status()).isEqualTo(503);
         assertThat(leaving.received).isEmpty();
         assertThat(other.received).hasSize(1);
     }
 
     @Test
-    void aRequestThatMetAnotherInstanceAtAnAddressHasNotRunAndGoesElsewhere() throws Exception {
+    void misdirectedRequestIsRetriedElsewhere() throws Exception {
         AtomicInteger arrivals = new AtomicInteger();
-        StandInInstance.Script firstIsAnother = (request, socket) -> arrivals.getAndIncrement() == 0
-                ? StandInInstance.write(socket, StandInInstance.answer(request, 421, "", ""))
-                : StandInInstance.sealed("done").answer(request, socket);
-        StandInInstance one = proxy.instance("a", firstIsAnother);
-        StandInInstance other = proxy.instance("b", firstIsAnother);
-        assertThat(proxy.ask("POST", "/k/1", "1", KEY).body()).isEqualTo("done");
+        StubInstance.Script firstIsAnother = (request, socket) -> arrivals.getAndIncrement() == 0
+                ? StubInstance.write(socket, StubInstance.response(request, 421, "", ""))
+                : StubInstance.sealed("done").respond(request, socket);
+        StubInstance one = proxy.instance("a", firstIsAnother);
+        StubInstance other = proxy.instance("b", firstIsAnother);
+        assertThat(proxy.request("POST", "/k/1", "1", KEY).body()).isEqualTo("done");
         assertThat(Set.of(one.take().header("X-Expected-Instance"), other.take().header("X-Expected-Instance")))
                 .containsExactlyInAnyOrder("a", "b");
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("finish");
     }
 
     @Test
-    void whereEveryAddressHasAnotherInstanceTheClaimIsReleased() throws Exception {
+    void claimIsReleasedIfEveryAddressIsMisdirected() throws Exception {
         proxy.instance(
-                "a", (request, socket) -> StandInInstance.write(socket, StandInInstance.answer(request, 421, "", "")));
-        assertThat(proxy.ask("POST", "/k/1", "1", KEY).status()).isEqualTo(503);
+                "a", (request, socket) -> StubInstance.write(socket, StubInstance.response(request, 421, "", "")));
+        assertThat(proxy.request("POST", "/k/1", "1", KEY).status()).isEqualTo(503);
         assertThat(proxy.register.calls.poll(5, TimeUnit.SECONDS)).isEqualTo("release");
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
@@ -15,17 +15,17 @@
 
     private static final int PROXIES = 3;
 
-    private final AtomicInteger versions = new AtomicInteger();
+    private final AtomicInteger originVersion = new AtomicInteger();
     private FleetFixture fleet;
-    private StandInInstance origin;
+    private StubInstance origin;
 
     @BeforeEach
     void start() throws Exception {
         fleet = new FleetFixture(PROXIES, 0, 500);
         origin = fleet.instance("a", (request, socket) -> {
-            String body = "v" + versions.incrementAndGet();
+            String body = "v" + originVersion.incrementAndGet();
             String headers = "X-Response-Seal: s\r\nETag: \"" + body + "\"\r\nX-Object-Tags: t1 t2\r\n";
-            return StandInInstance.write(socket, StandInInstance.answer(request, 200, headers, body));
+            return StubInstance.write(socket, StubInstance.response(request, 200, headers, body));
         });
     }
 
@@ -35,11 +35,11 @@
     }
 
     private ProxyFixture.Reply read(int proxy, String id) throws Exception {
-        return fleet.client(proxy).ask("GET", "/c/1", id, "");
+        return fleet.client(proxy).request("GET", "/c/1", id, "");
     }
 
     @Test
-    void aCopyOfASharedCacheIsGivenWithItsStampAndNoneOfOurOwnHeaders() throws Exception {
+    void copyOfASharedCacheIsServedWithItsSealAndWithoutInternalHeaders() throws Exception {
         read(0, "1");
         ProxyFixture.Reply reply = read(1, "2");
         assertThat(reply.body()).isEqualTo("v1");
@@ -48,67 +48,69 @@
         assertThat(reply.head()).doesNotContain("X-Ridgemill");
         assertThat(origin.take().head()).doesNotContain("X-Ridgemill");
         assertThat(fleet.client(2)
-                        .ask("GET", "/c/1", "3", "If-None-Match: \"v1\"\r\n")
+                        .request("GET", "/c/1", "3", "If-None-Match: \"v1\"\r\n")
                         .status())
                 .isEqualTo(304);
-        assertThat(versions).hasValue(1);
+        assertThat(originVersion).hasValue(1);
     }
 
     @Test
-    void theAgeOfACopyCountsFromItsFetchOverAllProcesses() throws Exception {
+    void ageOfACopyCountsFromItsFetchAcrossProcesses() throws Exception {
         read(0, "1");
-        fleet.timePasses(40_000);
+        fleet.advanceTime(40_000);
         assertThat(read(1, "2").body()).isEqualTo("v1");
-        fleet.timePasses(25_000);
+        fleet.advanceTime(25_000);
         assertThat(read(1, "3").body())
                 .as("65 s after the fetch, of 60 s that copies are kept")
                 .isEqualTo("v2");
     }
 
     @Test
-    void aCopyThatIsOlderThanAPurgeIsAskedForAnewThoughTheSharedCacheHasNotHeardOfIt() throws Exception {
+    void copyOlderThanAPurgeIsFetchedAgainBeforeTheSharedCacheReceivesThePurge() throws Exception {
         read(0, "1");
-        fleet.timePasses(100);
+        fleet.advanceTime(100);
         fleet.onProxy(1, control -> control.listeners.forEach(l -> l.pathPurged("h.example", "/c/1")));
         assertThat(read(1, "2").body()).isEqualTo("v2");
-        fleet.timePasses(100);
+        fleet.advanceTime(100);
         fleet.onProxy(2, control -> control.listeners.forEach(l -> l.tagPurged("t2")));
         assertThat(read(2, "3").body()).isEqualTo("v3");
         assertThat(read(2, "4").body()).isEqualTo("v3");
     }
 
     @Test
-    void aSharedCacheThatCannotHearOfPurgesAnswersFromNoCopy() throws Exception {
+    void sharedCacheThatCannotReceivePurgesServesNoCopy() throws Exception {
         read(0, "1");
-        fleet.onCaches(control -> control.hearsPurges = false);
+        fleet.onCaches(control -> control.receivesPurges = false);
         assertThat(read(1, "2").body()).isEqualTo("v2");
-        fleet.onCaches(control -> control.hearsPurges = true);
+        fleet.onCaches(control -> control.receivesPurges = true);
         assertThat(read(2, "3").body()).isEqualTo("v2");
     }
 
     @Test
-    void withoutASharedCacheThatCanBeReachedTheInstancesAreAsked() throws Exception {
-        fleet.showCaches(
+    void instancesAreUsedIfNoSharedCacheIsReachable() throws Exception {
+        fleet.setSharedCaches(
                 List.of(new CacheNode("gone", "127.0.0.1:1", "z"), new CacheNode("gone2", "127.0.0.1:2", "z")));
         assertThat(read(0, "1").body()).isEqualTo("v1");
-        fleet.showCaches(List.of());
+        fleet.setSharedCaches(List.of());
         assertThat(read(1, "2").body()).isEqualTo("v2");
     }
 
     @Test
-    void aSharedCacheThatKnowsAnOlderVersionOfTheRouteIsPassedBy() throws Exception {
+    void sharedCacheWithAnOlderRouteVersionIsBypassed() throws Exception {
         fleet.onProxy(
                 0,
-                control -> control.routes(
-                        ProxyFixture.LIMITS, 0, ProxyFixture.newer(ProxyFixture.route(RouteKind.CACHEABLE, "/c/", 2))));
+                control -> control.setRoutes(
+                        ProxyFixture.LIMITS,
+                        0,
+                        ProxyFixture.nextVersion(ProxyFixture.route(RouteKind.CACHEABLE, "/c/", 2))));
         assertThat(read(0, "1").body()).isEqualTo("v1");
         assertThat(read(1, "2").body()).as("the shared cache holds no copy").isEqualTo("v2");
     }
 
     @Test
-    void aFailureOfTheInstanceIsPassedOnAndRepeatedWithinTheRoutesAttempts() throws Exception {
+    void instanceFailureIsForwardedAndRetriedWithinTheRoutesAttempts() throws Exception {
         origin.script = (request, socket) ->
-                StandInInstance.write(socket, StandInInstance.answer(request, 500, "X-Response-Seal: s\r\n", "failed"));
+                StubInstance.write(socket, StubInstance.response(request, 500, "X-Response-Seal: s\r\n", "failed"));
         ProxyFixture.Reply reply = read(0, "1");
         assertThat(reply.status()).isEqualTo(500);
         assertThat(origin.received).hasSizeBetween(1, 2);
--- a/cdn/src/test/java/ridgemill/cdn/proxy/StandInInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
@@ -16,11 +16,11 @@
 import ridgemill.cdn.instances.InstanceState;
 
 /** An instance over loopback that answers by a script and records what it received. */
-final class StandInInstance implements AutoCloseable {
+final class StubInstance implements AutoCloseable {
 
     /** Writes the answer to a request; the connection stays open if it returns true. */
     interface Script {
-        boolean answer(Received request, Socket socket) throws Exception;
+        boolean respond(Received request, Socket socket) throws Exception;
     }
 
     /** A request as it arrived. */
@@ -35,7 +35,7 @@
             return null;
         }
 
-        String id() {
+        String attemptId() {
             return header("X-Attempt-Id");
         }
     }
@@ -46,9 +46,9 @@
     private final List<Socket> sockets = new ArrayList<>();
     volatile Script script;
     /** Answers by heads alone, before the bodies are read, if it is set. */
-    volatile Script early;
+    volatile Script earlyScript;
 
-    StandInInstance(String id, Script script) throws IOException {
+    StubInstance(String id, Script script) throws IOException {
         this.id = id;
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -78,11 +78,11 @@
 
     /** Answers 200 with a seal and this body. */
     static Script sealed(String body) {
-        return (request, socket) -> write(socket, answer(request, 200, "X-Response-Seal: s\r\n", body));
+        return (request, socket) -> write(socket, response(request, 200, "X-Response-Seal: s\r\n", body));
     }
 
-    static String answer(Received request, int status, String more, String body) {
-        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.id() + "\r\n" + more + "Content-Length: "
+    static String response(Received request, int status, String more, String body) {
+        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n" + more + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
     }
 
@@ -113,7 +113,7 @@
             InputStream in = socket.getInputStream();
             for (Received next = read(in, socket); next != null; next = read(in, socket)) {
                 received.add(next);
-                if (!script.answer(next, socket)) {
+                if (!script.respond(next, socket)) {
                     return;
                 }
             }
@@ -132,7 +132,7 @@
             head.write(b);
         }
         Received request = new Received(head.toString(StandardCharsets.ISO_8859_1), "");
-        if (early != null && !early.answer(request, socket)) {
+        if (earlyScript != null && !earlyScript.respond(request, socket)) {
             return null;
         }
         String length = request.header("Content-Length");
