--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
@@ -5,18 +5,18 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * What one store has promised and accepted. Answers are given once what they say is on disk: what is in memory may be
- * ahead of the disk, what was said never is.
+ * The acceptor of one store: the ballot that it promised and the newest state that it accepted. A reply is sent only
+ * after the state that it reports is on disk. The state in memory may be ahead of the disk; a sent reply never is.
  */
 final class Acceptor {
 
-    /** What became of a proposed step. */
+    /** The result of a proposal. */
     enum Outcome {
-        /** It is accepted now, or was before. */
+        /** The delta is accepted now or was accepted before. */
         ACCEPTED,
-        /** A higher ballot was promised. */
+        /** A higher ballot has been promised. */
         REFUSED,
-        /** This store does not hold the state that the step starts from. */
+        /** This store does not hold the state that the delta starts from. */
         BEHIND
     }
 
@@ -29,14 +29,14 @@
         this.environment = environment;
     }
 
-    /** Takes over what the disk holds. */
+    /** Restores the promise and the state that were read from the disk. */
     void restore(AcceptorRecord record) {
         state = new ControlState(record.accepted(), record.voters(), record.items());
         promised = record.promised();
         durable = record.accepted();
     }
 
-    /** All that was promised and accepted, as far as it is in memory. */
+    /** The promise and the whole accepted state as held in memory, which may be ahead of the disk. */
     AcceptorRecord record() {
         return new AcceptorRecord(promised, state.id(), state.voters(), List.copyOf(state.items()), true);
     }
@@ -55,7 +55,7 @@
         return durable;
     }
 
-    /** Promises to accept nothing of a lower ballot. Returns false if a higher one was promised. */
+    /** Promises to accept nothing under a lower ballot. Returns false if a higher ballot has been promised. */
     boolean promise(Ballot ballot, Runnable whenDurable) {
         if (ballot.compareTo(promised) < 0) {
             return false;
@@ -65,7 +65,7 @@
         return true;
     }
 
-    /** Accepts a proposed step if its ballot is the highest and it fits. */
+    /** Accepts a proposed delta if no higher ballot has been promised and the delta starts from the accepted state. */
     Outcome accept(StateDelta step, Runnable whenDurable) {
         StateId stamp = step.stateId();
         if (!isPermitted(stamp)) {
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Takes over a whole state: a decided one, or one whose ballot is the highest. Returns false if neither holds, or if
-     * what is held is as new.
+     * Replaces the accepted state by a whole state that is decided, or whose ballot is at least the promised one.
+     * Returns false if neither holds or if the accepted state is at least as new.
      */
     boolean install(ControlState whole, boolean decided, Runnable whenDurable) {
         if (!isPermitted(whole.id()) && !decided || whole.id().compareTo(state.id()) <= 0) {
@@ -98,7 +98,7 @@
         return true;
     }
 
-    /** Goes a step further that was learned from another store, under the same conditions as {@link #install}. */
+    /** Applies a delta that was pulled from another store, under the same conditions as {@link #install}. */
     boolean applyDelta(StateDelta step, boolean decided, Runnable whenDurable) {
         if (!isPermitted(step.stateId()) && !decided || !step.base().equals(state.id())) {
             return false;
@@ -109,12 +109,12 @@
         return true;
     }
 
-    /** Whether no higher ballot than a state's own was promised. */
+    /** Whether the promise allows accepting this state: no ballot higher than its own has been promised. */
     private boolean isPermitted(StateId stamp) {
         return stamp.ballot().compareTo(promised) >= 0;
     }
 
-    /** Begins with the first voters, before anything was decided. */
+    /** Sets the first voters, before anything has been decided. */
     void bootstrap(StateId stamp, VoterSet voters, Runnable whenDurable) {
         state = new ControlState(stamp, voters, List.of());
         persist(List.of(), true, whenDurable);
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AcceptorRecord.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AcceptorRecord.java
@@ -5,18 +5,18 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * What an acceptor has to have on disk before it says so.
+ * A change of an acceptor's durable state. It has to be on disk before the acceptor reports it.
  *
- * @param promised the highest ballot that it promised to heed
- * @param accepted the state that it accepted last
+ * @param promised the highest promised ballot
+ * @param accepted the newest accepted state
  * @param voters the voters of that state
- * @param items the items that changed, or all of them
- * @param replaces whether the items take the place of all that were there
+ * @param items the changed items, or all items if {@code replaces} is set
+ * @param replaces whether the items replace all items that are stored
  */
 public record AcceptorRecord(
         Ballot promised, StateId accepted, VoterSet voters, List<VersionedItem> items, boolean replaces) {
 
-    /** What an empty disk holds. */
+    /** The record of an empty disk. */
     public static final AcceptorRecord EMPTY =
             new AcceptorRecord(Ballot.NONE, StateId.NONE, VoterSet.UNKNOWN, List.of(), false);
 
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementEnvironment.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementEnvironment.java
@@ -4,22 +4,27 @@
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What a node needs of the process around it. */
+/** The I/O and randomness that the surrounding process provides to an {@link AgreementNode}. */
 public interface AgreementEnvironment {
 
-    /** Sends a message to the store on a machine. It may be lost. */
+    /** Sends a message to the store on the machine with this IP address. The message may be lost. */
     void send(String address, AgreementMessage message);
 
     /**
-     * Writes to the disk, after all that was written before.
+     * Writes a record to the disk, after all records that were written before it.
      *
-     * @param durable called once it, and all before it, survives a loss of power; never if the disk refuses
+     * @param durable called once this record and all before it survive a loss of power; never called if the disk fails
      */
     void persist(AcceptorRecord record, Runnable durable);
 
-    /** States were decided: these items changed, and these are the voters. Never called for what is not decided. */
+    /**
+     * Publishes newly decided states. Never called for a state that is only accepted.
+     *
+     * @param changed the items that changed
+     * @param voters the voters of the newest decided state
+     */
     void onDecided(List<Item> changed, VoterSet voters);
 
-    /** A number from 0 (inclusive) to 1 (exclusive), drawn at random. */
+    /** A random number from 0 (inclusive) to 1 (exclusive). */
     double random();
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
@@ -5,34 +5,34 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** A message between stores. Each says who sent it; any of them may be lost, doubled or late. */
+/** A message between stores. Messages may be lost, duplicated, delayed or reordered. */
 public sealed interface AgreementMessage {
 
     /** The store that sent the message. */
     Voter from();
 
-    /** A proposer asks an acceptor. */
+    /** A request of a proposer to an acceptor. */
     sealed interface ToAcceptor extends AgreementMessage {}
 
-    /** An acceptor answers a proposer. */
+    /** A reply of an acceptor to a proposer. */
     sealed interface ToProposer extends AgreementMessage {}
 
-    /** A store brings its state up to date from another one. */
+    /** A message of a state transfer, by which a store catches up with another one. */
     sealed interface Transfer extends AgreementMessage {}
 
     /**
-     * What a store says of itself, at intervals and after changes.
+     * The status that a store announces at intervals and after changes.
      *
      * @param zone the zone of its machine
      * @param eligible whether it may be chosen as a voter
-     * @param leaving whether it is about to end for a while or for good
-     * @param leading whether it proposes states at present
-     * @param promised its highest promise
-     * @param accepted the newest state that it has on disk
+     * @param leaving whether it is about to stop, for a while or for good
+     * @param leading whether it is the leader
+     * @param promised its highest promised ballot
+     * @param accepted the newest accepted state that it has on disk
      * @param decided the newest state that it knows to be decided
-     * @param voters the voters of the newest state that it accepted
+     * @param voters the voters of its newest accepted state
      * @param completeEpoch the newest epoch for which it has all operation keys on disk; 0 for none
-     * @param knownAddresses the IP addresses of the stores that it has heard lately
+     * @param knownAddresses the IP addresses of the stores that it recently received a status from
      */
     record Status(
             Voter from,
@@ -48,37 +48,37 @@
             List<String> knownAddresses)
             implements AgreementMessage {}
 
-    /** Asks for the promise to accept nothing of a lower ballot. */
+    /** Asks for the promise to accept nothing under a lower ballot (Paxos phase 1a). */
     record Prepare(Voter from, Ballot ballot) implements ToAcceptor {}
 
-    /** The promise, and what was accepted before it. */
+    /** The promise, with the newest state that was accepted before it (Paxos phase 1b). */
     record Promise(Voter from, Ballot ballot, StateId accepted, VoterSet voters) implements ToProposer {}
 
-    /** Proposes a state as a difference. Its ballot is that of the step's stamp. */
+    /** Proposes a state as a delta, under the ballot of the delta's state (Paxos phase 2a). */
     record Accept(Voter from, StateDelta step) implements ToAcceptor {}
 
-    /** A state, and under the same ballot all before it, is accepted and on disk. */
+    /** A state, and all earlier states under the same ballot, are accepted and on disk (Paxos phase 2b). */
     record Accepted(Voter from, StateId stateId) implements ToProposer {}
 
-    /** A ballot came too late: a higher one was promised. */
+    /** Rejects a request under a ballot because a higher one has been promised. */
     record Refused(Voter from, Ballot refused, Ballot promised) implements ToProposer {}
 
-    /** Asks whether a ballot is still the highest one. */
+    /** Asks whether a ballot is still the highest promised one, before the leader answers a read. */
     record Confirm(Voter from, Ballot ballot, long number) implements ToAcceptor {}
 
-    /** It is. */
+    /** Confirms that no higher ballot has been promised. */
     record Confirmed(Voter from, Ballot ballot, long number) implements ToProposer {}
 
     /**
      * Asks for a page of the accepted state.
      *
-     * @param transferId names the transfer among those of this sender
+     * @param transferId identifies the transfer among those of this sender
      * @param heldStateId the state that the asking store holds
      * @param page the number of the page, from 0
      */
     record Pull(Voter from, String transferId, StateId heldStateId, int page) implements Transfer {}
 
-    /** Answers {@link Pull} with the steps that are missing, where they are few. */
+    /** Answers {@link Pull} with the missing deltas, if the answering store still keeps them and they are small. */
     record Difference(Voter from, String transferId, StateId decided, List<StateDelta> deltas) implements Transfer {}
 
     /**
@@ -86,8 +86,8 @@
      *
      * @param decided the newest state that the sender knows to be decided
      * @param page the number of the page, from 0
-     * @param pageCount how many there are
-     * @param stateId the state that the snapshot is of
+     * @param pageCount the number of pages
+     * @param stateId the state that the snapshot shows
      * @param voters its voters
      * @param items the items of this page
      * @param digest {@link ControlState#digest} of the whole snapshot
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -11,28 +11,29 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * One store's part in the agreement on the control state. Single-threaded: messages, the passing of time and the disk's
- * answers are passed in. Times are milliseconds of a clock that never steps back.
+ * The participation of one store in the agreement on the control state. Single-threaded: messages, the time and the
+ * completion of disk writes are passed in. Times are milliseconds of a monotonic clock.
  */
 public final class AgreementNode {
 
-    /** How often {@link #tick} is to be called, in milliseconds. */
+    /** The interval at which {@link #tick} has to be called, in milliseconds. */
     public static final long TICK_MS = 100;
 
     private static final double STATUS_INTERVAL_MS = 400;
-    /** After so long without a leader a voter tries to lead: the first one in order first, in milliseconds. */
+    /** How long the first voter in order waits without a leader before it starts an election, in milliseconds. */
     private static final double ELECTION_TIMEOUT_MS = 1_000;
 
+    /** How much longer each following voter waits, and the maximum of the random part of the wait, in milliseconds. */
     private static final double ELECTION_STAGGER_MS = 200;
-    /** A store that was promised a ballot within this time is not outbid, in milliseconds. */
+    /** How long after promising a ballot this store starts no election of its own for a call, in milliseconds. */
     private static final double CANDIDATE_HOLD_OFF_MS = 400;
-    /** A leader that was heard within this time is the one to ask, in milliseconds. */
+    /** Calls are passed to a leader whose last status is no older, in milliseconds. */
     private static final double LEADER_FRESH_MS = 1_000;
-    /** A leader that was heard within this time keeps leading although somebody could not reach it, in milliseconds. */
+    /** A leader whose last status is no older is not replaced although a caller could not reach it, in milliseconds. */
     private static final double LEADER_INSIST_FRESH_MS = 600;
-    /** How long a pull of a newer state waits for the usual messages to bring it, in milliseconds. */
+    /** How long to wait for the usual messages to deliver a newer state before it is pulled, in milliseconds. */
     private static final double PULL_DELAY_MS = 250;
-    /** How long a change of the voters keeps off the next one, in milliseconds. */
+    /** The minimum interval between changes of the voters, in milliseconds. */
     private static final double VOTER_CHANGE_INTERVAL_MS = 300;
 
     private final NodeSettings settings;
@@ -53,19 +54,22 @@
     private double behindSinceMs = Double.NaN;
     private double votersChangedAtMs = Double.NEGATIVE_INFINITY;
     private double electionJitterMs;
-    /** A state of the present epoch, which newcomers have to hold; newer ones come all the time. */
+    /**
+     * The first state seen in the current epoch, which added voters have to hold; newer states are decided all the
+     * time.
+     */
     private StateId changeStateId = StateId.NONE;
 
     private long changeEpoch;
-    /** The change of the voters that is to be proposed next; null if there is none. */
+    /** The voters to propose next; null if no change is planned. */
     private VoterSet nextVoters;
-    /** The store that was promised a ballot last, and when. */
+    /** The IP address of the store whose ballot was promised last, and when. */
     private String candidateAddress = "";
 
     private double candidateAtMs = Double.NEGATIVE_INFINITY;
     private StateId lastAnnounced = StateId.NONE;
 
-    /** A node that begins with {@link #start}. */
+    /** A node that takes part once {@link #start} has been called. */
     public AgreementNode(NodeSettings settings, AgreementEnvironment environment, ChangeRules rules) {
         this.settings = settings;
         this.self = settings.self();
@@ -79,7 +83,7 @@
         this.voterPlanner = new VoterPlanner(peers, stalledDisks, settings.toleratedLosses());
     }
 
-    /** Begins with what the disk held. */
+    /** Starts with the record that was read from the disk. */
     public void start(AcceptorRecord record, double nowMs) {
         acceptor.restore(record);
         if (!record.accepted().equals(StateId.NONE)) {
@@ -92,7 +96,9 @@
         sendStatus(nowMs);
     }
 
-    /** The voters of the newest accepted state, decided or not: their epoch is the one that counts for keys and purges. */
+    /**
+     * The voters of the newest accepted state, decided or not. Their epoch is the one that applies to keys and purges.
+     */
     public VoterSet voters() {
         return acceptor.state().voters();
     }
@@ -107,22 +113,22 @@
         return view.items();
     }
 
-    /** All that this store has promised and accepted, to be written to a disk that is begun anew. */
+    /** The promise and the whole accepted state, to be written to a disk that is reinitialized. */
     public AcceptorRecord record() {
         return acceptor.record();
     }
 
-    /** Whether this store votes. */
+    /** Whether this store is a voter. */
     public boolean isVoter() {
         return voters().contains(self);
     }
 
-    /** Whether this store leads at present. */
+    /** Whether this store is the leader. */
     public boolean isLeading() {
         return leadership.isLeading();
     }
 
-    /** Whether this store may vote on operation keys: as a newcomer only once it holds all of them. */
+    /** Whether this store may vote on operation keys. An added voter may do so only once it holds all keys. */
     public boolean canVoteOnKeys() {
         VoterSet voters = voters();
         boolean whole = !voters.addedVoters().contains(self) || completeEpoch >= voters.epoch();
@@ -130,8 +136,8 @@
     }
 
     /**
-     * The change of voters for which this store still has to fetch the operation keys, once that change is decided; null
-     * if there is none.
+     * The decided change of the voters for which this store still has to fetch the operation keys; null if there is
+     * none.
      */
     public VoterSet voterChangeAwaitingKeys() {
         VoterSet voters = view.voters();
@@ -139,27 +145,32 @@
         return wanted && voters.equals(voters()) ? voters : null;
     }
 
-    /** All operation keys of an epoch are on disk here. */
+    /** Records that all operation keys of an epoch are on this store's disk. */
     public void onKeysComplete(long epoch, double nowMs) {
         completeEpoch = Math.max(completeEpoch, epoch);
         sendStatus(nowMs);
     }
 
-    /** This store is about to end: another one is to vote in its place. */
+    /** Announces that this store is about to stop, so that another one replaces it as a voter. */
     public void leave(double nowMs) {
         leaving = true;
         sendStatus(nowMs);
     }
 
-    /** Whether this store may end without harm: it votes no more, or nobody could take its place. */
+    /** Whether this store may stop: it is no longer a voter, or no other store could replace it. */
     public boolean canStop(double nowMs) {
         boolean out = !voters().contains(self) && !view.voters().contains(self);
         return out || !voterPlanner.hasCandidate(voters(), status(nowMs), nowMs);
     }
 
     /**
-     * Decides an order, see {@link ChangeResult}. With {@code insist}, which says that the leader could not be reached, this
-     * store tries to lead unless it has just heard that leader itself.
+     * Submits a configuration change.
+     *
+     * @param items the new versions of the items
+     * @param insist whether the caller could not reach the leader: this store then starts an election unless it has
+     *     just received a status from the leader itself
+     * @param deadlineMs when the callback is called with {@link ChangeResult#UNKNOWN} at the latest
+     * @param callback called with the result
      */
     public void submit(
             List<Item> items, boolean insist, double nowMs, double deadlineMs, Consumer<ChangeResult> callback) {
@@ -172,7 +183,13 @@
         advance(nowMs);
     }
 
-    /** Reads the newest decided items; the callback is told null if no majority confirms in time that they are. */
+    /**
+     * Reads the newest decided items.
+     *
+     * @param insist as for {@link #submit}
+     * @param callback called with the items, or with null if no majority confirms in time that they are the newest
+     * @param other called instead with the IP address of the leader if another store leads; empty if none is known
+     */
     public void read(
             boolean insist,
             double nowMs,
@@ -189,7 +206,10 @@
         advance(nowMs);
     }
 
-    /** The store to ask in this one's place, empty if none is known; null if this one leads or begins to. */
+    /**
+     * The IP address of the leader if that is another store; empty if none is known; null if this store leads or tries
+     * to.
+     */
     private String otherLeader(boolean insist, double nowMs) {
         if (!leadership.isFollowing()) {
             return null;
@@ -212,8 +232,8 @@
     }
 
     /**
-     * Whether a majority of the voters was heard lately. A store that was cut off, or frozen, hears first what has become
-     * of the voters, and does not outbid the one that leads them.
+     * Whether recent statuses were received from a majority of the voters. A store that was partitioned or frozen thus
+     * first learns the current voters, and does not outbid their leader.
      */
     private boolean isMajorityReachable(double nowMs) {
         return voters().hasQuorum(
@@ -230,7 +250,7 @@
         return best;
     }
 
-    /** Takes a message. */
+    /** Handles a message from another store. */
     public void receive(AgreementMessage message, double nowMs) {
         if (message.from().equals(self)) {
             return;
@@ -260,7 +280,10 @@
         bootstrapIfSeedsAreEmpty(nowMs);
     }
 
-    /** After a restart of all nobody knows what was decided: what a majority has accepted is. */
+    /**
+     * Decides a state that a majority is known to have accepted. After a restart of all stores no store knows which
+     * states were decided.
+     */
     private void decideIfMajorityAccepted(double nowMs) {
         StateId own = acceptor.durable();
         if (own.revision() < 1
@@ -278,8 +301,9 @@
     }
 
     /**
-     * The first voters are the seeds, once all of them have said that nothing was ever decided there. Each has its disk's
-     * name on disk before it says so; so a kill at any moment leaves either nothing or a state that goes on.
+     * Makes the seeds the first voters, once all of them have reported that they hold no decided state. Each store has
+     * its disk's identifier on disk before it reports that, so a crash at any moment leaves either an empty disk or one
+     * that can continue.
      */
     private void bootstrapIfSeedsAreEmpty(double nowMs) {
         if (acceptor.state().id().revision() > 0 || !peers.seeds().contains(self.address())) {
@@ -388,7 +412,9 @@
         }
     }
 
-    /** Takes over what another store holds, as far as it is decided or its ballot is the highest. */
+    /**
+     * Takes over the state of another store, as far as it is decided or under a ballot not lower than the promised one.
+     */
     private void applyPulled(PulledState pulled) {
         behindSinceMs = Double.NaN;
         if (pulled.whole() != null) {
@@ -412,7 +438,7 @@
         view.decide(view.newestKnownDecided());
     }
 
-    /** Goes on as time passes; to be called every {@link #TICK_MS}. */
+    /** Handles timeouts and periodic work; to be called every {@link #TICK_MS}. */
     public void tick(double nowMs) {
         peers.tick(nowMs);
         stalledDisks.record(self, acceptor.durable(), view.decided(), nowMs);
@@ -460,7 +486,10 @@
         }
     }
 
-    /** The one that leads changes the voters: first a joint set, then, once its newcomers hold all, the new one alone. */
+    /**
+     * As the leader, plans a change of the voters: first to a joint set, and once its added voters have caught up, to
+     * the new voters alone.
+     */
     private void planVoters(double nowMs) {
         nextVoters = null;
         if (!leadership.isLeading() || nowMs - votersChangedAtMs < VOTER_CHANGE_INTERVAL_MS) {
@@ -479,7 +508,9 @@
         }
     }
 
-    /** Serves what waits; a change of the voters goes before orders, which would keep it off for ever. */
+    /**
+     * Proposes pending work. A change of the voters goes first, since a steady load of changes would delay it forever.
+     */
     private void proposePending(double nowMs) {
         if (nextVoters != null && leadership.isIdle() && nextVoters.epoch() == voters().epoch() + 1) {
             VoterSet wanted = nextVoters;
@@ -501,7 +532,7 @@
                 && status.accepted().compareTo(changeStateId) >= 0;
     }
 
-    /** Serves what waits, and tells the others at once of what was decided. */
+    /** Proposes pending work, and announces newly decided states to the other stores at once. */
     private void advance(double nowMs) {
         proposePending(nowMs);
         if (leadership.isLeading() && !view.decided().equals(lastAnnounced)) {
@@ -511,7 +542,7 @@
         }
     }
 
-    /** Goes on after the disk has answered. */
+    /** Continues after a disk write has completed. */
     public void onPersisted(double nowMs) {
         advance(nowMs);
     }
@@ -531,19 +562,19 @@
                 peers.knownAddresses(nowMs));
     }
 
-    /** How far this store is, for logs. */
+    /** The progress of this store, for logs. */
     public String describe() {
         return "leading=" + leadership.isLeading() + " following=" + leadership.isFollowing() + " accepted="
                 + acceptor.state().id() + " decided=" + view.decided() + " promised=" + acceptor.promised()
                 + " epoch=" + voters().epoch() + " complete_epoch=" + completeEpoch;
     }
 
-    /** Tells a store how far this one is, as messages reach it from now on. */
+    /** Sends this store's status to another store that has become reachable. */
     public void onConnected(String address, double nowMs) {
         environment.send(address, status(nowMs));
     }
 
-    /** Tells all stores how far this one is. */
+    /** Sends this store's status to all known stores. */
     public void sendStatus(double nowMs) {
         statusAtMs = nowMs;
         AgreementMessage.Status status = status(nowMs);
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Ballot.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Ballot.java
@@ -3,10 +3,12 @@
 import java.util.Comparator;
 
 /**
- * The right to propose states. Ballots are ordered, and each belongs to one life of one process.
+ * A ballot number, under which one proposer may propose states. Ballots are totally ordered, and each belongs to one
+ * incarnation of one process.
  *
- * @param round the higher one wins
- * @param proposer the life of the process that made the ballot; a process that starts again never makes the same one
+ * @param round the round; a higher round makes a higher ballot
+ * @param proposer the incarnation of the process that made the ballot, so that a restarted process never makes the same
+ *     ballot again
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
 
@@ -21,7 +23,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** The higher one of two. */
+    /** The higher of two ballots. */
     public static Ballot max(Ballot one, Ballot other) {
         return one.compareTo(other) >= 0 ? one : other;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeEvaluator.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeEvaluator.java
@@ -11,13 +11,13 @@
 import ridgemill.cdn.config.VersionedItem;
 
 /**
- * Says what orders come to, one after the other, each on top of those before it. A call is taken whole or not at all. For
- * each name the highest version stands; a lower one changes nothing, and its content is remembered, so that no other
- * content is confirmed under the same number later.
+ * Evaluates changes one after another, each on top of those before it. A change is accepted whole or not at all. For
+ * each name the highest version is in effect. A lower version changes nothing, but its content digest is recorded so
+ * that no other content is confirmed under the same version later.
  */
 final class ChangeEvaluator {
 
-    /** All items together take no more, so that a message can hold them. */
+    /** The maximum size of all items together, in characters, so that a message can hold them. */
     static final long MAX_CHARACTERS = 4 << 20;
 
     private final ControlState state;
@@ -25,18 +25,18 @@
     private final Map<ItemName, VersionedItem> changed = new LinkedHashMap<>();
     private long addedCharacters;
 
-    /** Evaluates orders on top of a state, which is not changed. */
+    /** Evaluates changes on top of a state, which is not modified. */
     ChangeEvaluator(ControlState state, ChangeRules rules) {
         this.state = state;
         this.rules = rules;
     }
 
-    /** The items that changed through all orders that were taken. */
+    /** The items that were changed by all accepted changes. */
     Collection<VersionedItem> changedItems() {
         return changed.values();
     }
 
-    /** Takes an order, or says why it can't be taken. */
+    /** Accepts a change, or returns the reason for refusing it. */
     ChangeResult evaluate(List<Item> order) {
         Map<ItemName, VersionedItem> entries = new LinkedHashMap<>();
         Map<ItemName, Item> newer = new LinkedHashMap<>();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeResult.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeResult.java
@@ -1,35 +1,39 @@
 package ridgemill.cdn.agreement;
 
 /**
- * What became of an order.
+ * The result of a configuration change.
  *
- * @param outcome what became of it
- * @param detail the item and the reason where it was refused; the IP address of the store to ask where another one leads;
- *     else empty
+ * @param outcome the outcome
+ * @param detail the item and the reason if the change was refused; the IP address of the leader if another store leads
+ *     and is known; else empty
  */
 public record ChangeResult(Outcome outcome, String detail) {
 
-    /** What became of an order. */
+    /** The outcome of a change. */
     public enum Outcome {
-        /** It is decided, or was before. */
+        /** The change is decided now or was decided before. */
         CONFIRMED,
-        /** Other content is held under one of its versions; nothing of it was taken. */
+        /** Other content is stored under one of the versions; nothing was changed. */
         CONFLICT,
-        /** It leads to a configuration that does not hold together; nothing of it was taken. */
+        /** The change would make the configuration inconsistent; nothing was changed. */
         INVALID,
-        /** Nothing was taken; another store leads. */
+        /** Another store leads; nothing was changed. */
         NOT_LEADER,
-        /** No majority could be reached in time. It may be decided later. */
+        /** No majority could be reached in time. The change may still be decided later. */
         UNKNOWN
     }
 
-    /** The order is decided. */
+    /** The result of a decided change. */
     public static final ChangeResult CONFIRMED = new ChangeResult(Outcome.CONFIRMED, "");
 
-    /** Nothing is known of the order. */
+    /** The result of a change that may or may not be decided. */
     public static final ChangeResult UNKNOWN = new ChangeResult(Outcome.UNKNOWN, "");
 
-    /** Another store leads; empty if none is known. */
+    /**
+     * The result of a change that was sent to a store that does not lead.
+     *
+     * @param address the IP address of the leader; empty if none is known
+     */
     public static ChangeResult notLeader(String address) {
         return new ChangeResult(Outcome.NOT_LEADER, address);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeRules.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeRules.java
@@ -4,20 +4,23 @@
 import java.util.Optional;
 import ridgemill.cdn.config.Item;
 
-/** Whether items hold together. An index that follows the items, so that a change costs no more than its own size. */
+/**
+ * Checks that a configuration is consistent. Implementations keep an index of the items, so that checking a change
+ * costs no more than the size of the change.
+ */
 public interface ChangeRules {
 
-    /** Begins anew with all items of a state. */
+    /** Rebuilds the index from all items of a state. */
     void reset(Collection<Item> items);
 
-    /** Items have changed. */
+    /** Applies changed items to the index. */
     void apply(Collection<Item> items);
 
     /**
-     * Why items can't be changed so.
+     * Checks a change against the present items.
      *
      * @param items newer versions, each name once
-     * @return the item and the reason in plain words; empty if the change is valid
+     * @return a message that names the item and the reason; empty if the change is valid
      */
     Optional<String> validate(Collection<Item> items);
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
@@ -11,9 +11,10 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** A whole state: the items of the configuration and the voters. */
+/** The replicated control state: the items of the configuration and the voters. */
 public final class ControlState {
 
+    /** The size of an item in a message besides its name and content, in characters, as an estimate. */
     private static final int ITEM_OVERHEAD_CHARACTERS = 40;
 
     private final TreeMap<ItemName, VersionedItem> items = new TreeMap<>();
@@ -21,19 +22,19 @@
     private VoterSet voters;
     private long characters;
 
-    /** The state before any. */
+    /** The empty state, before anything was accepted. */
     public ControlState() {
         this(StateId.NONE, VoterSet.UNKNOWN, List.of());
     }
 
-    /** A state from its parts. */
+    /** A state with the given items and voters. */
     public ControlState(StateId stamp, VoterSet voters, Collection<VersionedItem> items) {
         this.id = stamp;
         this.voters = voters;
         items.forEach(this::put);
     }
 
-    /** Names this state. */
+    /** Identifies this state. */
     public StateId id() {
         return id;
     }
@@ -48,20 +49,24 @@
         return items.get(name);
     }
 
-    /** All items in the order of their names, dropped ones included. */
+    /** All items in the order of their names, tombstones included. */
     public Collection<VersionedItem> items() {
         return items.values();
     }
 
-    /** How many characters all items have. */
+    /** The estimated size of all items in a message, in characters. */
     public long characters() {
         return characters;
     }
 
-    /** Goes one step further. The step must start from this state. */
+    /**
+     * Applies a delta.
+     *
+     * @throws IllegalArgumentException if the delta does not start from this state
+     */
     public void apply(StateDelta step) {
         if (!step.base().equals(id)) {
-            throw new IllegalArgumentException("a step from " + step.base() + " does not fit " + id);
+            throw new IllegalArgumentException("cannot apply a delta based on " + step.base() + " to state " + id);
         }
         step.items().forEach(this::put);
         id = step.stateId();
@@ -73,12 +78,12 @@
         characters += charactersOf(entry) - (before == null ? 0 : charactersOf(before));
     }
 
-    /** A copy that changes independently. */
+    /** An independent copy. */
     public ControlState copy() {
         return new ControlState(id, voters, items.values());
     }
 
-    /** A checksum over all that the state holds but its stamp, by which a transfer is checked. */
+    /** A checksum over the state without its identifier, which verifies a transfer. */
     public long digest() {
         long hash = voters.epoch();
         for (Voter voter : voters.members()) {
@@ -97,7 +102,7 @@
         return hash;
     }
 
-    /** How many characters an item takes in a message, roughly. */
+    /** The estimated size of an item in a message, in characters. */
     static long charactersOf(VersionedItem entry) {
         Item item = entry.item();
         int content = item.isTombstone() ? 0 : item.content().length();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
@@ -11,26 +11,26 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * What of the accepted states is known to be decided. Only this is ever told to anybody outside the stores. The newest
- * steps are kept, so that others can be told what they lack.
+ * The part of the accepted states that is known to be decided. Only decided states are published outside the stores.
+ * The newest deltas are kept, so that stores that are behind can be sent the missing ones.
  */
 final class DecidedView {
 
-    /** How many steps, and characters in them, are kept for stores that are behind. */
+    /** The most deltas that are kept for stores that are behind. */
     private static final int MAX_KEPT_DELTAS = 256;
-
+    /** The most characters in the kept deltas. */
     private static final long MAX_KEPT_CHARACTERS = 1 << 20;
 
     private final AgreementEnvironment environment;
     private final ItemSet items = new ItemSet();
-    /** The newest decided steps in their order; the first one may be a whole state, whose base is {@link StateId#NONE}. */
+    /** The newest decided deltas in order; the first one may be a whole state, whose base is {@link StateId#NONE}. */
     private final Deque<StateDelta> decidedDeltas = new ArrayDeque<>();
-    /** The accepted steps behind them that are not known to be decided. */
+    /** The accepted deltas after them, which are not known to be decided. */
     private final Deque<StateDelta> undecidedDeltas = new ArrayDeque<>();
 
     private VoterSet voters = VoterSet.UNKNOWN;
     private StateId decided = StateId.NONE;
-    /** The newest decided state that was heard of, which this store may not hold yet. */
+    /** The newest state that any store reported as decided; this store may not hold it yet. */
     private StateId newestKnownDecided = StateId.NONE;
 
     private long keptCharacters;
@@ -44,22 +44,22 @@
         return items;
     }
 
-    /** The decided voters; unknown while nothing is known to be decided. */
+    /** The decided voters; {@link VoterSet#UNKNOWN} while nothing is known to be decided. */
     VoterSet voters() {
         return voters;
     }
 
-    /** The newest state that is known to be decided and is held. */
+    /** The newest state that is known to be decided and is held here. */
     StateId decided() {
         return decided;
     }
 
-    /** The newest state that is known to be decided, held or not. */
+    /** The newest state that is known to be decided, whether or not it is held here. */
     StateId newestKnownDecided() {
         return newestKnownDecided;
     }
 
-    /** A whole state was accepted. */
+    /** Starts over with a whole state that was accepted. */
     void reset(ControlState state) {
         decidedDeltas.clear();
         undecidedDeltas.clear();
@@ -67,7 +67,7 @@
         addAccepted(new StateDelta(StateId.NONE, state.id(), state.voters(), List.copyOf(state.items())));
     }
 
-    /** A step was accepted. */
+    /** Adds an accepted delta, and discards the oldest decided deltas beyond the limits. */
     void addAccepted(StateDelta step) {
         undecidedDeltas.add(step);
         keptCharacters += step.characters();
@@ -80,7 +80,7 @@
         return decidedDeltas.size() + undecidedDeltas.size() > MAX_KEPT_DELTAS || keptCharacters > MAX_KEPT_CHARACTERS;
     }
 
-    /** A state is decided; all that it was made from is so too. */
+    /** Records that a state is decided, and with it all states that it was derived from. */
     void decide(StateId stamp) {
         newestKnownDecided = StateId.max(newestKnownDecided, stamp);
         if (stamp.compareTo(decided) > 0) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** How many of the open steps a decided state settles. */
+    /** The number of undecided deltas that a decided state makes decided. */
     private int countDecidedBy(StateId stamp) {
         int settles = 0;
         int position = 0;
@@ -120,7 +120,7 @@
         environment.onDecided(changed, voters);
     }
 
-    /** The steps that lead from a state to the newest accepted one; null if they are not kept. */
+    /** The deltas that lead from a state to the newest accepted one; null if they are not kept. */
     List<StateDelta> deltasFrom(StateId base) {
         if (base.equals(StateId.NONE)) {
             return null;
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
@@ -16,23 +16,26 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Proposes states. To lead, a store has a majority promise its ballot, takes over the newest state that any of them has
- * accepted, and has a majority accept that as its own: whatever may have been decided is so now. Then it decides orders,
- * one state after another. Answers rest on a majority that was asked after the call came, so a store that was cut off,
- * frozen or overtaken answers nothing.
+ * The proposer of one store. To become leader, a store obtains promises for its ballot from a majority, takes over the
+ * newest state that any of them has accepted, and has a majority accept that state under its own ballot; every state
+ * that may have been decided before is decided then. After that it decides changes, one state after another. A change
+ * or a read is answered only once a majority that was asked after the call arrived has confirmed the ballot, so a store
+ * that was partitioned, frozen or outbid answers nothing.
  */
 final class Leadership {
 
+    /** How long a store tries to become leader before it gives up, in milliseconds. */
     private static final double ELECTION_TIMEOUT_MS = 900;
+
     private static final double RETRANSMIT_INTERVAL_MS = 200;
-    /** A leader without a majority for so long leads no more, in milliseconds. */
+    /** A leader whose requests get no majority for this long steps down, in milliseconds. */
     private static final double MAJORITY_LOSS_TIMEOUT_MS = 2_000;
 
     private enum Role {
         FOLLOWING,
-        /** Promises are awaited. */
+        /** Waiting for promises. */
         PREPARING,
-        /** The newest state is fetched from another store. */
+        /** Fetching the newest accepted state from another store. */
         FETCHING,
         LEADING
     }
@@ -62,7 +65,12 @@
 
     private record PendingChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {}
 
-    /** An answer that may be given once a majority has agreed; at its deadline the other one is given. */
+    /**
+     * An answer to a caller.
+     *
+     * @param onMajority gives the answer once a majority has agreed
+     * @param onUnknown tells the caller that the result is unknown, at the deadline or when this store steps down
+     */
     private record PendingAnswer(Runnable onMajority, Runnable onUnknown, double deadlineMs) {}
 
     private static final class Proposal {
@@ -97,22 +105,22 @@
         return role == Role.FOLLOWING;
     }
 
-    /** Whether this store's ballot has decided something and nobody is known to have a higher one. */
+    /** Whether this store has decided a state under its ballot and knows of no higher promise. */
     boolean isLeading() {
         return role == Role.LEADING && ready;
     }
 
-    /** Whether nothing is being decided, so that a change of the voters may be proposed. */
+    /** Whether this store leads and no proposal is in progress, so that a change of the voters may be proposed. */
     boolean isIdle() {
         return isLeading() && proposal == null;
     }
 
-    /** A round that another store has used: the next ballot is higher. */
+    /** Records a round that another store has used; the next ballot of this store is higher. */
     void observeRound(long round) {
         highestRound = Math.max(highestRound, round);
     }
 
-    /** Asks for promises under a new ballot. Only a voter may. */
+    /** Asks the voters for promises under a new ballot. Does nothing unless this store is a voter. */
     void startElection(double nowMs) {
         if (!acceptor.state().voters().contains(self)) {
             return;
@@ -142,7 +150,10 @@
         }
     }
 
-    /** Takes a promise. Those that are needed depend on the voters of the newest state that was accepted anywhere. */
+    /**
+     * Handles a promise. A quorum is needed both of the voters of this store's accepted state and of the voters of the
+     * newest state that any promise reports.
+     */
     void onPromise(AgreementMessage.Promise promise, double nowMs) {
         if (role != Role.PREPARING || !promise.ballot().equals(ballot)) {
             return;
@@ -173,7 +184,7 @@
         return newest;
     }
 
-    /** Takes what was fetched: the newest accepted state, from which this store goes on. */
+    /** Handles the fetched state, the newest accepted one, and continues from it as leader. */
     void onFetched(PulledState pulled, double nowMs) {
         if (role != Role.FETCHING) {
             return;
@@ -200,7 +211,9 @@
         return fetch;
     }
 
-    /** Goes on from a state: from this store's own if none is given. */
+    /**
+     * Proposes a first state under the new ballot, based on the fetched state, or on this store's own if that is null.
+     */
     private void takeOver(double nowMs, ControlState fetchedState) {
         role = Role.LEADING;
         majorityAtMs = nowMs;
@@ -250,7 +263,7 @@
         }
     }
 
-    /** Counts a store that has accepted the proposed state. */
+    /** Counts an acceptance of the proposed state, and decides it once a quorum has accepted. */
     void onAccepted(AgreementMessage.Accepted message, double nowMs) {
         if (proposal == null
                 || role != Role.LEADING
@@ -271,12 +284,13 @@
         view.decide(done.delta.stateId());
         done.answers.forEach(pending -> pending.onMajority().run());
         if (!done.delta.voters().contains(self)) {
-            // It was replaced, and has finished what it found: those that vote go on.
+            // This store was removed from the voters by the state that it has just decided: a remaining voter leads
+            // next.
             stepDown();
         }
     }
 
-    /** A higher ballot was promised: this store leads no more, and what it had under way is not known. */
+    /** Handles a refusal: a higher ballot was promised, so this store steps down. */
     void onRefused(AgreementMessage.Refused message) {
         observeRound(message.promised().round());
         if (role != Role.FOLLOWING && message.refused().equals(ballot)) {
@@ -284,7 +298,10 @@
         }
     }
 
-    /** Ends all that is under way. Orders whose state was proposed may still be decided, by whoever leads next. */
+    /**
+     * Becomes a follower and answers all pending calls with an unknown result: a change that was proposed may still be
+     * decided by the next leader.
+     */
     void stepDown() {
         role = Role.FOLLOWING;
         ready = false;
@@ -303,30 +320,30 @@
         waiting.forEach(order -> order.callback().accept(ChangeResult.UNKNOWN));
     }
 
-    /** Steps down if this store itself has promised a ballot of another one. */
+    /** Steps down if this store has promised another ballot than its own. */
     void stepDownIfOutbid() {
         if (role != Role.FOLLOWING && !acceptor.promised().equals(ballot)) {
             stepDown();
         }
     }
 
-    /** Queues an order. */
+    /** Queues a change. */
     void enqueueChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {
         pendingChanges.add(new PendingChange(items, deadlineMs, callback));
     }
 
-    /** Queues an answer that needs a majority to confirm that nobody else leads. */
+    /** Queues an answer that may be given once a quorum has confirmed that this store still leads. */
     void enqueueConfirmation(Runnable answer, Runnable unknown, double deadlineMs) {
         unconfirmed.add(new PendingAnswer(answer, unknown, deadlineMs));
     }
 
-    /** Proposes other voters. */
+    /** Proposes a change of the voters. */
     void proposeVoters(VoterSet next, double nowMs) {
         StateId base = acceptor.state().id();
         propose(new StateDelta(base, base.next(ballot), next, List.of()), List.of(), nowMs);
     }
 
-    /** Goes on with what waits. */
+    /** If this store leads, proposes the pending changes and requests confirmation of the pending answers. */
     void proposePending(double nowMs) {
         if (!isLeading()) {
             return;
@@ -344,7 +361,7 @@
         }
     }
 
-    /** Decides all orders that wait as one state: judged one after the other, confirmed together. */
+    /** Proposes all pending changes as one state. They are evaluated one after another and decided together. */
     private void proposePendingChanges(double nowMs) {
         ChangeEvaluator evaluator = new ChangeEvaluator(acceptor.state(), rules);
         List<PendingAnswer> answers = new ArrayList<>();
@@ -374,7 +391,9 @@
         }
     }
 
-    /** Counts a store that has promised no higher ballot. */
+    /**
+     * Counts a confirmation that no higher ballot was promised, and gives the pending answers once a quorum confirmed.
+     */
     void onConfirmed(AgreementMessage.Confirmed message, double nowMs) {
         boolean current = message.ballot().equals(ballot) && message.number() == confirmationNumber;
         if (role != Role.LEADING || !current || confirming.isEmpty()) {
@@ -389,7 +408,7 @@
         }
     }
 
-    /** Sends again what may be lost, and gives up what takes too long. */
+    /** Retransmits messages that may be lost, and ends elections, proposals and calls that took too long. */
     void tick(double nowMs) {
         fetch.tick(nowMs);
         boolean starting = role == Role.PREPARING || role == Role.FETCHING;
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/NodeSettings.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/NodeSettings.java
@@ -4,14 +4,14 @@
 import ridgemill.cdn.quorum.Voter;
 
 /**
- * What a node is told at its start.
+ * The settings of an {@link AgreementNode}.
  *
  * @param self this store
- * @param incarnationId a random name of this life of the process, never used before
+ * @param incarnationId a random identifier of this run of the process, never used before
  * @param zone the zone of its machine
- * @param eligible whether its loss counts, so that it may vote
- * @param seeds the IP addresses that the settings name
- * @param toleratedLosses how many counted machines may be lost at once
+ * @param eligible whether it may vote: its machine counts among those whose loss is tolerated
+ * @param seeds the IP addresses of the seeds in the settings
+ * @param toleratedLosses how many of the counted machines may be lost at once
  */
 public record NodeSettings(
         Voter self, String incarnationId, String zone, boolean eligible, List<String> seeds, int toleratedLosses) {}
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -9,14 +9,14 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What the other stores said of themselves, and when. */
+/** The newest status of each other store, and when it was received. */
 final class Peers {
 
-    /** A store that was not heard for so long is gone for the choice of voters, in milliseconds. */
+    /** A voter whose last status is older counts as gone and may be replaced, in milliseconds. */
     static final double GONE_MS = 2_000;
-    /** A store that was not heard for so long is not chosen as a voter, in milliseconds. */
+    /** A store whose last status is older is not chosen as a voter, in milliseconds. */
     static final double FRESH_MS = 1_500;
-    /** A store that was not heard for so long is forgotten, in milliseconds. */
+    /** A status is discarded at this age, in milliseconds. */
     private static final double RETENTION_MS = 30_000;
 
     private final Voter self;
@@ -41,20 +41,20 @@
         return seeds;
     }
 
-    /** Takes what a store says of itself. */
+    /** Records a status that was received. */
     void record(AgreementMessage.Status status, double nowMs) {
         lastHeard.put(status.from().address(), new Heard(status, nowMs));
         reportedAddresses.addAll(status.knownAddresses());
     }
 
-    /** Forgets stores that were not heard for long. */
+    /** Discards old statuses, and addresses that other stores reported and that sent no status. */
     void tick(double nowMs) {
         if (lastHeard.values().removeIf(entry -> nowMs - entry.atMs() > RETENTION_MS)) {
             reportedAddresses.retainAll(lastHeard.keySet());
         }
     }
 
-    /** The newest statuses of the stores that were heard within a time. */
+    /** The newest status of each store, if it is no older than a maximum age in milliseconds. */
     Collection<AgreementMessage.Status> recentStatuses(double boundMs, double nowMs) {
         List<AgreementMessage.Status> fresh = new ArrayList<>();
         for (Heard entry : lastHeard.values()) {
@@ -65,14 +65,17 @@
         return fresh;
     }
 
-    /** What a store said last, if it was heard within a time; else null. A lost disk is another store. */
+    /**
+     * The newest status of a store if it is no older than a maximum age in milliseconds; else null. A status of another
+     * disk on the same machine is that of another store.
+     */
     AgreementMessage.Status recentStatus(Voter voter, double boundMs, double nowMs) {
         Heard entry = lastHeard.get(voter.address());
         boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= boundMs;
         return fresh ? entry.status() : null;
     }
 
-    /** Whether a voter is gone: silent for long, about to end, or its machine has another disk now. */
+    /** Whether a voter is gone: it sent no status for long, is about to stop, or its machine has another disk now. */
     boolean isGone(Voter voter, double nowMs) {
         Heard entry = lastHeard.get(voter.address());
         if (entry == null) {
@@ -84,7 +87,7 @@
         return nowMs - entry.atMs() > GONE_MS;
     }
 
-    /** Everybody to tell of this store's status. */
+    /** The IP addresses of all stores that this store sends its status to. */
     List<String> statusRecipients(VoterSet accepted, VoterSet decided) {
         TreeSet<String> addresses = new TreeSet<>(seeds);
         addresses.addAll(accepted.addresses());
@@ -95,7 +98,7 @@
         return List.copyOf(addresses);
     }
 
-    /** The IP addresses of the stores heard lately. */
+    /** The IP addresses of the stores that a recent status was received from. */
     List<String> knownAddresses(double nowMs) {
         return recentStatuses(GONE_MS, nowMs).stream()
                 .map(status -> status.from().address())
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/PulledState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/PulledState.java
@@ -4,11 +4,11 @@
 import ridgemill.cdn.quorum.Voter;
 
 /**
- * What another store sent of its state.
+ * The result of a state transfer from another store.
  *
- * @param source the store
+ * @param source the store that sent the state
  * @param decided the newest state that it knows to be decided
- * @param deltas the steps that lead to its state, or empty if it sent the whole state
- * @param whole its whole state, or null if it sent steps
+ * @param deltas the deltas that lead to its state; empty if it sent the whole state
+ * @param whole its whole state; null if it sent deltas
  */
 record PulledState(Voter source, StateId decided, List<StateDelta> deltas, ControlState whole) {}
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StalledDiskDetector.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StalledDiskDetector.java
@@ -5,19 +5,24 @@
 import ridgemill.cdn.quorum.Voter;
 
 /**
- * Sees whose disks write nothing more, as they are full or hang: what such a store has on disk stays the same while others
- * decide on. It can't accept anything, so it is no better than one that is gone.
+ * Detects stores whose disks no longer write because they are full or hang: the state on such a disk stays the same
+ * while the other stores decide newer ones. A store with a stalled disk can't accept anything and counts as gone.
  */
 final class StalledDiskDetector {
 
-    /** A disk that lags for so long without writing anything counts as stuck, in milliseconds. */
+    /** A disk that is behind and writes nothing for this long counts as stalled, in milliseconds. */
     private static final double STALLED_AFTER_MS = 2_500;
 
     private final Map<Voter, Lag> lags = new HashMap<>();
 
     private record Lag(StateId onDisk, double sinceMs) {}
 
-    /** A store has said what it has on disk, while so much is known to be decided. */
+    /**
+     * Records the state of a store's disk.
+     *
+     * @param onDisk the newest state on the store's disk
+     * @param decided the newest state that is known to be decided
+     */
     void record(Voter store, StateId onDisk, StateId decided, double nowMs) {
         if (onDisk.compareTo(decided) >= 0) {
             lags.remove(store);
@@ -29,7 +34,7 @@
         }
     }
 
-    /** Whether a store's disk is stuck. */
+    /** Whether a store's disk is stalled. */
     boolean isStalled(Voter store, double nowMs) {
         Lag lag = lags.get(store);
         return lag != null && nowMs - lag.sinceMs() > STALLED_AFTER_MS;
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateDelta.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateDelta.java
@@ -5,7 +5,7 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * How a state differs from the one before it.
+ * The difference between a state and the one before it.
  *
  * @param base the state before
  * @param stateId the state after
@@ -18,7 +18,7 @@
         items = List.copyOf(items);
     }
 
-    /** How many characters the changed items have, by which messages are bounded. */
+    /** The estimated size of the changed items, in characters, by which the size of messages is bounded. */
     public long characters() {
         return items.stream().mapToLong(ControlState::charactersOf).sum();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
@@ -6,12 +6,12 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.Voter;
 
-/** Brings the state of another store here: asks page after page and checks the whole against its digest. */
+/** Pulls the state of another store: requests one page after another and verifies the whole state by its digest. */
 final class StatePull {
 
-    /** A page that did not come is asked for again after so long, in milliseconds. */
+    /** How long to wait for a page before it is requested again, in milliseconds. */
     private static final double RETRY_INTERVAL_MS = 300;
-    /** A transfer that brings nothing for so long is given up, in milliseconds. */
+    /** A transfer that receives nothing for this long is cancelled, in milliseconds. */
     private static final double STALL_TIMEOUT_MS = 1_500;
 
     private final Voter self;
@@ -28,9 +28,10 @@
     private double lastReceivedAtMs;
 
     /**
-     * A pull without a transfer under way.
+     * A pull without a transfer in progress.
      *
-     * @param transferIdPrefix names this life and this user of transfers, so that answers to earlier ones are not taken
+     * @param transferIdPrefix identifies this run of the process and this user of transfers, so that answers to earlier
+     *     transfers are ignored
      */
     StatePull(Voter self, String lifeId, AgreementEnvironment environment) {
         this.self = self;
@@ -42,12 +43,12 @@
         return source != null;
     }
 
-    /** Whether the store that is asked now is this one. */
+    /** Whether the transfer in progress is from this store. */
     boolean isFrom(Voter store) {
         return store.equals(source);
     }
 
-    /** Begins a transfer; one that is under way is given up. */
+    /** Starts a transfer, and cancels the one in progress. */
     void begin(Voter from, StateId held, double nowMs) {
         source = from;
         heldStateId = held;
@@ -72,7 +73,7 @@
         environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, page));
     }
 
-    /** Asks again for what did not come, or gives up. */
+    /** Requests a missing page again, or cancels a stalled transfer. */
     void tick(double nowMs) {
         if (!isActive()) {
             return;
@@ -88,7 +89,7 @@
         return isActive() && source.equals(from) && transferId.equals(name);
     }
 
-    /** Takes a difference. Returns what was pulled if it is of the transfer under way. */
+    /** Handles a difference. Returns the pulled deltas if it belongs to the transfer in progress. */
     Optional<PulledState> receive(AgreementMessage.Difference difference) {
         if (!isExpected(difference.from(), difference.transferId())) {
             return Optional.empty();
@@ -97,7 +98,7 @@
         return Optional.of(new PulledState(difference.from(), difference.decided(), difference.deltas(), null));
     }
 
-    /** Takes a page. Returns what was pulled once all pages are there and match their digest. */
+    /** Handles a page. Returns the pulled state once all pages have arrived and match the digest. */
     Optional<PulledState> receive(AgreementMessage.Page received, double nowMs) {
         if (!isExpected(received.from(), received.transferId())) {
             return Optional.empty();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
@@ -8,14 +8,16 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** Sends this store's accepted state to others: what they lack, where that is little, else a snapshot in pages. */
+/**
+ * Sends this store's accepted state to other stores: the missing deltas if they are small, else a snapshot in pages.
+ */
 final class StateSource {
 
-    /** A page ends once its items have so many characters. */
+    /** A page ends once its items reach this size, in characters. */
     private static final long PAGE_CHARACTERS = 128 << 10;
-    /** A difference of more characters is not sent; the snapshot's pages are. */
+    /** A snapshot is sent instead of a difference that exceeds this size, in characters. */
     private static final long MAX_DIFFERENCE_CHARACTERS = 512 << 10;
-    /** For how long a snapshot is kept after its last page was asked for, in milliseconds. */
+    /** How long a snapshot is kept after the last request for one of its pages, in milliseconds. */
     private static final double SNAPSHOT_RETENTION_MS = 5_000;
 
     private static final int MAX_SNAPSHOTS = 8;
@@ -47,7 +49,7 @@
         this.view = view;
     }
 
-    /** The answer to a store that asks. */
+    /** The answer to a pull request. */
     AgreementMessage answer(AgreementMessage.Pull pull, double nowMs) {
         Snapshot kept = snapshots.get(pull.transferId());
         if (kept == null) {
@@ -83,7 +85,7 @@
         return characters > MAX_DIFFERENCE_CHARACTERS ? null : steps;
     }
 
-    /** Forgets snapshots that nobody asks for any more. */
+    /** Discards snapshots that are no longer requested, and the oldest ones beyond the maximum number. */
     void tick(double nowMs) {
         snapshots.values().removeIf(snapshot -> nowMs - snapshot.requestedAtMs > SNAPSHOT_RETENTION_MS);
         while (snapshots.size() > MAX_SNAPSHOTS) {
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlanner.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlanner.java
@@ -10,12 +10,12 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Who should vote. A voter that is gone gives way to a store that follows already; there are as many voters as the losses
- * that are tolerated need, an odd number, spread over the zones.
+ * Chooses the voters. A voter that is gone is replaced by another eligible store. The number of voters is odd, as large
+ * as the number of tolerated losses requires, and the voters are spread over the zones.
  */
 final class VoterPlanner {
 
-    /** There are no fewer voters where there are as many stores. */
+    /** The minimum number of voters, if there are as many stores. */
     private static final int MIN_VOTERS = 3;
 
     private final Peers peers;
@@ -23,9 +23,9 @@
     private final int targetSize;
 
     /**
-     * A plan.
+     * A planner.
      *
-     * @param toleratedLosses how many counted machines may be lost at once
+     * @param toleratedLosses how many of the counted machines may be lost at once
      */
     VoterPlanner(Peers peers, StalledDiskDetector disks, int toleratedLosses) {
         this.peers = peers;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * The voters that should take the place of those that stand.
+     * The voters that should replace the current ones.
      *
-     * @param own what this store says of itself
-     * @return the voters, or nothing if the present ones, or the change that is under way, will do
+     * @param own the status of this store
+     * @return the voters; empty if the current ones, or those of the change in progress, need no replacement
      */
     Optional<List<Voter>> nextVoters(VoterSet current, AgreementMessage.Status own, double nowMs) {
         if (current.isJoint() && current.addedVoters().stream().noneMatch(voter -> isGone(voter, own, nowMs))) {
@@ -55,7 +55,7 @@
         int lost = standing.size() - next.size();
         fill(next, standing.size(), candidates, zones);
         for (Voter voter : standing) {
-            // Nobody can take the place: a voter that is gone may come back.
+            // No candidate can replace this voter, so it stays: a voter that is gone may come back.
             if (next.size() < standing.size() && !next.contains(voter)) {
                 next.add(voter);
                 lost--;
@@ -67,7 +67,7 @@
         return same && !current.isJoint() ? Optional.empty() : Optional.of(List.copyOf(next));
     }
 
-    /** Adds candidates until there are enough, from the zones that have the fewest voters first. */
+    /** Adds candidates until there are enough voters, first from the zones that have the fewest voters. */
     private static void fill(
             List<Voter> next, int size, List<AgreementMessage.Status> candidates, Map<Voter, String> zones) {
         while (next.size() < size && !candidates.isEmpty()) {
@@ -107,7 +107,7 @@
         return candidates;
     }
 
-    /** Whether another store could take this one's place. */
+    /** Whether another store could replace this one as a voter. */
     boolean hasCandidate(VoterSet current, AgreementMessage.Status own, double nowMs) {
         return candidates(current.baseVoters(), own, nowMs).stream()
                 .anyMatch(status -> !status.from().equals(own.from()));
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Checksum.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Checksum.java
@@ -1,13 +1,13 @@
 package ridgemill.cdn.config;
 
-/** Checksums that are the same in every process, which an enumeration's own hash code is not. */
+/** A checksum with the same value in every process, unlike one built from {@link Object#hashCode} of enum constants. */
 public final class Checksum {
 
     private static final long MULTIPLIER = 0x100000001b3L;
 
     private Checksum() {}
 
-    /** The checksum of all that came before and one more value. */
+    /** Adds a value to a checksum. */
     public static long mix(long hash, long value) {
         long mixed = hash * MULTIPLIER + value;
         return mixed ^ mixed >>> 29;
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Item.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Item.java
@@ -5,9 +5,9 @@
 /**
  * One version of one configuration item, as it is stored and replicated.
  *
- * @param name which item
- * @param version the operator's version number; the highest one wins, whether it sets or drops the item
- * @param content the item as JSON text exactly as the operator sent it, or null if this version drops the item
+ * @param name the item's name
+ * @param version the operator's version number; the highest one wins, whether it sets or removes the item
+ * @param content the item as JSON text exactly as the operator sent it; null if this version removes the item
  */
 public record Item(ItemName name, long version, String content) {
 
@@ -23,12 +23,15 @@
         return content == null;
     }
 
-    /** Whether this version replaces the other one. No two contents are ever confirmed under one version. */
+    /**
+     * Whether this version replaces the other one, which may be null. Two contents are never confirmed under one
+     * version.
+     */
     public boolean supersedes(Item other) {
         return other == null || version > other.version;
     }
 
-    /** A 64-bit digest (FNV-1a) of what this version sets, or that it drops the item; the same in every process. */
+    /** A 64-bit digest (FNV-1a) of the content, the same in every process; 0 if this version removes the item. */
     public long contentDigest() {
         if (isTombstone()) {
             return 0;
--- a/cdn-core/src/main/java/ridgemill/cdn/config/ItemKind.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/ItemKind.java
@@ -1,11 +1,11 @@
 package ridgemill.cdn.config;
 
-/** The tables that a configuration consists of. */
+/** The tables of a configuration. */
 public enum ItemKind {
-    /** A route: which requests go to which service. */
+    /** A route, which maps requests to services. */
     ROUTE,
-    /** A service: how its instances are called. */
+    /** A service, with the settings for calling its instances. */
     SERVICE,
-    /** The single item that bounds what clients may send; its name is empty. */
+    /** The single item with the limits on client requests; its name is empty. */
     LIMITS
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/config/ItemName.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/ItemName.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Identifies one item of the configuration.
+ * Identifies an item of the configuration.
  *
  * @param kind the table that holds the item
  * @param name the item's name in that table; empty for {@link ItemKind#LIMITS}
--- a/cdn-core/src/main/java/ridgemill/cdn/config/ItemSet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/ItemSet.java
@@ -7,14 +7,14 @@
 import java.util.TreeMap;
 
 /**
- * A replica's copy of the configuration: the newest known version of each item, dropped items included. Merging is
- * associative, commutative and idempotent, so replicas that have seen the same versions hold the same set.
+ * A replica's copy of the configuration: the newest known version of each item, tombstones included. Merging is
+ * associative, commutative and idempotent, so replicas that have seen the same versions hold equal sets.
  */
 public final class ItemSet {
 
     private final TreeMap<ItemName, Item> items = new TreeMap<>();
 
-    /** Merges one version. Returns whether it was newer than the one that was held. */
+    /** Merges one version. Returns whether it is newer than the one held before. */
     public boolean merge(Item item) {
         if (!item.supersedes(items.get(item.name()))) {
             return false;
@@ -23,7 +23,7 @@
         return true;
     }
 
-    /** Merges all versions and returns those that were newer than what was held. */
+    /** Merges all versions. Returns those that are newer than the ones held before. */
     public List<Item> mergeAll(Collection<Item> versions) {
         List<Item> changed = new ArrayList<>();
         for (Item version : versions) {
@@ -34,29 +34,29 @@
         return changed;
     }
 
-    /** The newest known version of an item, which may be a drop; null if the item is unknown. */
+    /** The newest known version of an item, which may be a tombstone; null if the item is unknown. */
     public Item get(ItemName name) {
         return items.get(name);
     }
 
-    /** All items in order of their names, drops included. */
+    /** All items in the order of their names, tombstones included. */
     public Collection<Item> all() {
         return Collections.unmodifiableCollection(items.values());
     }
 
-    /** Whether no item was ever set or dropped. */
+    /** Whether no item was ever set or removed. */
     public boolean isEmpty() {
         return items.isEmpty();
     }
 
-    /** A copy that changes independently. */
+    /** An independent copy. */
     public ItemSet copy() {
         ItemSet copy = new ItemSet();
         copy.items.putAll(items);
         return copy;
     }
 
-    /** A checksum over all names and versions: replicas with equal digests hold equal sets but for hash collisions. */
+    /** A checksum over all items: replicas with equal digests hold equal sets, except for hash collisions. */
     public long digest() {
         long hash = 0;
         for (Item item : items.values()) {
--- a/cdn-core/src/main/java/ridgemill/cdn/config/PastVersion.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/PastVersion.java
@@ -1,9 +1,9 @@
 package ridgemill.cdn.config;
 
 /**
- * A version of an item that a higher one has overtaken.
+ * A version of an item that a higher one has superseded.
  *
  * @param version the version number
- * @param contentDigest {@link Item#contentDigest} of what was confirmed under it
+ * @param contentDigest the {@link Item#contentDigest} of the content confirmed under it
  */
 public record PastVersion(long version, long contentDigest) {}
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Route.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Route.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A route of the configuration in typed form.
+ * A parsed route of the configuration.
  *
  * @param name the item's name
- * @param hostname the Host header that it serves
- * @param pathPrefix the beginning of the paths that it serves; starts and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMs the longest time a request is held, in milliseconds
- * @param targetLatencyMs the time within which an answer earns its full worth, in milliseconds
- * @param priorityLevel the route's rank, 0 being the highest
- * @param destinations the services it sends to, at least one
- * @param maxAttempts the greatest number of instances one try of a client may be sent to, 1 or more
- * @param cacheTtlMs how long an answer may be kept, in milliseconds; 0 where answers are not cached
+ * @param hostname the Host header that the route matches
+ * @param pathPrefix the path prefix that the route matches; starts and ends with a slash
+ * @param kind whether requests may be retried and answers cached
+ * @param timeoutMs how long a request may take, in milliseconds
+ * @param targetLatencyMs the latency within which an answer has its full value, in milliseconds
+ * @param priorityLevel the route's priority; 0 is the highest
+ * @param destinations the services that the route sends requests to, at least one
+ * @param maxAttempts the maximum number of attempts for one client request, 1 or more
+ * @param cacheTtlMs how long an answer may be cached, in milliseconds; 0 if answers are not cached
  * @param version the item's version
  */
 public record Route(
@@ -35,9 +35,10 @@
     }
 
     /**
-     * The destination of a request.
+     * Chooses the destination of a request by weight.
      *
-     * @param draw a number from 0 (inclusive) to 1 (exclusive); the same number gives the same destination
+     * @param draw a number from 0 (inclusive) to 1 (exclusive); equal numbers give the same destination
+     * @return the service's name; null if no destination has a weight above 0
      */
     public String destination(double draw) {
         double total = 0;
--- a/cdn-core/src/main/java/ridgemill/cdn/config/RouteKind.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/RouteKind.java
@@ -1,14 +1,14 @@
 package ridgemill.cdn.config;
 
-/** What may be repeated on a route. */
+/** The kind of a route, which decides whether its requests may be retried and its answers cached. */
 public enum RouteKind {
     /** Object reads that may be answered from a cache; treated as {@link #IDEMPOTENT} otherwise. */
     CACHEABLE("cacheable"),
-    /** Requests that may run more than once. */
+    /** Requests that may safely run more than once. */
     IDEMPOTENT("idempotent"),
-    /** Requests that run at most once for each operation key. */
+    /** Requests that run at most once per operation key. */
     KEYED_IDEMPOTENT("keyed_idempotent"),
-    /** Requests that run at most once for each try of a client. */
+    /** Requests that run at most once each time a client sends them. */
     NON_IDEMPOTENT("non_idempotent");
 
     private final String wireName;
@@ -17,17 +17,17 @@
         this.wireName = wireName;
     }
 
-    /** The word for this kind in the operator's configuration. */
+    /** The name of this kind in the operator's configuration. */
     public String wireName() {
         return wireName;
     }
 
-    /** Whether a request of this kind may be sent again although an earlier attempt may have run. */
+    /** Whether a request of this kind may be retried although an earlier attempt may have run. */
     public boolean isRetryable() {
         return this == CACHEABLE || this == IDEMPOTENT;
     }
 
-    /** The kind of this name, or null if there is none. */
+    /** The kind with this name in the configuration; null if there is none. */
     public static RouteKind ofWireName(String name) {
         for (RouteKind kind : values()) {
             if (kind.wireName.equals(name)) {
--- a/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** An immutable typed view of a configuration: finds a request's route by host and longest path prefix. */
+/** An immutable view of a parsed configuration, which finds the route of a request by host and longest path prefix. */
 public final class RoutingTable {
 
-    /** The table before any configuration is known. */
+    /** The table that is used before a configuration is known. */
     public static final RoutingTable EMPTY = new RoutingTable(java.util.List.of(), java.util.List.of(), Limits.DEFAULT);
 
     private final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
@@ -31,7 +31,10 @@
         this.limits = limits;
     }
 
-    /** Two routes at one place are refused when they are sent; after two racing calls the higher version serves. */
+    /**
+     * Of two routes with the same host and prefix, the one to use. They are refused when they are submitted; two
+     * concurrent calls can still set both, and then the higher version is used.
+     */
     private static Route newer(Route one, Route other) {
         if (one.version() != other.version()) {
             return one.version() > other.version() ? one : other;
@@ -40,7 +43,7 @@
     }
 
     /**
-     * The route of a request, or null if there is none.
+     * The route of a request; null if none matches.
      *
      * @param hostname the Host header
      * @param path the path without its query
@@ -59,17 +62,17 @@
         return null;
     }
 
-    /** The service of this name, or null if there is none. */
+    /** The service with this name; null if there is none. */
     public Service service(String name) {
         return services.get(name);
     }
 
-    /** Whether a route leads there whose answers may be cached. */
+    /** Whether a cacheable route sends requests to this service. */
     public boolean hasCacheableRoute(String service) {
         return cacheableServices.contains(service);
     }
 
-    /** Whether a route leads there whose answers may not be cached. */
+    /** Whether a route that is not cacheable sends requests to this service. */
     public boolean hasUncacheableRoute(String service) {
         return uncacheableServices.contains(service);
     }
@@ -79,12 +82,12 @@
         return services.values();
     }
 
-    /** The bounds on clients. */
+    /** The limits on client requests. */
     public Limits limits() {
         return limits;
     }
 
-    /** Whether there is no route. */
+    /** Whether there are no routes. */
     public boolean isEmpty() {
         return routesByHost.isEmpty();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Service.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Service.java
@@ -1,13 +1,13 @@
 package ridgemill.cdn.config;
 
 /**
- * A service of the configuration in typed form.
+ * A parsed service of the configuration.
  *
  * @param name the item's name
- * @param healthPath the path of its health check
+ * @param healthPath the path of the health check
  * @param connectionCap how many connections one instance accepts from all callers together
- * @param deduplicates whether its instances keep their own record of operation keys
- * @param ratePerSecond how many requests a second all its instances together may receive; 0 where there is no bound
+ * @param deduplicates whether the instances deduplicate requests by operation key themselves
+ * @param ratePerSecond how many requests per second all instances together may receive; 0 for no limit
  * @param version the item's version
  */
 public record Service(
--- a/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
@@ -5,32 +5,33 @@
 import java.util.List;
 
 /**
- * The newest version of an item and which contents were confirmed under lower ones, so that no other content is ever
- * confirmed under a number that was used.
+ * The newest version of an item and the content digests that were confirmed under lower versions, so that no other
+ * content is ever confirmed under a version that was used.
  *
  * @param item the newest version
- * @param past lower versions that were confirmed, in order, {@value #MAX_PAST_VERSIONS} at most: the highest ones are kept
+ * @param past the lower versions that were confirmed, in ascending order; only the highest {@value #MAX_PAST_VERSIONS}
+ *     are kept
  */
 public record VersionedItem(Item item, List<PastVersion> past) {
 
-    /** How many lower versions of an item are remembered. */
+    /** The maximum number of lower versions of an item that are kept. */
     public static final int MAX_PAST_VERSIONS = 16;
 
     public VersionedItem {
         past = List.copyOf(past);
     }
 
-    /** An item without a history. */
+    /** An item without past versions. */
     public static VersionedItem first(Item item) {
         return new VersionedItem(item, List.of());
     }
 
-    /** This item after a newer version has taken its place. */
+    /** This item after a newer version has replaced it. */
     public VersionedItem supersededBy(Item newer) {
         return new VersionedItem(newer, withPast(new PastVersion(item.version(), item.contentDigest())));
     }
 
-    /** This item after a lower version, which changes nothing, was confirmed. */
+    /** This item after a lower version was confirmed, which does not change the item itself. */
     public VersionedItem withConfirmed(Item lower) {
         return new VersionedItem(item, withPast(new PastVersion(lower.version(), lower.contentDigest())));
     }
@@ -42,7 +43,7 @@
         return all.size() <= MAX_PAST_VERSIONS ? all : all.subList(all.size() - MAX_PAST_VERSIONS, all.size());
     }
 
-    /** Whether a version was confirmed with other content. */
+    /** Whether other content was confirmed under the same version. */
     public boolean conflictsWith(Item other) {
         if (other.version() == item.version()) {
             return other.contentDigest() != item.contentDigest();
@@ -55,7 +56,7 @@
         return false;
     }
 
-    /** Whether nothing has to be remembered to confirm a version: it is held, or known, or too low to be remembered. */
+    /** Whether a version can be confirmed without recording it: it is the newest, recorded, or too low to be kept. */
     public boolean hasRecorded(Item other) {
         if (other.version() == item.version()) {
             return true;
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/AttemptOutcome.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/AttemptOutcome.java
@@ -1,24 +1,24 @@
 package ridgemill.cdn.edge;
 
-/** How an attempt at an instance ended, and with it whether the request may have run there. */
+/** The outcome of an attempt at an instance, which also tells whether the request may have run there. */
 public enum AttemptOutcome {
-    /** A whole answer came that does not say the request was turned away. */
+    /** A complete answer arrived, and it does not state that the request was declined. */
     ANSWERED(true),
-    /** The instance says that it has not run the request. */
+    /** The instance answered that it has not run the request. */
     DECLINED(false),
-    /** A shared cache holds no copy and may not fetch the object now; nothing has run. */
+    /** The shared cache holds no usable copy and may not fetch the object now; nothing has run. */
     REFUSED_BY_CACHE(false),
-    /** Another instance than the one that was meant has this address now; it has not run the request. */
+    /** Another instance now has the address of the intended one; it has not run the request. */
     MISDIRECTED(false),
-    /** No connection came up. */
+    /** No connection could be established. */
     CONNECT_FAILED(false),
-    /** The connection ended before the whole request was written. */
+    /** The connection closed before the whole request was written. */
     NEVER_WRITTEN(false),
-    /** The connection ended after the request was written and before a whole answer. */
+    /** The connection closed after the request was written and before the answer was complete. */
     RESET(true),
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     SILENT(true),
-    /** What came is no answer to this request. */
+    /** The received data is not a valid answer to this request. */
     GARBLED(true);
 
     private final boolean mayHaveRun;
@@ -27,12 +27,12 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the request may have run; false only where it certainly has not and never will under this attempt. */
+    /** Whether the request may have run; false only if it certainly has not run and will not run in this attempt. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether the connection is what failed. */
+    /** Whether the attempt ended because its connection failed. */
     public boolean isConnectionFailure() {
         return this == CONNECT_FAILED || this == NEVER_WRITTEN || this == RESET;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ByteRange.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ByteRange.java
@@ -1,17 +1,20 @@
 package ridgemill.cdn.edge;
 
 /**
- * A single range of bytes that names its first byte.
+ * A single byte range of a Range header (RFC 9110) that names its first byte.
  *
- * @param first the first byte, from 0
- * @param last the last byte; {@link Long#MAX_VALUE} for the object's end
+ * @param first the position of the first byte, from 0
+ * @param last the position of the last byte; {@link Long#MAX_VALUE} if the range is open-ended
  */
 public record ByteRange(long first, long last) {
 
     private static final String UNIT = "bytes=";
     private static final int MAX_DIGITS = 18;
 
-    /** Reads a Range header; null if it is absent, malformed or asks for something else, which is then ignored. */
+    /**
+     * Parses a Range header. Returns null if it is absent, malformed or of another form, such as a suffix range or
+     * several ranges; the header is then ignored.
+     */
     public static ByteRange parse(String header) {
         if (header == null || !header.startsWith(UNIT)) {
             return null;
@@ -26,12 +29,12 @@
         return first < 0 || last < first ? null : new ByteRange(first, last);
     }
 
-    /** Whether an object of this length has the first byte. */
+    /** Whether an object of this length, in bytes, contains the first byte of the range. */
     public boolean isSatisfiable(long length) {
         return first < length;
     }
 
-    /** The last byte in an object of this length. */
+    /** The position of the last byte of the range in an object of this length, in bytes. */
     public long lastByteWithin(long length) {
         return Math.min(last, length - 1);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/CachedObject.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/CachedObject.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * A whole object as an instance answered it.
+ * A complete cached response of an instance.
  *
- * @param key host and path with query
- * @param headers names and values of the headers to give again, in turn
- * @param etag its entity tag; null if it has none
- * @param tags the tags by which it may be purged
- * @param body its bytes
- * @param fetchStartedMs when the fetch from an instance that brought or confirmed it began, in milliseconds; its age counts
- *     from there
- * @param purgeCoverageSinceMs from when on this process has to have heard of all purges of it: when it asked for it, also where the
- *     answer was a copy of another process that had heard of all before, in milliseconds
+ * @param key the cache key: the host and the path with its query
+ * @param headers the headers to send with the object, names and values in turn
+ * @param etag the entity tag; null if there is none
+ * @param tags the tags by which the object may be purged
+ * @param body the body
+ * @param fetchStartedMs when the fetch from an instance that delivered or revalidated the object started, in
+ *     milliseconds; the age counts from this time
+ * @param purgeCoverageSinceMs the time from which this process must have received all purges to use the copy, in
+ *     milliseconds: when this process requested the object, also if another process answered with its copy, since that
+ *     process had received all purges before
  */
 public record CachedObject(
         String key,
@@ -24,45 +25,50 @@
         double fetchStartedMs,
         double purgeCoverageSinceMs) {
 
-    /** A copy that this process fetched from an instance itself. */
+    /** An object that this process fetched from an instance itself. */
     public CachedObject(
             String key, List<String> headers, String etag, List<String> tags, byte[] body, double fetchStartedMs) {
         this(key, headers, etag, tags, body, fetchStartedMs, fetchStartedMs);
     }
 
-    /** What a copy costs besides its body, in bytes, roughly. */
+    /** The estimated memory that an object takes besides its body, in bytes. */
     private static final int OVERHEAD_BYTES = 1_024;
-    /** The part of the time that a copy is kept for after which it may be fetched anew. */
+    /** The fraction of its TTL after which an object may be refreshed ahead of its expiry. */
     private static final double REFRESH_AFTER_FRACTION = 0.85;
-    /** Uses of a copy from which on it is asked for often: more than one is due in the part that is left. */
+    /**
+     * The minimum number of uses for a refresh: at this rate more than one further use is to be expected in the rest of
+     * the TTL.
+     */
     private static final int MIN_USES_FOR_REFRESH = 8;
 
-    /** The memory it takes, in bytes, roughly. */
+    /** The estimated memory that this object takes, in bytes. */
     public long sizeBytes() {
         return OVERHEAD_BYTES + body.length;
     }
 
-    /** Whether it may be given out at this time on a route that keeps copies so long. */
+    /** Whether the object is fresh on a route with this TTL, in milliseconds. */
     public boolean isFresh(double nowMs, long cacheTtlMs) {
         return nowMs - fetchStartedMs < cacheTtlMs;
     }
 
     /**
-     * Whether it is to be fetched anew ahead of its end, so that nobody has to wait: its end is near, and it is asked
-     * for so often that somebody will ask after that.
+     * Whether the object is due for a refresh ahead of its expiry, so that no client has to wait for a fetch: it
+     * expires soon and is used often enough that a further request is to be expected.
      *
-     * @param uses how often it was given out since it was fetched
+     * @param uses how often it was served since it was fetched
      */
     public boolean isDueForRefresh(double nowMs, long cacheTtlMs, int uses) {
         return uses >= MIN_USES_FOR_REFRESH && nowMs - fetchStartedMs >= REFRESH_AFTER_FRACTION * cacheTtlMs;
     }
 
-    /** The same copy after a fetch from an instance that began then found it unchanged. */
+    /** This object after a fetch from an instance, started at the given time, has revalidated it. */
     public CachedObject revalidated(double startedMs) {
         return revalidated(startedMs, startedMs);
     }
 
-    /** The same copy after it was found unchanged, see the parameters of the copy. */
+    /**
+     * This object after it was revalidated, with new values of {@code fetchStartedMs} and {@code purgeCoverageSinceMs}.
+     */
     public CachedObject revalidated(double startedMs, double checkMs) {
         return new CachedObject(key, headers, etag, tags, body, startedMs, checkMs);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/Digits.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/Digits.java
@@ -1,15 +1,17 @@
 package ridgemill.cdn.edge;
 
-/** Reads numbers that are written in decimal digits alone: no sign, no space, nothing else that a number's reader takes. */
+/**
+ * Parses numbers that consist of decimal digits only, without the signs and blanks that the parsers of the JDK accept.
+ */
 public final class Digits {
 
     private Digits() {}
 
     /**
-     * The number that a text is.
+     * Parses a number.
      *
-     * @param mostDigits how many digits it may have, 18 at most
-     * @return -1 if it is empty, too long or has anything but digits
+     * @param mostDigits the maximum number of digits, at most 18
+     * @return the number; -1 if the text is empty, too long or contains a character other than a digit
      */
     public static long parse(String text, int mostDigits) {
         if (text.isEmpty() || text.length() > mostDigits) {
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
@@ -1,11 +1,11 @@
 package ridgemill.cdn.edge;
 
-/** Compares entity tags as RFC 9110 says. */
+/** Compares entity tags as specified by RFC 9110. */
 public final class EntityTags {
 
     private EntityTags() {}
 
-    /** Whether an If-None-Match header names this tag. Weak tags count as the strong ones. */
+    /** Whether an If-None-Match header lists this entity tag, by weak comparison. Either argument may be null. */
     public static boolean matches(String header, String etag) {
         if (header == null || etag == null) {
             return false;
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -5,25 +5,24 @@
 import ridgemill.policy.RendezvousHash;
 
 /**
- * Picks the instance for a request: of the two best by rendezvous hash of its key, the one with fewer requests in
- * flight.
- * Instances of this proxy's own region come first where one of them can take the request.
+ * Picks the instance for a request: of the two best candidates by rendezvous hashing of its key, the one with the lower
+ * load. Instances in this proxy's own region are preferred if one of them can take the request.
  */
 public final class InstancePicker {
 
-    /** One of so many instances may be left alone at once. */
+    /** At most one of this many instances may be ejected at the same time. */
     private static final int MIN_INSTANCES_PER_EJECTION = 2;
 
-    /** What a pick came to. */
+    /** The result of a pick. */
     public sealed interface Pick {
 
-        /** The request goes there. */
+        /** The request is sent to this instance. */
         record Chosen(InstanceStats instance) implements Pick {}
 
-        /** All that could run it hold as many requests as they should. */
+        /** All remaining instances are at their limit of requests. */
         record Saturated() implements Pick {}
 
-        /** There is none left to try. */
+        /** No instance is left to try. */
         record None() implements Pick {}
     }
 
@@ -33,7 +32,7 @@
     private final boolean twoCandidates;
     private List<InstanceStats> instances = List.of();
 
-    /** Picks the one with fewer requests of the two best. */
+    /** A picker that chooses the less loaded of the two best candidates. */
     public InstancePicker() {
         this(true);
     }
@@ -43,19 +42,19 @@
     }
 
     /**
-     * Picks the best one always, whatever its speed, so that each key has one place for all that pick, as long as that
-     * place can take it.
+     * A picker that always chooses the best candidate, whatever its latency, so that all pickers send a key to the same
+     * instance as long as that instance can take the request.
      */
     public static InstancePicker singleCandidate() {
         return new InstancePicker(false);
     }
 
-    /** Picks from these instances from now on. */
+    /** Sets the instances to pick from. */
     public void instances(List<InstanceStats> ready) {
         instances = List.copyOf(ready);
     }
 
-    /** The instances that it picks from. */
+    /** The instances to pick from. */
     public List<InstanceStats> instances() {
         return instances;
     }
@@ -63,8 +62,8 @@
     /**
      * Picks an instance.
      *
-     * @param key a hash of the object or of the attempt's id
-     * @param tried instances that are not to be picked again
+     * @param key a hash of the object's key or of the attempt's identifier
+     * @param tried instances that must not be picked again
      */
     public Pick pick(double nowMs, long key, Collection<InstanceStats> tried) {
         boolean anyUsable = false;
@@ -77,7 +76,7 @@
         if (!anyLeft) {
             return NONE;
         }
-        // Where all that are left failed lately, one of them is better than none.
+        // If all remaining instances are ejected, one of them is tried all the same.
         InstanceStats best = best(nowMs, key, tried, true, !anyUsable);
         if (best == null) {
             best = best(nowMs, key, tried, false, !anyUsable);
@@ -126,7 +125,7 @@
         return known == 0 ? Double.NaN : sum / known;
     }
 
-    /** Whether one more instance may be left alone without the others being overrun. */
+    /** Whether one more instance may be ejected without overloading the others. */
     public boolean mayEject(double nowMs) {
         int spared = 0;
         for (InstanceStats instance : instances) {
@@ -135,7 +134,10 @@
         return MIN_INSTANCES_PER_EJECTION * (spared + 1) <= instances.size();
     }
 
-    /** Whether connections broke lately at most instances; what breaks at a few alone is not the service's load. */
+    /**
+     * Whether connections to more than half of the instances failed within a time in milliseconds. Failures at a few
+     * instances only do not indicate overload of the service.
+     */
     public boolean hasWidespreadConnectionFailures(double nowMs, double withinMs) {
         int broken = 0;
         for (InstanceStats instance : instances) {
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -3,29 +3,38 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.policy.RendezvousHash;
 
-/** What this proxy knows of one instance: its own requests there, how they fared, and the load that answers told. */
+/**
+ * Statistics of this proxy about one instance: its own requests in flight, their outcomes and latencies, and the load
+ * that the instance reports with its answers. An instance with failures is ejected for a time (outlier ejection) and is
+ * then probed with a single request.
+ */
 public final class InstanceStats {
 
-    /** Failures in a row before an instance is spared, and for how long, doubling up to the last. */
+    /** The number of consecutive failures that ejects an instance. */
     static final double FAILURES_BEFORE_EJECTION = 2;
-
+    /** How long the first ejection lasts, in milliseconds; doubled with each further failure. */
     static final double EJECTION_MS = 500;
+    /** The longest ejection, in milliseconds. */
     static final double MAX_EJECTION_MS = 4_000;
-    /** How long an instance is left alone after another one answered at its address. */
+    /** How long an instance is not used after another instance answered at its address, in milliseconds. */
     static final double REPLACED_MS = 5_000;
-    /** How long an instance that turned a request away is taken to be full: about until a slot is free again. */
+    /**
+     * How long an instance that declined a request counts as full, in milliseconds: about until a slot is free again.
+     */
     private static final double FULL_MS = 50;
 
+    /** The weight of a new sample in the moving averages. */
     private static final double SMOOTHING = 0.1;
-    /** A running share of spoilt answers beyond this spares an instance though it answers. */
+    /** An instance whose moving average of errors among its answers exceeds this share is ejected. */
     private static final double MAX_ERROR_RATE = 0.35;
-    /** How long a told load counts. */
+    /** How long a reported load is used, in milliseconds. */
     private static final double LOAD_VALIDITY_MS = 250;
-    /** What a cold instance gets of its share at its start. */
+    /** The factor of the weight of a cold instance. */
     private static final double COLD_WEIGHT = 0.35;
 
+    /** The minimum factor of the weight of an instance that is slower than the others. */
     private static final double MIN_LATENCY_WEIGHT = 0.2;
-    /** Requests beyond its slots that an instance is sent. */
+    /** How many requests beyond its slots an instance is sent. */
     private static final int QUEUE_SLOTS = 1;
 
     private final long hash;
@@ -53,10 +62,10 @@
     }
 
     /**
-     * Takes in what the control plane says of it.
+     * Updates the description of the instance from the control plane.
      *
-     * @param inOwnRegion whether it is in this proxy's region
-     * @param connections how many connections this proxy may have there
+     * @param inOwnRegion whether the instance is in this proxy's region
+     * @param connections how many connections to the instance this proxy may have
      */
     public void update(Instance told, boolean inOwnRegion, int connections) {
         instance = told;
@@ -69,32 +78,32 @@
         return instance;
     }
 
-    /** Whether it is in this proxy's region. */
+    /** Whether the instance is in this proxy's region. */
     public boolean isLocal() {
         return local;
     }
 
-    /** How many requests it may be sent at once. */
+    /** The maximum number of requests of this proxy in flight at the instance. */
     public int maxInFlight() {
         return maxInFlight;
     }
 
-    /** This proxy's requests there that have not ended. */
+    /** The number of requests of this proxy in flight at the instance. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Whether it has not failed so recently that it is left alone. */
+    /** Whether the instance is not ejected; after an ejection only one request at a time is sent as a probe. */
     public boolean isUsable(double nowMs) {
         return nowMs >= ejectedUntilMs && (!onTrial || inFlight == 0);
     }
 
-    /** Whether another instance answered at its address lately. */
+    /** Whether another instance recently answered at its address. */
     public boolean isReplaced(double nowMs) {
         return nowMs < replacedUntilMs;
     }
 
-    /** Whether it may take one more request of this proxy now. */
+    /** Whether the instance can take one more request of this proxy now. */
     public boolean hasCapacity(double nowMs) {
         if (inFlight >= maxInFlight || nowMs < fullUntilMs) {
             return false;
@@ -102,7 +111,10 @@
         return nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedBusy < reportedSlots + QUEUE_SLOTS;
     }
 
-    /** Requests there as far as known: this proxy's, and what it told lately. */
+    /**
+     * The known load: this proxy's requests in flight, with the recently reported load as the fraction that breaks
+     * ties.
+     */
     double load(double nowMs) {
         double told = nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedSlots == 0
                 ? 0
@@ -110,7 +122,7 @@
         return inFlight + Math.min(told, 0.99);
     }
 
-    /** Its share of keys: less while cold and where it is slower than the others. */
+    /** The weight for rendezvous hashing: lower while the instance is cold, or if it is slower than the others. */
     double weight(double nowMs, double othersMs) {
         double cold = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
         double slow = Double.isNaN(meanLatencyMs) || Double.isNaN(othersMs) || meanLatencyMs <= 0
@@ -119,49 +131,55 @@
         return cold * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, slow * slow));
     }
 
-    /** A draw that depends on the instance and a key alone. */
+    /** A number in (0, 1] that depends only on the instance and a key. */
     double rendezvousDraw(long key) {
         return RendezvousHash.unitInterval(hash ^ key);
     }
 
-    /** The usual time of an answered attempt, in milliseconds; not a number before the first. */
+    /** The moving average of the latency of answered attempts, in milliseconds; NaN before the first. */
     public double meanLatencyMs() {
         return meanLatencyMs;
     }
 
-    /** A time by which nearly every attempt is answered, in milliseconds; not a number before the first. */
+    /** A time within which nearly every attempt is answered, in milliseconds; NaN before the first answer. */
     public double highLatencyMs() {
         return meanLatencyMs + 4 * latencyDeviationMs;
     }
 
-    /** When a connection to it last broke, in milliseconds. */
+    /** When a connection to the instance last failed, in milliseconds; negative infinity if none did. */
     public double lastConnectionFailureMs() {
         return lastConnectionFailureMs;
     }
 
-    /** A request of this proxy goes there. */
+    /** Counts a request of this proxy that is sent to the instance. */
     public void requestStarted() {
         inFlight++;
     }
 
-    /** It told its load with an answer: requests running and waiting, and its slots. */
+    /**
+     * Records the load that the instance reported with an answer.
+     *
+     * @param running the requests that it is working on
+     * @param waiting the requests that wait there
+     * @param slots how many requests it can work on at once
+     */
     public void loadReported(double nowMs, int running, int waiting, int slots) {
         loadReportedAtMs = nowMs;
         reportedBusy = Math.max(0, running + waiting);
         reportedSlots = slots;
     }
 
-    /** A request of this proxy was taken back before anything of it could be judged. */
+    /** Counts a request of this proxy that was withdrawn before it had an outcome. */
     public void requestWithdrawn() {
         inFlight = Math.max(0, inFlight - 1);
     }
 
     /**
-     * A request of this proxy ended.
+     * Counts a request of this proxy that ended.
      *
-     * @param elapsedMs how long it took from its writing, in milliseconds
-     * @param failedInside whether it was answered with a 5xx of the instance's own
-     * @param maySpare whether enough others are left to leave this one alone
+     * @param elapsedMs the time since the request was written, in milliseconds
+     * @param failedInside whether it was answered with a 5xx status of the instance itself
+     * @param maySpare whether enough other instances are left to eject this one
      */
     public void requestEnded(
             double nowMs, AttemptOutcome verdict, double elapsedMs, boolean failedInside, boolean maySpare) {
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/Invariant.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/Invariant.java
@@ -2,18 +2,18 @@
 
 import java.util.Locale;
 
-/** What must hold in every process at any time; each break is counted and logged, and fails a test. */
+/** The invariants that hold in every process at any time. Each violation is counted and logged, and fails a test. */
 public enum Invariant {
-    /** Connections in use at an instance stay within this process' part of the instance's cap. */
+    /** The connections in use at an instance stay within this process' share of the instance's cap. */
     CONNECTIONS_WITHIN_PART,
-    /** Requests sent to a service in its window stay within this process' part of the service's rate. */
+    /** The requests sent to a service within the window stay within this process' share of the service's rate. */
     REQUESTS_WITHIN_PART,
-    /** No copy is given out that is older than a purge which this process had heard of when it was asked. */
+    /** No copy is served that is older than a purge that this process had received when the request arrived. */
     COPY_NEWER_THAN_PURGE;
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** The name in metrics and logs. */
+    /** The name of the invariant in metrics and logs. */
     public String label() {
         return label;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whole objects within a bound of memory; the least recently used go first. */
+/** A cache of whole objects with bounded memory and least-recently-used eviction. */
 public final class ObjectCache {
 
-    /** An object may take this part of the memory at most. */
+    /** An object may take at most the capacity divided by this. */
     private static final int MAX_OBJECT_DIVISOR = 4;
 
-    /** A copy and how often it was used. */
+    /** A cached object and how often it was used. */
     private static final class Entry {
         private final CachedObject copy;
         private int uses;
@@ -27,24 +27,24 @@
     private final Map<String, Set<String>> keysByTag = new HashMap<>();
     private long sizeBytes;
 
-    /** An empty cache that takes so many bytes at most, roughly. */
+    /** An empty cache with a capacity in bytes, against which the estimated sizes of the objects count. */
     public ObjectCache(long capacityBytes) {
         this.capacityBytes = capacityBytes;
     }
 
-    /** The copy under a key; null if there is none. */
+    /** The object with this key; null if it is not cached. */
     public CachedObject get(String key) {
         Entry kept = byKey.get(key);
         return kept == null ? null : kept.copy;
     }
 
-    /** Counts a use of the copy under a key and returns how many there were; 0 if there is no copy. */
+    /** Counts a use of the object with this key. Returns the number of uses so far; 0 if the object is not cached. */
     public int countUse(String key) {
         Entry kept = byKey.get(key);
         return kept == null ? 0 : ++kept.uses;
     }
 
-    /** Counts the uses of the copy under a key anew. */
+    /** Resets the number of uses of the object with this key. */
     public void resetUses(String key) {
         Entry kept = byKey.get(key);
         if (kept != null) {
@@ -52,7 +52,9 @@
         }
     }
 
-    /** Keeps a copy in place of an older one. A copy that is too large is not kept, and the older one goes too. */
+    /**
+     * Stores an object in place of an older copy. An object that is too large is not stored; the older copy is removed.
+     */
     public void put(CachedObject copy) {
         remove(copy.key());
         if (copy.sizeBytes() > capacityBytes / MAX_OBJECT_DIVISOR) {
@@ -68,7 +70,7 @@
         }
     }
 
-    /** Drops the copy under a key. */
+    /** Removes the object with this key. */
     public void remove(String key) {
         Entry kept = byKey.remove(key);
         if (kept == null) {
@@ -84,7 +86,7 @@
         }
     }
 
-    /** Drops all copies that carry a tag. */
+    /** Removes all objects that carry this tag. */
     public void removeByTag(String tag) {
         Set<String> keys = keysByTag.remove(tag);
         if (keys != null) {
@@ -94,12 +96,12 @@
         }
     }
 
-    /** The memory that is used, in bytes, roughly. */
+    /** The estimated memory in use, in bytes. */
     public long sizeBytes() {
         return sizeBytes;
     }
 
-    /** How many copies there are. */
+    /** The number of cached objects. */
     public int count() {
         return byKey.size();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
@@ -4,25 +4,25 @@
 import ridgemill.limit.TokenBucket;
 
 /**
- * This proxy's share of the rate that all instances of one service together may receive. It refuses at once when the
- * share is used up. A burst stays well below what the rules tolerate over their window if all proxies have theirs at
- * once.
+ * Limits the requests of this process to its share of the rate that all instances of one service together may receive.
+ * A request beyond the share is refused at once. Bursts are small enough that the total stays well below the tolerated
+ * number of requests in a window even if all processes burst at the same time.
  */
 public final class OriginShare {
 
-    /** The burst, as seconds' worth of the share. */
+    /** The burst, in seconds of the share's rate. */
     private static final double BURST_SECONDS = 0.35;
 
     private static final double MIN_BURST = 1;
     private static final double MS_PER_SECOND = 1_000;
-    /** Left of the share, as clocks and counts differ. */
+    /** The fraction of the share that is used, since clocks and counts of processes differ. */
     private static final double USED_FRACTION = 0.98;
 
-    /** What a client is told to wait where this process has no share, in milliseconds: others have one. */
+    /** The wait that a client is told if this process has no share, in milliseconds: other processes have one. */
     private static final double CLOSED_WAIT_MS = 100;
 
     private static final double MIN_RATE_PER_SECOND = 0.01;
-    /** The part of the burst that is kept for clients who wait. */
+    /** The fraction of the burst that is reserved for requests that a client waits for. */
     private static final double CLIENT_BURST_FRACTION = 0.5;
 
     private final double overage;
@@ -36,9 +36,9 @@
     private double windowLimitUntilMs;
 
     /**
-     * A share that is not bounded yet.
+     * A share without a limit.
      *
-     * @param overage the multiple of the rate that all proxies together may reach over a window, above 1
+     * @param overage the multiple of the rate that all processes together may reach within a window, above 1
      * @param windowMs the length of that window, in milliseconds
      */
     public OriginShare(double overage, double windowMs) {
@@ -47,20 +47,20 @@
         this.window = new SlidingWindowCounter(windowMs);
     }
 
-    /** Whether no more was sent in the last window than the greatest part that was set in it allows. */
+    /** Whether the requests sent in the last window are within the largest share that was set during it. */
     public boolean isWithinShare() {
         return sentInWindow <= windowLimit;
     }
 
     private void updateWindowLimit(double most, double nowMs) {
-        // Until the window has passed, what an earlier, greater part allowed may be in it.
+        // Requests that an earlier, larger share allowed count until the window has passed.
         if (most >= windowLimit || nowMs >= windowLimitUntilMs || Double.isInfinite(windowLimit)) {
             windowLimit = most;
             windowLimitUntilMs = nowMs + windowSeconds * MS_PER_SECOND;
         }
     }
 
-    /** Sets the share to a part of the service's rate. */
+    /** Sets the share. */
     public void assign(RateDivision.Share part, double nowMs) {
         if (part instanceof RateDivision.Share.Bounded bounded) {
             perSecond = bounded.perSecond();
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Sets the share, in requests a second; 0 or less where there is no bound. */
+    /** Sets the share as a rate in requests per second; 0 or less for no limit. */
     public void setShare(double requestsPerSecond, double nowMs) {
         if (requestsPerSecond == perSecond) {
             return;
@@ -87,7 +87,9 @@
             return;
         }
         double burst = Math.max(MIN_BURST, BURST_SECONDS * USED_FRACTION * requestsPerSecond);
-        // A burst of one is more than its part of a small share: many proxies' bursts together would pass the ceiling.
+        // The minimum burst of one request is large compared to a small share: the bursts of many proxies together
+        // would
+        // exceed the ceiling.
         double beyondBurst = overage * requestsPerSecond - burst / windowSeconds;
         Rate rate = new Rate(
                 Math.max(MIN_RATE_PER_SECOND, Math.min(USED_FRACTION * requestsPerSecond, beyondBurst)), burst);
@@ -102,12 +104,12 @@
         }
     }
 
-    /** The share, in requests a second; 0 or less where there is no bound. */
+    /** The share in requests per second; 0 or less if there is no limit, or if this process may send nothing. */
     public double perSecond() {
         return perSecond;
     }
 
-    /** Takes one arrival from the share if it allows one. */
+    /** Takes one request from the share. Returns false if the share is used up. */
     public boolean tryTake(double nowMs) {
         boolean taken = !closed && (bucket == null || bucket.tryTake(nowMs));
         if (taken) {
@@ -116,13 +118,13 @@
         return taken;
     }
 
-    /** Whether so much of the share is left that work may be done which no client waits for. */
+    /** Whether enough of the share is left for a request that no client waits for. */
     public boolean hasBackgroundCapacity(double nowMs) {
         return !closed && bucket == null
                 || bucket != null && bucket.tokens(nowMs) >= 1 + bucket.rate().burst() * CLIENT_BURST_FRACTION;
     }
 
-    /** Gives back an arrival that did not take place. */
+    /** Returns a request that was taken and not sent. */
     public void giveBack(double nowMs) {
         sentInWindow = window.add(-1, nowMs);
         if (bucket != null) {
@@ -130,7 +132,7 @@
         }
     }
 
-    /** How long until the share allows another arrival, in milliseconds. */
+    /** The time until the share allows another request, in milliseconds. */
     public double waitMs(double nowMs) {
         return closed ? CLOSED_WAIT_MS : bucket == null ? 0 : bucket.waitMs(nowMs);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/PurgeLog.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/PurgeLog.java
@@ -4,33 +4,33 @@
 import java.util.Map;
 
 /**
- * The purges that were heard of lately. A copy that another process kept may be older than one of them, if that process
- * has not heard of it yet: it is compared with this log before it is given out.
+ * The recently received purges. A copy that another process kept is compared with this log before it is served: it may
+ * be older than a purge that the other process has not received yet.
  */
 public final class PurgeLog {
 
-    /** For how long a purge is remembered, in milliseconds: longer than any process that is in touch lags behind. */
+    /** How long a purge is kept, in milliseconds: longer than the lag of any connected process. */
     public static final double RETENTION_MS = 10_000;
 
     private final Map<String, Double> pathPurgedAtMs = new HashMap<>();
     private final Map<String, Double> tagPurgedAtMs = new HashMap<>();
 
-    /** All copies of an object were purged. */
+    /** Records a purge of the object with this cache key. */
     public void recordPath(String key, double nowMs) {
         pathPurgedAtMs.put(key, nowMs);
     }
 
-    /** All copies that carry a tag were purged. */
+    /** Records a purge of all objects that carry this tag. */
     public void recordTag(String tag, double nowMs) {
         tagPurgedAtMs.put(tag, nowMs);
     }
 
-    /** When the object was last purged; negative infinity if that is not known. */
+    /** When the object with this key was last purged by its path; negative infinity if no purge is recorded. */
     public double lastPurgedMs(String key) {
         return pathPurgedAtMs.getOrDefault(key, Double.NEGATIVE_INFINITY);
     }
 
-    /** When a copy was last purged, by its path or one of its tags; negative infinity if that is not known. */
+    /** When an object was last purged, by its path or one of its tags; negative infinity if no purge is recorded. */
     public double lastPurgedMs(CachedObject copy) {
         double last = lastPurgedMs(copy.key());
         for (String tag : copy.tags()) {
@@ -39,7 +39,7 @@
         return last;
     }
 
-    /** Forgets what is too old to matter. */
+    /** Removes purges older than {@link #RETENTION_MS}. */
     public void removeExpired(double nowMs) {
         pathPurgedAtMs.values().removeIf(atMs -> nowMs - atMs > RETENTION_MS);
         tagPurgedAtMs.values().removeIf(atMs -> nowMs - atMs > RETENTION_MS);
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
@@ -5,38 +5,42 @@
 
 /**
  * Divides the rate that all instances of a service together may receive among the processes that send to them. The
- * parts' long-run rates and bursts never add up to more than the rules tolerate over their window, however many
- * processes there are: where the whole is too small for one request of each, only some get a part.
+ * long-term rates and bursts of all shares never add up to more than is tolerated within a window, however many
+ * processes there are: if the rate is too small for one request of each process, only some of them get a share.
  */
 public final class RateDivision {
 
-    /** What one process may send. */
+    /** The share of one process. */
     public sealed interface Share {
 
-        /** As much as it likes: the service has no bound. */
+        /** The service has no rate limit. */
         record Unbounded() implements Share {}
 
-        /** Nothing. */
+        /** The process may send nothing. */
         record None() implements Share {}
 
         /**
-         * A rate with a burst.
+         * A rate limit with a burst.
          *
-         * @param perSecond requests a second in the long run
-         * @param burst how many may be sent at once after a pause, 1 or more
+         * @param perSecond the long-term rate in requests per second
+         * @param burst how many requests may be sent at once after a pause, 1 or more
          */
         record Bounded(double perSecond, double burst) implements Share {}
     }
 
     private static final Share UNBOUNDED = new Share.Unbounded();
     private static final Share NONE = new Share.None();
-    /** Left of the rate, as clocks and counts differ. */
+    /** The fraction of the rate that is used, since clocks and counts of processes differ. */
     private static final double USED_FRACTION = 0.98;
-    /** The burst of all together, as seconds' worth of the rate, where that is enough for one request of each. */
+    /**
+     * The burst of all processes together, in seconds of the rate, if that is enough for one request of each process.
+     */
     private static final double BURST_SECONDS = 0.5;
-    /** The part of a window's requests that bursts may take up where more members need one each. */
+    /** The maximum fraction of a window's requests for bursts, if the processes need more in order to have one each. */
     private static final double MAX_BURST_FRACTION = 0.5;
-    /** The part of the rate that shared caches have, where there are any; the rest is the proxies' for when none answers. */
+    /**
+     * The fraction of the rate for shared caches, if there are any; proxies use the rest when no shared cache answers.
+     */
     private static final double CACHES_FRACTION = 0.9;
 
     private static final double MIN_RATE_PER_SECOND = 0.01;
@@ -46,9 +50,9 @@
     private final double windowSeconds;
 
     /**
-     * A division by the rules' figures.
+     * A division for the given limits.
      *
-     * @param overage the multiple of the rate that all processes together may reach over a window, above 1
+     * @param overage the multiple of the rate that all processes together may reach within a window, above 1
      * @param windowMs the length of that window, in milliseconds
      */
     public RateDivision(double overage, double windowMs) {
@@ -57,21 +61,21 @@
     }
 
     /**
-     * The part of a shared cache.
+     * The share of a shared cache.
      *
-     * @param whole the service's rate in requests a second; 0 or less where there is no bound
-     * @param place its place among the shared caches
+     * @param whole the service's rate in requests per second; 0 or less for no limit
+     * @param place the position among the shared caches
      */
     public Share forCache(double whole, CachePosition place) {
         return divide(whole, CACHES_FRACTION / place.region().size(), place.inRegion());
     }
 
     /**
-     * The part of an edge proxy.
+     * The share of an edge proxy.
      *
-     * @param whole the service's rate in requests a second; 0 or less where there is no bound
-     * @param proxies its place among the edge proxies
-     * @param besideCaches whether shared caches send too
+     * @param whole the service's rate in requests per second; 0 or less for no limit
+     * @param proxies the position among the edge proxies
+     * @param besideCaches whether shared caches send requests too
      */
     public Share forProxy(double whole, FleetPosition proxies, boolean besideCaches) {
         return divide(whole, besideCaches ? 1 - CACHES_FRACTION : 1, proxies);
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RefusalReason.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RefusalReason.java
@@ -2,36 +2,36 @@
 
 import java.util.Locale;
 
-/** Why a request that needed a service was ended without an answer of an instance: which check stopped it. */
+/** The reason why a request that needed a service ended without an answer from an instance. */
 public enum RefusalReason {
-    /** The service's admission is throttled and its token bank is empty. */
+    /** The admission of the service is throttled and its token bank is empty. */
     ADMISSION,
-    /** This process' part of the service's bound on requests a second is used up. */
+    /** This process' share of the service's request rate is used up. */
     ORIGIN_RATE,
-    /** The budget of further attempts is used up. */
+    /** The retry budget is used up. */
     RETRY_BUDGET,
-    /** Every instance that could run it holds as many requests as it should. */
+    /** Every remaining instance is at its limit of requests. */
     CROWDED,
     /** No instance is left to try. */
     NO_INSTANCE,
-    /** No connection to an instance came up. */
+    /** No connection to an instance could be established. */
     CONNECT_FAILED,
-    /** As many attempts as the route or the request's kind allows ended without an answer. */
+    /** All attempts that the route and the kind of request allow ended without an answer. */
     ATTEMPTS_FAILED,
-    /** The time that the client or the route grants has passed. */
+    /** The deadline of the client or the timeout of the route has passed. */
     OUT_OF_TIME,
-    /** The stores gave no claim on the operation's key. */
+    /** The stores granted no claim on the operation key. */
     NO_CLAIM,
-    /** A shared cache holds no copy and may not fetch the object now. */
+    /** The shared cache holds no usable copy and may not fetch the object now. */
     CACHE_REFUSED,
-    /** The shared cache does not know the route, or only an older version of it. */
+    /** The shared cache does not know the route, or knows only an older version of it. */
     ROUTE_UNKNOWN,
-    /** A fetch of the object that another request had begun was refused. */
+    /** The request waited for a fetch started by another request, and that fetch was refused. */
     SHARED_FETCH;
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** The name in metrics and logs. */
+    /** The name of the reason in metrics and logs. */
     public String label() {
         return label;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
@@ -3,17 +3,19 @@
 import java.util.Arrays;
 
 /**
- * Bounds, for one service, the arrivals at its instances beyond the first of each request. All proxies share the bound
- * of the rules: each allows itself a ratio of its own requests and an even part of the fixed slack. The window slides
- * by a twentieth of its length at a time; repeats count for one such span longer than a window, requests for no
- * longer.
+ * Limits, for one service, the retries: the requests that instances receive beyond the first attempt of each client
+ * request. The limit applies to all proxies together: each proxy allows itself a ratio of its own requests and an even
+ * share of the fixed slack. The window slides in buckets of a twentieth of its length; retries count for one bucket
+ * longer than the window, requests for no longer than the window.
  */
 public final class RetryBudget {
 
-    /** What this proxy leaves of the bounds, as others count from other moments and on other clocks. */
+    /** The fraction of the ratio that is used, since the windows and clocks of the proxies differ. */
     private static final double USED_RATIO_FRACTION = 0.8;
 
+    /** The fraction of the slack that is used, for the same reason. */
     private static final double USED_SLACK_FRACTION = 0.7;
+
     private static final int BUCKETS = 20;
 
     private final double ratio;
@@ -24,10 +26,10 @@
     private long currentBucket = Long.MIN_VALUE;
 
     /**
-     * A budget in which nothing has been spent.
+     * An unused budget.
      *
-     * @param ratio the bound's share of requests
-     * @param slack the bound's fixed part, for all proxies together, a window
+     * @param ratio the allowed retries per request
+     * @param slack the retries that are allowed in addition within a window, for all proxies together
      * @param windowMs the length of the sliding window, in milliseconds
      */
     public RetryBudget(double ratio, double slack, double windowMs) {
@@ -36,16 +38,16 @@
         this.bucketMs = windowMs / BUCKETS;
     }
 
-    /** Counts a request of a client for this service. */
+    /** Counts a client request for this service. */
     public void countRequest(double nowMs) {
         requests[advanceTo(nowMs)]++;
     }
 
     /**
-     * Takes one further arrival from the budget.
+     * Takes one retry from the budget.
      *
-     * @param proxyCount how many proxies share the bound
-     * @return whether there was one left
+     * @param proxyCount the number of proxies that share the limit
+     * @return false if the budget is used up
      */
     public boolean tryRetry(double nowMs, int proxyCount) {
         int span = advanceTo(nowMs);
@@ -62,7 +64,7 @@
         return true;
     }
 
-    /** Gives back a further arrival that was taken and did not take place; in the span in which it was taken. */
+    /** Returns a retry that was taken and not sent. Deducted from the current bucket, at most down to 0. */
     public void giveBack(double nowMs) {
         int span = advanceTo(nowMs);
         retries[span] = Math.max(0, retries[span] - 1);
@@ -72,7 +74,7 @@
         return (span + 1) % (BUCKETS + 1);
     }
 
-    /** Empties the spans that have left the window and returns the place of the current one. */
+    /** Clears the buckets that have left the window and returns the index of the current one. */
     private int advanceTo(double nowMs) {
         long span = (long) Math.floor(nowMs / bucketMs);
         if (currentBucket == Long.MIN_VALUE || span - currentBucket > BUCKETS) {
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
@@ -1,6 +1,6 @@
 package ridgemill.cdn.edge;
 
-/** Counts events of the last window, in steps of a part of it; those of the oldest step may be left out. */
+/** Counts the events of a sliding window in buckets. Events of the oldest bucket may be missing from the sum. */
 final class SlidingWindowCounter {
 
     private static final int BUCKETS = 20;
@@ -14,7 +14,7 @@
         bucketMs = windowMs / BUCKETS;
     }
 
-    /** Adds to the count of this moment, or takes from it. Returns the sum of the window. */
+    /** Adds a number, which may be negative, to the current bucket. Returns the sum over the window. */
     int add(int count, double nowMs) {
         advanceTo((long) Math.floor(nowMs / bucketMs));
         counts[(int) Math.floorMod(currentBucket, (long) BUCKETS)] += count;
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/Instance.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/Instance.java
@@ -1,17 +1,19 @@
 package ridgemill.cdn.instances;
 
 /**
- * One life of one copy of a service, as its heartbeats describe it. A restarted copy has a new identifier.
+ * One incarnation of an instance of a service, as described by its heartbeats. A restarted instance has a new
+ * identifier.
  *
- * @param id the identifier of this life
+ * @param id the identifier of this incarnation
  * @param service the service that it belongs to
- * @param address where it takes requests, as {@code IP:port}
+ * @param address the address where it accepts requests, as {@code IP:port}
  * @param zone the zone it runs in
  * @param softwareVersion the version of its software
- * @param slots how many requests it works on at once
- * @param state what it last said of itself
- * @param sequence the number of the heartbeat this record is from; higher ones are newer
- * @param coldUntilMs until when it is slow after its start, in Unix milliseconds; 0 if it is not
+ * @param slots how many requests it can work on at once
+ * @param state its last reported state
+ * @param sequence the sequence number of the heartbeat that this record is from; higher ones are newer
+ * @param coldUntilMs until when it is cold after its start and therefore slow, in Unix milliseconds; 0 if it is not
+ *     cold
  */
 public record Instance(
         String id,
@@ -24,7 +26,7 @@
         long sequence,
         long coldUntilMs) {
 
-    /** Whether this record replaces the other one of the same instance. States never go back. */
+    /** Whether this record replaces the other one of the same instance, which may be null. States only move forward. */
     public boolean supersedes(Instance other) {
         if (other == null) {
             return true;
@@ -35,7 +37,7 @@
         return sequence > other.sequence;
     }
 
-    /** This instance after it has left. */
+    /** This instance in the state {@link InstanceState#GONE}. */
     public Instance asGone() {
         return new Instance(
                 id, service, address, zone, softwareVersion, slots, InstanceState.GONE, sequence, coldUntilMs);
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceState.java
@@ -1,11 +1,11 @@
 package ridgemill.cdn.instances;
 
-/** What an instance last said of itself; later states are final in one life of an instance. */
+/** The state of an instance. An incarnation of an instance never returns to an earlier state. */
 public enum InstanceState {
-    /** Takes requests. */
+    /** Accepts requests. */
     READY,
-    /** Finishes what it has and takes nothing new. */
+    /** Finishes its pending requests and accepts no new ones. */
     DRAINING,
-    /** Has left. */
+    /** Has stopped for good. */
     GONE
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
@@ -9,14 +9,15 @@
 import java.util.TreeSet;
 
 /**
- * All instances that a process knows of, and when each was last heard. Tables of several processes merge record by
- * record; an instance that has left stays known for a while, so that a late heartbeat does not bring it back.
+ * All instances that a process knows, with the time of the last heartbeat of each. Tables of several processes are
+ * merged record by record. An instance that is gone is kept for a while, so that a late heartbeat does not bring it
+ * back.
  */
 public final class InstanceTable {
 
-    /** For how long an instance that has left is remembered, in milliseconds. */
+    /** How long an instance that is gone is kept, in milliseconds. */
     static final double GONE_RETENTION_MS = 600_000;
-    /** After how much silence an instance is taken to have left for good, in milliseconds. */
+    /** An instance without a heartbeat for this long is removed, in milliseconds. */
     static final double SILENT_RETENTION_MS = 120_000;
 
     private final Map<String, Entry> entries = new HashMap<>();
@@ -34,10 +35,10 @@
     }
 
     /**
-     * Merges what is known of an instance.
+     * Merges a record of an instance.
      *
-     * @return the records that changed in a way that matters to those who send requests: the instance itself if it is new
-     *     or in another state, and instances whose address it has taken over; empty for a mere heartbeat
+     * @return the records whose change matters to processes that send requests: the instance itself if it is new or in
+     *     another state, and instances whose address it has taken over; empty if only the heartbeat is new
      */
     public List<Instance> merge(Instance instance, double nowMs) {
         Entry entry = entries.get(instance.id());
@@ -56,7 +57,10 @@
         return matters ? List.of(instance) : List.of();
     }
 
-    /** An address belongs to one instance at a time: whoever had it before has ended, whether it said so or not. */
+    /**
+     * Marks the instances that had the address of a new one before as gone, whether or not they reported that. An
+     * address belongs to one instance at a time.
+     */
     private List<Instance> markPredecessorsGone(Instance newcomer) {
         List<Instance> ended = new ArrayList<>();
         if (newcomer.state() == InstanceState.GONE) {
@@ -72,7 +76,7 @@
         return ended;
     }
 
-    /** Notes that an instance was heard, by this process or by another one that says so. */
+    /** Records a heartbeat of an instance, received by this process or reported by another one. */
     public void recordHeartbeat(String id, long sequence, double nowMs) {
         Entry entry = entries.get(id);
         if (entry != null && sequence > entry.heardSequence) {
@@ -81,13 +85,13 @@
         }
     }
 
-    /** What is known of an instance, or null. */
+    /** The record of an instance; null if it is unknown. */
     public Instance get(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.instance;
     }
 
-    /** All known instances, those that left included. */
+    /** All known instances, including those that are gone. */
     public Collection<Instance> all() {
         List<Instance> all = new ArrayList<>(entries.size());
         for (Entry entry : entries.values()) {
@@ -96,7 +100,7 @@
         return Collections.unmodifiableList(all);
     }
 
-    /** Identifiers of the instances that have not left and were not heard for longer than a bound, in order. */
+    /** The sorted identifiers of the instances that are not gone and whose last heartbeat is older than a bound. */
     public List<String> unresponsive(double boundMs, double nowMs) {
         TreeSet<String> silent = new TreeSet<>();
         for (Entry entry : entries.values()) {
@@ -107,7 +111,7 @@
         return List.copyOf(silent);
     }
 
-    /** Forgets instances that left, or fell silent, long ago. */
+    /** Removes instances whose retention time after the last heartbeat is over. */
     public void removeExpired(double nowMs) {
         entries.values()
                 .removeIf(entry -> nowMs - entry.heardAtMs
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/package-info.java
@@ -1,2 +1,2 @@
-/** Instances of services: what their heartbeats say and how copies of that knowledge merge. */
+/** Instances of services, as described by their heartbeats, and the merging of tables of instances. */
 package ridgemill.cdn.instances;
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/ClaimTally.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/ClaimTally.java
@@ -8,24 +8,24 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Counts the votes of one claim. The claim is granted once a majority of the voters holds the key for it; as two
- * majorities share a voter, and a voter holds a key for one claim at a time, at most one claim is granted.
+ * Counts the votes on one claim to an operation key. The claim is granted once a quorum of the voters holds the key for
+ * it. Any two quorums share a voter, and a voter holds a key for one claim at a time, so at most one claim is granted.
  */
 public final class ClaimTally {
 
-    /** What the votes so far amount to. */
+    /** The result of the votes counted so far. */
     public enum Result {
         /** More votes are needed. */
         OPEN,
-        /** A majority holds the key for this claim. */
+        /** A quorum holds the key for this claim. */
         GRANTED,
-        /** A voter knows the recorded answer of the operation. */
+        /** A voter has the recorded answer of the operation. */
         FINISHED,
-        /** A majority holds the key for one other claim. */
+        /** A quorum holds the key for one other claim. */
         HELD_BY_OTHER,
-        /** No claim has a majority, and this one can't have it any more: it has to be given back and made anew. */
+        /** No claim has a quorum and this one can no longer reach it; it has to be released and a new claim made. */
         SPLIT,
-        /** Too many voters can't vote. */
+        /** Too many voters are unavailable. */
         UNAVAILABLE
     }
 
@@ -39,17 +39,23 @@
     private byte[] answer;
 
     /**
-     * A vote in which nobody has voted.
+     * A tally without any votes.
      *
      * @param claimId the claim that is voted on
-     * @param voters those that vote, in the epoch that the claim names
+     * @param voters the voters of the epoch that the claim names
      */
     public ClaimTally(String claimId, VoterSet voters) {
         this.claimId = claimId;
         this.voters = voters;
     }
 
-    /** Counts the vote of a voter; each voter's vote is counted once. */
+    /**
+     * Counts the vote of a voter; a repeated vote counts once.
+     *
+     * @param state the state of the key at the voter
+     * @param holder the claim that the voter's record of the key is about
+     * @param recordedAnswer the recorded answer if the state is {@link KeyState#FINISHED}
+     */
     public void countVote(Voter voter, KeyState state, String holder, byte[] recordedAnswer) {
         if (state == KeyState.FINISHED) {
             answer = recordedAnswer;
@@ -61,23 +67,23 @@
         }
     }
 
-    /** Counts a voter that can't vote or did not answer in time. */
+    /** Counts a voter that cannot vote or did not answer in time. */
     public void countUnavailable(Voter voter) {
         unavailable.add(voter);
     }
 
-    /** Counts a voter that is in another epoch than the claim: the claim may be made anew in the newer one. */
+    /** Counts a voter that is in another epoch than the claim; a new claim may be made in the newer epoch. */
     public void countEpochMismatch(Voter voter) {
         unavailable.add(voter);
         epochMismatch = true;
     }
 
-    /** The recorded answer if the result is {@link Result#FINISHED}. */
+    /** The recorded answer if the result is {@link Result#FINISHED}; else null. */
     public byte[] answer() {
         return answer;
     }
 
-    /** What the votes so far amount to. */
+    /** The result of the votes counted so far. */
     public Result result() {
         if (answer != null) {
             return Result.FINISHED;
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
@@ -7,13 +7,13 @@
 import java.util.TreeSet;
 
 /**
- * Collects what several voters know of one key and says what a recovering voter shall hold. What is collected only
- * grows, so the outcome depends neither on the order of the records nor on repeats, and collected sets may be combined
- * in any grouping.
+ * Merges the records of several voters for one key into the record that a recovering voter has to hold. The collected
+ * data only grows, so the result depends neither on the order of the records nor on duplicates, and partial merges may
+ * be combined in any grouping.
  *
- * <p>A finished operation wins over all else. A claim that one voter saw given back is not held. Of the claims that are
- * still held, a single one is held by the outcome as well, and several make a conflict, because one of them may have
- * been granted by a majority that counted the recovering voter.
+ * <p>A finished operation takes precedence over all other states. A claim that any voter saw released is not held. If a
+ * single claim is still held, the result holds it as well. Several held claims are a conflict, because one of them may
+ * have been granted by a majority that included the recovering voter.
  */
 public final class KeyMerge {
 
@@ -27,19 +27,19 @@
     private boolean conflict;
     private long updatedAtMs = Long.MIN_VALUE;
 
-    /** Collects for one key. */
+    /** An empty merge for one key. */
     public KeyMerge(String key) {
         this.key = key;
     }
 
-    /** What the records, all of one key and at least one, come to. */
+    /** Merges at least one record, all of the same key. */
     public static KeyRecord of(Collection<KeyRecord> records) {
         KeyMerge merge = new KeyMerge(records.iterator().next().key());
         records.forEach(merge::add);
         return merge.result();
     }
 
-    /** Adds what one voter knows. */
+    /** Adds the record of one voter. */
     public void add(KeyRecord record) {
         updatedAtMs = Math.max(updatedAtMs, record.updatedAtMs());
         switch (record.state()) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Adds all that another merge of the same key has collected. */
+    /** Adds all records that another merge of the same key has collected. */
     public void addAll(KeyMerge other) {
         held.addAll(other.held);
         released.addAll(other.released);
@@ -62,7 +62,9 @@
         }
     }
 
-    /** What the records collected so far, at least one, come to; as new as the newest of them. */
+    /**
+     * The result of the records added so far, of which there must be at least one; it has the newest of their times.
+     */
     public KeyRecord result() {
         if (finished != null) {
             return new KeyRecord(key, KeyState.FINISHED, finished.claimId(), finished.answer(), updatedAtMs);
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyRecord.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyRecord.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * What one voter knows of one operation key.
+ * The record of one voter for one operation key (idempotency key).
  *
  * @param key the operation key, scoped by its host
- * @param state how far the operation is
- * @param claimId the claim that the state is about; empty for {@link KeyState#CONFLICT}
+ * @param state the state of the operation
+ * @param claimId the claim that the state refers to; empty for {@link KeyState#CONFLICT}
  * @param answer the recorded answer for {@link KeyState#FINISHED}, in the encoding of the edge proxies; else null
  * @param updatedAtMs when this voter last changed the record, in Unix milliseconds of its own clock
  */
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyReplica.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyReplica.java
@@ -11,13 +11,13 @@
 import java.util.stream.Stream;
 
 /**
- * One voter's register of operation keys. A key is granted to one claim at a time, so of all claims of a key at most one
- * collects a majority of the voters. Times are Unix milliseconds and are passed in.
+ * One voter's register of operation keys. A voter grants a key to one claim at a time, so of all claims to a key at
+ * most one obtains a majority of the voters. Times are Unix milliseconds and are passed in.
  */
 public final class KeyReplica {
 
     private static final int WITHDRAWN_CAPACITY = 20_000;
-    /** What a record costs beside its texts and its answer, roughly, in bytes. */
+    /** The estimated memory of a record besides its texts and its answer, in bytes. */
     private static final int RECORD_OVERHEAD_BYTES = 200;
 
     private final KeyLimits limits;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * A claim asks for this voter's vote. A claim that holds the key is granted again, so a repeated call has the answer
-     * of the first; a claim that was given back is never granted.
+     * Votes on a claim. A claim that holds the key is granted again, so a repeated call has the same answer as the
+     * first. A claim that was released is never granted.
      */
     public KeyVote claim(String key, String claimId, long nowMs) {
         KeyRecord held = get(key, nowMs);
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Records the answer of an operation that ran. It replaces whatever was known, since only a claim that a majority
-     * granted has run, but for another recorded answer: that one is kept.
+     * Records the answer of an operation that ran. It replaces a record in any other state, since only a claim that a
+     * majority granted can have run. An answer that is already recorded is kept.
      *
-     * @return the record that is held now; it is of another claim if an answer was recorded before
+     * @return the record that is held now; that of another claim if its answer was recorded before
      */
     public KeyRecord finish(String key, String claimId, byte[] answer, long nowMs) {
         Objects.requireNonNull(answer, "answer");
@@ -72,9 +72,10 @@
     }
 
     /**
-     * Takes a claim back under which nothing ran and nothing will.
+     * Releases a claim under which nothing ran and nothing will run.
      *
-     * @return the record to store; null if the key is not this claim's and nothing changes
+     * @return the record to store; null if there is a record of the key that this claim does not hold, which is not
+     *     changed
      */
     public KeyRecord release(String key, String claimId, long nowMs) {
         withdrawn.add(claimId);
@@ -89,13 +90,13 @@
         return released;
     }
 
-    /** Takes records over as they are, from the disk or from a recovery. */
+    /** Stores records unchanged, from the disk or from a recovery. */
     public void restore(Collection<KeyRecord> restored) {
         restored.forEach(this::put);
     }
 
     /**
-     * Joins what other voters know with what is held here, key by key as {@link KeyMerge} says.
+     * Merges the records of other voters with those held here, key by key by {@link KeyMerge}.
      *
      * @return all records that are held afterwards
      */
@@ -109,7 +110,7 @@
         return joined;
     }
 
-    /** What is known of a key; null if nothing is, or if it has expired. */
+    /** The record of a key; null if there is none or it has expired. */
     public KeyRecord get(String key, long nowMs) {
         KeyRecord held = records.get(key);
         return held == null || expiresAt(held) <= nowMs ? null : held;
@@ -119,8 +120,8 @@
      * A page of the records in order of their keys.
      *
      * @param afterKey the last key of the page before; empty for the first page
-     * @param maxRecords how many records the page holds at most
-     * @param maxBytes after how many bytes the page ends
+     * @param maxRecords the maximum number of records in the page
+     * @param maxBytes the size, in bytes, at which the page ends
      */
     public List<KeyRecord> page(String afterKey, int maxRecords, long maxBytes) {
         List<KeyRecord> page = new ArrayList<>();
@@ -141,10 +142,10 @@
     }
 
     /**
-     * Forgets records whose time is over.
+     * Removes expired records.
      *
-     * @param atMost how many are looked at in this call
-     * @return the keys that are forgotten
+     * @param atMost the maximum number of records to check in this call
+     * @return the removed keys
      */
     public List<String> expire(long nowMs, int atMost) {
         List<String> expired = new ArrayList<>();
@@ -160,17 +161,17 @@
         return expired;
     }
 
-    /** All records in order of their keys. */
+    /** All records in the order of their keys. */
     public List<KeyRecord> all() {
         return new ArrayList<>(records.values());
     }
 
-    /** How many records are held. */
+    /** The number of records. */
     public int size() {
         return records.size();
     }
 
-    /** How many bytes the records take, roughly. */
+    /** The estimated size of the records, in bytes. */
     public long bytes() {
         return bytes;
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyVote.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyVote.java
@@ -1,21 +1,21 @@
 package ridgemill.cdn.keys;
 
 /**
- * What a voter answers to a claim.
+ * The answer of a voter to a claim.
  *
  * @param outcome whether the vote was granted
- * @param record what the voter holds now; null if the register is full
- * @param changed whether the record was changed and must be on disk before the answer is given
+ * @param record the record that the voter holds now; null if the register is full
+ * @param changed whether the record was changed and must be on disk before the answer is sent
  */
 public record KeyVote(Outcome outcome, KeyRecord record, boolean changed) {
 
-    /** The kinds of answers. */
+    /** The outcome of a vote. */
     public enum Outcome {
-        /** The claim holds the key; the answer waits until the record is on disk. */
+        /** The claim holds the key; the answer is sent once the record is on disk. */
         GRANTED,
-        /** The key is not free; the record says why. */
+        /** The claim does not get the key; the record tells why. */
         DENIED,
-        /** The register is full: no vote is given. */
+        /** The register is full; there is no vote. */
         FULL
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/WithdrawnClaims.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/WithdrawnClaims.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The claims that were given back of late; the oldest are forgotten first. */
+/** The recently released claims; beyond the capacity the oldest ones are discarded. */
 final class WithdrawnClaims {
 
     private final int capacity;
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/package-info.java
@@ -1,2 +1,5 @@
-/** The register of keyed operations: what voters grant, and how a claimant judges their votes. */
+/**
+ * Operations that run at most once per operation key (idempotency key): the register in which voters grant keys to
+ * claims, and the counting of their votes.
+ */
 package ridgemill.cdn.keys;
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/ClusterMembers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/ClusterMembers.java
@@ -7,27 +7,27 @@
 import java.util.TreeSet;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What a process knows of the other processes: core machines, the voting stores, and edge proxies heard lately. */
+/** The other processes that a process knows: core machines, the voting stores, and recently active edge proxies. */
 public final class ClusterMembers {
 
-    /** For how long a proxy that is not heard counts among those that share limits, in milliseconds. */
+    /** How long a proxy that sends nothing counts among those that share limits, in milliseconds. */
     static final double PROXY_RETENTION_MS = 15_000;
 
     private final TreeSet<String> coreHosts = new TreeSet<>();
     private final Map<String, Double> proxyHeardAtMs = new HashMap<>();
     private VoterSet voters = VoterSet.UNKNOWN;
 
-    /** Adds core machines by their IP addresses. Returns whether one was new. */
+    /** Adds core machines by their IP addresses. Returns whether any of them is new. */
     public boolean addCoreHosts(Collection<String> hosts) {
         return coreHosts.addAll(hosts);
     }
 
-    /** The IP addresses of all known core machines, in order. */
+    /** The IP addresses of all known core machines, sorted. */
     public List<String> coreHosts() {
         return List.copyOf(coreHosts);
     }
 
-    /** Takes newer voters. Returns whether they are newer than those that were known. */
+    /** Sets the voters if they are newer than the known ones. Returns whether they are. */
     public boolean updateVoters(VoterSet learned) {
         if (!learned.isNewerThan(voters)) {
             return false;
@@ -36,17 +36,17 @@
         return true;
     }
 
-    /** The voting stores, in the newest epoch that was heard of. */
+    /** The voting stores of the newest known epoch. */
     public VoterSet voters() {
         return voters;
     }
 
-    /** Notes that an edge proxy was heard. */
+    /** Records that an edge proxy is active. */
     public void recordProxy(String name, double nowMs) {
         proxyHeardAtMs.put(name, nowMs);
     }
 
-    /** The names of the edge proxies that were heard lately, in order. */
+    /** The names of the recently active edge proxies, sorted. */
     public List<String> proxies(double nowMs) {
         removeExpiredProxies(nowMs);
         return proxyHeardAtMs.keySet().stream().sorted().toList();
@@ -56,7 +56,7 @@
         proxyHeardAtMs.values().removeIf(heardAt -> nowMs - heardAt > PROXY_RETENTION_MS);
     }
 
-    /** How many edge proxies were heard lately; at least 1. */
+    /** The number of recently active edge proxies, at least 1. */
     public int proxyCount(double nowMs) {
         removeExpiredProxies(nowMs);
         return Math.max(1, proxyHeardAtMs.size());
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/Fleet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/Fleet.java
@@ -5,27 +5,29 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The processes that share the bounds of services, as the control plane tells an edge proxy or a shared cache.
+ * The processes that share the limits of services, as the control plane reports them to an edge proxy or a shared
+ * cache.
  *
- * @param proxies the place of this process among the edge proxies; that of the first one for a shared cache
- * @param caches the shared caches that are connected, by their identifiers
+ * @param proxies the position of this process among the edge proxies; that of the first one for a shared cache
+ * @param caches the connected shared caches, in the order of their identifiers
  */
 public record Fleet(FleetPosition proxies, List<CacheNode> caches) {
 
-    /** One edge proxy alone. */
+    /** A fleet of a single edge proxy. */
     public static final Fleet ALONE = new Fleet(FleetPosition.ALONE, List.of());
 
     public Fleet {
         caches = List.copyOf(caches);
     }
 
-    /** How many processes send requests to instances. */
+    /** The number of processes that send requests to instances. */
     public int senderCount() {
         return proxies.size() + caches.size();
     }
 
     /**
-     * The place of a shared cache among all, itself included where it is not told of yet.
+     * The position of a shared cache among all shared caches. It is counted even if the control plane does not report
+     * it yet.
      *
      * @param self the shared cache
      * @param regionOfZone the region of each zone
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
@@ -1,29 +1,29 @@
 package ridgemill.cdn.membership;
 
 /**
- * The place of one process among all that share a bound. It divides whole units, such as connections, so that the parts
- * of all places add up to exactly the whole, whatever the size: a part may be 0.
+ * The position of one process among all that share a limit. Whole units, such as connections, are divided so that the
+ * shares of all positions add up to exactly the total for any number of processes; a share may be 0.
  *
- * @param size how many share the bound, 1 or more
- * @param rank this process' place among them, from 0 to {@code size - 1}
+ * @param size the number of processes that share the limit, 1 or more
+ * @param rank the index of this process among them, from 0 to {@code size - 1}
  */
 public record FleetPosition(int size, int rank) {
 
-    /** The only process. */
+    /** The position of a single process. */
     public static final FleetPosition ALONE = new FleetPosition(1, 0);
 
     public FleetPosition {
         if (size < 1 || rank < 0 || rank >= size) {
-            throw new IllegalArgumentException("no place " + rank + " among " + size);
+            throw new IllegalArgumentException("rank " + rank + " is out of range for size " + size);
         }
     }
 
     /**
-     * This place's part of a number of units.
+     * The share of a number of units.
      *
-     * @param units how many there are for all places
-     * @param index numbers the bounds of one kind from 0: what can't be divided of each goes to the places that follow
-     *     those which got it of the one before
+     * @param units the total for all positions
+     * @param index the index, from 0, of the limit among those of the same kind: the remainder of each division goes to
+     *     the positions after those that received the remainder of the previous one
      */
     public int share(int units, int index) {
         int left = units % size;
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which processes the system consists of. */
+/** The processes of the system and their positions among those that share limits. */
 package ridgemill.cdn.membership;
--- a/cdn-core/src/main/java/ridgemill/cdn/purge/Purge.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/purge/Purge.java
@@ -1,9 +1,9 @@
 package ridgemill.cdn.purge;
 
 /**
- * An order to stop serving cached copies.
+ * A request to stop serving cached copies of an object, or of all objects that carry a tag.
  *
- * @param id a random identifier, the same on all replicas, by which a repeated delivery is recognised
+ * @param id a random identifier, the same on all replicas, by which a duplicate delivery is recognized
  * @param hostname the host of the object to purge; null where a tag is purged
  * @param path the path and query of the object to purge; null where a tag is purged
  * @param tag the tag whose objects are purged; null where one object is purged
--- a/cdn-core/src/main/java/ridgemill/cdn/purge/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/purge/package-info.java
@@ -1,2 +1,2 @@
-/** Orders that end the use of cached copies, and what a cache knows of them. */
+/** Purges of cached copies, and the tracking of which purges a cache has received. */
 package ridgemill.cdn.purge;
--- a/cdn-core/src/main/java/ridgemill/cdn/quorum/Voter.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/quorum/Voter.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * A store that votes. It is one disk, not one machine: a machine that lost its disk comes back as another voter, so that
- * nobody counts on what the lost disk held.
+ * A store that votes. A voter is identified by its disk: a machine that lost its disk returns as another voter, so that
+ * no vote relies on the contents of the lost disk.
  *
  * @param address the IP address of the machine
- * @param diskId a random name that the disk got when it was first used
+ * @param diskId a random identifier that the disk was given when it was first used
  */
 public record Voter(String address, String diskId) implements Comparable<Voter> {
 
--- a/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
@@ -7,16 +7,17 @@
 import java.util.function.Predicate;
 
 /**
- * The stores that vote, in one epoch. While voters are being replaced the set is joint: what is decided needs a majority
- * of the voters and a majority of those before them, so that no two majorities of neighbouring epochs miss each other.
+ * The stores that vote in one epoch. While voters are being replaced the set is joint, as in the joint consensus of
+ * Raft: a quorum is a majority of the voters and a majority of the previous voters, so that quorums of adjacent epochs
+ * always intersect.
  *
- * @param epoch rises by one with each change; 0 while nothing is known
+ * @param epoch increases by one with each change; 0 while nothing is known
  * @param voters the voters, each once
  * @param previous the voters that are being replaced; empty unless the set is joint
  */
 public record VoterSet(long epoch, List<Voter> voters, List<Voter> previous) {
 
-    /** What is known before any voters were learned. */
+    /** The value that is used before any voters are known. */
     public static final VoterSet UNKNOWN = new VoterSet(0, List.of(), List.of());
 
     public VoterSet {
@@ -24,7 +25,7 @@
         previous = List.copyOf(previous);
     }
 
-    /** Whether the voters are known. */
+    /** Whether any voters are known. */
     public boolean isKnown() {
         return !voters.isEmpty();
     }
@@ -34,17 +35,17 @@
         return !previous.isEmpty();
     }
 
-    /** Whether a store votes, now or as one that is being replaced. */
+    /** Whether a store votes, as one of the voters or of those that are being replaced. */
     public boolean contains(Voter voter) {
         return voters.contains(voter) || previous.contains(voter);
     }
 
-    /** Whether this set replaces another one. */
+    /** Whether this set has a higher epoch than the other one. */
     public boolean isNewerThan(VoterSet other) {
         return epoch > other.epoch;
     }
 
-    /** All that vote, each once, those that are being replaced included. */
+    /** All stores that vote, each once, including those that are being replaced. */
     public List<Voter> members() {
         Set<Voter> members = new LinkedHashSet<>(voters);
         members.addAll(previous);
@@ -56,17 +57,17 @@
         return members().stream().map(Voter::address).distinct().toList();
     }
 
-    /** Whether those that agree are enough to decide. */
+    /** Whether the agreeing stores form a quorum. Never true while no voters are known. */
     public boolean hasQuorum(Predicate<Voter> agrees) {
         return isKnown() && isMajorityOf(voters, agrees) && (previous.isEmpty() || isMajorityOf(previous, agrees));
     }
 
-    /** Whether those that agree are a majority of the voters that a change starts from, see {@link #baseVoters}. */
+    /** Whether the agreeing stores are a majority of {@link #baseVoters}. */
     public boolean hasMajorityOfBase(Predicate<Voter> agrees) {
         return isMajorityOf(baseVoters(), agrees);
     }
 
-    /** As {@link #hasQuorum}, counted by the machines that the voters run on. */
+    /** As {@link #hasQuorum}, with agreement given by the IP addresses of the voters' machines. */
     public boolean hasQuorumOfAddresses(Predicate<String> agrees) {
         return hasQuorum(voter -> agrees.test(voter.address()));
     }
@@ -79,24 +80,24 @@
         return 2 * agreeing > voters.size();
     }
 
-    /** The next epoch, in which other voters take the place of the ones that stand; joint unless these stay. */
+    /** The set of the next epoch, in which other voters replace the base voters; joint unless they are the same. */
     public VoterSet changedTo(List<Voter> next) {
         List<Voter> standing = baseVoters();
         boolean same = standing.size() == next.size() && standing.containsAll(next);
         return new VoterSet(epoch + 1, next, same ? List.of() : standing);
     }
 
-    /** The voters that a change starts from: in a joint set those that are being replaced. */
+    /** The voters that a change starts from: the previous voters in a joint set, else the voters. */
     public List<Voter> baseVoters() {
         return isJoint() ? previous : voters;
     }
 
-    /** The next epoch, in which the voters that were replaced vote no more. */
+    /** The set of the next epoch, in which the replaced voters no longer vote. */
     public VoterSet completed() {
         return new VoterSet(epoch + 1, voters, List.of());
     }
 
-    /** The voters that were not among those before them; empty unless the set is joint. */
+    /** The voters that are not among the previous ones; empty unless the set is joint. */
     public List<Voter> addedVoters() {
         if (!isJoint()) {
             return List.of();
--- a/cdn-core/src/main/java/ridgemill/cdn/quorum/package-info.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/quorum/package-info.java
@@ -1,2 +1,2 @@
-/** Which stores vote, and when enough of them agree. */
+/** The voting stores and the quorum rules. */
 package ridgemill.cdn.quorum;
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
@@ -65,7 +65,10 @@
         fail("not found: " + mutant);
     }
 
-    /** A voter that was cut off from the other stores, and an edge proxy that still counts on it, decide nothing together. */
+    /**
+     * A voter that was cut off from the other stores, and an edge proxy that still counts on it, decide nothing
+     * together.
+     */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "OLD_EPOCH_ACCEPTED"})
     void noKeyIsGrantedInTwoEpochs(Mutation mutant) {
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutation.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutation.java
@@ -1,6 +1,8 @@
 package ridgemill.cdn.agreement;
 
-/** Faults that are put into the stores of a {@link ClusterSimulation} one at a time, each of which its checks must find. */
+/**
+ * Faults that are put into the stores of a {@link ClusterSimulation} one at a time, each of which its checks must find.
+ */
 enum Mutation {
     NONE,
     /** Says that something is on disk before it is. */
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulationRun.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulationRun.java
@@ -5,7 +5,10 @@
 import java.util.Random;
 import ridgemill.cdn.config.Item;
 
-/** One random course of a {@link ClusterSimulation}: orders, reads and claims all the time, and losses within what is tolerated. */
+/**
+ * One random course of a {@link ClusterSimulation}: orders, reads and claims all the time, and losses within what is
+ * tolerated.
+ */
 final class SimulationRun {
 
     private static final String PLACES = "abcdef------";
--- a/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
@@ -65,7 +65,9 @@
         assertThat(one.digest()).isNotEqualTo(other.digest());
     }
 
-    /** The value itself matters: processes compare digests, and one that differs from process to process is of no use. */
+    /**
+     * The value itself matters: processes compare digests, and one that differs from process to process is of no use.
+     */
     @Test
     void theDigestIsTheSameInEveryProcess() {
         ItemSet items = new ItemSet();
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
@@ -48,7 +48,9 @@
         }
     }
 
-    /** Shared caches keep an object at one place: proxies that saw other speeds, or ask at another load, pick the same. */
+    /**
+     * Shared caches keep an object at one place: proxies that saw other speeds, or ask at another load, pick the same.
+     */
     @Test
     void ofOneEveryoneHasTheSamePlaceForAKeyWhateverItsSpeed() {
         for (int i = 0; i < 4; i++) {
--- a/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
@@ -44,7 +44,9 @@
         }
     }
 
-    /** Every majority of the epoch before a change meets every one of the joint epoch, and that every one of the next. */
+    /**
+     * Every majority of the epoch before a change meets every one of the joint epoch, and that every one of the next.
+     */
     @Test
     void majoritiesOfNeighbouringEpochsAlwaysMeet() {
         for (int before = 1; before < 1 << STORES; before++) {
