--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
@@ -66,21 +66,21 @@
     }
 
     /** Accepts a proposed delta if no higher ballot has been promised and the delta starts from the accepted state. */
-    Outcome accept(StateDelta step, Runnable whenDurable) {
-        StateId stamp = step.stateId();
-        if (!isPermitted(stamp)) {
+    Outcome accept(StateDelta delta, Runnable whenDurable) {
+        StateId stateId = delta.stateId();
+        if (!isPermitted(stateId)) {
             return Outcome.REFUSED;
         }
-        promised = stamp.ballot();
-        if (stamp.isAtOrBefore(state.id())) {
+        promised = stateId.ballot();
+        if (stateId.isAtOrBefore(state.id())) {
             persist(List.of(), false, whenDurable);
             return Outcome.ACCEPTED;
         }
-        if (!step.base().equals(state.id())) {
+        if (!delta.base().equals(state.id())) {
             return Outcome.BEHIND;
         }
-        state.apply(step);
-        persist(step.items(), false, whenDurable);
+        state.apply(delta);
+        persist(delta.items(), false, whenDurable);
         return Outcome.ACCEPTED;
     }
 
@@ -88,35 +88,35 @@
      * Replaces the accepted state by a whole state that is decided, or whose ballot is at least the promised one.
      * Returns false if neither holds or if the accepted state is at least as new.
      */
-    boolean install(ControlState whole, boolean decided, Runnable whenDurable) {
-        if (!isPermitted(whole.id()) && !decided || whole.id().compareTo(state.id()) <= 0) {
+    boolean install(ControlState snapshot, boolean decided, Runnable whenDurable) {
+        if (!isPermitted(snapshot.id()) && !decided || snapshot.id().compareTo(state.id()) <= 0) {
             return false;
         }
-        state = whole;
-        promised = Ballot.max(promised, whole.id().ballot());
-        persist(List.copyOf(whole.items()), true, whenDurable);
+        state = snapshot;
+        promised = Ballot.max(promised, snapshot.id().ballot());
+        persist(List.copyOf(snapshot.items()), true, whenDurable);
         return true;
     }
 
     /** Applies a delta that was pulled from another store, under the same conditions as {@link #install}. */
-    boolean applyDelta(StateDelta step, boolean decided, Runnable whenDurable) {
-        if (!isPermitted(step.stateId()) && !decided || !step.base().equals(state.id())) {
+    boolean applyDelta(StateDelta delta, boolean decided, Runnable whenDurable) {
+        if (!isPermitted(delta.stateId()) && !decided || !delta.base().equals(state.id())) {
             return false;
         }
-        state.apply(step);
-        promised = Ballot.max(promised, step.stateId().ballot());
-        persist(step.items(), false, whenDurable);
+        state.apply(delta);
+        promised = Ballot.max(promised, delta.stateId().ballot());
+        persist(delta.items(), false, whenDurable);
         return true;
     }
 
     /** Whether the promise allows accepting this state: no ballot higher than its own has been promised. */
-    private boolean isPermitted(StateId stamp) {
-        return stamp.ballot().compareTo(promised) >= 0;
+    private boolean isPermitted(StateId stateId) {
+        return stateId.ballot().compareTo(promised) >= 0;
     }
 
     /** Sets the first voters, before anything has been decided. */
-    void bootstrap(StateId stamp, VoterSet voters, Runnable whenDurable) {
-        state = new ControlState(stamp, voters, List.of());
+    void bootstrap(StateId stateId, VoterSet voters, Runnable whenDurable) {
+        state = new ControlState(stateId, voters, List.of());
         persist(List.of(), true, whenDurable);
     }
 
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -50,7 +50,7 @@
     private boolean leaving;
     private long completeEpoch;
     private double statusAtMs = Double.NEGATIVE_INFINITY;
-    private double leaderHeardAtMs;
+    private double leaderSeenAtMs;
     private double behindSinceMs = Double.NaN;
     private double votersChangedAtMs = Double.NEGATIVE_INFINITY;
     private double electionJitterMs;
@@ -91,7 +91,7 @@
         }
         leadership.observeRound(record.promised().round());
         peers.start(nowMs);
-        leaderHeardAtMs = nowMs;
+        leaderSeenAtMs = nowMs;
         electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
         sendStatus(nowMs);
     }
@@ -131,8 +131,8 @@
     /** Whether this store may vote on operation keys. An added voter may do so only once it holds all keys. */
     public boolean canVoteOnKeys() {
         VoterSet voters = voters();
-        boolean whole = !voters.addedVoters().contains(self) || completeEpoch >= voters.epoch();
-        return voters.contains(self) && whole;
+        boolean caughtUp = !voters.addedVoters().contains(self) || completeEpoch >= voters.epoch();
+        return voters.contains(self) && caughtUp;
     }
 
     /**
@@ -141,8 +141,8 @@
      */
     public VoterSet voterChangeAwaitingKeys() {
         VoterSet voters = view.voters();
-        boolean wanted = voters.addedVoters().contains(self) && completeEpoch < voters.epoch();
-        return wanted && voters.equals(voters()) ? voters : null;
+        boolean pending = voters.addedVoters().contains(self) && completeEpoch < voters.epoch();
+        return pending && voters.equals(voters()) ? voters : null;
     }
 
     /** Records that all operation keys of an epoch are on this store's disk. */
@@ -159,8 +159,8 @@
 
     /** Whether this store may stop: it is no longer a voter, or no other store could replace it. */
     public boolean canStop(double nowMs) {
-        boolean out = !voters().contains(self) && !view.voters().contains(self);
-        return out || !voterPlanner.hasCandidate(voters(), status(nowMs), nowMs);
+        boolean replaced = !voters().contains(self) && !view.voters().contains(self);
+        return replaced || !voterPlanner.hasCandidate(voters(), status(nowMs), nowMs);
     }
 
     /**
@@ -272,7 +272,7 @@
         peers.record(status, nowMs);
         leadership.observeRound(status.promised().round());
         if (status.leading()) {
-            leaderHeardAtMs = nowMs;
+            leaderSeenAtMs = nowMs;
         }
         view.decide(status.decided());
         stalledDisks.record(status.from(), status.accepted(), view.decided(), nowMs);
@@ -325,8 +325,8 @@
         founders.sort(null);
         VoterSet first = new VoterSet(1, founders, List.of());
         if (!first.equals(voters())) {
-            StateId stamp = new StateId(new Ballot(0, founders.toString()), 0);
-            acceptor.bootstrap(stamp, first, () -> {});
+            StateId stateId = new StateId(new Ballot(0, founders.toString()), 0);
+            acceptor.bootstrap(stateId, first, () -> {});
             view.reset(acceptor.state());
             sendStatus(nowMs);
         }
@@ -342,7 +342,7 @@
             if (acceptor.promise(prepare.ballot(), () -> environment.send(address, promise))) {
                 candidateAddress = address;
                 candidateAtMs = nowMs;
-                leaderHeardAtMs = nowMs;
+                leaderSeenAtMs = nowMs;
             } else {
                 refuse(address, prepare.ballot());
             }
@@ -362,24 +362,24 @@
     }
 
     private void accept(AgreementMessage.Accept accept, double nowMs) {
-        StateDelta step = accept.step();
-        leadership.observeRound(step.stateId().ballot().round());
+        StateDelta delta = accept.step();
+        leadership.observeRound(delta.stateId().ballot().round());
         StateId before = acceptor.state().id();
-        Acceptor.Outcome outcome = acceptor.accept(step, acceptedReply(accept.from(), step.stateId()));
+        Acceptor.Outcome outcome = acceptor.accept(delta, acceptedReply(accept.from(), delta.stateId()));
         switch (outcome) {
-            case REFUSED -> refuse(accept.from().address(), step.stateId().ballot());
+            case REFUSED -> refuse(accept.from().address(), delta.stateId().ballot());
             case BEHIND -> pullFrom(accept.from(), nowMs);
             case ACCEPTED -> {
                 if (!before.equals(acceptor.state().id())) {
-                    view.addAccepted(step);
+                    view.addAccepted(delta);
                     view.decide(view.newestKnownDecided());
                 }
             }
         }
     }
 
-    private Runnable acceptedReply(Voter leader, StateId stamp) {
-        return () -> environment.send(leader.address(), new AgreementMessage.Accepted(self, stamp));
+    private Runnable acceptedReply(Voter leader, StateId stateId) {
+        return () -> environment.send(leader.address(), new AgreementMessage.Accepted(self, stateId));
     }
 
     private void pullFrom(Voter store, double nowMs) {
@@ -417,21 +417,21 @@
      */
     private void applyPulled(PulledState pulled) {
         behindSinceMs = Double.NaN;
-        if (pulled.whole() != null) {
-            StateId stamp = pulled.whole().id();
-            boolean decided = stamp.isAtOrBefore(pulled.decided());
-            if (acceptor.install(pulled.whole(), decided, acceptedReply(pulled.source(), stamp))) {
-                view.reset(pulled.whole());
+        if (pulled.snapshot() != null) {
+            StateId stateId = pulled.snapshot().id();
+            boolean decided = stateId.isAtOrBefore(pulled.decided());
+            if (acceptor.install(pulled.snapshot(), decided, acceptedReply(pulled.source(), stateId))) {
+                view.reset(pulled.snapshot());
             }
         }
-        int settled = 0;
+        int decidedCount = 0;
         for (int i = 0; i < pulled.deltas().size(); i++) {
-            settled = pulled.deltas().get(i).stateId().isAtOrBefore(pulled.decided()) ? i + 1 : settled;
+            decidedCount = pulled.deltas().get(i).stateId().isAtOrBefore(pulled.decided()) ? i + 1 : decidedCount;
         }
         for (int i = 0; i < pulled.deltas().size(); i++) {
-            StateDelta step = pulled.deltas().get(i);
-            if (acceptor.applyDelta(step, i < settled, acceptedReply(pulled.source(), step.stateId()))) {
-                view.addAccepted(step);
+            StateDelta delta = pulled.deltas().get(i);
+            if (acceptor.applyDelta(delta, i < decidedCount, acceptedReply(pulled.source(), delta.stateId()))) {
+                view.addAccepted(delta);
             }
         }
         view.decide(pulled.decided());
@@ -478,9 +478,9 @@
             return;
         }
         double patienceMs = ELECTION_TIMEOUT_MS + rank * ELECTION_STAGGER_MS + electionJitterMs;
-        boolean begins = acceptor.state().id().revision() == 0 && rank == 0;
-        if ((begins || nowMs - leaderHeardAtMs > patienceMs) && isMajorityReachable(nowMs)) {
-            leaderHeardAtMs = nowMs;
+        boolean first = acceptor.state().id().revision() == 0 && rank == 0;
+        if ((first || nowMs - leaderSeenAtMs > patienceMs) && isMajorityReachable(nowMs)) {
+            leaderSeenAtMs = nowMs;
             electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
             leadership.startElection(nowMs);
         }
@@ -513,10 +513,10 @@
      */
     private void proposePending(double nowMs) {
         if (nextVoters != null && leadership.isIdle() && nextVoters.epoch() == voters().epoch() + 1) {
-            VoterSet wanted = nextVoters;
+            VoterSet proposed = nextVoters;
             nextVoters = null;
             votersChangedAtMs = nowMs;
-            leadership.proposeVoters(wanted, nowMs);
+            leadership.proposeVoters(proposed, nowMs);
         }
         leadership.proposePending(nowMs);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeEvaluator.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ChangeEvaluator.java
@@ -37,50 +37,50 @@
     }
 
     /** Accepts a change, or returns the reason for refusing it. */
-    ChangeResult evaluate(List<Item> order) {
+    ChangeResult evaluate(List<Item> items) {
         Map<ItemName, VersionedItem> entries = new LinkedHashMap<>();
-        Map<ItemName, Item> newer = new LinkedHashMap<>();
-        for (Item item : order) {
+        Map<ItemName, Item> newItems = new LinkedHashMap<>();
+        for (Item item : items) {
             VersionedItem held = entries.getOrDefault(item.name(), held(item.name()));
             if (held != null && held.conflictsWith(item)) {
                 return refused(ChangeResult.Outcome.CONFLICT, describe(item) + " is held with other content");
             }
             if (held == null) {
                 entries.put(item.name(), VersionedItem.first(item));
-                newer.put(item.name(), item);
+                newItems.put(item.name(), item);
             } else if (item.version() > held.item().version()) {
                 entries.put(item.name(), held.supersededBy(item));
-                newer.put(item.name(), item);
+                newItems.put(item.name(), item);
             } else if (!held.hasRecorded(item)) {
                 entries.put(item.name(), held.withConfirmed(item));
             }
         }
-        return newer.isEmpty() ? accept(entries, newer.values()) : check(entries, newer.values());
+        return newItems.isEmpty() ? accept(entries, newItems.values()) : check(entries, newItems.values());
     }
 
-    private ChangeResult check(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
+    private ChangeResult check(Map<ItemName, VersionedItem> entries, Collection<Item> newItems) {
         long added =
                 entries.values().stream().mapToLong(ControlState::charactersOf).sum();
         if (state.characters() + addedCharacters + added > MAX_CHARACTERS) {
             return refused(ChangeResult.Outcome.INVALID, "the configuration would be too large");
         }
-        Optional<String> fault = rules.validate(newer);
+        Optional<String> fault = rules.validate(newItems);
         if (fault.isPresent()) {
             return refused(ChangeResult.Outcome.INVALID, fault.get());
         }
         addedCharacters += added;
-        return accept(entries, newer);
+        return accept(entries, newItems);
     }
 
-    private ChangeResult accept(Map<ItemName, VersionedItem> entries, Collection<Item> newer) {
+    private ChangeResult accept(Map<ItemName, VersionedItem> entries, Collection<Item> newItems) {
         changed.putAll(entries);
-        rules.apply(new ArrayList<>(newer));
+        rules.apply(new ArrayList<>(newItems));
         return ChangeResult.CONFIRMED;
     }
 
     private VersionedItem held(ItemName name) {
-        VersionedItem own = changed.get(name);
-        return own == null ? state.get(name) : own;
+        VersionedItem updated = changed.get(name);
+        return updated == null ? state.get(name) : updated;
     }
 
     private static ChangeResult refused(ChangeResult.Outcome outcome, String reason) {
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
@@ -28,8 +28,8 @@
     }
 
     /** A state with the given items and voters. */
-    public ControlState(StateId stamp, VoterSet voters, Collection<VersionedItem> items) {
-        this.id = stamp;
+    public ControlState(StateId id, VoterSet voters, Collection<VersionedItem> items) {
+        this.id = id;
         this.voters = voters;
         items.forEach(this::put);
     }
@@ -64,18 +64,18 @@
      *
      * @throws IllegalArgumentException if the delta does not start from this state
      */
-    public void apply(StateDelta step) {
-        if (!step.base().equals(id)) {
-            throw new IllegalArgumentException("cannot apply a delta based on " + step.base() + " to state " + id);
+    public void apply(StateDelta delta) {
+        if (!delta.base().equals(id)) {
+            throw new IllegalArgumentException("cannot apply a delta based on " + delta.base() + " to state " + id);
         }
-        step.items().forEach(this::put);
-        id = step.stateId();
-        voters = step.voters();
+        delta.items().forEach(this::put);
+        id = delta.stateId();
+        voters = delta.voters();
     }
 
     private void put(VersionedItem entry) {
-        VersionedItem before = items.put(entry.item().name(), entry);
-        characters += charactersOf(entry) - (before == null ? 0 : charactersOf(before));
+        VersionedItem previous = items.put(entry.item().name(), entry);
+        characters += charactersOf(entry) - (previous == null ? 0 : charactersOf(previous));
     }
 
     /** An independent copy. */
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
@@ -68,9 +68,9 @@
     }
 
     /** Adds an accepted delta, and discards the oldest decided deltas beyond the limits. */
-    void addAccepted(StateDelta step) {
-        undecidedDeltas.add(step);
-        keptCharacters += step.characters();
+    void addAccepted(StateDelta delta) {
+        undecidedDeltas.add(delta);
+        keptCharacters += delta.characters();
         while (!decidedDeltas.isEmpty() && exceedsLimits()) {
             keptCharacters -= decidedDeltas.poll().characters();
         }
@@ -81,24 +81,24 @@
     }
 
     /** Records that a state is decided, and with it all states that it was derived from. */
-    void decide(StateId stamp) {
-        newestKnownDecided = StateId.max(newestKnownDecided, stamp);
-        if (stamp.compareTo(decided) > 0) {
-            publish(countDecidedBy(stamp));
+    void decide(StateId stateId) {
+        newestKnownDecided = StateId.max(newestKnownDecided, stateId);
+        if (stateId.compareTo(decided) > 0) {
+            publish(countDecidedBy(stateId));
         }
     }
 
     /** The number of undecided deltas that a decided state makes decided. */
-    private int countDecidedBy(StateId stamp) {
-        int settles = 0;
+    private int countDecidedBy(StateId stateId) {
+        int decidedCount = 0;
         int position = 0;
-        for (StateDelta step : undecidedDeltas) {
+        for (StateDelta delta : undecidedDeltas) {
             position++;
-            if (step.stateId().isAtOrBefore(stamp)) {
-                settles = position;
+            if (delta.stateId().isAtOrBefore(stateId)) {
+                decidedCount = position;
             }
         }
-        return settles;
+        return decidedCount;
     }
 
     private void publish(int count) {
@@ -107,15 +107,15 @@
         }
         List<Item> changed = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            StateDelta step = undecidedDeltas.poll();
-            decidedDeltas.add(step);
-            for (VersionedItem entry : step.items()) {
+            StateDelta delta = undecidedDeltas.poll();
+            decidedDeltas.add(delta);
+            for (VersionedItem entry : delta.items()) {
                 if (items.merge(entry.item())) {
                     changed.add(entry.item());
                 }
             }
-            voters = step.voters();
-            decided = step.stateId();
+            voters = delta.voters();
+            decided = delta.stateId();
         }
         environment.onDecided(changed, voters);
     }
@@ -125,9 +125,9 @@
         if (base.equals(StateId.NONE)) {
             return null;
         }
-        List<StateDelta> missing = Stream.concat(decidedDeltas.stream(), undecidedDeltas.stream())
-                .dropWhile(step -> !step.base().equals(base))
+        List<StateDelta> deltas = Stream.concat(decidedDeltas.stream(), undecidedDeltas.stream())
+                .dropWhile(delta -> !delta.base().equals(base))
                 .toList();
-        return missing.isEmpty() ? null : missing;
+        return deltas.isEmpty() ? null : deltas;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
@@ -50,17 +50,17 @@
     private final Map<Voter, AgreementMessage.Promise> promises = new HashMap<>();
     private final Set<Voter> prepareSentTo = new HashSet<>();
     private final Deque<PendingChange> pendingChanges = new ArrayDeque<>();
-    private final Deque<PendingAnswer> unconfirmed = new ArrayDeque<>();
+    private final Deque<PendingAnswer> awaitingConfirmation = new ArrayDeque<>();
     private final List<PendingAnswer> confirming = new ArrayList<>();
     private final Set<Voter> confirmedBy = new HashSet<>();
     private Role role = Role.FOLLOWING;
     private Ballot ballot = Ballot.NONE;
     private Proposal proposal;
-    private boolean ready;
+    private boolean established;
     private long highestRound;
     private long confirmationNumber;
     private double electionStartedAtMs;
-    private double sentAtMs;
+    private double lastSentAtMs;
     private double majorityAtMs;
 
     private record PendingChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {}
@@ -79,26 +79,26 @@
         private final List<PendingAnswer> answers;
         private final Set<Voter> acceptedBy = new HashSet<>();
 
-        Proposal(StateDelta step, List<PendingAnswer> answers) {
-            this.delta = step;
+        Proposal(StateDelta delta, List<PendingAnswer> answers) {
+            this.delta = delta;
             this.answers = answers;
         }
     }
 
     Leadership(
             Voter self,
-            String lifeId,
+            String incarnationId,
             AgreementEnvironment environment,
             Acceptor acceptor,
             DecidedView view,
             ChangeRules rules) {
         this.self = self;
-        this.incarnationId = lifeId;
+        this.incarnationId = incarnationId;
         this.environment = environment;
         this.acceptor = acceptor;
         this.view = view;
         this.rules = rules;
-        this.fetch = new StatePull(self, lifeId + "-lead", environment);
+        this.fetch = new StatePull(self, incarnationId + "-lead", environment);
     }
 
     boolean isFollowing() {
@@ -107,7 +107,7 @@
 
     /** Whether this store has decided a state under its ballot and knows of no higher promise. */
     boolean isLeading() {
-        return role == Role.LEADING && ready;
+        return role == Role.LEADING && established;
     }
 
     /** Whether this store leads and no proposal is in progress, so that a change of the voters may be proposed. */
@@ -129,11 +129,11 @@
         ballot = new Ballot(highestRound + 1, incarnationId);
         observeRound(ballot.round());
         role = Role.PREPARING;
-        ready = false;
+        established = false;
         promises.clear();
         prepareSentTo.clear();
         electionStartedAtMs = nowMs;
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         Ballot own = ballot;
         prepareSentTo.add(self);
         StateId accepted = acceptor.state().id();
@@ -161,8 +161,8 @@
         promises.put(promise.from(), promise);
         AgreementMessage.Promise newest = newestPromise();
         sendPrepare(newest.voters());
-        boolean own = acceptor.state().voters().hasQuorum(promises::containsKey);
-        if (!own || !newest.voters().hasQuorum(promises::containsKey)) {
+        boolean promisedByOwnVoters = acceptor.state().voters().hasQuorum(promises::containsKey);
+        if (!promisedByOwnVoters || !newest.voters().hasQuorum(promises::containsKey)) {
             return;
         }
         if (newest.accepted().compareTo(acceptor.state().id()) <= 0) {
@@ -189,15 +189,15 @@
         if (role != Role.FETCHING) {
             return;
         }
-        ControlState state = pulled.whole();
+        ControlState state = pulled.snapshot();
         if (state == null) {
             state = acceptor.state().copy();
-            for (StateDelta step : pulled.deltas()) {
-                if (!step.base().equals(state.id())) {
+            for (StateDelta delta : pulled.deltas()) {
+                if (!delta.base().equals(state.id())) {
                     stepDown();
                     return;
                 }
-                state.apply(step);
+                state.apply(delta);
             }
         }
         if (state.id().equals(newestPromise().accepted())) {
@@ -220,38 +220,38 @@
         confirmationNumber = 0;
         ControlState base = fetchedState == null ? acceptor.state() : fetchedState;
         rules.reset(base.items().stream().map(VersionedItem::item).toList());
-        StateDelta step = new StateDelta(base.id(), base.id().next(ballot), base.voters(), List.of());
+        StateDelta delta = new StateDelta(base.id(), base.id().next(ballot), base.voters(), List.of());
         if (fetchedState == null) {
-            propose(step, List.of(), nowMs);
+            propose(delta, List.of(), nowMs);
             return;
         }
-        ControlState own = new ControlState(step.stateId(), base.voters(), base.items());
-        proposal = new Proposal(step, List.of());
-        if (!acceptor.install(own, false, onAcceptedLocally(step.stateId(), nowMs))) {
+        ControlState rebased = new ControlState(delta.stateId(), base.voters(), base.items());
+        proposal = new Proposal(delta, List.of());
+        if (!acceptor.install(rebased, false, onAcceptedLocally(delta.stateId(), nowMs))) {
             stepDown();
             return;
         }
-        view.reset(own);
+        view.reset(rebased);
         sendProposal(nowMs);
     }
 
-    private void propose(StateDelta step, List<PendingAnswer> answers, double nowMs) {
-        proposal = new Proposal(step, answers);
-        Acceptor.Outcome outcome = acceptor.accept(step, onAcceptedLocally(step.stateId(), nowMs));
+    private void propose(StateDelta delta, List<PendingAnswer> answers, double nowMs) {
+        proposal = new Proposal(delta, answers);
+        Acceptor.Outcome outcome = acceptor.accept(delta, onAcceptedLocally(delta.stateId(), nowMs));
         if (outcome != Acceptor.Outcome.ACCEPTED) {
             stepDown();
             return;
         }
-        view.addAccepted(step);
+        view.addAccepted(delta);
         sendProposal(nowMs);
     }
 
-    private Runnable onAcceptedLocally(StateId stamp, double nowMs) {
-        return () -> onAccepted(new AgreementMessage.Accepted(self, stamp), nowMs);
+    private Runnable onAcceptedLocally(StateId stateId, double nowMs) {
+        return () -> onAccepted(new AgreementMessage.Accepted(self, stateId), nowMs);
     }
 
     private void sendProposal(double nowMs) {
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         if (proposal == null) {
             return;
         }
@@ -279,7 +279,7 @@
     private void onDecided(double nowMs) {
         Proposal done = proposal;
         proposal = null;
-        ready = true;
+        established = true;
         majorityAtMs = nowMs;
         view.decide(done.delta.stateId());
         done.answers.forEach(pending -> pending.onMajority().run());
@@ -304,20 +304,20 @@
      */
     void stepDown() {
         role = Role.FOLLOWING;
-        ready = false;
+        established = false;
         fetch.cancel();
-        List<PendingAnswer> open = new ArrayList<>(unconfirmed);
-        open.addAll(confirming);
+        List<PendingAnswer> unanswered = new ArrayList<>(awaitingConfirmation);
+        unanswered.addAll(confirming);
         if (proposal != null) {
-            open.addAll(proposal.answers);
+            unanswered.addAll(proposal.answers);
         }
         proposal = null;
-        unconfirmed.clear();
+        awaitingConfirmation.clear();
         confirming.clear();
-        List<PendingChange> waiting = new ArrayList<>(pendingChanges);
+        List<PendingChange> unproposed = new ArrayList<>(pendingChanges);
         pendingChanges.clear();
-        open.forEach(pending -> pending.onUnknown().run());
-        waiting.forEach(order -> order.callback().accept(ChangeResult.UNKNOWN));
+        unanswered.forEach(pending -> pending.onUnknown().run());
+        unproposed.forEach(change -> change.callback().accept(ChangeResult.UNKNOWN));
     }
 
     /** Steps down if this store has promised another ballot than its own. */
@@ -334,7 +334,7 @@
 
     /** Queues an answer that may be given once a quorum has confirmed that this store still leads. */
     void enqueueConfirmation(Runnable answer, Runnable unknown, double deadlineMs) {
-        unconfirmed.add(new PendingAnswer(answer, unknown, deadlineMs));
+        awaitingConfirmation.add(new PendingAnswer(answer, unknown, deadlineMs));
     }
 
     /** Proposes a change of the voters. */
@@ -351,10 +351,10 @@
         if (proposal == null && !pendingChanges.isEmpty()) {
             proposePendingChanges(nowMs);
         }
-        if (confirming.isEmpty() && !unconfirmed.isEmpty()) {
+        if (confirming.isEmpty() && !awaitingConfirmation.isEmpty()) {
             confirmationNumber++;
-            confirming.addAll(unconfirmed);
-            unconfirmed.clear();
+            confirming.addAll(awaitingConfirmation);
+            awaitingConfirmation.clear();
             confirmedBy.clear();
             sendConfirm();
             onConfirmed(new AgreementMessage.Confirmed(self, ballot, confirmationNumber), nowMs);
@@ -365,17 +365,17 @@
     private void proposePendingChanges(double nowMs) {
         ChangeEvaluator evaluator = new ChangeEvaluator(acceptor.state(), rules);
         List<PendingAnswer> answers = new ArrayList<>();
-        for (PendingChange order : pendingChanges) {
-            ChangeResult result = evaluator.evaluate(order.items());
+        for (PendingChange change : pendingChanges) {
+            ChangeResult result = evaluator.evaluate(change.items());
             answers.add(new PendingAnswer(
-                    () -> order.callback().accept(result),
-                    () -> order.callback().accept(ChangeResult.UNKNOWN),
-                    order.deadlineMs()));
+                    () -> change.callback().accept(result),
+                    () -> change.callback().accept(ChangeResult.UNKNOWN),
+                    change.deadlineMs()));
         }
         pendingChanges.clear();
         Collection<VersionedItem> changed = evaluator.changedItems();
         if (changed.isEmpty()) {
-            unconfirmed.addAll(answers);
+            awaitingConfirmation.addAll(answers);
             return;
         }
         StateId base = acceptor.state().id();
@@ -421,14 +421,14 @@
         if (!waiting) {
             majorityAtMs = nowMs;
         }
-        if (nowMs - sentAtMs >= RETRANSMIT_INTERVAL_MS) {
+        if (nowMs - lastSentAtMs >= RETRANSMIT_INTERVAL_MS) {
             retransmit(nowMs);
         }
         expire(nowMs);
     }
 
     private void retransmit(double nowMs) {
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         if (role == Role.PREPARING) {
             for (Voter member : prepareSentTo) {
                 if (!member.equals(self) && !promises.containsKey(member)) {
@@ -447,14 +447,14 @@
     }
 
     private void expire(double nowMs) {
-        List<Runnable> late = new ArrayList<>();
-        pendingChanges.removeIf(order ->
-                order.deadlineMs() <= nowMs && late.add(() -> order.callback().accept(ChangeResult.UNKNOWN)));
-        unconfirmed.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
-        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
+        List<Runnable> expired = new ArrayList<>();
+        pendingChanges.removeIf(change -> change.deadlineMs() <= nowMs
+                && expired.add(() -> change.callback().accept(ChangeResult.UNKNOWN)));
+        awaitingConfirmation.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
+        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
         if (proposal != null && !proposal.answers.isEmpty()) {
-            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
+            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
         }
-        late.forEach(Runnable::run);
+        expired.forEach(Runnable::run);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -21,11 +21,11 @@
 
     private final Voter self;
     private final List<String> seeds;
-    private final Map<String, Heard> lastHeard = new HashMap<>();
+    private final Map<String, ReceivedStatus> lastHeard = new HashMap<>();
     private final TreeSet<String> reportedAddresses = new TreeSet<>();
     private double startedAtMs;
 
-    private record Heard(AgreementMessage.Status status, double atMs) {}
+    private record ReceivedStatus(AgreementMessage.Status status, double atMs) {}
 
     Peers(Voter self, List<String> seeds) {
         this.self = self;
@@ -43,7 +43,7 @@
 
     /** Records a status that was received. */
     void record(AgreementMessage.Status status, double nowMs) {
-        lastHeard.put(status.from().address(), new Heard(status, nowMs));
+        lastHeard.put(status.from().address(), new ReceivedStatus(status, nowMs));
         reportedAddresses.addAll(status.knownAddresses());
     }
 
@@ -55,10 +55,10 @@
     }
 
     /** The newest status of each store, if it is no older than a maximum age in milliseconds. */
-    Collection<AgreementMessage.Status> recentStatuses(double boundMs, double nowMs) {
+    Collection<AgreementMessage.Status> recentStatuses(double maxAgeMs, double nowMs) {
         List<AgreementMessage.Status> fresh = new ArrayList<>();
-        for (Heard entry : lastHeard.values()) {
-            if (nowMs - entry.atMs() <= boundMs) {
+        for (ReceivedStatus entry : lastHeard.values()) {
+            if (nowMs - entry.atMs() <= maxAgeMs) {
                 fresh.add(entry.status());
             }
         }
@@ -69,15 +69,15 @@
      * The newest status of a store if it is no older than a maximum age in milliseconds; else null. A status of another
      * disk on the same machine is that of another store.
      */
-    AgreementMessage.Status recentStatus(Voter voter, double boundMs, double nowMs) {
-        Heard entry = lastHeard.get(voter.address());
-        boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= boundMs;
+    AgreementMessage.Status recentStatus(Voter voter, double maxAgeMs, double nowMs) {
+        ReceivedStatus entry = lastHeard.get(voter.address());
+        boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= maxAgeMs;
         return fresh ? entry.status() : null;
     }
 
     /** Whether a voter is gone: it sent no status for long, is about to stop, or its machine has another disk now. */
     boolean isGone(Voter voter, double nowMs) {
-        Heard entry = lastHeard.get(voter.address());
+        ReceivedStatus entry = lastHeard.get(voter.address());
         if (entry == null) {
             return nowMs - startedAtMs > GONE_MS;
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/PulledState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/PulledState.java
@@ -9,6 +9,6 @@
  * @param source the store that sent the state
  * @param decided the newest state that it knows to be decided
  * @param deltas the deltas that lead to its state; empty if it sent the whole state
- * @param whole its whole state; null if it sent deltas
+ * @param snapshot its whole state; null if it sent deltas
  */
-record PulledState(Voter source, StateId decided, List<StateDelta> deltas, ControlState whole) {}
+record PulledState(Voter source, StateId decided, List<StateDelta> deltas, ControlState snapshot) {}
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
@@ -23,7 +23,7 @@
     private String transferId;
     private StateId heldStateId;
     private StateId stateId;
-    private int page;
+    private int nextPage;
     private double requestedAtMs;
     private double lastReceivedAtMs;
 
@@ -33,9 +33,9 @@
      * @param transferIdPrefix identifies this run of the process and this user of transfers, so that answers to earlier
      *     transfers are ignored
      */
-    StatePull(Voter self, String lifeId, AgreementEnvironment environment) {
+    StatePull(Voter self, String transferIdPrefix, AgreementEnvironment environment) {
         this.self = self;
-        this.transferIdPrefix = lifeId;
+        this.transferIdPrefix = transferIdPrefix;
         this.environment = environment;
     }
 
@@ -63,14 +63,14 @@
     }
 
     private void restart() {
-        page = 0;
+        nextPage = 0;
         stateId = null;
         items.clear();
     }
 
     private void requestPage(double nowMs) {
         requestedAtMs = nowMs;
-        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, page));
+        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, nextPage));
     }
 
     /** Requests a missing page again, or cancels a stalled transfer. */
@@ -85,8 +85,8 @@
         }
     }
 
-    private boolean isExpected(Voter from, String name) {
-        return isActive() && source.equals(from) && transferId.equals(name);
+    private boolean isExpected(Voter from, String expectedTransferId) {
+        return isActive() && source.equals(from) && transferId.equals(expectedTransferId);
     }
 
     /** Handles a difference. Returns the pulled deltas if it belongs to the transfer in progress. */
@@ -106,22 +106,22 @@
         if (stateId != null && !received.stateId().equals(stateId)) {
             restart();
         }
-        if (received.page() != page) {
+        if (received.page() != nextPage) {
             return Optional.empty();
         }
         lastReceivedAtMs = nowMs;
         stateId = received.stateId();
         items.addAll(received.items());
-        page++;
-        if (page < received.pageCount()) {
+        nextPage++;
+        if (nextPage < received.pageCount()) {
             requestPage(nowMs);
             return Optional.empty();
         }
-        ControlState whole = new ControlState(received.stateId(), received.voters(), items);
+        ControlState state = new ControlState(received.stateId(), received.voters(), items);
         cancel();
-        boolean intact = whole.digest() == received.digest();
+        boolean intact = state.digest() == received.digest();
         return intact
-                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), whole))
+                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), state))
                 : Optional.empty();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
@@ -51,38 +51,38 @@
 
     /** The answer to a pull request. */
     AgreementMessage answer(AgreementMessage.Pull pull, double nowMs) {
-        Snapshot kept = snapshots.get(pull.transferId());
-        if (kept == null) {
-            List<StateDelta> steps = missingDeltas(pull.heldStateId());
-            if (steps != null) {
-                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), steps);
+        Snapshot snapshot = snapshots.get(pull.transferId());
+        if (snapshot == null) {
+            List<StateDelta> deltas = missingDeltas(pull.heldStateId());
+            if (deltas != null) {
+                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), deltas);
             }
-            kept = new Snapshot(acceptor.state());
-            snapshots.put(pull.transferId(), kept);
+            snapshot = new Snapshot(acceptor.state());
+            snapshots.put(pull.transferId(), snapshot);
         }
-        kept.requestedAtMs = nowMs;
-        int page = Math.min(pull.page(), kept.pages.size() - 1);
+        snapshot.requestedAtMs = nowMs;
+        int page = Math.min(pull.page(), snapshot.pages.size() - 1);
         return new AgreementMessage.Page(
                 self,
                 pull.transferId(),
                 view.decided(),
                 page,
-                kept.pages.size(),
-                kept.stateId,
-                kept.voters,
-                kept.pages.get(page),
-                kept.digest);
+                snapshot.pages.size(),
+                snapshot.stateId,
+                snapshot.voters,
+                snapshot.pages.get(page),
+                snapshot.digest);
     }
 
-    private List<StateDelta> missingDeltas(StateId have) {
-        if (have.equals(acceptor.state().id())) {
+    private List<StateDelta> missingDeltas(StateId heldStateId) {
+        if (heldStateId.equals(acceptor.state().id())) {
             return List.of();
         }
-        List<StateDelta> steps = view.deltasFrom(have);
-        long characters = steps == null
+        List<StateDelta> deltas = view.deltasFrom(heldStateId);
+        long characters = deltas == null
                 ? 0
-                : steps.stream().mapToLong(StateDelta::characters).sum();
-        return characters > MAX_DIFFERENCE_CHARACTERS ? null : steps;
+                : deltas.stream().mapToLong(StateDelta::characters).sum();
+        return characters > MAX_DIFFERENCE_CHARACTERS ? null : deltas;
     }
 
     /** Discards snapshots that are no longer requested, and the oldest ones beyond the maximum number. */
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlanner.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/VoterPlanner.java
@@ -43,28 +43,28 @@
         if (current.isJoint() && current.addedVoters().stream().noneMatch(voter -> isGone(voter, own, nowMs))) {
             return Optional.empty();
         }
-        List<Voter> standing = current.baseVoters();
-        List<AgreementMessage.Status> candidates = candidates(standing, own, nowMs);
+        List<Voter> baseVoters = current.baseVoters();
+        List<AgreementMessage.Status> candidates = candidates(baseVoters, own, nowMs);
         Map<Voter, String> zones = zones(own, nowMs);
         List<Voter> next = new ArrayList<>();
-        for (Voter voter : standing) {
+        for (Voter voter : baseVoters) {
             if (!isGone(voter, own, nowMs)) {
                 next.add(voter);
             }
         }
-        int lost = standing.size() - next.size();
-        fill(next, standing.size(), candidates, zones);
-        for (Voter voter : standing) {
+        int lost = baseVoters.size() - next.size();
+        fill(next, baseVoters.size(), candidates, zones);
+        for (Voter voter : baseVoters) {
             // No candidate can replace this voter, so it stays: a voter that is gone may come back.
-            if (next.size() < standing.size() && !next.contains(voter)) {
+            if (next.size() < baseVoters.size() && !next.contains(voter)) {
                 next.add(voter);
                 lost--;
             }
         }
-        int grown = Math.min(targetSize, next.size() + candidates.size());
-        fill(next, grown % 2 == 1 || grown <= next.size() ? grown : grown - 1, candidates, zones);
-        boolean same = lost == 0 && next.size() == standing.size();
-        return same && !current.isJoint() ? Optional.empty() : Optional.of(List.copyOf(next));
+        int size = Math.min(targetSize, next.size() + candidates.size());
+        fill(next, size % 2 == 1 || size <= next.size() ? size : size - 1, candidates, zones);
+        boolean unchanged = lost == 0 && next.size() == baseVoters.size();
+        return unchanged && !current.isJoint() ? Optional.empty() : Optional.of(List.copyOf(next));
     }
 
     /** Adds candidates until there are enough voters, first from the zones that have the fewest voters. */
@@ -94,13 +94,14 @@
         return zones;
     }
 
-    private List<AgreementMessage.Status> candidates(List<Voter> standing, AgreementMessage.Status own, double nowMs) {
+    private List<AgreementMessage.Status> candidates(
+            List<Voter> baseVoters, AgreementMessage.Status own, double nowMs) {
         List<AgreementMessage.Status> candidates = new ArrayList<>();
         List<AgreementMessage.Status> all = new ArrayList<>(peers.recentStatuses(Peers.FRESH_MS, nowMs));
         all.add(own);
         for (AgreementMessage.Status status : all) {
-            boolean able = status.eligible() && !status.leaving() && !stalledDisks.isStalled(status.from(), nowMs);
-            if (able && !standing.contains(status.from())) {
+            boolean available = status.eligible() && !status.leaving() && !stalledDisks.isStalled(status.from(), nowMs);
+            if (available && !baseVoters.contains(status.from())) {
                 candidates.add(status);
             }
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/config/Route.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/Route.java
@@ -45,15 +45,15 @@
         for (Destination destination : destinations) {
             total += destination.weight();
         }
-        double left = draw * total;
+        double remaining = draw * total;
         String last = null;
         for (Destination destination : destinations) {
             if (destination.weight() <= 0) {
                 continue;
             }
             last = destination.service();
-            left -= destination.weight();
-            if (left < 0) {
+            remaining -= destination.weight();
+            if (remaining < 0) {
                 return last;
             }
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/VersionedItem.java
@@ -48,9 +48,9 @@
         if (other.version() == item.version()) {
             return other.contentDigest() != item.contentDigest();
         }
-        for (PastVersion known : past) {
-            if (known.version() == other.version()) {
-                return known.contentDigest() != other.contentDigest();
+        for (PastVersion recorded : past) {
+            if (recorded.version() == other.version()) {
+                return recorded.contentDigest() != other.contentDigest();
             }
         }
         return false;
@@ -61,8 +61,8 @@
         if (other.version() == item.version()) {
             return true;
         }
-        boolean known = past.stream().anyMatch(version -> version.version() == other.version());
-        return known
+        boolean recorded = past.stream().anyMatch(version -> version.version() == other.version());
+        return recorded
                 || past.size() >= MAX_PAST_VERSIONS
                         && other.version() < past.get(0).version();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/Digits.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/Digits.java
@@ -10,11 +10,11 @@
     /**
      * Parses a number.
      *
-     * @param mostDigits the maximum number of digits, at most 18
+     * @param maxDigits the maximum number of digits, at most 18
      * @return the number; -1 if the text is empty, too long or contains a character other than a digit
      */
-    public static long parse(String text, int mostDigits) {
-        if (text.isEmpty() || text.length() > mostDigits) {
+    public static long parse(String text, int maxDigits) {
+        if (text.isEmpty() || text.length() > maxDigits) {
             return -1;
         }
         long value = 0;
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -37,8 +37,8 @@
         this(true);
     }
 
-    private InstancePicker(boolean two) {
-        this.twoCandidates = two;
+    private InstancePicker(boolean twoCandidates) {
+        this.twoCandidates = twoCandidates;
     }
 
     /**
@@ -67,13 +67,13 @@
      */
     public Pick pick(double nowMs, long key, Collection<InstanceStats> tried) {
         boolean anyUsable = false;
-        boolean anyLeft = false;
+        boolean anyUntried = false;
         for (InstanceStats instance : instances) {
-            boolean left = !tried.contains(instance) && !instance.isReplaced(nowMs);
-            anyLeft |= left;
-            anyUsable |= left && instance.isUsable(nowMs);
+            boolean untried = !tried.contains(instance) && !instance.isReplaced(nowMs);
+            anyUntried |= untried;
+            anyUsable |= untried && instance.isUsable(nowMs);
         }
-        if (!anyLeft) {
+        if (!anyUntried) {
             return NONE;
         }
         // If all remaining instances are ejected, one of them is tried all the same.
@@ -85,27 +85,27 @@
     }
 
     private InstanceStats best(
-            double nowMs, long key, Collection<InstanceStats> tried, boolean local, boolean anyHealth) {
+            double nowMs, long key, Collection<InstanceStats> tried, boolean localOnly, boolean includeEjected) {
         double meanMs = meanLatencyMs();
-        long mixed = RendezvousHash.mix(key);
+        long hash = RendezvousHash.mix(key);
         InstanceStats first = null;
         InstanceStats second = null;
         double firstScore = 0;
         double secondScore = 0;
         for (InstanceStats instance : instances) {
-            boolean fit = instance.isLocal() == local
-                    && (anyHealth || instance.isUsable(nowMs))
+            boolean eligible = instance.isLocal() == localOnly
+                    && (includeEjected || instance.isUsable(nowMs))
                     && instance.hasCapacity(nowMs)
                     && !instance.isReplaced(nowMs)
                     && !tried.contains(instance);
-            double share = twoCandidates && fit ? instance.weight(nowMs, meanMs) : 1;
-            double score = fit ? -share / Math.log(instance.rendezvousDraw(mixed)) : 0;
-            if (fit && score > firstScore) {
+            double weight = twoCandidates && eligible ? instance.weight(nowMs, meanMs) : 1;
+            double score = eligible ? -weight / Math.log(instance.rendezvousDraw(hash)) : 0;
+            if (eligible && score > firstScore) {
                 second = first;
                 secondScore = firstScore;
                 first = instance;
                 firstScore = score;
-            } else if (fit && score > secondScore) {
+            } else if (eligible && score > secondScore) {
                 second = instance;
                 secondScore = score;
             }
@@ -127,11 +127,11 @@
 
     /** Whether one more instance may be ejected without overloading the others. */
     public boolean mayEject(double nowMs) {
-        int spared = 0;
+        int ejected = 0;
         for (InstanceStats instance : instances) {
-            spared += instance.isUsable(nowMs) ? 0 : 1;
+            ejected += instance.isUsable(nowMs) ? 0 : 1;
         }
-        return MIN_INSTANCES_PER_EJECTION * (spared + 1) <= instances.size();
+        return MIN_INSTANCES_PER_EJECTION * (ejected + 1) <= instances.size();
     }
 
     /**
@@ -139,10 +139,10 @@
      * instances only do not indicate overload of the service.
      */
     public boolean hasWidespreadConnectionFailures(double nowMs, double withinMs) {
-        int broken = 0;
+        int failing = 0;
         for (InstanceStats instance : instances) {
-            broken += nowMs - instance.lastConnectionFailureMs() <= withinMs ? 1 : 0;
+            failing += nowMs - instance.lastConnectionFailureMs() <= withinMs ? 1 : 0;
         }
-        return 2 * broken > instances.size();
+        return 2 * failing > instances.size();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -49,7 +49,7 @@
     private double replacedUntilMs;
     private double fullUntilMs;
     private double lastConnectionFailureMs = Double.NEGATIVE_INFINITY;
-    private boolean onTrial;
+    private boolean onProbation;
     private double meanLatencyMs = Double.NaN;
     private double latencyDeviationMs;
     private double loadReportedAtMs = Double.NEGATIVE_INFINITY;
@@ -67,10 +67,10 @@
      * @param inOwnRegion whether the instance is in this proxy's region
      * @param connections how many connections to the instance this proxy may have
      */
-    public void update(Instance told, boolean inOwnRegion, int connections) {
-        instance = told;
+    public void update(Instance reported, boolean inOwnRegion, int connections) {
+        instance = reported;
         local = inOwnRegion;
-        maxInFlight = Math.max(1, Math.min(connections, told.slots() + QUEUE_SLOTS));
+        maxInFlight = Math.max(1, Math.min(connections, reported.slots() + QUEUE_SLOTS));
     }
 
     /** The instance as the control plane last described it. */
@@ -95,7 +95,7 @@
 
     /** Whether the instance is not ejected; after an ejection only one request at a time is sent as a probe. */
     public boolean isUsable(double nowMs) {
-        return nowMs >= ejectedUntilMs && (!onTrial || inFlight == 0);
+        return nowMs >= ejectedUntilMs && (!onProbation || inFlight == 0);
     }
 
     /** Whether another instance recently answered at its address. */
@@ -116,10 +116,10 @@
      * ties.
      */
     double load(double nowMs) {
-        double told = nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedSlots == 0
+        double reported = nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedSlots == 0
                 ? 0
                 : (double) reportedBusy / reportedSlots;
-        return inFlight + Math.min(told, 0.99);
+        return inFlight + Math.min(reported, 0.99);
     }
 
     /** The weight for rendezvous hashing: lower while the instance is cold, or if it is slower than the others. */
@@ -178,33 +178,33 @@
      * Counts a request of this proxy that ended.
      *
      * @param elapsedMs the time since the request was written, in milliseconds
-     * @param failedInside whether it was answered with a 5xx status of the instance itself
-     * @param maySpare whether enough other instances are left to eject this one
+     * @param serverError whether it was answered with a 5xx status of the instance itself
+     * @param mayEject whether enough other instances are left to eject this one
      */
     public void requestEnded(
-            double nowMs, AttemptOutcome verdict, double elapsedMs, boolean failedInside, boolean maySpare) {
+            double nowMs, AttemptOutcome outcome, double elapsedMs, boolean serverError, boolean mayEject) {
         inFlight = Math.max(0, inFlight - 1);
-        switch (verdict) {
-            case ANSWERED -> countAnswer(nowMs, elapsedMs, failedInside, maySpare);
+        switch (outcome) {
+            case ANSWERED -> countAnswer(nowMs, elapsedMs, serverError, mayEject);
             case DECLINED -> fullUntilMs = nowMs + FULL_MS;
-            case REFUSED_BY_CACHE -> countAnswer(nowMs, elapsedMs, false, maySpare);
+            case REFUSED_BY_CACHE -> countAnswer(nowMs, elapsedMs, false, mayEject);
             case MISDIRECTED -> replacedUntilMs = nowMs + REPLACED_MS;
-            case SILENT -> countFailure(nowMs, 1, maySpare);
-            case GARBLED -> countError(nowMs, maySpare);
+            case SILENT -> countFailure(nowMs, 1, mayEject);
+            case GARBLED -> countError(nowMs, mayEject);
             case CONNECT_FAILED, RESET, NEVER_WRITTEN -> {
                 lastConnectionFailureMs = nowMs;
-                countFailure(nowMs, verdict == AttemptOutcome.CONNECT_FAILED ? FAILURES_BEFORE_EJECTION : 1, maySpare);
+                countFailure(nowMs, outcome == AttemptOutcome.CONNECT_FAILED ? FAILURES_BEFORE_EJECTION : 1, mayEject);
             }
-            default -> throw new IllegalArgumentException(verdict.name());
+            default -> throw new IllegalArgumentException(outcome.name());
         }
     }
 
-    private void countAnswer(double nowMs, double elapsedMs, boolean failedInside, boolean maySpare) {
-        onTrial = false;
+    private void countAnswer(double nowMs, double elapsedMs, boolean serverError, boolean mayEject) {
+        onProbation = false;
         consecutiveFailures = 0;
         updateLatency(elapsedMs);
-        if (failedInside) {
-            countError(nowMs, maySpare);
+        if (serverError) {
+            countError(nowMs, mayEject);
         } else {
             errorRate -= SMOOTHING * errorRate;
             ejections = errorRate < SMOOTHING ? 0 : ejections;
@@ -221,24 +221,24 @@
         }
     }
 
-    private void countError(double nowMs, boolean maySpare) {
+    private void countError(double nowMs, boolean mayEject) {
         errorRate += SMOOTHING * (1 - errorRate);
         if (errorRate > MAX_ERROR_RATE && nowMs >= ejectedUntilMs) {
-            eject(nowMs, ejections++, maySpare);
+            eject(nowMs, ejections++, mayEject);
         }
     }
 
-    private void countFailure(double nowMs, double weight, boolean maySpare) {
+    private void countFailure(double nowMs, double weight, boolean mayEject) {
         consecutiveFailures += weight;
         if (consecutiveFailures >= FAILURES_BEFORE_EJECTION) {
-            eject(nowMs, (int) (consecutiveFailures - FAILURES_BEFORE_EJECTION), maySpare);
+            eject(nowMs, (int) (consecutiveFailures - FAILURES_BEFORE_EJECTION), mayEject);
         }
     }
 
-    private void eject(double nowMs, int times, boolean maySpare) {
-        if (maySpare) {
-            ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, EJECTION_MS * Math.pow(2, times));
-            onTrial = true;
+    private void eject(double nowMs, int exponent, boolean mayEject) {
+        if (mayEject) {
+            ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, EJECTION_MS * Math.pow(2, exponent));
+            onProbation = true;
         }
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
@@ -52,17 +52,17 @@
         return sentInWindow <= windowLimit;
     }
 
-    private void updateWindowLimit(double most, double nowMs) {
+    private void updateWindowLimit(double limit, double nowMs) {
         // Requests that an earlier, larger share allowed count until the window has passed.
-        if (most >= windowLimit || nowMs >= windowLimitUntilMs || Double.isInfinite(windowLimit)) {
-            windowLimit = most;
+        if (limit >= windowLimit || nowMs >= windowLimitUntilMs || Double.isInfinite(windowLimit)) {
+            windowLimit = limit;
             windowLimitUntilMs = nowMs + windowSeconds * MS_PER_SECOND;
         }
     }
 
     /** Sets the share. */
-    public void assign(RateDivision.Share part, double nowMs) {
-        if (part instanceof RateDivision.Share.Bounded bounded) {
+    public void assign(RateDivision.Share share, double nowMs) {
+        if (share instanceof RateDivision.Share.Bounded bounded) {
             perSecond = bounded.perSecond();
             closed = false;
             limit(new Rate(bounded.perSecond(), bounded.burst()), nowMs);
@@ -71,7 +71,7 @@
             perSecond = 0;
             bucket = null;
             windowLimit = Double.POSITIVE_INFINITY;
-            closed = part instanceof RateDivision.Share.None;
+            closed = share instanceof RateDivision.Share.None;
         }
     }
 
@@ -90,9 +90,9 @@
         // The minimum burst of one request is large compared to a small share: the bursts of many proxies together
         // would
         // exceed the ceiling.
-        double beyondBurst = overage * requestsPerSecond - burst / windowSeconds;
-        Rate rate = new Rate(
-                Math.max(MIN_RATE_PER_SECOND, Math.min(USED_FRACTION * requestsPerSecond, beyondBurst)), burst);
+        double maxRate = overage * requestsPerSecond - burst / windowSeconds;
+        Rate rate =
+                new Rate(Math.max(MIN_RATE_PER_SECOND, Math.min(USED_FRACTION * requestsPerSecond, maxRate)), burst);
         limit(rate, nowMs);
     }
 
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
@@ -63,37 +63,37 @@
     /**
      * The share of a shared cache.
      *
-     * @param whole the service's rate in requests per second; 0 or less for no limit
-     * @param place the position among the shared caches
+     * @param ratePerSecond the service's rate in requests per second; 0 or less for no limit
+     * @param position the position among the shared caches
      */
-    public Share forCache(double whole, CachePosition place) {
-        return divide(whole, CACHES_FRACTION / place.region().size(), place.inRegion());
+    public Share forCache(double ratePerSecond, CachePosition position) {
+        return divide(ratePerSecond, CACHES_FRACTION / position.region().size(), position.inRegion());
     }
 
     /**
      * The share of an edge proxy.
      *
-     * @param whole the service's rate in requests per second; 0 or less for no limit
+     * @param ratePerSecond the service's rate in requests per second; 0 or less for no limit
      * @param proxies the position among the edge proxies
-     * @param besideCaches whether shared caches send requests too
+     * @param cachesSend whether shared caches send requests too
      */
-    public Share forProxy(double whole, FleetPosition proxies, boolean besideCaches) {
-        return divide(whole, besideCaches ? 1 - CACHES_FRACTION : 1, proxies);
+    public Share forProxy(double ratePerSecond, FleetPosition proxies, boolean cachesSend) {
+        return divide(ratePerSecond, cachesSend ? 1 - CACHES_FRACTION : 1, proxies);
     }
 
-    private Share divide(double whole, double fraction, FleetPosition position) {
-        if (whole <= 0) {
+    private Share divide(double ratePerSecond, double fraction, FleetPosition position) {
+        if (ratePerSecond <= 0) {
             return UNBOUNDED;
         }
-        double rate = whole * fraction;
-        double mostInWindow = overage * rate * windowSeconds;
+        double rate = ratePerSecond * fraction;
+        double maxInWindow = overage * rate * windowSeconds;
         double bursts = Math.max(
-                BURST_SECONDS * USED_FRACTION * rate, Math.min(position.size(), MAX_BURST_FRACTION * mostInWindow));
+                BURST_SECONDS * USED_FRACTION * rate, Math.min(position.size(), MAX_BURST_FRACTION * maxInWindow));
         int members = (int) Math.max(1, Math.min(position.size(), Math.floor(bursts)));
         if (position.rank() >= members) {
             return NONE;
         }
-        double perSecond = Math.min(USED_FRACTION * rate, (mostInWindow - bursts) / windowSeconds) / members;
+        double perSecond = Math.min(USED_FRACTION * rate, (maxInWindow - bursts) / windowSeconds) / members;
         return new Share.Bounded(Math.max(MIN_RATE_PER_SECOND, perSecond), Math.max(1, bursts / members));
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
@@ -50,48 +50,49 @@
      * @return false if the budget is used up
      */
     public boolean tryRetry(double nowMs, int proxyCount) {
-        int span = advanceTo(nowMs);
+        int bucket = advanceTo(nowMs);
         int used = 0;
-        int seen = 0;
+        int requestCount = 0;
         for (int i = 0; i <= BUCKETS; i++) {
             used += retries[i];
-            seen += i == oldestBucket(span) ? 0 : requests[i];
+            requestCount += i == oldestBucket(bucket) ? 0 : requests[i];
         }
-        if (used + 1 > USED_RATIO_FRACTION * ratio * seen + USED_SLACK_FRACTION * slack / Math.max(1, proxyCount)) {
+        if (used + 1
+                > USED_RATIO_FRACTION * ratio * requestCount + USED_SLACK_FRACTION * slack / Math.max(1, proxyCount)) {
             return false;
         }
-        retries[span]++;
+        retries[bucket]++;
         return true;
     }
 
     /** Returns a retry that was taken and not sent. Deducted from the current bucket, at most down to 0. */
     public void giveBack(double nowMs) {
-        int span = advanceTo(nowMs);
-        retries[span] = Math.max(0, retries[span] - 1);
+        int bucket = advanceTo(nowMs);
+        retries[bucket] = Math.max(0, retries[bucket] - 1);
     }
 
-    private static int oldestBucket(int span) {
-        return (span + 1) % (BUCKETS + 1);
+    private static int oldestBucket(int bucket) {
+        return (bucket + 1) % (BUCKETS + 1);
     }
 
     /** Clears the buckets that have left the window and returns the index of the current one. */
     private int advanceTo(double nowMs) {
-        long span = (long) Math.floor(nowMs / bucketMs);
-        if (currentBucket == Long.MIN_VALUE || span - currentBucket > BUCKETS) {
+        long bucket = (long) Math.floor(nowMs / bucketMs);
+        if (currentBucket == Long.MIN_VALUE || bucket - currentBucket > BUCKETS) {
             Arrays.fill(requests, 0);
             Arrays.fill(retries, 0);
-            currentBucket = span;
+            currentBucket = bucket;
         }
-        while (currentBucket < span) {
+        while (currentBucket < bucket) {
             currentBucket++;
-            int place = bucketOf(currentBucket);
-            requests[place] = 0;
-            retries[place] = 0;
+            int index = bucketOf(currentBucket);
+            requests[index] = 0;
+            retries[index] = 0;
         }
         return bucketOf(currentBucket);
     }
 
-    private static int bucketOf(long span) {
-        return (int) Math.floorMod(span, BUCKETS + 1L);
+    private static int bucketOf(long bucket) {
+        return (int) Math.floorMod(bucket, BUCKETS + 1L);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
@@ -22,16 +22,16 @@
         return sum;
     }
 
-    private void advanceTo(long step) {
+    private void advanceTo(long bucket) {
         if (currentBucket == Long.MIN_VALUE) {
-            currentBucket = step;
+            currentBucket = bucket;
         }
-        for (int passed = 0; currentBucket < step && passed < BUCKETS; passed++) {
+        for (int passed = 0; currentBucket < bucket && passed < BUCKETS; passed++) {
             currentBucket++;
-            int place = (int) Math.floorMod(currentBucket, (long) BUCKETS);
-            sum -= counts[place];
-            counts[place] = 0;
+            int index = (int) Math.floorMod(currentBucket, (long) BUCKETS);
+            sum -= counts[index];
+            counts[index] = 0;
         }
-        currentBucket = Math.max(currentBucket, step);
+        currentBucket = Math.max(currentBucket, bucket);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/instances/InstanceTable.java
@@ -24,13 +24,13 @@
 
     private static final class Entry {
         private Instance instance;
-        private double heardAtMs;
-        private long heardSequence;
+        private double lastHeartbeatMs;
+        private long lastSequence;
 
         Entry(Instance instance, double nowMs) {
             this.instance = instance;
-            this.heardAtMs = nowMs;
-            this.heardSequence = instance.sequence();
+            this.lastHeartbeatMs = nowMs;
+            this.lastSequence = instance.sequence();
         }
     }
 
@@ -52,23 +52,23 @@
         if (!instance.supersedes(entry.instance)) {
             return List.of();
         }
-        boolean matters = instance.state() != entry.instance.state();
+        boolean stateChanged = instance.state() != entry.instance.state();
         entry.instance = instance;
-        return matters ? List.of(instance) : List.of();
+        return stateChanged ? List.of(instance) : List.of();
     }
 
     /**
      * Marks the instances that had the address of a new one before as gone, whether or not they reported that. An
      * address belongs to one instance at a time.
      */
-    private List<Instance> markPredecessorsGone(Instance newcomer) {
+    private List<Instance> markPredecessorsGone(Instance added) {
         List<Instance> ended = new ArrayList<>();
-        if (newcomer.state() == InstanceState.GONE) {
+        if (added.state() == InstanceState.GONE) {
             return ended;
         }
         for (Entry entry : entries.values()) {
             Instance other = entry.instance;
-            if (other.state() != InstanceState.GONE && other.address().equals(newcomer.address())) {
+            if (other.state() != InstanceState.GONE && other.address().equals(added.address())) {
                 entry.instance = other.asGone();
                 ended.add(entry.instance);
             }
@@ -79,9 +79,9 @@
     /** Records a heartbeat of an instance, received by this process or reported by another one. */
     public void recordHeartbeat(String id, long sequence, double nowMs) {
         Entry entry = entries.get(id);
-        if (entry != null && sequence > entry.heardSequence) {
-            entry.heardSequence = sequence;
-            entry.heardAtMs = nowMs;
+        if (entry != null && sequence > entry.lastSequence) {
+            entry.lastSequence = sequence;
+            entry.lastHeartbeatMs = nowMs;
         }
     }
 
@@ -104,7 +104,7 @@
     public List<String> unresponsive(double boundMs, double nowMs) {
         TreeSet<String> silent = new TreeSet<>();
         for (Entry entry : entries.values()) {
-            if (entry.instance.state() != InstanceState.GONE && nowMs - entry.heardAtMs > boundMs) {
+            if (entry.instance.state() != InstanceState.GONE && nowMs - entry.lastHeartbeatMs > boundMs) {
                 silent.add(entry.instance.id());
             }
         }
@@ -114,7 +114,7 @@
     /** Removes instances whose retention time after the last heartbeat is over. */
     public void removeExpired(double nowMs) {
         entries.values()
-                .removeIf(entry -> nowMs - entry.heardAtMs
+                .removeIf(entry -> nowMs - entry.lastHeartbeatMs
                         > (entry.instance.state() == InstanceState.GONE ? GONE_RETENTION_MS : SILENT_RETENTION_MS));
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/keys/KeyMerge.java
@@ -69,13 +69,13 @@
         if (finished != null) {
             return new KeyRecord(key, KeyState.FINISHED, finished.claimId(), finished.answer(), updatedAtMs);
         }
-        Set<String> standing = new TreeSet<>(held);
-        standing.removeAll(released);
-        if (conflict || standing.size() > 1) {
+        Set<String> stillHeld = new TreeSet<>(held);
+        stillHeld.removeAll(released);
+        if (conflict || stillHeld.size() > 1) {
             return new KeyRecord(key, KeyState.CONFLICT, "", null, updatedAtMs);
         }
-        if (standing.size() == 1) {
-            return new KeyRecord(key, KeyState.HELD, standing.iterator().next(), null, updatedAtMs);
+        if (stillHeld.size() == 1) {
+            return new KeyRecord(key, KeyState.HELD, stillHeld.iterator().next(), null, updatedAtMs);
         }
         return new KeyRecord(key, KeyState.RELEASED, released.iterator().next(), null, updatedAtMs);
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/ClusterMembers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/ClusterMembers.java
@@ -14,7 +14,7 @@
     static final double PROXY_RETENTION_MS = 15_000;
 
     private final TreeSet<String> coreHosts = new TreeSet<>();
-    private final Map<String, Double> proxyHeardAtMs = new HashMap<>();
+    private final Map<String, Double> proxyLastSeenMs = new HashMap<>();
     private VoterSet voters = VoterSet.UNKNOWN;
 
     /** Adds core machines by their IP addresses. Returns whether any of them is new. */
@@ -43,22 +43,22 @@
 
     /** Records that an edge proxy is active. */
     public void recordProxy(String name, double nowMs) {
-        proxyHeardAtMs.put(name, nowMs);
+        proxyLastSeenMs.put(name, nowMs);
     }
 
     /** The names of the recently active edge proxies, sorted. */
     public List<String> proxies(double nowMs) {
         removeExpiredProxies(nowMs);
-        return proxyHeardAtMs.keySet().stream().sorted().toList();
+        return proxyLastSeenMs.keySet().stream().sorted().toList();
     }
 
     private void removeExpiredProxies(double nowMs) {
-        proxyHeardAtMs.values().removeIf(heardAt -> nowMs - heardAt > PROXY_RETENTION_MS);
+        proxyLastSeenMs.values().removeIf(lastSeenMs -> nowMs - lastSeenMs > PROXY_RETENTION_MS);
     }
 
     /** The number of recently active edge proxies, at least 1. */
     public int proxyCount(double nowMs) {
         removeExpiredProxies(nowMs);
-        return Math.max(1, proxyHeardAtMs.size());
+        return Math.max(1, proxyLastSeenMs.size());
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/membership/FleetPosition.java
@@ -26,8 +26,8 @@
      *     the positions after those that received the remainder of the previous one
      */
     public int share(int units, int index) {
-        int left = units % size;
-        int turned = Math.floorMod(rank - (long) index * left, size);
-        return units / size + (turned < left ? 1 : 0);
+        int remainder = units % size;
+        int rotatedRank = Math.floorMod(rank - (long) index * remainder, size);
+        return units / size + (rotatedRank < remainder ? 1 : 0);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/quorum/VoterSet.java
@@ -82,9 +82,9 @@
 
     /** The set of the next epoch, in which other voters replace the base voters; joint unless they are the same. */
     public VoterSet changedTo(List<Voter> next) {
-        List<Voter> standing = baseVoters();
-        boolean same = standing.size() == next.size() && standing.containsAll(next);
-        return new VoterSet(epoch + 1, next, same ? List.of() : standing);
+        List<Voter> baseVoters = baseVoters();
+        boolean same = baseVoters.size() == next.size() && baseVoters.containsAll(next);
+        return new VoterSet(epoch + 1, next, same ? List.of() : baseVoters);
     }
 
     /** The voters that a change starts from: the previous voters in a joint set, else the voters. */
@@ -102,8 +102,8 @@
         if (!isJoint()) {
             return List.of();
         }
-        List<Voter> newcomers = new ArrayList<>(voters);
-        newcomers.removeAll(previous);
-        return newcomers;
+        List<Voter> added = new ArrayList<>(voters);
+        added.removeAll(previous);
+        return added;
     }
 }
