--- a/cdn-core/src/test/java/ridgemill/cdn/CoreLayersTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/CoreLayersTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.ridgemill.checks.Purity;
 
-/** The decisions of the content delivery network do no I/O, and their packages depend on each other one way. */
+/** The decisions of the content delivery network do no I/O, and their packages have no cyclic dependencies. */
 class CoreLayersTest {
 
     private static JavaClasses classes;
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void decisionsAreFreeOfIoThreadsAndClocks() {
+    void decisionsUseNoIoThreadsOrClocks() {
         Purity.NO_IO_AND_NO_THREADS.check(classes);
     }
 
     @Test
-    void packagesDependOnEachOtherOneWay() {
+    void packagesHaveNoCyclicDependencies() {
         slices().matching("ridgemill.cdn.(**)").should().beFreeOfCycles().check(classes);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ChangeEvaluatorTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ChangeEvaluatorTest.java
@@ -11,14 +11,14 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What orders come to, one after another. */
+/** The evaluation of changes, one after another. */
 class ChangeEvaluatorTest {
 
     private ControlState state = new ControlState(StateId.NONE, VoterSet.UNKNOWN, List.of());
 
-    /** Takes an order and, if it is confirmed, goes on with the state that it leads to. */
-    private ChangeResult.Outcome take(Item... items) {
-        ClusterSimulation.PlaceRules rules = new ClusterSimulation.PlaceRules(Mutation.NONE);
+    /** Evaluates a change and applies it to the state if it is confirmed. */
+    private ChangeResult.Outcome submit(Item... items) {
+        ClusterSimulation.UniquePlaceRules rules = new ClusterSimulation.UniquePlaceRules(Mutation.NONE);
         rules.reset(state.items().stream().map(VersionedItem::item).toList());
         ChangeEvaluator evaluator = new ChangeEvaluator(state, rules);
         ChangeResult result = evaluator.evaluate(List.of(items));
@@ -31,47 +31,47 @@
         return ClusterSimulation.route(name, version, content);
     }
 
-    private String held(String name) {
+    private String heldContent(String name) {
         VersionedItem entry = state.get(new ItemName(ItemKind.ROUTE, name));
         return entry == null ? null : entry.item().content();
     }
 
     @Test
-    void underOneVersionOneContentIsConfirmedForEver() {
-        assertThat(take(route("r", 5, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(take(route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(take(route("r", 5, null))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(held("r")).isEqualTo("-a");
-        assertThat(take(route("r", 8, "-c"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(take(route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(take(route("r", 5, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(held("r")).isEqualTo("-c");
+    void onlyOneContentIsConfirmedPerVersion() {
+        assertThat(submit(route("r", 5, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(submit(route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(submit(route("r", 5, null))).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(heldContent("r")).isEqualTo("-a");
+        assertThat(submit(route("r", 8, "-c"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(submit(route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(submit(route("r", 5, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(heldContent("r")).isEqualTo("-c");
     }
 
     @Test
-    void aLowerVersionChangesNothingAndItsContentIsRememberedTheSame() {
-        take(route("r", 8, "-c"));
-        assertThat(take(route("r", 6, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(held("r")).isEqualTo("-c");
-        assertThat(take(route("r", 6, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(take(route("r", 6, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+    void lowerVersionChangesNothingButItsContentIsRecorded() {
+        submit(route("r", 8, "-c"));
+        assertThat(submit(route("r", 6, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(heldContent("r")).isEqualTo("-c");
+        assertThat(submit(route("r", 6, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(submit(route("r", 6, "-a"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
     }
 
     @Test
-    void aCallIsTakenWholeOrNotAtAll() {
-        take(route("r", 5, "-a"));
-        assertThat(take(route("s", 1, "-x"), route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(held("s")).isNull();
-        assertThat(take(route("s", 1, "p1"), route("t", 1, "p2"))).isEqualTo(ChangeResult.Outcome.INVALID);
-        assertThat(held("s")).isNull();
-        assertThat(take(route("s", 1, "-x"), route("s", 1, null)))
+    void changeIsAtomic() {
+        submit(route("r", 5, "-a"));
+        assertThat(submit(route("s", 1, "-x"), route("r", 5, "-b"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(heldContent("s")).isNull();
+        assertThat(submit(route("s", 1, "p1"), route("t", 1, "p2"))).isEqualTo(ChangeResult.Outcome.INVALID);
+        assertThat(heldContent("s")).isNull();
+        assertThat(submit(route("s", 1, "-x"), route("s", 1, null)))
                 .as("two contents in one call")
                 .isEqualTo(ChangeResult.Outcome.CONFLICT);
     }
 
     @Test
-    void ordersThatAreDecidedTogetherAreJudgedOneAfterTheOther() {
-        ChangeEvaluator evaluator = new ChangeEvaluator(state, new ClusterSimulation.PlaceRules(Mutation.NONE));
+    void changesDecidedTogetherAreEvaluatedInSequence() {
+        ChangeEvaluator evaluator = new ChangeEvaluator(state, new ClusterSimulation.UniquePlaceRules(Mutation.NONE));
         assertThat(evaluator.evaluate(List.of(route("r", 1, "p1"))).outcome())
                 .isEqualTo(ChangeResult.Outcome.CONFIRMED);
         assertThat(evaluator.evaluate(List.of(route("s", 1, "p2"))).outcome()).isEqualTo(ChangeResult.Outcome.INVALID);
@@ -84,22 +84,23 @@
     }
 
     @Test
-    void aConfigurationThatNoMessageCouldHoldIsRefused() {
+    void oversizedConfigurationIsRefused() {
         String large = "-" + "x".repeat((int) ChangeEvaluator.MAX_CHARACTERS / 2);
-        assertThat(take(route("r", 1, large))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(take(route("s", 1, large))).isEqualTo(ChangeResult.Outcome.INVALID);
-        assertThat(take(route("t", 1, "-small"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(submit(route("r", 1, large))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(submit(route("s", 1, large))).isEqualTo(ChangeResult.Outcome.INVALID);
+        assertThat(submit(route("t", 1, "-small"))).isEqualTo(ChangeResult.Outcome.CONFIRMED);
     }
 
     @Test
-    void onlyTheHighestPastVersionsAreRemembered() {
+    void onlyHighestPastVersionsAreKept() {
         for (int version = 1; version <= VersionedItem.MAX_PAST_VERSIONS + 4; version++) {
-            take(route("r", version, "-" + version));
+            submit(route("r", version, "-" + version));
         }
         VersionedItem entry = state.get(new ItemName(ItemKind.ROUTE, "r"));
         assertThat(entry.past()).hasSize(VersionedItem.MAX_PAST_VERSIONS);
-        assertThat(take(route("r", entry.past().get(0).version(), "-other"))).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(take(route("r", 1, "-1"))).as("forgotten").isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(submit(route("r", entry.past().get(0).version(), "-other")))
+                .isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(submit(route("r", 1, "-1"))).as("forgotten").isEqualTo(ChangeResult.Outcome.CONFIRMED);
         assertThat(entry.past().get(0).version()).isGreaterThan(1);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
@@ -30,60 +30,61 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Stores of the real modules in simulated time: their messages are delayed, lost and doubled, their machines cut off,
- * frozen, killed, without power, wiped and replaced, while operators order and read and edge proxies claim keys. What
- * outsiders see is checked against what was confirmed. One seed gives one course of events.
+ * Simulates stores that run the real agreement and key code in simulated time. Messages are delayed, lost and
+ * duplicated; machines are partitioned, frozen, killed, powered off, wiped and replaced; operators submit changes and
+ * read, and edge proxies claim keys. The results that callers see are checked against those confirmed before. Runs are
+ * deterministic for a seed.
  */
 final class ClusterSimulation {
 
-    /** Where nothing goes on any more. */
-    static final class Stuck extends Broken {
+    /** Thrown when the cluster makes no progress although all faults have ended. */
+    static final class NoProgress extends Violation {
 
         private static final long serialVersionUID = 1;
 
-        Stuck(String what) {
+        NoProgress(String what) {
             super(what);
         }
     }
 
-    /** Where the rules were broken. */
-    static class Broken extends AssertionError {
+    /** Thrown when a safety property is violated. */
+    static class Violation extends AssertionError {
 
         private static final long serialVersionUID = 1;
 
-        Broken(String what) {
+        Violation(String what) {
             super(what);
         }
     }
 
     static final double CATCH_UP_MS = 4_000;
     private static final boolean TRACE = Boolean.getBoolean("trace");
-    private static final int EDGES = 3;
-    private static final int MOST_LATE_MS = 4_000;
-    private static final double BUDGET_MS = 900;
+    private static final int EDGE_PROXIES = 3;
+    private static final int MAX_ANNOUNCEMENT_DELAY_MS = 4_000;
+    private static final double CALL_TIMEOUT_MS = 900;
     private static final KeyLimits LIMITS = new KeyLimits(1_000_000, 100_000, 1 << 24);
 
     final Random random;
     private final Mutation mutant;
-    private final int tolerated;
+    private final int toleratedLosses;
     private final List<String> seeds;
     final Map<String, Machine> machines = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final Map<String, Double> lostUntilMs = new HashMap<>();
-    private double stuckSinceMs;
+    private double diskStalledAtMs;
     private long eventCount;
     private long diskCount;
     double nowMs;
-    double lossShare = 0.02;
-    /** What each edge proxy has heard of the voters last; some hear late. */
-    private final VoterSet[] edgeVoters = new VoterSet[EDGES];
+    double lossRate = 0.02;
+    /** The voters that each edge proxy knows; some receive updates late. */
+    private final VoterSet[] edgeVoters = new VoterSet[EDGE_PROXIES];
 
-    private final Set<Integer> deaf = new HashSet<>();
+    private final Set<Integer> edgesWithoutUpdates = new HashSet<>();
 
-    /** Which content was confirmed, or shown to anybody, under a name and version. */
-    private final Map<String, String> contents = new HashMap<>();
+    /** The content that was confirmed, or seen by any caller, for each name and version. */
+    private final Map<String, String> contentByVersion = new HashMap<>();
     /** The highest confirmed version of each name. */
     private final Map<ItemName, Item> confirmed = new TreeMap<>();
 
@@ -94,16 +95,16 @@
 
     private record Event(double atMs, long order, Runnable task) {}
 
-    /** A machine, its disk and, while it runs, its store. */
+    /** A machine with its disk and, while it runs, the process of its store. */
     final class Machine {
 
         final String address;
         SimulatedDisk disk;
         Process process;
         boolean frozen;
-        private final List<Runnable> held = new ArrayList<>();
+        private final List<Runnable> deferredTasks = new ArrayList<>();
         private Map<String, KeyRecord> oldKeys = Map.of();
-        private AcceptorRecord oldImage;
+        private AcceptorRecord previousImage;
 
         Machine(String address) {
             this.address = address;
@@ -115,33 +116,36 @@
                 return;
             }
             frozen = false;
-            held.clear();
+            deferredTasks.clear();
             process = new Process(this);
-            process.begin();
+            process.start();
         }
 
-        /** Ends the process; of what is not synced some may be there, after a loss of power nothing is. */
+        /**
+         * Ends the process. After a kill some of the writes that were not synced may be on disk; after a power loss
+         * none is.
+         */
         void stop(boolean power) {
             process = null;
             frozen = false;
-            held.clear();
-            disk.keepOnly(power ? 0 : random.nextInt(disk.pendingCount() + 1));
+            deferredTasks.clear();
+            disk.crash(power ? 0 : random.nextInt(disk.pendingCount() + 1));
         }
 
-        void wipe() {
+        void replaceDisk() {
             boolean same = mutant == Mutation.WIPED_ONE_VOTES;
             disk = new SimulatedDisk(same ? disk.diskId : "disk-" + ++diskCount);
         }
 
-        void thaw() {
+        void unfreeze() {
             frozen = false;
-            List<Runnable> tasks = new ArrayList<>(held);
-            held.clear();
+            List<Runnable> tasks = new ArrayList<>(deferredTasks);
+            deferredTasks.clear();
             tasks.forEach(Runnable::run);
         }
     }
 
-    /** One life of a store. */
+    /** One run of a store's process. */
     final class Process implements AgreementEnvironment {
 
         private final Machine machine;
@@ -158,17 +162,17 @@
             Voter self = new Voter(machine.address, disk.diskId);
             String life = mutant == Mutation.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
             NodeSettings settings =
-                    new NodeSettings(self, life, "zone-" + machine.address, true, seedsNow(), tolerated);
-            node = new AgreementNode(settings, this, new PlaceRules(mutant));
+                    new NodeSettings(self, life, "zone-" + machine.address, true, currentSeeds(), toleratedLosses);
+            node = new AgreementNode(settings, this, new UniquePlaceRules(mutant));
         }
 
-        void begin() {
+        void start() {
             AcceptorRecord image = disk.read();
             if (mutant == Mutation.BALLOT_REUSED) {
                 image = new AcceptorRecord(Ballot.NONE, image.accepted(), image.voters(), image.items(), true);
             }
-            if (mutant == Mutation.OLD_SNAPSHOT_TAKEN && machine.oldImage != null) {
-                image = machine.oldImage;
+            if (mutant == Mutation.OLD_SNAPSHOT_TAKEN && machine.previousImage != null) {
+                image = machine.previousImage;
             }
             keys.restore(disk.keys.values());
             node.start(image, nowMs);
@@ -176,7 +180,7 @@
         }
 
         private void tick() {
-            at(AgreementNode.TICK_MS, this, () -> {
+            schedule(AgreementNode.TICK_MS, this, () -> {
                 node.tick(nowMs);
                 transferKeys();
                 tick();
@@ -189,7 +193,7 @@
 
         @Override
         public void send(String address, AgreementMessage message) {
-            AgreementMessage sent = mutated(message);
+            AgreementMessage sent = mutate(message);
             transmit(machine.address, address, () -> {
                 Machine target = machines.get(address);
                 if (target != null && target.process != null) {
@@ -198,7 +202,7 @@
             });
         }
 
-        private AgreementMessage mutated(AgreementMessage message) {
+        private AgreementMessage mutate(AgreementMessage message) {
             if (mutant == Mutation.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
                 StateId none = new StateId(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
                 return new AgreementMessage.Promise(promise.from(), promise.ballot(), none, promise.voters());
@@ -209,7 +213,7 @@
         void receive(AgreementMessage message) {
             AgreementMessage taken = message;
             if (mutant == Mutation.ANSWER_MATCHED_BY_NUMBER && message instanceof AgreementMessage.Accepted accepted) {
-                // Whatever ballot is proposed here at present: only the number of the revision is compared.
+                // Replaces the ballot by the one proposed here at present, so that only the revision is compared.
                 Ballot own = disk.read().promised();
                 taken = new AgreementMessage.Accepted(
                         accepted.from(), new StateId(own, accepted.stateId().revision()));
@@ -229,12 +233,12 @@
         @Override
         public void persist(AcceptorRecord record, Runnable durable) {
             if (mutant == Mutation.PUSHES_BEFORE_DECIDED) {
-                record.items().forEach(entry -> shown(entry.item()));
+                record.items().forEach(entry -> checkContent(entry.item()));
             }
             boolean early = mutant == Mutation.CONFIRMS_BEFORE_SYNC;
             write(record, null, early ? () -> {} : durable);
             if (early) {
-                at(0, this, durable);
+                schedule(0, this, durable);
             }
         }
 
@@ -248,9 +252,9 @@
                 return;
             }
             syncing = true;
-            at(1 + random.nextInt(8), this, () -> {
+            schedule(1 + random.nextInt(8), this, () -> {
                 syncing = false;
-                if (disk.hasPending() && !disk.stuck) {
+                if (disk.hasPending() && !disk.stalled) {
                     disk.sync().run();
                     node.onPersisted(nowMs);
                 }
@@ -262,17 +266,17 @@
 
         @Override
         public void onDecided(List<Item> changed, VoterSet voters) {
-            changed.forEach(ClusterSimulation.this::shown);
+            changed.forEach(ClusterSimulation.this::checkContent);
             trace(() -> machine.address + "/" + disk.diskId + " decided epoch=" + voters.epoch() + " voters="
                     + voters.voters() + " previous=" + voters.previous());
-            for (int i = 0; i < EDGES; i++) {
+            for (int i = 0; i < EDGE_PROXIES; i++) {
                 int edge = i;
-                double lateMs = random.nextInt(4) == 0 ? random.nextInt(MOST_LATE_MS) : 0;
-                at(
+                double lateMs = random.nextInt(4) == 0 ? random.nextInt(MAX_ANNOUNCEMENT_DELAY_MS) : 0;
+                schedule(
                         lateMs,
                         null,
                         () -> transmit(machine.address, "edge", () -> {
-                            if (voters.isNewerThan(edgeVoters[edge]) && !deaf.contains(edge)) {
+                            if (voters.isNewerThan(edgeVoters[edge]) && !edgesWithoutUpdates.contains(edge)) {
                                 edgeVoters[edge] = voters;
                             }
                         }));
@@ -284,7 +288,10 @@
             return random.nextDouble();
         }
 
-        /** As the store program does it: from a majority of the voters before, each in the epoch of the change. */
+        /**
+         * Fetches the keys as the store program does: from a majority of the base voters, each in the epoch of the
+         * change.
+         */
         private void transferKeys() {
             VoterSet wanted = node.voterChangeAwaitingKeys();
             if (wanted == null) {
@@ -330,13 +337,15 @@
         }
     }
 
-    /** Route items may not stand at one place; the place is the first letter of their content. */
-    static final class PlaceRules implements ChangeRules {
+    /**
+     * No two items may have the same place, which is the first character of the content; {@code -} stands for no place.
+     */
+    static final class UniquePlaceRules implements ChangeRules {
 
         private final Map<ItemName, Item> items = new TreeMap<>();
         private final Mutation mutant;
 
-        PlaceRules(Mutation mutant) {
+        UniquePlaceRules(Mutation mutant) {
             this.mutant = mutant;
         }
 
@@ -357,16 +366,17 @@
         public Optional<String> validate(Collection<Item> changed) {
             Map<ItemName, Item> next = new TreeMap<>(items);
             changed.forEach(item -> next.put(item.name(), item));
-            return clash(next.values());
+            return conflict(next.values());
         }
 
-        static Optional<String> clash(Collection<Item> items) {
+        static Optional<String> conflict(Collection<Item> items) {
             Set<Character> places = new HashSet<>();
             for (Item item : items) {
                 if (!item.isTombstone()
                         && item.content().charAt(0) != '-'
                         && !places.add(item.content().charAt(0))) {
-                    return Optional.of("two at the place " + item.content().charAt(0));
+                    return Optional.of(
+                            "two items at the place " + item.content().charAt(0));
                 }
             }
             return Optional.empty();
@@ -376,13 +386,13 @@
     ClusterSimulation(long seed, Mutation mutant, int stores, int tolerated) {
         this.random = new Random(seed);
         this.mutant = mutant;
-        this.tolerated = tolerated;
+        this.toleratedLosses = tolerated;
         this.seeds = List.of("m1", "m2", "m3");
         Arrays.fill(edgeVoters, VoterSet.UNKNOWN);
         for (int i = 1; i <= stores; i++) {
             add("m" + i);
         }
-        machines.values().forEach(machine -> at(random.nextInt(300), null, machine::start));
+        machines.values().forEach(machine -> schedule(random.nextInt(300), null, machine::start));
     }
 
     Machine add(String address) {
@@ -391,21 +401,23 @@
         return machine;
     }
 
-    /** Runs a task later; one of a process only while that lives, and once it is thawed. */
-    void at(double delayMs, Process owner, Runnable task) {
+    /** Schedules a task. A task of a process runs only while that process runs, and if it is frozen, after that. */
+    void schedule(double delayMs, Process owner, Runnable task) {
         events.add(new Event(nowMs + delayMs, ++eventCount, () -> {
             if (owner == null) {
                 task.run();
             } else if (owner.isRunning() && owner.machine.frozen) {
-                owner.machine.held.add(() -> runIfLiving(owner, task));
+                owner.machine.deferredTasks.add(() -> runIfRunning(owner, task));
             } else {
-                runIfLiving(owner, task);
+                runIfRunning(owner, task);
             }
         }));
     }
 
-    /** What the settings of a process that starts now name: the first seeds, or others where those are gone. */
-    private List<String> seedsNow() {
+    /**
+     * The seeds in the settings of a process that starts now: the first seeds, or other machines where those are gone.
+     */
+    private List<String> currentSeeds() {
         List<String> now = new ArrayList<>(seeds);
         now.retainAll(machines.keySet());
         for (String address : machines.keySet()) {
@@ -416,7 +428,7 @@
         return now;
     }
 
-    private static void runIfLiving(Process owner, Runnable task) {
+    private static void runIfRunning(Process owner, Runnable task) {
         if (owner.isRunning()) {
             task.run();
         }
@@ -426,16 +438,16 @@
         int copies = random.nextDouble() < 0.02 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             double delayMs = random.nextInt(10) == 0 ? random.nextInt(400) : 1 + random.nextInt(20);
-            if (random.nextDouble() < lossShare) {
+            if (random.nextDouble() < lossRate) {
                 continue;
             }
             events.add(new Event(nowMs + delayMs, ++eventCount, () -> {
                 Machine target = machines.get(to);
-                if (cuts.contains(from + ">" + to)) {
+                if (cutLinks.contains(from + ">" + to)) {
                     return;
                 }
                 if (target != null && target.frozen) {
-                    target.held.add(delivery);
+                    target.deferredTasks.add(delivery);
                 } else {
                     delivery.run();
                 }
@@ -453,7 +465,7 @@
         nowMs = endMs;
     }
 
-    /** Runs until something holds. Returns false if it does not within a time. */
+    /** Runs until a condition holds. Returns false if it does not hold within a time. */
     boolean runUntil(Predicate<ClusterSimulation> condition, double mostMs) {
         double endMs = nowMs + mostMs;
         while (nowMs < endMs && !condition.test(this)) {
@@ -472,20 +484,20 @@
         return edgeVoters[edge];
     }
 
-    /** An edge proxy hears of no change of the voters any more. */
-    void edgeHearsNothing(int edge) {
-        deaf.add(edge);
+    /** An edge proxy receives no further changes of the voters. */
+    void stopUpdatesToEdge(int edge) {
+        edgesWithoutUpdates.add(edge);
     }
 
-    /** Cuts a machine off from the other stores; edge proxies still reach it. */
-    void cutFromStores(String address) {
+    /** Partitions a machine from the other stores; edge proxies still reach it. */
+    void partitionFromStores(String address) {
         for (String other : machines.keySet()) {
-            cuts.add(address + ">" + other);
-            cuts.add(other + ">" + address);
+            cutLinks.add(address + ">" + other);
+            cutLinks.add(other + ">" + address);
         }
     }
 
-    /** The machine whose store leads. */
+    /** The machine of the leader. */
     Machine leader() {
         return machines.values().stream()
                 .filter(machine -> machine.process != null && machine.process.node.isLeading())
@@ -507,34 +519,34 @@
         return lostUntilMs.getOrDefault(address, -1.0) > nowMs;
     }
 
-    boolean nobodyIsLost() {
+    boolean isNoMachineLost() {
         return machines.keySet().stream().noneMatch(this::isLost);
     }
 
-    /** Whether one more machine may be lost now. */
-    boolean mayLose(String address) {
+    /** Whether this machine may be lost now without exceeding the tolerated losses. */
+    boolean canLose(String address) {
         long lost = machines.keySet().stream().filter(this::isLost).count();
-        return machines.containsKey(address) && !isLost(address) && lost < tolerated;
+        return machines.containsKey(address) && !isLost(address) && lost < toleratedLosses;
     }
 
-    void lose(String address, double forMs) {
+    void markLost(String address, double forMs) {
         lostUntilMs.merge(address, nowMs + forMs + CATCH_UP_MS, Math::max);
     }
 
-    /** Keeps an image of a disk that a mutant may start from later. */
-    void remember(String address) {
-        machines.get(address).oldImage = machines.get(address).disk.read();
+    /** Keeps an image of a disk, from which a process may start later under {@link Mutation#OLD_SNAPSHOT_TAKEN}. */
+    void keepDiskImage(String address) {
+        machines.get(address).previousImage = machines.get(address).disk.read();
     }
 
     void kill(String address, double forMs, boolean power, boolean wipe) {
         Machine machine = machines.get(address);
-        lose(address, forMs);
+        markLost(address, forMs);
         trace(() -> "kill " + address + " for " + forMs + " power=" + power + " wipe=" + wipe);
         machine.stop(power);
         if (wipe) {
-            machine.wipe();
+            machine.replaceDisk();
         }
-        at(forMs, null, () -> {
+        schedule(forMs, null, () -> {
             if (machines.get(address) == machine) {
                 machine.start();
             }
@@ -546,8 +558,8 @@
         for (Machine machine : machines.values()) {
             machine.stop(true);
             double forMs = 200 + random.nextInt(800);
-            lose(machine.address, forMs);
-            at(forMs, null, () -> {
+            markLost(machine.address, forMs);
+            schedule(forMs, null, () -> {
                 if (machines.get(machine.address) == machine) {
                     machine.start();
                 }
@@ -557,34 +569,34 @@
 
     void freeze(String address, double forMs) {
         Machine machine = machines.get(address);
-        lose(address, forMs);
+        markLost(address, forMs);
         trace(() -> "freeze " + address + " for " + forMs);
         machine.frozen = true;
-        at(forMs, null, machine::thaw);
+        schedule(forMs, null, machine::unfreeze);
     }
 
-    /** A disk takes nothing for a while, as a full one does. Its machine does not count as lost. */
-    void stick(String address, double forMs) {
+    /** A disk writes nothing for a time, as a full disk does. Its machine does not count as lost. */
+    void stallDisk(String address, double forMs) {
         SimulatedDisk disk = machines.get(address).disk;
-        trace(() -> "stick " + address + " for " + forMs);
-        disk.stuck = true;
-        stuckSinceMs = nowMs;
-        at(forMs, null, () -> disk.stuck = false);
+        trace(() -> "stall disk of " + address + " for " + forMs);
+        disk.stalled = true;
+        diskStalledAtMs = nowMs;
+        schedule(forMs, null, () -> disk.stalled = false);
     }
 
-    /** Whether a voter whose disk is stuck has had the time to be replaced. */
-    boolean stuckLongEnough() {
-        return nowMs - stuckSinceMs > CATCH_UP_MS;
+    /** Whether a voter whose disk is stalled has had enough time to be replaced. */
+    boolean isStallLongEnough() {
+        return nowMs - diskStalledAtMs > CATCH_UP_MS;
     }
 
-    boolean isAnyDiskStuck() {
-        return machines.values().stream().anyMatch(machine -> machine.disk.stuck);
+    boolean isAnyDiskStalled() {
+        return machines.values().stream().anyMatch(machine -> machine.disk.stalled);
     }
 
-    /** Cuts a machine off from the others, both ways or only what it sends or receives. */
-    void cut(String address, double forMs, boolean sends, boolean receives) {
-        lose(address, forMs);
-        trace(() -> "cut " + address + " for " + forMs + " sends=" + sends + " receives=" + receives);
+    /** Partitions a machine from all others, in both directions or only for what it sends or receives. */
+    void partition(String address, double forMs, boolean sends, boolean receives) {
+        markLost(address, forMs);
+        trace(() -> "partition " + address + " for " + forMs + " sends=" + sends + " receives=" + receives);
         List<String> added = new ArrayList<>();
         List<String> others = new ArrayList<>(machines.keySet());
         others.add("edge");
@@ -597,26 +609,26 @@
                 added.add(other + ">" + address);
             }
         }
-        cuts.addAll(added);
-        at(forMs, null, () -> cuts.removeAll(added));
+        cutLinks.addAll(added);
+        schedule(forMs, null, () -> cutLinks.removeAll(added));
     }
 
-    /** One machine goes for good and an empty one comes, before it if that was planned. */
+    /** Removes a machine for good and adds an empty one, which is added first if the replacement is planned. */
     void replace(String address, String successor, boolean planned, double laterMs) {
         trace(() -> "replace " + address + " by " + successor + " planned=" + planned + " later=" + laterMs);
         if (planned) {
             add(successor).start();
-            lose(successor, 0);
-            at(laterMs, null, () -> leaveThenGo(address, nowMs + 3_000));
+            markLost(successor, 0);
+            schedule(laterMs, null, () -> leaveThenStop(address, nowMs + 3_000));
         } else {
             machines.remove(address).stop(true);
             lostUntilMs.put(successor, nowMs + laterMs + CATCH_UP_MS);
             add(successor);
-            at(laterMs, null, () -> machines.get(successor).start());
+            schedule(laterMs, null, () -> machines.get(successor).start());
         }
     }
 
-    private void leaveThenGo(String address, double latestMs) {
+    private void leaveThenStop(String address, double latestMs) {
         Machine machine = machines.get(address);
         if (machine == null) {
             return;
@@ -628,19 +640,19 @@
             machine.stop(true);
             machines.remove(address);
         } else {
-            at(100, null, () -> leaveThenGo(address, latestMs));
+            schedule(100, null, () -> leaveThenStop(address, latestMs));
         }
     }
 
-    // What outsiders do and see
+    // Calls of operators and edge proxies, and the checks of their results
 
-    /** Somebody outside the stores saw an item: under one name and version there is one content for ever. */
-    private void shown(Item item) {
+    /** Checks an item that was visible outside the stores: for each name and version there is only one content. */
+    private void checkContent(Item item) {
         String key = item.name() + " " + item.version();
         String content = String.valueOf(item.content());
-        String before = contents.putIfAbsent(key, content);
+        String before = contentByVersion.putIfAbsent(key, content);
         if (before != null && !before.equals(content)) {
-            throw new Broken("two contents of " + key + ": " + before + " and " + content);
+            throw new Violation("two contents of " + key + ": " + before + " and " + content);
         }
     }
 
@@ -651,28 +663,28 @@
         return running.isEmpty() ? null : running.get(random.nextInt(running.size()));
     }
 
-    void order(List<Item> items, Consumer<ChangeResult> callback) {
+    void submit(List<Item> items, Consumer<ChangeResult> callback) {
         Machine machine = anyRunning();
         if (machine != null) {
-            orderAt(machine, items, random.nextInt(3) == 0, callback);
+            submitAt(machine, items, random.nextInt(3) == 0, callback);
         }
     }
 
-    void orderAt(Machine machine, List<Item> items, boolean insist, Consumer<ChangeResult> callback) {
-        machine.process.node.submit(items, insist, nowMs, nowMs + BUDGET_MS, result -> {
-            // The answer may be lost on its way.
+    void submitAt(Machine machine, List<Item> items, boolean insist, Consumer<ChangeResult> callback) {
+        machine.process.node.submit(items, insist, nowMs, nowMs + CALL_TIMEOUT_MS, result -> {
+            // The answer may be lost.
             if (result.outcome() == ChangeResult.Outcome.CONFIRMED && random.nextInt(10) > 0) {
-                confirmed(items);
+                recordConfirmed(items);
             }
             Machine leader = machines.get(result.detail());
             boolean other = result.outcome() == ChangeResult.Outcome.NOT_LEADER && leader != null;
             if (other && leader.process != null && !leader.frozen && leader != machine) {
-                // As registries do: on to the store that leads, over a link that may be slow.
+                // As registries do, sends the change on to the leader, over a link that may be slow.
                 transmit(machine.address, leader.address, () -> {
                     if (leader.process != null) {
-                        leader.process.node.submit(items, true, nowMs, nowMs + BUDGET_MS, again -> {
+                        leader.process.node.submit(items, true, nowMs, nowMs + CALL_TIMEOUT_MS, again -> {
                             if (again.outcome() == ChangeResult.Outcome.CONFIRMED) {
-                                confirmed(items);
+                                recordConfirmed(items);
                             }
                             callback.accept(again);
                         });
@@ -684,10 +696,10 @@
         });
     }
 
-    private void confirmed(List<Item> items) {
+    private void recordConfirmed(List<Item> items) {
         confirmations++;
         for (Item item : items) {
-            shown(item);
+            checkContent(item);
             confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
         }
     }
@@ -703,16 +715,16 @@
     private void readAt(Machine machine, boolean goOn) {
         Map<ItemName, Item> before = new TreeMap<>(confirmed);
         if (mutant == Mutation.READS_AT_ONE) {
-            check(machine.process.node.decidedItems().all(), before);
+            checkRead(machine.process.node.decidedItems().all(), before);
             return;
         }
         machine.process.node.read(
                 random.nextInt(3) == 0,
                 nowMs,
-                nowMs + BUDGET_MS,
+                nowMs + CALL_TIMEOUT_MS,
                 items -> {
                     if (items != null) {
-                        check(items, before);
+                        checkRead(items, before);
                     }
                 },
                 leader -> {
@@ -723,21 +735,21 @@
                 });
     }
 
-    private void check(Collection<Item> items, Map<ItemName, Item> confirmedBefore) {
+    private void checkRead(Collection<Item> items, Map<ItemName, Item> confirmedBefore) {
         reads++;
         Map<ItemName, Item> read = new TreeMap<>();
         items.forEach(item -> read.put(item.name(), item));
-        read.values().forEach(this::shown);
+        read.values().forEach(this::checkContent);
         for (Item item : confirmedBefore.values()) {
             Item found = read.get(item.name());
             if (found == null || found.version() < item.version()) {
-                throw new Broken("read " + found + " after " + item + " was confirmed");
+                throw new Violation("read " + found + " after " + item + " was confirmed");
             }
         }
-        PlaceRules.clash(read.values()).ifPresent(clash -> {
-            throw new Broken("invalid in force: " + clash);
+        UniquePlaceRules.conflict(read.values()).ifPresent(clash -> {
+            throw new Violation("an inconsistent configuration is in effect: " + clash);
         });
-        // What one reader saw, no later one may miss.
+        // A version that one read returned must be visible to all later reads.
         for (Item item : read.values()) {
             confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
         }
@@ -745,13 +757,13 @@
 
     /** An edge proxy claims a key and, if it is granted, runs its operation. */
     void claim(String key) {
-        claim(key, random.nextInt(EDGES));
+        claim(key, random.nextInt(EDGE_PROXIES));
     }
 
     void claim(String key, int edge) {
         VoterSet known = edgeVoters[edge];
         if (known.isKnown()) {
-            new Claim(key, known).begin();
+            new Claim(key, known).start();
         }
     }
 
@@ -760,24 +772,24 @@
         private final String key;
         private final String claimId = "claim-" + ++eventCount;
         private final VoterSet voters;
-        private final ClaimTally vote;
+        private final ClaimTally tally;
         private final Set<Voter> counted = new HashSet<>();
         private boolean decided;
 
         Claim(String key, VoterSet voters) {
             this.key = key;
             this.voters = voters;
-            this.vote = new ClaimTally(claimId, voters);
+            this.tally = new ClaimTally(claimId, voters);
         }
 
-        void begin() {
+        void start() {
             for (Voter voter : voters.members()) {
                 transmit("edge", voter.address(), () -> ask(voter));
             }
-            at(
-                    BUDGET_MS,
+            schedule(
+                    CALL_TIMEOUT_MS,
                     null,
-                    () -> voters.members().forEach(voter -> count(voter, () -> vote.countUnavailable(voter))));
+                    () -> voters.members().forEach(voter -> count(voter, () -> tally.countUnavailable(voter))));
         }
 
         private void ask(Voter voter) {
@@ -787,17 +799,17 @@
             }
             boolean otherEpoch = store.node.voters().epoch() != voters.epoch();
             if (otherEpoch && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.countEpochMismatch(voter));
+                reply(voter, () -> tally.countEpochMismatch(voter));
                 return;
             }
             if (!store.node.canVoteOnKeys() && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.countUnavailable(voter));
+                reply(voter, () -> tally.countUnavailable(voter));
                 return;
             }
             KeyVote answer = store.keys.claim(key, claimId, (long) nowMs);
             KeyRecord record = answer.record();
             Runnable told =
-                    () -> reply(voter, () -> vote.countVote(voter, record.state(), record.claimId(), record.answer()));
+                    () -> reply(voter, () -> tally.countVote(voter, record.state(), record.claimId(), record.answer()));
             if (answer.outcome() == KeyVote.Outcome.GRANTED) {
                 store.write(null, answer.changed() ? record : null, told);
             } else {
@@ -814,36 +826,36 @@
                 return;
             }
             voted.run();
-            ClaimTally.Result result = vote.result();
+            ClaimTally.Result result = tally.result();
             if (result == ClaimTally.Result.OPEN) {
                 return;
             }
             decided = true;
             if (result == ClaimTally.Result.GRANTED) {
-                ran();
+                runOperation();
             } else {
                 release();
             }
         }
 
-        private void ran() {
+        private void runOperation() {
             grants++;
             if (runs.merge(key, 1, Integer::sum) > 1) {
-                throw new Broken("the operation of " + key + " ran twice");
+                throw new Violation("the operation of " + key + " ran twice");
             }
             if (random.nextInt(3) > 0) {
-                at(
+                schedule(
                         random.nextInt(200),
                         null,
-                        () -> tell(store -> store.keys.finish(key, claimId, new byte[] {1}, (long) nowMs)));
+                        () -> updateVoters(store -> store.keys.finish(key, claimId, new byte[] {1}, (long) nowMs)));
             }
         }
 
         private void release() {
-            tell(store -> store.keys.release(key, claimId, (long) nowMs));
+            updateVoters(store -> store.keys.release(key, claimId, (long) nowMs));
         }
 
-        private void tell(Function<Process, KeyRecord> change) {
+        private void updateVoters(Function<Process, KeyRecord> change) {
             for (Voter voter : newestVoters().members()) {
                 transmit("edge", voter.address(), () -> {
                     Process store = processOf(voter);
@@ -856,14 +868,17 @@
         }
     }
 
-    /** Everything heals; then orders are confirmed, and all that was confirmed is read at every store. */
-    void checkEnd() {
-        cuts.clear();
-        lossShare = 0;
+    /**
+     * Ends all faults, and checks that changes are confirmed again and that every store holds everything that was
+     * confirmed.
+     */
+    void verifyFinalState() {
+        cutLinks.clear();
+        lossRate = 0;
         for (Machine machine : machines.values()) {
-            machine.disk.stuck = false;
+            machine.disk.stalled = false;
             if (machine.frozen) {
-                machine.thaw();
+                machine.unfreeze();
             }
             machine.start();
         }
@@ -871,25 +886,25 @@
         Item last = new Item(new ItemName(ItemKind.SERVICE, "last"), 1_000, "-last");
         boolean[] done = {false};
         for (int i = 0; i < 40 && !done[0]; i++) {
-            order(List.of(last), result -> {
-                trace(() -> "last order: " + result);
+            submit(List.of(last), result -> {
+                trace(() -> "last change: " + result);
                 done[0] |= result.outcome() == ChangeResult.Outcome.CONFIRMED;
             });
             run(500);
         }
         if (!done[0]) {
-            throw new Stuck("no order is confirmed after everything healed: " + newestVoters() + describe());
+            throw new NoProgress("no change is confirmed after all faults ended: " + newestVoters() + describe());
         }
         run(3_000);
         for (Machine machine : machines.values()) {
-            check(machine.process.node.decidedItems().all(), new TreeMap<>(confirmed));
+            checkRead(machine.process.node.decidedItems().all(), new TreeMap<>(confirmed));
         }
         if (newestVoters().isJoint()) {
-            throw new Stuck("a change of the voters does not end: " + newestVoters());
+            throw new NoProgress("a change of the voters does not complete: " + newestVoters());
         }
     }
 
-    /** What each store holds, for the message of a failure. */
+    /** The progress of each store, for failure messages. */
     private String describe() {
         StringBuilder text = new StringBuilder();
         for (Machine machine : machines.values()) {
@@ -899,7 +914,7 @@
         return text.toString();
     }
 
-    /** Prints what happens if {@code -Dtrace=true} asks for it. */
+    /** Prints an event if {@code -Dtrace=true} is set. */
     void trace(Supplier<String> what) {
         if (TRACE) {
             System.out.printf("%8.0f %s%n", nowMs, what.get());
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
@@ -10,36 +10,39 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** Random courses of the control side under losses; {@code -Dwalks=N -Dfirst=N} plays others and more of them. */
+/**
+ * Random simulation runs of the stores under faults. {@code -Dwalks=N} sets the number of runs, {@code -Dfirst=N} the
+ * first seed.
+ */
 class ClusterSimulationTest {
 
-    private static final int WALKS = Integer.getInteger("walks", 120);
-    private static final int FIRST = Integer.getInteger("first", 0);
+    private static final int RUNS = Integer.getInteger("walks", 120);
+    private static final int FIRST_SEED = Integer.getInteger("first", 0);
     private static final double LENGTH_MS = 40_000;
-    private static final int MUTANT_WALKS = 400;
+    private static final int MAX_RUNS_PER_MUTATION = 400;
 
     @Test
-    void nothingThatWasConfirmedIsLostOrDoubledWhateverIsLost() {
+    void confirmedChangesAndGrantsSurviveRandomFaults() {
         long confirmations = 0;
         long reads = 0;
         long grants = 0;
-        for (int seed = FIRST; seed < FIRST + WALKS; seed++) {
-            ClusterSimulation world = play(seed, Mutation.NONE);
+        for (int seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
+            ClusterSimulation world = simulate(seed, Mutation.NONE);
             confirmations += world.confirmations;
             reads += world.reads;
             grants += world.grants;
         }
         System.out.println(
-                "walks=" + WALKS + " confirmations=" + confirmations + " reads=" + reads + " grants=" + grants);
-        assertThat(confirmations).isGreaterThan(50L * WALKS);
-        assertThat(reads).isGreaterThan(50L * WALKS);
-        assertThat(grants).isGreaterThan(50L * WALKS);
+                "walks=" + RUNS + " confirmations=" + confirmations + " reads=" + reads + " grants=" + grants);
+        assertThat(confirmations).isGreaterThan(50L * RUNS);
+        assertThat(reads).isGreaterThan(50L * RUNS);
+        assertThat(grants).isGreaterThan(50L * RUNS);
     }
 
-    private static ClusterSimulation play(int seed, Mutation mutant) {
+    private static ClusterSimulation simulate(int seed, Mutation mutant) {
         try {
             return new SimulationRun(seed, mutant, LENGTH_MS).run();
-        } catch (ClusterSimulation.Broken broken) {
+        } catch (ClusterSimulation.Violation broken) {
             throw new AssertionError("seed " + seed + ": " + broken.getMessage(), broken);
         }
     }
@@ -48,13 +51,13 @@
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NONE", "OLD_EPOCH_ACCEPTED", "ANSWER_MATCHED_BY_NUMBER"})
-    void eachMutantIsFound(Mutation mutant) {
-        for (int seed = 0; seed < MUTANT_WALKS; seed++) {
+    void everyMutationIsDetected(Mutation mutant) {
+        for (int seed = 0; seed < MAX_RUNS_PER_MUTATION; seed++) {
             try {
                 new SimulationRun(seed, mutant, LENGTH_MS).run();
-            } catch (ClusterSimulation.Stuck notTheFault) {
+            } catch (ClusterSimulation.NoProgress notTheFault) {
                 continue;
-            } catch (ClusterSimulation.Broken found) {
+            } catch (ClusterSimulation.Violation found) {
                 System.out.println("mutant=" + mutant + " seed=" + seed + " broke=\"" + found.getMessage() + "\"");
                 return;
             } catch (RuntimeException found) {
@@ -66,18 +69,18 @@
     }
 
     /**
-     * A voter that was cut off from the other stores, and an edge proxy that still counts on it, decide nothing
-     * together.
+     * A voter that is partitioned from the other stores, and an edge proxy that still uses its epoch, must not grant a
+     * key together.
      */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "OLD_EPOCH_ACCEPTED"})
-    void noKeyIsGrantedInTwoEpochs(Mutation mutant) {
+    void keyIsNotGrantedInTwoEpochs(Mutation mutant) {
         ClusterSimulation world = new ClusterSimulation(5, mutant, 4, 1);
-        world.lossShare = 0;
+        world.lossRate = 0;
         world.run(3_000);
         VoterSet before = world.edgeVoters(0);
-        world.edgeHearsNothing(0);
-        world.cutFromStores("m3");
+        world.stopUpdatesToEdge(0);
+        world.partitionFromStores("m3");
         world.run(6_000);
         VoterSet after = world.edgeVoters(1);
         assertThat(before.addresses()).contains("m3");
@@ -90,24 +93,24 @@
                 world.run(50);
             }
             world.run(2_000);
-        } catch (ClusterSimulation.Broken twice) {
+        } catch (ClusterSimulation.Violation twice) {
             found = true;
         }
         assertThat(found).isEqualTo(mutant == Mutation.OLD_EPOCH_ACCEPTED);
         assertThat(world.grants).isGreaterThan(0);
     }
 
-    /** What was accepted under another ballot says nothing of the state that is proposed under this one. */
+    /** An acceptance under another ballot does not count for the state that is proposed under this one. */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "ANSWER_MATCHED_BY_NUMBER"})
-    void anAnswerThatBelongsToAnotherBallotDoesNotCount(Mutation mutant) {
+    void acceptanceUnderAnotherBallotIsNotCounted(Mutation mutant) {
         ClusterSimulation world = new ClusterSimulation(5, mutant, 3, 1);
-        world.lossShare = 0;
+        world.lossRate = 0;
         world.run(3_000);
         ClusterSimulation.Machine leader = world.leader();
-        world.cutFromStores(leader.address);
+        world.partitionFromStores(leader.address);
         ChangeResult.Outcome[] outcome = new ChangeResult.Outcome[1];
-        world.orderAt(
+        world.submitAt(
                 leader, List.of(ClusterSimulation.route("r", 1, "-x")), false, result -> outcome[0] = result.outcome());
         for (long revision = 0; revision < 10; revision++) {
             for (Voter voter : world.edgeVoters(0).voters()) {
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutation.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/Mutation.java
@@ -1,32 +1,30 @@
 package ridgemill.cdn.agreement;
 
-/**
- * Faults that are put into the stores of a {@link ClusterSimulation} one at a time, each of which its checks must find.
- */
+/** Faults that are injected into the stores of a {@link ClusterSimulation} one at a time; its checks must find each. */
 enum Mutation {
     NONE,
-    /** Says that something is on disk before it is. */
+    /** Reports that a write is on disk before it is. */
     CONFIRMS_BEFORE_SYNC,
-    /** Answers a read from its own memory. */
+    /** Answers a read from the memory of one store. */
     READS_AT_ONE,
-    /** Judges an order by the items that it knew when it began to lead. */
+    /** Validates a change against the items that the leader knew when it was elected. */
     CHECKS_AGAINST_OLD_ITEMS,
-    /** A store that lost its disk goes on under the name that the disk had. */
+    /** A store that lost its disk continues under the identifier of that disk. */
     WIPED_ONE_VOTES,
-    /** A newcomer says that it holds all keys before it does. */
+    /** An added voter reports that it holds all keys before it does. */
     NEWCOMER_COUNTS_AT_ONCE,
-    /** Grants keys whatever the epoch of the claim. */
+    /** Grants keys without checking the epoch of the claim. */
     OLD_EPOCH_ACCEPTED,
-    /** Tells others of items that are accepted and not decided. */
+    /** Publishes items that are accepted and not yet decided. */
     PUSHES_BEFORE_DECIDED,
-    /** Forgets its promises at a restart and makes the same ballots again. */
+    /** Loses its promises at a restart and makes the same ballots again. */
     BALLOT_REUSED,
-    /** Promises without saying what it has accepted. */
+    /** Promises without reporting the accepted state. */
     UNDECIDED_DROPPED,
-    /** Starts with an older image of its disk. */
+    /** Starts from an older image of its disk. */
     OLD_SNAPSHOT_TAKEN,
-    /** Counts an acceptance for whatever is proposed at present. */
+    /** Counts an acceptance for the present proposal whatever its ballot. */
     ANSWER_MATCHED_BY_NUMBER,
-    /** Accepts proposals of any ballot. */
+    /** Confirms any ballot and ignores refusals, as a store that was frozen and does not notice that it was outbid. */
     FROZEN_ONE_GOES_ON
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseDurabilityTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseDurabilityTest.java
@@ -9,7 +9,7 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What a store has promised it heeds in all its lives. */
+/** A store keeps its promises over restarts. */
 class PromiseDurabilityTest {
 
     private static final Voter SELF = new Voter("10.0.0.4", "new");
@@ -40,22 +40,23 @@
         }
     };
 
-    private AgreementNode life(String lifeId) {
+    private AgreementNode startNode(String lifeId) {
         NodeSettings settings = new NodeSettings(SELF, lifeId, "z", true, SEEDS, 1);
-        AgreementNode node = new AgreementNode(settings, environment, new ClusterSimulation.PlaceRules(Mutation.NONE));
+        AgreementNode node =
+                new AgreementNode(settings, environment, new ClusterSimulation.UniquePlaceRules(Mutation.NONE));
         node.start(disk.read(), 0);
         sent.clear();
         return node;
     }
 
-    /** A newcomer may be asked before it holds any state. */
+    /** An added voter may receive a prepare request before it holds any state. */
     @Test
-    void aPromiseThatWasGivenBeforeAnyStateWasHeldOutlivesARestart() {
+    void promiseGivenBeforeAnyStateIsHeldSurvivesRestart() {
         Ballot higher = new Ballot(5, "leader");
         Ballot lower = new Ballot(3, "late");
-        life("first").receive(new AgreementMessage.Prepare(PROPOSER, higher), 0);
+        startNode("first").receive(new AgreementMessage.Prepare(PROPOSER, higher), 0);
         assertThat(sent).containsExactly(new AgreementMessage.Promise(SELF, higher, StateId.NONE, VoterSet.UNKNOWN));
-        life("second").receive(new AgreementMessage.Prepare(PROPOSER, lower), 0);
+        startNode("second").receive(new AgreementMessage.Prepare(PROPOSER, lower), 0);
         assertThat(sent).containsExactly(new AgreementMessage.Refused(SELF, lower, higher));
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulatedDisk.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulatedDisk.java
@@ -9,7 +9,7 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.keys.KeyRecord;
 
-/** A disk of a {@link ClusterSimulation}: what was synced, and what was written after that in its order. */
+/** A disk of a {@link ClusterSimulation}, with its synced contents and the later writes in order. */
 final class SimulatedDisk {
 
     private record Write(AcceptorRecord accepted, KeyRecord key, Runnable durable) {}
@@ -19,8 +19,8 @@
     private final Map<ItemName, VersionedItem> items = new TreeMap<>();
     final Map<String, KeyRecord> keys = new TreeMap<>();
     private AcceptorRecord accepted = AcceptorRecord.EMPTY;
-    /** Whether it takes nothing more at present. */
-    boolean stuck;
+    /** Whether the disk writes nothing at present. */
+    boolean stalled;
 
     SimulatedDisk(String diskId) {
         this.diskId = diskId;
@@ -30,7 +30,7 @@
         pending.add(new Write(record, key, durable));
     }
 
-    /** The oldest write survives a loss of power from now on; returns what is to be told of it. */
+    /** Syncs the oldest write, which survives a power loss from now on. Returns its callback. */
     Runnable sync() {
         Write write = pending.poll();
         apply(write);
@@ -54,8 +54,8 @@
         return !pending.isEmpty();
     }
 
-    /** The process is gone; of what it had written only so many writes are there. */
-    void keepOnly(int writes) {
+    /** Discards the writes that were not synced, except for the given number of the oldest ones. */
+    void crash(int writes) {
         for (int i = 0; i < writes && !pending.isEmpty(); i++) {
             apply(pending.poll());
         }
--- a/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/config/ItemSetTest.java
@@ -13,31 +13,31 @@
     private static final int SEEDS = 200;
     private static final long DIGEST = 4198466564754083658L;
 
-    private static Item set(String name, long version, String content) {
+    private static Item item(String name, long version, String content) {
         return new Item(new ItemName(ItemKind.ROUTE, name), version, content);
     }
 
     @Test
-    void theHighestVersionWinsWhetherItSetsOrDrops() {
+    void highestVersionWinsForItemsAndTombstones() {
         ItemSet items = new ItemSet();
-        assertThat(items.merge(set("r", 5, "a"))).isTrue();
-        assertThat(items.merge(set("r", 7, null))).isTrue();
-        assertThat(items.merge(set("r", 6, "b"))).isFalse();
+        assertThat(items.merge(item("r", 5, "a"))).isTrue();
+        assertThat(items.merge(item("r", 7, null))).isTrue();
+        assertThat(items.merge(item("r", 6, "b"))).isFalse();
         assertThat(items.get(new ItemName(ItemKind.ROUTE, "r")).isTombstone()).isTrue();
-        assertThat(items.merge(set("r", 8, "c"))).isTrue();
+        assertThat(items.merge(item("r", 8, "c"))).isTrue();
         assertThat(items.get(new ItemName(ItemKind.ROUTE, "r")).content()).isEqualTo("c");
     }
 
     @Test
-    void replicasThatSawTheSameVersionsInAnyOrderAndOftenAreEqual() {
+    void mergeIsIndependentOfOrderAndDuplicates() {
         for (int seed = 0; seed < SEEDS; seed++) {
             Random random = new Random(seed);
             List<Item> versions = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                // Of one name and version only one content is ever decided.
+                // Only one content is ever decided for a name and version.
                 int version = random.nextInt(6);
                 int name = random.nextInt(4);
-                versions.add(set("r" + name, version, (version + name) % 4 == 0 ? null : "c" + version));
+                versions.add(item("r" + name, version, (version + name) % 4 == 0 ? null : "c" + version));
             }
             ItemSet one = new ItemSet();
             one.mergeAll(versions);
@@ -57,21 +57,21 @@
     }
 
     @Test
-    void theDigestTellsSetsApart() {
+    void digestDistinguishesSets() {
         ItemSet one = new ItemSet();
-        one.merge(set("r", 1, "a"));
+        one.merge(item("r", 1, "a"));
         ItemSet other = new ItemSet();
-        other.merge(set("r", 2, "a"));
+        other.merge(item("r", 2, "a"));
         assertThat(one.digest()).isNotEqualTo(other.digest());
     }
 
     /**
-     * The value itself matters: processes compare digests, and one that differs from process to process is of no use.
+     * Processes compare digests, so a digest that depends on the process, such as by an identity hash code, is useless.
      */
     @Test
-    void theDigestIsTheSameInEveryProcess() {
+    void digestIsTheSameInEveryProcess() {
         ItemSet items = new ItemSet();
-        items.merge(set("r", 1, "a"));
+        items.merge(item("r", 1, "a"));
         items.merge(new Item(new ItemName(ItemKind.SERVICE, "s"), 4, null));
         assertThat(items.digest()).isEqualTo(DIGEST);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/config/RoutingTableTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/config/RoutingTableTest.java
@@ -21,7 +21,7 @@
             Limits.DEFAULT);
 
     @Test
-    void theLongestPrefixThatBeginsThePathWins() {
+    void longestPrefixWins() {
         assertThat(TABLE.match("a.example", "/x/y/z").name()).isEqualTo("long");
         assertThat(TABLE.match("a.example", "/x/yy").name()).isEqualTo("short");
         assertThat(TABLE.match("a.example", "/x").name()).isEqualTo("root");
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void ofTwoRoutesAtOnePlaceTheHigherVersionServes() {
+    void higherVersionWinsForSameHostAndPrefix() {
         RoutingTable table = new RoutingTable(
                 List.of(route("old", "a.example", "/p/", 3), route("new", "a.example", "/p/", 4)),
                 List.of(),
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void weightsDivideTheRequestsAndAWeightOfZeroGetsNone() {
+    void requestsAreSplitByWeight() {
         Route split = new Route(
                 "r",
                 "a.example",
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ByteRangeTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ByteRangeTest.java
@@ -7,14 +7,14 @@
 class ByteRangeTest {
 
     @Test
-    void aRangeNamesItsFirstByteAndMayLeaveItsEndOpen() {
+    void parsesClosedAndOpenEndedRanges() {
         assertThat(ByteRange.parse("bytes=0-0")).isEqualTo(new ByteRange(0, 0));
         assertThat(ByteRange.parse("bytes=5-19")).isEqualTo(new ByteRange(5, 19));
         assertThat(ByteRange.parse("bytes=5-")).isEqualTo(new ByteRange(5, Long.MAX_VALUE));
     }
 
     @Test
-    void whatElseStandsThereIsIgnored() {
+    void ignoresOtherHeaders() {
         String[] others = {
             null,
             "",
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRangeIsCutToTheObject() {
+    void rangeIsLimitedToObject() {
         ByteRange open = new ByteRange(5, Long.MAX_VALUE);
         assertThat(open.isSatisfiable(5)).isFalse();
         assertThat(open.isSatisfiable(6)).isTrue();
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Two requests go there and meet silence. */
+    /** Two requests to the instance time out. */
     private void fail(InstanceStats instance, double nowMs) {
         for (int i = 0; i < 2; i++) {
             instance.requestStarted();
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Shared caches keep an object at one place: proxies that saw other speeds, or ask at another load, pick the same.
+     * Shared caches keep each object in one cache: proxies that see other latencies or loads must pick the same one.
      */
     @Test
-    void ofOneEveryoneHasTheSamePlaceForAKeyWhateverItsSpeed() {
+    void singleCandidatePickIgnoresLatencyAndLoad() {
         for (int i = 0; i < 4; i++) {
             add("i" + i, true, 0);
         }
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void ofTheKeysTwoCandidatesTheOneWithFewerInFlightWins() {
+    void candidateWithFewerRequestsInFlightIsPicked() {
         for (int i = 0; i < 10; i++) {
             add("i" + i, true, 0);
         }
@@ -87,7 +87,7 @@
             assertThat(second).isNotSameAs(first);
             second.requestStarted();
             second.requestStarted();
-            assertThat(pick(NOW, key)).as("no third, though idle").isSameAs(first);
+            assertThat(pick(NOW, key)).as("no third candidate, though idle").isSameAs(first);
             first.requestWithdrawn();
             second.requestWithdrawn();
             second.requestWithdrawn();
@@ -95,17 +95,17 @@
     }
 
     @Test
-    void aToldLoadBreaksATie() {
+    void reportedLoadBreaksTie() {
         add("a", true, 0);
         add("b", true, 0);
         InstanceStats first = pick(NOW, 7);
         first.loadReported(NOW, 3, 0, SLOTS);
         assertThat(pick(NOW, 7)).isNotSameAs(first);
-        assertThat(pick(NOW + 300, 7)).as("old news").isSameAs(first);
+        assertThat(pick(NOW + 300, 7)).as("the reported load is too old").isSameAs(first);
     }
 
     @Test
-    void theOwnRegionComesFirstWhileItCanTakeTheRequest() {
+    void ownRegionIsPreferredWhileItHasCapacity() {
         InstanceStats here = add("a", true, 0);
         InstanceStats alsoHere = add("b", true, 0);
         add("c", false, 0);
@@ -116,11 +116,11 @@
         assertThat(pick(NOW, 1)).isSameAs(alsoHere);
         fail(alsoHere, NOW);
         assertThat(pick(NOW, 1).isLocal()).isFalse();
-        assertThat(pick(NOW + 600, 1)).as("on trial once its time is over").isSameAs(alsoHere);
+        assertThat(pick(NOW + 600, 1)).as("probed after the ejection").isSameAs(alsoHere);
     }
 
     @Test
-    void aFailingInstanceIsSparedThenTriedByOneRequest() {
+    void failingInstanceIsEjectedThenProbedByOneRequest() {
         InstanceStats failing = add("a", true, 0);
         InstanceStats other = add("b", true, 0);
         add("c", true, 0);
@@ -130,15 +130,15 @@
         }
         assertThat(failing.isUsable(NOW + 600)).isTrue();
         failing.requestStarted();
-        assertThat(failing.isUsable(NOW + 600)).as("one on trial is enough").isFalse();
+        assertThat(failing.isUsable(NOW + 600)).as("only one probe at a time").isFalse();
         failing.requestEnded(NOW + 700, AttemptOutcome.ANSWERED, 100, false, true);
         failing.requestStarted();
-        assertThat(failing.isUsable(NOW + 700)).as("it is well again").isTrue();
+        assertThat(failing.isUsable(NOW + 700)).as("recovered").isTrue();
         assertThat(other.isUsable(NOW)).isTrue();
     }
 
     @Test
-    void whereAllAreSparedOneIsBetterThanNone() {
+    void ejectedInstanceIsPickedIfAllAreEjected() {
         fail(add("a", true, 0), NOW);
         assertThat(pick(NOW, 1)).isNotNull();
         fail(add("b", true, 0), NOW);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void atMostHalfMayBeSpared() {
+    void atMostHalfOfInstancesMayBeEjected() {
         InstanceStats one = add("a", true, 0);
         InstanceStats two = add("b", true, 0);
         add("c", true, 0);
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void aColdInstanceGetsFewerKeys() {
+    void coldInstanceReceivesFewerKeys() {
         InstanceStats cold = add("cold", true, (long) NOW + 1_000);
         add("b", true, 0);
         add("c", true, 0);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void aFullInstanceGetsNothingAndAllFullIsACrowd() {
+    void fullInstanceIsSkippedAndAllFullIsSaturated() {
         InstanceStats full = add("a", true, 0);
         fill(full);
         assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Saturated.class);
@@ -189,7 +189,7 @@
     }
 
     @Test
-    void oneThatTurnedARequestAwayIsFullForAMoment() {
+    void decliningInstanceCountsAsFullBriefly() {
         InstanceStats full = add("a", true, 0);
         full.requestStarted();
         full.requestEnded(NOW, AttemptOutcome.DECLINED, 1, false, true);
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void whoeverWasTriedOrIsGoneIsNotPicked() {
+    void triedOrReplacedInstanceIsNotPicked() {
         InstanceStats tried = add("a", true, 0);
         InstanceStats gone = add("b", true, 0);
         for (long key = 0; key < 20; key++) {
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ObjectCacheTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ObjectCacheTest.java
@@ -13,7 +13,7 @@
     }
 
     @Test
-    void theLeastRecentlyUsedGoesFirst() {
+    void leastRecentlyUsedIsEvictedFirst() {
         long each = copy("x", 1_000).sizeBytes();
         ObjectCache cache = new ObjectCache(4 * each);
         for (String key : List.of("a", "b", "c", "d")) {
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void itsMemoryStaysWithinItsBoundWhateverComes() {
+    void memoryStaysWithinCapacity() {
         long capacity = 100_000;
         ObjectCache cache = new ObjectCache(capacity);
         Random random = new Random(1);
@@ -43,11 +43,11 @@
             }
             assertThat(cache.sizeBytes()).isEqualTo(held).isLessThanOrEqualTo(capacity);
         }
-        assertThat(cache.sizeBytes()).as("the memory is used").isGreaterThan(capacity / 2);
+        assertThat(cache.sizeBytes()).as("most of the capacity is used").isGreaterThan(capacity / 2);
     }
 
     @Test
-    void whatIsTooLargeIsNotKeptAndEndsTheOlderCopy() {
+    void oversizedObjectIsNotStoredAndRemovesOlderCopy() {
         ObjectCache cache = new ObjectCache(100_000);
         cache.put(copy("a", 10));
         cache.put(copy("a", 30_000));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aTagNamesTheNewestCopiesOnly() {
+    void tagRefersToNewestCopiesOnly() {
         ObjectCache cache = new ObjectCache(100_000);
         cache.put(copy("a", 10, "old", "both"));
         cache.put(copy("a", 10, "new", "both"));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void usesCountForACopyAndBeginAnewWithTheNext() {
+    void usesAreCountedPerStoredCopy() {
         ObjectCache cache = new ObjectCache(100_000);
         assertThat(cache.countUse("a")).isZero();
         cache.put(copy("a", 10));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aCopyIsDueAheadNearItsEndIfItIsUsedOften() {
+    void frequentlyUsedCopyIsDueForRefreshNearExpiry() {
         CachedObject copy = copy("a", 1);
         assertThat(copy.isDueForRefresh(900, 1_000, 8)).isTrue();
         assertThat(copy.isDueForRefresh(900, 1_000, 7)).isFalse();
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aCopyIsFreshFromTheStartOfItsFetch() {
+    void freshnessCountsFromFetchStart() {
         CachedObject copy = copy("a", 1).revalidated(1_000);
         assertThat(copy.isFresh(1_499, 500)).isTrue();
         assertThat(copy.isFresh(1_500, 500)).isFalse();
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
@@ -10,7 +10,7 @@
 
     private static final int WINDOW_MS = 5_000;
     private static final int END_MS = 30_000;
-    private static final int MANY = 1_000;
+    private static final int MAX_REQUESTS = 1_000;
 
     private static OriginShare share(double perSecond) {
         OriginShare share = new OriginShare(1.1, 5_000);
@@ -18,16 +18,19 @@
         return share;
     }
 
-    /** Takes all that may be taken at once. */
-    private static int empty(OriginShare share) {
+    /** Takes all requests that the share allows at once. Returns their number. */
+    private static int takeAll(OriginShare share) {
         int taken = 0;
-        while (taken < MANY && share.tryTake(0)) {
+        while (taken < MAX_REQUESTS && share.tryTake(0)) {
             taken++;
         }
         return taken;
     }
 
-    /** All press at once after pauses in which their bursts fill, as one after an overload does. */
+    /**
+     * The requests sent in each millisecond if all proxies send as much as they can, with pauses in which their bursts
+     * refill, as after an overload.
+     */
     private static int[] arrivals(double ratePerSecond, int proxies) {
         List<OriginShare> shares = new ArrayList<>();
         for (int i = 0; i < proxies; i++) {
@@ -37,7 +40,7 @@
         for (int ms = 0; ms < END_MS; ms++) {
             boolean pause = ms % 7_000 < 2_500;
             for (OriginShare share : shares) {
-                while (!pause && taken[ms] < MANY && share.tryTake(ms)) {
+                while (!pause && taken[ms] < MAX_REQUESTS && share.tryTake(ms)) {
                     taken[ms]++;
                 }
             }
@@ -45,7 +48,7 @@
         return taken;
     }
 
-    private static int most(int[] taken) {
+    private static int maxInWindow(int[] taken) {
         int sum = 0;
         int most = 0;
         for (int ms = 0; ms < taken.length; ms++) {
@@ -56,10 +59,10 @@
     }
 
     @Test
-    void allProxiesTogetherStayUnderTheCeilingInEveryWindow() {
+    void allProxiesTogetherStayBelowCeilingInEveryWindow() {
         for (int proxies : new int[] {1, 5, 20, 60}) {
             for (double rate : new double[] {20, 90, 590}) {
-                assertThat(most(arrivals(rate, proxies)))
+                assertThat(maxInWindow(arrivals(rate, proxies)))
                         .as("%d proxies, %s a second", proxies, rate)
                         .isLessThanOrEqualTo((int) (rate * 1.1 * WINDOW_MS / 1_000) + 5);
             }
@@ -79,10 +82,10 @@
     }
 
     @Test
-    void whatIsUsedUpIsRefusedAtOnceWithAWait() {
+    void usedUpShareRefusesWithWait() {
         OriginShare share = share(10);
         assertThat(share.waitMs(0)).isZero();
-        empty(share);
+        takeAll(share);
         double waitMs = share.waitMs(0);
         assertThat(waitMs).isBetween(1.0, 200.0);
         assertThat(share.tryTake(waitMs - 1)).isFalse();
@@ -90,32 +93,32 @@
     }
 
     @Test
-    void halfOfTheBurstIsKeptForClientsWhoWait() {
+    void halfOfBurstIsReservedForClients() {
         OriginShare share = share(100);
         int spare = 0;
-        while (spare < MANY && share.hasBackgroundCapacity(0)) {
+        while (spare < MAX_REQUESTS && share.hasBackgroundCapacity(0)) {
             assertThat(share.tryTake(0)).isTrue();
             spare++;
         }
         assertThat(spare).isPositive();
-        assertThat(empty(share)).isGreaterThanOrEqualTo(spare);
+        assertThat(takeAll(share)).isGreaterThanOrEqualTo(spare);
         assertThat(share(1).hasBackgroundCapacity(0)).isFalse();
         assertThat(share(0).hasBackgroundCapacity(0)).isTrue();
     }
 
     @Test
-    void whatDidNotTakePlaceIsGivenBack() {
+    void returnedRequestCanBeTakenAgain() {
         OriginShare share = share(10);
-        empty(share);
+        takeAll(share);
         share.giveBack(0);
         assertThat(share.tryTake(0)).isTrue();
         assertThat(share.tryTake(0)).isFalse();
     }
 
     @Test
-    void aShareThatGrowsBringsNoBurstAndOneThatEndsBindsNoMore() {
+    void raisedShareAddsNoBurstAndRemovedShareDoesNotLimit() {
         OriginShare share = share(10);
-        empty(share);
+        takeAll(share);
         share.setShare(100, 0);
         assertThat(share.tryTake(0)).isFalse();
         share.setShare(0, 0);
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/PurgeLogTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/PurgeLogTest.java
@@ -11,7 +11,7 @@
     private final CachedObject copy = new CachedObject("h/a", List.of(), null, List.of("t1", "t2"), new byte[0], 1);
 
     @Test
-    void theLastPurgeOfACopyIsThatOfItsPathOrOfOneOfItsTags() {
+    void lastPurgeIsNewestOfPathAndTags() {
         assertThat(log.lastPurgedMs(copy)).isEqualTo(Double.NEGATIVE_INFINITY);
         log.recordTag("t2", 5);
         log.recordTag("other", 9);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void purgesAreRememberedAsLongAsAnotherProcessMayLagBehind() {
+    void purgesAreKeptForRetentionTime() {
         log.recordPath("h/a", 100);
         log.recordTag("t1", 200);
         log.removeExpired(100 + PurgeLog.RETENTION_MS);
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
@@ -20,7 +20,7 @@
     private static List<OriginShare> shares(double rate, int proxies, int caches) {
         List<OriginShare> shares = new ArrayList<>();
         for (int rank = 0; rank < caches; rank++) {
-            shares.add(share(DIVISION.forCache(rate, place(caches, rank))));
+            shares.add(share(DIVISION.forCache(rate, position(caches, rank))));
         }
         for (int rank = 0; rank < proxies; rank++) {
             shares.add(share(DIVISION.forProxy(rate, new FleetPosition(proxies, rank), caches > 0)));
@@ -28,8 +28,8 @@
         return shares;
     }
 
-    /** Two regions where there is more than one shared cache, of unequal sizes. */
-    private static CachePosition place(int caches, int rank) {
+    /** The position among shared caches, which are in two regions of unequal size if there is more than one. */
+    private static CachePosition position(int caches, int rank) {
         if (caches == 1) {
             return CachePosition.ALONE;
         }
@@ -46,7 +46,10 @@
         return share;
     }
 
-    /** All press as hard as they may after a pause in which their bursts fill. */
+    /**
+     * The requests sent in each step if all processes send as much as they can, with pauses in which their bursts
+     * refill.
+     */
     private static int[] arrivals(List<OriginShare> shares) {
         int[] taken = new int[END_MS / STEP_MS];
         for (int step = 0; step < taken.length; step++) {
@@ -61,7 +64,7 @@
         return taken;
     }
 
-    private static int mostInWindow(int[] taken) {
+    private static int maxInWindow(int[] taken) {
         int steps = WINDOW_MS / STEP_MS;
         int sum = 0;
         int most = 0;
@@ -90,18 +93,18 @@
         "2,1300,3",
         "9000,1300,80"
     })
-    void allTogetherStayUnderTheCeilingInEveryWindow(double rate, int proxies, int caches) {
-        int most = mostInWindow(arrivals(shares(rate, proxies, caches)));
+    void allProcessesTogetherStayBelowCeilingInEveryWindow(double rate, int proxies, int caches) {
+        int most = maxInWindow(arrivals(shares(rate, proxies, caches)));
         assertThat(most).isLessThanOrEqualTo((int) (OVERAGE * rate * WINDOW_MS / 1_000) + 5);
         assertThat(most).as("something may be sent").isPositive();
     }
 
     @ParameterizedTest
     @CsvSource({"590,11,2", "230,73,2", "270,62,3", "230,300,6", "230,1300,20", "9000,1300,80"})
-    void sharedCachesMayUseMostOfTheRateHoweverManyProxiesThereAre(double rate, int proxies, int caches) {
+    void sharedCachesReceiveMostOfRateForAnyNumberOfProxies(double rate, int proxies, int caches) {
         double sum = 0;
         for (int rank = 0; rank < caches; rank++) {
-            RateDivision.Share part = DIVISION.forCache(rate, place(caches, rank));
+            RateDivision.Share part = DIVISION.forCache(rate, position(caches, rank));
             sum += part instanceof RateDivision.Share.Bounded bounded ? bounded.perSecond() : 0;
         }
         assertThat(sum).isGreaterThan(0.85 * rate);
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
@@ -22,14 +22,14 @@
     }
 
     @Test
-    void theSlackIsAllThereIsWithoutRequests() {
+    void onlySlackIsAvailableWithoutRequests() {
         assertThat(takeAll(new RetryBudget(0.2, 50, WINDOW_MS), 0, 1)).isBetween(25, 50);
         assertThat(takeAll(new RetryBudget(0.2, 50, WINDOW_MS), 0, 10)).isBetween(2, 5);
         assertThat(takeAll(new RetryBudget(0.2, 0, WINDOW_MS), 0, 1)).isZero();
     }
 
     @Test
-    void whatWasTakenIsThereAgainOnlyAfterAWholeWindow() {
+    void takenRetriesReturnAfterFullWindow() {
         RetryBudget budget = new RetryBudget(0, 20, WINDOW_MS);
         int whole = takeAll(budget, 0, 1);
         assertThat(whole).isPositive();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void requestsCountForAWindowAndNoLonger() {
+    void requestsCountForOneWindow() {
         RetryBudget budget = new RetryBudget(0.2, 0, WINDOW_MS);
         for (int i = 0; i < 100; i++) {
             budget.countRequest(0);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatIsGivenBackMayBeTakenAgainOnce() {
+    void returnedRetryCanBeTakenOnce() {
         RetryBudget budget = new RetryBudget(0, 20, WINDOW_MS);
         takeAll(budget, 0, 1);
         budget.giveBack(0);
@@ -59,13 +59,13 @@
             budget.giveBack(WINDOW_MS * 3);
         }
         assertThat(takeAll(budget, WINDOW_MS * 3, 1))
-                .as("no credit from nothing")
+                .as("returns beyond the taken retries add nothing")
                 .isEqualTo(14);
     }
 
-    /** Uneven loads that jump: the sum stays under the bound in each window, however it lies. */
+    /** With uneven and changing loads, the sum stays within the limit in every window at any offset. */
     @Test
-    void allProxiesTogetherStayUnderTheBound() {
+    void allProxiesTogetherStayWithinLimit() {
         double ratio = 0.2;
         double slack = 50;
         int proxies = 7;
@@ -106,7 +106,7 @@
                         .isLessThanOrEqualTo(ratio * seen + slack);
                 all += sent;
             }
-            assertThat(all).as("the bound was pressed against").isPositive();
+            assertThat(all).as("some retries were taken").isPositive();
         }
     }
 
@@ -118,10 +118,10 @@
         return sum;
     }
 
-    /** The fixed slack is divided without a floor: its parts stay below the whole at any size. */
+    /** The fixed slack is divided without a minimum: the shares stay within the total for any number of proxies. */
     @ParameterizedTest
     @ValueSource(ints = {1, 9, 73, 300, 1_300})
-    void theSlackOfAllTogetherStaysBelowTheWholeWhateverTheirNumber(int size) {
+    void slackOfAllProxiesStaysWithinTotal(int size) {
         double slack = 186;
         int taken = 0;
         for (int process = 0; process < size; process++) {
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
@@ -5,17 +5,17 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.AdmissionLevel;
 
-/** The level, the bank and the ladder of one service. */
+/** The level, the token bank and the refill rates of one service. */
 class ServiceAdmissionTest {
 
-    private static final double BASE = 20;
-    private static final int TOP = 6;
-    private static final int MANY = 1_000;
+    private static final double BASE_PER_SECOND = 20;
+    private static final int TOP_LEVEL = 6;
+    private static final int MAX_REQUESTS = 1_000;
 
     private double nowMs;
     private final ServiceAdmission admission = new ServiceAdmission(0.5, nowMs);
 
-    private void interval(int good, int bad) {
+    private void runInterval(int good, int bad) {
         for (int i = 0; i < good + bad; i++) {
             admission.countAttempt(i < good);
         }
@@ -24,24 +24,24 @@
         admission.endInterval(nowMs, 0);
     }
 
-    /** Intervals from which the base becomes 20 a second. */
-    private void learn() {
+    /** Runs intervals from which the base rate becomes 20 per second. */
+    private void learnBaseRate() {
         for (int i = 0; i < 10; i++) {
-            interval((int) (BASE * ServiceAdmission.INTERVAL_MS / 1_000), 0);
+            runInterval((int) (BASE_PER_SECOND * ServiceAdmission.INTERVAL_MS / 1_000), 0);
         }
-        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE);
+        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE_PER_SECOND);
     }
 
-    private void rise(int level) {
-        learn();
+    private void raiseTo(int level) {
+        learnBaseRate();
         for (int i = 0; i < level; i++) {
-            interval(30, 30);
+            runInterval(30, 30);
         }
         assertThat(admission.level()).isEqualTo(level);
     }
 
-    /** How many draws of the highest worth pass in so many milliseconds of pressing. */
-    private int drawn(double lastingMs) {
+    /** The number of requests of the highest priority that are admitted if one is made every millisecond for a time. */
+    private int countAdmitted(double lastingMs) {
         int drawn = 0;
         for (double endMs = nowMs + lastingMs; nowMs < endMs; nowMs++) {
             drawn += admission.tryAdmit(nowMs, 0) ? 1 : 0;
@@ -50,87 +50,88 @@
     }
 
     @Test
-    void theLevelRisesAboveATenthOfBadAndFallsBelowATwentieth() {
-        learn();
-        interval(90, 10);
+    void levelRisesAboveTenPercentBadAndFallsBelowFivePercent() {
+        learnBaseRate();
+        runInterval(90, 10);
         assertThat(admission.level()).as("a tenth").isZero();
-        interval(89, 11);
+        runInterval(89, 11);
         assertThat(admission.level()).as("more than a tenth").isEqualTo(1);
-        interval(80, 20);
+        runInterval(80, 20);
         assertThat(admission.level()).isEqualTo(2);
-        interval(92, 8);
+        runInterval(92, 8);
         assertThat(admission.level()).as("between").isEqualTo(2);
-        interval(95, 5);
+        runInterval(95, 5);
         assertThat(admission.level()).as("a twentieth").isEqualTo(2);
-        interval(96, 4);
+        runInterval(96, 4);
         assertThat(admission.level()).as("less than a twentieth").isEqualTo(1);
     }
 
     @Test
-    void aThinSampleLetsTheLevelFall() {
-        rise(2);
-        interval(0, 3);
+    void smallSampleLowersLevel() {
+        raiseTo(2);
+        runInterval(0, 3);
         assertThat(admission.level()).isEqualTo(1);
-        interval(0, 0);
+        runInterval(0, 0);
         assertThat(admission.level()).isZero();
     }
 
     @Test
-    void theFirstIntervalsRaiseNothing() {
-        interval(0, 50);
+    void firstIntervalsDoNotRaiseLevel() {
+        runInterval(0, 50);
         assertThat(admission.level()).isZero();
     }
 
     @Test
-    void theTopLevelsAreBelowTheBaseAndTheLadderEnds() {
-        rise(1);
+    void topLevelsAllowLessThanBaseRate() {
+        raiseTo(1);
         int before = Integer.MAX_VALUE;
-        for (int level = 1; level <= TOP; level++) {
+        for (int level = 1; level <= TOP_LEVEL; level++) {
             assertThat(admission.level()).isEqualTo(level);
-            drawn(2_000);
-            int drawn = drawn(10_000);
+            countAdmitted(2_000);
+            int drawn = countAdmitted(10_000);
             assertThat(drawn).as("level %d", level).isLessThan(before);
             before = drawn;
             if (level > 2) {
-                assertThat(drawn).as("level %d", level).isLessThan((int) (10 * BASE));
+                assertThat(drawn).as("level %d", level).isLessThan((int) (10 * BASE_PER_SECOND));
             }
-            interval(0, 50);
+            runInterval(0, 50);
         }
-        assertThat(admission.level()).isEqualTo(TOP);
-        assertThat(before).as("some go on at the top").isBetween((int) BASE, (int) (5 * BASE));
+        assertThat(admission.level()).isEqualTo(TOP_LEVEL);
+        assertThat(before).as("some are admitted at the top level").isBetween((int) BASE_PER_SECOND, (int)
+                (5 * BASE_PER_SECOND));
     }
 
     @Test
-    void theBaseIsHeldWhileThrottled() {
-        rise(TOP);
+    void baseRateIsUnchangedWhileThrottled() {
+        raiseTo(TOP_LEVEL);
         for (int i = 0; i < 20; i++) {
-            interval(4, 1);
+            runInterval(4, 1);
         }
-        assertThat(admission.level()).isEqualTo(TOP);
-        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE);
+        assertThat(admission.level()).isEqualTo(TOP_LEVEL);
+        assertThat(admission.snapshot().baselinePerSecond()).isEqualTo(BASE_PER_SECOND);
     }
 
     @Test
-    void lowWorthLeavesTheLastToken() {
-        rise(TOP);
+    void lowPriorityLeavesLastToken() {
+        raiseTo(TOP_LEVEL);
         nowMs += 10_000;
         assertThat(admission.tryAdmit(nowMs, 0)).isTrue();
         int low = 0;
-        while (low < MANY && admission.tryAdmit(nowMs, 3)) {
+        while (low < MAX_REQUESTS && admission.tryAdmit(nowMs, 3)) {
             low++;
         }
         assertThat(low).isEqualTo(2);
-        assertThat(admission.tryAdmit(nowMs, 0)).as("higher worth").isTrue();
-        assertThat(admission.tryAdmit(nowMs, 0)).as("higher worth, empty").isFalse();
+        assertThat(admission.tryAdmit(nowMs, 0)).as("higher priority").isTrue();
+        assertThat(admission.tryAdmit(nowMs, 0)).as("higher priority, empty").isFalse();
     }
 
     @Test
-    void workForNobodyLeavesTheLastTokenToo() {
+    void backgroundWorkLeavesLastToken() {
         assertThat(admission.tryAdmitBackground(nowMs)).isTrue();
-        rise(TOP);
+        raiseTo(TOP_LEVEL);
         nowMs += 10_000;
         int drawn = 0;
-        while (drawn < MANY && admission.tryAdmitBackground(nowMs)) {
+        while (drawn < MAX_REQUESTS && admission.tryAdmitBackground(nowMs)) {
             drawn++;
         }
         assertThat(drawn).isEqualTo(3);
@@ -138,27 +139,27 @@
     }
 
     @Test
-    void anEmptyBankRefusesAtOnceAndTellsAWait() {
-        rise(TOP);
+    void emptyBankRefusesWithRetryDelay() {
+        raiseTo(TOP_LEVEL);
         int drawn = 0;
-        while (drawn < MANY && admission.tryAdmit(nowMs, 0)) {
+        while (drawn < MAX_REQUESTS && admission.tryAdmit(nowMs, 0)) {
             drawn++;
         }
-        assertThat(drawn).isLessThan(MANY);
+        assertThat(drawn).isLessThan(MAX_REQUESTS);
         double waitMs = admission.retryAfterMs();
-        assertThat(waitMs).isEqualTo(1_000 / (0.3 * BASE));
+        assertThat(waitMs).isEqualTo(1_000 / (0.3 * BASE_PER_SECOND));
         assertThat(admission.tryAdmit(nowMs + waitMs * 0.9, 0)).isFalse();
         assertThat(admission.tryAdmit(nowMs + waitMs * 1.01, 0)).isTrue();
     }
 
     @Test
-    void nobodyIsToldToWaitLong() {
-        admission.restore(new AdmissionLevel.Snapshot(TOP, 1, 1, 9), 0);
+    void retryDelayIsLimited() {
+        admission.restore(new AdmissionLevel.Snapshot(TOP_LEVEL, 1, 1, 9), 0);
         assertThat(admission.retryAfterMs()).isEqualTo(1_000);
     }
 
     @Test
-    void levelZeroRefusesNothing() {
+    void levelZeroAdmitsEverything() {
         for (int i = 0; i < 1_000; i++) {
             assertThat(admission.tryAdmit(0, i % 4)).isTrue();
         }
@@ -166,13 +167,13 @@
     }
 
     @Test
-    void brokenConnectionsCountUnlessTheyBreakAnyway() {
-        learn();
+    void connectionFailuresCountUnlessUsual() {
+        learnBaseRate();
         for (int i = 0; i < 50; i++) {
             admission.countConnectionFailure();
         }
         admission.endInterval(nowMs += ServiceAdmission.INTERVAL_MS, 1);
-        assertThat(admission.level()).as("not the service's doing").isZero();
+        assertThat(admission.level()).as("not caused by the service").isZero();
         for (int i = 0; i < 50; i++) {
             admission.countConnectionFailure();
         }
--- a/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
@@ -8,7 +8,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What the records of several voters come to. */
+/** The merging of the records of several voters. */
 final class KeyMergeTest {
 
     private static final int ROUNDS = 5_000;
@@ -16,7 +16,7 @@
     private final Random random = new Random(3);
 
     @Test
-    void neitherOrderNorRepeatsNorGroupingMatters() {
+    void resultIsIndependentOfOrderDuplicatesAndGrouping() {
         for (int round = 0; round < ROUNDS; round++) {
             List<KeyRecord> records = new ArrayList<>();
             for (int i = 0; i <= random.nextInt(5); i++) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void finishedWinsAndTwoHoldersAreAConflict() {
+    void finishedWinsAndTwoHoldersConflict() {
         assertThat(merge(held("a"), held("a")).state()).isEqualTo(KeyState.HELD);
         assertThat(merge(held("a"), held("b")).state()).isEqualTo(KeyState.CONFLICT);
         assertThat(merge(held("a"), released("a")).state()).isEqualTo(KeyState.RELEASED);
--- a/cdn-core/src/test/java/ridgemill/cdn/keys/KeyReplicaTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/keys/KeyReplicaTest.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** One voter's register, and three of them under calls in any order. */
+/** One voter's register, and three registers under calls in random order. */
 final class KeyReplicaTest {
 
     private static final KeyLimits LIMITS = new KeyLimits(1_000, 3, 10_000);
@@ -22,7 +22,7 @@
     private final KeyReplica replica = new KeyReplica(LIMITS);
 
     @Test
-    void grantsOneClaimAndTheSameOneAgain() {
+    void grantsOneClaimAndRepeatsItsGrant() {
         assertThat(claim("a", 0)).isEqualTo(KeyVote.Outcome.GRANTED);
         assertThat(claim("b", 1)).isEqualTo(KeyVote.Outcome.DENIED);
         assertThat(replica.claim("key", "a", 2).changed()).isFalse();
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aReleaseThatOvertakesItsClaimIsNotForgotten() {
+    void releaseBeforeClaimIsRemembered() {
         assertThat(replica.release("key", "a", 0)).isNotNull();
         assertThat(claim("a", 1)).isEqualTo(KeyVote.Outcome.DENIED);
         assertThat(claim("b", 2)).isEqualTo(KeyVote.Outcome.GRANTED);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aFinishReplacesAllButAnotherAnswer() {
+    void finishReplacesAnyRecordExceptAnAnswer() {
         claim("a", 0);
         assertThat(replica.finish("key", "b", ANSWER, 1).claimId()).isEqualTo("b");
         assertThat(replica.finish("key", "a", ANSWER, 2).claimId()).isEqualTo("b");
@@ -78,9 +78,9 @@
         assertThat(replica.isLast("key-2")).isTrue();
     }
 
-    /** Claims, repeats and releases reach three voters in any order; one voter loses its disk and recovers. */
+    /** Claims, duplicates and releases reach three voters in random order; one voter loses its disk and recovers. */
     @Test
-    void atMostOneClaimCollectsAMajority() {
+    void atMostOneClaimObtainsMajority() {
         for (int seed = 0; seed < 3_000; seed++) {
             new Interleaving(new Random(seed)).run();
         }
@@ -131,7 +131,7 @@
             assertThat(winners).isLessThanOrEqualTo(1);
         }
 
-        /** A vote counts until its claim is given back; a claim that has a majority is not given back, it runs. */
+        /** A vote counts until its claim is released. A claim that has a majority runs and is not released. */
         private void vote(int voter, String claimId, long nowMs) {
             KeyVote vote = voters[voter].claim("key", claimId, nowMs);
             if (vote.outcome() == KeyVote.Outcome.GRANTED && !withdrawn.contains(claimId)) {
@@ -149,7 +149,10 @@
             }
         }
 
-        /** Votes given before the loss are not counted with votes that others give after it, see DiskRecovery. */
+        /**
+         * Votes that the lost voter gave before the loss are not counted together with votes of others after it: the
+         * recovered disk is another voter in another epoch.
+         */
         private void loseAndRecover(int lost) {
             votes.values().removeIf(granted -> granted.size() < 2 && granted.contains(lost));
             Map<String, KeyMerge> merges = new HashMap<>();
--- a/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
@@ -12,7 +12,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 9, 73, 300, 1_300})
-    void partsOfAllPlacesAddUpToTheWholeWhateverTheSize(int size) {
+    void sharesAddUpToTotalForAnySize(int size) {
         for (int units : new int[] {0, 1, 56, 130, 1_299, 4_000}) {
             for (int index : new int[] {0, 1, 7, 309}) {
                 int sum = 0;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void severalBoundsTogetherLeaveNobodyWithoutAPartIfThereIsOneForEach() {
+    void twoLimitsTogetherGiveEveryPositionAShare() {
         int size = 73;
         for (int rank = 0; rank < size; rank++) {
             FleetPosition position = new FleetPosition(size, rank);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aPlaceIsOneOfTheSize() {
+    void rankMustBeWithinSize() {
         assertThatThrownBy(() -> new FleetPosition(3, 3)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new FleetPosition(0, 0)).isInstanceOf(IllegalArgumentException.class);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/purge/PurgeCoverageTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/purge/PurgeCoverageTest.java
@@ -18,7 +18,7 @@
     private final PurgeCoverage coverage = new PurgeCoverage();
 
     @Test
-    void nothingIsCoveredBeforeAMajorityIsFollowed() {
+    void nothingIsCoveredWithoutMajority() {
         assertThat(coverage.covers(100)).isFalse();
         coverage.setVoters(VOTERS);
         coverage.streamStarted(A, 10);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aStoreThatStartsAnewIsMadeUpForByTheOthersUntilASecondOneDoes() {
+    void oneRestartKeepsCoverageAndSecondRestartEndsIt() {
         coverage.setVoters(VOTERS);
         coverage.streamStarted(A, 0);
         coverage.streamStarted(B, 0);
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aStoreThatDoesNotVoteCoversNothing() {
+    void nonVotingStoreDoesNotCount() {
         coverage.setVoters(VOTERS);
         coverage.streamStarted(A, 0);
         coverage.streamStarted(D, 0);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whileVotersAreReplacedBothSetsHaveToCover() {
+    void jointSetNeedsMajorityOfBothSets() {
         coverage.setVoters(VOTERS.changedTo(List.of(A, B, D)));
         coverage.streamStarted(A, 0);
         coverage.streamStarted(D, 0);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aMachineThatLostItsDiskCoversAsAnotherStore() {
+    void machineWithNewDiskCountsAsAnotherStore() {
         coverage.setVoters(VOTERS);
         coverage.streamStarted(A, 0);
         coverage.streamStarted(new Voter("b", "2"), 0);
--- a/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** When enough voters agree, exhaustively for all sets of up to six stores. */
+/** Quorums, exhaustively for all sets of up to six stores. */
 final class VoterSetTest {
 
     private static final int STORES = 6;
@@ -18,7 +18,7 @@
             .mapToObj(i -> new Voter("10.0.0." + i, "d"))
             .toList();
 
-    private static List<Voter> of(int mask) {
+    private static List<Voter> votersOf(int mask) {
         List<Voter> voters = new ArrayList<>();
         for (int i = 0; i < STORES; i++) {
             if ((mask & 1 << i) != 0) {
@@ -28,38 +28,39 @@
         return voters;
     }
 
-    private static boolean decides(VoterSet voters, int agreeing) {
-        Set<Voter> who = Set.copyOf(of(agreeing));
+    private static boolean hasQuorum(VoterSet voters, int agreeing) {
+        Set<Voter> who = Set.copyOf(votersOf(agreeing));
         return voters.hasQuorum(who::contains);
     }
 
     @Test
-    void aMajorityIsMoreThanHalf() {
+    void quorumIsMoreThanHalf() {
         for (int mask = 1; mask < 1 << STORES; mask++) {
-            VoterSet voters = new VoterSet(1, of(mask), List.of());
+            VoterSet voters = new VoterSet(1, votersOf(mask), List.of());
             for (int agreeing = 0; agreeing < 1 << STORES; agreeing++) {
                 int count = Integer.bitCount(mask & agreeing);
-                assertThat(decides(voters, agreeing)).isEqualTo(2 * count > Integer.bitCount(mask));
+                assertThat(hasQuorum(voters, agreeing)).isEqualTo(2 * count > Integer.bitCount(mask));
             }
         }
     }
 
     /**
-     * Every majority of the epoch before a change meets every one of the joint epoch, and that every one of the next.
+     * Every quorum of the epoch before a change intersects every quorum of the joint epoch, and those every one of the
+     * next.
      */
     @Test
-    void majoritiesOfNeighbouringEpochsAlwaysMeet() {
+    void quorumsOfAdjacentEpochsIntersect() {
         for (int before = 1; before < 1 << STORES; before++) {
             for (int after = 1; after < 1 << STORES; after += 5) {
-                VoterSet first = new VoterSet(1, of(before), List.of());
-                VoterSet joint = first.changedTo(of(after));
+                VoterSet first = new VoterSet(1, votersOf(before), List.of());
+                VoterSet joint = first.changedTo(votersOf(after));
                 VoterSet last = joint.isJoint() ? joint.completed() : joint;
                 for (int agreeing = 0; agreeing < 1 << STORES; agreeing++) {
-                    if (decides(joint, agreeing)) {
+                    if (hasQuorum(joint, agreeing)) {
                         int others = ~agreeing & (1 << STORES) - 1;
-                        assertThat(decides(first, others)).isFalse();
-                        assertThat(decides(last, others)).isFalse();
-                        assertThat(decides(joint, others)).isFalse();
+                        assertThat(hasQuorum(first, others)).isFalse();
+                        assertThat(hasQuorum(last, others)).isFalse();
+                        assertThat(hasQuorum(joint, others)).isFalse();
                     }
                 }
             }
@@ -67,20 +68,20 @@
     }
 
     @Test
-    void aChangeThatIsGivenUpLeadsBackToTheVotersThatStood() {
-        VoterSet first = new VoterSet(4, of(0b000111), List.of());
-        VoterSet joint = first.changedTo(of(0b001011));
-        assertThat(joint.addedVoters()).containsExactlyElementsOf(of(0b001000));
-        VoterSet other = joint.changedTo(of(0b010011));
-        assertThat(other.previous()).isEqualTo(of(0b000111));
-        VoterSet back = other.changedTo(of(0b000111));
+    void abandonedChangeReturnsToBaseVoters() {
+        VoterSet first = new VoterSet(4, votersOf(0b000111), List.of());
+        VoterSet joint = first.changedTo(votersOf(0b001011));
+        assertThat(joint.addedVoters()).containsExactlyElementsOf(votersOf(0b001000));
+        VoterSet other = joint.changedTo(votersOf(0b010011));
+        assertThat(other.previous()).isEqualTo(votersOf(0b000111));
+        VoterSet back = other.changedTo(votersOf(0b000111));
         assertThat(back.isJoint()).isFalse();
         assertThat(back.epoch()).isEqualTo(7);
     }
 
     @Test
-    void aMachineWithAnotherDiskIsAnotherVoter() {
-        VoterSet voters = new VoterSet(1, of(0b000111), List.of());
+    void machineWithNewDiskIsAnotherVoter() {
+        VoterSet voters = new VoterSet(1, votersOf(0b000111), List.of());
         assertThat(voters.contains(new Voter("10.0.0.1", "new"))).isFalse();
         assertThat(voters.addresses().stream().collect(Collectors.toSet())).contains("10.0.0.1");
     }
