--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
@@ -120,6 +120,7 @@
         persist(List.of(), true, whenDurable);
     }
 
+    /** Writes the promise and the accepted state with these items, and then advances the durable state. */
     private void persist(List<VersionedItem> items, boolean replaces, Runnable whenDurable) {
         StateId accepted = state.id();
         environment.persist(new AcceptorRecord(promised, accepted, state.voters(), items, replaces), () -> {
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -257,8 +257,8 @@
         }
         if (message instanceof AgreementMessage.Status status) {
             receiveStatus(status, nowMs);
-        } else if (message instanceof AgreementMessage.ToAcceptor asked) {
-            handleAcceptorMessage(asked, nowMs);
+        } else if (message instanceof AgreementMessage.ToAcceptor request) {
+            handleAcceptorMessage(request, nowMs);
         } else if (message instanceof AgreementMessage.ToProposer answer) {
             handleProposerMessage(answer, nowMs);
         } else if (message instanceof AgreementMessage.Transfer transfer) {
@@ -357,8 +357,8 @@
         }
     }
 
-    private void refuse(String address, Ballot asked) {
-        environment.send(address, new AgreementMessage.Refused(self, asked, acceptor.promised()));
+    private void refuse(String address, Ballot request) {
+        environment.send(address, new AgreementMessage.Refused(self, request, acceptor.promised()));
     }
 
     private void accept(AgreementMessage.Accept accept, double nowMs) {
@@ -401,8 +401,8 @@
     }
 
     private void handleTransferMessage(AgreementMessage.Transfer message, double nowMs) {
-        if (message instanceof AgreementMessage.Pull asked) {
-            environment.send(asked.from().address(), source.answer(asked, nowMs));
+        if (message instanceof AgreementMessage.Pull request) {
+            environment.send(request.from().address(), source.answer(request, nowMs));
         } else if (message instanceof AgreementMessage.Difference difference) {
             pull.receive(difference).ifPresent(pulled -> applyPulled(pulled));
             leadership.fetch().receive(difference).ifPresent(pulled -> leadership.onFetched(pulled, nowMs));
@@ -521,12 +521,12 @@
         leadership.proposePending(nowMs);
     }
 
-    private boolean isCaughtUp(Voter newcomer, double nowMs) {
+    private boolean isCaughtUp(Voter added, double nowMs) {
         long epoch = voters().epoch();
-        if (newcomer.equals(self)) {
+        if (added.equals(self)) {
             return completeEpoch >= epoch;
         }
-        AgreementMessage.Status status = peers.recentStatus(newcomer, Peers.FRESH_MS, nowMs);
+        AgreementMessage.Status status = peers.recentStatus(added, Peers.FRESH_MS, nowMs);
         return status != null
                 && status.completeEpoch() >= epoch
                 && status.accepted().compareTo(changeStateId) >= 0;
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -21,7 +21,7 @@
 
     private final Voter self;
     private final List<String> seeds;
-    private final Map<String, ReceivedStatus> lastHeard = new HashMap<>();
+    private final Map<String, ReceivedStatus> statuses = new HashMap<>();
     private final TreeSet<String> reportedAddresses = new TreeSet<>();
     private double startedAtMs;
 
@@ -43,23 +43,23 @@
 
     /** Records a status that was received. */
     void record(AgreementMessage.Status status, double nowMs) {
-        lastHeard.put(status.from().address(), new ReceivedStatus(status, nowMs));
+        statuses.put(status.from().address(), new ReceivedStatus(status, nowMs));
         reportedAddresses.addAll(status.knownAddresses());
     }
 
     /** Discards old statuses, and addresses that other stores reported and that sent no status. */
     void tick(double nowMs) {
-        if (lastHeard.values().removeIf(entry -> nowMs - entry.atMs() > RETENTION_MS)) {
-            reportedAddresses.retainAll(lastHeard.keySet());
+        if (statuses.values().removeIf(received -> nowMs - received.atMs() > RETENTION_MS)) {
+            reportedAddresses.retainAll(statuses.keySet());
         }
     }
 
     /** The newest status of each store, if it is no older than a maximum age in milliseconds. */
     Collection<AgreementMessage.Status> recentStatuses(double maxAgeMs, double nowMs) {
         List<AgreementMessage.Status> fresh = new ArrayList<>();
-        for (ReceivedStatus entry : lastHeard.values()) {
-            if (nowMs - entry.atMs() <= maxAgeMs) {
-                fresh.add(entry.status());
+        for (ReceivedStatus received : statuses.values()) {
+            if (nowMs - received.atMs() <= maxAgeMs) {
+                fresh.add(received.status());
             }
         }
         return fresh;
@@ -70,21 +70,22 @@
      * disk on the same machine is that of another store.
      */
     AgreementMessage.Status recentStatus(Voter voter, double maxAgeMs, double nowMs) {
-        ReceivedStatus entry = lastHeard.get(voter.address());
-        boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= maxAgeMs;
-        return fresh ? entry.status() : null;
+        ReceivedStatus received = statuses.get(voter.address());
+        boolean fresh =
+                received != null && received.status().from().equals(voter) && nowMs - received.atMs() <= maxAgeMs;
+        return fresh ? received.status() : null;
     }
 
     /** Whether a voter is gone: it sent no status for long, is about to stop, or its machine has another disk now. */
     boolean isGone(Voter voter, double nowMs) {
-        ReceivedStatus entry = lastHeard.get(voter.address());
-        if (entry == null) {
+        ReceivedStatus received = statuses.get(voter.address());
+        if (received == null) {
             return nowMs - startedAtMs > GONE_MS;
         }
-        if (!entry.status().from().equals(voter) || entry.status().leaving()) {
+        if (!received.status().from().equals(voter) || received.status().leaving()) {
             return true;
         }
-        return nowMs - entry.atMs() > GONE_MS;
+        return nowMs - received.atMs() > GONE_MS;
     }
 
     /** The IP addresses of all stores that this store sends its status to. */
@@ -92,7 +93,7 @@
         TreeSet<String> addresses = new TreeSet<>(seeds);
         addresses.addAll(accepted.addresses());
         addresses.addAll(decided.addresses());
-        addresses.addAll(lastHeard.keySet());
+        addresses.addAll(statuses.keySet());
         addresses.addAll(reportedAddresses);
         addresses.remove(self.address());
         return List.copyOf(addresses);
--- a/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/config/RoutingTable.java
@@ -18,6 +18,7 @@
     private final Set<String> uncacheableServices = new HashSet<>();
     private final Limits limits;
 
+    /** A table of these routes and services. */
     public RoutingTable(Collection<Route> routes, Collection<Service> services, Limits limits) {
         for (Route route : routes) {
             Map<String, Route> byPrefix = routesByHost.computeIfAbsent(route.hostname(), host -> new HashMap<>());
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -115,14 +115,14 @@
 
     private double meanLatencyMs() {
         double sum = 0;
-        int known = 0;
+        int count = 0;
         for (InstanceStats instance : instances) {
             if (!Double.isNaN(instance.meanLatencyMs())) {
                 sum += instance.meanLatencyMs();
-                known++;
+                count++;
             }
         }
-        return known == 0 ? Double.NaN : sum / known;
+        return count == 0 ? Double.NaN : sum / count;
     }
 
     /** Whether one more instance may be ejected without overloading the others. */
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -56,6 +56,7 @@
     private int reportedBusy;
     private int reportedSlots;
 
+    /** Statistics without samples; {@link #update} has to be called before the instance can take requests. */
     public InstanceStats(Instance instance) {
         this.instance = instance;
         this.hash = RendezvousHash.mix(RendezvousHash.hashText(instance.id()));
@@ -123,11 +124,11 @@
     }
 
     /** The weight for rendezvous hashing: lower while the instance is cold, or if it is slower than the others. */
-    double weight(double nowMs, double othersMs) {
+    double weight(double nowMs, double meanOfAllMs) {
         double cold = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
-        double slow = Double.isNaN(meanLatencyMs) || Double.isNaN(othersMs) || meanLatencyMs <= 0
+        double slow = Double.isNaN(meanLatencyMs) || Double.isNaN(meanOfAllMs) || meanLatencyMs <= 0
                 ? 1
-                : othersMs / meanLatencyMs;
+                : meanOfAllMs / meanLatencyMs;
         return cold * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, slow * slow));
     }
 
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
@@ -42,8 +42,8 @@
 
         private static final long serialVersionUID = 1;
 
-        NoProgress(String what) {
-            super(what);
+        NoProgress(String message) {
+            super(message);
         }
     }
 
@@ -52,8 +52,8 @@
 
         private static final long serialVersionUID = 1;
 
-        Violation(String what) {
-            super(what);
+        Violation(String message) {
+            super(message);
         }
     }
 
@@ -65,7 +65,7 @@
     private static final KeyLimits LIMITS = new KeyLimits(1_000_000, 100_000, 1 << 24);
 
     final Random random;
-    private final Mutation mutant;
+    private final Mutation mutation;
     private final int toleratedLosses;
     private final List<String> seeds;
     final Map<String, Machine> machines = new LinkedHashMap<>();
@@ -125,16 +125,16 @@
          * Ends the process. After a kill some of the writes that were not synced may be on disk; after a power loss
          * none is.
          */
-        void stop(boolean power) {
+        void stop(boolean powerLoss) {
             process = null;
             frozen = false;
             deferredTasks.clear();
-            disk.crash(power ? 0 : random.nextInt(disk.pendingCount() + 1));
+            disk.crash(powerLoss ? 0 : random.nextInt(disk.pendingCount() + 1));
         }
 
         void replaceDisk() {
-            boolean same = mutant == Mutation.WIPED_ONE_VOTES;
-            disk = new SimulatedDisk(same ? disk.diskId : "disk-" + ++diskCount);
+            boolean keepsDiskId = mutation == Mutation.WIPED_ONE_VOTES;
+            disk = new SimulatedDisk(keepsDiskId ? disk.diskId : "disk-" + ++diskCount);
         }
 
         void unfreeze() {
@@ -160,18 +160,18 @@
             this.machine = machine;
             this.disk = machine.disk;
             Voter self = new Voter(machine.address, disk.diskId);
-            String life = mutant == Mutation.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
-            NodeSettings settings =
-                    new NodeSettings(self, life, "zone-" + machine.address, true, currentSeeds(), toleratedLosses);
-            node = new AgreementNode(settings, this, new UniquePlaceRules(mutant));
+            String incarnationId = mutation == Mutation.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
+            NodeSettings settings = new NodeSettings(
+                    self, incarnationId, "zone-" + machine.address, true, currentSeeds(), toleratedLosses);
+            node = new AgreementNode(settings, this, new UniquePlaceRules(mutation));
         }
 
         void start() {
             AcceptorRecord image = disk.read();
-            if (mutant == Mutation.BALLOT_REUSED) {
+            if (mutation == Mutation.BALLOT_REUSED) {
                 image = new AcceptorRecord(Ballot.NONE, image.accepted(), image.voters(), image.items(), true);
             }
-            if (mutant == Mutation.OLD_SNAPSHOT_TAKEN && machine.previousImage != null) {
+            if (mutation == Mutation.OLD_SNAPSHOT_TAKEN && machine.previousImage != null) {
                 image = machine.previousImage;
             }
             keys.restore(disk.keys.values());
@@ -203,7 +203,7 @@
         }
 
         private AgreementMessage mutate(AgreementMessage message) {
-            if (mutant == Mutation.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
+            if (mutation == Mutation.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
                 StateId none = new StateId(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
                 return new AgreementMessage.Promise(promise.from(), promise.ballot(), none, promise.voters());
             }
@@ -211,33 +211,34 @@
         }
 
         void receive(AgreementMessage message) {
-            AgreementMessage taken = message;
-            if (mutant == Mutation.ANSWER_MATCHED_BY_NUMBER && message instanceof AgreementMessage.Accepted accepted) {
+            AgreementMessage received = message;
+            if (mutation == Mutation.ANSWER_MATCHED_BY_NUMBER
+                    && message instanceof AgreementMessage.Accepted accepted) {
                 // Replaces the ballot by the one proposed here at present, so that only the revision is compared.
                 Ballot own = disk.read().promised();
-                taken = new AgreementMessage.Accepted(
+                received = new AgreementMessage.Accepted(
                         accepted.from(), new StateId(own, accepted.stateId().revision()));
             }
-            if (mutant == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
+            if (mutation == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
                 return;
             }
-            if (mutant == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
-                AgreementMessage yes = new AgreementMessage.Confirmed(
+            if (mutation == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
+                AgreementMessage confirmation = new AgreementMessage.Confirmed(
                         new Voter(machine.address, disk.diskId), confirm.ballot(), confirm.number());
-                send(confirm.from().address(), yes);
+                send(confirm.from().address(), confirmation);
                 return;
             }
-            node.receive(taken, nowMs);
+            node.receive(received, nowMs);
         }
 
         @Override
         public void persist(AcceptorRecord record, Runnable durable) {
-            if (mutant == Mutation.PUSHES_BEFORE_DECIDED) {
+            if (mutation == Mutation.PUSHES_BEFORE_DECIDED) {
                 record.items().forEach(entry -> checkContent(entry.item()));
             }
-            boolean early = mutant == Mutation.CONFIRMS_BEFORE_SYNC;
-            write(record, null, early ? () -> {} : durable);
-            if (early) {
+            boolean reportsEarly = mutation == Mutation.CONFIRMS_BEFORE_SYNC;
+            write(record, null, reportsEarly ? () -> {} : durable);
+            if (reportsEarly) {
                 schedule(0, this, durable);
             }
         }
@@ -271,9 +272,9 @@
                     + voters.voters() + " previous=" + voters.previous());
             for (int i = 0; i < EDGE_PROXIES; i++) {
                 int edge = i;
-                double lateMs = random.nextInt(4) == 0 ? random.nextInt(MAX_ANNOUNCEMENT_DELAY_MS) : 0;
+                double delayMs = random.nextInt(4) == 0 ? random.nextInt(MAX_ANNOUNCEMENT_DELAY_MS) : 0;
                 schedule(
-                        lateMs,
+                        delayMs,
                         null,
                         () -> transmit(machine.address, "edge", () -> {
                             if (voters.isNewerThan(edgeVoters[edge]) && !edgesWithoutUpdates.contains(edge)) {
@@ -293,47 +294,47 @@
          * change.
          */
         private void transferKeys() {
-            VoterSet wanted = node.voterChangeAwaitingKeys();
-            if (wanted == null) {
+            VoterSet change = node.voterChangeAwaitingKeys();
+            if (change == null) {
                 return;
             }
-            if (mutant == Mutation.NEWCOMER_COUNTS_AT_ONCE) {
-                node.onKeysComplete(wanted.epoch(), nowMs);
+            if (mutation == Mutation.NEWCOMER_COUNTS_AT_ONCE) {
+                node.onKeysComplete(change.epoch(), nowMs);
                 return;
             }
-            if (!wanted.equals(transferring)) {
-                transferring = wanted;
+            if (!change.equals(transferring)) {
+                transferring = change;
                 transferred.clear();
             }
-            for (Voter voter : wanted.baseVoters()) {
+            for (Voter voter : change.baseVoters()) {
                 if (!transferred.containsKey(voter)) {
-                    transmit(machine.address, voter.address(), () -> answerKeys(voter, wanted));
+                    transmit(machine.address, voter.address(), () -> answerKeys(voter, change));
                 }
             }
         }
 
-        private void answerKeys(Voter voter, VoterSet wanted) {
+        private void answerKeys(Voter voter, VoterSet change) {
             Process other = processOf(voter);
-            if (other == null || other.node.decidedVoters().epoch() != wanted.epoch()) {
+            if (other == null || other.node.decidedVoters().epoch() != change.epoch()) {
                 return;
             }
             List<KeyRecord> records = other.keys.all();
             transmit(voter.address(), machine.address, () -> {
-                if (isRunning() && transferring.equals(wanted) && transferred.putIfAbsent(voter, records) == null) {
-                    finishTransfer(wanted);
+                if (isRunning() && transferring.equals(change) && transferred.putIfAbsent(voter, records) == null) {
+                    finishTransfer(change);
                 }
             });
         }
 
-        private void finishTransfer(VoterSet wanted) {
-            if (!wanted.hasMajorityOfBase(transferred::containsKey)) {
+        private void finishTransfer(VoterSet change) {
+            if (!change.hasMajorityOfBase(transferred::containsKey)) {
                 return;
             }
             List<KeyRecord> all = new ArrayList<>();
             transferred.values().forEach(all::addAll);
             List<KeyRecord> merged = keys.merge(all);
             merged.forEach(record -> write(null, record, () -> {}));
-            write(null, null, () -> node.onKeysComplete(wanted.epoch(), nowMs));
+            write(null, null, () -> node.onKeysComplete(change.epoch(), nowMs));
         }
     }
 
@@ -343,10 +344,10 @@
     static final class UniquePlaceRules implements ChangeRules {
 
         private final Map<ItemName, Item> items = new TreeMap<>();
-        private final Mutation mutant;
+        private final Mutation mutation;
 
-        UniquePlaceRules(Mutation mutant) {
-            this.mutant = mutant;
+        UniquePlaceRules(Mutation mutation) {
+            this.mutation = mutation;
         }
 
         @Override
@@ -357,7 +358,7 @@
 
         @Override
         public void apply(Collection<Item> changed) {
-            if (mutant != Mutation.CHECKS_AGAINST_OLD_ITEMS) {
+            if (mutation != Mutation.CHECKS_AGAINST_OLD_ITEMS) {
                 changed.forEach(item -> items.put(item.name(), item));
             }
         }
@@ -383,9 +384,9 @@
         }
     }
 
-    ClusterSimulation(long seed, Mutation mutant, int stores, int tolerated) {
+    ClusterSimulation(long seed, Mutation mutation, int stores, int tolerated) {
         this.random = new Random(seed);
-        this.mutant = mutant;
+        this.mutation = mutation;
         this.toleratedLosses = tolerated;
         this.seeds = List.of("m1", "m2", "m3");
         Arrays.fill(edgeVoters, VoterSet.UNKNOWN);
@@ -466,8 +467,8 @@
     }
 
     /** Runs until a condition holds. Returns false if it does not hold within a time. */
-    boolean runUntil(Predicate<ClusterSimulation> condition, double mostMs) {
-        double endMs = nowMs + mostMs;
+    boolean runUntil(Predicate<ClusterSimulation> condition, double maxMs) {
+        double endMs = nowMs + maxMs;
         while (nowMs < endMs && !condition.test(this)) {
             run(100);
         }
@@ -538,12 +539,12 @@
         machines.get(address).previousImage = machines.get(address).disk.read();
     }
 
-    void kill(String address, double forMs, boolean power, boolean wipe) {
+    void kill(String address, double forMs, boolean powerLoss, boolean replaceDisk) {
         Machine machine = machines.get(address);
         markLost(address, forMs);
-        trace(() -> "kill " + address + " for " + forMs + " power=" + power + " wipe=" + wipe);
-        machine.stop(power);
-        if (wipe) {
+        trace(() -> "kill " + address + " for " + forMs + " power=" + powerLoss + " wipe=" + replaceDisk);
+        machine.stop(powerLoss);
+        if (replaceDisk) {
             machine.replaceDisk();
         }
         schedule(forMs, null, () -> {
@@ -628,7 +629,7 @@
         }
     }
 
-    private void leaveThenStop(String address, double latestMs) {
+    private void leaveThenStop(String address, double deadlineMs) {
         Machine machine = machines.get(address);
         if (machine == null) {
             return;
@@ -636,11 +637,11 @@
         if (machine.process != null) {
             machine.process.node.leave(nowMs);
         }
-        if (machine.process == null || nowMs >= latestMs || machine.process.node.canStop(nowMs)) {
+        if (machine.process == null || nowMs >= deadlineMs || machine.process.node.canStop(nowMs)) {
             machine.stop(true);
             machines.remove(address);
         } else {
-            schedule(100, null, () -> leaveThenStop(address, latestMs));
+            schedule(100, null, () -> leaveThenStop(address, deadlineMs));
         }
     }
 
@@ -682,11 +683,11 @@
                 // As registries do, sends the change on to the leader, over a link that may be slow.
                 transmit(machine.address, leader.address, () -> {
                     if (leader.process != null) {
-                        leader.process.node.submit(items, true, nowMs, nowMs + CALL_TIMEOUT_MS, again -> {
-                            if (again.outcome() == ChangeResult.Outcome.CONFIRMED) {
+                        leader.process.node.submit(items, true, nowMs, nowMs + CALL_TIMEOUT_MS, retried -> {
+                            if (retried.outcome() == ChangeResult.Outcome.CONFIRMED) {
                                 recordConfirmed(items);
                             }
-                            callback.accept(again);
+                            callback.accept(retried);
                         });
                     }
                 });
@@ -700,7 +701,7 @@
         confirmations++;
         for (Item item : items) {
             checkContent(item);
-            confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
+            confirmed.merge(item.name(), item, (first, second) -> first.version() >= second.version() ? first : second);
         }
     }
 
@@ -712,9 +713,9 @@
         readAt(machine, true);
     }
 
-    private void readAt(Machine machine, boolean goOn) {
+    private void readAt(Machine machine, boolean retryAtLeader) {
         Map<ItemName, Item> before = new TreeMap<>(confirmed);
-        if (mutant == Mutation.READS_AT_ONE) {
+        if (mutation == Mutation.READS_AT_ONE) {
             checkRead(machine.process.node.decidedItems().all(), before);
             return;
         }
@@ -729,7 +730,7 @@
                 },
                 leader -> {
                     Machine other = machines.get(leader);
-                    if (goOn && other != null && other.process != null && !other.frozen) {
+                    if (retryAtLeader && other != null && other.process != null && !other.frozen) {
                         readAt(other, false);
                     }
                 });
@@ -746,12 +747,12 @@
                 throw new Violation("read " + found + " after " + item + " was confirmed");
             }
         }
-        UniquePlaceRules.conflict(read.values()).ifPresent(clash -> {
-            throw new Violation("an inconsistent configuration is in effect: " + clash);
+        UniquePlaceRules.conflict(read.values()).ifPresent(conflict -> {
+            throw new Violation("an inconsistent configuration is in effect: " + conflict);
         });
         // A version that one read returned must be visible to all later reads.
         for (Item item : read.values()) {
-            confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
+            confirmed.merge(item.name(), item, (first, second) -> first.version() >= second.version() ? first : second);
         }
     }
 
@@ -798,34 +799,34 @@
                 return;
             }
             boolean otherEpoch = store.node.voters().epoch() != voters.epoch();
-            if (otherEpoch && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
+            if (otherEpoch && mutation != Mutation.OLD_EPOCH_ACCEPTED) {
                 reply(voter, () -> tally.countEpochMismatch(voter));
                 return;
             }
-            if (!store.node.canVoteOnKeys() && mutant != Mutation.OLD_EPOCH_ACCEPTED) {
+            if (!store.node.canVoteOnKeys() && mutation != Mutation.OLD_EPOCH_ACCEPTED) {
                 reply(voter, () -> tally.countUnavailable(voter));
                 return;
             }
             KeyVote answer = store.keys.claim(key, claimId, (long) nowMs);
             KeyRecord record = answer.record();
-            Runnable told =
+            Runnable reply =
                     () -> reply(voter, () -> tally.countVote(voter, record.state(), record.claimId(), record.answer()));
             if (answer.outcome() == KeyVote.Outcome.GRANTED) {
-                store.write(null, answer.changed() ? record : null, told);
+                store.write(null, answer.changed() ? record : null, reply);
             } else {
-                told.run();
+                reply.run();
             }
         }
 
-        private void reply(Voter voter, Runnable voted) {
-            transmit(voter.address(), "edge", () -> count(voter, voted));
+        private void reply(Voter voter, Runnable countVote) {
+            transmit(voter.address(), "edge", () -> count(voter, countVote));
         }
 
-        private void count(Voter voter, Runnable voted) {
+        private void count(Voter voter, Runnable countVote) {
             if (decided || !counted.add(voter)) {
                 return;
             }
-            voted.run();
+            countVote.run();
             ClaimTally.Result result = tally.result();
             if (result == ClaimTally.Result.OPEN) {
                 return;
@@ -915,9 +916,9 @@
     }
 
     /** Prints an event if {@code -Dtrace=true} is set. */
-    void trace(Supplier<String> what) {
+    void trace(Supplier<String> message) {
         if (TRACE) {
-            System.out.printf("%8.0f %s%n", nowMs, what.get());
+            System.out.printf("%8.0f %s%n", nowMs, message.get());
         }
     }
 
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulationTest.java
@@ -27,10 +27,10 @@
         long reads = 0;
         long grants = 0;
         for (int seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed++) {
-            ClusterSimulation world = simulate(seed, Mutation.NONE);
-            confirmations += world.confirmations;
-            reads += world.reads;
-            grants += world.grants;
+            ClusterSimulation simulation = simulate(seed, Mutation.NONE);
+            confirmations += simulation.confirmations;
+            reads += simulation.reads;
+            grants += simulation.grants;
         }
         System.out.println(
                 "walks=" + RUNS + " confirmations=" + confirmations + " reads=" + reads + " grants=" + grants);
@@ -39,11 +39,11 @@
         assertThat(grants).isGreaterThan(50L * RUNS);
     }
 
-    private static ClusterSimulation simulate(int seed, Mutation mutant) {
+    private static ClusterSimulation simulate(int seed, Mutation mutation) {
         try {
-            return new SimulationRun(seed, mutant, LENGTH_MS).run();
-        } catch (ClusterSimulation.Violation broken) {
-            throw new AssertionError("seed " + seed + ": " + broken.getMessage(), broken);
+            return new SimulationRun(seed, mutation, LENGTH_MS).run();
+        } catch (ClusterSimulation.Violation violation) {
+            throw new AssertionError("seed " + seed + ": " + violation.getMessage(), violation);
         }
     }
 
@@ -51,21 +51,23 @@
     @EnumSource(
             mode = EnumSource.Mode.EXCLUDE,
             names = {"NONE", "OLD_EPOCH_ACCEPTED", "ANSWER_MATCHED_BY_NUMBER"})
-    void everyMutationIsDetected(Mutation mutant) {
+    void everyMutationIsDetected(Mutation mutation) {
         for (int seed = 0; seed < MAX_RUNS_PER_MUTATION; seed++) {
             try {
-                new SimulationRun(seed, mutant, LENGTH_MS).run();
-            } catch (ClusterSimulation.NoProgress notTheFault) {
+                new SimulationRun(seed, mutation, LENGTH_MS).run();
+            } catch (ClusterSimulation.NoProgress noProgress) {
+                // A run without progress does not count as finding the fault.
                 continue;
-            } catch (ClusterSimulation.Violation found) {
-                System.out.println("mutant=" + mutant + " seed=" + seed + " broke=\"" + found.getMessage() + "\"");
+            } catch (ClusterSimulation.Violation violation) {
+                System.out.println(
+                        "mutant=" + mutation + " seed=" + seed + " broke=\"" + violation.getMessage() + "\"");
                 return;
-            } catch (RuntimeException found) {
-                System.out.println("mutant=" + mutant + " seed=" + seed + " failed=\"" + found + "\"");
+            } catch (RuntimeException exception) {
+                System.out.println("mutant=" + mutation + " seed=" + seed + " failed=\"" + exception + "\"");
                 return;
             }
         }
-        fail("not found: " + mutant);
+        fail("not found: " + mutation);
     }
 
     /**
@@ -74,52 +76,52 @@
      */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "OLD_EPOCH_ACCEPTED"})
-    void keyIsNotGrantedInTwoEpochs(Mutation mutant) {
-        ClusterSimulation world = new ClusterSimulation(5, mutant, 4, 1);
-        world.lossRate = 0;
-        world.run(3_000);
-        VoterSet before = world.edgeVoters(0);
-        world.stopUpdatesToEdge(0);
-        world.partitionFromStores("m3");
-        world.run(6_000);
-        VoterSet after = world.edgeVoters(1);
+    void keyIsNotGrantedInTwoEpochs(Mutation mutation) {
+        ClusterSimulation simulation = new ClusterSimulation(5, mutation, 4, 1);
+        simulation.lossRate = 0;
+        simulation.run(3_000);
+        VoterSet before = simulation.edgeVoters(0);
+        simulation.stopUpdatesToEdge(0);
+        simulation.partitionFromStores("m3");
+        simulation.run(6_000);
+        VoterSet after = simulation.edgeVoters(1);
         assertThat(before.addresses()).contains("m3");
         assertThat(after.addresses()).doesNotContain("m3");
         boolean found = false;
         try {
             for (int i = 0; i < 300; i++) {
-                world.claim("key-" + i, 0);
-                world.claim("key-" + i, 1);
-                world.run(50);
+                simulation.claim("key-" + i, 0);
+                simulation.claim("key-" + i, 1);
+                simulation.run(50);
             }
-            world.run(2_000);
-        } catch (ClusterSimulation.Violation twice) {
+            simulation.run(2_000);
+        } catch (ClusterSimulation.Violation violation) {
             found = true;
         }
-        assertThat(found).isEqualTo(mutant == Mutation.OLD_EPOCH_ACCEPTED);
-        assertThat(world.grants).isGreaterThan(0);
+        assertThat(found).isEqualTo(mutation == Mutation.OLD_EPOCH_ACCEPTED);
+        assertThat(simulation.grants).isGreaterThan(0);
     }
 
     /** An acceptance under another ballot does not count for the state that is proposed under this one. */
     @ParameterizedTest
     @EnumSource(names = {"NONE", "ANSWER_MATCHED_BY_NUMBER"})
-    void acceptanceUnderAnotherBallotIsNotCounted(Mutation mutant) {
-        ClusterSimulation world = new ClusterSimulation(5, mutant, 3, 1);
-        world.lossRate = 0;
-        world.run(3_000);
-        ClusterSimulation.Machine leader = world.leader();
-        world.partitionFromStores(leader.address);
+    void acceptanceUnderAnotherBallotIsNotCounted(Mutation mutation) {
+        ClusterSimulation simulation = new ClusterSimulation(5, mutation, 3, 1);
+        simulation.lossRate = 0;
+        simulation.run(3_000);
+        ClusterSimulation.Machine leader = simulation.leader();
+        simulation.partitionFromStores(leader.address);
         ChangeResult.Outcome[] outcome = new ChangeResult.Outcome[1];
-        world.submitAt(
+        simulation.submitAt(
                 leader, List.of(ClusterSimulation.route("r", 1, "-x")), false, result -> outcome[0] = result.outcome());
         for (long revision = 0; revision < 10; revision++) {
-            for (Voter voter : world.edgeVoters(0).voters()) {
+            for (Voter voter : simulation.edgeVoters(0).voters()) {
                 StateId other = new StateId(new Ballot(99, "another life"), revision);
                 leader.process.receive(new AgreementMessage.Accepted(voter, other));
             }
         }
-        world.run(2_000);
+        simulation.run(2_000);
         boolean confirmed = outcome[0] == ChangeResult.Outcome.CONFIRMED;
-        assertThat(confirmed).isEqualTo(mutant == Mutation.ANSWER_MATCHED_BY_NUMBER);
+        assertThat(confirmed).isEqualTo(mutation == Mutation.ANSWER_MATCHED_BY_NUMBER);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseDurabilityTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/PromiseDurabilityTest.java
@@ -40,8 +40,8 @@
         }
     };
 
-    private AgreementNode startNode(String lifeId) {
-        NodeSettings settings = new NodeSettings(SELF, lifeId, "z", true, SEEDS, 1);
+    private AgreementNode startNode(String incarnationId) {
+        NodeSettings settings = new NodeSettings(SELF, incarnationId, "z", true, SEEDS, 1);
         AgreementNode node =
                 new AgreementNode(settings, environment, new ClusterSimulation.UniquePlaceRules(Mutation.NONE));
         node.start(disk.read(), 0);
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulationRun.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/SimulationRun.java
@@ -21,10 +21,10 @@
     private int machineCount;
     private final List<List<Item>> submitted = new ArrayList<>();
 
-    SimulationRun(long seed, Mutation mutant, double lengthMs) {
-        int tolerated = seed % 4 == 3 ? 2 : 1;
-        int stores = tolerated == 2 ? 6 : 3 + (int) (seed % 3);
-        this.simulation = new ClusterSimulation(seed, mutant, stores, tolerated);
+    SimulationRun(long seed, Mutation mutation, double lengthMs) {
+        int toleratedLosses = seed % 4 == 3 ? 2 : 1;
+        int stores = toleratedLosses == 2 ? 6 : 3 + (int) (seed % 3);
+        this.simulation = new ClusterSimulation(seed, mutation, stores, toleratedLosses);
         this.random = simulation.random;
         simulation.lossRate = LOSS_RATES[(int) (seed / 7 % LOSS_RATES.length)];
         this.machineCount = stores;
@@ -125,16 +125,16 @@
         }
         double forMs = 200 + random.nextInt(3_000);
         // The tolerated losses assume reliable links: over others a voter can't be replaced in time.
-        boolean soundLinks = simulation.lossRate < MAX_RELIABLE_LOSS_RATE;
+        boolean reliableLinks = simulation.lossRate < MAX_RELIABLE_LOSS_RATE;
         switch (kind) {
             case 1 -> simulation.kill(address, forMs, false, false);
             case 2, 3 -> simulation.kill(address, forMs, true, false);
-            case 4, 5 -> simulation.kill(address, forMs, true, soundLinks);
+            case 4, 5 -> simulation.kill(address, forMs, true, reliableLinks);
             case 6 -> simulation.freeze(address, forMs);
             case 7 -> simulation.partition(address, random.nextBoolean() ? 20_000 : forMs, true, true);
             case 8 -> simulation.partition(address, forMs * 2, random.nextBoolean(), true);
             default -> {
-                if (soundLinks) {
+                if (reliableLinks) {
                     simulation.replace(
                             address, "m" + ++machineCount, random.nextBoolean(), 200 + random.nextInt(2_000));
                 }
@@ -142,11 +142,11 @@
         }
     }
 
-    private String leaderOr(String otherwise) {
+    private String leaderOr(String fallback) {
         return simulation.machines.values().stream()
                 .filter(machine -> machine.process != null && machine.process.node.isLeading())
                 .map(machine -> machine.address)
                 .findFirst()
-                .orElse(otherwise);
+                .orElse(fallback);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
@@ -56,11 +56,11 @@
         for (int i = 0; i < 4; i++) {
             add("i" + i, true, 0);
         }
-        InstancePicker ofOne = InstancePicker.singleCandidate();
-        ofOne.instances(all);
+        InstancePicker singleCandidate = InstancePicker.singleCandidate();
+        singleCandidate.instances(all);
         List<InstanceStats> before = new ArrayList<>();
         for (long key = 0; key < 200; key++) {
-            before.add(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance());
+            before.add(((Pick.Chosen) singleCandidate.pick(NOW, key, List.of())).instance());
         }
         all.get(0).requestStarted();
         all.get(0).requestEnded(NOW, AttemptOutcome.ANSWERED, 900, false, true);
@@ -68,7 +68,7 @@
         all.get(1).requestEnded(NOW, AttemptOutcome.ANSWERED, 2, false, true);
         all.get(2).requestStarted();
         for (long key = 0; key < 200; key++) {
-            assertThat(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance())
+            assertThat(((Pick.Chosen) singleCandidate.pick(NOW, key, List.of())).instance())
                     .isSameAs(before.get((int) key));
         }
         assertThat(before).contains(all.toArray(new InstanceStats[0]));
@@ -106,17 +106,17 @@
 
     @Test
     void ownRegionIsPreferredWhileItHasCapacity() {
-        InstanceStats here = add("a", true, 0);
-        InstanceStats alsoHere = add("b", true, 0);
+        InstanceStats first = add("a", true, 0);
+        InstanceStats second = add("b", true, 0);
         add("c", false, 0);
         for (long key = 0; key < 50; key++) {
             assertThat(pick(NOW, key).isLocal()).isTrue();
         }
-        fill(here);
-        assertThat(pick(NOW, 1)).isSameAs(alsoHere);
-        fail(alsoHere, NOW);
+        fill(first);
+        assertThat(pick(NOW, 1)).isSameAs(second);
+        fail(second, NOW);
         assertThat(pick(NOW, 1).isLocal()).isFalse();
-        assertThat(pick(NOW + 600, 1)).as("probed after the ejection").isSameAs(alsoHere);
+        assertThat(pick(NOW + 600, 1)).as("probed after the ejection").isSameAs(second);
     }
 
     @Test
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/OriginShareTest.java
@@ -36,26 +36,26 @@
         for (int i = 0; i < proxies; i++) {
             shares.add(share(ratePerSecond / proxies));
         }
-        int[] taken = new int[END_MS];
+        int[] sent = new int[END_MS];
         for (int ms = 0; ms < END_MS; ms++) {
             boolean pause = ms % 7_000 < 2_500;
             for (OriginShare share : shares) {
-                while (!pause && taken[ms] < MAX_REQUESTS && share.tryTake(ms)) {
-                    taken[ms]++;
+                while (!pause && sent[ms] < MAX_REQUESTS && share.tryTake(ms)) {
+                    sent[ms]++;
                 }
             }
         }
-        return taken;
+        return sent;
     }
 
-    private static int maxInWindow(int[] taken) {
+    private static int maxInWindow(int[] sent) {
         int sum = 0;
-        int most = 0;
-        for (int ms = 0; ms < taken.length; ms++) {
-            sum += taken[ms] - (ms < WINDOW_MS ? 0 : taken[ms - WINDOW_MS]);
-            most = Math.max(most, sum);
+        int max = 0;
+        for (int ms = 0; ms < sent.length; ms++) {
+            sum += sent[ms] - (ms < WINDOW_MS ? 0 : sent[ms - WINDOW_MS]);
+            max = Math.max(max, sum);
         }
-        return most;
+        return max;
     }
 
     @Test
@@ -95,13 +95,13 @@
     @Test
     void halfOfBurstIsReservedForClients() {
         OriginShare share = share(100);
-        int spare = 0;
-        while (spare < MAX_REQUESTS && share.hasBackgroundCapacity(0)) {
+        int background = 0;
+        while (background < MAX_REQUESTS && share.hasBackgroundCapacity(0)) {
             assertThat(share.tryTake(0)).isTrue();
-            spare++;
+            background++;
         }
-        assertThat(spare).isPositive();
-        assertThat(takeAll(share)).isGreaterThanOrEqualTo(spare);
+        assertThat(background).isPositive();
+        assertThat(takeAll(share)).isGreaterThanOrEqualTo(background);
         assertThat(share(1).hasBackgroundCapacity(0)).isFalse();
         assertThat(share(0).hasBackgroundCapacity(0)).isTrue();
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
@@ -67,12 +67,12 @@
     private static int maxInWindow(int[] taken) {
         int steps = WINDOW_MS / STEP_MS;
         int sum = 0;
-        int most = 0;
+        int max = 0;
         for (int step = 0; step < taken.length; step++) {
             sum += taken[step] - (step < steps ? 0 : taken[step - steps]);
-            most = Math.max(most, sum);
+            max = Math.max(max, sum);
         }
-        return most;
+        return max;
     }
 
     @ParameterizedTest
@@ -94,9 +94,9 @@
         "9000,1300,80"
     })
     void allProcessesTogetherStayBelowCeilingInEveryWindow(double rate, int proxies, int caches) {
-        int most = maxInWindow(arrivals(shares(rate, proxies, caches)));
-        assertThat(most).isLessThanOrEqualTo((int) (OVERAGE * rate * WINDOW_MS / 1_000) + 5);
-        assertThat(most).as("something may be sent").isPositive();
+        int max = maxInWindow(arrivals(shares(rate, proxies, caches)));
+        assertThat(max).isLessThanOrEqualTo((int) (OVERAGE * rate * WINDOW_MS / 1_000) + 5);
+        assertThat(max).as("something may be sent").isPositive();
     }
 
     @ParameterizedTest
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
@@ -31,12 +31,12 @@
     @Test
     void takenRetriesReturnAfterFullWindow() {
         RetryBudget budget = new RetryBudget(0, 20, WINDOW_MS);
-        int whole = takeAll(budget, 0, 1);
-        assertThat(whole).isPositive();
+        int all = takeAll(budget, 0, 1);
+        assertThat(all).isPositive();
         assertThat(takeAll(budget, WINDOW_MS, 1)).isZero();
-        assertThat(takeAll(budget, WINDOW_MS * 1.06, 1)).isEqualTo(whole);
+        assertThat(takeAll(budget, WINDOW_MS * 1.06, 1)).isEqualTo(all);
         assertThat(takeAll(budget, WINDOW_MS * 1.5, 1)).isZero();
-        assertThat(takeAll(budget, WINDOW_MS * 9, 1)).as("after a long pause").isEqualTo(whole);
+        assertThat(takeAll(budget, WINDOW_MS * 9, 1)).as("after a long pause").isEqualTo(all);
     }
 
     @Test
@@ -78,7 +78,7 @@
             int steps = 600;
             double stepMs = 100;
             int[] requests = new int[steps];
-            int[] repeats = new int[steps];
+            int[] retries = new int[steps];
             for (int step = 0; step < steps; step++) {
                 double load = step / 100 % 2 == 0 ? 0.6 : 0.1;
                 for (int i = 0; i < proxies; i++) {
@@ -88,22 +88,22 @@
                             budgets.get(i).countRequest(nowMs);
                             requests[step]++;
                         }
-                        repeats[step] += budgets.get(i).tryRetry(nowMs, proxies) ? 1 : 0;
+                        retries[step] += budgets.get(i).tryRetry(nowMs, proxies) ? 1 : 0;
                     }
                 }
             }
             int window = (int) (WINDOW_MS / stepMs);
             int all = 0;
             for (int end = 2 * window; end <= steps; end++) {
-                int sent = sum(repeats, end - window, end);
-                int seen = Math.max(
+                int sent = sum(retries, end - window, end);
+                int counted = Math.max(
                         sum(requests, end - window, end),
                         Math.max(
                                 sum(requests, end - 3 * window / 2, end - window / 2),
                                 sum(requests, end - 2 * window, end - window)));
                 assertThat((double) sent)
                         .as("seed %d, window to step %d", seed, end)
-                        .isLessThanOrEqualTo(ratio * seen + slack);
+                        .isLessThanOrEqualTo(ratio * counted + slack);
                 all += sent;
             }
             assertThat(all).as("some retries were taken").isPositive();
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/ServiceAdmissionTest.java
@@ -41,12 +41,12 @@
     }
 
     /** The number of requests of the highest priority that are admitted if one is made every millisecond for a time. */
-    private int countAdmitted(double lastingMs) {
-        int drawn = 0;
-        for (double endMs = nowMs + lastingMs; nowMs < endMs; nowMs++) {
-            drawn += admission.tryAdmit(nowMs, 0) ? 1 : 0;
+    private int countAdmitted(double durationMs) {
+        int admitted = 0;
+        for (double endMs = nowMs + durationMs; nowMs < endMs; nowMs++) {
+            admitted += admission.tryAdmit(nowMs, 0) ? 1 : 0;
         }
-        return drawn;
+        return admitted;
     }
 
     @Test
@@ -84,20 +84,20 @@
     @Test
     void topLevelsAllowLessThanBaseRate() {
         raiseTo(1);
-        int before = Integer.MAX_VALUE;
+        int previous = Integer.MAX_VALUE;
         for (int level = 1; level <= TOP_LEVEL; level++) {
             assertThat(admission.level()).isEqualTo(level);
             countAdmitted(2_000);
-            int drawn = countAdmitted(10_000);
-            assertThat(drawn).as("level %d", level).isLessThan(before);
-            before = drawn;
+            int admitted = countAdmitted(10_000);
+            assertThat(admitted).as("level %d", level).isLessThan(previous);
+            previous = admitted;
             if (level > 2) {
-                assertThat(drawn).as("level %d", level).isLessThan((int) (10 * BASE_PER_SECOND));
+                assertThat(admitted).as("level %d", level).isLessThan((int) (10 * BASE_PER_SECOND));
             }
             runInterval(0, 50);
         }
         assertThat(admission.level()).isEqualTo(TOP_LEVEL);
-        assertThat(before).as("some are admitted at the top level").isBetween((int) BASE_PER_SECOND, (int)
+        assertThat(previous).as("some are admitted at the top level").isBetween((int) BASE_PER_SECOND, (int)
                 (5 * BASE_PER_SECOND));
     }
 
@@ -116,11 +116,11 @@
         raiseTo(TOP_LEVEL);
         nowMs += 10_000;
         assertThat(admission.tryAdmit(nowMs, 0)).isTrue();
-        int low = 0;
-        while (low < MAX_REQUESTS && admission.tryAdmit(nowMs, 3)) {
-            low++;
+        int admitted = 0;
+        while (admitted < MAX_REQUESTS && admission.tryAdmit(nowMs, 3)) {
+            admitted++;
         }
-        assertThat(low).isEqualTo(2);
+        assertThat(admitted).isEqualTo(2);
         assertThat(admission.tryAdmit(nowMs, 0)).as("higher priority").isTrue();
         assertThat(admission.tryAdmit(nowMs, 0)).as("higher priority, empty").isFalse();
     }
@@ -130,22 +130,22 @@
         assertThat(admission.tryAdmitBackground(nowMs)).isTrue();
         raiseTo(TOP_LEVEL);
         nowMs += 10_000;
-        int drawn = 0;
-        while (drawn < MAX_REQUESTS && admission.tryAdmitBackground(nowMs)) {
-            drawn++;
+        int admitted = 0;
+        while (admitted < MAX_REQUESTS && admission.tryAdmitBackground(nowMs)) {
+            admitted++;
         }
-        assertThat(drawn).isEqualTo(3);
+        assertThat(admitted).isEqualTo(3);
         assertThat(admission.tryAdmit(nowMs, 0)).isTrue();
     }
 
     @Test
     void emptyBankRefusesWithRetryDelay() {
         raiseTo(TOP_LEVEL);
-        int drawn = 0;
-        while (drawn < MAX_REQUESTS && admission.tryAdmit(nowMs, 0)) {
-            drawn++;
+        int admitted = 0;
+        while (admitted < MAX_REQUESTS && admission.tryAdmit(nowMs, 0)) {
+            admitted++;
         }
-        assertThat(drawn).isLessThan(MAX_REQUESTS);
+        assertThat(admitted).isLessThan(MAX_REQUESTS);
         double waitMs = admission.retryAfterMs();
         assertThat(waitMs).isEqualTo(1_000 / (0.3 * BASE_PER_SECOND));
         assertThat(admission.tryAdmit(nowMs + waitMs * 0.9, 0)).isFalse();
--- a/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/keys/KeyMergeTest.java
@@ -34,9 +34,9 @@
     private KeyRecord inGroups(List<KeyRecord> records) {
         KeyMerge left = new KeyMerge("key");
         KeyMerge right = new KeyMerge("key");
-        int cut = random.nextInt(records.size() + 1);
-        records.subList(0, cut).forEach(left::add);
-        records.subList(cut, records.size()).forEach(right::add);
+        int split = random.nextInt(records.size() + 1);
+        records.subList(0, split).forEach(left::add);
+        records.subList(split, records.size()).forEach(right::add);
         left.addAll(right);
         return left.result();
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
@@ -42,13 +42,13 @@
         Fleet fleet = new Fleet(FleetPosition.ALONE, caches);
         int sum = 0;
         for (CacheNode cache : caches) {
-            CachePosition place = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
-            assertThat(place.region().size()).isEqualTo(2);
-            sum += place.share(25, 1);
+            CachePosition position = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
+            assertThat(position.region().size()).isEqualTo(2);
+            sum += position.share(25, 1);
         }
         assertThat(sum).isEqualTo(25);
-        CacheNode unheard = new CacheNode("d", "4", "z3");
-        assertThat(fleet.cachePosition(unheard, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
+        CacheNode unknown = new CacheNode("d", "4", "z3");
+        assertThat(fleet.cachePosition(unknown, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
     }
 
     @Test
--- a/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/quorum/VoterSetTest.java
@@ -29,8 +29,8 @@
     }
 
     private static boolean hasQuorum(VoterSet voters, int agreeing) {
-        Set<Voter> who = Set.copyOf(votersOf(agreeing));
-        return voters.hasQuorum(who::contains);
+        Set<Voter> agreeingVoters = Set.copyOf(votersOf(agreeing));
+        return voters.hasQuorum(agreeingVoters::contains);
     }
 
     @Test
@@ -74,9 +74,9 @@
         assertThat(joint.addedVoters()).containsExactlyElementsOf(votersOf(0b001000));
         VoterSet other = joint.changedTo(votersOf(0b010011));
         assertThat(other.previous()).isEqualTo(votersOf(0b000111));
-        VoterSet back = other.changedTo(votersOf(0b000111));
-        assertThat(back.isJoint()).isFalse();
-        assertThat(back.epoch()).isEqualTo(7);
+        VoterSet restored = other.changedTo(votersOf(0b000111));
+        assertThat(restored.isJoint()).isFalse();
+        assertThat(restored.epoch()).isEqualTo(7);
     }
 
     @Test
