--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -27,9 +27,9 @@
     private static final double ELECTION_STAGGER_MS = 200;
     /** How long after promising a ballot this store starts no election of its own for a call, in milliseconds. */
     private static final double CANDIDATE_HOLD_OFF_MS = 400;
-    /** Calls are passed to a leader whose last status is no older, in milliseconds. */
+    /** The maximum age of the last status of a leader that calls are passed to, in milliseconds. */
     private static final double LEADER_FRESH_MS = 1_000;
-    /** A leader whose last status is no older is not replaced although a caller could not reach it, in milliseconds. */
+    /** The same for a call whose sender could not reach the leader: within this age the leader is not replaced. */
     private static final double LEADER_INSIST_FRESH_MS = 600;
     /** How long to wait for the usual messages to deliver a newer state before it is pulled, in milliseconds. */
     private static final double PULL_DELAY_MS = 250;
@@ -63,10 +63,11 @@
     private long changeEpoch;
     /** The voters to propose next; null if no change is planned. */
     private VoterSet nextVoters;
-    /** The IP address of the store whose ballot was promised last, and when. */
+    /** The IP address of the store whose ballot was promised last. */
     private String candidateAddress = "";
-
+    /** When that ballot was promised. */
     private double candidateAtMs = Double.NEGATIVE_INFINITY;
+
     private StateId lastAnnounced = StateId.NONE;
 
     /** A node that takes part once {@link #start} has been called. */
@@ -477,9 +478,9 @@
         if (rank < 0 || leaving || !leadership.isFollowing()) {
             return;
         }
-        double patienceMs = ELECTION_TIMEOUT_MS + rank * ELECTION_STAGGER_MS + electionJitterMs;
+        double timeoutMs = ELECTION_TIMEOUT_MS + rank * ELECTION_STAGGER_MS + electionJitterMs;
         boolean first = acceptor.state().id().revision() == 0 && rank == 0;
-        if ((first || nowMs - leaderSeenAtMs > patienceMs) && isMajorityReachable(nowMs)) {
+        if ((first || nowMs - leaderSeenAtMs > timeoutMs) && isMajorityReachable(nowMs)) {
             leaderSeenAtMs = nowMs;
             electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
             leadership.startElection(nowMs);
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
@@ -284,8 +284,7 @@
         view.decide(done.delta.stateId());
         done.answers.forEach(pending -> pending.onMajority().run());
         if (!done.delta.voters().contains(self)) {
-            // This store was removed from the voters by the state that it has just decided: a remaining voter leads
-            // next.
+            // The state that was just decided removes this store from the voters: a remaining voter leads next.
             stepDown();
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -12,11 +12,11 @@
 /** The newest status of each other store, and when it was received. */
 final class Peers {
 
-    /** A voter whose last status is older counts as gone and may be replaced, in milliseconds. */
+    /** The age of a voter's last status from which on it counts as gone and may be replaced, in milliseconds. */
     static final double GONE_MS = 2_000;
-    /** A store whose last status is older is not chosen as a voter, in milliseconds. */
+    /** The maximum age of the last status of a store that is chosen as a voter, in milliseconds. */
     static final double FRESH_MS = 1_500;
-    /** A status is discarded at this age, in milliseconds. */
+    /** The age at which a status is discarded, in milliseconds. */
     private static final double RETENTION_MS = 30_000;
 
     private final Voter self;
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -85,7 +85,7 @@
     }
 
     private InstanceStats best(
-            double nowMs, long key, Collection<InstanceStats> tried, boolean localOnly, boolean includeEjected) {
+            double nowMs, long key, Collection<InstanceStats> tried, boolean inOwnRegion, boolean includeEjected) {
         double meanMs = meanLatencyMs();
         long hash = RendezvousHash.mix(key);
         InstanceStats first = null;
@@ -93,7 +93,7 @@
         double firstScore = 0;
         double secondScore = 0;
         for (InstanceStats instance : instances) {
-            boolean eligible = instance.isLocal() == localOnly
+            boolean eligible = instance.isLocal() == inOwnRegion
                     && (includeEjected || instance.isUsable(nowMs))
                     && instance.hasCapacity(nowMs)
                     && !instance.isReplaced(nowMs)
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -125,11 +125,11 @@
 
     /** The weight for rendezvous hashing: lower while the instance is cold, or if it is slower than the others. */
     double weight(double nowMs, double meanOfAllMs) {
-        double cold = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
-        double slow = Double.isNaN(meanLatencyMs) || Double.isNaN(meanOfAllMs) || meanLatencyMs <= 0
+        double coldFactor = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
+        double latencyRatio = Double.isNaN(meanLatencyMs) || Double.isNaN(meanOfAllMs) || meanLatencyMs <= 0
                 ? 1
                 : meanOfAllMs / meanLatencyMs;
-        return cold * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, slow * slow));
+        return coldFactor * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, latencyRatio * latencyRatio));
     }
 
     /** A number in (0, 1] that depends only on the instance and a key. */
@@ -229,8 +229,8 @@
         }
     }
 
-    private void countFailure(double nowMs, double weight, boolean mayEject) {
-        consecutiveFailures += weight;
+    private void countFailure(double nowMs, double failures, boolean mayEject) {
+        consecutiveFailures += failures;
         if (consecutiveFailures >= FAILURES_BEFORE_EJECTION) {
             eject(nowMs, (int) (consecutiveFailures - FAILURES_BEFORE_EJECTION), mayEject);
         }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/OriginShare.java
@@ -87,9 +87,7 @@
             return;
         }
         double burst = Math.max(MIN_BURST, BURST_SECONDS * USED_FRACTION * requestsPerSecond);
-        // The minimum burst of one request is large compared to a small share: the bursts of many proxies together
-        // would
-        // exceed the ceiling.
+        // The minimum burst of one request is large for a small share: many such bursts would exceed the ceiling.
         double maxRate = overage * requestsPerSecond - burst / windowSeconds;
         Rate rate =
                 new Rate(Math.max(MIN_RATE_PER_SECOND, Math.min(USED_FRACTION * requestsPerSecond, maxRate)), burst);
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RateDivision.java
@@ -36,7 +36,9 @@
      * The burst of all processes together, in seconds of the rate, if that is enough for one request of each process.
      */
     private static final double BURST_SECONDS = 0.5;
-    /** The maximum fraction of a window's requests for bursts, if the processes need more in order to have one each. */
+    /**
+     * The maximum fraction of a window's requests that bursts may use so that more processes can have one request each.
+     */
     private static final double MAX_BURST_FRACTION = 0.5;
     /**
      * The fraction of the rate for shared caches, if there are any; proxies use the rest when no shared cache answers.
