--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/ControlState.java
@@ -11,9 +11,10 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** A whole state: the items of the configuration and the voters. */
+/** The replicated control state: the items of the configuration and the voters. */
 public final class ControlState {
 
+    /** The size of an item in a message besides its name and content, in characters, as an estimate. */
     private static final int ITEM_OVERHEAD_CHARACTERS = 40;
 
     private final TreeMap<ItemName, VersionedItem> items = new TreeMap<>();
@@ -21,19 +22,19 @@
     private VoterSet voters;
     private long characters;
 
-    /** The state before any. */
+    /** The empty state, before anything was accepted. */
     public ControlState() {
         this(StateId.NONE, VoterSet.UNKNOWN, List.of());
     }
 
-    /** A state from its parts. */
-    public ControlState(StateId stamp, VoterSet voters, Collection<VersionedItem> items) {
-        this.id = stamp;
+    /** A state with the given items and voters. */
+    public ControlState(StateId id, VoterSet voters, Collection<VersionedItem> items) {
+        this.id = id;
         this.voters = voters;
         items.forEach(this::put);
     }
 
-    /** Names this state. */
+    /** Identifies this state. */
     public StateId id() {
         return id;
     }
@@ -48,37 +49,41 @@
         return items.get(name);
     }
 
-    /** All items in the order of their names, dropped ones included. */
+    /** All items in the order of their names, tombstones included. */
     public Collection<VersionedItem> items() {
         return items.values();
     }
 
-    /** How many characters all items have. */
+    /** The estimated size of all items in a message, in characters. */
     public long characters() {
         return characters;
     }
 
-    /** Goes one step further. The step must start from this state. */
-    public void apply(StateDelta step) {
-        if (!step.base().equals(id)) {
-            throw new IllegalArgumentException("a step from " + step.base() + " does not fit " + id);
+    /**
+     * Applies a delta.
+     *
+     * @throws IllegalArgumentException if the delta does not start from this state
+     */
+    public void apply(StateDelta delta) {
+        if (!delta.base().equals(id)) {
+            throw new IllegalArgumentException("cannot apply a delta based on " + delta.base() + " to state " + id);
         }
-        step.items().forEach(this::put);
-        id = step.stateId();
-        voters = step.voters();
+        delta.items().forEach(this::put);
+        id = delta.stateId();
+        voters = delta.voters();
     }
 
     private void put(VersionedItem entry) {
-        VersionedItem before = items.put(entry.item().name(), entry);
-        characters += charactersOf(entry) - (before == null ? 0 : charactersOf(before));
+        VersionedItem previous = items.put(entry.item().name(), entry);
+        characters += charactersOf(entry) - (previous == null ? 0 : charactersOf(previous));
     }
 
-    /** A copy that changes independently. */
+    /** An independent copy. */
     public ControlState copy() {
         return new ControlState(id, voters, items.values());
     }
 
-    /** A checksum over all that the state holds but its stamp, by which a transfer is checked. */
+    /** A checksum over the state without its identifier, which verifies a transfer. */
     public long digest() {
         long hash = voters.epoch();
         for (Voter voter : voters.members()) {
@@ -97,7 +102,7 @@
         return hash;
     }
 
-    /** How many characters an item takes in a message, roughly. */
+    /** The estimated size of an item in a message, in characters. */
     static long charactersOf(VersionedItem entry) {
         Item item = entry.item();
         int content = item.isTombstone() ? 0 : item.content().length();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/DecidedView.java
@@ -11,26 +11,26 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * What of the accepted states is known to be decided. Only this is ever told to anybody outside the stores. The newest
- * steps are kept, so that others can be told what they lack.
+ * The part of the accepted states that is known to be decided. Only decided states are published outside the stores.
+ * The newest deltas are kept, so that stores that are behind can be sent the missing ones.
  */
 final class DecidedView {
 
-    /** How many steps, and characters in them, are kept for stores that are behind. */
+    /** The most deltas that are kept for stores that are behind. */
     private static final int MAX_KEPT_DELTAS = 256;
-
+    /** The most characters in the kept deltas. */
     private static final long MAX_KEPT_CHARACTERS = 1 << 20;
 
     private final AgreementEnvironment environment;
     private final ItemSet items = new ItemSet();
-    /** The newest decided steps in their order; the first one may be a whole state, whose base is {@link StateId#NONE}. */
+    /** The newest decided deltas in order; the first one may be a whole state, whose base is {@link StateId#NONE}. */
     private final Deque<StateDelta> decidedDeltas = new ArrayDeque<>();
-    /** The accepted steps behind them that are not known to be decided. */
+    /** The accepted deltas after them, which are not known to be decided. */
     private final Deque<StateDelta> undecidedDeltas = new ArrayDeque<>();
 
     private VoterSet voters = VoterSet.UNKNOWN;
     private StateId decided = StateId.NONE;
-    /** The newest decided state that was heard of, which this store may not hold yet. */
+    /** The newest state that any store reported as decided; this store may not hold it yet. */
     private StateId newestKnownDecided = StateId.NONE;
 
     private long keptCharacters;
@@ -44,22 +44,22 @@
         return items;
     }
 
-    /** The decided voters; unknown while nothing is known to be decided. */
+    /** The decided voters; {@link VoterSet#UNKNOWN} while nothing is known to be decided. */
     VoterSet voters() {
         return voters;
     }
 
-    /** The newest state that is known to be decided and is held. */
+    /** The newest state that is known to be decided and is held here. */
     StateId decided() {
         return decided;
     }
 
-    /** The newest state that is known to be decided, held or not. */
+    /** The newest state that is known to be decided, whether or not it is held here. */
     StateId newestKnownDecided() {
         return newestKnownDecided;
     }
 
-    /** A whole state was accepted. */
+    /** Starts over with a whole state that was accepted. */
     void reset(ControlState state) {
         decidedDeltas.clear();
         undecidedDeltas.clear();
@@ -67,10 +67,10 @@
         addAccepted(new StateDelta(StateId.NONE, state.id(), state.voters(), List.copyOf(state.items())));
     }
 
-    /** A step was accepted. */
-    void addAccepted(StateDelta step) {
-        undecidedDeltas.add(step);
-        keptCharacters += step.characters();
+    /** Adds an accepted delta, and discards the oldest decided deltas beyond the limits. */
+    void addAccepted(StateDelta delta) {
+        undecidedDeltas.add(delta);
+        keptCharacters += delta.characters();
         while (!decidedDeltas.isEmpty() && exceedsLimits()) {
             keptCharacters -= decidedDeltas.poll().characters();
         }
@@ -80,25 +80,25 @@
         return decidedDeltas.size() + undecidedDeltas.size() > MAX_KEPT_DELTAS || keptCharacters > MAX_KEPT_CHARACTERS;
     }
 
-    /** A state is decided; all that it was made from is so too. */
-    void decide(StateId stamp) {
-        newestKnownDecided = StateId.max(newestKnownDecided, stamp);
-        if (stamp.compareTo(decided) > 0) {
-            publish(countDecidedBy(stamp));
+    /** Records that a state is decided, and with it all states that it was derived from. */
+    void decide(StateId stateId) {
+        newestKnownDecided = StateId.max(newestKnownDecided, stateId);
+        if (stateId.compareTo(decided) > 0) {
+            publish(countDecidedBy(stateId));
         }
     }
 
-    /** How many of the open steps a decided state settles. */
-    private int countDecidedBy(StateId stamp) {
-        int settles = 0;
+    /** The number of undecided deltas that a decided state makes decided. */
+    private int countDecidedBy(StateId stateId) {
+        int decidedCount = 0;
         int position = 0;
-        for (StateDelta step : undecidedDeltas) {
+        for (StateDelta delta : undecidedDeltas) {
             position++;
-            if (step.stateId().isAtOrBefore(stamp)) {
-                settles = position;
+            if (delta.stateId().isAtOrBefore(stateId)) {
+                decidedCount = position;
             }
         }
-        return settles;
+        return decidedCount;
     }
 
     private void publish(int count) {
@@ -107,27 +107,27 @@
         }
         List<Item> changed = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            StateDelta step = undecidedDeltas.poll();
-            decidedDeltas.add(step);
-            for (VersionedItem entry : step.items()) {
+            StateDelta delta = undecidedDeltas.poll();
+            decidedDeltas.add(delta);
+            for (VersionedItem entry : delta.items()) {
                 if (items.merge(entry.item())) {
                     changed.add(entry.item());
                 }
             }
-            voters = step.voters();
-            decided = step.stateId();
+            voters = delta.voters();
+            decided = delta.stateId();
         }
         environment.onDecided(changed, voters);
     }
 
-    /** The steps that lead from a state to the newest accepted one; null if they are not kept. */
+    /** The deltas that lead from a state to the newest accepted one; null if they are not kept. */
     List<StateDelta> deltasFrom(StateId base) {
         if (base.equals(StateId.NONE)) {
             return null;
         }
-        List<StateDelta> missing = Stream.concat(decidedDeltas.stream(), undecidedDeltas.stream())
-                .dropWhile(step -> !step.base().equals(base))
+        List<StateDelta> deltas = Stream.concat(decidedDeltas.stream(), undecidedDeltas.stream())
+                .dropWhile(delta -> !delta.base().equals(base))
                 .toList();
-        return missing.isEmpty() ? null : missing;
+        return deltas.isEmpty() ? null : deltas;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Leadership.java
@@ -16,23 +16,26 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Proposes states. To lead, a store has a majority promise its ballot, takes over the newest state that any of them has
- * accepted, and has a majority accept that as its own: whatever may have been decided is so now. Then it decides orders,
- * one state after another. Answers rest on a majority that was asked after the call came, so a store that was cut off,
- * frozen or overtaken answers nothing.
+ * The proposer of one store. To become leader, a store obtains promises for its ballot from a majority, takes over the
+ * newest state that any of them has accepted, and has a majority accept that state under its own ballot; every state
+ * that may have been decided before is decided then. After that it decides changes, one state after another. A change
+ * or a read is answered only once a majority that was asked after the call arrived has confirmed the ballot, so a store
+ * that was partitioned, frozen or outbid answers nothing.
  */
 final class Leadership {
 
+    /** How long a store tries to become leader before it gives up, in milliseconds. */
     private static final double ELECTION_TIMEOUT_MS = 900;
+
     private static final double RETRANSMIT_INTERVAL_MS = 200;
-    /** A leader without a majority for so long leads no more, in milliseconds. */
+    /** A leader whose requests get no majority for this long steps down, in milliseconds. */
     private static final double MAJORITY_LOSS_TIMEOUT_MS = 2_000;
 
     private enum Role {
         FOLLOWING,
-        /** Promises are awaited. */
+        /** Waiting for promises. */
         PREPARING,
-        /** The newest state is fetched from another store. */
+        /** Fetching the newest accepted state from another store. */
         FETCHING,
         LEADING
     }
@@ -47,22 +50,27 @@
     private final Map<Voter, AgreementMessage.Promise> promises = new HashMap<>();
     private final Set<Voter> prepareSentTo = new HashSet<>();
     private final Deque<PendingChange> pendingChanges = new ArrayDeque<>();
-    private final Deque<PendingAnswer> unconfirmed = new ArrayDeque<>();
+    private final Deque<PendingAnswer> awaitingConfirmation = new ArrayDeque<>();
     private final List<PendingAnswer> confirming = new ArrayList<>();
     private final Set<Voter> confirmedBy = new HashSet<>();
     private Role role = Role.FOLLOWING;
     private Ballot ballot = Ballot.NONE;
     private Proposal proposal;
-    private boolean ready;
+    private boolean established;
     private long highestRound;
     private long confirmationNumber;
     private double electionStartedAtMs;
-    private double sentAtMs;
+    private double lastSentAtMs;
     private double majorityAtMs;
 
     private record PendingChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {}
 
-    /** An answer that may be given once a majority has agreed; at its deadline the other one is given. */
+    /**
+     * An answer to a caller.
+     *
+     * @param onMajority gives the answer once a majority has agreed
+     * @param onUnknown tells the caller that the result is unknown, at the deadline or when this store steps down
+     */
     private record PendingAnswer(Runnable onMajority, Runnable onUnknown, double deadlineMs) {}
 
     private static final class Proposal {
@@ -71,48 +79,48 @@
         private final List<PendingAnswer> answers;
         private final Set<Voter> acceptedBy = new HashSet<>();
 
-        Proposal(StateDelta step, List<PendingAnswer> answers) {
-            this.delta = step;
+        Proposal(StateDelta delta, List<PendingAnswer> answers) {
+            this.delta = delta;
             this.answers = answers;
         }
     }
 
     Leadership(
             Voter self,
-            String lifeId,
+            String incarnationId,
             AgreementEnvironment environment,
             Acceptor acceptor,
             DecidedView view,
             ChangeRules rules) {
         this.self = self;
-        this.incarnationId = lifeId;
+        this.incarnationId = incarnationId;
         this.environment = environment;
         this.acceptor = acceptor;
         this.view = view;
         this.rules = rules;
-        this.fetch = new StatePull(self, lifeId + "-lead", environment);
+        this.fetch = new StatePull(self, incarnationId + "-lead", environment);
     }
 
     boolean isFollowing() {
         return role == Role.FOLLOWING;
     }
 
-    /** Whether this store's ballot has decided something and nobody is known to have a higher one. */
+    /** Whether this store has decided a state under its ballot and knows of no higher promise. */
     boolean isLeading() {
-        return role == Role.LEADING && ready;
+        return role == Role.LEADING && established;
     }
 
-    /** Whether nothing is being decided, so that a change of the voters may be proposed. */
+    /** Whether this store leads and no proposal is in progress, so that a change of the voters may be proposed. */
     boolean isIdle() {
         return isLeading() && proposal == null;
     }
 
-    /** A round that another store has used: the next ballot is higher. */
+    /** Records a round that another store has used; the next ballot of this store is higher. */
     void observeRound(long round) {
         highestRound = Math.max(highestRound, round);
     }
 
-    /** Asks for promises under a new ballot. Only a voter may. */
+    /** Asks the voters for promises under a new ballot. Does nothing unless this store is a voter. */
     void startElection(double nowMs) {
         if (!acceptor.state().voters().contains(self)) {
             return;
@@ -121,11 +129,11 @@
         ballot = new Ballot(highestRound + 1, incarnationId);
         observeRound(ballot.round());
         role = Role.PREPARING;
-        ready = false;
+        established = false;
         promises.clear();
         prepareSentTo.clear();
         electionStartedAtMs = nowMs;
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         Ballot own = ballot;
         prepareSentTo.add(self);
         StateId accepted = acceptor.state().id();
@@ -142,7 +150,10 @@
         }
     }
 
-    /** Takes a promise. Those that are needed depend on the voters of the newest state that was accepted anywhere. */
+    /**
+     * Handles a promise. A quorum is needed both of the voters of this store's accepted state and of the voters of the
+     * newest state that any promise reports.
+     */
     void onPromise(AgreementMessage.Promise promise, double nowMs) {
         if (role != Role.PREPARING || !promise.ballot().equals(ballot)) {
             return;
@@ -150,8 +161,8 @@
         promises.put(promise.from(), promise);
         AgreementMessage.Promise newest = newestPromise();
         sendPrepare(newest.voters());
-        boolean own = acceptor.state().voters().hasQuorum(promises::containsKey);
-        if (!own || !newest.voters().hasQuorum(promises::containsKey)) {
+        boolean promisedByOwnVoters = acceptor.state().voters().hasQuorum(promises::containsKey);
+        if (!promisedByOwnVoters || !newest.voters().hasQuorum(promises::containsKey)) {
             return;
         }
         if (newest.accepted().compareTo(acceptor.state().id()) <= 0) {
@@ -173,20 +184,20 @@
         return newest;
     }
 
-    /** Takes what was fetched: the newest accepted state, from which this store goes on. */
+    /** Handles the fetched state, the newest accepted one, and continues from it as leader. */
     void onFetched(PulledState pulled, double nowMs) {
         if (role != Role.FETCHING) {
             return;
         }
-        ControlState state = pulled.whole();
+        ControlState state = pulled.snapshot();
         if (state == null) {
             state = acceptor.state().copy();
-            for (StateDelta step : pulled.deltas()) {
-                if (!step.base().equals(state.id())) {
+            for (StateDelta delta : pulled.deltas()) {
+                if (!delta.base().equals(state.id())) {
                     stepDown();
                     return;
                 }
-                state.apply(step);
+                state.apply(delta);
             }
         }
         if (state.id().equals(newestPromise().accepted())) {
@@ -200,45 +211,47 @@
         return fetch;
     }
 
-    /** Goes on from a state: from this store's own if none is given. */
+    /**
+     * Proposes a first state under the new ballot, based on the fetched state, or on this store's own if that is null.
+     */
     private void takeOver(double nowMs, ControlState fetchedState) {
         role = Role.LEADING;
         majorityAtMs = nowMs;
         confirmationNumber = 0;
         ControlState base = fetchedState == null ? acceptor.state() : fetchedState;
         rules.reset(base.items().stream().map(VersionedItem::item).toList());
-        StateDelta step = new StateDelta(base.id(), base.id().next(ballot), base.voters(), List.of());
+        StateDelta delta = new StateDelta(base.id(), base.id().next(ballot), base.voters(), List.of());
         if (fetchedState == null) {
-            propose(step, List.of(), nowMs);
+            propose(delta, List.of(), nowMs);
             return;
         }
-        ControlState own = new ControlState(step.stateId(), base.voters(), base.items());
-        proposal = new Proposal(step, List.of());
-        if (!acceptor.install(own, false, onAcceptedLocally(step.stateId(), nowMs))) {
+        ControlState rebased = new ControlState(delta.stateId(), base.voters(), base.items());
+        proposal = new Proposal(delta, List.of());
+        if (!acceptor.install(rebased, false, onAcceptedLocally(delta.stateId(), nowMs))) {
             stepDown();
             return;
         }
-        view.reset(own);
+        view.reset(rebased);
         sendProposal(nowMs);
     }
 
-    private void propose(StateDelta step, List<PendingAnswer> answers, double nowMs) {
-        proposal = new Proposal(step, answers);
-        Acceptor.Outcome outcome = acceptor.accept(step, onAcceptedLocally(step.stateId(), nowMs));
+    private void propose(StateDelta delta, List<PendingAnswer> answers, double nowMs) {
+        proposal = new Proposal(delta, answers);
+        Acceptor.Outcome outcome = acceptor.accept(delta, onAcceptedLocally(delta.stateId(), nowMs));
         if (outcome != Acceptor.Outcome.ACCEPTED) {
             stepDown();
             return;
         }
-        view.addAccepted(step);
+        view.addAccepted(delta);
         sendProposal(nowMs);
     }
 
-    private Runnable onAcceptedLocally(StateId stamp, double nowMs) {
-        return () -> onAccepted(new AgreementMessage.Accepted(self, stamp), nowMs);
+    private Runnable onAcceptedLocally(StateId stateId, double nowMs) {
+        return () -> onAccepted(new AgreementMessage.Accepted(self, stateId), nowMs);
     }
 
     private void sendProposal(double nowMs) {
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         if (proposal == null) {
             return;
         }
@@ -250,7 +263,7 @@
         }
     }
 
-    /** Counts a store that has accepted the proposed state. */
+    /** Counts an acceptance of the proposed state, and decides it once a quorum has accepted. */
     void onAccepted(AgreementMessage.Accepted message, double nowMs) {
         if (proposal == null
                 || role != Role.LEADING
@@ -266,17 +279,17 @@
     private void onDecided(double nowMs) {
         Proposal done = proposal;
         proposal = null;
-        ready = true;
+        established = true;
         majorityAtMs = nowMs;
         view.decide(done.delta.stateId());
         done.answers.forEach(pending -> pending.onMajority().run());
         if (!done.delta.voters().contains(self)) {
-            // It was replaced, and has finished what it found: those that vote go on.
+            // The state that was just decided removes this store from the voters: a remaining voter leads next.
             stepDown();
         }
     }
 
-    /** A higher ballot was promised: this store leads no more, and what it had under way is not known. */
+    /** Handles a refusal: a higher ballot was promised, so this store steps down. */
     void onRefused(AgreementMessage.Refused message) {
         observeRound(message.promised().round());
         if (role != Role.FOLLOWING && message.refused().equals(ballot)) {
@@ -284,49 +297,52 @@
         }
     }
 
-    /** Ends all that is under way. Orders whose state was proposed may still be decided, by whoever leads next. */
+    /**
+     * Becomes a follower and answers all pending calls with an unknown result: a change that was proposed may still be
+     * decided by the next leader.
+     */
     void stepDown() {
         role = Role.FOLLOWING;
-        ready = false;
+        established = false;
         fetch.cancel();
-        List<PendingAnswer> open = new ArrayList<>(unconfirmed);
-        open.addAll(confirming);
+        List<PendingAnswer> unanswered = new ArrayList<>(awaitingConfirmation);
+        unanswered.addAll(confirming);
         if (proposal != null) {
-            open.addAll(proposal.answers);
+            unanswered.addAll(proposal.answers);
         }
         proposal = null;
-        unconfirmed.clear();
+        awaitingConfirmation.clear();
         confirming.clear();
-        List<PendingChange> waiting = new ArrayList<>(pendingChanges);
+        List<PendingChange> unproposed = new ArrayList<>(pendingChanges);
         pendingChanges.clear();
-        open.forEach(pending -> pending.onUnknown().run());
-        waiting.forEach(order -> order.callback().accept(ChangeResult.UNKNOWN));
+        unanswered.forEach(pending -> pending.onUnknown().run());
+        unproposed.forEach(change -> change.callback().accept(ChangeResult.UNKNOWN));
     }
 
-    /** Steps down if this store itself has promised a ballot of another one. */
+    /** Steps down if this store has promised another ballot than its own. */
     void stepDownIfOutbid() {
         if (role != Role.FOLLOWING && !acceptor.promised().equals(ballot)) {
             stepDown();
         }
     }
 
-    /** Queues an order. */
+    /** Queues a change. */
     void enqueueChange(List<Item> items, double deadlineMs, Consumer<ChangeResult> callback) {
         pendingChanges.add(new PendingChange(items, deadlineMs, callback));
     }
 
-    /** Queues an answer that needs a majority to confirm that nobody else leads. */
+    /** Queues an answer that may be given once a quorum has confirmed that this store still leads. */
     void enqueueConfirmation(Runnable answer, Runnable unknown, double deadlineMs) {
-        unconfirmed.add(new PendingAnswer(answer, unknown, deadlineMs));
+        awaitingConfirmation.add(new PendingAnswer(answer, unknown, deadlineMs));
     }
 
-    /** Proposes other voters. */
+    /** Proposes a change of the voters. */
     void proposeVoters(VoterSet next, double nowMs) {
         StateId base = acceptor.state().id();
         propose(new StateDelta(base, base.next(ballot), next, List.of()), List.of(), nowMs);
     }
 
-    /** Goes on with what waits. */
+    /** If this store leads, proposes the pending changes and requests confirmation of the pending answers. */
     void proposePending(double nowMs) {
         if (!isLeading()) {
             return;
@@ -334,31 +350,31 @@
         if (proposal == null && !pendingChanges.isEmpty()) {
             proposePendingChanges(nowMs);
         }
-        if (confirming.isEmpty() && !unconfirmed.isEmpty()) {
+        if (confirming.isEmpty() && !awaitingConfirmation.isEmpty()) {
             confirmationNumber++;
-            confirming.addAll(unconfirmed);
-            unconfirmed.clear();
+            confirming.addAll(awaitingConfirmation);
+            awaitingConfirmation.clear();
             confirmedBy.clear();
             sendConfirm();
             onConfirmed(new AgreementMessage.Confirmed(self, ballot, confirmationNumber), nowMs);
         }
     }
 
-    /** Decides all orders that wait as one state: judged one after the other, confirmed together. */
+    /** Proposes all pending changes as one state. They are evaluated one after another and decided together. */
     private void proposePendingChanges(double nowMs) {
         ChangeEvaluator evaluator = new ChangeEvaluator(acceptor.state(), rules);
         List<PendingAnswer> answers = new ArrayList<>();
-        for (PendingChange order : pendingChanges) {
-            ChangeResult result = evaluator.evaluate(order.items());
+        for (PendingChange change : pendingChanges) {
+            ChangeResult result = evaluator.evaluate(change.items());
             answers.add(new PendingAnswer(
-                    () -> order.callback().accept(result),
-                    () -> order.callback().accept(ChangeResult.UNKNOWN),
-                    order.deadlineMs()));
+                    () -> change.callback().accept(result),
+                    () -> change.callback().accept(ChangeResult.UNKNOWN),
+                    change.deadlineMs()));
         }
         pendingChanges.clear();
         Collection<VersionedItem> changed = evaluator.changedItems();
         if (changed.isEmpty()) {
-            unconfirmed.addAll(answers);
+            awaitingConfirmation.addAll(answers);
             return;
         }
         StateId base = acceptor.state().id();
@@ -374,7 +390,9 @@
         }
     }
 
-    /** Counts a store that has promised no higher ballot. */
+    /**
+     * Counts a confirmation that no higher ballot was promised, and gives the pending answers once a quorum confirmed.
+     */
     void onConfirmed(AgreementMessage.Confirmed message, double nowMs) {
         boolean current = message.ballot().equals(ballot) && message.number() == confirmationNumber;
         if (role != Role.LEADING || !current || confirming.isEmpty()) {
@@ -389,7 +407,7 @@
         }
     }
 
-    /** Sends again what may be lost, and gives up what takes too long. */
+    /** Retransmits messages that may be lost, and ends elections, proposals and calls that took too long. */
     void tick(double nowMs) {
         fetch.tick(nowMs);
         boolean starting = role == Role.PREPARING || role == Role.FETCHING;
@@ -402,14 +420,14 @@
         if (!waiting) {
             majorityAtMs = nowMs;
         }
-        if (nowMs - sentAtMs >= RETRANSMIT_INTERVAL_MS) {
+        if (nowMs - lastSentAtMs >= RETRANSMIT_INTERVAL_MS) {
             retransmit(nowMs);
         }
         expire(nowMs);
     }
 
     private void retransmit(double nowMs) {
-        sentAtMs = nowMs;
+        lastSentAtMs = nowMs;
         if (role == Role.PREPARING) {
             for (Voter member : prepareSentTo) {
                 if (!member.equals(self) && !promises.containsKey(member)) {
@@ -428,14 +446,14 @@
     }
 
     private void expire(double nowMs) {
-        List<Runnable> late = new ArrayList<>();
-        pendingChanges.removeIf(order ->
-                order.deadlineMs() <= nowMs && late.add(() -> order.callback().accept(ChangeResult.UNKNOWN)));
-        unconfirmed.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
-        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
+        List<Runnable> expired = new ArrayList<>();
+        pendingChanges.removeIf(change -> change.deadlineMs() <= nowMs
+                && expired.add(() -> change.callback().accept(ChangeResult.UNKNOWN)));
+        awaitingConfirmation.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
+        confirming.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
         if (proposal != null && !proposal.answers.isEmpty()) {
-            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && late.add(pending.onUnknown()));
+            proposal.answers.removeIf(pending -> pending.deadlineMs() <= nowMs && expired.add(pending.onUnknown()));
         }
-        late.forEach(Runnable::run);
+        expired.forEach(Runnable::run);
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
@@ -6,12 +6,12 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.Voter;
 
-/** Brings the state of another store here: asks page after page and checks the whole against its digest. */
+/** Pulls the state of another store: requests one page after another and verifies the whole state by its digest. */
 final class StatePull {
 
-    /** A page that did not come is asked for again after so long, in milliseconds. */
+    /** How long to wait for a page before it is requested again, in milliseconds. */
     private static final double RETRY_INTERVAL_MS = 300;
-    /** A transfer that brings nothing for so long is given up, in milliseconds. */
+    /** A transfer that receives nothing for this long is cancelled, in milliseconds. */
     private static final double STALL_TIMEOUT_MS = 1_500;
 
     private final Voter self;
@@ -23,18 +23,19 @@
     private String transferId;
     private StateId heldStateId;
     private StateId stateId;
-    private int page;
+    private int nextPage;
     private double requestedAtMs;
     private double lastReceivedAtMs;
 
     /**
-     * A pull without a transfer under way.
+     * A pull without a transfer in progress.
      *
-     * @param transferIdPrefix names this life and this user of transfers, so that answers to earlier ones are not taken
+     * @param transferIdPrefix identifies this run of the process and this user of transfers, so that answers to earlier
+     *     transfers are ignored
      */
-    StatePull(Voter self, String lifeId, AgreementEnvironment environment) {
+    StatePull(Voter self, String transferIdPrefix, AgreementEnvironment environment) {
         this.self = self;
-        this.transferIdPrefix = lifeId;
+        this.transferIdPrefix = transferIdPrefix;
         this.environment = environment;
     }
 
@@ -42,12 +43,12 @@
         return source != null;
     }
 
-    /** Whether the store that is asked now is this one. */
+    /** Whether the transfer in progress is from this store. */
     boolean isFrom(Voter store) {
         return store.equals(source);
     }
 
-    /** Begins a transfer; one that is under way is given up. */
+    /** Starts a transfer, and cancels the one in progress. */
     void begin(Voter from, StateId held, double nowMs) {
         source = from;
         heldStateId = held;
@@ -62,17 +63,17 @@
     }
 
     private void restart() {
-        page = 0;
+        nextPage = 0;
         stateId = null;
         items.clear();
     }
 
     private void requestPage(double nowMs) {
         requestedAtMs = nowMs;
-        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, page));
+        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, nextPage));
     }
 
-    /** Asks again for what did not come, or gives up. */
+    /** Requests a missing page again, or cancels a stalled transfer. */
     void tick(double nowMs) {
         if (!isActive()) {
             return;
@@ -84,11 +85,11 @@
         }
     }
 
-    private boolean isExpected(Voter from, String name) {
-        return isActive() && source.equals(from) && transferId.equals(name);
+    private boolean isExpected(Voter from, String expectedTransferId) {
+        return isActive() && source.equals(from) && transferId.equals(expectedTransferId);
     }
 
-    /** Takes a difference. Returns what was pulled if it is of the transfer under way. */
+    /** Handles a difference. Returns the pulled deltas if it belongs to the transfer in progress. */
     Optional<PulledState> receive(AgreementMessage.Difference difference) {
         if (!isExpected(difference.from(), difference.transferId())) {
             return Optional.empty();
@@ -97,7 +98,7 @@
         return Optional.of(new PulledState(difference.from(), difference.decided(), difference.deltas(), null));
     }
 
-    /** Takes a page. Returns what was pulled once all pages are there and match their digest. */
+    /** Handles a page. Returns the pulled state once all pages have arrived and match the digest. */
     Optional<PulledState> receive(AgreementMessage.Page received, double nowMs) {
         if (!isExpected(received.from(), received.transferId())) {
             return Optional.empty();
@@ -105,22 +106,22 @@
         if (stateId != null && !received.stateId().equals(stateId)) {
             restart();
         }
-        if (received.page() != page) {
+        if (received.page() != nextPage) {
             return Optional.empty();
         }
         lastReceivedAtMs = nowMs;
         stateId = received.stateId();
         items.addAll(received.items());
-        page++;
-        if (page < received.pageCount()) {
+        nextPage++;
+        if (nextPage < received.pageCount()) {
             requestPage(nowMs);
             return Optional.empty();
         }
-        ControlState whole = new ControlState(received.stateId(), received.voters(), items);
+        ControlState state = new ControlState(received.stateId(), received.voters(), items);
         cancel();
-        boolean intact = whole.digest() == received.digest();
+        boolean intact = state.digest() == received.digest();
         return intact
-                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), whole))
+                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), state))
                 : Optional.empty();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
@@ -8,14 +8,16 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** Sends this store's accepted state to others: what they lack, where that is little, else a snapshot in pages. */
+/**
+ * Sends this store's accepted state to other stores: the missing deltas if they are small, else a snapshot in pages.
+ */
 final class StateSource {
 
-    /** A page ends once its items have so many characters. */
+    /** A page ends once its items reach this size, in characters. */
     private static final long PAGE_CHARACTERS = 128 << 10;
-    /** A difference of more characters is not sent; the snapshot's pages are. */
+    /** A snapshot is sent instead of a difference that exceeds this size, in characters. */
     private static final long MAX_DIFFERENCE_CHARACTERS = 512 << 10;
-    /** For how long a snapshot is kept after its last page was asked for, in milliseconds. */
+    /** How long a snapshot is kept after the last request for one of its pages, in milliseconds. */
     private static final double SNAPSHOT_RETENTION_MS = 5_000;
 
     private static final int MAX_SNAPSHOTS = 8;
@@ -47,43 +49,43 @@
         this.view = view;
     }
 
-    /** The answer to a store that asks. */
+    /** The answer to a pull request. */
     AgreementMessage answer(AgreementMessage.Pull pull, double nowMs) {
-        Snapshot kept = snapshots.get(pull.transferId());
-        if (kept == null) {
-            List<StateDelta> steps = missingDeltas(pull.heldStateId());
-            if (steps != null) {
-                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), steps);
+        Snapshot snapshot = snapshots.get(pull.transferId());
+        if (snapshot == null) {
+            List<StateDelta> deltas = missingDeltas(pull.heldStateId());
+            if (deltas != null) {
+                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), deltas);
             }
-            kept = new Snapshot(acceptor.state());
-            snapshots.put(pull.transferId(), kept);
+            snapshot = new Snapshot(acceptor.state());
+            snapshots.put(pull.transferId(), snapshot);
         }
-        kept.requestedAtMs = nowMs;
-        int page = Math.min(pull.page(), kept.pages.size() - 1);
+        snapshot.requestedAtMs = nowMs;
+        int page = Math.min(pull.page(), snapshot.pages.size() - 1);
         return new AgreementMessage.Page(
                 self,
                 pull.transferId(),
                 view.decided(),
                 page,
-                kept.pages.size(),
-                kept.stateId,
-                kept.voters,
-                kept.pages.get(page),
-                kept.digest);
+                snapshot.pages.size(),
+                snapshot.stateId,
+                snapshot.voters,
+                snapshot.pages.get(page),
+                snapshot.digest);
     }
 
-    private List<StateDelta> missingDeltas(StateId have) {
-        if (have.equals(acceptor.state().id())) {
+    private List<StateDelta> missingDeltas(StateId heldStateId) {
+        if (heldStateId.equals(acceptor.state().id())) {
             return List.of();
         }
-        List<StateDelta> steps = view.deltasFrom(have);
-        long characters = steps == null
+        List<StateDelta> deltas = view.deltasFrom(heldStateId);
+        long characters = deltas == null
                 ? 0
-                : steps.stream().mapToLong(StateDelta::characters).sum();
-        return characters > MAX_DIFFERENCE_CHARACTERS ? null : steps;
+                : deltas.stream().mapToLong(StateDelta::characters).sum();
+        return characters > MAX_DIFFERENCE_CHARACTERS ? null : deltas;
     }
 
-    /** Forgets snapshots that nobody asks for any more. */
+    /** Discards snapshots that are no longer requested, and the oldest ones beyond the maximum number. */
     void tick(double nowMs) {
         snapshots.values().removeIf(snapshot -> nowMs - snapshot.requestedAtMs > SNAPSHOT_RETENTION_MS);
         while (snapshots.size() > MAX_SNAPSHOTS) {
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/SlidingWindowCounter.java
@@ -1,6 +1,6 @@
 package ridgemill.cdn.edge;
 
-/** Counts events of the last window, in steps of a part of it; those of the oldest step may be left out. */
+/** Counts the events of a sliding window in buckets. Events of the oldest bucket may be missing from the sum. */
 final class SlidingWindowCounter {
 
     private static final int BUCKETS = 20;
@@ -14,7 +14,7 @@
         bucketMs = windowMs / BUCKETS;
     }
 
-    /** Adds to the count of this moment, or takes from it. Returns the sum of the window. */
+    /** Adds a number, which may be negative, to the current bucket. Returns the sum over the window. */
     int add(int count, double nowMs) {
         advanceTo((long) Math.floor(nowMs / bucketMs));
         counts[(int) Math.floorMod(currentBucket, (long) BUCKETS)] += count;
@@ -22,16 +22,16 @@
         return sum;
     }
 
-    private void advanceTo(long step) {
+    private void advanceTo(long bucket) {
         if (currentBucket == Long.MIN_VALUE) {
-            currentBucket = step;
+            currentBucket = bucket;
         }
-        for (int passed = 0; currentBucket < step && passed < BUCKETS; passed++) {
+        for (int passed = 0; currentBucket < bucket && passed < BUCKETS; passed++) {
             currentBucket++;
-            int place = (int) Math.floorMod(currentBucket, (long) BUCKETS);
-            sum -= counts[place];
-            counts[place] = 0;
+            int index = (int) Math.floorMod(currentBucket, (long) BUCKETS);
+            sum -= counts[index];
+            counts[index] = 0;
         }
-        currentBucket = Math.max(currentBucket, step);
+        currentBucket = Math.max(currentBucket, bucket);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RetryBudgetTest.java
@@ -22,25 +22,25 @@
     }
 
     @Test
-    void theSlackIsAllThereIsWithoutRequests() {
+    void onlySlackIsAvailableWithoutRequests() {
         assertThat(takeAll(new RetryBudget(0.2, 50, WINDOW_MS), 0, 1)).isBetween(25, 50);
         assertThat(takeAll(new RetryBudget(0.2, 50, WINDOW_MS), 0, 10)).isBetween(2, 5);
         assertThat(takeAll(new RetryBudget(0.2, 0, WINDOW_MS), 0, 1)).isZero();
     }
 
     @Test
-    void whatWasTakenIsThereAgainOnlyAfterAWholeWindow() {
+    void takenRetriesReturnAfterFullWindow() {
         RetryBudget budget = new RetryBudget(0, 20, WINDOW_MS);
-        int whole = takeAll(budget, 0, 1);
-        assertThat(whole).isPositive();
+        int all = takeAll(budget, 0, 1);
+        assertThat(all).isPositive();
         assertThat(takeAll(budget, WINDOW_MS, 1)).isZero();
-        assertThat(takeAll(budget, WINDOW_MS * 1.06, 1)).isEqualTo(whole);
+        assertThat(takeAll(budget, WINDOW_MS * 1.06, 1)).isEqualTo(all);
         assertThat(takeAll(budget, WINDOW_MS * 1.5, 1)).isZero();
-        assertThat(takeAll(budget, WINDOW_MS * 9, 1)).as("after a long pause").isEqualTo(whole);
+        assertThat(takeAll(budget, WINDOW_MS * 9, 1)).as("after a long pause").isEqualTo(all);
     }
 
     @Test
-    void requestsCountForAWindowAndNoLonger() {
+    void requestsCountForOneWindow() {
         RetryBudget budget = new RetryBudget(0.2, 0, WINDOW_MS);
         for (int i = 0; i < 100; i++) {
             budget.countRequest(0);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatIsGivenBackMayBeTakenAgainOnce() {
+    void returnedRetryCanBeTakenOnce() {
         RetryBudget budget = new RetryBudget(0, 20, WINDOW_MS);
         takeAll(budget, 0, 1);
         budget.giveBack(0);
@@ -59,13 +59,13 @@
             budget.giveBack(WINDOW_MS * 3);
         }
         assertThat(takeAll(budget, WINDOW_MS * 3, 1))
-                .as("no credit from nothing")
+                .as("returns beyond the taken retries add nothing")
                 .isEqualTo(14);
     }
 
-    /** Uneven loads that jump: the sum stays under the bound in each window, however it lies. */
+    /** With uneven and changing loads, the sum stays within the limit in every window at any offset. */
     @Test
-    void allProxiesTogetherStayUnderTheBound() {
+    void allProxiesTogetherStayWithinLimit() {
         double ratio = 0.2;
         double slack = 50;
         int proxies = 7;
@@ -78,7 +78,7 @@
             int steps = 600;
             double stepMs = 100;
             int[] requests = new int[steps];
-            int[] repeats = new int[steps];
+            int[] retries = new int[steps];
             for (int step = 0; step < steps; step++) {
                 double load = step / 100 % 2 == 0 ? 0.6 : 0.1;
                 for (int i = 0; i < proxies; i++) {
@@ -88,25 +88,25 @@
                             budgets.get(i).countRequest(nowMs);
                             requests[step]++;
                         }
-                        repeats[step] += budgets.get(i).tryRetry(nowMs, proxies) ? 1 : 0;
+                        retries[step] += budgets.get(i).tryRetry(nowMs, proxies) ? 1 : 0;
                     }
                 }
             }
             int window = (int) (WINDOW_MS / stepMs);
             int all = 0;
             for (int end = 2 * window; end <= steps; end++) {
-                int sent = sum(repeats, end - window, end);
-                int seen = Math.max(
+                int sent = sum(retries, end - window, end);
+                int counted = Math.max(
                         sum(requests, end - window, end),
                         Math.max(
                                 sum(requests, end - 3 * window / 2, end - window / 2),
                                 sum(requests, end - 2 * window, end - window)));
                 assertThat((double) sent)
                         .as("seed %d, window to step %d", seed, end)
-                        .isLessThanOrEqualTo(ratio * seen + slack);
+                        .isLessThanOrEqualTo(ratio * counted + slack);
                 all += sent;
             }
-            assertThat(all).as("the bound was pressed against").isPositive();
+            assertThat(all).as("some retries were taken").isPositive();
         }
     }
 
@@ -118,10 +118,10 @@
         return sum;
     }
 
-    /** The fixed slack is divided without a floor: its parts stay below the whole at any size. */
+    /** The fixed slack is divided without a minimum: the shares stay within the total for any number of proxies. */
     @ParameterizedTest
     @ValueSource(ints = {1, 9, 73, 300, 1_300})
-    void theSlackOfAllTogetherStaysBelowTheWholeWhateverTheirNumber(int size) {
+    void slackOfAllProxiesStaysWithinTotal(int size) {
         double slack = 186;
         int taken = 0;
         for (int process = 0; process < size; process++) {
--- a/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
@@ -12,7 +12,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 9, 73, 300, 1_300})
-    void partsOfAllPlacesAddUpToTheWholeWhateverTheSize(int size) {
+    void sharesAddUpToTotalForAnySize(int size) {
         for (int units : new int[] {0, 1, 56, 130, 1_299, 4_000}) {
             for (int index : new int[] {0, 1, 7, 309}) {
                 int sum = 0;
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void severalBoundsTogetherLeaveNobodyWithoutAPartIfThereIsOneForEach() {
+    void twoLimitsTogetherGiveEveryPositionAShare() {
         int size = 73;
         for (int rank = 0; rank < size; rank++) {
             FleetPosition position = new FleetPosition(size, rank);
@@ -42,17 +42,17 @@
         Fleet fleet = new Fleet(FleetPosition.ALONE, caches);
         int sum = 0;
         for (CacheNode cache : caches) {
-            CachePosition place = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
-            assertThat(place.region().size()).isEqualTo(2);
-            sum += place.share(25, 1);
+            CachePosition position = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
+            assertThat(position.region().size()).isEqualTo(2);
+            sum += position.share(25, 1);
         }
         assertThat(sum).isEqualTo(25);
-        CacheNode unheard = new CacheNode("d", "4", "z3");
-        assertThat(fleet.cachePosition(unheard, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
+        CacheNode unknown = new CacheNode("d", "4", "z3");
+        assertThat(fleet.cachePosition(unknown, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
     }
 
     @Test
-    void aPlaceIsOneOfTheSize() {
+    void rankMustBeWithinSize() {
         assertThatThrownBy(() -> new FleetPosition(3, 3)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new FleetPosition(0, 0)).isInstanceOf(IllegalArgumentException.class);
     }
