--- a/core/src/main/java/ridgemill/limit/LimitKey.java
+++ b/core/src/main/java/ridgemill/limit/LimitKey.java
@@ -55,8 +55,8 @@
     }
 
     /** A loop's rate when it has this fraction of the whole. */
-    static Rate fractionOf(Rate whole, double part) {
+    static Rate fractionOf(Rate whole, double fraction) {
         // A bucket of less than one token admits nothing, so a burst below the number of loops grows to that number.
-        return new Rate(whole.perSecond() * part, Math.max(1, whole.burst() * part));
+        return new Rate(whole.perSecond() * fraction, Math.max(1, whole.burst() * fraction));
     }
 }
--- a/core/src/main/java/ridgemill/membership/Membership.java
+++ b/core/src/main/java/ridgemill/membership/Membership.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Applies a complete list from a source. Returns the members that changed; removed ones have the state {@link
-     * State#OUT}.
+     * Applies a complete list from a source. Returns the members that changed; removed ones have the state
+     * {@link State#OUT}.
      */
     public List<Member> applySnapshot(double nowMs, String source, Collection<Instance> instances) {
         Source s = recordContact(nowMs, source);
--- a/core/src/main/java/ridgemill/registry/RegistryReadPolicy.java
+++ b/core/src/main/java/ridgemill/registry/RegistryReadPolicy.java
@@ -1,8 +1,8 @@
 package ridgemill.registry;
 
 /**
- * The times for reading a registry through an elected reader. Updates replace a proxy's own polls for {@code
- * updateTimeoutMs}. A change of the registry is therefore known after a poll and a datagram while the reader runs. If
+ * The times for reading a registry through an elected reader. Updates replace a proxy's own polls for
+ * {@code updateTimeoutMs}. A change of the registry is therefore known after a poll and a datagram while the reader runs. If
  * the reader is gone, it is known after {@code updateTimeoutMs}, a poll interval (the time by which an update may be
  * older than it appears) and a poll at most.
  *
