--- a/lab/src/test/java/ridgemill/lab/LoopsTest.java
+++ b/lab/src/test/java/ridgemill/lab/LoopsTest.java
@@ -293,7 +293,7 @@
             Router inner = OURS.apply(settings);
             return settings.proxyIndex() != 1 ? inner : (Router) Proxy.newProxyInstance(getClass().getClassLoader(),
                     new Class<?>[] {Router.class}, (proxy, method, args) -> {
-                        if (method.getName().equals("request") && seen.incrementAndGet() >= 100) {
+                        if (method.getName().equals("onRequest") && seen.incrementAndGet() >= 100) {
                             throw new NoClassDefFoundError("on purpose");
                         }
                         try {
