--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -7,8 +7,8 @@
 import ridgemill.core.Timers;
 
 /**
- * One request at one instance, from the wish for a connection to its verdict. Reports what came of it to the
- * statistics.
+ * One attempt to send a request to one instance, from acquiring a connection to the outcome, which it reports to the
+ * instance's statistics and the service's admission.
  */
 final class Attempt implements ConnectionListener {
 
@@ -35,14 +35,14 @@
             Upstream upstream,
             InstanceStats instance,
             OutgoingRequest request,
-            boolean repeatable,
+            boolean retryable,
             Consumer<Attempt> callback) {
         this.context = context;
         this.upstream = upstream;
         this.instance = instance;
         this.pool = upstream.pool(instance);
         this.request = request;
-        this.retryable = repeatable;
+        this.retryable = retryable;
         this.callback = callback;
     }
 
@@ -50,47 +50,48 @@
         return instance;
     }
 
-    /** How it ended. */
+    /** How the attempt ended; null while it is in progress. */
     AttemptOutcome outcome() {
         return outcome;
     }
 
-    /** The answer, if the verdict is that there is one. */
+    /** The response; null unless the instance or shared cache sent a complete one. */
     InstanceResponse response() {
         return response;
     }
 
-    /** Whether the request was handed to a connection, so that it may have arrived. */
+    /** Whether the request was passed to a connection, so that it may have reached the instance. */
     boolean isSent() {
         return !Double.isNaN(sentAtMs) && outcome != AttemptOutcome.NEVER_WRITTEN;
     }
 
     /**
-     * Begins.
+     * Starts the attempt.
      *
-     * @param requestDeadlineMs when the request's sender gives up
-     * @param silentUntilMs until when silence is borne
+     * @param requestDeadlineMs when the sender of the request stops waiting, on the proxy's clock
+     * @param timeoutAtMs when the attempt ends as {@code SILENT} if no response has arrived; infinite for no such
+     *     timeout
      */
-    void start(double requestDeadlineMs, double silentUntilMs) {
+    void start(double requestDeadlineMs, double timeoutAtMs) {
         deadlineMs = requestDeadlineMs;
-        responseTimeoutAtMs = silentUntilMs;
+        responseTimeoutAtMs = timeoutAtMs;
         instance.requestStarted();
         pool.acquire(retryable, this::connected);
     }
 
-    private void connected(InstanceConnection given) {
+    private void connected(InstanceConnection newConnection) {
         double nowMs = context.now();
         if (finished) {
-            connectedAfterCancel(given);
-        } else if (given == null) {
+            connectedAfterCancel(newConnection);
+        } else if (newConnection == null) {
             end(AttemptOutcome.CONNECT_FAILED, null);
         } else if (pool.isClosed() || deadlineMs - nowMs < MIN_REMAINING_MS) {
-            // The instance began to leave while the connection came up, or this process stood still: what is sent now
-            // would run too late.
-            pool.release(given);
+            // The instance began to drain while the connection was being established, or this process was paused: a
+            // request sent now would run too late.
+            pool.release(newConnection);
             end(AttemptOutcome.NEVER_WRITTEN, null);
         } else {
-            connection = given;
+            connection = newConnection;
             sentAtMs = nowMs;
             upstream.meters().countSent();
             context.invariants()
@@ -101,7 +102,7 @@
             if (responseTimeoutAtMs < Double.POSITIVE_INFINITY) {
                 timer = context.timers().scheduleAt(responseTimeoutAtMs, this::timedOut);
             }
-            given.send(
+            newConnection.send(
                     request.encode(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
                     request.attemptId(),
                     request.isHead(),
@@ -110,11 +111,14 @@
         }
     }
 
-    /** It was cancelled while its connection came up: the place that this held is free from now on. */
-    private void connectedAfterCancel(InstanceConnection given) {
+    /**
+     * The attempt was cancelled while its connection was being established. The slot that it held at the instance is
+     * released now.
+     */
+    private void connectedAfterCancel(InstanceConnection newConnection) {
         instance.requestWithdrawn();
-        if (given != null) {
-            pool.release(given);
+        if (newConnection != null) {
+            pool.release(newConnection);
         }
         upstream.retryWaiting();
     }
@@ -126,8 +130,13 @@
         }
     }
 
-    /** Gives it up without a word to the callback. A connection that is coming up holds its place until it is there. */
-    void cancel(boolean late) {
+    /**
+     * Cancels the attempt without calling the callback. If its connection is still being established, it keeps its
+     * slot at the instance until that ends.
+     *
+     * @param deadlinePassed whether the request's time has run out, which then counts as a failure of the instance
+     */
+    void cancel(boolean deadlinePassed) {
         if (finished) {
             return;
         }
@@ -136,7 +145,7 @@
         if (connection != null) {
             connection.abort();
         }
-        if (isSent() && late) {
+        if (isSent() && deadlinePassed) {
             report(AttemptOutcome.SILENT);
         } else {
             if (connection != null) {
@@ -148,30 +157,30 @@
     }
 
     @Override
-    public void exchangeEnded(AttemptOutcome how, InstanceResponse whole, String load) {
+    public void exchangeEnded(AttemptOutcome result, InstanceResponse completeResponse, String load) {
         if (load != null) {
             LoadHeader.apply(instance, load, context.now());
         }
-        boolean broke = how == AttemptOutcome.RESET || how == AttemptOutcome.NEVER_WRITTEN;
-        if (broke && connection.idleBeforeMs() == 0) {
+        boolean connectionBroke = result == AttemptOutcome.RESET || result == AttemptOutcome.NEVER_WRITTEN;
+        if (connectionBroke && connection.idleBeforeMs() == 0) {
             upstream.meters().countBrokenUnused();
         }
-        pool.exchangeEnded(connection, broke);
-        end(how, whole);
+        pool.exchangeEnded(connection, connectionBroke);
+        end(result, completeResponse);
     }
 
-    private void end(AttemptOutcome how, InstanceResponse whole) {
+    private void end(AttemptOutcome result, InstanceResponse completeResponse) {
         if (finished) {
             return;
         }
         finished = true;
         stopTimer();
-        outcome = how;
-        response = whole;
-        if (connection == null && how == AttemptOutcome.NEVER_WRITTEN) {
+        outcome = result;
+        response = completeResponse;
+        if (connection == null && result == AttemptOutcome.NEVER_WRITTEN) {
             instance.requestWithdrawn();
         } else {
-            report(how);
+            report(result);
         }
         returnOriginShare();
         callback.accept(this);
@@ -184,20 +193,20 @@
         }
     }
 
-    private void report(AttemptOutcome how) {
+    private void report(AttemptOutcome result) {
         double nowMs = context.now();
         double elapsedMs = nowMs - sentAtMs;
-        boolean failedInside = response != null && response.isFailure();
+        boolean serverFailed = response != null && response.isFailure();
         boolean timely = elapsedMs <= request.targetLatencyMs();
         instance.requestEnded(
-                nowMs, how, elapsedMs, failedInside, upstream.picker().mayEject(nowMs));
-        switch (how) {
-            case ANSWERED -> upstream.admission().countAttempt(!failedInside && timely);
+                nowMs, result, elapsedMs, serverFailed, upstream.picker().mayEject(nowMs));
+        switch (result) {
+            case ANSWERED -> upstream.admission().countAttempt(!serverFailed && timely);
             case SILENT, GARBLED -> upstream.admission().countAttempt(false);
             case RESET, CONNECT_FAILED -> upstream.admission().countConnectionFailure();
             case DECLINED -> upstream.admission().countAttempt(false);
             case REFUSED_BY_CACHE, MISDIRECTED, NEVER_WRITTEN -> {}
-            default -> throw new IllegalStateException(how.name());
+            default -> throw new IllegalStateException(result.name());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CacheProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CacheProgram.java
@@ -11,17 +11,21 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * A shared cache: reads objects from instances once for all edge proxies and keeps copies for them. It follows the control
- * plane as an edge proxy does, and offers itself once it knows enough. Its loss costs its copies; edge proxies then read
- * from the others, or from the instances. Everything runs on one event loop.
+ * A shared cache: fetches objects from instances once for all edge proxies and keeps copies of them. It follows the
+ * control plane like an edge proxy and announces itself once it has the configuration and the instances. If it is
+ * lost, only its copies are lost; edge proxies then read from the other shared caches or from the instances.
+ * Everything runs on one event loop.
  */
 public final class CacheProgram {
 
     private static final System.Logger LOG = System.getLogger(CacheProgram.class.getName());
     private static final long CHECK_INTERVAL_MS = 20;
-    /** How long edge proxies take to hear that it leaves, before its connections say so too, in milliseconds. */
+    /**
+     * Delay between withdrawing from the registries and draining connections, in milliseconds, so that edge proxies
+     * learn of the withdrawal before connections are closed.
+     */
     private static final long WITHDRAWAL_DELAY_MS = 500;
-    /** The share of the grace period after which the process ends whatever is left. */
+    /** Fraction of the grace period after which the process exits even if requests are in flight. */
     private static final double EXIT_GRACE_FRACTION = 0.75;
 
     private final Settings settings;
@@ -31,7 +35,7 @@
     private final DataPath dataPath;
     private boolean draining;
 
-    /** A shared cache that serves once it is started. */
+    /** Creates a shared cache; call {@link #start} to serve requests. */
     public CacheProgram(Settings settings, EventLoop loop, SocketKind sockets, Clock clock, MeterRegistry registry) {
         this.settings = settings;
         this.loop = loop;
@@ -44,7 +48,7 @@
     /**
      * Listens and connects to the control plane.
      *
-     * @throws io.netty.channel.ChannelException if the address can't be had
+     * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public void start() {
         dataPath.listen().syncUninterruptibly();
@@ -66,8 +70,11 @@
         }
     }
 
-    /** Leaves in order: edge proxies hear of it, what they have asked is answered, then the task is run. */
-    public void drain(Runnable ended) {
+    /**
+     * Shuts down gracefully: withdraws from the registries, responds to pending requests, then runs the task. The task
+     * also runs when three quarters of the grace period have passed, so it may run twice.
+     */
+    public void drain(Runnable exitTask) {
         loop.execute(() -> {
             if (draining) {
                 return;
@@ -75,22 +82,22 @@
             draining = true;
             LOG.log(System.Logger.Level.INFO, "event=draining in_flight=" + dataPath.inFlight());
             control.withdraw();
-            loop.schedule(() -> drainAndExit(ended), WITHDRAWAL_DELAY_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> drainAndExit(exitTask), WITHDRAWAL_DELAY_MS, TimeUnit.MILLISECONDS);
             long endMs = (long) (settings.bounds().gracePeriodMs() * EXIT_GRACE_FRACTION);
-            loop.schedule(ended, endMs, TimeUnit.MILLISECONDS);
+            loop.schedule(exitTask, endMs, TimeUnit.MILLISECONDS);
         });
     }
 
-    private void drainAndExit(Runnable ended) {
+    private void drainAndExit(Runnable exitTask) {
         dataPath.drain();
-        exitWhenIdle(ended);
+        exitWhenIdle(exitTask);
     }
 
-    private void exitWhenIdle(Runnable ended) {
+    private void exitWhenIdle(Runnable exitTask) {
         if (dataPath.inFlight() == 0) {
-            ended.run();
+            exitTask.run();
         } else {
-            loop.schedule(() -> exitWhenIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> exitWhenIdle(exitTask), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
@@ -5,11 +5,11 @@
 import ridgemill.cdn.edge.Invariant;
 import ridgemill.cdn.edge.RefusalReason;
 
-/** A read of an object that may be answered from a copy. */
+/** A read of an object that may be served from a copy. */
 final class CachedExchange extends Exchange {
 
-    /** How often a request may wait for fetches that others started and that failed. */
-    private static final int MAX_FETCHES = 2;
+    /** How many failed fetches of other requests a request may wait for before the next failure ends it. */
+    private static final int MAX_FAILED_SHARED_FETCHES = 2;
 
     private final ServiceState service;
     private final ObjectFetcher fetcher;
@@ -35,18 +35,21 @@
         return service;
     }
 
-    /** How old a copy was as the request arrived, in milliseconds; 0 if its fetch began later. */
+    /** The age of a copy at the time the request arrived, in milliseconds; 0 if its fetch started later. */
     private String ageOnArrival(CachedObject copy) {
         return Long.toString((long) Math.max(0, Math.ceil(arrivedAtMs() - copy.fetchStartedMs())));
     }
 
-    /** How old a copy may be that answers it, in milliseconds: infinite but for what edge proxies ask shared caches. */
+    /**
+     * The maximum acceptable age of a copy for this request, in milliseconds. Infinite unless an edge proxy sent a
+     * limit to this shared cache.
+     */
     double maxAgeMs() {
-        long told = CacheHeaders.getLong(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
-        return context().isSharedCache() && told < Long.MAX_VALUE ? told : Double.POSITIVE_INFINITY;
+        long limitMs = CacheHeaders.getLong(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
+        return context().isSharedCache() && limitMs < Long.MAX_VALUE ? limitMs : Double.POSITIVE_INFINITY;
     }
 
-    /** When it began to wait for the fetch that it waits for. */
+    /** When the request began to wait for its current fetch. */
     double requestedAtMs() {
         return requestedAtMs;
     }
@@ -58,31 +61,31 @@
         fetch = fetcher.serveOrFetch(this);
     }
 
-    /** The object is there. */
+    /** A usable copy is available. */
     void copyAvailable(CachedObject copy) {
         fetch = null;
         context()
                 .invariants()
                 .check(fetcher.isNotOlderThanPurges(copy, requestedAtMs), Invariant.COPY_NEWER_THAN_PURGE, copy.key());
-        FinalResponse answer = FinalResponse.of(copy, request());
-        boolean tellsAge = context().isSharedCache();
-        respond(tellsAge ? answer.addHeader(CacheHeaders.AGE, ageOnArrival(copy)) : answer);
+        FinalResponse response = FinalResponse.of(copy, request());
+        boolean addAge = context().isSharedCache();
+        respond(addAge ? response.addHeader(CacheHeaders.AGE, ageOnArrival(copy)) : response);
     }
 
-    /** It started the fetch and this came of it, which is no copy. */
+    /** The fetch that this request started ended without a copy. */
     void ownFetchFailed(UpstreamCall.Result result) {
         fetch = null;
         respond(result);
     }
 
-    /** Another one's fetch brought nothing that it may have. */
+    /** The fetch of another request ended without a copy that may be used for this one. */
     void sharedFetchFailed(UpstreamCall.Result result) {
         fetch = null;
         if (isFinished()) {
             return;
         }
         boolean refused = result instanceof UpstreamCall.Result.Failed failed && !failed.mayHaveRun();
-        if (refused || fetches > MAX_FETCHES) {
+        if (refused || fetches > MAX_FAILED_SHARED_FETCHES) {
             refuse(
                     RefusalReason.SHARED_FETCH,
                     result instanceof UpstreamCall.Result.Failed failed ? failed.retryAfterMs() : 0);
@@ -92,10 +95,10 @@
     }
 
     @Override
-    void cancel(boolean late) {
+    void cancel(boolean deadlinePassed) {
         if (fetch != null) {
             ownFetchMayHaveRun = fetch.isInitiatedBy(this) && fetch.mayHaveRun();
-            fetch.leave(this, late);
+            fetch.leave(this, deadlinePassed);
             fetch = null;
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
@@ -17,14 +17,22 @@
 import ridgemill.cdn.proxy.http.MessageWriter;
 import ridgemill.cdn.proxy.http.RequestReader;
 
-/** A client's connection: reads one request at a time and writes its answer before it looks at the next. */
+/**
+ * The connection of a client. It processes one request at a time and writes the response before it reads the next
+ * request.
+ */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
 
-    /** Bytes of further requests that are taken in while one is under way. */
+    /** Maximum number of bytes of pipelined requests that are buffered while a request is in progress. */
     private static final int MAX_PIPELINED_BYTES = 64 * 1_024;
-    /** How long a connection whose last answer is out is kept for its client to close it, in milliseconds. */
+    /**
+     * How long a connection is kept open after its last response, so that the client closes it first, in milliseconds.
+     */
     private static final double LINGER_MS = 1_000;
-    /** The stated idle time is this much below the true one, in milliseconds. */
+    /**
+     * The advertised keep-alive timeout is this much shorter than the actual one, in milliseconds, so that clients
+     * stop using a connection before it is closed.
+     */
     private static final long KEEP_ALIVE_MARGIN_MS = 1_000;
 
     private static final long MS_PER_SECOND = 1_000;
@@ -82,7 +90,7 @@
         }
     }
 
-    /** Reads requests as long as they are answered at once. */
+    /** Processes buffered requests until one is in progress or more bytes are needed. */
     private void process() {
         if (processing) {
             return;
@@ -112,7 +120,10 @@
         }
     }
 
-    /** A part of a request has come. */
+    /**
+     * Updates the timeout while a request has arrived only in part, and sends {@code 100 Continue} if the client waits
+     * for it.
+     */
     private void requestIncomplete(Limits limits) {
         if (!reader.hasHead()) {
             if (state == State.IDLE) {
@@ -155,17 +166,20 @@
         return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
     }
 
-    /** Writes the answer of the request that is under way; {@code exchange} is null if none was made for it. */
-    void respond(Exchange exchange, FinalResponse answer) {
+    /**
+     * Writes the response to the current request; {@code exchange} is null if the request was answered without one.
+     * Ignored if it is not the current exchange.
+     */
+    void respond(Exchange exchange, FinalResponse response) {
         if (state != State.BUSY || exchange != currentExchange) {
             return;
         }
         currentExchange = null;
         if (!keepAlive || dataPath.isDraining()) {
-            respondAndClose(answer);
+            respondAndClose(response);
             return;
         }
-        writeResponse(answer, keepAliveLine());
+        writeResponse(response, keepAliveLine());
         reader.reset();
         becomeIdle();
         dataPath.becameIdle(this);
@@ -178,19 +192,27 @@
         return seconds < 1 ? "" : "Keep-Alive: timeout=" + seconds + "\r\n";
     }
 
-    /** Writes an answer behind which the connection ends; what still comes is not read, so that it can't reset it. */
-    private void respondAndClose(FinalResponse answer) {
+    /**
+     * Writes the last response of the connection. Further input is discarded rather than left unread: closing a socket
+     * with unread input would reset the connection and could destroy the response.
+     */
+    private void respondAndClose(FinalResponse response) {
         state = State.CLOSING;
         timeoutAtMs = dataPath.now() + LINGER_MS;
         channel.config().setAutoRead(true);
-        writeResponse(answer, CONNECTION_CLOSE_LINE);
+        writeResponse(response, CONNECTION_CLOSE_LINE);
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
     }
 
-    private void writeResponse(FinalResponse answer, String more) {
+    private void writeResponse(FinalResponse response, String connectionHeader) {
         ByteBuf bytes = MessageWriter.response(
-                channel.alloc(), answer.status(), answer.headers(), more, answer.contentLength(), answer.body());
+                channel.alloc(),
+                response.status(),
+                response.headers(),
+                connectionHeader,
+                response.contentLength(),
+                response.body());
         if (state == State.CLOSING) {
             shutdownOutputAfter(channel.writeAndFlush(bytes));
         } else {
@@ -198,7 +220,7 @@
         }
     }
 
-    /** Closes it if its time has passed. */
+    /** Closes the connection, or responds with 408, if its timeout has passed. */
     void tick(double nowMs) {
         if (state == State.BUSY || nowMs < timeoutAtMs) {
             return;
@@ -212,19 +234,19 @@
         }
     }
 
-    /** Whether a part of an answer waits to be taken by the client's side. */
+    /** Whether some output has not been accepted by the socket yet. */
     boolean hasUnsentOutput() {
         return channel.isActive()
                 && channel.unsafe().outboundBuffer() != null
                 && !channel.unsafe().outboundBuffer().isEmpty();
     }
 
-    /** Whether no request is under way or coming, and the last answer has gone out whole. */
+    /** Whether no request is in progress or partially received, and the last response has been sent completely. */
     boolean isIdle() {
         return state == State.IDLE && !pending.isReadable() && !hasUnsentOutput();
     }
 
-    /** Closes it, behind what is still to be sent, if no request is under way or coming. */
+    /** Closes the connection after its unsent output if no request is in progress or partially received. */
     void closeIfIdle() {
         if (state == State.IDLE) {
             state = State.CLOSING;
@@ -232,7 +254,10 @@
         }
     }
 
-    /** Ends the output once a write is out; a close at once would drop what a slow client has not taken yet. */
+    /**
+     * Shuts down the output after a write has completed. Closing the connection at once would discard output that a
+     * slow client has not read yet.
+     */
     private void shutdownOutputAfter(ChannelFuture written) {
         timeoutAtMs = dataPath.now() + LINGER_MS;
         written.addListener((ChannelFutureListener) done -> {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnections.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnections.java
@@ -5,29 +5,38 @@
 import java.util.Set;
 
 /**
- * The connections of clients, within a bound: where one more would pass it, the one that has been idle for longest is
- * closed, and where none is idle the new one. Descriptors that clients took would be missing for requests to instances.
+ * The open connections of clients, limited in number. If a new connection exceeds the limit, the connection that has
+ * been idle for longest is closed, or the new one if none is idle. Without the limit, clients could use up the file
+ * descriptors that connections to instances need.
  */
 final class ClientConnections {
 
-    /** Descriptors for files, for listeners and for the links to the control plane, of which there may be two dozen. */
+    /**
+     * File descriptors reserved for files, listeners and the links to the control plane, of which there may be two
+     * dozen.
+     */
     private static final int RESERVED_DESCRIPTORS = 232;
-    /** One in so many of the others is kept for connections to instances and shared caches. */
+    /** One in this many of the remaining descriptors is reserved for connections to instances and shared caches. */
     private static final int UPSTREAM_DIVISOR = 2;
 
+    /** Lower bound of the limit, for processes with few file descriptors. */
     private static final int MIN_CONNECTIONS = 4;
 
     private final int maxConnections;
-    /** In the order in which they last became idle, or were opened. */
+    /** Ordered by when a connection last became idle or was opened, oldest first. */
     private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
 
-    /** No connections yet, in a process that may have so many descriptors open. */
+    /**
+     * Creates an empty set.
+     *
+     * @param fileDescriptors the maximum number of open file descriptors of the process
+     */
     ClientConnections(int fileDescriptors) {
-        int shared = fileDescriptors - RESERVED_DESCRIPTORS;
-        maxConnections = Math.max(MIN_CONNECTIONS, shared - shared / UPSTREAM_DIVISOR);
+        int available = fileDescriptors - RESERVED_DESCRIPTORS;
+        maxConnections = Math.max(MIN_CONNECTIONS, available - available / UPSTREAM_DIVISOR);
     }
 
-    /** A connection was opened; it is closed if there is no place for it. */
+    /** Adds a connection that was opened; closes it if the limit is reached and no connection is idle. */
     void opened(ClientConnection client) {
         if (openConnections.size() >= maxConnections && !closeLongestIdle()) {
             client.close();
@@ -39,7 +48,7 @@
     private boolean closeLongestIdle() {
         for (ClientConnection client : openConnections) {
             if (client.isIdle()) {
-                // It is counted as closed from now on: the news of its end comes later.
+                // Removed here because the notification of its close arrives later.
                 openConnections.remove(client);
                 client.close();
                 return true;
@@ -48,19 +57,19 @@
         return false;
     }
 
-    /** A connection's request was answered, and it waits for the next. */
+    /** Records that the response on a connection was written and that it waits for the next request. */
     void becameIdle(ClientConnection client) {
         if (openConnections.remove(client)) {
             openConnections.add(client);
         }
     }
 
-    /** A connection has ended. */
+    /** Removes a connection that was closed. */
     void closed(ClientConnection client) {
         openConnections.remove(client);
     }
 
-    /** All that are open, of which some may be closed while they are gone through. */
+    /** A snapshot of the open connections; they may be closed during iteration. */
     Iterable<ClientConnection> snapshot() {
         return new ArrayList<>(openConnections);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientRequest.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientRequest.java
@@ -3,14 +3,14 @@
 import ridgemill.cdn.proxy.http.Headers;
 
 /**
- * A whole request of a client.
+ * A complete request of a client.
  *
- * @param method its method
- * @param target its path and query as they came
- * @param host its Host header in lower case, without a port
- * @param attemptId the client's id of this try
- * @param headers all its headers as they came
- * @param body its whole body
+ * @param method the HTTP method
+ * @param target the path and query as received
+ * @param host the host name of the Host header in lower case, without the port
+ * @param attemptId the identifier that the client gave to this attempt
+ * @param headers all headers as received
+ * @param body the complete body
  */
 record ClientRequest(String method, String target, String host, String attemptId, Headers headers, byte[] body) {
 
@@ -18,18 +18,18 @@
     static final String DEADLINE = "X-Deadline-Remaining";
     static final String OPERATION_KEY = "X-Operation-Key";
 
-    /** The path without its query. */
+    /** The path without the query. */
     String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** What a copy of its object is kept under. */
+    /** The key under which a copy of the requested object is cached: host, path and query. */
     String cacheKey() {
         return host + target;
     }
 
-    /** How long the client will wait, in milliseconds; infinite if it did not say so in a way that makes sense. */
+    /** How long the client will wait, in milliseconds; infinite if the header is absent or malformed. */
     double remainingMs() {
         String text = headers.get(DEADLINE);
         if (text == null || text.isEmpty() || text.length() > 12) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionListener.java
@@ -2,14 +2,14 @@
 
 import ridgemill.cdn.edge.AttemptOutcome;
 
-/** Told how an exchange on a connection to an instance ended. */
+/** Receives the outcome of an exchange on a connection to an instance. */
 interface ConnectionListener {
 
     /**
-     * The exchange ended; told exactly once unless it was aborted.
+     * The exchange ended; called exactly once unless it was aborted.
      *
-     * @param answer what was read of an answer, if it is whole; else null
-     * @param load the load that the answer told; null if it told none
+     * @param response the response if it was read completely, else null
+     * @param load the value of the response's load header; null if there is none
      */
-    void exchangeEnded(AttemptOutcome verdict, InstanceResponse answer, String load);
+    void exchangeEnded(AttemptOutcome outcome, InstanceResponse response, String load);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionPool.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionPool.java
@@ -16,15 +16,18 @@
 import ridgemill.gateway.back.IdleAges;
 import ridgemill.gateway.net.Addresses;
 
-/** The connections to one life of one instance; the one that became idle last is used first. */
+/** The connections to one incarnation of one instance. The most recently used idle connection is used first. */
 final class ConnectionPool {
 
     private static final int CONNECT_TIMEOUT_MS = 400;
-    /** Idle connections are closed this long before the instance does so, as the news of it takes time. */
+    /**
+     * Idle connections are closed this long before the instance's own timeout, in milliseconds, because the
+     * notification of a close takes time to arrive.
+     */
     private static final double IDLE_MARGIN_MS = 400;
-    /** An idle time that instances are taken to grant where they state none. */
+    /** The assumed idle timeout of instances that do not state one, in milliseconds. */
     private static final double DEFAULT_IDLE_MS = 700;
-    /** The part of the granted idle time in which a connection is trusted with what can't be repeated. */
+    /** The fraction of the idle timeout during which a connection is used for requests that cannot be retried. */
     private static final double NON_RETRYABLE_IDLE_FRACTION = 0.4;
 
     private final ProxyContext context;
@@ -39,26 +42,27 @@
     private int connecting;
     private boolean closed;
 
-    ConnectionPool(ProxyContext context, Instance instance, IdleAges ages, ServiceMeters meters, boolean ofCache) {
+    ConnectionPool(
+            ProxyContext context, Instance instance, IdleAges ages, ServiceMeters meters, boolean toSharedCache) {
         this.context = context;
         this.stats = new InstanceStats(instance);
         this.ages = ages;
         this.meters = meters;
-        this.toSharedCache = ofCache;
+        this.toSharedCache = toSharedCache;
         this.address = Addresses.parse(instance.address());
     }
 
-    /** What is known of the instance. */
+    /** The statistics of the instance. */
     InstanceStats stats() {
         return stats;
     }
 
-    /** Whether the other side is a shared cache and no instance. */
+    /** Whether the pool connects to a shared cache rather than to an instance. */
     boolean isToSharedCache() {
         return toSharedCache;
     }
 
-    /** At most so many connections are held from now on; idle ones beyond that are closed. */
+    /** Limits the number of connections and closes idle connections above the limit. */
     void setMaxConnections(int connections) {
         maxConnections = connections;
         while (open > maxConnections && !idle.isEmpty()) {
@@ -66,7 +70,7 @@
         }
     }
 
-    /** Connections that are open now, in use or idle. */
+    /** The number of open connections, in use or idle. */
     int openConnections() {
         return open;
     }
@@ -76,15 +80,16 @@
     }
 
     /**
-     * Gives a connection to the callback, or null if none came up; at once if an idle one serves.
+     * Passes a connection to the callback, or null if none could be established. The callback is called at once if an
+     * idle connection can be used.
      *
-     * @param repeatable whether a request that is lost with an idle connection may be repeated
+     * @param retryable whether the request may be retried if it is lost with an idle connection
      */
-    void acquire(boolean repeatable, Consumer<InstanceConnection> callback) {
+    void acquire(boolean retryable, Consumer<InstanceConnection> callback) {
         double nowMs = now();
         for (InstanceConnection newest = idle.pollFirst(); newest != null; newest = idle.pollFirst()) {
             if (newest.isUsable()
-                    && newest.idleMs(nowMs) < maxIdleMs(newest) * (repeatable ? 1 : NON_RETRYABLE_IDLE_FRACTION)) {
+                    && newest.idleMs(nowMs) < maxIdleMs(newest) * (retryable ? 1 : NON_RETRYABLE_IDLE_FRACTION)) {
                 callback.accept(newest);
                 return;
             }
@@ -94,9 +99,9 @@
     }
 
     private double maxIdleMs(InstanceConnection connection) {
-        double stated = connection.keepAliveTimeoutMs();
-        double granted = Double.isNaN(stated) ? DEFAULT_IDLE_MS : Math.max(stated / 2, stated - IDLE_MARGIN_MS);
-        return Math.min(granted, ages.limitMs(System.nanoTime()));
+        double statedMs = connection.keepAliveTimeoutMs();
+        double allowedMs = Double.isNaN(statedMs) ? DEFAULT_IDLE_MS : Math.max(statedMs / 2, statedMs - IDLE_MARGIN_MS);
+        return Math.min(allowedMs, ages.limitMs(System.nanoTime()));
     }
 
     private void connect(Consumer<InstanceConnection> callback) {
@@ -117,23 +122,23 @@
         });
     }
 
-    /** A connection has come up. */
+    /** Records that a connection was established. */
     void opened() {
         open++;
         meters.countOpened();
     }
 
-    /** Whether the instance may be sent no new requests any more: it is leaving, gone or silent. */
+    /** Whether no new requests may be sent to the instance because it is draining, gone or unresponsive. */
     boolean isClosed() {
         return closed;
     }
 
-    /** Learns from how an exchange on a connection ended. */
-    void exchangeEnded(InstanceConnection connection, boolean broke) {
-        ages.used(connection.idleBeforeMs(), broke, System.nanoTime());
+    /** Records how an exchange ended, to learn how long idle connections stay usable. */
+    void exchangeEnded(InstanceConnection connection, boolean connectionBroke) {
+        ages.used(connection.idleBeforeMs(), connectionBroke, System.nanoTime());
     }
 
-    /** Takes a connection back that may be used again. */
+    /** Returns a reusable connection to the pool. */
     void release(InstanceConnection connection) {
         if (closed || open > maxConnections) {
             connection.close();
@@ -142,7 +147,7 @@
         }
     }
 
-    /** A connection has ended. */
+    /** Removes a connection that was closed. */
     void closed(InstanceConnection connection) {
         open--;
         idle.remove(connection);
@@ -150,22 +155,22 @@
 
     /** Closes connections that have been idle for so long that the instance may close them. */
     void closeExpired(double nowMs) {
-        List<InstanceConnection> old = null;
+        List<InstanceConnection> expired = null;
         for (Iterator<InstanceConnection> i = idle.descendingIterator(); i.hasNext(); ) {
             InstanceConnection connection = i.next();
             if (connection.idleMs(nowMs) < maxIdleMs(connection)) {
                 break;
             }
-            old = old == null ? new ArrayList<>() : old;
-            old.add(connection);
+            expired = expired == null ? new ArrayList<>() : expired;
+            expired.add(connection);
         }
-        if (old != null) {
-            idle.removeAll(old);
-            old.forEach(InstanceConnection::close);
+        if (expired != null) {
+            idle.removeAll(expired);
+            expired.forEach(InstanceConnection::close);
         }
     }
 
-    /** Closes what is idle, and what is in use once it is over. */
+    /** Closes idle connections now and connections in use when their exchange ends. */
     void close() {
         closed = true;
         List<InstanceConnection> all = new ArrayList<>(idle);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
@@ -21,16 +21,16 @@
 import ridgemill.policy.AdmissionLevel;
 
 /**
- * The data path of an edge proxy, or of a shared cache: takes requests in and answers each once. This class starts and ends it and
- * sees to what is due from time to time. Used on its event loop only.
+ * The data path of an edge proxy or of a shared cache: receives requests and responds to each exactly once. This class
+ * manages its life cycle and periodic work. It is used only on its event loop.
  */
 public final class DataPath {
 
     private static final double TICK_INTERVAL_MS = 250;
     private static final int ACCEPT_BACKLOG = 1_024;
-    /** The part of the heap that copies of objects may take. */
+    /** Fraction of the maximum heap size used for copies of objects by an edge proxy. */
     private static final double CACHE_HEAP_FRACTION = 0.45;
-    /** The same in a shared cache, which does little else. */
+    /** The same fraction for a shared cache, which uses little memory for anything else. */
     private static final double SHARED_CACHE_HEAP_FRACTION = 0.6;
 
     private final ProxyContext context;
@@ -40,7 +40,10 @@
     private Channel listener;
     private Timers.Timer tickTimer;
 
-    /** The data path of a shared cache: takes reads of edge proxies where it offers to, and fetches from instances alone. */
+    /**
+     * Creates the data path of a shared cache, which receives reads from edge proxies at its announced address and
+     * fetches objects from instances only.
+     */
     public static DataPath ofCache(
             EventLoop loop,
             SocketKind sockets,
@@ -61,7 +64,7 @@
                 (long) (SHARED_CACHE_HEAP_FRACTION * Runtime.getRuntime().maxMemory()));
     }
 
-    /** A data path that keeps copies of objects in a part of the heap. */
+    /** Creates the data path of an edge proxy. */
     public DataPath(
             EventLoop loop,
             SocketKind sockets,
@@ -75,10 +78,11 @@
     }
 
     /**
-     * A data path.
+     * Creates a data path.
      *
-     * @param timers its time and its timers, which run on the loop
-     * @param cacheBytes the memory that copies of objects may take, in bytes
+     * @param timers the clock and the timers, which run on the event loop
+     * @param cache the node of this shared cache; empty in an edge proxy
+     * @param cacheBytes the maximum size of the copies of objects, in bytes
      */
     DataPath(
             EventLoop loop,
@@ -115,7 +119,7 @@
         }
     }
 
-    /** Serves clients at the front address; the future fails if it can't be had. */
+    /** Listens for clients; the future fails if the address cannot be bound. */
     public ChannelFuture listen() {
         ChannelFuture bound = Listening.bootstrap(
                         context.loop(),
@@ -128,12 +132,12 @@
         return bound;
     }
 
-    /** Where clients are served, once {@link #listen} has succeeded. */
+    /** The address on which clients are served, once {@link #listen} has succeeded. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Takes no new connections; those that wait to be taken are taken first. */
+    /** Accepts the connections that are waiting in the accept queue, then closes the listener. */
     public void stopAccepting() {
         if (listener != null) {
             context.sockets().takeWaiting(listener);
@@ -141,7 +145,7 @@
         }
     }
 
-    /** From now on answers say that their connection is closed behind them; idle connections are closed. */
+    /** Starts draining: responses from now on carry {@code Connection: close}, and idle connections are closed. */
     public void drain() {
         context.startDraining();
         for (ClientConnection client : clients.snapshot()) {
@@ -149,7 +153,9 @@
         }
     }
 
-    /** How many requests are not over: their answer is not out, or their operation still runs. */
+    /**
+     * The number of unfinished requests: the response has not been sent completely, or the operation is still running.
+     */
     public int inFlight() {
         int unsent = 0;
         for (ClientConnection client : clients.snapshot()) {
@@ -158,22 +164,25 @@
         return context.inFlight() + unsent;
     }
 
-    /** Sets this proxy's share of a service's bound on its requests in place of an even one, in requests a second. */
+    /**
+     * Sets this proxy's share of the request rate limit of a service, in requests per second, in place of an equal
+     * share.
+     */
     public void setShare(String service, double perSecond) {
         context.service(service).assignShare(perSecond);
     }
 
-    /** What of a service's admission outlives a restart. */
+    /** The state of a service's admission that is kept across a restart. */
     public AdmissionLevel.Snapshot admission(String service) {
         return context.service(service).admission().snapshot();
     }
 
-    /** Takes in what of a service's admission an earlier life of this proxy left. */
-    public void restoreAdmission(String service, AdmissionLevel.Snapshot kept) {
-        context.service(service).admission().restore(kept, context.now());
+    /** Restores the admission state that an earlier incarnation of this proxy saved for a service. */
+    public void restoreAdmission(String service, AdmissionLevel.Snapshot saved) {
+        context.service(service).admission().restore(saved, context.now());
     }
 
-    /** How often something did not hold that must hold at any time. */
+    /** The number of violations of {@link ridgemill.cdn.edge.Invariant} since the start. */
     public long invariantViolations() {
         return context.invariants().violationCount();
     }
@@ -208,7 +217,7 @@
         });
     }
 
-    /** The exchange for a request; null if it was answered at once. */
+    /** Creates the exchange for a request; null if the request was answered at once. */
     Exchange route(ClientConnection client, ClientRequest request) {
         return router.route(client, request);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/EventLog.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/EventLog.java
@@ -2,7 +2,7 @@
 
 import ridgemill.core.Timers;
 
-/** The log: one line of key=value pairs for each event, with a brake on their number. */
+/** The event log: one line of key=value pairs for each event, limited in rate. */
 final class EventLog {
 
     private static final System.Logger LOGGER = System.getLogger("ridgemill.cdn.proxy");
@@ -18,7 +18,7 @@
         this.timers = timers;
     }
 
-    /** Logs an event; past a few lines each ten seconds they are only counted. */
+    /** Logs an event. Lines above the limit for each window of ten seconds are only counted. */
     void info(String event) {
         double nowMs = timers.now();
         if (nowMs - windowStartMs > WINDOW_MS) {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Logs a fault of this program. */
+    /** Logs an internal error. */
     static void error(String event, Throwable cause) {
         LOGGER.log(System.Logger.Level.ERROR, event, cause);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
@@ -4,10 +4,10 @@
 import ridgemill.cdn.edge.RefusalReason;
 import ridgemill.core.Timers;
 
-/** One request of a client, from its arrival to its one final answer. */
+/** One request of a client, from its arrival to its one final response. */
 abstract class Exchange {
 
-    /** The answer leaves this long before the deadline, in milliseconds. */
+    /** How long before the deadline the response is sent, in milliseconds. */
     private static final double RESPONSE_MARGIN_MS = 5;
 
     private final ProxyContext context;
@@ -28,19 +28,23 @@
         this.deadlineMs = arrivedAtMs + Math.min(request.remainingMs(), route.timeoutMs()) - RESPONSE_MARGIN_MS;
     }
 
-    /** Does what the request asks for; it answers sooner or later, or the deadline does. */
+    /** Starts processing the request. It responds later, unless the deadline passes first. */
     abstract void run();
 
-    /** The deadline has passed or the client has left: gives up what is under way. */
-    abstract void cancel(boolean late);
+    /**
+     * Cancels the work in progress.
+     *
+     * @param deadlinePassed true if the deadline has passed, false if the client has disconnected
+     */
+    abstract void cancel(boolean deadlinePassed);
 
     /** Whether the request may have run, or may be running. */
     abstract boolean mayHaveRun();
 
-    /** The service that it asks for. */
+    /** The service that the request is for. */
     abstract ServiceState service();
 
-    /** Starts the request and its deadline. */
+    /** Starts the request and its deadline timer. */
     final void start() {
         context.addInFlight(1);
         if (deadlineMs <= arrivedAtMs) {
@@ -55,18 +59,18 @@
         if (finished) {
             return;
         }
-        boolean ran = mayHaveRun();
+        boolean mayHaveRun = mayHaveRun();
         finished = true;
         cancel(true);
         finished = false;
-        if (ran) {
+        if (mayHaveRun) {
             fail(RefusalReason.OUT_OF_TIME);
         } else {
             refuse(RefusalReason.OUT_OF_TIME, 0);
         }
     }
 
-    /** The client has closed its connection. */
+    /** Called when the client has closed its connection. */
     final void clientDisconnected() {
         if (!finished) {
             end();
@@ -74,24 +78,24 @@
         }
     }
 
-    /** Gives the final answer, if none was given. */
-    final void respond(FinalResponse answer) {
+    /** Sends the final response unless the exchange is finished. */
+    final void respond(FinalResponse response) {
         if (!finished) {
             end();
-            client.respond(this, answer);
+            client.respond(this, response);
         }
     }
 
-    /** Refuses the request, which has not run and will not. */
-    final void refuse(RefusalReason reason, double waitMs) {
+    /** Refuses the request, which has not run and will not run. */
+    final void refuse(RefusalReason reason, double retryAfterMs) {
         if (!finished) {
             service().meters().countRefused(reason);
         }
-        FinalResponse refusal = FinalResponse.retryLater(503, request.attemptId(), waitMs);
+        FinalResponse refusal = FinalResponse.retryLater(503, request.attemptId(), retryAfterMs);
         respond(context.isSharedCache() ? refusal.addHeader(CacheHeaders.REFUSAL, reason.label()) : refusal);
     }
 
-    /** Ends the request, which may have run, without an answer of an instance. */
+    /** Ends a request that may have run without a response from an instance. */
     private void fail(RefusalReason reason) {
         if (!finished) {
             service().meters().countFailed(reason);
@@ -99,7 +103,7 @@
         respond(FinalResponse.generated(reason == RefusalReason.OUT_OF_TIME ? 504 : 502, request.attemptId()));
     }
 
-    /** Answers with what came of a delivery. */
+    /** Responds with the result of an upstream call. */
     final void respond(UpstreamCall.Result result) {
         if (result instanceof UpstreamCall.Result.Answered answered) {
             respond(FinalResponse.of(answered.response(), request.method().equals("HEAD")));
@@ -120,7 +124,7 @@
         context.addInFlight(-1);
     }
 
-    /** Whether the client needs no answer any more. */
+    /** Whether the response was sent or the client has disconnected. */
     final boolean isFinished() {
         return finished;
     }
@@ -141,7 +145,7 @@
         return arrivedAtMs;
     }
 
-    /** When the client gives up, on the proxy's clock. */
+    /** When the client stops waiting, on the proxy's clock, less the margin for sending the response. */
     final double deadlineMs() {
         return deadlineMs;
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InFlightOperations.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InFlightOperations.java
@@ -6,14 +6,16 @@
 import ridgemill.cdn.proxy.control.OperationRegister.RecordedResponse;
 
 /**
- * The keyed operations that this proxy is claiming or running. For each key one request at a time leads: it alone asks
- * the register. Repeats wait for what comes of it, which costs no votes.
+ * The keyed operations that this proxy is claiming or running. For each key one request at a time is the leader: only
+ * the leader claims the key at the register. Duplicates wait for its result, which costs no votes.
  */
 final class InFlightOperations {
 
     private final Map<String, ArrayDeque<KeyedExchange>> waitingByKey = new HashMap<>();
 
-    /** Makes a request the leader of its key, or lets it wait for the one that leads. Returns whether it leads. */
+    /**
+     * Makes a request the leader of its key, or lets it wait for the current leader. Returns whether it is the leader.
+     */
     boolean tryLead(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
@@ -24,7 +26,7 @@
         return false;
     }
 
-    /** A request does not wait any more. */
+    /** Removes a request that stopped waiting. */
     void removeWaiter(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting != null) {
@@ -32,15 +34,15 @@
         }
     }
 
-    /** The operation has run: all that wait receive its answer. */
-    void completed(String key, RecordedResponse answer) {
+    /** The operation has run: all waiting requests receive its response. */
+    void completed(String key, RecordedResponse response) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.remove(key);
         while (waiting != null && !waiting.isEmpty()) {
-            waiting.poll().leaderFinished(answer);
+            waiting.poll().leaderFinished(response);
         }
     }
 
-    /** The leader ends without an answer to give again: the first of those that wait leads on. */
+    /** The leader ended without a recorded response: the first waiting request becomes the leader. */
     void leaderAbandoned(String key) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
@@ -12,11 +12,11 @@
 import ridgemill.cdn.proxy.http.Headers;
 import ridgemill.cdn.proxy.http.ResponseReader;
 
-/** One connection to an instance; it carries one request at a time. */
+/** One connection to an instance or shared cache; it carries one request at a time. */
 final class InstanceConnection extends ChannelInboundHandlerAdapter {
 
     private static final int MISDIRECTED_STATUS = 421;
-    /** Surplus answers of earlier requests that are passed over before the one that is due. */
+    /** Maximum number of surplus responses to earlier requests that are skipped before the expected response. */
     private static final int MAX_SURPLUS_RESPONSES = 2;
 
     private static final double MS_PER_SECOND = 1_000;
@@ -42,7 +42,7 @@
         this.pool = pool;
     }
 
-    /** Whether a request may be sent on it. */
+    /** Whether a request may be sent on this connection. */
     boolean isUsable() {
         return channel != null && channel.isActive() && listener == null && !notReusable;
     }
@@ -52,12 +52,15 @@
         return nowMs - idleSinceMs;
     }
 
-    /** After which idle time the instance said it would close it, in milliseconds; not a number if it did not say. */
+    /**
+     * The idle timeout that the instance advertised in its Keep-Alive header, in milliseconds; NaN if it advertised
+     * none.
+     */
     double keepAliveTimeoutMs() {
         return keepAliveTimeoutMs;
     }
 
-    /** How long it had been idle before its current or last request; 0 for its first. */
+    /** How long it had been idle before its current or last request, in milliseconds; 0 for its first request. */
     double idleBeforeMs() {
         return idleBeforeMs;
     }
@@ -65,13 +68,13 @@
     /**
      * Sends a request.
      *
-     * @param bytes the whole request
-     * @param id the id that its answer must carry
-     * @param isHead whether its answer has no body
+     * @param bytes the complete request
+     * @param expectedId the attempt identifier that the response must carry
+     * @param isHead whether the request is a HEAD request, so that the response has no body
      */
-    void send(ByteBuf bytes, String id, boolean isHead, double nowMs, ConnectionListener to) {
-        listener = to;
-        attemptId = id;
+    void send(ByteBuf bytes, String expectedId, boolean isHead, double nowMs, ConnectionListener newListener) {
+        listener = newListener;
+        attemptId = expectedId;
         requestWritten = false;
         respondsEarly = false;
         surplusResponses = 0;
@@ -80,7 +83,7 @@
         reader.reset();
         reader.setHeadRequest(isHead);
         channel.writeAndFlush(bytes).addListener((ChannelFuture future) -> {
-            if (listener != to) {
+            if (listener != newListener) {
                 return;
             }
             if (future.isSuccess()) {
@@ -91,7 +94,7 @@
         });
     }
 
-    /** Gives up the exchange without a word to its listener and closes the connection. */
+    /** Aborts the exchange without calling its listener and closes the connection. */
     void abort() {
         listener = null;
         close();
@@ -106,7 +109,7 @@
         }
     }
 
-    /** It holds no place any more; told to the pool once, when it is closed from here or has ended. */
+    /** Reports the end of the connection to the pool once, when it is closed on this side or by the instance. */
     private void reportClosed() {
         if (connected && !closeReported) {
             closeReported = true;
@@ -130,13 +133,14 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         if (listener == null) {
-            // Nothing is awaited: it belongs to no request.
+            // No response is pending: the bytes belong to no request.
             bytes.release();
             close();
             return;
         }
         if (!requestWritten) {
-            // It answers before it has taken the whole request, of which the rest may still be on its way.
+            // The response begins before the request was written completely; the rest of the request may still be in
+            // transit.
             notReusable = true;
             respondsEarly = true;
         }
@@ -182,20 +186,20 @@
             notReusable = true;
         }
         String load = headers.get("X-Server-Load");
-        InstanceResponse answer =
+        InstanceResponse response =
                 new InstanceResponse(reader.status(), headers.endToEnd(), contentLength(headers), reader.body());
         boolean refused = pool.isToSharedCache() && headers.get(CacheHeaders.REFUSAL) != null;
-        endExchange(refused ? AttemptOutcome.REFUSED_BY_CACHE : outcomeOf(answer, headers), answer, load);
+        endExchange(refused ? AttemptOutcome.REFUSED_BY_CACHE : outcomeOf(response, headers), response, load);
     }
 
-    private static AttemptOutcome outcomeOf(InstanceResponse answer, Headers headers) {
-        if (answer.status() == MISDIRECTED_STATUS) {
+    private static AttemptOutcome outcomeOf(InstanceResponse response, Headers headers) {
+        if (response.status() == MISDIRECTED_STATUS) {
             return AttemptOutcome.MISDIRECTED;
         }
         if (headers.get("X-Not-Executed") != null) {
-            return answer.isSuccess() ? AttemptOutcome.GARBLED : AttemptOutcome.DECLINED;
+            return response.isSuccess() ? AttemptOutcome.GARBLED : AttemptOutcome.DECLINED;
         }
-        boolean garbled = headers.get("Content-Encoding") != null || answer.isSuccess() && !answer.isSealed();
+        boolean garbled = headers.get("Content-Encoding") != null || response.isSuccess() && !response.isSealed();
         return garbled ? AttemptOutcome.GARBLED : AttemptOutcome.ANSWERED;
     }
 
@@ -209,28 +213,33 @@
     }
 
     private static double parseKeepAliveTimeoutMs(String keepAlive) {
-        int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
-        if (at < 0) {
+        int position = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
+        if (position < 0) {
             return Double.NaN;
         }
         double seconds = 0;
-        for (int i = at + "timeout=".length(); i < keepAlive.length() && Character.isDigit(keepAlive.charAt(i)); i++) {
+        for (int i = position + "timeout=".length();
+                i < keepAlive.length() && Character.isDigit(keepAlive.charAt(i));
+                i++) {
             seconds = 10 * seconds + keepAlive.charAt(i) - '0';
         }
         return seconds * MS_PER_SECOND;
     }
 
-    /** What the end of a connection before a whole answer means: who began to answer may have run the request. */
+    /**
+     * The outcome if the connection ends before a complete response. An instance that began to respond may have run
+     * the request.
+     */
     private AttemptOutcome disconnectOutcome() {
         return requestWritten || respondsEarly ? AttemptOutcome.RESET : AttemptOutcome.NEVER_WRITTEN;
     }
 
-    private void endExchange(AttemptOutcome verdict, InstanceResponse answer, String load) {
-        ConnectionListener told = listener;
+    private void endExchange(AttemptOutcome outcome, InstanceResponse response, String load) {
+        ConnectionListener endedListener = listener;
         listener = null;
-        boolean intact = verdict == AttemptOutcome.ANSWERED
-                || verdict == AttemptOutcome.DECLINED
-                || verdict == AttemptOutcome.REFUSED_BY_CACHE;
+        boolean intact = outcome == AttemptOutcome.ANSWERED
+                || outcome == AttemptOutcome.DECLINED
+                || outcome == AttemptOutcome.REFUSED_BY_CACHE;
         if (!intact) {
             notReusable = true;
         }
@@ -240,8 +249,8 @@
         } else {
             pool.release(this);
         }
-        if (told != null) {
-            told.exchangeEnded(verdict, answer, load);
+        if (endedListener != null) {
+            endedListener.exchangeEnded(outcome, response, load);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceResponse.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceResponse.java
@@ -3,30 +3,30 @@
 import ridgemill.cdn.proxy.http.Headers;
 
 /**
- * A whole answer of an instance.
+ * A complete response of an instance.
  *
- * @param status its HTTP status
- * @param headers its end-to-end headers, without the length of the body
- * @param contentLength the length that its head states; negative if it states none
- * @param body its whole body
+ * @param status the HTTP status
+ * @param headers the end-to-end headers, without Content-Length
+ * @param contentLength the Content-Length of the response; negative if it has none
+ * @param body the complete body
  */
 record InstanceResponse(int status, Headers headers, long contentLength, byte[] body) {
 
-    /** The header that vouches for a success. */
     private static final double MS_PER_SECOND = 1_000;
 
+    /** The header with which an instance vouches for a successful response; a success without it is not accepted. */
     static final String SEAL = "X-Response-Seal";
 
     boolean isSuccess() {
         return status >= 200 && status < 300;
     }
 
-    /** Whether the instance says that it failed on its own account. */
+    /** Whether the status reports a failure of the server. */
     boolean isFailure() {
         return status >= 500;
     }
 
-    /** How long it asks to wait, in milliseconds; 0 if it does not say. */
+    /** The value of Retry-After, in milliseconds; 0 if it is absent or malformed. */
     double retryAfterMs() {
         String text = headers.get("Retry-After");
         try {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -13,10 +13,13 @@
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
 import ridgemill.gateway.back.IdleAges;
 
-/** The places of one kind that requests may be sent to, the connections to them, and the deliveries that wait for room. */
+/**
+ * The instances of a service, or the shared caches, to which requests may be sent, with the connections to them and
+ * the calls that wait for capacity.
+ */
 final class InstanceSet {
 
-    /** How many connections may be held to one of the instances, by its index in the order of identifiers. */
+    /** The maximum number of connections to one instance, by its index in the list ordered by identifier. */
     interface ConnectionShares {
         int share(int index);
     }
@@ -30,15 +33,15 @@
     private final ArrayDeque<UpstreamCall> waiting = new ArrayDeque<>();
 
     /**
-     * An empty set.
+     * Creates an empty set.
      *
-     * @param ofCaches whether the places are shared caches and not instances of a service
+     * @param sharedCaches whether the members are shared caches rather than instances of a service
      */
-    InstanceSet(ProxyContext context, InstancePicker picker, ServiceMeters meters, boolean ofCaches) {
+    InstanceSet(ProxyContext context, InstancePicker picker, ServiceMeters meters, boolean sharedCaches) {
         this.context = context;
         this.picker = picker;
         this.meters = meters;
-        this.sharedCaches = ofCaches;
+        this.sharedCaches = sharedCaches;
     }
 
     InstancePicker picker() {
@@ -49,29 +52,29 @@
         return pools.get(stats.instance().id());
     }
 
-    /** Requests may be sent to these from now on, and to no others. */
-    void update(List<Instance> instances, ConnectionShares parts) {
+    /** Replaces the instances to which requests may be sent. */
+    void update(List<Instance> instances, ConnectionShares shares) {
         List<InstanceStats> ready = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         int index = 0;
         for (Instance instance : instances) {
             ConnectionPool pool = pools.computeIfAbsent(
                     instance.id(), id -> new ConnectionPool(context, instance, ages, meters, sharedCaches));
-            int part = parts.share(index++);
-            pool.setMaxConnections(part);
+            int share = shares.share(index++);
+            pool.setMaxConnections(share);
             ids.add(instance.id());
-            if (part > 0) {
-                pool.stats().update(instance, context.isLocal(instance), part);
+            if (share > 0) {
+                pool.stats().update(instance, context.isLocal(instance), share);
                 ready.add(pool.stats());
             }
         }
         picker.instances(ready);
         pools.entrySet().removeIf(entry -> {
-            boolean gone = !ids.contains(entry.getKey());
-            if (gone) {
+            boolean removed = !ids.contains(entry.getKey());
+            if (removed) {
                 entry.getValue().close();
             }
-            return gone;
+            return removed;
         });
         retryWaiting();
     }
@@ -90,7 +93,7 @@
         }
     }
 
-    /** Connections to all places that are open now. */
+    /** The number of open connections to all instances. */
     int openConnections() {
         int open = 0;
         for (ConnectionPool pool : pools.values()) {
@@ -99,7 +102,7 @@
         return open;
     }
 
-    /** Closes connections that have been idle for too long and lets those that wait try again. */
+    /** Closes expired idle connections and lets waiting calls try again. */
     void tick(double nowMs) {
         for (ConnectionPool pool : pools.values()) {
             pool.closeExpired(nowMs);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InvariantChecker.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InvariantChecker.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import ridgemill.cdn.edge.Invariant;
 
-/** Checks what must hold at any time: breaks are counted and logged; the program goes on. */
+/** Checks invariants at run time: violations are counted and logged, and the program continues. */
 final class InvariantChecker {
 
     private final Map<Invariant, Counter> violations = new EnumMap<>(Invariant.class);
@@ -21,9 +21,10 @@
     }
 
     /**
-     * Counts a break unless the invariant holds.
+     * Records a violation if the invariant does not hold.
      *
-     * @param where the service or object that it concerns
+     * @param holds whether the invariant holds
+     * @param where the service, address or object concerned
      */
     void check(boolean holds, Invariant invariant, String where) {
         if (!holds) {
@@ -32,7 +33,7 @@
         }
     }
 
-    /** All breaks since the start. */
+    /** The number of violations since the start. */
     long violationCount() {
         return (long) violations.values().stream().mapToDouble(Counter::count).sum();
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -9,18 +9,24 @@
 import ridgemill.policy.RendezvousHash;
 
 /**
- * A request of a keyed operation. It runs only under a claim of the register; the claim is given back only where
- * nothing ran, and what ran is recorded, also after the client has left. Of several requests with one key at this proxy
- * one leads, see {@link InFlightOperations}; the others wait a while for its answer.
+ * A request of a keyed operation. It runs only under a claim of the register. The claim is released only if nothing
+ * ran; the response of an operation that ran is recorded, even after the client has disconnected. Of several requests
+ * with one key at this proxy one is the leader, see {@link InFlightOperations}; the others wait for its response for a
+ * limited time.
  */
 final class KeyedExchange extends Exchange {
 
+    /** Interval between claims while the claim of another proxy holds the key, in milliseconds. */
     private static final double CLAIM_RETRY_MS = 120;
-    /** Part of the route's target that a repeat waits for the first one's answer. */
+    /** Fraction of the route's target latency that a duplicate waits for the response of the first request. */
     private static final double WAIT_FRACTION = 0.25;
-    /** How long an operation that was sent may take beyond its deadline, so that its answer is recorded. */
+    /**
+     * How long after its deadline an operation that was sent may continue, so that its response is recorded, in
+     * milliseconds.
+     */
     private static final double RECORDING_GRACE_MS = 5_000;
 
+    /** Responses with a larger body are not recorded; the key then stays claimed. */
     private static final int MAX_RECORDED_BYTES = 1024 * 1024;
 
     private final ServiceState service;
@@ -29,7 +35,7 @@
     private Claim claim;
     private UpstreamCall call;
     private Timers.Timer timer;
-    /** Whether it leads and an answer of the register is due. */
+    /** Whether this is the leader and a response of the register is pending. */
     private boolean claimPending;
 
     private boolean leader;
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Until when a repeat waits for the first one's answer. */
+    /** Until when a duplicate waits for the response of the first request. */
     private double waitEndMs() {
         return Math.min(deadlineMs(), arrivedAtMs() + WAIT_FRACTION * route().targetLatencyMs());
     }
@@ -77,27 +83,30 @@
         respond(FinalResponse.retryLater(409, request().attemptId(), WAIT_FRACTION * route().targetLatencyMs()));
     }
 
-    /** The request that led has run the operation; its answer is this one's too. */
-    void leaderFinished(RecordedResponse answer) {
+    /** The leader has run the operation; its response is sent for this request too. */
+    void leaderFinished(RecordedResponse response) {
         stopTimer();
-        respond(FinalResponse.of(answer, request().attemptId()));
+        respond(FinalResponse.of(response, request().attemptId()));
     }
 
-    /** The request that led has ended without an answer; this one leads from now on. */
+    /** The previous leader ended without a recorded response; this request becomes the leader. */
     void becomeLeader() {
         stopTimer();
         leader = true;
         claim();
     }
 
-    /** Ceases to lead; what was learned goes to those that wait. */
-    private void endLeadership(RecordedResponse answer) {
+    /**
+     * Ends this request's leadership. Waiting requests receive the recorded response, or one of them becomes the
+     * leader if {@code response} is null.
+     */
+    private void endLeadership(RecordedResponse response) {
         if (!leader) {
             return;
         }
         leader = false;
-        if (answer != null) {
-            operations.completed(key, answer);
+        if (response != null) {
+            operations.completed(key, response);
         } else {
             operations.leaderAbandoned(key);
         }
@@ -126,20 +135,20 @@
         }
     }
 
-    private void granted(Claim given) {
+    private void granted(Claim newClaim) {
         if (isFinished()) {
-            context().register().release(given);
+            context().register().release(newClaim);
             endLeadership(null);
             return;
         }
-        claim = given;
-        long place = RendezvousHash.hashText(request().attemptId());
-        OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
+        claim = newClaim;
+        long hashKey = RendezvousHash.hashText(request().attemptId());
+        OutgoingRequest outgoing = OutgoingRequest.of(request(), hashKey, route().targetLatencyMs());
         call = new UpstreamCall(context(), service, route(), outgoing, false, deadlineMs(), this::callEnded);
         call.start();
     }
 
-    /** Another proxy's claim holds the key. */
+    /** The claim of another proxy holds the key. */
     private void keyHeld() {
         double nextMs = context().now() + CLAIM_RETRY_MS;
         if (nextMs < waitEndMs()) {
@@ -166,27 +175,27 @@
         endLeadership(recorded);
     }
 
-    private RecordedResponse record(InstanceResponse answer) {
-        if (answer.body().length > MAX_RECORDED_BYTES) {
+    private RecordedResponse record(InstanceResponse response) {
+        if (response.body().length > MAX_RECORDED_BYTES) {
             return null;
         }
         RecordedResponse recorded = new RecordedResponse(
-                answer.status(),
-                RequestSpecificHeaders.removeFrom(answer.headers().lines(), false),
-                answer.body());
+                response.status(),
+                RequestSpecificHeaders.removeFrom(response.headers().lines(), false),
+                response.body());
         context().register().finish(claim, recorded);
         return recorded;
     }
 
     @Override
-    void cancel(boolean late) {
+    void cancel(boolean deadlinePassed) {
         stopTimer();
         if (call != null && call.mayHaveRun()) {
             finishInBackground();
             return;
         }
         if (call != null) {
-            call.cancel(late);
+            call.cancel(deadlinePassed);
             context().register().release(claim);
         }
         if (!leader) {
@@ -196,7 +205,7 @@
         }
     }
 
-    /** Lets the operation end, so that repeats receive its answer. */
+    /** Lets the operation finish in the background, so that duplicates receive its response. */
     private void finishInBackground() {
         call.disableRetries();
         finishingInBackground = true;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/LoadHeader.java
@@ -3,14 +3,17 @@
 import ridgemill.cdn.edge.Digits;
 import ridgemill.cdn.edge.InstanceStats;
 
-/** Reads the header in which instances tell their load: running, waiting and slots, separated by commas. */
+/**
+ * Parses the header in which instances report their load: running requests, queued requests and slots, separated by
+ * commas.
+ */
 final class LoadHeader {
 
     private static final int MAX_DIGITS = 6;
 
     private LoadHeader() {}
 
-    /** Tells an instance's load to its statistics; what can't be read is ignored. */
+    /** Records the load of an instance in its statistics; a malformed value is ignored. */
     static void apply(InstanceStats instance, String text, double nowMs) {
         int first = text.indexOf(',');
         int second = text.indexOf(',', first + 1);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import ridgemill.cdn.edge.CachedObject;
 
-/** A fetch of one object under way, and the requests that wait for it; none at first if it is made ahead of need. */
+/**
+ * A fetch of one object in progress and the requests that wait for it. A refresh-ahead fetch starts without a waiting
+ * request.
+ */
 final class ObjectFetch {
 
     private record PurgedTag(String tag, double atMs) {}
@@ -19,18 +22,18 @@
     private boolean purged;
 
     /**
-     * A fetch that has not started.
+     * Creates a fetch that has not started.
      *
-     * @param starter the request that it is made for; null if no client waits for it
-     * @param older a copy that it may confirm; null if there is none
+     * @param initiator the request that started it; null for a refresh-ahead fetch
+     * @param storedCopy a copy that the fetch may revalidate; null if there is none
      */
-    ObjectFetch(String key, CachedExchange starter, CachedObject older, double startedMs) {
+    ObjectFetch(String key, CachedExchange initiator, CachedObject storedCopy, double startedMs) {
         this.key = key;
-        this.initiator = starter;
-        this.storedCopy = older;
+        this.initiator = initiator;
+        this.storedCopy = storedCopy;
         this.startedMs = startedMs;
-        if (starter != null) {
-            waiters.add(starter);
+        if (initiator != null) {
+            waiters.add(initiator);
         }
     }
 
@@ -46,16 +49,16 @@
         return startedMs;
     }
 
-    void setCall(UpstreamCall by) {
-        call = by;
+    void setCall(UpstreamCall newCall) {
+        call = newCall;
     }
 
-    /** Whether a copy that it brought had been fetched by another process before. */
+    /** Whether the fetched copy had been fetched earlier by another process. */
     boolean isFromOtherProcess(CachedObject copy) {
         return copy.fetchStartedMs() < startedMs;
     }
 
-    /** Whether a request waits for it. */
+    /** Whether any request waits for this fetch. */
     boolean hasWaiters() {
         return !waiters.isEmpty();
     }
@@ -72,23 +75,26 @@
         waiters.add(exchange);
     }
 
-    /** A request does not wait any more. The fetch goes on, as its object will be asked for again. */
-    void leave(CachedExchange exchange, boolean late) {
+    /**
+     * Removes a request that stopped waiting. The fetch continues if it may have reached an instance and its time has
+     * not run out, because the object will be requested again.
+     */
+    void leave(CachedExchange exchange, boolean deadlinePassed) {
         waiters.remove(exchange);
-        if (waiters.isEmpty() && call != null && (late || !call.mayHaveRun())) {
-            call.cancel(late);
+        if (waiters.isEmpty() && call != null && (deadlinePassed || !call.mayHaveRun())) {
+            call.cancel(deadlinePassed);
             exchange.context().fetcher().remove(this);
         }
     }
 
-    /** Those that wait, from the first; they are handed over. */
+    /** Removes and returns the waiting requests, in order of arrival. */
     List<CachedExchange> takeWaiters() {
         List<CachedExchange> all = new ArrayList<>(waiters);
         waiters.clear();
         return all;
     }
 
-    /** The object was purged: what comes may be given to those that wait already, and is not kept. */
+    /** The object was purged: the result may be used for requests that already wait, but must not be stored. */
     void purge() {
         purged = true;
     }
@@ -98,12 +104,12 @@
         purgedTags.add(new PurgedTag(tag, nowMs));
     }
 
-    /** Whether what came may be kept. */
+    /** Whether the result may be stored. */
     boolean isStorable(CachedObject copy) {
         return !purged && Double.isInfinite(purgedMs(copy));
     }
 
-    /** When the first purge of this copy came while it was under way; infinite if none came. */
+    /** When the first purge by tag that covers this copy arrived during the fetch; infinite if there was none. */
     double purgedMs(CachedObject copy) {
         for (PurgedTag purge : purgedTags) {
             if (copy.tags().contains(purge.tag())) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetcher.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetcher.java
@@ -17,14 +17,20 @@
 import ridgemill.cdn.proxy.http.Headers;
 import ridgemill.policy.RendezvousHash;
 
-/** Copies of objects and the fetches that bring them: one fetch at a time for each object, for all that ask for it. */
+/**
+ * The cached copies of objects and the fetches in progress: one fetch at a time per object, shared by all requests for
+ * it.
+ */
 final class ObjectFetcher implements ControlListener {
 
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
-    /** A copy fetched ahead of need is to be younger than this part of the time for which copies are kept. */
+    /** The maximum age of a copy that a refresh-ahead fetch accepts from a shared cache, as a fraction of the TTL. */
     private static final double REFRESH_MAX_AGE_FRACTION = 0.5;
-    /** Why a shared cache was not asked, or could not be: the instances are asked then. */
+    /**
+     * Failures after which the instances are used directly: no shared cache could be asked, or none could process the
+     * request.
+     */
     private static final Set<RefusalReason> FALLBACK_REASONS = EnumSet.of(
             RefusalReason.NO_INSTANCE,
             RefusalReason.CONNECT_FAILED,
@@ -42,7 +48,7 @@
         this.cache = cache;
     }
 
-    /** Answers a request from a copy, or lets it wait for a fetch, which is returned. */
+    /** Serves a request from a copy and returns null, or returns the fetch that the request waits for. */
     ObjectFetch serveOrFetch(CachedExchange exchange) {
         double nowMs = context.now();
         String key = exchange.request().cacheKey();
@@ -54,30 +60,30 @@
             exchange.copyAvailable(copy);
             return null;
         }
-        ObjectFetch underWay = joinable.get(key);
-        if (underWay != null
-                && underWay.startedMs() >= oldestMs
+        ObjectFetch current = joinable.get(key);
+        if (current != null
+                && current.startedMs() >= oldestMs
                 && (!context.isSharedCache() || context.control().receivesPurges())
-                && context.control().isCoveredSince(underWay.startedMs())) {
+                && context.control().isCoveredSince(current.startedMs())) {
             context.meters().countRead(ReadSource.SHARED_FETCH);
-            underWay.join(exchange);
-            return underWay;
+            current.join(exchange);
+            return current;
         }
         context.meters().countRead(ReadSource.OWN_FETCH);
         return fetch(exchange, key, copy, nowMs);
     }
 
-    /** Whether a copy may be given out: it is fresh, and every purge of it that was acknowledged is known here. */
+    /** Whether a copy may be served: it is fresh, and every acknowledged purge that covers it is known here. */
     private boolean isUsable(CachedObject copy, CachedExchange exchange, double nowMs) {
         return copy.isFresh(nowMs, exchange.route().cacheTtlMs())
                 && context.control().isCoveredSince(copy.purgeCoverageSinceMs())
                 && (!context.isSharedCache() || context.control().receivesPurges());
     }
 
-    /** Whether a copy is not older than a purge of it that was heard of before a moment. */
-    boolean isNotOlderThanPurges(CachedObject copy, double askedMs) {
+    /** Whether a copy is not older than any purge of it that was received before the request was made. */
+    boolean isNotOlderThanPurges(CachedObject copy, double requestedAtMs) {
         double purgedMs = purgeLog.lastPurgedMs(copy);
-        return copy.fetchStartedMs() >= purgedMs || purgedMs >= askedMs;
+        return copy.fetchStartedMs() >= purgedMs || purgedMs >= requestedAtMs;
     }
 
     private ObjectFetch fetch(CachedExchange exchange, String key, CachedObject copy, double nowMs) {
@@ -86,8 +92,8 @@
             exchange.refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return null;
         }
-        CachedObject older = copy != null && copy.etag() != null ? copy : null;
-        ObjectFetch fetch = new ObjectFetch(key, exchange, older, nowMs);
+        CachedObject storedCopy = copy != null && copy.etag() != null ? copy : null;
+        ObjectFetch fetch = new ObjectFetch(key, exchange, storedCopy, nowMs);
         double deadlineMs =
                 Math.max(exchange.deadlineMs(), nowMs + exchange.route().timeoutMs());
         newCall(fetch, exchange, deadlineMs, nowMs - purgeLog.lastPurgedMs(key)).start();
@@ -95,9 +101,9 @@
     }
 
     /**
-     * The delivery of a fetch for an object that a request asks for; it has not started.
+     * Creates the call for a fetch of the object that a request asks for; the call has not started.
      *
-     * @param maxAgeMs how old a copy of a shared cache may be, in milliseconds
+     * @param maxAgeMs the maximum age of a copy from a shared cache, in milliseconds
      */
     private UpstreamCall newCall(ObjectFetch fetch, CachedExchange exchange, double deadlineMs, double maxAgeMs) {
         joinable.put(fetch.key(), fetch);
@@ -107,55 +113,56 @@
                 fetch.storedCopy() == null ? null : fetch.storedCopy().etag(),
                 RendezvousHash.hashText(fetch.key()),
                 exchange.route().targetLatencyMs());
-        boolean overCaches = context.caches().isAvailable();
+        boolean viaSharedCaches = context.caches().isAvailable();
         ServiceState service = exchange.service();
-        OutgoingRequest sent = overCaches
+        OutgoingRequest sentRequest = viaSharedCaches
                 ? outgoing.forSharedCache(service.name(), exchange.route().version(), maxAgeMs)
                 : outgoing;
         UpstreamCall delivery = new UpstreamCall(
                 context,
-                overCaches ? context.caches().upstreamFor(service) : service,
+                viaSharedCaches ? context.caches().upstreamFor(service) : service,
                 exchange.route(),
-                sent,
+                sentRequest,
                 !context.isSharedCache(),
                 deadlineMs,
-                result -> callEnded(fetch, exchange, outgoing, deadlineMs, overCaches, result));
+                result -> callEnded(fetch, exchange, outgoing, deadlineMs, viaSharedCaches, result));
         fetch.setCall(delivery);
         return delivery;
     }
 
-    /** Fetches from the instances where no shared cache could be asked; nothing has run then. */
+    /** Fetches from the instances if no shared cache could be used and nothing has run. */
     private void callEnded(
             ObjectFetch fetch,
             CachedExchange exchange,
             OutgoingRequest outgoing,
             double deadlineMs,
-            boolean overCaches,
+            boolean viaSharedCaches,
             UpstreamCall.Result result) {
-        boolean unasked = overCaches
+        boolean fallBackToInstances = viaSharedCaches
                 && fetch.hasWaiters()
                 && result instanceof UpstreamCall.Result.Failed failed
                 && !failed.mayHaveRun()
                 && FALLBACK_REASONS.contains(failed.reason());
-        if (!unasked) {
+        if (!fallBackToInstances) {
             fetchEnded(fetch, result);
             return;
         }
-        UpstreamCall direct = new UpstreamCall(
+        UpstreamCall directCall = new UpstreamCall(
                 context,
                 exchange.service(),
                 exchange.route(),
                 outgoing,
                 true,
                 deadlineMs,
-                answer -> fetchEnded(fetch, answer));
-        fetch.setCall(direct);
-        direct.start();
+                directResult -> fetchEnded(fetch, directResult));
+        fetch.setCall(directCall);
+        directCall.start();
     }
 
     /**
-     * Fetches a copy anew that ends soon and is asked for often, once for all that ask. It is made only from what the
-     * origin's share and the admission leave over, is sent once, and bears the id of the request that showed the need.
+     * Refreshes a frequently used copy that expires soon, once for all requests. The fetch uses only spare capacity of
+     * the origin share and the admission, is sent once, and carries the attempt identifier of the request that
+     * triggered it.
      */
     private void refreshAhead(CachedExchange exchange, CachedObject copy, double nowMs) {
         ServiceState service = exchange.service();
@@ -168,7 +175,7 @@
                 || !service.admission().tryAdmitBackground(nowMs)) {
             return;
         }
-        // Should it fail, the next one needs as many uses again.
+        // If the fetch fails, the same number of uses is needed before the next one.
         cache.resetUses(copy.key());
         ObjectFetch fetch = new ObjectFetch(copy.key(), null, copy.etag() == null ? null : copy, nowMs);
         double maxAgeMs = REFRESH_MAX_AGE_FRACTION * exchange.route().cacheTtlMs();
@@ -178,7 +185,7 @@
         delivery.start();
     }
 
-    /** A fetch is over or was given up. */
+    /** Removes a fetch that ended or was cancelled. */
     void remove(ObjectFetch fetch) {
         running.remove(fetch);
         joinable.remove(fetch.key(), fetch);
@@ -192,15 +199,18 @@
             fetchFailed(fetch, result);
             return;
         }
-        double staleMs = purgeLog.lastPurgedMs(copy);
-        if (fetch.isFromOtherProcess(copy) && copy.fetchStartedMs() < staleMs && staleMs < fetch.startedMs()) {
-            // The other process had not heard of a purge yet: it is asked again for a newer one.
-            purgeLog.recordPath(copy.key(), staleMs);
+        double lastPurgedMs = purgeLog.lastPurgedMs(copy);
+        if (fetch.isFromOtherProcess(copy)
+                && copy.fetchStartedMs() < lastPurgedMs
+                && lastPurgedMs < fetch.startedMs()) {
+            // The other process had not received a purge yet: the requests fetch again with a lower maximum age.
+            purgeLog.recordPath(copy.key(), lastPurgedMs);
             fetch.takeWaiters().forEach(waiter -> waiter.sharedFetchFailed(result));
             return;
         }
-        CachedObject kept = cache.get(copy.key());
-        if (fetch.isStorable(copy) && (kept == null || kept.purgeCoverageSinceMs() <= copy.purgeCoverageSinceMs())) {
+        CachedObject existing = cache.get(copy.key());
+        if (fetch.isStorable(copy)
+                && (existing == null || existing.purgeCoverageSinceMs() <= copy.purgeCoverageSinceMs())) {
             cache.put(copy);
         }
         double purgedMs = fetch.purgedMs(copy);
@@ -214,44 +224,49 @@
     }
 
     private void fetchFailed(ObjectFetch fetch, UpstreamCall.Result result) {
-        boolean unasked = result instanceof UpstreamCall.Result.Answered answered
+        boolean unexpectedNotModified = result instanceof UpstreamCall.Result.Answered answered
                 && answered.response().status() == NOT_MODIFIED;
-        UpstreamCall.Result told =
-                unasked ? new UpstreamCall.Result.Failed(true, RefusalReason.ATTEMPTS_FAILED, 0) : result;
+        UpstreamCall.Result reported =
+                unexpectedNotModified ? new UpstreamCall.Result.Failed(true, RefusalReason.ATTEMPTS_FAILED, 0) : result;
         for (CachedExchange waiter : fetch.takeWaiters()) {
             if (fetch.isInitiatedBy(waiter)) {
-                waiter.ownFetchFailed(told);
+                waiter.ownFetchFailed(reported);
             } else {
-                waiter.sharedFetchFailed(told);
+                waiter.sharedFetchFailed(reported);
             }
         }
     }
 
-    /** The copy that an answer brings or confirms; null if it does neither. */
-    private static CachedObject toCopy(ObjectFetch fetch, InstanceResponse answer) {
-        if (answer.status() == NOT_MODIFIED && fetch.storedCopy() != null) {
-            String etag = answer.headers().get("ETag");
+    /** The copy that a response contains or revalidates; null if it does neither. */
+    private static CachedObject toCopy(ObjectFetch fetch, InstanceResponse response) {
+        if (response.status() == NOT_MODIFIED && fetch.storedCopy() != null) {
+            String etag = response.headers().get("ETag");
             boolean same = etag == null || etag.equals(fetch.storedCopy().etag());
-            return same ? fetch.storedCopy().revalidated(originFetchStartedMs(fetch, answer), fetch.startedMs()) : null;
+            return same
+                    ? fetch.storedCopy().revalidated(originFetchStartedMs(fetch, response), fetch.startedMs())
+                    : null;
         }
-        if (answer.status() != OK || !answer.isSealed()) {
+        if (response.status() != OK || !response.isSealed()) {
             return null;
         }
-        Headers headers = answer.headers();
+        Headers headers = response.headers();
         return new CachedObject(
                 fetch.key(),
                 RequestSpecificHeaders.removeFrom(
                         CacheHeaders.removeFrom(Headers.of(headers.lines())).lines(), true),
                 headers.get("ETag"),
                 tags(headers.get("X-Object-Tags")),
-                answer.body(),
-                originFetchStartedMs(fetch, answer),
+                response.body(),
+                originFetchStartedMs(fetch, response),
                 fetch.startedMs());
     }
 
-    /** When the fetch from the instance began, at the latest: a shared cache says how old its copy was as it answered. */
-    private static double originFetchStartedMs(ObjectFetch fetch, InstanceResponse answer) {
-        return fetch.startedMs() - CacheHeaders.getLong(answer.headers(), CacheHeaders.AGE, 0);
+    /**
+     * The latest time at which the fetch from the instance may have started: a shared cache states the age of its copy
+     * in the response.
+     */
+    private static double originFetchStartedMs(ObjectFetch fetch, InstanceResponse response) {
+        return fetch.startedMs() - CacheHeaders.getLong(response.headers(), CacheHeaders.AGE, 0);
     }
 
     private static List<String> tags(String header) {
@@ -268,7 +283,7 @@
         return tags;
     }
 
-    /** What is due from time to time. */
+    /** Removes expired purges. */
     void tick(double nowMs) {
         purgeLog.removeExpired(nowMs);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/OutgoingRequest.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/OutgoingRequest.java
@@ -6,15 +6,15 @@
 import ridgemill.cdn.proxy.http.MessageWriter;
 
 /**
- * A request as it goes to instances.
+ * A request as it is sent to instances.
  *
- * @param method its method
- * @param target its path and query
- * @param attemptId the id that its answer carries
+ * @param method the HTTP method
+ * @param target the path and query
+ * @param attemptId the attempt identifier that the response carries
  * @param headers the end-to-end headers, without those that each attempt sets
- * @param body its whole body
- * @param hashKey a hash that decides which instances are asked
- * @param targetLatencyMs the time within which an answer is in time, in milliseconds
+ * @param body the complete body
+ * @param hashKey the hash by which instances are selected
+ * @param targetLatencyMs the latency within which a response counts as timely, in milliseconds
  */
 record OutgoingRequest(
         String method,
@@ -27,13 +27,13 @@
 
     private static final String EXPECTED_INSTANCE = "X-Expected-Instance";
 
-    /** A client's request, passed on. */
-    static OutgoingRequest of(ClientRequest request, long placeKey, double targetMs) {
-        return of(request, forwardedHeaders(request), placeKey, targetMs);
+    /** Forwards a client's request. */
+    static OutgoingRequest of(ClientRequest request, long hashKey, double targetLatencyMs) {
+        return of(request, forwardedHeaders(request), hashKey, targetLatencyMs);
     }
 
-    /** A fetch of the whole object that a client asks for; a copy with this tag may be confirmed instead. */
-    static OutgoingRequest fetch(ClientRequest request, String etag, long placeKey, double targetMs) {
+    /** Fetches the complete object that a client asks for, or revalidates a copy if {@code etag} is not null. */
+    static OutgoingRequest fetch(ClientRequest request, String etag, long hashKey, double targetLatencyMs) {
         Headers headers = forwardedHeaders(request);
         for (String condition : new String[] {
             "Range", "If-Range", "If-None-Match", "If-Match", "If-Modified-Since", "If-Unmodified-Since"
@@ -43,12 +43,18 @@
         if (etag != null) {
             headers.add("If-None-Match", etag);
         }
-        return of(request, headers, placeKey, targetMs);
+        return of(request, headers, hashKey, targetLatencyMs);
     }
 
-    private static OutgoingRequest of(ClientRequest request, Headers headers, long placeKey, double targetMs) {
+    private static OutgoingRequest of(ClientRequest request, Headers headers, long hashKey, double targetLatencyMs) {
         return new OutgoingRequest(
-                request.method(), request.target(), request.attemptId(), headers, request.body(), placeKey, targetMs);
+                request.method(),
+                request.target(),
+                request.attemptId(),
+                headers,
+                request.body(),
+                hashKey,
+                targetLatencyMs);
     }
 
     private static Headers forwardedHeaders(ClientRequest request) {
@@ -58,11 +64,11 @@
     }
 
     /**
-     * The same request as it goes to a shared cache.
+     * The same request as sent to a shared cache.
      *
-     * @param service the service that was chosen for it
-     * @param routeVersion the version of the route by which it was chosen
-     * @param maxAgeMs how old a copy may be, in milliseconds; infinite if any that is fresh will do
+     * @param service the service that was selected for it
+     * @param routeVersion the version of the route that selected the service
+     * @param maxAgeMs the maximum age of a copy, in milliseconds; infinite if any fresh copy is acceptable
      */
     OutgoingRequest forSharedCache(String service, long routeVersion, double maxAgeMs) {
         Headers all = Headers.of(headers.lines())
@@ -78,10 +84,15 @@
         return method.equals("HEAD");
     }
 
-    /** The bytes of an attempt at an instance, which may take so long, in milliseconds. */
-    ByteBuf encode(ByteBufAllocator allocator, String instanceId, double leftMs) {
+    /**
+     * Encodes the request for one attempt.
+     *
+     * @param instanceId the instance that is expected to receive it
+     * @param remainingMs the time until the deadline, in milliseconds
+     */
+    ByteBuf encode(ByteBufAllocator allocator, String instanceId, double remainingMs) {
         Headers all = Headers.of(headers.lines())
-                .add(ClientRequest.DEADLINE, Long.toString(Math.max(1, (long) Math.floor(leftMs))))
+                .add(ClientRequest.DEADLINE, Long.toString(Math.max(1, (long) Math.floor(remainingMs))))
                 .add(EXPECTED_INSTANCE, instanceId);
         return MessageWriter.request(allocator, method, target, all, body);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/PassThroughExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/PassThroughExchange.java
@@ -4,7 +4,7 @@
 import ridgemill.cdn.edge.RefusalReason;
 import ridgemill.policy.RendezvousHash;
 
-/** A request that is passed to an instance and whose answer is passed back. */
+/** A request that is forwarded to an instance and whose response is returned unchanged. */
 final class PassThroughExchange extends Exchange {
 
     private final ServiceState service;
@@ -23,17 +23,17 @@
             refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
-        long place = RendezvousHash.hashText(request().attemptId());
-        OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
+        long hashKey = RendezvousHash.hashText(request().attemptId());
+        OutgoingRequest outgoing = OutgoingRequest.of(request(), hashKey, route().targetLatencyMs());
         call = new UpstreamCall(
                 context(), service, route(), outgoing, route().kind().isRetryable(), deadlineMs(), this::respond);
         call.start();
     }
 
     @Override
-    void cancel(boolean late) {
+    void cancel(boolean deadlinePassed) {
         if (call != null) {
-            call.cancel(late);
+            call.cancel(deadlinePassed);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyContext.java
@@ -16,7 +16,7 @@
 import ridgemill.core.Timers;
 import ridgemill.gateway.net.SocketKind;
 
-/** What the parts of the data path share. Used on the event loop only. */
+/** The components that the parts of the data path share. Used on the event loop only. */
 final class ProxyContext {
 
     private final EventLoop loop;
@@ -70,12 +70,12 @@
         return sockets;
     }
 
-    /** The time now, in milliseconds. */
+    /** The current time, in milliseconds. */
     double now() {
         return timers.now();
     }
 
-    /** Where buffers for writing come from. */
+    /** The allocator of output buffers. */
     ByteBufAllocator allocator() {
         return ByteBufAllocator.DEFAULT;
     }
@@ -96,27 +96,27 @@
         return register;
     }
 
-    /** Checks what must hold at any time. */
+    /** Checks invariants at run time. */
     InvariantChecker invariants() {
         return invariants;
     }
 
-    /** Whether this process is a shared cache and no edge proxy. */
+    /** Whether this process is a shared cache rather than an edge proxy. */
     boolean isSharedCache() {
         return sharedCache.isPresent();
     }
 
-    /** The place of this shared cache among all. */
+    /** The position of this shared cache in the fleet. */
     CachePosition cachePosition() {
         return control.fleet().cachePosition(sharedCache.orElseThrow(), settings::regionOf);
     }
 
-    /** The shared caches that objects are read from. */
+    /** The shared caches from which objects are read. */
     SharedCaches caches() {
         return caches;
     }
 
-    /** The data path's figures. */
+    /** The meters of the data path. */
     ProxyMeters meters() {
         return meters;
     }
@@ -130,17 +130,17 @@
         return localRegion.equals(settings.regionOf(instance.zone()));
     }
 
-    /** The copies of objects and the fetches that bring them. */
+    /** The copies of objects and the fetches in progress. */
     ObjectFetcher fetcher() {
         return fetcher;
     }
 
-    /** The keyed operations that this proxy claims or runs. */
+    /** The keyed operations that this proxy is claiming or running. */
     InFlightOperations operations() {
         return operations;
     }
 
-    /** The state of a service, which is made when it is first asked for. */
+    /** The state of a service, created on first use. */
     ServiceState service(String name) {
         ServiceState state = services.get(name);
         if (state == null) {
@@ -150,12 +150,12 @@
         return state;
     }
 
-    /** The states of all services that were asked for. */
+    /** The states of all services used so far. */
     Iterable<ServiceState> services() {
         return services.values();
     }
 
-    /** Whether connections are to be closed behind their next answer. */
+    /** Whether connections are closed after their next response. */
     boolean isDraining() {
         return draining;
     }
@@ -164,12 +164,12 @@
         draining = true;
     }
 
-    /** Requests that are not over: their answer is not out, or their operation still runs. */
+    /** The number of unfinished requests: the response has not been sent, or the operation is still running. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Counts a request as begun (1) or over (-1). */
+    /** Counts a request as started (1) or finished (-1). */
     void addInFlight(int change) {
         inFlight += change;
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyMeters.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyMeters.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 import ridgemill.cdn.edge.RefusalReason;
 
-/** The data path's figures that belong to no single service. */
+/** The meters of the data path. */
 final class ProxyMeters {
 
     /** Where the object of a read came from. */
     enum ReadSource {
-        /** A copy that this process held. */
+        /** A copy held by this process. */
         COPY,
-        /** A fetch that another read had begun. */
+        /** A fetch that another read had started. */
         SHARED_FETCH,
-        /** A fetch of its own. */
+        /** A fetch started by this read. */
         OWN_FETCH
     }
 
@@ -34,17 +34,17 @@
         }
     }
 
-    /** Counts a read of an object by where it is taken from. */
+    /** Counts a read of an object by its source. */
     void countRead(ReadSource source) {
         reads.get(source).increment();
     }
 
-    /** The figures of one service. */
+    /** Creates the meters of one service. */
     ServiceMeters service(String name) {
         return new ServiceMeters(registry, name);
     }
 
-    /** The figures of one service. */
+    /** The meters of one service. */
     static final class ServiceMeters {
 
         private final Map<RefusalReason, Counter> refused = new EnumMap<>(RefusalReason.class);
@@ -69,7 +69,7 @@
                     .increment();
         }
 
-        /** Counts a request that ended with a failure of this proxy's own; it may have run. */
+        /** Counts a request that this proxy ended with an error; it may have run. */
         void countFailed(RefusalReason reason) {
             failed.computeIfAbsent(reason, key -> counter("ridgemill.requests.failed", key))
                     .increment();
@@ -84,17 +84,20 @@
             sent.increment();
         }
 
-        /** Counts a connection to an instance that came up. */
+        /** Counts an established connection to an instance. */
         void countOpened() {
             opened.increment();
         }
 
-        /** Counts a connection that broke before it had brought an answer, as one over an instance's cap does. */
+        /**
+         * Counts a connection that broke before its first response, as happens to connections above an instance's
+         * limit.
+         */
         void countBrokenUnused() {
             brokenUnused.increment();
         }
 
-        /** Shows the service's state, read when the figures are asked for. */
+        /** Registers gauges for the state of the service. */
         void registerGauges(ServiceState state) {
             gauge("ridgemill.instance.connections.open", state, ServiceState::openConnections);
             gauge("ridgemill.admission.level", state, s -> s.admission().level());
@@ -105,7 +108,9 @@
             Gauge.builder(name, state, value).tag("service", service).register(registry);
         }
 
-        /** What was refused and failed since the start, by reason, as pairs for the log; empty if nothing was. */
+        /**
+         * The requests refused and failed since the start, by reason, as pairs for the log; empty if there were none.
+         */
         String describeRefusals() {
             StringBuilder text = new StringBuilder();
             append(text, "refused_", refused);
@@ -113,7 +118,9 @@
             return text.toString();
         }
 
-        /** Requests sent, connections opened and connections broken unused since the start, as pairs for the log. */
+        /**
+         * Requests sent, connections opened and connections broken before use since the start, as pairs for the log.
+         */
         String describeConnections() {
             return " sent=" + (long) sent.count() + " opened=" + (long) opened.count() + " broken_unused="
                     + (long) brokenUnused.count();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
@@ -12,8 +12,8 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The edge proxy: serves clients once the control plane has told it enough, and leaves in order on request. Everything
- * runs on one event loop.
+ * The edge proxy: serves clients once it has received enough from the control plane, and shuts down gracefully on
+ * request. Everything runs on one event loop.
  */
 public final class ProxyProgram {
 
@@ -23,9 +23,12 @@
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
     private static final long CHECK_INTERVAL_MS = 20;
-    /** The share of the grace period after which no new connections are accepted; the platform has noticed by then. */
+    /**
+     * Fraction of the grace period after which no new connections are accepted; the platform has noticed by then that
+     * the proxy is not ready.
+     */
     private static final double ACCEPT_GRACE_FRACTION = 0.45;
-    /** The share of the grace period after which the process ends whatever is left. */
+    /** Fraction of the grace period after which the process exits even if requests are in flight. */
     private static final double EXIT_GRACE_FRACTION = 0.92;
 
     private final Settings settings;
@@ -37,7 +40,7 @@
     private boolean listening;
     private boolean draining;
 
-    /** A proxy that serves once it is started. */
+    /** Creates a proxy; call {@link #start} to serve requests. */
     public ProxyProgram(Settings settings, EventLoop loop, SocketKind sockets, Clock clock, MeterRegistry registry) {
         this.settings = settings;
         this.loop = loop;
@@ -48,9 +51,9 @@
     }
 
     /**
-     * Tells its readiness and connects to the control plane.
+     * Starts the readiness endpoint and connects to the control plane.
      *
-     * @throws io.netty.channel.ChannelException if an address can't be had
+     * @throws io.netty.channel.ChannelException if an address cannot be bound
      */
     public void start() {
         if (settings.readyAddress() != null) {
@@ -82,10 +85,11 @@
     }
 
     /**
-     * Leaves in order: says that it is not ready, goes on serving until the platform has noticed, answers what it has,
-     * and runs the task at the latest shortly before the grace period ends.
+     * Shuts down gracefully: reports that it is not ready, continues to serve until the platform has noticed, finishes
+     * pending requests and runs the task. The task also runs shortly before the grace period ends, so it may run
+     * twice.
      */
-    public void drain(Runnable ended) {
+    public void drain(Runnable exitTask) {
         loop.execute(() -> {
             if (draining) {
                 return;
@@ -93,22 +97,23 @@
             draining = true;
             LOG.log(System.Logger.Level.INFO, "event=draining in_flight=" + dataPath.inFlight());
             dataPath.drain();
-            long grace = settings.bounds().gracePeriodMs();
-            loop.schedule(() -> stopAccepting(ended), (long) (grace * ACCEPT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
-            loop.schedule(ended, (long) (grace * EXIT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
+            long graceMs = settings.bounds().gracePeriodMs();
+            loop.schedule(
+                    () -> stopAccepting(exitTask), (long) (graceMs * ACCEPT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
+            loop.schedule(exitTask, (long) (graceMs * EXIT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
         });
     }
 
-    private void stopAccepting(Runnable ended) {
+    private void stopAccepting(Runnable exitTask) {
         dataPath.stopAccepting();
-        exitWhenIdle(ended);
+        exitWhenIdle(exitTask);
     }
 
-    private void exitWhenIdle(Runnable ended) {
+    private void exitWhenIdle(Runnable exitTask) {
         if (dataPath.inFlight() == 0) {
-            ended.run();
+            exitTask.run();
         } else {
-            loop.schedule(() -> exitWhenIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> exitWhenIdle(exitTask), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/RequestRouter.java
@@ -4,10 +4,10 @@
 import ridgemill.cdn.config.RouteKind;
 import ridgemill.policy.RendezvousHash;
 
-/** Finds the route and the service of each request, and makes the exchange that its route's kind asks for. */
+/** Finds the route and the service of each request and creates the exchange for the route's kind. */
 final class RequestRouter implements Router {
 
-    /** When a client is asked to come back while the configuration is not known yet, in milliseconds. */
+    /** Value of Retry-After while the configuration is not known yet, in milliseconds. */
     private static final double NOT_READY_RETRY_AFTER_MS = 250;
 
     private final ProxyContext context;
@@ -16,7 +16,10 @@
         this.context = context;
     }
 
-    /** The exchange for a request; null if it was answered at once, as it has no id, no route or no key. */
+    /**
+     * Creates the exchange for a request; null if it was answered at once because it has no attempt identifier, no
+     * route or no operation key.
+     */
     @Override
     public Exchange route(ClientConnection client, ClientRequest request) {
         if (request.attemptId() == null
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Router.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Router.java
@@ -1,8 +1,8 @@
 package ridgemill.cdn.proxy;
 
-/** Makes the exchange of each request that comes in. */
+/** Creates the exchange for each incoming request. */
 interface Router {
 
-    /** The exchange for a request; null if it was answered at once. */
+    /** Creates the exchange for a request; null if it was answered at once. */
     Exchange route(ClientConnection client, ClientRequest request);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ServiceState.java
@@ -15,20 +15,22 @@
 import ridgemill.cdn.settings.Bounds;
 import ridgemill.policy.RendezvousHash;
 
-/** All that this process keeps for one service: admission, budgets, instances and their connections. */
+/** The state that this process keeps for one service: admission, budgets, instances and their connections. */
 final class ServiceState implements Upstream {
 
-    /** An instance's connections are used up to this share of its cap by all processes together. */
+    /** The fraction of an instance's connection limit that all processes together use. */
     private static final double CONNECTION_CAP_FRACTION = 0.9;
-    /** The part of those that shared caches have at a service whose objects they fetch. */
+    /** The fraction of those connections that shared caches use at a service whose objects they fetch. */
     private static final double CACHE_CONNECTION_FRACTION = 0.5;
 
+    /** The connection limit assumed for a service that is missing from the configuration. */
     private static final int DEFAULT_CONNECTION_CAP = 2;
-    /** The part of the retry budget's share that shared caches have, as the edge proxies count the same requests. */
+    /** The fraction of the retry budget that shared caches have, because edge proxies count the same requests. */
     private static final double CACHE_RETRY_FRACTION = 0.25;
 
+    /** Connection failures at most instances within this time are attributed to the service's load, in milliseconds. */
     private static final double CONNECTION_FAILURE_WINDOW_MS = 3_000;
-    /** How often figures are logged of a service that refused something, in milliseconds. */
+    /** Interval between log lines with the counters of a service that refused requests, in milliseconds. */
     private static final double SUMMARY_INTERVAL_MS = 5_000;
 
     private final ProxyContext context;
@@ -93,18 +95,21 @@
         return instances.pool(stats);
     }
 
-    /** Connections to all instances that are open now. */
+    /** The number of open connections to all instances. */
     int openConnections() {
         return instances.openConnections();
     }
 
-    /** Sets this process' share of the service's bound on requests a second in place of an even one. */
+    /**
+     * Sets this process's share of the request rate limit of the service, in requests per second, in place of an equal
+     * share.
+     */
     void assignShare(double perSecond) {
         assignedShare = perSecond;
         refresh();
     }
 
-    /** Takes in what the control plane says of the service, its instances and who else sends to them. */
+    /** Applies the control plane's current view of the service, its instances and the fleet. */
     void refresh() {
         Service service = context.control().routing().service(name);
         Fleet fleet = context.control().fleet();
@@ -123,35 +128,35 @@
             originShare.setShare(assignedShare, context.now());
             return;
         }
-        RateDivision.Share part = context.isSharedCache()
+        RateDivision.Share share = context.isSharedCache()
                 ? division.forCache(rate, context.cachePosition())
                 : division.forProxy(rate, fleet.proxies(), !fleet.caches().isEmpty());
-        originShare.assign(part, context.now());
+        originShare.assign(share, context.now());
     }
 
-    /** How many connections the processes of this one's kind may have to one instance together. */
+    /** The maximum number of connections to one instance from all processes of this process's kind together. */
     private int totalConnections(Service service, Fleet fleet, int instanceCount) {
         int cap = service == null ? DEFAULT_CONNECTION_CAP : service.connectionCap();
-        int all = Math.max(1, (int) Math.floor(cap * CONNECTION_CAP_FRACTION));
-        int ofCaches = cacheConnections(all, fleet, instanceCount);
-        return context.isSharedCache() ? ofCaches : all - ofCaches;
+        int usable = Math.max(1, (int) Math.floor(cap * CONNECTION_CAP_FRACTION));
+        int forCaches = cacheConnections(usable, fleet, instanceCount);
+        return context.isSharedCache() ? forCaches : usable - forCaches;
     }
 
     /**
-     * How many of an instance's connections shared caches have together: half, but where proxies send other requests there
-     * too, no more than leaves one for each proxy over all instances.
+     * The number of connections to an instance that shared caches use together: half, but if proxies send other
+     * requests to the service too, at most as many as leave one connection for each proxy over all instances.
      */
-    private int cacheConnections(int all, Fleet fleet, int instanceCount) {
+    private int cacheConnections(int usable, Fleet fleet, int instanceCount) {
         RoutingTable routing = context.control().routing();
         if (fleet.caches().isEmpty() || !routing.hasCacheableRoute(name)) {
             return 0;
         }
-        int half = (int) Math.floor(all * CACHE_CONNECTION_FRACTION);
+        int half = (int) Math.floor(usable * CACHE_CONNECTION_FRACTION);
         if (!routing.hasUncacheableRoute(name) || instanceCount == 0) {
             return half;
         }
         int oneForEachProxy = (fleet.proxies().size() + instanceCount - 1) / instanceCount;
-        return Math.max(1, Math.min(half, all - oneForEachProxy));
+        return Math.max(1, Math.min(half, usable - oneForEachProxy));
     }
 
     @Override
@@ -169,7 +174,7 @@
         instances.retryWaiting();
     }
 
-    /** What is due from time to time. */
+    /** Performs periodic work. */
     void tick(double nowMs) {
         if (admission.isIntervalOver(nowMs)) {
             int before = admission.level();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCacheRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCacheRouter.java
@@ -6,8 +6,9 @@
 import ridgemill.cdn.edge.RefusalReason;
 
 /**
- * Takes the reads that edge proxies pass to a shared cache. The edge proxy has chosen route and service; where this process
- * does not know that choice to be allowed, or only by an older version of the route, it refuses, and nothing has run.
+ * Accepts the reads that edge proxies send to a shared cache. The edge proxy has selected the route and the service.
+ * If this process does not know that selection as valid, or only knows an older version of the route, it refuses the
+ * request, and nothing has run.
  */
 final class SharedCacheRouter implements Router {
 
@@ -34,11 +35,11 @@
     }
 
     private static boolean allows(Route route, ClientRequest request, String service) {
-        boolean leadsThere = route.destinations().stream()
+        boolean isDestination = route.destinations().stream()
                 .filter(destination -> destination.weight() > 0)
                 .map(Destination::service)
                 .anyMatch(name -> name.equals(service));
         long version = CacheHeaders.getLong(request.headers(), CacheHeaders.ROUTE_VERSION, Long.MAX_VALUE);
-        return route.kind() == RouteKind.CACHEABLE && leadsThere && route.version() >= version;
+        return route.kind() == RouteKind.CACHEABLE && isDestination && route.version() >= version;
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
@@ -12,12 +12,13 @@
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
 
 /**
- * The shared caches that this edge proxy reads objects from. Each object has one place among those of the proxy's region, by
- * rendezvous hash, so that it is fetched once for all proxies there; those of other regions are asked where none is left.
+ * The shared caches from which this edge proxy reads objects. Rendezvous hashing assigns each object to one shared
+ * cache of the proxy's region, so that it is fetched once for all proxies there. Shared caches of other regions are
+ * used if none is left in the region.
  */
 final class SharedCaches {
 
-    /** Requests that one shared cache is sent at once; each may wait for a fetch. */
+    /** Maximum number of concurrent requests to one shared cache; each may wait for a fetch. */
     private static final int SLOTS = 48;
 
     private static final String NAME = "shared-cache";
@@ -37,12 +38,12 @@
         refresh();
     }
 
-    /** Whether there is one to read from. A shared cache itself reads from none. */
+    /** Whether there is a shared cache to read from. Always false in a shared cache. */
     boolean isAvailable() {
         return !instances.picker().instances().isEmpty();
     }
 
-    /** Takes in which shared caches there are. */
+    /** Applies the current list of shared caches. */
     void refresh() {
         List<CacheNode> nodes =
                 context.isSharedCache() ? List.of() : context.control().fleet().caches();
@@ -53,7 +54,10 @@
         return new Instance(node.id(), NAME, node.address(), node.zone(), "", SLOTS, InstanceState.READY, 0, 0);
     }
 
-    /** The way to a service's objects over the shared caches; attempts draw on the service's budget and teach its admission. */
+    /**
+     * The upstream that reads a service's objects through the shared caches. Attempts use the service's retry budget
+     * and report to its admission.
+     */
     Upstream upstreamFor(ServiceState service) {
         return new CacheUpstream(service);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
@@ -7,31 +7,31 @@
 import ridgemill.cdn.edge.ServiceAdmission;
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
 
-/** Where a delivery finds places for its attempts, and the bounds that these draw on. */
+/** Where a call finds instances for its attempts, and the limits that apply to them. */
 interface Upstream {
 
     InstancePicker picker();
 
-    /** The connections to a place, also while it is leaving. */
+    /** The connections to an instance, also while it is draining. */
     ConnectionPool pool(InstanceStats stats);
 
-    /** The bound on requests a second. */
+    /** The limit on requests per second. */
     OriginShare originShare();
 
-    /** The bound on attempts beyond each request's first. */
+    /** The limit on retries. */
     RetryBudget retryBudget();
 
-    /** Learns from the outcome of each attempt. */
+    /** Receives the outcome of each attempt. */
     ServiceAdmission admission();
 
     ServiceMeters meters();
 
-    /** Lets a delivery know once a place may have room. */
+    /** Notifies a call once an instance may have capacity. */
     void awaitCapacity(UpstreamCall delivery);
 
-    /** A delivery does not wait any more. */
+    /** Removes a call that stopped waiting. */
     void stopAwaiting(UpstreamCall delivery);
 
-    /** Lets those that wait for room try again. */
+    /** Lets the calls that wait for capacity try again. */
     void retryWaiting();
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/UpstreamCall.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/UpstreamCall.java
@@ -11,35 +11,38 @@
 import ridgemill.core.Timers;
 
 /**
- * Brings one request to an instance of its service and its answer back, over as many instances as the route, the
- * deadline and the retry budget allow. Another one is tried only where the request has not run, or may run more than
+ * Sends one request to an instance of its service and returns the response, trying as many instances as the route, the
+ * deadline and the retry budget allow. Another instance is tried only if the request has not run or may run more than
  * once.
  */
 final class UpstreamCall {
 
-    /** Time that must be left for an attempt to make sense, in milliseconds. */
+    /** Minimum time that must remain for an attempt, in milliseconds. */
     private static final double MIN_REMAINING_MS = 2;
-    /** Connections that may fail to come up before a request is given up. */
+    /** Number of failed connection attempts after which a request is given up. */
     private static final int MAX_CONNECT_FAILURES = 4;
-    /** Part of the route's target that a request waits for room at an instance. */
+    /** Fraction of the route's target latency that a request waits for capacity at an instance. */
     private static final double CAPACITY_WAIT_FRACTION = 0.2;
-    /** Part of the time left after which a silent attempt is given up where another one is possible. */
+    /**
+     * An attempt without a response ends before the deadline only if it can do so within this fraction of the
+     * remaining time, which leaves the rest for another attempt.
+     */
     private static final double FIRST_ATTEMPT_FRACTION = 0.6;
-    /** How much later than nearly all answers a silent attempt is given up. */
+    /** An attempt without a response ends after this multiple of the instance's high latency. */
     private static final double LATE_FACTOR = 2;
 
-    /** How a delivery ended. */
+    /** The result of a call. */
     sealed interface Result {
 
-        /** A whole answer of an instance that ran the request. */
+        /** A complete response of an instance that ran the request. */
         record Answered(InstanceResponse response) implements Result {}
 
         /**
-         * There is no answer to pass on.
+         * There is no response to return.
          *
-         * @param mayHaveRun whether the request may have run, or may still
-         * @param reason what stopped it
-         * @param retryAfterMs when another try makes sense, in milliseconds
+         * @param mayHaveRun whether the request may have run, or may be running
+         * @param reason why it failed
+         * @param retryAfterMs when another attempt makes sense, in milliseconds
          */
         record Failed(boolean mayHaveRun, RefusalReason reason, double retryAfterMs) implements Result {}
     }
@@ -63,25 +66,25 @@
     private int connectFailures;
 
     /**
-     * A delivery that has not started.
+     * Creates a call that has not started.
      *
-     * @param repeatable whether the request may run more than once
-     * @param deadlineMs when its sender gives up, on the proxy's clock
-     * @param callback told the result exactly once, unless the delivery is cancelled
+     * @param retryable whether the request may run more than once
+     * @param deadlineMs when the sender of the request stops waiting, on the proxy's clock
+     * @param callback receives the result exactly once, unless the call is cancelled
      */
     UpstreamCall(
             ProxyContext context,
             Upstream upstream,
             Route route,
             OutgoingRequest request,
-            boolean repeatable,
+            boolean retryable,
             double deadlineMs,
             Consumer<Result> callback) {
         this.context = context;
         this.upstream = upstream;
         this.route = route;
         this.request = request;
-        this.retryable = repeatable;
+        this.retryable = retryable;
         this.deadlineMs = deadlineMs;
         this.callback = callback;
     }
@@ -91,32 +94,32 @@
         return mayHaveRun || currentAttempt != null && currentAttempt.isSent();
     }
 
-    /** Sends the request, or tells at once why it can't. */
+    /** Sends the request, or fails at once if that is not possible. */
     void start() {
         tryNext();
     }
 
-    /** Lets an attempt that is under way end, and makes no further one. */
+    /** Makes no further attempts; an attempt in progress continues. */
     void disableRetries() {
         retriesDisabled = true;
     }
 
     /**
-     * Gives the request up without a word to the callback.
+     * Cancels the call without calling the callback.
      *
-     * @param late whether its time has passed, which tells of the instance
+     * @param deadlinePassed whether the request's time has run out, which then counts as a failure of the instance
      */
-    void cancel(boolean late) {
+    void cancel(boolean deadlinePassed) {
         finished = true;
         stopWaiting();
         if (currentAttempt != null) {
-            Attempt ended = currentAttempt;
+            Attempt attempt = currentAttempt;
             currentAttempt = null;
-            ended.cancel(late);
+            attempt.cancel(deadlinePassed);
         }
     }
 
-    /** An instance may have room now. */
+    /** An instance may have capacity now. */
     void capacityAvailable() {
         if (!finished && currentAttempt == null) {
             tryNext();
@@ -177,15 +180,18 @@
         }
     }
 
-    /** When a silent attempt is given up: at the deadline, or sooner if a repeat makes sense. */
+    /**
+     * When an attempt without a response ends, on the proxy's clock. Infinite, so that only the deadline applies, if
+     * no retry is possible or there would not be enough time for one.
+     */
     private double responseTimeoutAtMs(InstanceStats instance, double nowMs) {
-        boolean last = !retryable || sentAttempts + 1 >= route.maxAttempts() || context.isDraining();
-        if (last || Double.isNaN(instance.meanLatencyMs())) {
+        boolean lastAttempt = !retryable || sentAttempts + 1 >= route.maxAttempts() || context.isDraining();
+        if (lastAttempt || Double.isNaN(instance.meanLatencyMs())) {
             return Double.POSITIVE_INFINITY;
         }
-        double late = Math.max(route.targetLatencyMs(), LATE_FACTOR * instance.highLatencyMs());
-        double part = FIRST_ATTEMPT_FRACTION * (deadlineMs - nowMs);
-        return late < part ? nowMs + late : Double.POSITIVE_INFINITY;
+        double lateMs = Math.max(route.targetLatencyMs(), LATE_FACTOR * instance.highLatencyMs());
+        double latestMs = FIRST_ATTEMPT_FRACTION * (deadlineMs - nowMs);
+        return lateMs < latestMs ? nowMs + lateMs : Double.POSITIVE_INFINITY;
     }
 
     private void attemptEnded(Attempt attempt) {
@@ -193,34 +199,34 @@
             return;
         }
         currentAttempt = null;
-        AttemptOutcome verdict = attempt.outcome();
+        AttemptOutcome outcome = attempt.outcome();
         tried.add(attempt.instance());
         sentAttempts += attempt.isSent() ? 1 : 0;
         if (!attempt.isSent() && sentAttempts > 0) {
             upstream.retryBudget().giveBack(context.now());
         }
-        mayHaveRun |= verdict.mayHaveRun();
-        if (verdict == AttemptOutcome.REFUSED_BY_CACHE) {
+        mayHaveRun |= outcome.mayHaveRun();
+        if (outcome == AttemptOutcome.REFUSED_BY_CACHE) {
             refusedByCache(attempt.response());
-        } else if (verdict == AttemptOutcome.ANSWERED) {
+        } else if (outcome == AttemptOutcome.ANSWERED) {
             responseReceived(attempt.response());
-        } else if (verdict == AttemptOutcome.CONNECT_FAILED && ++connectFailures >= MAX_CONNECT_FAILURES) {
+        } else if (outcome == AttemptOutcome.CONNECT_FAILED && ++connectFailures >= MAX_CONNECT_FAILURES) {
             fail(RefusalReason.CONNECT_FAILED, route.targetLatencyMs());
         } else {
             retryOrFail();
         }
     }
 
-    /** Another shared cache would fetch what this one may not: the refusal stands. */
-    private void refusedByCache(InstanceResponse answer) {
-        String reason = answer.headers().get(CacheHeaders.REFUSAL);
+    /** The refusal is final: another shared cache would fetch what this one may not fetch. */
+    private void refusedByCache(InstanceResponse response) {
+        String reason = response.headers().get(CacheHeaders.REFUSAL);
         boolean unknown = RefusalReason.ROUTE_UNKNOWN.label().equals(reason);
-        fail(unknown ? RefusalReason.ROUTE_UNKNOWN : RefusalReason.CACHE_REFUSED, answer.retryAfterMs());
+        fail(unknown ? RefusalReason.ROUTE_UNKNOWN : RefusalReason.CACHE_REFUSED, response.retryAfterMs());
     }
 
-    private void responseReceived(InstanceResponse answer) {
-        lastResponse = answer;
-        if (answer.isFailure() && mayRetry()) {
+    private void responseReceived(InstanceResponse response) {
+        lastResponse = response;
+        if (response.isFailure() && mayRetry()) {
             tryNext();
         } else {
             finish(result());
@@ -240,11 +246,14 @@
         return !retriesDisabled && sentAttempts < route.maxAttempts() && (retryable || !mayHaveRun);
     }
 
-    private void fail(RefusalReason reason, double waitMs) {
-        finish(lastResponse != null ? result() : new Result.Failed(mayHaveRun, reason, waitMs));
+    private void fail(RefusalReason reason, double retryAfterMs) {
+        finish(lastResponse != null ? result() : new Result.Failed(mayHaveRun, reason, retryAfterMs));
     }
 
-    /** An instance's answer, unless its status would promise what is not so: that the request has not run. */
+    /**
+     * The instance's response, unless clients would conclude from its status that the request has not run, which is
+     * not certain.
+     */
     private Result result() {
         return switch (lastResponse.status()) {
             case 408, 421, 429, 503 -> new Result.Failed(true, RefusalReason.ATTEMPTS_FAILED, 0);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
@@ -34,9 +34,9 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The connections of an edge proxy, or of a shared cache, to the control plane: follows every registry and every voting configuration store, and
- * merges what they say. Nothing that was learned is lost in one life of the process, whoever is cut off. Everything runs
- * on the proxy's event loop.
+ * The connections of an edge proxy or a shared cache to the control plane. It follows every registry and every voting
+ * configuration store and merges the updates received from them. It keeps all received information for the lifetime of
+ * the process, even while connections are lost. Everything runs on the proxy's event loop.
  */
 public final class ControlClient implements ControlView, StoreFeed.Receiver, RegistryFeed.Receiver {
 
@@ -58,17 +58,17 @@
     private final Optional<CacheNode> sharedCache;
     private RoutingTable routing = RoutingTable.EMPTY;
     private Fleet fleet;
-    /** The fleet as settled registries last told it; null before one has. */
+    /** The fleet as last reported by settled registries; null until one has reported it. */
     private Fleet settledFleet;
 
     private boolean announcing;
 
-    /** The client of an edge proxy; it connects when it is started. */
+    /** Creates the client of an edge proxy, which connects when it is started. */
     public ControlClient(Settings settings, EventLoop loop, SocketKind sockets, Clock clock) {
         this(settings, loop, sockets, clock, "proxy", Optional.empty());
     }
 
-    /** The client of a shared cache, which offers itself to edge proxies while it is connected. */
+    /** Creates the client of a shared cache, which can announce itself to edge proxies. */
     public static ControlClient ofCache(
             Settings settings, EventLoop loop, SocketKind sockets, Clock clock, CacheNode cache) {
         return new ControlClient(settings, loop, sockets, clock, "cache", Optional.of(cache));
@@ -98,19 +98,20 @@
     public void start() {
         members.addCoreHosts(settings.seedHosts());
         connectRegistries();
-        // Voters are among the seeds as a rule: asking them at once spares a restart the way through a registry.
+        // Voters are usually among the seeds: connecting to them at once avoids learning them from a registry after a
+        // restart.
         for (String host : settings.seedHosts()) {
             connectStore(host);
         }
     }
 
-    /** Offers this shared cache to edge proxies, over every registry. */
+    /** Announces this shared cache to edge proxies through every registry. */
     public void announce() {
         announcing = true;
         sharedCache.ifPresent(node -> registries.values().forEach(feed -> feed.announce(node)));
     }
 
-    /** Ends the connections to all registries, which then tell edge proxies that this process has left. */
+    /** Closes the connections to all registries, which then report to edge proxies that this process has left. */
     public void withdraw() {
         announcing = false;
         registries.values().forEach(RegistryFeed::close);
@@ -167,17 +168,17 @@
         }
     }
 
-    /** The voting stores, in the newest epoch that was heard of. */
+    /** The voting stores, in the newest epoch received. */
     VoterSet voters() {
         return members.voters();
     }
 
-    /** The feeds of the voting stores' machines; empty while they are not known. */
+    /** The feeds of the voting stores' machines; empty while the voters are not known. */
     List<StoreFeed> voterFeeds() {
         return members.voters().isKnown() ? List.copyOf(stores.values()) : List.of();
     }
 
-    /** The feed of a voting store; null if it is not followed, or if its machine has another disk now. */
+    /** The feed of a voting store; null if it is not followed, or if its machine has a different disk now. */
     StoreFeed feedOf(Voter voter) {
         StoreFeed feed = stores.get(voter.address());
         return feed != null && voter.equals(feed.store()) ? feed : null;
@@ -250,18 +251,18 @@
         return List.copyOf(ready);
     }
 
-    /** An instance counts as silent if every registry that could know says so. */
+    /** An instance is unresponsive if every settled registry reports it as such. */
     private boolean isUnresponsive(String instanceId) {
-        boolean silent = false;
+        boolean reported = false;
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
                 if (!registry.isUnresponsive(instanceId)) {
                     return false;
                 }
-                silent = true;
+                reported = true;
             }
         }
-        return silent;
+        return reported;
     }
 
     @Override
@@ -273,8 +274,9 @@
     }
 
     /**
-     * The fleet by all registries that have run for long enough to know it. One that has just started knows a part, and a
-     * part of the fleet would take the whole of its bounds: what was known before stands until then.
+     * The fleet as reported by all settled registries. A registry that has just started knows only part of the fleet,
+     * and this process would then take too large a share of the fleet's limits. The previous fleet is kept until a
+     * registry is settled.
      */
     private Fleet mergedFleet() {
         List<RegistryFeed> connected =
@@ -287,11 +289,11 @@
         return settledFleet != null ? settledFleet : merged(connected);
     }
 
-    /** The largest fleet of proxies that one of them knows, and the caches that any of them holds a link to. */
-    private static Fleet merged(List<RegistryFeed> told) {
+    /** The largest fleet of proxies that any registry knows, and the shared caches connected to any of them. */
+    private static Fleet merged(List<RegistryFeed> feeds) {
         FleetPosition position = FleetPosition.ALONE;
         Map<String, CacheNode> caches = new TreeMap<>();
-        for (RegistryFeed registry : told) {
+        for (RegistryFeed registry : feeds) {
             FleetPosition proxies = registry.fleet().proxies();
             position = proxies.size() > position.size() ? proxies : position;
             registry.fleet().caches().forEach(cache -> caches.put(cache.id(), cache));
@@ -316,7 +318,9 @@
         return !routing.isEmpty() && hasInstances() && hasNewestItems();
     }
 
-    /** A registry that has run for long enough knows all; one that has just started may know some of each service. */
+    /**
+     * A settled registry knows all instances; one that has just started may know only some instances of each service.
+     */
     private boolean hasInstances() {
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
@@ -331,7 +335,10 @@
         return true;
     }
 
-    /** A majority of the voters has told its decided items: each order that was confirmed before is on one of them. */
+    /**
+     * A quorum of the voters has sent its decided items, so at least one of them has each change that was confirmed
+     * before.
+     */
     private boolean hasNewestItems() {
         return voters().hasQuorum(voter -> feedOf(voter) != null);
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlListener.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlListener.java
@@ -1,17 +1,19 @@
 package ridgemill.cdn.proxy.control;
 
-/** Told of changes on the proxy's event loop, after {@link ControlView} shows them. */
+/** Receives changes on the proxy's event loop, after {@link ControlView} reflects them. */
 public interface ControlListener {
 
     /** The configuration changed. */
     default void configurationChanged() {}
 
-    /** Instances appeared, started to drain, left or fell silent. */
+    /** Instances were added, started to drain, left, or became unresponsive; or the fleet changed. */
     default void instancesChanged() {}
 
-    /** All copies of an object must not be served again, nor what fetches under way bring. */
+    /** Copies of an object, and results of fetches in progress, must not be served to later requests. */
     default void pathPurged(String hostname, String path) {}
 
-    /** All copies that carry a tag must not be served again, nor what fetches under way bring. */
+    /**
+     * Copies that carry a tag, and results of fetches in progress that carry it, must not be served to later requests.
+     */
     default void tagPurged(String tag) {}
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlView.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlView.java
@@ -5,34 +5,34 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.membership.Fleet;
 
-/** What an edge proxy has been told by the control plane. Used on the proxy's event loop only. */
+/** The state that a process has received from the control plane. Used on the process's event loop only. */
 public interface ControlView {
 
     /** The newest known configuration. */
     RoutingTable routing();
 
-    /** The instances of a service that may be sent new requests: ready and not silent. Never null. */
+    /** The instances of a service that may receive new requests: ready and not unresponsive. Never null. */
     List<Instance> readyInstances(String service);
 
-    /** The processes that share the bounds of services, as seen from this one. */
+    /** The processes that share the limits of services, as seen by this process. */
     Fleet fleet();
 
-    /** Whether enough is known to serve: a configuration from a read quorum and an instance list. */
+    /** Whether enough is known to serve requests: a configuration from a read quorum and a list of instances. */
     boolean isReady();
 
     /**
-     * Whether a cached copy is known to have missed no purge.
+     * Whether no purge can have been missed since a copy was fetched.
      *
-     * @param fetchStartedMs when the copy's fetch was started, on the proxy's clock
+     * @param fetchStartedMs when the fetch of the copy was started, on the proxy's clock
      */
     boolean isCoveredSince(double fetchStartedMs);
 
     /**
-     * Whether a majority of the stores can be heard at this moment, so that an acknowledged purge is known here. Not so
-     * in a process that is cut off, or that has just gone on after it stood still.
+     * Whether this process is connected to a quorum of the stores at this moment, so that every acknowledged purge is
+     * known here. False in a process that is partitioned, or that has just resumed after a pause.
      */
     boolean receivesPurges();
 
-    /** Adds a listener of changes. */
+    /** Adds a listener for changes. */
     void addListener(ControlListener listener);
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
@@ -18,22 +18,23 @@
 import ridgemill.gateway.net.Clock;
 
 /**
- * Claims keyed operations at the voting stores. A claim is granted by a majority, each of which has it on disk; one that
- * fails is given back at every store, so that it can't be granted later by mistake.
+ * Claims keyed operations at the voting stores. A claim is granted by a quorum of stores, each of which has written it
+ * to disk. A claim that fails is released at every store, so that it cannot be granted later.
  */
 public final class QuorumRegister implements OperationRegister {
 
-    /** How long one round of voting may take, in milliseconds. */
+    /** Timeout of one round of voting, in milliseconds. */
     private static final long VOTE_TIMEOUT_MS = 900;
-    /** How long a record or a release waits for its confirmation, in milliseconds. */
+    /** Timeout of a call that records or releases, in milliseconds. */
     private static final long WRITE_TIMEOUT_MS = 3_000;
-    /** After how long a record that not all have is sent again, in milliseconds. */
+    /** Interval at which a record is sent again until all stores have it, in milliseconds. */
     private static final long RECORD_RETRY_MS = 700;
-    /** How often a record is sent at most, and how often once a majority has it. */
+    /** Maximum number of times a record is sent while no quorum has it. */
     private static final int MAX_ROUNDS = 25;
 
-    private static final int ROUNDS_WITH_MAJORITY = 4;
-    /** Pause after a split vote, with as much again at random, in milliseconds. */
+    /** Maximum number of times a record is sent once a quorum has it. */
+    private static final int MAX_ROUNDS_WITH_QUORUM = 4;
+    /** Pause after a split vote, in milliseconds; a random time of up to the same length is added. */
     private static final long SPLIT_VOTE_PAUSE_MS = 20;
 
     private static final System.Logger LOG = System.getLogger(QuorumRegister.class.getName());
@@ -44,7 +45,7 @@
     private final String incarnationId = UUID.randomUUID().toString();
     private long nextClaim = 1;
 
-    /** A register that asks the stores which the client knows. */
+    /** Creates a register that uses the stores known to the client. */
     public QuorumRegister(ControlClient control, EventLoop loop, Clock clock) {
         this.control = control;
         this.loop = loop;
@@ -62,10 +63,10 @@
     }
 
     @Override
-    public void finish(Claim claim, RecordedResponse answer) {
+    public void finish(Claim claim, RecordedResponse response) {
         byte[] encoded;
         try {
-            encoded = RecordedResponseCodec.encode(answer);
+            encoded = RecordedResponseCodec.encode(response);
         } catch (IOException impossible) {
             LOG.log(System.Logger.Level.ERROR, "event=answer_not_recorded key=" + claim.key());
             return;
@@ -73,7 +74,10 @@
         new Recording(claim, encoded).send();
     }
 
-    /** Records an answer until a majority of the voters, and each that can be reached, has it on disk. */
+    /**
+     * Records a response, with retries until a quorum of the voters, and as far as possible all of them, has it on
+     * disk.
+     */
     private final class Recording {
 
         private final Claim claim;
@@ -100,15 +104,15 @@
         }
 
         private void writeEnded(Either<CallFailure, Message.Reply> result) {
-            if (result.isRight() && result.get() instanceof StoreMessages.Written done && done.durable()) {
-                recordedAt.add(done.store());
+            if (result.isRight() && result.get() instanceof StoreMessages.Written written && written.durable()) {
+                recordedAt.add(written.store());
             }
         }
 
         private void sendAgain() {
-            boolean everywhere = control.voters().members().stream().allMatch(recordedAt::contains);
-            boolean enough = control.voters().hasQuorum(recordedAt::contains);
-            if (!everywhere && rounds < (enough ? ROUNDS_WITH_MAJORITY : MAX_ROUNDS)) {
+            boolean onAllStores = control.voters().members().stream().allMatch(recordedAt::contains);
+            boolean onQuorum = control.voters().hasQuorum(recordedAt::contains);
+            if (!onAllStores && rounds < (onQuorum ? MAX_ROUNDS_WITH_QUORUM : MAX_ROUNDS)) {
                 send();
             }
         }
@@ -124,7 +128,7 @@
         }
     }
 
-    /** One vote on one claim. */
+    /** One round of voting on one claim. */
     private final class ClaimRound {
 
         private final String key;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
@@ -7,20 +7,20 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The form in which stores keep recorded answers, which they do not read. */
+/** Encodes recorded responses for the stores, which keep them as opaque bytes. */
 final class RecordedResponseCodec {
 
     private RecordedResponseCodec() {}
 
-    static byte[] encode(OperationRegister.RecordedResponse answer) throws IOException {
+    static byte[] encode(OperationRegister.RecordedResponse response) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packInt(answer.status());
-            packer.packArrayHeader(answer.headers().size());
-            for (String header : answer.headers()) {
+            packer.packInt(response.status());
+            packer.packArrayHeader(response.headers().size());
+            for (String header : response.headers()) {
                 packer.packString(header);
             }
-            packer.packBinaryHeader(answer.body().length);
-            packer.writePayload(answer.body());
+            packer.packBinaryHeader(response.body().length);
+            packer.writePayload(response.body());
             return packer.toByteArray();
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
@@ -13,19 +13,19 @@
 import ridgemill.cdn.wire.Message;
 import ridgemill.cdn.wire.RegistryMessages;
 
-/** Follows the numbered news of one registry. */
+/** Follows the numbered updates of one registry. */
 final class RegistryFeed implements LinkListener {
 
-    /** Told what a registry says. */
+    /** Receives the updates of a registry. */
     interface Receiver {
 
-        /** The registry told of instances that are new to it or changed; its own state is read from the feed. */
+        /** The registry reported new or changed instances; its other state is read from the feed. */
         void instancesReceived(List<Instance> instances);
 
-        /** The registry told of core machines and voters. */
+        /** The registry reported core machines and voters. */
         void membersReceived(List<String> coreHosts, VoterSet voters);
 
-        /** The connection to a registry has ended. */
+        /** The connection to a registry was lost. */
         void registryLost();
     }
 
@@ -41,38 +41,38 @@
         this.receiver = receiver;
     }
 
-    void start(HeldLink held) {
-        link = held;
-        held.start();
+    void start(HeldLink newLink) {
+        link = newLink;
+        newLink.start();
     }
 
-    /** Offers this process as a shared cache, now and whenever the registry is connected again. */
+    /** Announces this process as a shared cache, now and after each reconnection to the registry. */
     void announce(CacheNode cache) {
         announcedCache = Optional.of(cache);
         link.send(new RegistryMessages.OfferCache(cache));
     }
 
-    /** Ends the connection for good. */
+    /** Closes the connection permanently. */
     void close() {
         link.close();
     }
 
-    /** Whether the registry is connected and has run for long enough to know all instances. */
+    /** Whether the registry is connected and settled: it has run for long enough to know all instances. */
     boolean isSettled() {
         return connected && settled && link.isOpen();
     }
 
-    /** Whether the registry is connected and has told what it knows. */
+    /** Whether the registry is connected and has sent its state. */
     boolean isConnected() {
         return connected && link.isOpen();
     }
 
-    /** Whether the registry has not heard an instance for too long. */
+    /** Whether the registry reports an instance as unresponsive. */
     boolean isUnresponsive(String instanceId) {
         return unresponsive.contains(instanceId);
     }
 
-    /** Who shares the services' bounds, as the registry last told. */
+    /** The processes that share the services' limits, as last reported by the registry. */
     Fleet fleet() {
         return fleet;
     }
@@ -88,8 +88,8 @@
         if (message instanceof RegistryMessages.Snapshot snapshot) {
             connected = true;
             apply(from, snapshot.number(), snapshot.overview());
-        } else if (message instanceof RegistryMessages.News news) {
-            apply(from, news.number(), news.overview());
+        } else if (message instanceof RegistryMessages.News update) {
+            apply(from, update.number(), update.overview());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
@@ -15,16 +15,19 @@
 import ridgemill.cdn.wire.Message;
 import ridgemill.cdn.wire.StoreMessages;
 
-/** Follows the numbered news of one configuration store, without a gap where the store can continue. */
+/**
+ * Follows the numbered updates of one configuration store. After a reconnection it continues without a gap if the
+ * store still has the missing updates.
+ */
 final class StoreFeed implements LinkListener {
 
-    /** Told what a store says. */
+    /** Receives the updates of a store. */
     interface Receiver {
 
-        /** The store told all its items; purges before this moment are not told any more. */
+        /** The store sent all its items. Purges from before this moment are not sent again. */
         void snapshotReceived(StoreFeed feed, VoterSet voters, List<Item> items);
 
-        /** The store told of changes. */
+        /** The store sent changes. */
         void updateReceived(VoterSet voters, List<Item> items, List<Purge> purges);
     }
 
@@ -38,12 +41,12 @@
         this.receiver = receiver;
     }
 
-    void start(HeldLink held) {
-        link = held;
-        held.start();
+    void start(HeldLink newLink) {
+        link = newLink;
+        newLink.start();
     }
 
-    /** Whether the store can be heard now. */
+    /** Whether the store is connected and responding. */
     boolean isLive() {
         return link.isLive();
     }
@@ -52,7 +55,9 @@
         link.close();
     }
 
-    /** The store that has told all its items, in this life of the proxy and of the store's disk; null if none has. */
+    /**
+     * The store that sent all its items during the lifetime of this process and of the store's disk; null if none has.
+     */
     Voter store() {
         return store;
     }
@@ -77,22 +82,22 @@
             store = snapshot.store();
             receiver.snapshotReceived(this, snapshot.voters(), snapshot.items());
             from.send(new StoreMessages.NewsAcknowledged(lastNumber));
-        } else if (message instanceof StoreMessages.News news) {
-            applyUpdate(from, news);
+        } else if (message instanceof StoreMessages.News update) {
+            applyUpdate(from, update);
         }
     }
 
-    private void applyUpdate(Link from, StoreMessages.News news) {
-        if (news.number() <= lastNumber) {
+    private void applyUpdate(Link from, StoreMessages.News update) {
+        if (update.number() <= lastNumber) {
             return;
         }
-        if (news.number() != lastNumber + 1) {
-            // A gap would hide purges: asking anew brings what is missing, or a snapshot.
+        if (update.number() != lastNumber + 1) {
+            // A gap would hide purges: subscribing again returns the missing updates or a snapshot.
             from.send(new StoreMessages.Subscribe(incarnationId, lastNumber));
             return;
         }
-        lastNumber = news.number();
-        receiver.updateReceived(news.voters(), news.items(), news.purges());
+        lastNumber = update.number();
+        receiver.updateReceived(update.voters(), update.items(), update.purges());
         from.send(new StoreMessages.NewsAcknowledged(lastNumber));
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/package-info.java
@@ -1,2 +1,5 @@
-/** What an edge proxy's data path needs of the control plane, and the client that keeps it up to date. */
+/**
+ * The control plane as seen by the data path of an edge proxy or a shared cache, and the client that keeps this view
+ * up to date.
+ */
 package ridgemill.cdn.proxy.control;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/BadMessageException.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/BadMessageException.java
@@ -1,19 +1,24 @@
 package ridgemill.cdn.proxy.http;
 
-/** What came is no message that may be read further. */
+/** Thrown for a message that is malformed or exceeds a limit; the rest of the connection cannot be parsed. */
 public final class BadMessageException extends Exception {
 
     private static final long serialVersionUID = 1;
 
     private final int status;
 
-    /** A fault that is answered with this status where the message is a request. */
+    /**
+     * Creates an exception.
+     *
+     * @param status the HTTP status with which a malformed request is answered
+     * @param message the reason, for the log
+     */
     public BadMessageException(int status, String message) {
         super(message, null, false, false);
         this.status = status;
     }
 
-    /** The status that answers it. */
+    /** The HTTP status with which a malformed request is answered. */
     public int status() {
         return status;
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Reads single header lines and their values. */
+/** Parses single header lines and their values. */
 final class HeaderLine {
 
     private static final String TOKEN_SYMBOLS = "!#$%&'*+-.^_`|~";
@@ -20,7 +20,7 @@
 
     private HeaderLine() {}
 
-    /** Reads a line into the headers. A line that goes on with the one before it is refused, as is any odd name. */
+    /** Parses a header line and adds it. Obsolete line folding and invalid names are rejected. */
     static void parse(byte[] bytes, int start, int end, Headers into) throws BadMessageException {
         int colon = start;
         while (colon < end && isToken(bytes[colon])) {
@@ -47,7 +47,7 @@
                 new String(bytes, from, to - from, StandardCharsets.ISO_8859_1));
     }
 
-    /** The value of a Content-Length header. */
+    /** Parses the value of a Content-Length header. */
     static long parseContentLength(String text) throws BadMessageException {
         if (text.isEmpty() || text.length() > MAX_LENGTH_DIGITS) {
             throw new BadMessageException(text.isEmpty() ? 400 : 413, "a length out of bounds");
@@ -60,7 +60,7 @@
         return Long.parseLong(text);
     }
 
-    /** Whether a text is a token, as methods and names of headers are. */
+    /** Whether a text is a token as defined by RFC 9110, as methods and header names are. */
     static boolean isToken(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) >= TOKEN_CHARS.length || !TOKEN_CHARS[text.charAt(i)]) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/Headers.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/Headers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Header lines in their order; names compare without regard to case. */
+/** Header lines in their original order; names are compared case-insensitively. */
 public final class Headers {
 
     private static final String[] HOP_BY_HOP = {
@@ -31,7 +31,7 @@
         this.lines = lines;
     }
 
-    /** Headers of names and values in turn. */
+    /** Creates headers from alternating names and values. */
     public static Headers of(List<String> namesAndValues) {
         return new Headers(new ArrayList<>(namesAndValues));
     }
@@ -43,13 +43,13 @@
         return this;
     }
 
-    /** Puts one line in place of all of its name. */
+    /** Replaces all lines of a name by one line. */
     public Headers set(String name, String value) {
         remove(name);
         return add(name, value);
     }
 
-    /** Drops all lines of a name. */
+    /** Removes all lines of a name. */
     public Headers remove(String name) {
         for (int i = lines.size() - 2; i >= 0; i -= 2) {
             if (lines.get(i).equalsIgnoreCase(name)) {
@@ -60,7 +60,7 @@
         return this;
     }
 
-    /** The value of the first line of a name; null if there is none. */
+    /** The value of the first line with a name; null if there is none. */
     public String get(String name) {
         for (int i = 0; i < lines.size(); i += 2) {
             if (lines.get(i).equalsIgnoreCase(name)) {
@@ -70,7 +70,7 @@
         return null;
     }
 
-    /** How many lines have a name. */
+    /** The number of lines with a name. */
     public int count(String name) {
         int count = 0;
         for (int i = 0; i < lines.size(); i += 2) {
@@ -79,12 +79,12 @@
         return count;
     }
 
-    /** Names and values in turn. */
+    /** Alternating names and values. */
     public List<String> lines() {
         return lines;
     }
 
-    /** Whether a line of this name lists this word, which is given in lower case. */
+    /** Whether a line with this name contains this list element; {@code word} is in lower case. */
     public boolean containsToken(String name, String word) {
         for (int i = 0; i < lines.size(); i += 2) {
             if (lines.get(i).equalsIgnoreCase(name) && hasListElement(lines.get(i + 1), word)) {
@@ -94,13 +94,13 @@
         return false;
     }
 
-    /** The lines that concern more than one connection, without the length of the body. */
+    /** A copy without the hop-by-hop headers and without Content-Length. */
     public Headers endToEnd() {
         Headers kept = new Headers(new ArrayList<>(lines.size() + 8));
-        boolean names = get("Connection") != null;
+        boolean hasConnection = get("Connection") != null;
         for (int i = 0; i < lines.size(); i += 2) {
             String name = lines.get(i);
-            if (!isHopByHop(name) && !(names && containsToken("Connection", name.toLowerCase(Locale.ROOT)))) {
+            if (!isHopByHop(name) && !(hasConnection && containsToken("Connection", name.toLowerCase(Locale.ROOT)))) {
                 kept.add(name, lines.get(i + 1));
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -5,15 +5,15 @@
 import java.util.Arrays;
 
 /**
- * Reads one HTTP/1.1 message at a time from the bytes of a connection, and refuses all framing that two readers could
- * understand differently.
+ * Reads one HTTP/1.1 message at a time from the bytes of a connection. Rejects all framing that two parsers could
+ * interpret differently, which prevents request smuggling.
  */
 public abstract class MessageReader {
 
     private static final byte[] EMPTY = {};
     private static final int MAX_CHUNK_LINE_BYTES = 1_024;
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
-    /** A body takes this much at once at most, whatever length its head states. */
+    /** Maximum initial buffer size of a body, whatever its Content-Length, in bytes. */
     private static final int INITIAL_BODY_BYTES = 256 * 1_024;
 
     private enum State {
@@ -34,26 +34,27 @@
     private long remaining;
     private Headers headers;
 
-    /** Reads the first line of a head. */
+    /** Parses the start line. */
     abstract void startLine(String line) throws BadMessageException;
 
-    /** Whether no body follows this head, whatever it says. */
+    /** Whether the message has no body, whatever its headers state. */
     abstract boolean isBodiless();
 
-    /** Whether a head that states no length has no body; else it can't be read. */
+    /** Whether a message without Content-Length and Transfer-Encoding has no body; otherwise it is rejected. */
     abstract boolean isEmptyWithoutLength();
 
-    /** The most bytes a head may have. */
+    /** Maximum size of the start line and the headers, in bytes. */
     abstract int maxHeadBytes();
 
-    /** The most bytes a body may have. */
+    /** Maximum size of a body, in bytes. */
     abstract long maxBodyBytes();
 
     /**
-     * Reads on; bytes that belong to the message are taken from the buffer.
+     * Reads more of the message; bytes that belong to it are consumed from the buffer.
      *
-     * @return whether the message is whole
-     * @throws BadMessageException if it can't be one; the connection is of no use any more
+     * @return whether the message is complete
+     * @throws BadMessageException if the message is malformed or exceeds a limit; the connection cannot be used any
+     *     more
      */
     public final boolean read(ByteBuf in) throws BadMessageException {
         while (state != State.COMPLETE) {
@@ -78,17 +79,17 @@
         return state != State.HEAD;
     }
 
-    /** The header lines, once the head has been read. */
+    /** The headers, once the head has been read. */
     public final Headers headers() {
         return headers;
     }
 
-    /** The body, once the message is whole. */
+    /** The body, once the message is complete. */
     public final byte[] body() {
         return body.length == filled ? body : Arrays.copyOf(body, filled);
     }
 
-    /** Makes ready for the next message. */
+    /** Prepares for the next message. */
     public void reset() {
         state = State.HEAD;
         scanned = 0;
@@ -119,7 +120,8 @@
     }
 
     /**
-     * The number of bytes up to the empty line and with it; negative where it has not come. Ends of lines are CR LF.
+     * Returns the number of bytes up to and including the empty line, or a negative number if it has not arrived.
+     * Lines must end with CR LF.
      */
     private int endOfHead(ByteBuf in) throws BadMessageException {
         int start = in.readerIndex();
@@ -232,7 +234,7 @@
         return true;
     }
 
-    /** Reads and drops the lines behind the last chunk. */
+    /** Reads and discards the trailer section after the last chunk. */
     private boolean readTrailer(ByteBuf in) throws BadMessageException {
         String line = readLine(in, maxHeadBytes());
         if (line == null) {
@@ -251,16 +253,16 @@
         return true;
     }
 
-    private static String readLine(ByteBuf in, int most) throws BadMessageException {
+    private static String readLine(ByteBuf in, int maxBytes) throws BadMessageException {
         int start = in.readerIndex();
         int lineFeed = in.indexOf(start, in.writerIndex(), (byte) '\n');
         if (lineFeed < 0) {
-            if (in.readableBytes() > most) {
+            if (in.readableBytes() > maxBytes) {
                 throw new BadMessageException(400, "a line is too long");
             }
             return null;
         }
-        if (lineFeed - start > most || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
+        if (lineFeed - start > maxBytes || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
             throw new BadMessageException(400, "a line ends without CR or is too long");
         }
         String line = in.toString(start, lineFeed - 1 - start, StandardCharsets.ISO_8859_1);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageWriter.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageWriter.java
@@ -7,17 +7,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes messages. */
+/** Encodes HTTP/1.1 messages. */
 public final class MessageWriter {
 
-    /** Bodies up to this are copied behind their heads, so that one write takes both. */
+    /** Bodies up to this size are copied into the buffer of the head, so that one write sends both. */
     private static final int MAX_COPIED_BODY_BYTES = 8 * 1_024;
 
     private static final int INITIAL_HEAD_BYTES = 1_024;
 
     private MessageWriter() {}
 
-    /** The bytes of a request; {@code headers} have no length of the body, which is added. */
+    /** Encodes a request. {@code headers} do not include Content-Length, which is added if needed. */
     public static ByteBuf request(
             ByteBufAllocator allocator, String method, String target, Headers headers, byte[] body) {
         ByteBuf out = allocator.buffer(INITIAL_HEAD_BYTES + Math.min(MAX_COPIED_BODY_BYTES, body.length));
@@ -31,14 +31,14 @@
     }
 
     /**
-     * The bytes of an answer.
+     * Encodes a response.
      *
-     * @param headers names and values in turn, without the length of the body
-     * @param more further lines, whole and with their ends
-     * @param length the length to state; negative for none
+     * @param headers alternating names and values, without Content-Length
+     * @param extraLines further header lines, each with its CR LF
+     * @param length the value of Content-Length; negative for none
      */
     public static ByteBuf response(
-            ByteBufAllocator allocator, int status, List<String> headers, String more, long length, byte[] body) {
+            ByteBufAllocator allocator, int status, List<String> headers, String extraLines, long length, byte[] body) {
         ByteBuf out = allocator.buffer(INITIAL_HEAD_BYTES + Math.min(MAX_COPIED_BODY_BYTES, body.length));
         text(out, "HTTP/1.1 ");
         text(out, Integer.toString(status));
@@ -46,7 +46,7 @@
         text(out, reasonPhrase(status));
         text(out, "\r\n");
         lines(out, headers);
-        text(out, more);
+        text(out, extraLines);
         return end(out, length, body);
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
@@ -9,7 +9,7 @@
     private String target;
     private boolean http10;
 
-    /** Bounds what is read from now on. */
+    /** Sets the maximum size of the head and the body, in bytes. */
     public void setLimits(int headBytes, long bodyBytes) {
         maxHeadBytes = headBytes;
         maxBodyBytes = bodyBytes;
@@ -20,17 +20,17 @@
         return method;
     }
 
-    /** The path with its query, as it came. */
+    /** The path and query as received. */
     public String target() {
         return target;
     }
 
-    /** Whether the client wants the connection to stay open. */
+    /** Whether the client allows the connection to stay open. */
     public boolean isKeepAlive() {
         return !http10 && !headers().containsToken("Connection", "close");
     }
 
-    /** Whether the client waits for a word before it sends the body. */
+    /** Whether the client waits for {@code 100 Continue} before it sends the body. */
     public boolean expectsContinue() {
         return "100-continue".equalsIgnoreCase(headers().get("Expect"));
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
@@ -1,6 +1,9 @@
 package ridgemill.cdn.proxy.http;
 
-/** Reads answers. One whose end only the end of the connection would tell is refused: it could have been cut. */
+/**
+ * Reads responses. A response that is delimited only by the end of the connection is rejected, because it could be
+ * truncated.
+ */
 public final class ResponseReader extends MessageReader {
 
     private static final int MAX_HEAD_BYTES = 32 * 1_024;
@@ -12,17 +15,17 @@
     private boolean headRequest;
     private boolean http10;
 
-    /** Says whether the next answer is to a HEAD request, and so has no body. */
-    public void setHeadRequest(boolean isToHead) {
-        headRequest = isToHead;
+    /** Sets whether the next response is to a HEAD request and therefore has no body. */
+    public void setHeadRequest(boolean isHead) {
+        headRequest = isHead;
     }
 
-    /** The status. */
+    /** The status code. */
     public int status() {
         return status;
     }
 
-    /** Whether the connection stays open behind this answer. */
+    /** Whether the connection stays open after this response. */
     public boolean isKeepAlive() {
         return !http10 && !headers().containsToken("Connection", "close");
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Strict reading and plain writing of HTTP/1.1 messages (RFC 9112).
+ * Strict parsing and encoding of HTTP/1.1 messages (RFC 9112).
  *
- * <p>{@code MessageReader} takes the bytes of a connection as they come and frames one message at a time; whatever two
- * readers could frame differently is a {@code BadMessageException}, behind which the connection is of no use. {@code
- * RequestReader} reads clients' requests within the operator's limits, {@code AnswerReader} instances' answers, and
- * never takes the end of a connection for the end of an answer. {@code Headers} keeps lines in their order and knows
- * which of them concern one connection only; {@code HeaderLine} reads one. {@code MessageWriter} writes both kinds
- * whole.
+ * <p>{@code MessageReader} consumes the bytes of a connection as they arrive and frames one message at a time. Framing
+ * that two parsers could interpret differently causes a {@code BadMessageException}, after which the connection cannot
+ * be used. {@code RequestReader} reads requests of clients within the operator's limits. {@code ResponseReader} reads
+ * responses of instances and never accepts the end of a connection as the end of a response. {@code Headers} keeps
+ * lines in their order and distinguishes hop-by-hop from end-to-end headers; {@code HeaderLine} parses one line.
+ * {@code MessageWriter} encodes complete messages of both kinds.
  */
 package ridgemill.cdn.proxy.http;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/package-info.java
@@ -1,26 +1,31 @@
 /**
- * The edge proxy: a program with one event loop that takes clients' requests in and answers each once.
+ * The edge proxy and the shared cache: programs with one event loop that receive requests and respond to each exactly
+ * once.
  *
- * <p><b>The life of a request.</b>
+ * <p><b>How a request is processed.</b>
  *
  * <ol>
- *   <li>{@code FrontConnection} reads it whole from its client's connection and hands it on as a {@code
- *       ClientRequest}; {@code ClientConnections} bounds how many connections there are.
- *   <li>{@code RequestRouter} finds its route and service and makes an {@code Exchange}, which answers exactly once,
- *       at the deadline at the latest: {@code PassingExchange} passes the request on, {@code CachedExchange} answers
- *       from a copy or waits for a fetch of {@code ObjectFetches}, {@code KeyedExchange} runs it under a claim of the
- *       register of operations, of which one for each key at a time leads ({@code OperationsUnderWay}).
- *   <li>What has to go to the service draws a token of its admission (in {@code ServiceState}) or is refused at once.
- *   <li>A {@code Delivery} picks an instance, waits a little where all are full, and repeats on another where the
- *       route, the retry budget and the deadline allow it.
- *   <li>Each {@code Attempt} takes a connection from the instance's {@code InstancePool}. The {@code
- *       InstanceConnection} sends the request and reads the answer; its verdict says whether the request may have run.
- *   <li>The verdict goes to the instance's statistics and the service's admission, the answer as a {@code FinalAnswer}
- *       to the client.
+ *   <li>{@code ClientConnection} reads the complete request from the client's connection and passes it on as a {@code
+ *       ClientRequest}; {@code ClientConnections} limits the number of connections.
+ *   <li>{@code RequestRouter} finds the route and the service and creates an {@code Exchange}, which responds exactly
+ *       once, at the latest at the deadline: {@code PassThroughExchange} forwards the request, {@code CachedExchange}
+ *       serves a copy or waits for a fetch of {@code ObjectFetcher}, {@code KeyedExchange} runs the request under a
+ *       claim of the register of operations; for each key one request at a time is the leader ({@code
+ *       InFlightOperations}).
+ *   <li>A request that must go to the service takes a token of its admission (in {@code ServiceState}) or is refused
+ *       at once.
+ *   <li>An {@code UpstreamCall} picks an instance, waits for a limited time if all are at capacity, and retries on
+ *       another one as far as the route, the retry budget and the deadline allow.
+ *   <li>Each {@code Attempt} takes a connection from the instance's {@code ConnectionPool}. The {@code
+ *       InstanceConnection} sends the request and reads the response; the outcome states whether the request may have
+ *       run.
+ *   <li>The outcome is recorded in the instance's statistics and the service's admission, and the response is sent to
+ *       the client as a {@code FinalResponse}.
  * </ol>
  *
- * <p>{@code ProxyProgram} is the process, {@code DataPath} all that serves clients, {@code ProxyContext} what its
- * parts share. What is decided stands in {@link ridgemill.cdn.edge}, bytes are read and written in {@link
- * ridgemill.cdn.proxy.http}, and the control plane is followed in {@link ridgemill.cdn.proxy.control}.
+ * <p>{@code ProxyProgram} and {@code CacheProgram} are the processes, {@code DataPath} is everything that serves
+ * clients, and {@code ProxyContext} holds the components that its parts share. Decisions are made in {@link
+ * ridgemill.cdn.edge}, messages are read and written in {@link ridgemill.cdn.proxy.http}, and {@link
+ * ridgemill.cdn.proxy.control} follows the control plane.
  */
 package ridgemill.cdn.proxy;
--- a/cdn/src/test/java/ridgemill/cdn/proxy/AdvanceableTimers.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/AdvanceableTimers.java
@@ -5,7 +5,10 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.LoopTimers;
 
-/** A loop's timers whose time a test may move on, as if the process had stood still: timers are late then. */
+/**
+ * The timers of an event loop with a clock that a test can advance, as if the process had been paused: timers then
+ * fire late.
+ */
 final class AdvanceableTimers implements Timers {
 
     private final Clock clock = new Clock();
@@ -16,7 +19,7 @@
         timers = new LoopTimers(loop, clock);
     }
 
-    /** Time passes without anything being done. */
+    /** Advances the clock; timers do not fire in between. */
     void advance(double ms) {
         advancedMs += ms;
     }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Copies of objects, purges, ranges. */
+/** Tests caching of objects, purges and range requests. */
 class CacheTest {
 
     private static final String HEADERS = "X-Response-Seal: s\r\nETag: \"1\"\r\nX-Object-Tags: t1 t2\r\n";
@@ -58,11 +58,11 @@
 
     @Test
     void rangesAreServedFromTheCompleteObject() throws Exception {
-        ProxyFixture.Reply part = proxy.request("GET", "/c/1", "1", "Range: bytes=2-4\r\nIf-None-Match: \"0\"\r\n");
-        assertThat(part.status()).isEqualTo(206);
-        assertThat(part.body()).isEqualTo("234");
-        assertThat(part.header("Content-Range")).isEqualTo("bytes 2-4/10");
-        assertThat(part.header("X-Response-Seal")).isEqualTo("s");
+        ProxyFixture.Reply partial = proxy.request("GET", "/c/1", "1", "Range: bytes=2-4\r\nIf-None-Match: \"0\"\r\n");
+        assertThat(partial.status()).isEqualTo(206);
+        assertThat(partial.body()).isEqualTo("234");
+        assertThat(partial.header("Content-Range")).isEqualTo("bytes 2-4/10");
+        assertThat(partial.header("X-Response-Seal")).isEqualTo("s");
         assertThat(proxy.request("GET", "/c/1", "2", "Range: bytes=7-\r\n").body())
                 .isEqualTo("789");
         ProxyFixture.Reply beyond = proxy.request("GET", "/c/1", "3", "Range: bytes=10-\r\n");
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients may send, and how their connections fare. */
+/** Tests the requests that clients may send and the handling of their connections. */
 class ClientConnectionTest {
 
     private static final int LARGE_BODY_BYTES = 8 << 20;
@@ -19,7 +19,7 @@
 
     private ProxyFixture proxy;
 
-    /** So few descriptors that four are left for clients. */
+    /** A limit on file descriptors that leaves four for clients. */
     private static final int DESCRIPTORS_FOR_FOUR = 237;
 
     @BeforeEach
@@ -168,7 +168,7 @@
         assertThat(idle.isClosed()).isTrue();
     }
 
-    /** A client that reads slowly still has a part of its answer to come when the proxy begins to leave. */
+    /** A slow client has not received its complete response when the proxy starts to drain. */
     @Test
     void drainingDoesNotTruncateAResponseThatIsBeingSent() throws Exception {
         String body = "x".repeat(LARGE_BODY_BYTES);
@@ -194,7 +194,10 @@
         }
     }
 
-    /** At its bound of connections, and after its idle time, a proxy closes none whose last answer is still going out. */
+    /**
+     * A connection whose last response is still being sent must not be closed as idle, neither at the connection limit
+     * nor after the idle timeout.
+     */
     @Test
     void connectionWithUnsentOutputIsNotIdle() throws Exception {
         proxy.close();
@@ -214,7 +217,7 @@
             ProxyFixture.Client fifth = proxy.client();
             assertThat(fifth.request("GET", "/none", "f", "").status()).isEqualTo(404);
             assertThat(others[0].isClosed()).as("idle for longest").isTrue();
-            assertThat(fifth.isClosed()).as("the idle time of all has passed").isTrue();
+            assertThat(fifth.isClosed()).as("idle for too long").isTrue();
             byte[] rest = slow.getInputStream().readAllBytes();
             assertThat(first + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FakeControl.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FakeControl.java
@@ -11,7 +11,7 @@
 import ridgemill.cdn.proxy.control.ControlListener;
 import ridgemill.cdn.proxy.control.ControlView;
 
-/** What a test says of the control plane. */
+/** A view of the control plane that a test sets. */
 final class FakeControl implements ControlView {
 
     volatile RoutingTable routing = RoutingTable.EMPTY;
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FakeRegister.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FakeRegister.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 import ridgemill.cdn.proxy.control.OperationRegister;
 
-/** A register of operations in memory that tells what was called. */
+/** An in-memory register of operations that records its calls. */
 final class FakeRegister implements OperationRegister {
 
     final BlockingQueue<String> claims = new LinkedBlockingQueue<>();
     final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
     final Queue<Runnable> deferred = new ConcurrentLinkedQueue<>();
-    /** Whether claims wait in {@link #deferred} for the test. */
+    /** Whether claims are queued in {@link #deferred} until the test runs them. */
     volatile boolean deferring;
 
     private final Map<String, Object> states = new HashMap<>();
@@ -32,8 +32,8 @@
 
     private void decide(String key, Consumer<ClaimOutcome> callback) {
         Object state = states.get(key);
-        if (state instanceof RecordedResponse answer) {
-            callback.accept(new ClaimOutcome.Finished(answer));
+        if (state instanceof RecordedResponse response) {
+            callback.accept(new ClaimOutcome.Finished(response));
         } else if (state != null) {
             callback.accept(new ClaimOutcome.Busy());
         } else {
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void finish(Claim claim, RecordedResponse answer) {
-        states.put(claim.key(), answer);
+    public void finish(Claim claim, RecordedResponse response) {
+        states.put(claim.key(), response);
         calls.add("finish");
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
@@ -22,7 +22,10 @@
 import ridgemill.cdn.settings.Settings;
 import ridgemill.gateway.net.SocketKind;
 
-/** Many edge proxies and two shared caches that share the bounds of one service, on one loop, between stand-in instances and plain sockets. */
+/**
+ * Several edge proxies and two shared caches that share the limits of one service, on one event loop, with stub
+ * instances and plain client sockets.
+ */
 final class FleetFixture implements AutoCloseable {
 
     private static final long CACHE_BYTES = 1_000_000;
@@ -41,7 +44,13 @@
     private final List<StubInstance> instances = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
 
-    /** Proxies before instances that together take so many requests a second and each so many connections. */
+    /**
+     * Starts the processes.
+     *
+     * @param size the number of edge proxies
+     * @param ratePerSecond the request rate limit of the service; 0 for none
+     * @param connectionCap the maximum number of connections to each instance
+     */
     FleetFixture(int size, double ratePerSecond, int connectionCap) throws Exception {
         this.ratePerSecond = ratePerSecond;
         this.connectionCap = connectionCap;
@@ -81,11 +90,11 @@
         return path;
     }
 
-    /** All processes hear of these shared caches, and of no others. */
-    void setSharedCaches(List<CacheNode> shown) throws Exception {
+    /** Reports these shared caches, and no others, to all processes. */
+    void setSharedCaches(List<CacheNode> sharedCaches) throws Exception {
         loop.submit(() -> {
                     for (FakeControl control : controls) {
-                        control.fleet = new Fleet(control.fleet.proxies(), shown);
+                        control.fleet = new Fleet(control.fleet.proxies(), sharedCaches);
                         control.listeners.forEach(ControlListener::instancesChanged);
                     }
                 })
@@ -113,18 +122,18 @@
                 false);
     }
 
-    /** Changes what one of the proxies is told. */
+    /** Changes the control plane view of one of the proxies. */
     void onProxy(int proxy, Consumer<FakeControl> change) throws Exception {
         FakeControl control = controls.get(CACHES + proxy);
         loop.submit(() -> change.accept(control)).sync();
     }
 
-    /** Changes what the shared caches are told. */
+    /** Changes the control plane view of the shared caches. */
     void onCaches(Consumer<FakeControl> change) throws Exception {
         loop.submit(() -> controls.subList(0, CACHES).forEach(change)).sync();
     }
 
-    /** Time passes without anything being done. */
+    /** Advances the clock; timers do not fire in between. */
     void advanceTime(double ms) {
         timers.advance(ms);
     }
@@ -143,7 +152,7 @@
         return instance;
     }
 
-    /** A client's connection to one of the proxies. */
+    /** Opens a client connection to one of the proxies. */
     ProxyFixture.Client client(int proxy) throws IOException {
         Socket socket = new Socket("127.0.0.1", proxies.get(proxy).address().getPort());
         socket.setSoTimeout(6_000);
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetLimitsTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetLimitsTest.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What a whole fleet of edge proxies does with bounds that hold for all of it together. */
+/** Tests limits that apply to a fleet of edge proxies as a whole. */
 class FleetLimitsTest {
 
     private static final int PROXIES = 40;
     private static final double MS_PER_SECOND = 1_000;
     private static final String SEALED = "X-Response-Seal: s\r\nETag: \"1\"\r\n";
 
-    /** New objects come at a quarter of the origin's rate, and each is read at every proxy. */
+    /** New objects appear at a quarter of the origin's rate limit, and each is read at every proxy. */
     @Test
     void objectIsFetchedOnceForTheWholeFleet() throws Exception {
         int objects = 10;
@@ -38,19 +38,19 @@
         }
     }
 
-    /** Requests of all proxies at once don't open more connections than the instances take. */
+    /** Concurrent requests at all proxies must not open more connections than the instances accept. */
     @Test
     void connectionsOfTheFleetStayWithinTheCapOfEachInstance() throws Exception {
         int cap = 24;
-        CountDownLatch held = new CountDownLatch(1);
-        StubInstance.Script holding = (request, socket) -> {
-            held.await();
+        CountDownLatch released = new CountDownLatch(1);
+        StubInstance.Script blocking = (request, socket) -> {
+            released.await();
             return StubInstance.write(socket, StubInstance.response(request, 200, SEALED, "done"));
         };
         try (FleetFixture fleet = new FleetFixture(PROXIES, 0, cap)) {
             List<StubInstance> instances = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                instances.add(fleet.instance("i" + i, holding));
+                instances.add(fleet.instance("i" + i, blocking));
             }
             List<ProxyFixture.Client> clients = new ArrayList<>();
             for (int request = 0; request < 4; request++) {
@@ -64,7 +64,7 @@
             for (StubInstance instance : instances) {
                 instance.take();
             }
-            held.countDown();
+            released.countDown();
             for (ProxyFixture.Client client : clients) {
                 assertThat(client.read().status()).isIn(200, 503);
             }
@@ -79,7 +79,9 @@
         }
     }
 
-    /** Asks until it is answered: on a busy machine a connection may come up too late for one request. */
+    /**
+     * Retries until a request is served: on a busy machine a connection may be established too late for one request.
+     */
     private static boolean isEventuallyServed(FleetFixture fleet, int proxy) throws Exception {
         for (int attempt = 0; attempt < 100; attempt++) {
             String id = "later-" + proxy + "-" + attempt;
