--- a/cdn/src/test/java/ridgemill/cdn/proxy/ForwardingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ForwardingTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How requests go to instances, and what clients hear of it. */
+/** Tests how requests are sent to instances and which responses clients receive. */
 class ForwardingTest {
 
     private static final String SEAL = "X-Response-Seal: s\r\n";
@@ -79,7 +79,7 @@
 
     @Test
     void incompleteOrForeignResponsesAreNeverForwarded() throws Exception {
-        String[] spoilt = {
+        String[] malformed = {
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nX-Response-Seal: s\r\nContent-Length: 9\r\n\r\ncut",
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Seal: s\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 200 OK\r\nX-Attempt-Id: ID\r\nContent-Length: 1\r\n\r\nx",
@@ -89,15 +89,15 @@
             "no answer at all\r\n\r\n",
         };
         StubInstance instance = proxy.instance("a", RESETS);
-        for (int i = 0; i < spoilt.length; i++) {
-            String text = spoilt[i];
+        for (int i = 0; i < malformed.length; i++) {
+            String text = malformed[i];
             instance.script = (request, socket) -> {
                 StubInstance.write(socket, text.replace("ID", request.attemptId()));
                 return false;
             };
             assertThat(proxy.request("POST", "/n/1", "1", "").status()).as(text).isEqualTo(502);
         }
-        assertThat(instance.received).hasSize(spoilt.length);
+        assertThat(instance.received).hasSize(malformed.length);
     }
 
     @Test
@@ -107,20 +107,20 @@
                 new ridgemill.cdn.config.Limits(2_000, bytes, 300, 2_000),
                 0,
                 ProxyFixture.route(ridgemill.cdn.config.RouteKind.NON_IDEMPOTENT, "/n/", 2)));
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch done = new CountDownLatch(1);
         StubInstance instance = proxy.instance("a", RESETS);
-        String[] answers = {
+        String[] responses = {
             "HTTP/1.1 413 X\r\nX-Attempt-Id: ID\r\nContent-Length: 3\r\n\r\nbig",
             "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\n" + SEAL + "Content-Length: 3\r\n\r\nyes",
             "HTTP/1.1 200 X\r\nX-Attempt-Id: other\r\n" + SEAL + "Content-Length: 3\r\n\r\nyes",
             "HTTP/1.1 200 X\r\nX-Attempt-Id: ID\r\n" + SEAL + "Content-Length: 4\r\n\r\nyes",
         };
         int[] statuses = {413, 200, 504, 504};
-        for (int i = 0; i < answers.length; i++) {
-            String text = answers[i];
+        for (int i = 0; i < responses.length; i++) {
+            String text = responses[i];
             instance.earlyScript = (request, socket) -> {
                 StubInstance.write(socket, text.replace("ID", request.attemptId()));
-                over.await();
+                done.await();
                 return false;
             };
             ProxyFixture.Client client = proxy.client();
@@ -128,7 +128,7 @@
                     + "\r\nX-Deadline-Remaining: 1500\r\nContent-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
             assertThat(client.read().status()).as(text).isEqualTo(statuses[i]);
         }
-        over.countDown();
+        done.countDown();
     }
 
     @Test
@@ -139,18 +139,18 @@
                 0,
                 ProxyFixture.route(ridgemill.cdn.config.RouteKind.NON_IDEMPOTENT, "/n/", 2)));
         StubInstance instance = proxy.instance("a", RESETS);
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch done = new CountDownLatch(1);
         instance.earlyScript = (request, socket) -> {
             StubInstance.write(socket, "HTTP/1.1 200 X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n");
             socket.shutdownOutput();
-            over.await();
+            done.await();
             return false;
         };
         ProxyFixture.Client client = proxy.client();
         client.send("POST /n/1 HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: 1\r\nContent-Length: " + bytes + "\r\n\r\n"
                 + "x".repeat(bytes));
         assertThat(client.read().status()).isEqualTo(502);
-        over.countDown();
+        done.countDown();
     }
 
     @Test
@@ -174,25 +174,25 @@
 
     @Test
     void everyRequestIsAnsweredAtItsDeadline() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
-        StubInstance silent = proxy.instance("a", (request, socket) -> {
-            over.await();
+        CountDownLatch done = new CountDownLatch(1);
+        StubInstance unresponsive = proxy.instance("a", (request, socket) -> {
+            done.await();
             return false;
         });
         assertThat(proxy.request("POST", "/n/1", "1", "X-Deadline-Remaining: 150\r\n")
                         .status())
                 .isEqualTo(504);
-        assertThat(silent.take().attemptId()).isEqualTo("1");
+        assertThat(unresponsive.take().attemptId()).isEqualTo("1");
         assertThat(proxy.request("POST", "/n/1", "2", "X-Deadline-Remaining: 0\r\n")
                         .status())
                 .isEqualTo(503);
-        assertThat(silent.received).isEmpty();
-        over.countDown();
+        assertThat(unresponsive.received).isEmpty();
+        done.countDown();
     }
 
     @Test
     void retryableRequestWithoutResponseIsRetriedElsewhere() throws Exception {
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch done = new CountDownLatch(1);
         StubInstance one = proxy.instance("a", StubInstance.sealed("x"));
         StubInstance other = proxy.instance("b", StubInstance.sealed("x"));
         for (int i = 0; one.received.isEmpty() || other.received.isEmpty(); i++) {
@@ -202,13 +202,13 @@
         StubInstance.Script hangs = (request, socket) -> {
             one.script = once;
             other.script = once;
-            over.await();
+            done.await();
             return false;
         };
         one.script = hangs;
         other.script = hangs;
         assertThat(proxy.request("GET", "/i/1", "1", "").body()).isEqualTo("x");
-        over.countDown();
+        done.countDown();
     }
 
     @Test
--- a/cdn/src/test/java/ridgemill/cdn/proxy/KeyedOperationTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/KeyedOperationTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Keyed operations run once. */
+/** Tests that keyed operations run once. */
 class KeyedOperationTest {
 
     private static final String KEY = "X-Operation-Key: k\r\n";
@@ -126,7 +126,7 @@
         assertThat(proxy.register.claims).hasSize(2);
     }
 
-    /** Requests with one key that arrive one behind the other. */
+    /** Sends requests with the same key one after the other. */
     private ProxyFixture.Client[] send(int count) throws Exception {
         ProxyFixture.Client[] clients = new ProxyFixture.Client[count];
         for (int i = 0; i < count; i++) {
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
@@ -22,7 +22,7 @@
 import ridgemill.cdn.settings.Settings;
 import ridgemill.gateway.net.SocketKind;
 
-/** A data path on a loop of its own, between stand-in instances and plain sockets. */
+/** A data path on its own event loop, with stub instances and plain client sockets. */
 final class ProxyFixture implements AutoCloseable {
 
     static final Limits LIMITS = new Limits(2_000, 10_000, 300, 2_000);
@@ -42,7 +42,11 @@
         this(1_000);
     }
 
-    /** One whose process may have so many descriptors open. */
+    /**
+     * Starts a data path.
+     *
+     * @param fileDescriptors the maximum number of open file descriptors of the process
+     */
     ProxyFixture(int fileDescriptors) throws Exception {
         settings = new Settings(
                 "edge-1",
@@ -93,7 +97,7 @@
                 1);
     }
 
-    /** The same route in its next version. */
+    /** The same route with the next version number. */
     static Route nextVersion(Route route) {
         return new Route(
                 route.name(),
@@ -119,7 +123,7 @@
         return instance;
     }
 
-    /** Puts other routes in place. */
+    /** Replaces the routes. */
     void setRoutes(Route... routes) throws Exception {
         onLoop(() -> {
             control.setRoutes(LIMITS, 0, routes);
@@ -127,7 +131,7 @@
         });
     }
 
-    /** The instances that are ready from now on. */
+    /** Replaces the instances that are ready. */
     void setReadyInstances(StubInstance... ready) throws Exception {
         onLoop(() -> {
             control.instances =
@@ -136,7 +140,7 @@
         });
     }
 
-    /** Waits until so many requests are under way. */
+    /** Waits until this number of requests is in flight. */
     void awaitInFlight(int count) throws Exception {
         long endNanos = System.nanoTime() + 10_000_000_000L;
         for (int now = loop.submit(dataPath::inFlight).get();
@@ -152,7 +156,7 @@
         loop.submit(task).sync();
     }
 
-    /** A client's connection. */
+    /** Opens a client connection. */
     Client client() throws IOException {
         Socket socket = new Socket("127.0.0.1", dataPath.address().getPort());
         socket.setSoTimeout(6_000);
@@ -160,12 +164,12 @@
         return new Client(socket);
     }
 
-    /** Asks on a connection of its own. */
-    Reply request(String method, String target, String id, String more) throws IOException {
-        return client().request(method, target, id, more);
+    /** Sends a request on a new connection and reads the response. */
+    Reply request(String method, String target, String id, String extraHeaders) throws IOException {
+        return client().request(method, target, id, extraHeaders);
     }
 
-    /** An answer as a client reads it. */
+    /** A response as read by a client. */
     record Reply(int status, String head, String body) {
 
         String header(String name) {
@@ -173,12 +177,12 @@
         }
     }
 
-    /** A client's connection. */
+    /** The connection of a client. */
     record Client(Socket socket) {
 
-        Reply request(String method, String target, String id, String more) throws IOException {
-            send(method + " " + target + " HTTP/1.1\r\nHost: h.example\r\n" + "X-Attempt-Id: " + id + "\r\n" + more
-                    + "\r\n");
+        Reply request(String method, String target, String id, String extraHeaders) throws IOException {
+            send(method + " " + target + " HTTP/1.1\r\nHost: h.example\r\n" + "X-Attempt-Id: " + id + "\r\n"
+                    + extraHeaders + "\r\n");
             return read();
         }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
@@ -17,7 +17,7 @@
 import ridgemill.cdn.proxy.http.Headers;
 import ridgemill.gateway.net.SocketKind;
 
-/** What happens between a request's admission and its sending. */
+/** Tests what can happen between the admission of a request and sending it. */
 class RequestSendingTest {
 
     private static final String KEY = "X-Operation-Key: k\r\n";
@@ -44,9 +44,10 @@
         proxy.close();
     }
 
-    private ProxyFixture.Client send(String target, String id, String more) throws Exception {
+    private ProxyFixture.Client send(String target, String id, String extraHeaders) throws Exception {
         ProxyFixture.Client client = proxy.client();
-        client.send("POST " + target + " HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + id + "\r\n" + more + "\r\n");
+        client.send("POST " + target + " HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: " + id + "\r\n" + extraHeaders
+                + "\r\n");
         return client;
     }
 
@@ -55,7 +56,7 @@
         proxy.onLoop(claim);
     }
 
-    /** Fills an instance and takes note of what filled it. */
+    /** Occupies all slots and queue places of an instance and consumes its received requests. */
     private void fill(StubInstance instance) throws Exception {
         for (int i = 0; i < SLOTS_AND_QUEUE; i++) {
             send("/n/1", "full" + i, "");
@@ -117,7 +118,9 @@
         assertThat(instance.received).isEmpty();
     }
 
-    /** An attempt of the proxy's own making; what is done with it right after its start comes before its connection. */
+    /**
+     * Starts an attempt directly. {@code meanwhile} runs right after the start, before the connection is established.
+     */
     private AttemptOutcome runAttempt(StubInstance instance, Runnable meanwhile) throws Exception {
         CompletableFuture<Attempt> ended = new CompletableFuture<>();
         proxy.onLoop(() -> {
@@ -152,12 +155,15 @@
         return attempt.outcome();
     }
 
-    /** Found by the soak: a process that went on after it stood still cancelled such attempts and opened more than its part. */
+    /**
+     * Guards against a fault found by the soak test: a process that resumed after a pause cancelled attempts whose
+     * connections were being established, and then opened more connections than its share.
+     */
     @Test
     void cancelledAttemptHoldsItsSlotUntilItsConnectionIsEstablished() throws Exception {
         StubInstance instance = proxy.instance("a", StubInstance.sealed("x"));
         proxy.onLoop(() -> proxy.control.instances = List.of(instance.instance("s")));
-        CompletableFuture<ServiceState> made = new CompletableFuture<>();
+        CompletableFuture<ServiceState> created = new CompletableFuture<>();
         proxy.onLoop(() -> {
             ProxyContext context = new ProxyContext(
                     proxy.loop,
@@ -179,17 +185,17 @@
             assertThat(attempt.instance().inFlight())
                     .as("the connection is coming up")
                     .isEqualTo(1);
-            made.complete(service);
+            created.complete(service);
         });
-        ServiceState service = made.get(5, TimeUnit.SECONDS);
+        ServiceState service = created.get(5, TimeUnit.SECONDS);
         long endNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-        int held = 1;
-        while (held > 0 && System.nanoTime() < endNanos) {
-            held = proxy.loop
+        int inFlight = 1;
+        while (inFlight > 0 && System.nanoTime() < endNanos) {
+            inFlight = proxy.loop
                     .submit(() -> service.picker().instances().get(0).inFlight())
                     .get();
         }
-        assertThat(held).isZero();
+        assertThat(inFlight).isZero();
         assertThat(proxy.loop.submit(service::openConnections).get()).isEqualTo(1);
         assertThat(instance.received).isEmpty();
     }
@@ -216,18 +222,18 @@
 
     @Test
     void requestWaitingForCapacityMovesToAnotherInstanceOnDrain() throws Exception {
-        StubInstance leaving = proxy.instance("a", blockingScript);
-        fill(leaving);
+        StubInstance draining = proxy.instance("a", blockingScript);
+        fill(draining);
         ProxyFixture.Client client = send("/n/1", "waits", "");
         proxy.awaitInFlight(SLOTS_AND_QUEUE + 1);
         StubInstance other = proxy.instance("b", StubInstance.sealed("elsewhere"));
         proxy.setReadyInstances(other);
         unblocked.countDown();
         assertThat(client.read().body()).isEqualTo("elsewhere");
-        assertThat(leaving.received).isEmpty();
+        assertThat(draining.received).isEmpty();
         proxy.setReadyInstances();
         assertThat(proxy.request("POST", "/n/1", "last", "").status()).isEqualTo(503);
-        assertThat(leaving.received).isEmpty();
+        assertThat(draining.received).isEmpty();
         assertThat(other.received).hasSize(1);
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
@@ -10,7 +10,10 @@
 import ridgemill.cdn.config.RouteKind;
 import ridgemill.cdn.membership.CacheNode;
 
-/** Reads over shared caches: freshness, purges that one side has not heard of, caches that are gone or behind. */
+/**
+ * Tests reads through shared caches: freshness, purges that one side has not received, and shared caches that are
+ * unreachable or outdated.
+ */
 class SharedCacheTest {
 
     private static final int PROXIES = 3;
--- a/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
@@ -15,15 +15,15 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceState;
 
-/** An instance over loopback that answers by a script and records what it received. */
+/** A scripted instance on the loopback interface that records the requests it receives. */
 final class StubInstance implements AutoCloseable {
 
-    /** Writes the answer to a request; the connection stays open if it returns true. */
+    /** Writes the response to a request; the connection stays open if it returns true. */
     interface Script {
         boolean respond(Received request, Socket socket) throws Exception;
     }
 
-    /** A request as it arrived. */
+    /** A request as received. */
     record Received(String head, String body) {
 
         String header(String name) {
@@ -45,23 +45,23 @@
     private final String id;
     private final List<Socket> sockets = new ArrayList<>();
     volatile Script script;
-    /** Answers by heads alone, before the bodies are read, if it is set. */
+    /** If set, responds after the head alone, before the body is read. */
     volatile Script earlyScript;
 
     StubInstance(String id, Script script) throws IOException {
         this.id = id;
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Thread accepts = new Thread(this::accept);
-        accepts.setDaemon(true);
-        accepts.start();
+        Thread acceptThread = new Thread(this::accept);
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
     Instance instance(String service) {
         return new Instance(id, service, "127.0.0.1:" + server.getLocalPort(), "z", "v1", 8, InstanceState.READY, 1, 0);
     }
 
-    /** How many connections were opened to it so far. */
+    /** The number of connections accepted so far. */
     int connections() {
         synchronized (sockets) {
             return sockets.size();
@@ -76,14 +76,14 @@
         return next;
     }
 
-    /** Answers 200 with a seal and this body. */
+    /** Responds with status 200, a seal and this body. */
     static Script sealed(String body) {
         return (request, socket) -> write(socket, response(request, 200, "X-Response-Seal: s\r\n", body));
     }
 
-    static String response(Received request, int status, String more, String body) {
-        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n" + more + "Content-Length: "
-                + body.length() + "\r\n\r\n" + body;
+    static String response(Received request, int status, String extraHeaders, String body) {
+        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n" + extraHeaders
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     static boolean write(Socket socket, String text) throws IOException {
@@ -99,12 +99,12 @@
                 synchronized (sockets) {
                     sockets.add(socket);
                 }
-                Thread serves = new Thread(() -> serve(socket));
-                serves.setDaemon(true);
-                serves.start();
+                Thread serveThread = new Thread(() -> serve(socket));
+                serveThread.setDaemon(true);
+                serveThread.start();
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has ended.
         }
     }
 
@@ -118,7 +118,7 @@
                 }
             }
         } catch (Exception closed) {
-            // The proxy closed it.
+            // The proxy closed the connection.
         }
     }
 
