--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
@@ -36,7 +36,7 @@
     private static final long KEEP_ALIVE_MARGIN_MS = 1_000;
 
     private static final long MS_PER_SECOND = 1_000;
-    private static final String CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n";
+    private static final String CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n";
     private static final String CONNECTION_CLOSE_LINE = "Connection: close\r\n";
 
     private enum State {
@@ -133,7 +133,7 @@
             return;
         }
         if (state != State.BODY && reader.expectsContinue()) {
-            channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), CONTINUE_RESPONSE));
+            channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), CONTINUE));
         }
         state = State.BODY;
         timeoutAtMs = dataPath.now() + limits.idleTimeoutMs();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
@@ -15,7 +15,7 @@
 /** One connection to an instance or shared cache; it carries one request at a time. */
 final class InstanceConnection extends ChannelInboundHandlerAdapter {
 
-    private static final int MISDIRECTED_STATUS = 421;
+    private static final int MISDIRECTED = 421;
     /** Maximum number of surplus responses to earlier requests that are skipped before the expected response. */
     private static final int MAX_SURPLUS_RESPONSES = 2;
 
@@ -193,7 +193,7 @@
     }
 
     private static AttemptOutcome outcomeOf(InstanceResponse response, Headers headers) {
-        if (response.status() == MISDIRECTED_STATUS) {
+        if (response.status() == MISDIRECTED) {
             return AttemptOutcome.MISDIRECTED;
         }
         if (headers.get("X-Not-Executed") != null) {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/OperationRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/OperationRegister.java
@@ -18,12 +18,12 @@
 
         @Override
         public void finish(Claim claim, RecordedResponse response) {
-            throw new IllegalStateException("nothing was claimed");
+            throw new IllegalStateException("no claim was granted");
         }
 
         @Override
         public void release(Claim claim) {
-            throw new IllegalStateException("nothing was claimed");
+            throw new IllegalStateException("no claim was granted");
         }
     };
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
@@ -36,7 +36,7 @@
             byte[] body = unpacker.readPayload(unpacker.unpackBinaryHeader());
             return new OperationRegister.RecordedResponse(status, headers, body);
         } catch (RuntimeException malformed) {
-            throw new IOException("a recorded answer can't be read", malformed);
+            throw new IOException("malformed recorded response", malformed);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/HeaderLine.java
@@ -39,7 +39,7 @@
         }
         for (int i = from; i < to; i++) {
             if (bytes[i] >= 0 && bytes[i] < ' ' && bytes[i] != '\t' || bytes[i] == 127) {
-                throw new BadMessageException(400, "a header holds a control character");
+                throw new BadMessageException(400, "control character in a header value");
             }
         }
         into.add(
@@ -50,11 +50,11 @@
     /** Parses the value of a Content-Length header. */
     static long parseContentLength(String text) throws BadMessageException {
         if (text.isEmpty() || text.length() > MAX_LENGTH_DIGITS) {
-            throw new BadMessageException(text.isEmpty() ? 400 : 413, "a length out of bounds");
+            throw new BadMessageException(text.isEmpty() ? 400 : 413, "Content-Length is empty or too long");
         }
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
-                throw new BadMessageException(400, "the length is no number");
+                throw new BadMessageException(400, "Content-Length is not a number");
             }
         }
         return Long.parseLong(text);
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -133,13 +133,13 @@
             byte b = in.getByte(start + scanned);
             if (b == '\n') {
                 if (scanned == 0 || in.getByte(start + scanned - 1) != '\r') {
-                    throw new BadMessageException(400, "a line ends without CR");
+                    throw new BadMessageException(400, "LF without CR");
                 }
                 if (scanned >= 3 && in.getByte(start + scanned - 2) == '\n') {
                     return scanned + 1;
                 }
             } else if (scanned > 0 && in.getByte(start + scanned - 1) == '\r') {
-                throw new BadMessageException(400, "a CR without LF");
+                throw new BadMessageException(400, "CR without LF");
             }
         }
         return -1;
@@ -158,17 +158,17 @@
         int lengths = headers.count("Content-Length");
         if (codings > 0) {
             if (lengths > 0 || codings > 1 || !"chunked".equalsIgnoreCase(headers.get("Transfer-Encoding"))) {
-                throw new BadMessageException(400, "the coding leaves the length open");
+                throw new BadMessageException(400, "unsupported or conflicting Transfer-Encoding");
             }
             state = isBodiless() ? State.COMPLETE : State.CHUNK_HEADER;
         } else if (lengths > 1) {
-            throw new BadMessageException(400, "more than one length");
+            throw new BadMessageException(400, "more than one Content-Length");
         } else if (lengths == 1) {
             startFixedBody(HeaderLine.parseContentLength(headers.get("Content-Length")));
         } else if (isBodiless() || isEmptyWithoutLength()) {
             state = State.COMPLETE;
         } else {
-            throw new BadMessageException(400, "nothing tells the end of the body");
+            throw new BadMessageException(400, "neither Content-Length nor chunked coding");
         }
     }
 
@@ -178,7 +178,7 @@
             return;
         }
         if (length > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
         remaining = length;
         body = length == 0 ? EMPTY : new byte[(int) Math.min(length, INITIAL_BODY_BYTES)];
@@ -213,11 +213,11 @@
             digits++;
         }
         if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
-            throw new BadMessageException(400, "a chunk without a length");
+            throw new BadMessageException(400, "malformed chunk size");
         }
         remaining = Long.parseLong(line.substring(0, digits), 16);
         if (filled + remaining > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
         state = remaining == 0 ? State.TRAILER : State.CHUNK;
         return true;
@@ -228,7 +228,7 @@
             return false;
         }
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new BadMessageException(400, "a chunk is longer than it says");
+            throw new BadMessageException(400, "chunk data exceeds the chunk size");
         }
         state = State.CHUNK_HEADER;
         return true;
@@ -242,7 +242,7 @@
         }
         trailerBytes += line.length() + 2;
         if (trailerBytes > maxHeadBytes()) {
-            throw new BadMessageException(431, "the trailer is too long");
+            throw new BadMessageException(431, "trailer section exceeds the size limit");
         }
         if (line.isEmpty()) {
             state = State.COMPLETE;
@@ -258,16 +258,16 @@
         int lineFeed = in.indexOf(start, in.writerIndex(), (byte) '\n');
         if (lineFeed < 0) {
             if (in.readableBytes() > maxBytes) {
-                throw new BadMessageException(400, "a line is too long");
+                throw new BadMessageException(400, "line exceeds the size limit");
             }
             return null;
         }
         if (lineFeed - start > maxBytes || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
-            throw new BadMessageException(400, "a line ends without CR or is too long");
+            throw new BadMessageException(400, "line ends without CR or exceeds the size limit");
         }
         String line = in.toString(start, lineFeed - 1 - start, StandardCharsets.ISO_8859_1);
         if (line.indexOf('\r') >= 0) {
-            throw new BadMessageException(400, "a CR without LF");
+            throw new BadMessageException(400, "CR without LF");
         }
         in.readerIndex(lineFeed + 1);
         return line;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
@@ -40,14 +40,14 @@
         int first = line.indexOf(' ');
         int second = line.indexOf(' ', first + 1);
         if (first <= 0 || second < 0 || line.indexOf(' ', second + 1) >= 0) {
-            throw new BadMessageException(400, "the request line has other than three parts");
+            throw new BadMessageException(400, "request line does not have three parts");
         }
         method = line.substring(0, first);
         target = line.substring(first + 1, second);
         String version = line.substring(second + 1);
         http10 = version.equals("HTTP/1.0");
         if (!HeaderLine.isToken(method) || !isOriginForm(target) || !http10 && !version.equals("HTTP/1.1")) {
-            throw new BadMessageException(400, "the request line makes no sense");
+            throw new BadMessageException(400, "invalid method, target or version in the request line");
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
@@ -36,18 +36,18 @@
         if (!http10 && !line.startsWith("HTTP/1.1 ")
                 || line.length() < STATUS_END
                 || line.length() > STATUS_END && line.charAt(STATUS_END) != ' ') {
-            throw new BadMessageException(502, "no status line");
+            throw new BadMessageException(502, "malformed status line");
         }
         status = 0;
         for (int i = STATUS_START; i < STATUS_END; i++) {
             int digit = line.charAt(i) - '0';
             if (digit < 0 || digit > 9) {
-                throw new BadMessageException(502, "no status");
+                throw new BadMessageException(502, "malformed status code");
             }
             status = 10 * status + digit;
         }
         if (status < 200 || status > 599) {
-            throw new BadMessageException(502, "no final status");
+            throw new BadMessageException(502, "status code is not a final status");
         }
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/CacheTest.java
@@ -164,7 +164,7 @@
         proxy.timers.advance(CACHE_TTL_MS * 0.1);
         for (int i = 0; i < 20; i++) {
             assertThat(proxy.request("GET", "/c/1", "b" + i, "").body())
-                    .as("nobody waits")
+                    .as("served from the copy without waiting")
                     .isEqualTo("0123456789");
         }
         assertThat(origin.take().header("If-None-Match")).isNull();
@@ -173,7 +173,7 @@
         go.countDown();
         proxy.timers.advance(CACHE_TTL_MS * 0.2);
         assertThat(proxy.request("GET", "/c/1", "last", "").body()).isEqualTo("0123456789");
-        assertThat(origin.received).as("the copy lives on").isEmpty();
+        assertThat(origin.received).as("the refreshed copy is still fresh").isEmpty();
     }
 
     @Test
@@ -199,7 +199,7 @@
         proxy.timers.advance(CACHE_TTL_MS * 0.9);
         proxy.request("GET", "/c/1", "b", "");
         assertThat(proxy.request("GET", "/c/2", "client", "").status())
-                .as("a share of one at a time has nothing to spare")
+                .as("a share of one request at a time has no spare capacity")
                 .isEqualTo(200);
         assertThat(origin.take().attemptId()).isEqualTo("a0");
         assertThat(origin.take().attemptId()).isEqualTo("client");
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
@@ -94,7 +94,7 @@
         slow.send("GET /i/1 HTTP/1.1\r\n");
         assertThat(slow.read().status()).isEqualTo(408);
         assertThat(slow.isClosed()).isTrue();
-        assertThat(proxy.client().isClosed()).as("idle for too long").isTrue();
+        assertThat(proxy.client().isClosed()).as("idle timeout passed").isTrue();
     }
 
     @Test
@@ -104,7 +104,7 @@
         assertThat(client.read().status()).isEqualTo(400);
         assertThat(client.request("GET", "/nowhere/", "1", "").status()).isEqualTo(404);
         assertThat(client.request("POST", "/k/1", "1", "").status())
-                .as("without its key")
+                .as("without an operation key")
                 .isEqualTo(400);
     }
 
@@ -121,7 +121,7 @@
         assertThat(clients[0].request("GET", "/i/1", "again", "").status()).isEqualTo(200);
         ProxyFixture.Client fifth = proxy.client();
         assertThat(fifth.request("GET", "/i/1", "b", "").status()).isEqualTo(200);
-        assertThat(clients[1].isClosed()).as("idle for longest").isTrue();
+        assertThat(clients[1].isClosed()).as("longest idle").isTrue();
         for (ProxyFixture.Client open : new ProxyFixture.Client[] {clients[0], clients[2], clients[3], fifth}) {
             assertThat(open.request("GET", "/i/1", "c", "").status()).isEqualTo(200);
         }
@@ -187,7 +187,7 @@
                 inFlight[0] = proxy.dataPath.inFlight();
                 proxy.dataPath.drain();
             });
-            assertThat(inFlight[0]).as("not over while a part is unsent").isEqualTo(1);
+            assertThat(inFlight[0]).as("in flight while output is unsent").isEqualTo(1);
             byte[] rest = client.getInputStream().readAllBytes();
             assertThat(first.length + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
@@ -216,8 +216,8 @@
             }
             ProxyFixture.Client fifth = proxy.client();
             assertThat(fifth.request("GET", "/none", "f", "").status()).isEqualTo(404);
-            assertThat(others[0].isClosed()).as("idle for longest").isTrue();
-            assertThat(fifth.isClosed()).as("idle for too long").isTrue();
+            assertThat(others[0].isClosed()).as("longest idle").isTrue();
+            assertThat(fifth.isClosed()).as("idle timeout passed").isTrue();
             byte[] rest = slow.getInputStream().readAllBytes();
             assertThat(first + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
@@ -179,6 +179,6 @@
             instance.close();
         }
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
-        assertThat(broken[0]).as("broken invariants").isZero();
+        assertThat(broken[0]).as("invariant violations").isZero();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetLimitsTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetLimitsTest.java
@@ -70,7 +70,7 @@
             }
             for (int proxy = 0; proxy < PROXIES; proxy++) {
                 assertThat(isEventuallyServed(fleet, proxy))
-                        .as("no part is so small that proxy %d is left out", proxy)
+                        .as("proxy %d has a share of the connections", proxy)
                         .isTrue();
             }
             for (StubInstance instance : instances) {
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ProxyFixture.java
@@ -147,7 +147,7 @@
                 now != count;
                 now = loop.submit(dataPath::inFlight).get()) {
             if (System.nanoTime() > endNanos) {
-                throw new AssertionError(now + " requests are under way instead of " + count);
+                throw new AssertionError(now + " requests in flight instead of " + count);
             }
         }
     }
@@ -197,7 +197,7 @@
             while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
                 int b = in.read();
                 if (b < 0) {
-                    throw new IOException("closed after: " + head.toString(StandardCharsets.ISO_8859_1));
+                    throw new IOException("connection closed after: " + head.toString(StandardCharsets.ISO_8859_1));
                 }
                 head.write(b);
             }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
@@ -183,7 +183,7 @@
             attempt.start(proxy.timers.now() + 1_000, Double.POSITIVE_INFINITY);
             attempt.cancel(false);
             assertThat(attempt.instance().inFlight())
-                    .as("the connection is coming up")
+                    .as("the connection is being established")
                     .isEqualTo(1);
             created.complete(service);
         });
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
@@ -64,7 +64,7 @@
         assertThat(read(1, "2").body()).isEqualTo("v1");
         fleet.advanceTime(25_000);
         assertThat(read(1, "3").body())
-                .as("65 s after the fetch, of 60 s that copies are kept")
+                .as("65 s after the fetch, with a TTL of 60 s")
                 .isEqualTo("v2");
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
@@ -71,7 +71,7 @@
     Received take() throws InterruptedException {
         Received next = received.poll(5, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("no request arrived at " + id);
+            throw new AssertionError("no request received by " + id);
         }
         return next;
     }
