--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -50,7 +50,7 @@
         return instance;
     }
 
-    /** How the attempt ended; null while it is in progress. */
+    /** How the attempt ended; null while it is in progress or if it was cancelled. */
     AttemptOutcome outcome() {
         return outcome;
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
@@ -24,10 +24,10 @@
             ClientRequest request,
             Route route,
             ServiceState service,
-            ObjectFetcher objects) {
+            ObjectFetcher fetcher) {
         super(context, client, request, route);
         this.service = service;
-        this.fetcher = objects;
+        this.fetcher = fetcher;
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
@@ -57,8 +57,8 @@
     private boolean keepAlive;
     private boolean processing;
 
-    ClientConnection(DataPath path) {
-        this.dataPath = path;
+    ClientConnection(DataPath dataPath) {
+        this.dataPath = dataPath;
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -79,12 +79,12 @@
         retryWaiting();
     }
 
-    void awaitCapacity(UpstreamCall delivery) {
-        waiting.add(delivery);
+    void awaitCapacity(UpstreamCall call) {
+        waiting.add(call);
     }
 
-    void stopAwaiting(UpstreamCall delivery) {
-        waiting.remove(delivery);
+    void stopAwaiting(UpstreamCall call) {
+        waiting.remove(call);
     }
 
     void retryWaiting() {
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetcher.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetcher.java
@@ -48,7 +48,7 @@
         this.cache = cache;
     }
 
-    /** Serves a request from a copy and returns null, or returns the fetch that the request waits for. */
+    /** Serves a request from a copy or lets it wait for a fetch. Returns that fetch; null if the request has ended. */
     ObjectFetch serveOrFetch(CachedExchange exchange) {
         double nowMs = context.now();
         String key = exchange.request().cacheKey();
@@ -118,7 +118,7 @@
         OutgoingRequest sentRequest = viaSharedCaches
                 ? outgoing.forSharedCache(service.name(), exchange.route().version(), maxAgeMs)
                 : outgoing;
-        UpstreamCall delivery = new UpstreamCall(
+        UpstreamCall call = new UpstreamCall(
                 context,
                 viaSharedCaches ? context.caches().upstreamFor(service) : service,
                 exchange.route(),
@@ -126,8 +126,8 @@
                 !context.isSharedCache(),
                 deadlineMs,
                 result -> callEnded(fetch, exchange, outgoing, deadlineMs, viaSharedCaches, result));
-        fetch.setCall(delivery);
-        return delivery;
+        fetch.setCall(call);
+        return call;
     }
 
     /** Fetches from the instances if no shared cache could be used and nothing has run. */
@@ -179,10 +179,9 @@
         cache.resetUses(copy.key());
         ObjectFetch fetch = new ObjectFetch(copy.key(), null, copy.etag() == null ? null : copy, nowMs);
         double maxAgeMs = REFRESH_MAX_AGE_FRACTION * exchange.route().cacheTtlMs();
-        UpstreamCall delivery =
-                newCall(fetch, exchange, nowMs + exchange.route().timeoutMs(), maxAgeMs);
-        delivery.disableRetries();
-        delivery.start();
+        UpstreamCall call = newCall(fetch, exchange, nowMs + exchange.route().timeoutMs(), maxAgeMs);
+        call.disableRetries();
+        call.start();
     }
 
     /** Removes a fetch that ended or was cancelled. */
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
@@ -109,13 +109,13 @@
         }
 
         @Override
-        public void awaitCapacity(UpstreamCall delivery) {
-            instances.awaitCapacity(delivery);
+        public void awaitCapacity(UpstreamCall call) {
+            instances.awaitCapacity(call);
         }
 
         @Override
-        public void stopAwaiting(UpstreamCall delivery) {
-            instances.stopAwaiting(delivery);
+        public void stopAwaiting(UpstreamCall call) {
+            instances.stopAwaiting(call);
         }
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Upstream.java
@@ -27,10 +27,10 @@
     ServiceMeters meters();
 
     /** Notifies a call once an instance may have capacity. */
-    void awaitCapacity(UpstreamCall delivery);
+    void awaitCapacity(UpstreamCall call);
 
     /** Removes a call that stopped waiting. */
-    void stopAwaiting(UpstreamCall delivery);
+    void stopAwaiting(UpstreamCall call);
 
     /** Lets the calls that wait for capacity try again. */
     void retryWaiting();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/UpstreamCall.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/UpstreamCall.java
@@ -182,7 +182,7 @@
 
     /**
      * When an attempt without a response ends, on the proxy's clock. Infinite, so that only the deadline applies, if
-     * no retry is possible or there would not be enough time for one.
+     * no retry is possible, the instance's latency is unknown, or there would not be enough time for a retry.
      */
     private double responseTimeoutAtMs(InstanceStats instance, double nowMs) {
         boolean lastAttempt = !retryable || sentAttempts + 1 >= route.maxAttempts() || context.isDraining();
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -61,7 +61,7 @@
             boolean more = switch (state) {
                 case HEAD -> readHead(in);
                 case FIXED -> readBody(in, State.COMPLETE);
-                case CHUNK_HEADER -> readChunkLine(in);
+                case CHUNK_HEADER -> readChunkHeader(in);
                 case CHUNK -> readBody(in, State.CHUNK_END);
                 case CHUNK_END -> readChunkEnd(in);
                 case TRAILER -> readTrailer(in);
@@ -203,7 +203,7 @@
         return remaining == 0;
     }
 
-    private boolean readChunkLine(ByteBuf in) throws BadMessageException {
+    private boolean readChunkHeader(ByteBuf in) throws BadMessageException {
         String line = readLine(in, MAX_CHUNK_LINE_BYTES);
         if (line == null) {
             return false;
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
@@ -76,7 +76,7 @@
                 ProxyFixture.route(RouteKind.CACHEABLE, "/c/", 2),
                 ProxyFixture.route(RouteKind.IDEMPOTENT, "/i/", 2));
         controls.add(control);
-        DataPath path = new DataPath(
+        DataPath dataPath = new DataPath(
                 loop,
                 SocketKind.NIO,
                 timers,
@@ -86,8 +86,8 @@
                 new SimpleMeterRegistry(),
                 cache,
                 CACHE_BYTES);
-        path.listen().sync();
-        return path;
+        dataPath.listen().sync();
+        return dataPath;
     }
 
     /** Reports these shared caches, and no others, to all processes. */
@@ -164,11 +164,11 @@
     public void close() throws IOException {
         List<DataPath> all = new ArrayList<>(proxies);
         all.addAll(caches);
-        long[] broken = new long[1];
+        long[] violations = new long[1];
         loop.submit(() -> {
-                    for (DataPath path : all) {
-                        broken[0] += path.invariantViolations();
-                        path.close();
+                    for (DataPath dataPath : all) {
+                        violations[0] += dataPath.invariantViolations();
+                        dataPath.close();
                     }
                 })
                 .syncUninterruptibly();
@@ -179,6 +179,6 @@
             instance.close();
         }
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
-        assertThat(broken[0]).as("invariant violations").isZero();
+        assertThat(violations[0]).as("invariant violations").isZero();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/RequestSendingTest.java
@@ -122,7 +122,7 @@
      * Starts an attempt directly. {@code meanwhile} runs right after the start, before the connection is established.
      */
     private AttemptOutcome runAttempt(StubInstance instance, Runnable meanwhile) throws Exception {
-        CompletableFuture<Attempt> ended = new CompletableFuture<>();
+        CompletableFuture<Attempt> endedAttempt = new CompletableFuture<>();
         proxy.onLoop(() -> {
             ProxyContext context = new ProxyContext(
                     proxy.loop,
@@ -144,12 +144,12 @@
             });
             OutgoingRequest request = new OutgoingRequest(
                     "POST", "/n/1", "1", new Headers().add("X-Attempt-Id", "1"), new byte[0], 1, 400);
-            Attempt attempt =
-                    new Attempt(context, service, service.picker().instances().get(0), request, false, ended::complete);
+            Attempt attempt = new Attempt(
+                    context, service, service.picker().instances().get(0), request, false, endedAttempt::complete);
             attempt.start(proxy.timers.now() + 1_000, Double.POSITIVE_INFINITY);
             meanwhile.run();
         });
-        Attempt attempt = ended.get(5, TimeUnit.SECONDS);
+        Attempt attempt = endedAttempt.get(5, TimeUnit.SECONDS);
         assertThat(attempt.isSent()).isEqualTo(attempt.outcome() == AttemptOutcome.ANSWERED);
         assertThat(attempt.instance().inFlight()).isZero();
         return attempt.outcome();
