--- a/core/src/main/java/ridgemill/policy/Router.java
+++ b/core/src/main/java/ridgemill/policy/Router.java
@@ -85,6 +85,15 @@
             this(name, targetLatencyMs, targetStretch, deadlineMs, value, lateValueShare, effect, deduplicationScope,
                     deduplicationWindowMs, streaming, RetryPolicy.PLATFORM_DEFAULT);
         }
+
+        /** The platform digest is built from this text, so it must not change when the type or a component is renamed. */
+        @Override
+        public String toString() {
+            return "ServiceClass[name=" + name + ", aimMs=" + targetLatencyMs + ", aimStretch=" + targetStretch
+                    + ", deadlineMs=" + deadlineMs + ", gain=" + value + ", lateShare=" + lateValueShare
+                    + ", effect=" + effect + ", group=" + deduplicationScope
+                    + ", repeatWindowMs=" + deduplicationWindowMs + ", stream=" + streaming + ", retry=" + retry + "]";
+        }
     }
 
     /**
@@ -117,10 +126,25 @@
         public double boundTimeout(double timeoutMs) {
             return attemptTimeoutMs > 0 ? Math.min(attemptTimeoutMs, timeoutMs) : timeoutMs;
         }
+
+        /** The platform digest is built from this text, so it must not change when the type or a component is renamed. */
+        @Override
+        public String toString() {
+            return "Retry[attempts=" + maxAttempts + ", attemptMs=" + attemptTimeoutMs
+                    + ", firstWaitMs=" + initialBackoffMs + ", waitFactor=" + backoffFactor
+                    + ", mostWaitMs=" + maxBackoffMs + "]";
+        }
     }
 
     /** A tenant and its quota: the request rate over all proxies up to which its requests keep their full priority. */
-    record Tenant(String name, double quotaPerS) { }
+    record Tenant(String name, double quotaPerS) {
+
+        /** The platform digest is built from this text, so it must not change when the type or a component is renamed. */
+        @Override
+        public String toString() {
+            return "Tenant[name=" + name + ", quotaPerS=" + quotaPerS + "]";
+        }
+    }
 
     /**
      * Limits and permissions of the platform.
@@ -135,7 +159,17 @@
      */
     record PlatformLimits(int maxAttempts, boolean cancelAllowed, boolean probesAllowed, boolean peerMessagesAllowed,
                           boolean retryAfterAllowed, double maxRetryAfterMs, boolean hedgingAllowed,
-                          double connectTimeoutMs) { }
+                          double connectTimeoutMs) {
+
+        /** The platform digest is built from this text, so it must not change when the type or a component is renamed. */
+        @Override
+        public String toString() {
+            return "Limits[maxAttempts=" + maxAttempts + ", cancel=" + cancelAllowed + ", probes=" + probesAllowed
+                    + ", peers=" + peerMessagesAllowed + ", retryAfter=" + retryAfterAllowed
+                    + ", maxRetryAfterMs=" + maxRetryAfterMs + ", secondCopies=" + hedgingAllowed
+                    + ", connectTimeoutMs=" + connectTimeoutMs + "]";
+        }
+    }
 
     /**
      * Parameters of the rules that the platform sets.
@@ -149,7 +183,16 @@
      * @param subscribeWithinMs within which a proxy subscribes to service discovery after its start
      */
     record PlatformRules(double drainGraceMs, double coldStartShare, double warmUpMs, double overloadMultiple,
-                         double overloadWindowMs, double answerSlackMs, double subscribeWithinMs) { }
+                         double overloadWindowMs, double answerSlackMs, double subscribeWithinMs) {
+
+        /** The platform digest is built from this text, so it must not change when the type or a component is renamed. */
+        @Override
+        public String toString() {
+            return "Rules[drainGraceMs=" + drainGraceMs + ", coldFrom=" + coldStartShare + ", coldMs=" + warmUpMs
+                    + ", fallMultiple=" + overloadMultiple + ", fallMs=" + overloadWindowMs
+                    + ", answerSlackMs=" + answerSlackMs + ", askWithinMs=" + subscribeWithinMs + "]";
+        }
+    }
 
     /**
      * Lifetime and cost of connections to nodes.
