--- a/bench/src/main/java/ridgemill/bench/scale/HollowLink.java
+++ b/bench/src/main/java/ridgemill/bench/scale/HollowLink.java
@@ -141,20 +141,20 @@
             }
         } else if (message instanceof RegistryMessages.Snapshot snapshot) {
             meter.subscribed();
-            send(new RegistryMessages.NewsAcknowledged(snapshot.number()));
-        } else if (message instanceof RegistryMessages.News news) {
-            send(new RegistryMessages.NewsAcknowledged(news.number()));
+            send(new RegistryMessages.UpdateAcknowledged(snapshot.number()));
+        } else if (message instanceof RegistryMessages.Update news) {
+            send(new RegistryMessages.UpdateAcknowledged(news.number()));
         } else if (message instanceof StoreMessages.Snapshot snapshot) {
             epoch = snapshot.voters().epoch();
             meter.subscribed();
-        } else if (message instanceof StoreMessages.News news) {
+        } else if (message instanceof StoreMessages.Update news) {
             carriedOut(news);
         } else if (message instanceof LinkMessages.Ping) {
             send(new LinkMessages.Pong());
         }
     }
 
-    private void carriedOut(StoreMessages.News news) {
+    private void carriedOut(StoreMessages.Update news) {
         epoch = news.voters().epoch();
         for (Item item : news.items()) {
             meter.changeCarriedOut(Load.changeName(item.name().name(), item.version()));
@@ -162,7 +162,7 @@
         for (Purge purge : news.purges()) {
             meter.purgeCarriedOut(purge.path());
         }
-        send(new StoreMessages.NewsAcknowledged(news.number()));
+        send(new StoreMessages.UpdateAcknowledged(news.number()));
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/app/Rehearsal.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/ClassArchiveTraining.java
@@ -12,7 +12,7 @@
  * Starts all three programs in one process on loopback, serves some requests with them and ends. The build runs it to
  * archive the classes that a start loads; what it leaves out, each start has to read from the jar and check.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
 
     private static final String LOOPBACK = "127.0.0.1";
     private static final int REQUESTS = 60;
@@ -22,7 +22,7 @@
 
     private final LoopbackSystem system;
 
-    private Rehearsal(LoopbackSystem system) {
+    private ClassArchiveTraining(LoopbackSystem system) {
         this.system = system;
     }
 
@@ -30,13 +30,13 @@
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("ridgemill-rehearsal");
         try (LoopbackInstance instance = new LoopbackInstance(LOOPBACK)) {
-            new Rehearsal(new LoopbackSystem(folder, List.of(LOOPBACK))).play(instance.address());
+            new ClassArchiveTraining(new LoopbackSystem(folder, List.of(LOOPBACK))).exercise(instance.address());
         } finally {
             delete(folder);
         }
     }
 
-    private void play(String instanceAddress) throws IOException, InterruptedException {
+    private void exercise(String instanceAddress) throws IOException, InterruptedException {
         Signals.onHangup(() -> {});
         system.start();
         String heartbeat = LoopbackSystem.heartbeat(instanceAddress, 1);
@@ -53,7 +53,7 @@
         control("GET", "/ridgemill/configuration", "");
         control("PATCH", "/ridgemill/configuration", "{");
         control("DELETE", "/ridgemill/instances/i-1", "");
-        system.figures();
+        system.metricsText();
         system.stopCore(0);
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
@@ -35,22 +35,23 @@
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (LoopbackInstance one = new LoopbackInstance(HOSTS.get(0));
                 LoopbackInstance two = new LoopbackInstance(HOSTS.get(0))) {
-            timer.scheduleAtFixedRate(() -> demonstration.beat(one, two), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+            timer.scheduleAtFixedRate(
+                    () -> demonstration.sendHeartbeats(one, two), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             demonstration.configure();
-            demonstration.explain();
+            demonstration.printUsage();
             demonstration.takeCommands();
         } finally {
             timer.shutdownNow();
         }
     }
 
-    private void beat(LoopbackInstance one, LoopbackInstance two) {
+    private void sendHeartbeats(LoopbackInstance one, LoopbackInstance two) {
         long number = sequence.incrementAndGet();
-        toAnyCore("PUT", "/ridgemill/instances/i-1", LoopbackSystem.heartbeat(one.address(), number));
-        toAnyCore("PUT", "/ridgemill/instances/i-2", LoopbackSystem.heartbeat(two.address(), number));
+        callAnyCore("PUT", "/ridgemill/instances/i-1", LoopbackSystem.heartbeat(one.address(), number));
+        callAnyCore("PUT", "/ridgemill/instances/i-2", LoopbackSystem.heartbeat(two.address(), number));
     }
 
-    private int toAnyCore(String method, String path, String body) {
+    private int callAnyCore(String method, String path, String body) {
         int status = 0;
         for (int machine = 0; machine < HOSTS.size() && status != OK; machine++) {
             status = system.call(machine, system.controlPort(), method, path, "", body);
@@ -59,12 +60,12 @@
     }
 
     private void configure() throws InterruptedException {
-        while (toAnyCore("PATCH", "/ridgemill/configuration", LoopbackSystem.configuration()) != OK) {
+        while (callAnyCore("PATCH", "/ridgemill/configuration", LoopbackSystem.configuration()) != OK) {
             TimeUnit.MILLISECONDS.sleep(HEARTBEAT_MS);
         }
     }
 
-    private void explain() {
+    private void printUsage() {
         String front = HOSTS.get(0) + ':' + system.frontPort();
         String request = " -H 'Host: a.example' -H 'X-Attempt-Id: 1' -H 'X-Deadline-Remaining: 2000' ";
         System.out.println("Serving at " + front + "; calls at port " + system.controlPort() + " of "
--- a/cdn/src/main/java/ridgemill/cdn/app/LoopbackSystem.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/LoopbackSystem.java
@@ -33,7 +33,7 @@
     private static final int LOWEST_PORT = 12_000;
     private static final int HIGHEST_PORT = 32_000;
     /** Ports from the first one on: front, readiness, control, registry, store, shared cache. */
-    private static final int PORTS = 6;
+    private static final int PORT_COUNT = 6;
 
     private final Path folder;
     private final List<String> hosts;
@@ -68,7 +68,7 @@
 
     private boolean areFree(int first) {
         for (String host : hosts) {
-            for (int port = first; port < first + PORTS; port++) {
+            for (int port = first; port < first + PORT_COUNT; port++) {
                 try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(host))) {
                     socket.getLocalPort();
                 } catch (IOException taken) {
@@ -102,7 +102,7 @@
     }
 
     /** The edge proxy's figures as text. */
-    String figures() {
+    String metricsText() {
         return metrics.scrape();
     }
 
@@ -202,17 +202,17 @@
      * @param status the status, or 0 if there was no answer
      * @param body the body
      */
-    record Exchange(int status, String body) {
+    record HttpResult(int status, String body) {
 
         private static final int STATUS_AT = "HTTP/1.1 ".length();
         private static final int STATUS_END = STATUS_AT + 3;
         private static final String HEAD_END = "\r\n\r\n";
 
-        private static Exchange parse(String answer) {
+        private static HttpResult parse(String answer) {
             int headEnd = answer.indexOf(HEAD_END);
             return headEnd < STATUS_END
-                    ? new Exchange(0, "")
-                    : new Exchange(
+                    ? new HttpResult(0, "")
+                    : new HttpResult(
                             Integer.parseInt(answer.substring(STATUS_AT, STATUS_END)),
                             answer.substring(headEnd + HEAD_END.length()));
         }
@@ -223,7 +223,7 @@
      *
      * @param headers further header lines, each with its end
      */
-    Exchange exchange(int machine, int port, String method, String path, String headers, String body) {
+    HttpResult exchange(int machine, int port, String method, String path, String headers, String body) {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         String head = method + ' ' + path + " HTTP/1.1\r\nHost: " + HOST + "\r\nConnection: close\r\n" + headers
                 + "Content-Length: " + content.length + "\r\n\r\n";
@@ -231,9 +231,9 @@
             OutputStream out = socket.getOutputStream();
             out.write(head.getBytes(StandardCharsets.US_ASCII));
             out.write(content);
-            return Exchange.parse(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
+            return HttpResult.parse(new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException failed) {
-            return new Exchange(0, "");
+            return new HttpResult(0, "");
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/app/Main.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Main.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.HelpFormatter;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import ridgemill.cdn.metrics.MetricsPlace;
+import ridgemill.cdn.metrics.MetricsEndpoint;
 import ridgemill.cdn.settings.Settings;
 import ridgemill.cdn.settings.SettingsError;
 import ridgemill.cdn.settings.SettingsReader;
@@ -20,10 +20,10 @@
     private static final String DEFAULT_SETTINGS = "/etc/ridgemill/local.toml";
     private static final String METRICS = "metrics";
     private static final String METRICS_PREFIX = "--" + METRICS + "=";
-    private static final int BAD_INPUT = 2;
+    private static final int EXIT_BAD_INPUT = 2;
     private static final String USAGE =
             "ridgemill-cdn [--settings FILE] [--metrics PORT/PATH] proxy|cache|registry|store|check|demo|version";
-    private static final String ABOUT =
+    private static final String COMMAND_HELP =
             "proxy serves clients; cache reads objects for all proxies; registry takes the calls of instances and operators; store "
                     + "keeps the configuration; check reads the settings and says what is wrong with them.";
 
@@ -60,7 +60,7 @@
                 .build());
         CommandLine line = parse(options, arguments);
         if (line.hasOption("help")) {
-            new HelpFormatter().printHelp(USAGE, null, options, ABOUT);
+            new HelpFormatter().printHelp(USAGE, null, options, COMMAND_HELP);
             return;
         }
         if (line.getArgs().length != 1) {
@@ -86,7 +86,7 @@
         return Path.of(named == null || named.isEmpty() ? DEFAULT_SETTINGS : named);
     }
 
-    private static void run(String command, Path settingsPath, Option<MetricsPlace> metrics) throws Exception {
+    private static void run(String command, Path settingsPath, Option<MetricsEndpoint> metrics) throws Exception {
         switch (command) {
             case "proxy" -> new Process(settings(settingsPath), settingsPath, metrics).runProxy();
             case "cache" -> new Process(settings(settingsPath), settingsPath, metrics).runCache();
@@ -97,14 +97,14 @@
                 System.out.println(settingsPath + ": good; machine " + settings.nodeName());
             }
             case "demo" -> Demonstration.run();
-            case "rehearse" -> Rehearsal.run();
+            case "rehearse" -> ClassArchiveTraining.run();
             case "version" -> System.out.println(version());
             default -> fail("unknown command " + command + ": " + USAGE);
         }
     }
 
-    private static Option<MetricsPlace> metrics(String text) {
-        Option<MetricsPlace> place = MetricsPlace.parse(text);
+    private static Option<MetricsEndpoint> metrics(String text) {
+        Option<MetricsEndpoint> place = MetricsEndpoint.parse(text);
         if (place.isEmpty()) {
             fail("--" + METRICS + " takes PORT/PATH, not " + text);
         }
@@ -126,6 +126,6 @@
 
     static void fail(String reason) {
         System.err.println("ridgemill-cdn: " + reason);
-        System.exit(BAD_INPUT);
+        System.exit(EXIT_BAD_INPUT);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/app/Process.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Process.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import ridgemill.cdn.metrics.MetricsPlace;
+import ridgemill.cdn.metrics.MetricsEndpoint;
 import ridgemill.cdn.metrics.MetricsServer;
 import ridgemill.cdn.proxy.CacheProgram;
 import ridgemill.cdn.proxy.ProxyProgram;
@@ -30,12 +30,12 @@
     private final Clock clock = new Clock();
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, sockets.handlers()).next();
 
-    private final Option<MetricsPlace> metricsPlace;
+    private final Option<MetricsEndpoint> metricsEndpoint;
     private final PrometheusMeterRegistry metrics = MetricsServer.registry();
 
-    Process(Settings settings, Path settingsPath, Option<MetricsPlace> metricsPlace) {
+    Process(Settings settings, Path settingsPath, Option<MetricsEndpoint> metricsPlace) {
         this.settings = settings;
-        this.metricsPlace = metricsPlace;
+        this.metricsEndpoint = metricsPlace;
         this.settingsPath = settingsPath;
     }
 
@@ -76,7 +76,7 @@
     private void started(Runnable start) {
         try {
             start.run();
-            metricsPlace.forEach(this::serveMetrics);
+            metricsEndpoint.forEach(this::serveMetrics);
         } catch (RuntimeException failed) {
             boolean taken = failed instanceof ChannelException
                     || failed.getCause() instanceof ChannelException
@@ -88,7 +88,7 @@
         }
     }
 
-    private void serveMetrics(MetricsPlace place) {
+    private void serveMetrics(MetricsEndpoint place) {
         InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), place.port());
         MetricsServer.listen(loop, sockets, address, place.path(), metrics);
     }
--- a/cdn/src/main/java/ridgemill/cdn/app/Signals.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Signals.java
@@ -28,7 +28,7 @@
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
             Object handling =
-                    Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, new Handling(task));
+                    Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, new TaskHandler(task));
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), handling);
         } catch (ReflectiveOperationException missing) {
@@ -37,7 +37,7 @@
     }
 
     /** What a handler of signals does: the task, and what each object has to answer. */
-    private record Handling(Runnable task) implements InvocationHandler {
+    private record TaskHandler(Runnable task) implements InvocationHandler {
 
         @Override
         public Object invoke(Object self, Method method, Object[] arguments) {
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
@@ -75,26 +75,27 @@
     private List<Item> items(JsonNode root) {
         List<Item> items = new ArrayList<>();
         JsonNode upsert = root.path("upsert");
-        addSets(upsert.path(ROUTES), ItemKind.ROUTE, items);
-        addSets(upsert.path(SERVICES), ItemKind.SERVICE, items);
+        addUpserts(upsert.path(ROUTES), ItemKind.ROUTE, items);
+        addUpserts(upsert.path(SERVICES), ItemKind.SERVICE, items);
         if (upsert.path(LIMITS).isObject()) {
-            items.add(set(ItemName.LIMITS, upsert.path(LIMITS)));
+            items.add(upsert(ItemName.LIMITS, upsert.path(LIMITS)));
         }
         JsonNode remove = root.path("remove");
-        addDrops(remove.path(ROUTES), ItemKind.ROUTE, items);
-        addDrops(remove.path(SERVICES), ItemKind.SERVICE, items);
+        addTombstones(remove.path(ROUTES), ItemKind.ROUTE, items);
+        addTombstones(remove.path(SERVICES), ItemKind.SERVICE, items);
         return items;
     }
 
-    private void addSets(JsonNode table, ItemKind kind, List<Item> items) {
-        table.fields().forEachRemaining(entry -> items.add(set(new ItemName(kind, entry.getKey()), entry.getValue())));
+    private void addUpserts(JsonNode table, ItemKind kind, List<Item> items) {
+        table.fields()
+                .forEachRemaining(entry -> items.add(upsert(new ItemName(kind, entry.getKey()), entry.getValue())));
     }
 
-    private Item set(ItemName name, JsonNode content) {
+    private Item upsert(ItemName name, JsonNode content) {
         return new Item(name, content.path("version").asLong(), content.toString());
     }
 
-    private static void addDrops(JsonNode list, ItemKind kind, List<Item> items) {
+    private static void addTombstones(JsonNode list, ItemKind kind, List<Item> items) {
         for (JsonNode drop : list) {
             ItemName name = new ItemName(kind, drop.path("name").asText());
             items.add(new Item(name, drop.path("version").asLong(), null));
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
@@ -22,7 +22,7 @@
      */
     public Option<InvalidChange> check(ConfigurationChange change) {
         for (Item item : change.items()) {
-            Option<InvalidChange> fault = checkAlone(item);
+            Option<InvalidChange> fault = checkItem(item);
             if (fault.isDefined()) {
                 return fault;
             }
@@ -30,7 +30,7 @@
         return Option.none();
     }
 
-    private Option<InvalidChange> checkAlone(Item item) {
+    private Option<InvalidChange> checkItem(Item item) {
         if (item.isTombstone() || item.name().kind() != ItemKind.ROUTE) {
             return Option.none();
         }
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
@@ -20,15 +20,15 @@
 public final class ConfigurationRules implements ChangeRules {
 
     private final Map<ItemName, Route> routes = new HashMap<>();
-    private final Map<String, Set<ItemName>> routesAtPlace = new HashMap<>();
-    private final Map<String, Set<ItemName>> routesOfService = new HashMap<>();
+    private final Map<String, Set<ItemName>> routesByMatch = new HashMap<>();
+    private final Map<String, Set<ItemName>> routesByService = new HashMap<>();
     private final Set<String> services = new HashSet<>();
 
     @Override
     public void reset(Collection<Item> items) {
         routes.clear();
-        routesAtPlace.clear();
-        routesOfService.clear();
+        routesByMatch.clear();
+        routesByService.clear();
         services.clear();
         apply(items);
     }
@@ -37,7 +37,7 @@
     public void apply(Collection<Item> items) {
         for (Item item : items) {
             if (item.name().kind() == ItemKind.ROUTE) {
-                forget(item.name(), routes.remove(item.name()));
+                remove(item.name(), routes.remove(item.name()));
                 Route route = ItemParser.route(item);
                 if (route != null) {
                     add(item.name(), route);
@@ -54,25 +54,25 @@
 
     private void add(ItemName name, Route route) {
         routes.put(name, route);
-        routesAtPlace.computeIfAbsent(place(route), key -> new HashSet<>()).add(name);
+        routesByMatch.computeIfAbsent(matchKey(route), key -> new HashSet<>()).add(name);
         for (Destination destination : route.destinations()) {
-            routesOfService
+            routesByService
                     .computeIfAbsent(destination.service(), key -> new HashSet<>())
                     .add(name);
         }
     }
 
-    private void forget(ItemName name, Route route) {
+    private void remove(ItemName name, Route route) {
         if (route == null) {
             return;
         }
-        routesAtPlace.get(place(route)).remove(name);
+        routesByMatch.get(matchKey(route)).remove(name);
         for (Destination destination : route.destinations()) {
-            routesOfService.get(destination.service()).remove(name);
+            routesByService.get(destination.service()).remove(name);
         }
     }
 
-    private static String place(Route route) {
+    private static String matchKey(Route route) {
         return route.hostname() + "\n" + route.pathPrefix();
     }
 
@@ -113,8 +113,8 @@
                         return Optional.of(describe(name) + ": names the unknown service " + destination.service());
                     }
                 }
-                ItemName other = places.put(place(route), name);
-                other = other == null ? standingAt(place(route)) : other;
+                ItemName other = places.put(matchKey(route), name);
+                other = other == null ? unchangedRouteAt(matchKey(route)) : other;
                 if (other != null) {
                     return Optional.of(describe(name) + ": has the same host and prefix as " + other.name());
                 }
@@ -123,8 +123,8 @@
         }
 
         /** A route at a place that the change leaves as it is; null if there is none. */
-        private ItemName standingAt(String place) {
-            for (ItemName name : routesAtPlace.getOrDefault(place, Set.of())) {
+        private ItemName unchangedRouteAt(String place) {
+            for (ItemName name : routesByMatch.getOrDefault(place, Set.of())) {
                 if (!changedRoutes.containsKey(name)) {
                     return name;
                 }
@@ -139,7 +139,7 @@
         /** A service must not go while a route that stays names it. */
         Optional<String> serviceFault() {
             for (Map.Entry<String, Boolean> entry : changedServices.entrySet()) {
-                for (ItemName name : routesOfService.getOrDefault(entry.getKey(), Set.of())) {
+                for (ItemName name : routesByService.getOrDefault(entry.getKey(), Set.of())) {
                     if (!entry.getValue() && !changedRoutes.containsKey(name)) {
                         return Optional.of(describe(name) + ": names the unknown service " + entry.getKey());
                     }
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
@@ -33,7 +33,7 @@
                 continue;
             }
             try {
-                JsonNode content = TreeReader.json(item.content());
+                JsonNode content = TreeReader.parseJson(item.content());
                 switch (item.name().kind()) {
                     case ROUTE -> routes.add(route(item.name().name(), content));
                     case SERVICE -> services.add(service(item.name().name(), content));
@@ -53,7 +53,7 @@
             return null;
         }
         try {
-            return route(item.name().name(), TreeReader.json(item.content()));
+            return route(item.name().name(), TreeReader.parseJson(item.content()));
         } catch (IOException | IllegalArgumentException unreadable) {
             return null;
         }
--- a/cdn/src/main/java/ridgemill/cdn/http/CallServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/http/SimpleHttpServer.java
@@ -20,11 +20,11 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
-import ridgemill.cdn.net.Listening;
+import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.gateway.net.SocketKind;
 
 /** The HTTP/1.1 server at which a process answers calls from outside the data path; one request at a time a connection. */
-public final class CallServer {
+public final class SimpleHttpServer {
 
     /** The longest body of a call, in bytes. */
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
@@ -33,7 +33,7 @@
 
     private final Channel listener;
 
-    private CallServer(Channel listener) {
+    private SimpleHttpServer(Channel listener) {
         this.listener = listener;
     }
 
@@ -43,9 +43,9 @@
      * @param method the HTTP method
      * @param path the path without its query
      * @param body the whole body
-     * @param answer takes the answer; called once, on the event loop
+     * @param responder takes the answer; called once, on the event loop
      */
-    public record Call(String method, String path, byte[] body, Consumer<Answer> answer) {}
+    public record Request(String method, String path, byte[] body, Consumer<Response> responder) {}
 
     /**
      * An answer to a call.
@@ -54,18 +54,18 @@
      * @param body the body; may be empty
      * @param contentType what the body is
      */
-    public record Answer(int status, byte[] body, String contentType) {
+    public record Response(int status, byte[] body, String contentType) {
 
         private static final String JSON = "application/json";
 
         /** An answer whose body is JSON. */
-        public Answer(int status, byte[] body) {
+        public Response(int status, byte[] body) {
             this(status, body, JSON);
         }
 
         /** An answer without a body. */
-        public static Answer empty(int status) {
-            return new Answer(status, new byte[0]);
+        public static Response empty(int status) {
+            return new Response(status, new byte[0]);
         }
     }
 
@@ -74,16 +74,17 @@
      *
      * @throws io.netty.channel.ChannelException if the address can't be had
      */
-    public static CallServer listen(
-            EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, Consumer<Call> handler) {
-        ServerBootstrap bootstrap = Listening.bootstrap(
+    public static SimpleHttpServer listen(
+            EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, Consumer<Request> handler) {
+        ServerBootstrap bootstrap = ServerBootstraps.create(
                 loop,
                 sockets,
                 BACKLOG,
                 channel -> channel.pipeline()
                         .addLast(
                                 new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler(handler)));
-        return new CallServer(bootstrap.bind(address).syncUninterruptibly().channel());
+        return new SimpleHttpServer(
+                bootstrap.bind(address).syncUninterruptibly().channel());
     }
 
     /** The address that is listened at. */
@@ -98,9 +99,9 @@
 
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private final Consumer<Call> handler;
+        private final Consumer<Request> handler;
 
-        Handler(Consumer<Call> handler) {
+        Handler(Consumer<Request> handler) {
             this.handler = handler;
         }
 
@@ -108,12 +109,12 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
             if (!request.decoderResult().isSuccess()) {
-                answer(context, Answer.empty(HttpResponseStatus.BAD_REQUEST.code()), false);
+                answer(context, Response.empty(HttpResponseStatus.BAD_REQUEST.code()), false);
                 return;
             }
             context.channel().config().setAutoRead(false);
             byte[] body = ByteBufUtil.getBytes(request.content());
-            handler.accept(new Call(
+            handler.accept(new Request(
                     request.method().name(), path(request.uri()), body, answer -> answer(context, answer, keepAlive)));
         }
 
@@ -122,7 +123,7 @@
             return query < 0 ? uri : uri.substring(0, query);
         }
 
-        private static void answer(ChannelHandlerContext context, Answer answer, boolean keepAlive) {
+        private static void answer(ChannelHandlerContext context, Response answer, boolean keepAlive) {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
--- a/cdn/src/main/java/ridgemill/cdn/json/TreeReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/json/TreeReader.java
@@ -26,9 +26,9 @@
      *
      * @throws IOException if the text is no JSON value, or goes on behind it
      */
-    public static JsonNode json(String text) throws IOException {
+    public static JsonNode parseJson(String text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
-            return whole(parser);
+            return readSingleValue(parser);
         }
     }
 
@@ -37,9 +37,9 @@
      *
      * @throws IOException if they are no JSON value, or go on behind it
      */
-    public static JsonNode json(byte[] bytes) throws IOException {
+    public static JsonNode parseJson(byte[] bytes) throws IOException {
         try (JsonParser parser = JSON.createParser(bytes)) {
-            return whole(parser);
+            return readSingleValue(parser);
         }
     }
 
@@ -48,7 +48,7 @@
      *
      * @throws IOException if it brings none, or more
      */
-    public static JsonNode whole(JsonParser parser) throws IOException {
+    public static JsonNode readSingleValue(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) {
             throw new JsonParseException(parser, "there is no value");
         }
--- a/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
+++ b/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
@@ -10,7 +10,7 @@
  */
 public final class LineLoggerFinder extends System.LoggerFinder {
 
-    private static final System.Logger.Level LEAST =
+    private static final System.Logger.Level MIN_LEVEL =
             "debug".equals(System.getProperty("ridgemill.log")) ? System.Logger.Level.DEBUG : System.Logger.Level.INFO;
 
     private final Map<String, System.Logger> loggers = new ConcurrentHashMap<>();
@@ -30,7 +30,7 @@
 
         @Override
         public boolean isLoggable(Level level) {
-            return level.getSeverity() >= LEAST.getSeverity();
+            return level.getSeverity() >= MIN_LEVEL.getSeverity();
         }
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/metrics/MetricsServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/metrics/MetricsServer.java
@@ -5,7 +5,7 @@
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.gateway.net.SocketKind;
 
 /** Serves the figures of a process in the text format of Prometheus, version 0.0.4, at one path. */
@@ -28,20 +28,20 @@
      * @param path the path with its first slash
      * @throws io.netty.channel.ChannelException if the address can't be had
      */
-    public static CallServer listen(
+    public static SimpleHttpServer listen(
             EventLoop loop,
             SocketKind sockets,
             InetSocketAddress address,
             String path,
             PrometheusMeterRegistry registry) {
-        return CallServer.listen(loop, sockets, address, call -> {
+        return SimpleHttpServer.listen(loop, sockets, address, call -> {
             boolean known = call.method().equals("GET") && call.path().equals(path);
-            call.answer()
+            call.responder()
                     .accept(
                             known
-                                    ? new CallServer.Answer(
+                                    ? new SimpleHttpServer.Response(
                                             OK, registry.scrape().getBytes(StandardCharsets.UTF_8), TEXT)
-                                    : CallServer.Answer.empty(NOT_FOUND));
+                                    : SimpleHttpServer.Response.empty(NOT_FOUND));
         });
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/net/Listening.java
+++ b/cdn/src/main/java/ridgemill/cdn/net/ServerBootstraps.java
@@ -9,9 +9,9 @@
 import ridgemill.gateway.net.SocketKind;
 
 /** How all programs listen. */
-public final class Listening {
+public final class ServerBootstraps {
 
-    private Listening() {}
+    private ServerBootstraps() {}
 
     /**
      * A bootstrap that is still to be bound to an address.
@@ -19,7 +19,7 @@
      * @param backlog how many connections may wait to be accepted
      * @param accepted given each accepted connection, to put its handlers in place
      */
-    public static ServerBootstrap bootstrap(
+    public static ServerBootstrap create(
             EventLoopGroup loop, SocketKind sockets, int backlog, Consumer<Channel> accepted) {
         return new ServerBootstrap()
                 .group(loop)
--- a/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import ridgemill.cdn.config.Limits;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.net.Listening;
+import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.cdn.proxy.control.ControlListener;
 import ridgemill.cdn.proxy.control.ControlView;
 import ridgemill.cdn.proxy.control.OperationRegister;
@@ -117,7 +117,7 @@
 
     /** Serves clients at the front address; the future fails if it can't be had. */
     public ChannelFuture listen() {
-        ChannelFuture bound = Listening.bootstrap(
+        ChannelFuture bound = ServerBootstraps.create(
                         context.loop(),
                         context.sockets(),
                         ACCEPT_BACKLOG,
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
@@ -3,7 +3,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.proxy.control.ControlClient;
 import ridgemill.cdn.proxy.control.QuorumRegister;
 import ridgemill.cdn.settings.Settings;
@@ -33,7 +33,7 @@
     private final SocketKind sockets;
     private final ControlClient control;
     private final DataPath dataPath;
-    private CallServer readinessServer;
+    private SimpleHttpServer readinessServer;
     private boolean listening;
     private boolean draining;
 
@@ -54,8 +54,8 @@
      */
     public void start() {
         if (settings.readyAddress() != null) {
-            readinessServer =
-                    CallServer.listen(loop, sockets, Addresses.parse(settings.readyAddress()), this::answerReadiness);
+            readinessServer = SimpleHttpServer.listen(
+                    loop, sockets, Addresses.parse(settings.readyAddress()), this::answerReadiness);
         }
         loop.execute(() -> {
             control.start();
@@ -76,9 +76,9 @@
         }
     }
 
-    private void answerReadiness(CallServer.Call call) {
+    private void answerReadiness(SimpleHttpServer.Request call) {
         int status = !call.path().equals(READINESS_PATH) ? NOT_FOUND : listening && !draining ? OK : UNAVAILABLE;
-        call.answer().accept(CallServer.Answer.empty(status));
+        call.responder().accept(SimpleHttpServer.Response.empty(status));
     }
 
     /**
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
@@ -27,9 +27,9 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.settings.Settings;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
@@ -137,8 +137,8 @@
         }
     }
 
-    private HeldLink newLink(String host, int port, LinkListener listener) {
-        return new HeldLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
+    private ReconnectingLink newLink(String host, int port, LinkListener listener) {
+        return new ReconnectingLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
@@ -100,7 +100,7 @@
         }
 
         private void writeEnded(Either<CallFailure, Message.Reply> result) {
-            if (result.isRight() && result.get() instanceof StoreMessages.Written done && done.durable()) {
+            if (result.isRight() && result.get() instanceof StoreMessages.WriteResult done && done.durable()) {
                 recordedAt.add(done.store());
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
@@ -7,10 +7,10 @@
 import ridgemill.cdn.membership.CacheNode;
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.quorum.VoterSet;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.RegistryMessages;
 
 /** Follows the numbered news of one registry. */
@@ -30,7 +30,7 @@
     }
 
     private final Receiver receiver;
-    private HeldLink link;
+    private ReconnectingLink link;
     private Set<String> unresponsive = Set.of();
     private boolean settled;
     private boolean connected;
@@ -41,7 +41,7 @@
         this.receiver = receiver;
     }
 
-    void start(HeldLink held) {
+    void start(ReconnectingLink held) {
         link = held;
         held.start();
     }
@@ -49,7 +49,7 @@
     /** Offers this process as a shared cache, now and whenever the registry is connected again. */
     void announce(CacheNode cache) {
         announcedCache = Optional.of(cache);
-        link.send(new RegistryMessages.OfferCache(cache));
+        link.send(new RegistryMessages.AnnounceCache(cache));
     }
 
     /** Ends the connection for good. */
@@ -80,7 +80,7 @@
     @Override
     public void opened(Link opened) {
         opened.send(new RegistryMessages.Subscribe("", 0));
-        announcedCache.ifPresent(cache -> opened.send(new RegistryMessages.OfferCache(cache)));
+        announcedCache.ifPresent(cache -> opened.send(new RegistryMessages.AnnounceCache(cache)));
     }
 
     @Override
@@ -88,18 +88,18 @@
         if (message instanceof RegistryMessages.Snapshot snapshot) {
             connected = true;
             apply(from, snapshot.number(), snapshot.overview());
-        } else if (message instanceof RegistryMessages.News news) {
+        } else if (message instanceof RegistryMessages.Update news) {
             apply(from, news.number(), news.overview());
         }
     }
 
     private void apply(Link from, long number, RegistryMessages.Overview overview) {
-        settled = overview.settled();
-        unresponsive = Set.copyOf(overview.silent());
+        settled = overview.complete();
+        unresponsive = Set.copyOf(overview.unresponsive());
         fleet = overview.fleet();
         receiver.membersReceived(overview.registries(), overview.voters());
         receiver.instancesReceived(overview.instances());
-        from.send(new RegistryMessages.NewsAcknowledged(number));
+        from.send(new RegistryMessages.UpdateAcknowledged(number));
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
@@ -9,10 +9,10 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.CallFailure;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /** Follows the numbered news of one configuration store, without a gap where the store can continue. */
@@ -29,7 +29,7 @@
     }
 
     private final Receiver receiver;
-    private HeldLink link;
+    private ReconnectingLink link;
     private String incarnationId = "";
     private long lastNumber;
     private Voter store;
@@ -38,7 +38,7 @@
         this.receiver = receiver;
     }
 
-    void start(HeldLink held) {
+    void start(ReconnectingLink held) {
         link = held;
         held.start();
     }
@@ -72,17 +72,17 @@
     @Override
     public void received(Link from, Message message) {
         if (message instanceof StoreMessages.Snapshot snapshot) {
-            incarnationId = snapshot.lifeId();
+            incarnationId = snapshot.incarnationId();
             lastNumber = snapshot.number();
             store = snapshot.store();
             receiver.snapshotReceived(this, snapshot.voters(), snapshot.items());
-            from.send(new StoreMessages.NewsAcknowledged(lastNumber));
-        } else if (message instanceof StoreMessages.News news) {
+            from.send(new StoreMessages.UpdateAcknowledged(lastNumber));
+        } else if (message instanceof StoreMessages.Update news) {
             applyUpdate(from, news);
         }
     }
 
-    private void applyUpdate(Link from, StoreMessages.News news) {
+    private void applyUpdate(Link from, StoreMessages.Update news) {
         if (news.number() <= lastNumber) {
             return;
         }
@@ -93,7 +93,7 @@
         }
         lastNumber = news.number();
         receiver.updateReceived(news.voters(), news.items(), news.purges());
-        from.send(new StoreMessages.NewsAcknowledged(lastNumber));
+        from.send(new StoreMessages.UpdateAcknowledged(lastNumber));
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
@@ -19,47 +19,47 @@
     static final long TIMEOUT_MS = 600;
 
     private final PeerRegistries peers;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final ClusterMembers members;
     private final Consumer<Boolean> callback;
     /** The machines whose registries have the change. */
-    private final Set<String> registries = new HashSet<>();
+    private final Set<String> confirmedRegistries = new HashSet<>();
 
-    private int outstanding;
-    private boolean proxiesHaveIt;
+    private int pendingReplies;
+    private boolean proxiesAcknowledged;
     private boolean done;
 
     /** A confirmation that waits from {@link #begin} on. The callback is told once whether the change is confirmed. */
-    Confirmation(PeerRegistries peers, ProxyNews news, ClusterMembers members, Consumer<Boolean> callback) {
+    Confirmation(PeerRegistries peers, ProxyUpdates news, ClusterMembers members, Consumer<Boolean> callback) {
         this.peers = peers;
-        registries.add(peers.ownAddress());
-        this.news = news;
+        confirmedRegistries.add(peers.ownAddress());
+        this.proxyUpdates = news;
         this.members = members;
         this.callback = callback;
     }
 
     /** Tells the other registries of the change; the news of it to the proxies are pushed already. */
     void begin(List<Instance> change, EventLoop loop) {
-        outstanding = peers.count();
-        peers.confirm(change, this::answered);
-        news.whenAcknowledged(() -> {
-            proxiesHaveIt = true;
-            finishIfAllHaveIt();
+        pendingReplies = peers.count();
+        peers.confirm(change, this::onPeerReply);
+        proxyUpdates.whenAcknowledged(() -> {
+            proxiesAcknowledged = true;
+            finishIfComplete();
         });
         loop.schedule(this::finish, TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        finishIfAllHaveIt();
+        finishIfComplete();
     }
 
-    private void answered(String host, boolean merged) {
+    private void onPeerReply(String host, boolean merged) {
         if (merged) {
-            registries.add(host);
+            confirmedRegistries.add(host);
         }
-        outstanding--;
-        finishIfAllHaveIt();
+        pendingReplies--;
+        finishIfComplete();
     }
 
-    private void finishIfAllHaveIt() {
-        if (proxiesHaveIt && outstanding == 0) {
+    private void finishIfComplete() {
+        if (proxiesAcknowledged && pendingReplies == 0) {
             finish();
         }
     }
@@ -67,7 +67,7 @@
     private void finish() {
         if (!done) {
             done = true;
-            callback.accept(members.voters().hasQuorumOfAddresses(registries::contains));
+            callback.accept(members.voters().hasQuorumOfAddresses(confirmedRegistries::contains));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/CallRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ControlRouter.java
@@ -1,10 +1,10 @@
 package ridgemill.cdn.registry;
 
 import java.util.function.Consumer;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 
 /** Passes each call from outside to what answers it, by its method and path; see {@code api/control.openapi.yaml}. */
-final class CallRouter implements Consumer<CallServer.Call> {
+final class ControlRouter implements Consumer<SimpleHttpServer.Request> {
 
     private static final String INSTANCES = "/ridgemill/instances/";
     private static final String CONFIGURATION = "/ridgemill/configuration";
@@ -15,13 +15,13 @@
     private final InstanceCalls instances;
     private final OperatorCalls operators;
 
-    CallRouter(InstanceCalls instances, OperatorCalls operators) {
+    ControlRouter(InstanceCalls instances, OperatorCalls operators) {
         this.instances = instances;
         this.operators = operators;
     }
 
     @Override
-    public void accept(CallServer.Call call) {
+    public void accept(SimpleHttpServer.Request call) {
         String path = call.path();
         if (path.startsWith(INSTANCES) && path.length() > INSTANCES.length()) {
             instances.accept(path.substring(INSTANCES.length()), call);
@@ -33,7 +33,7 @@
             operators.purge(call);
         } else {
             boolean known = path.equals(CONFIGURATION) || path.equals(PURGES);
-            call.answer().accept(CallServer.Answer.empty(known ? METHOD_NOT_ALLOWED : NOT_FOUND));
+            call.responder().accept(SimpleHttpServer.Response.empty(known ? METHOD_NOT_ALLOWED : NOT_FOUND));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
@@ -16,7 +16,7 @@
 
     private final ClusterMembers members;
     private final InstanceTable instances;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final PeerRegistries peers;
     private final VotingStores stores;
     private final Clock clock;
@@ -24,13 +24,13 @@
     IncomingLinks(
             ClusterMembers members,
             InstanceTable instances,
-            ProxyNews news,
+            ProxyUpdates news,
             PeerRegistries peers,
             VotingStores stores,
             Clock clock) {
         this.members = members;
         this.instances = instances;
-        this.news = news;
+        this.proxyUpdates = news;
         this.peers = peers;
         this.stores = stores;
         this.clock = clock;
@@ -39,23 +39,23 @@
     @Override
     public void opened(Link link) {
         if (link.peer().program().equals("registry")) {
-            peers.heardOf(List.of(link.peer().address()));
+            peers.addKnownHosts(List.of(link.peer().address()));
         }
     }
 
     @Override
     public void received(Link link, Message message) {
         if (message instanceof RegistryMessages.Subscribe) {
-            news.subscribe(link);
-        } else if (message instanceof RegistryMessages.OfferCache offer) {
-            news.offer(link, offer.cache());
-        } else if (message instanceof RegistryMessages.NewsAcknowledged acknowledged) {
-            news.acknowledged(link, acknowledged.number());
+            proxyUpdates.subscribe(link);
+        } else if (message instanceof RegistryMessages.AnnounceCache offer) {
+            proxyUpdates.announceCache(link, offer.cache());
+        } else if (message instanceof RegistryMessages.UpdateAcknowledged acknowledged) {
+            proxyUpdates.acknowledged(link, acknowledged.number());
         } else if (message instanceof RegistryMessages.PeerUpdate update) {
             merge(update);
-            link.send(new RegistryMessages.PeerUpdateTaken(update.callId()));
-        } else if (message instanceof RegistryMessages.PeerBeats beats) {
-            for (RegistryMessages.Beat beat : beats.beats()) {
+            link.send(new RegistryMessages.PeerUpdateMerged(update.callId()));
+        } else if (message instanceof RegistryMessages.PeerHeartbeats beats) {
+            for (RegistryMessages.Heartbeat beat : beats.heartbeats()) {
                 instances.recordHeartbeat(beat.instanceId(), beat.sequence(), clock.now());
             }
         }
@@ -63,8 +63,8 @@
 
     /** Takes what another registry knows; what is new in it goes on to the proxies, the other registries tell themselves. */
     private void merge(RegistryMessages.PeerUpdate update) {
-        peers.heardOf(update.registries());
-        stores.learn(update.voters());
+        peers.addKnownHosts(update.registries());
+        stores.updateVoters(update.voters());
         for (String proxy : update.proxies()) {
             members.recordProxy(proxy, clock.now());
         }
@@ -73,12 +73,12 @@
             changed.addAll(instances.merge(instance, clock.now()));
         }
         if (!changed.isEmpty()) {
-            news.push(changed);
+            proxyUpdates.push(changed);
         }
     }
 
     @Override
     public void closed(Link link) {
-        news.closed(link);
+        proxyUpdates.closed(link);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceState;
 import ridgemill.cdn.instances.InstanceTable;
@@ -18,7 +18,8 @@
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int UNAVAILABLE = 503;
-    private static final CallServer.Answer TAKEN = new CallServer.Answer(OK, "{}".getBytes(StandardCharsets.US_ASCII));
+    private static final SimpleHttpServer.Response ACCEPTED =
+            new SimpleHttpServer.Response(OK, "{}".getBytes(StandardCharsets.US_ASCII));
 
     private final InstanceReports reports;
     private final InstanceTable instances;
@@ -31,7 +32,7 @@
     }
 
     /** Answers a call about the instance with this identifier. */
-    void accept(String id, CallServer.Call call) {
+    void accept(String id, SimpleHttpServer.Request call) {
         Instance instance = switch (call.method()) {
             case "PUT" -> heartbeat(id, call.body());
             case "DELETE" -> departure(id);
@@ -39,17 +40,19 @@
         };
         if (instance == null) {
             boolean known = call.method().equals("PUT") || call.method().equals("DELETE");
-            call.answer().accept(CallServer.Answer.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
+            call.responder().accept(SimpleHttpServer.Response.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
             return;
         }
-        reports.take(
-                instance, confirmed -> call.answer().accept(confirmed ? TAKEN : CallServer.Answer.empty(UNAVAILABLE)));
+        reports.accept(
+                instance,
+                confirmed ->
+                        call.responder().accept(confirmed ? ACCEPTED : SimpleHttpServer.Response.empty(UNAVAILABLE)));
     }
 
     /** What a heartbeat says of its instance, or null if it can't be read. */
     private Instance heartbeat(String id, byte[] body) {
         try {
-            JsonNode root = TreeReader.json(body);
+            JsonNode root = TreeReader.parseJson(body);
             JsonNode information = root.path("information");
             JsonNode status = root.path("status");
             String state = status.path("state").asText();
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
@@ -21,28 +21,28 @@
     private static final System.Logger LOG = System.getLogger(InstanceReports.class.getName());
 
     /** For how long a changed instance is told again to the other registries, in milliseconds. */
-    private static final double RETELL_MS = 3_000;
+    private static final double RESEND_WINDOW_MS = 3_000;
 
     private final InstanceTable instances;
     private final ClusterMembers members;
     private final PeerRegistries peers;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final EventLoop loop;
     private final Clock clock;
     private final Map<String, Double> changedAtMs = new HashMap<>();
-    private final Map<String, Long> newBeats = new HashMap<>();
+    private final Map<String, Long> newHeartbeats = new HashMap<>();
 
     InstanceReports(
             InstanceTable instances,
             ClusterMembers members,
             PeerRegistries peers,
-            ProxyNews news,
+            ProxyUpdates news,
             EventLoop loop,
             Clock clock) {
         this.instances = instances;
         this.members = members;
         this.peers = peers;
-        this.news = news;
+        this.proxyUpdates = news;
         this.loop = loop;
         this.clock = clock;
     }
@@ -51,20 +51,21 @@
      * Takes what an instance said. The callback is told whether the call may be acknowledged: at once for a heartbeat that
      * changes nothing, else once the connected proxies and a majority of the registries have the change.
      */
-    void take(Instance instance, Consumer<Boolean> callback) {
-        newBeats.merge(instance.id(), instance.sequence(), Math::max);
+    void accept(Instance instance, Consumer<Boolean> callback) {
+        newHeartbeats.merge(instance.id(), instance.sequence(), Math::max);
         List<Instance> changed = instances.merge(instance, clock.now());
         boolean changedLately = changedAtMs.containsKey(instance.id());
         if (changed.isEmpty() && !changedLately) {
             callback.accept(true);
             return;
         }
-        spread(changed);
+        publish(changed);
         Instance newest = instances.get(instance.id());
-        new Confirmation(peers, news, members, callback).begin(newest == null ? List.of() : List.of(newest), loop);
+        new Confirmation(peers, proxyUpdates, members, callback)
+                .begin(newest == null ? List.of() : List.of(newest), loop);
     }
 
-    private void spread(List<Instance> changed) {
+    private void publish(List<Instance> changed) {
         if (changed.isEmpty()) {
             return;
         }
@@ -75,13 +76,13 @@
                     "event=instance id=" + instance.id() + " service=" + instance.service() + " state="
                             + instance.state());
         }
-        news.push(changed);
+        proxyUpdates.push(changed);
     }
 
     /** The instances whose changes are to be told again. */
-    List<Instance> changedLately() {
+    List<Instance> recentChanges() {
         double now = clock.now();
-        changedAtMs.values().removeIf(changedAt -> now - changedAt > RETELL_MS);
+        changedAtMs.values().removeIf(changedAt -> now - changedAt > RESEND_WINDOW_MS);
         List<Instance> changed = new ArrayList<>();
         for (String id : changedAtMs.keySet()) {
             Instance instance = instances.get(id);
@@ -93,10 +94,10 @@
     }
 
     /** The newest heartbeat of each instance that was heard since the last call of this method. */
-    List<RegistryMessages.Beat> drainNewBeats() {
-        List<RegistryMessages.Beat> beats = new ArrayList<>();
-        newBeats.forEach((id, sequence) -> beats.add(new RegistryMessages.Beat(id, sequence)));
-        newBeats.clear();
+    List<RegistryMessages.Heartbeat> drainNewHeartbeats() {
+        List<RegistryMessages.Heartbeat> beats = new ArrayList<>();
+        newHeartbeats.forEach((id, sequence) -> beats.add(new RegistryMessages.Heartbeat(id, sequence)));
+        newHeartbeats.clear();
         return beats;
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/LinkOpener.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/LinkOpener.java
@@ -2,9 +2,9 @@
 
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.SocketKind;
 
 /**
@@ -17,8 +17,8 @@
 record LinkOpener(EventLoop loop, SocketKind sockets, LinkMessages.Hello hello) {
 
     /** Opens a link and keeps it open. */
-    HeldLink open(String host, int port, LinkListener listener) {
-        HeldLink link = new HeldLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
+    ReconnectingLink open(String host, int port, LinkListener listener) {
+        ReconnectingLink link = new ReconnectingLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
         link.start();
         return link;
     }
--- a/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
@@ -12,7 +12,7 @@
 import ridgemill.cdn.configuration.ChangeValidator;
 import ridgemill.cdn.configuration.ConfigurationChange;
 import ridgemill.cdn.configuration.InvalidChange;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.json.TreeReader;
 import ridgemill.cdn.purge.Purge;
 
@@ -42,16 +42,16 @@
     }
 
     /** Answers with what a quorum of the stores holds. */
-    void readConfiguration(CallServer.Call call) {
-        stores.read(items -> call.answer()
+    void readConfiguration(SimpleHttpServer.Request call) {
+        stores.read(items -> call.responder()
                 .accept(
                         items == null
-                                ? CallServer.Answer.empty(UNAVAILABLE)
-                                : new CallServer.Answer(OK, reader().write(items))));
+                                ? SimpleHttpServer.Response.empty(UNAVAILABLE)
+                                : new SimpleHttpServer.Response(OK, reader().write(items))));
     }
 
     /** Each item of a change is checked here by itself; the rest is decided by the stores together. */
-    void changeConfiguration(CallServer.Call call) {
+    void changeConfiguration(SimpleHttpServer.Request call) {
         Either<InvalidChange, ConfigurationChange> change = reader().read(call.body());
         if (change.isLeft()) {
             refuse(call, BAD_REQUEST, change.getLeft().describe());
@@ -67,34 +67,37 @@
                     System.Logger.Level.INFO,
                     "event=configuration items=" + change.get().items().size() + " outcome=" + result.outcome());
             switch (result.outcome()) {
-                case CONFIRMED -> call.answer().accept(CallServer.Answer.empty(OK));
+                case CONFIRMED -> call.responder().accept(SimpleHttpServer.Response.empty(OK));
                 case CONFLICT -> refuse(call, CONFLICT, result.detail());
                 case INVALID -> refuse(call, BAD_REQUEST, result.detail());
-                default -> call.answer().accept(CallServer.Answer.empty(UNAVAILABLE));
+                default -> call.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
             }
         });
     }
 
-    private void refuse(CallServer.Call call, int status, String reason) {
+    private void refuse(SimpleHttpServer.Request call, int status, String reason) {
         LOG.log(System.Logger.Level.INFO, "event=order_refused status=" + status + " reason=\"" + reason + "\"");
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("errorMessage", reason);
-        call.answer().accept(new CallServer.Answer(status, body.toString().getBytes(StandardCharsets.UTF_8)));
+        call.responder()
+                .accept(new SimpleHttpServer.Response(status, body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Orders a purge; the call is acknowledged once a majority of the stores has passed it on. */
-    void purge(CallServer.Call call) {
+    void purge(SimpleHttpServer.Request call) {
         Purge purge = readPurge(call.body());
         if (purge == null) {
             refuse(call, BAD_REQUEST, "a purge needs hostname and path, or tag");
             return;
         }
-        stores.purge(purge, passedOn -> call.answer().accept(CallServer.Answer.empty(passedOn ? OK : UNAVAILABLE)));
+        stores.purge(
+                purge,
+                passedOn -> call.responder().accept(SimpleHttpServer.Response.empty(passedOn ? OK : UNAVAILABLE)));
     }
 
     /** The purge of a call, or null if it can't be read. */
     private Purge readPurge(byte[] body) {
         try {
-            JsonNode root = TreeReader.json(body);
+            JsonNode root = TreeReader.parseJson(body);
             String id = UUID.randomUUID().toString();
             if (root.path("tag").isTextual()) {
                 return Purge.ofTag(id, root.path("tag").textValue());
--- a/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
@@ -7,10 +7,10 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceTable;
 import ridgemill.cdn.membership.ClusterMembers;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.RegistryMessages;
 
 /** The links to the registries on the other core machines, and what they are told over them. */
@@ -21,8 +21,8 @@
     private final LinkOpener opener;
     private final ClusterMembers members;
     private final InstanceTable instances;
-    private final ProxyNews news;
-    private final Map<String, HeldLink> links = new HashMap<>();
+    private final ProxyUpdates proxyUpdates;
+    private final Map<String, ReconnectingLink> links = new HashMap<>();
 
     /**
      * Without links until {@link #connect}.
@@ -35,13 +35,13 @@
             LinkOpener opener,
             ClusterMembers members,
             InstanceTable instances,
-            ProxyNews news) {
+            ProxyUpdates news) {
         this.ownAddress = ownAddress;
         this.port = port;
         this.opener = opener;
         this.members = members;
         this.instances = instances;
-        this.news = news;
+        this.proxyUpdates = news;
     }
 
     /** Opens the links that are missing to known core machines. */
@@ -54,10 +54,10 @@
     }
 
     /** Core machines were heard of: connects to new ones and tells the proxies of them. */
-    void heardOf(List<String> hosts) {
+    void addKnownHosts(List<String> hosts) {
         if (members.addCoreHosts(hosts)) {
             connect();
-            news.push(List.of());
+            proxyUpdates.push(List.of());
         }
     }
 
@@ -67,11 +67,11 @@
     }
 
     /** Tells all others of instances and heartbeats, without waiting for their answers. */
-    void tell(List<Instance> changed, List<RegistryMessages.Beat> beats) {
-        for (HeldLink link : links.values()) {
+    void broadcast(List<Instance> changed, List<RegistryMessages.Heartbeat> beats) {
+        for (ReconnectingLink link : links.values()) {
             link.call(callId -> update(callId, changed), Confirmation.TIMEOUT_MS, ignored -> {});
             if (!beats.isEmpty()) {
-                link.send(new RegistryMessages.PeerBeats(beats));
+                link.send(new RegistryMessages.PeerHeartbeats(beats));
             }
         }
     }
@@ -92,7 +92,7 @@
 
     private RegistryMessages.PeerUpdate update(long callId, List<Instance> changed) {
         return new RegistryMessages.PeerUpdate(
-                callId, members.coreHosts(), members.voters(), news.proxyNames(), changed);
+                callId, members.coreHosts(), members.voters(), proxyUpdates.proxyNames(), changed);
     }
 
     /** A registry that could not be reached may have missed anything: it is told all. */
--- a/cdn/src/main/java/ridgemill/cdn/registry/ProxyNews.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ProxyUpdates.java
@@ -20,27 +20,27 @@
  * What edge proxies and shared caches are told: a snapshot when they subscribe, then numbered news of instances that changed. Each news also
  * holds the core machines, the voters, who shares the services' bounds and the instances that are silent, as they are then.
  */
-final class ProxyNews {
+final class ProxyUpdates {
 
     /** Heartbeat intervals without a heartbeat after which an instance counts as silent. */
-    private static final double SILENT_INTERVALS = 3.4;
+    private static final double UNRESPONSIVE_AFTER_INTERVALS = 3.4;
     /** Heartbeat intervals after its start in which a registry has heard each instance that lives. */
-    private static final double SETTLE_INTERVALS = 2.0;
+    private static final double COMPLETE_AFTER_INTERVALS = 2.0;
 
     /** The program whose processes share the bounds of services as edge proxies. */
     private static final String PROXY = "proxy";
     /** Silence of a shared cache's link after which nobody is sent there, in milliseconds. */
-    private static final long CACHE_SILENT_MS = 3_000;
+    private static final long CACHE_IDLE_LIMIT_MS = 3_000;
 
     private final ClusterMembers members;
     private final InstanceTable instances;
     private final Subscribers subscribers;
     private final Clock clock;
-    private final double silentAfterMs;
-    private final double settledAfterMs;
+    private final double unresponsiveAfterMs;
+    private final double completeAfterMs;
     private double startedAtMs;
-    private boolean settled;
-    private List<String> silent = List.of();
+    private boolean complete;
+    private List<String> unresponsive = List.of();
     private List<String> lastProxies = List.of();
     private List<CacheNode> lastCaches = List.of();
     private final Map<Link, CacheNode> caches = new HashMap<>();
@@ -51,17 +51,18 @@
      * @param lifeId names this life of the registry, in which the numbers of news count
      * @param heartbeatIntervalMs how often instances send heartbeats, in milliseconds
      */
-    ProxyNews(String lifeId, ClusterMembers members, InstanceTable instances, Clock clock, long heartbeatIntervalMs) {
+    ProxyUpdates(
+            String lifeId, ClusterMembers members, InstanceTable instances, Clock clock, long heartbeatIntervalMs) {
         this.members = members;
         this.instances = instances;
         this.subscribers = new Subscribers(lifeId);
         this.clock = clock;
-        this.silentAfterMs = SILENT_INTERVALS * heartbeatIntervalMs;
-        this.settledAfterMs = SETTLE_INTERVALS * heartbeatIntervalMs;
+        this.unresponsiveAfterMs = UNRESPONSIVE_AFTER_INTERVALS * heartbeatIntervalMs;
+        this.completeAfterMs = COMPLETE_AFTER_INTERVALS * heartbeatIntervalMs;
     }
 
     /** The registry takes heartbeats from now on: how long it has done so decides what it can know. */
-    void started() {
+    void markStarted() {
         startedAtMs = clock.now();
     }
 
@@ -82,7 +83,7 @@
     }
 
     /** A shared cache may be read from as long as its link is held and heard. */
-    void offer(Link link, CacheNode cache) {
+    void announceCache(Link link, CacheNode cache) {
         caches.put(link, cache);
         refresh();
     }
@@ -110,13 +111,13 @@
         long number = subscribers.nextNumber();
         List<String> proxies = members.proxies(clock.now());
         List<CacheNode> cachesNow = liveCaches();
-        subscribers.push(link -> new RegistryMessages.News(number, overview(link, proxies, cachesNow, changed)));
+        subscribers.push(link -> new RegistryMessages.Update(number, overview(link, proxies, cachesNow, changed)));
     }
 
     private RegistryMessages.Snapshot snapshot(Link link) {
         List<Instance> all = List.copyOf(instances.all());
         RegistryMessages.Overview overview = overview(link, members.proxies(clock.now()), liveCaches(), all);
-        return new RegistryMessages.Snapshot(subscribers.lifeId(), subscribers.number(), overview);
+        return new RegistryMessages.Snapshot(subscribers.incarnationId(), subscribers.lastNumber(), overview);
     }
 
     private RegistryMessages.Overview overview(
@@ -124,14 +125,14 @@
         int rank = Math.max(0, Collections.binarySearch(proxies, link.peer().nodeName()));
         FleetPosition position = new FleetPosition(Math.max(1, proxies.size()), rank);
         return new RegistryMessages.Overview(
-                settled, members.coreHosts(), members.voters(), new Fleet(position, cachesNow), told, silent);
+                complete, members.coreHosts(), members.voters(), new Fleet(position, cachesNow), told, unresponsive);
     }
 
     /** The shared caches whose links are not silent: one that stands still is not to be read from. */
     private List<CacheNode> liveCaches() {
         List<CacheNode> live = new ArrayList<>();
         caches.forEach((link, cache) -> {
-            if (link.silentMs() <= CACHE_SILENT_MS) {
+            if (link.idleMs() <= CACHE_IDLE_LIMIT_MS) {
                 live.add(cache);
             }
         });
@@ -143,15 +144,16 @@
     void refresh() {
         double now = clock.now();
         double runningMs = now - startedAtMs;
-        boolean settledNow = settled || runningMs > settledAfterMs;
+        boolean settledNow = complete || runningMs > completeAfterMs;
         // An instance that was heard in an earlier life only is not silent before this life could have heard it.
-        List<String> silentNow = runningMs > silentAfterMs ? instances.unresponsive(silentAfterMs, now) : List.of();
+        List<String> silentNow =
+                runningMs > unresponsiveAfterMs ? instances.unresponsive(unresponsiveAfterMs, now) : List.of();
         List<String> proxies = members.proxies(now);
         List<CacheNode> cachesNow = liveCaches();
         boolean sameFleet = proxies.equals(lastProxies) && cachesNow.equals(lastCaches);
-        if (!silentNow.equals(silent) || !sameFleet || settledNow != settled) {
-            settled = settledNow;
-            silent = silentNow;
+        if (!silentNow.equals(unresponsive) || !sameFleet || settledNow != complete) {
+            complete = settledNow;
+            unresponsive = silentNow;
             lastProxies = proxies;
             lastCaches = cachesNow;
             push(List.of());
--- a/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.instances.InstanceTable;
 import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.settings.Settings;
@@ -34,11 +34,11 @@
     private final InstanceTable instances = new InstanceTable();
     private final ClusterMembers members = new ClusterMembers();
     private final StoreClient storeClient;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final PeerRegistries peers;
     private final VotingStores stores;
     private final InstanceReports reports;
-    private CallServer controlServer;
+    private SimpleHttpServer controlServer;
     private LinkServer linkServer;
 
     /** A registry that is started by {@link #start}. */
@@ -52,10 +52,11 @@
                 LinkMessages.Hello.PROTOCOL, "registry", settings.nodeName(), settings.ipAddress(), lifeId);
         LinkOpener opener = new LinkOpener(loop, sockets, hello);
         storeClient = new StoreClient(loop, STORE_TIMEOUT_MS);
-        news = new ProxyNews(lifeId, members, instances, clock, settings.heartbeatIntervalMs());
-        peers = new PeerRegistries(settings.ipAddress(), settings.registryPort(), opener, members, instances, news);
-        stores = new VotingStores(settings.storePort(), opener, members, news, storeClient);
-        reports = new InstanceReports(instances, members, peers, news, loop, clock);
+        proxyUpdates = new ProxyUpdates(lifeId, members, instances, clock, settings.heartbeatIntervalMs());
+        peers = new PeerRegistries(
+                settings.ipAddress(), settings.registryPort(), opener, members, instances, proxyUpdates);
+        stores = new VotingStores(settings.storePort(), opener, members, proxyUpdates, storeClient);
+        reports = new InstanceReports(instances, members, peers, proxyUpdates, loop, clock);
     }
 
     /**
@@ -64,15 +65,16 @@
      * @throws io.netty.channel.ChannelException if an address can't be had
      */
     public void start() {
-        news.started();
+        proxyUpdates.markStarted();
         InetSocketAddress control = Addresses.parse(settings.controlAddress());
-        CallRouter calls = new CallRouter(new InstanceCalls(reports, instances, clock), new OperatorCalls(storeClient));
+        ControlRouter calls =
+                new ControlRouter(new InstanceCalls(reports, instances, clock), new OperatorCalls(storeClient));
         linkServer = LinkServer.listen(
                 loop,
                 sockets,
                 new InetSocketAddress(settings.ipAddress(), settings.registryPort()),
-                new IncomingLinks(members, instances, news, peers, stores, clock));
-        controlServer = CallServer.listen(loop, sockets, control, calls);
+                new IncomingLinks(members, instances, proxyUpdates, peers, stores, clock));
+        controlServer = SimpleHttpServer.listen(loop, sockets, control, calls);
         loop.execute(this::join);
     }
 
@@ -94,11 +96,11 @@
     /** Tells the other registries of heartbeats and, again, of recent changes, and the proxies of silent instances. */
     private void gossip() {
         double now = clock.now();
-        for (String proxy : news.proxyNames()) {
+        for (String proxy : proxyUpdates.proxyNames()) {
             members.recordProxy(proxy, now);
         }
-        peers.tell(reports.changedLately(), reports.drainNewBeats());
+        peers.broadcast(reports.recentChanges(), reports.drainNewHeartbeats());
         instances.removeExpired(now);
-        news.refresh();
+        proxyUpdates.refresh();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
@@ -18,8 +18,8 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.CallFailure;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
@@ -29,19 +29,19 @@
 public final class StoreClient {
 
     /** How long one store is waited for before the next one is asked, in milliseconds. */
-    private static final long ATTEMPT_MS = 450;
+    private static final long ATTEMPT_TIMEOUT_MS = 450;
     /** A store is not asked if less time than this is left, in milliseconds. */
-    private static final long LEAST_ATTEMPT_MS = 100;
+    private static final long MIN_ATTEMPT_MS = 100;
     /** How much longer a change may take for each of its items, in milliseconds. */
-    private static final long ITEM_MS = 2;
+    private static final long EXTRA_MS_PER_ITEM = 2;
     /** How long a call waits where nobody leads, in milliseconds. */
-    private static final long LEADERLESS_MS = 80;
+    private static final long NO_LEADER_RETRY_DELAY_MS = 80;
     /** How long a purge waits before it is sent again in a newer epoch, in milliseconds. */
-    private static final long PURGE_AGAIN_MS = 60;
+    private static final long PURGE_RETRY_DELAY_MS = 60;
 
     private final EventLoop loop;
     private final long budgetMs;
-    private final Map<String, HeldLink> links = new HashMap<>();
+    private final Map<String, ReconnectingLink> links = new HashMap<>();
     private VoterSet voters = VoterSet.UNKNOWN;
     private String leader = "";
 
@@ -56,7 +56,7 @@
     }
 
     /** Sets the voters and the links to them, by their IP addresses. */
-    public void setVoters(VoterSet newest, Map<String, HeldLink> newestLinks) {
+    public void setVoters(VoterSet newest, Map<String, ReconnectingLink> newestLinks) {
         voters = newest;
         links.clear();
         links.putAll(newestLinks);
@@ -64,14 +64,14 @@
 
     /** Orders a change. The callback is told what became of it. */
     public void change(List<Item> items, Consumer<ChangeResult> callback) {
-        long patienceMs = ITEM_MS * items.size();
+        long patienceMs = EXTRA_MS_PER_ITEM * items.size();
         new Attempts<ChangeResult>(
                         patienceMs,
                         (callId, insist, leftMs) -> new StoreMessages.ChangeItems(callId, insist, leftMs, items),
                         StoreClient::resultOf,
                         result -> result,
                         answer -> callback.accept(answer == null ? ChangeResult.UNKNOWN : answer))
-                .next();
+                .tryNext();
     }
 
     private static ChangeResult resultOf(Message.Reply reply) {
@@ -84,9 +84,9 @@
                         0,
                         StoreMessages.ReadItems::new,
                         reply -> (StoreMessages.ItemsRead) reply,
-                        read -> new ChangeResult(read.outcome(), read.leader()),
+                        read -> new ChangeResult(read.outcome(), read.leaderAddress()),
                         read -> callback.accept(read == null ? null : read.items()))
-                .next();
+                .tryNext();
     }
 
     /** Makes a call from its number, whether the store is to insist on leading, and how long the caller waits. */
@@ -99,13 +99,13 @@
     private final class Attempts<R> {
 
         private final long endNanos;
-        private final long patienceMs;
+        private final long extraMs;
         private final CallMaker maker;
         private final Function<Message.Reply, R> reader;
         private final Function<R, ChangeResult> result;
         private final Consumer<R> callback;
         private final Set<String> asked = new HashSet<>();
-        private boolean insist;
+        private boolean forceLeader;
 
         Attempts(
                 long patienceMs,
@@ -113,7 +113,7 @@
                 Function<Message.Reply, R> reader,
                 Function<R, ChangeResult> result,
                 Consumer<R> callback) {
-            this.patienceMs = patienceMs;
+            this.extraMs = patienceMs;
             this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + patienceMs);
             this.maker = maker;
             this.reader = reader;
@@ -121,18 +121,18 @@
             this.callback = callback;
         }
 
-        void next() {
+        void tryNext() {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
-            String host = leftMs < LEAST_ATTEMPT_MS ? null : nextHost();
+            String host = leftMs < MIN_ATTEMPT_MS ? null : nextHost();
             if (host == null) {
                 callback.accept(null);
                 return;
             }
             asked.add(host);
-            long timeoutMs = Math.min(leftMs, ATTEMPT_MS + patienceMs);
-            boolean insists = insist;
+            long timeoutMs = Math.min(leftMs, ATTEMPT_TIMEOUT_MS + extraMs);
+            boolean insists = forceLeader;
             links.get(host)
-                    .call(callId -> maker.make(callId, insists, timeoutMs), timeoutMs, reply -> answered(host, reply));
+                    .call(callId -> maker.make(callId, insists, timeoutMs), timeoutMs, reply -> onReply(host, reply));
         }
 
         /** The store that leads, else a voter that can be reached; null if all were asked. */
@@ -149,14 +149,14 @@
         }
 
         /** Nobody who leads can be reached at present: all may be asked again. */
-        private void askAgain() {
+        private void restart() {
             asked.clear();
             leader = "";
-            insist = true;
-            next();
+            forceLeader = true;
+            tryNext();
         }
 
-        private void answered(String host, Either<CallFailure, Message.Reply> reply) {
+        private void onReply(String host, Either<CallFailure, Message.Reply> reply) {
             R answer = reply.isRight() ? reader.apply(reply.get()) : null;
             ChangeResult told = answer == null ? ChangeResult.UNKNOWN : result.apply(answer);
             switch (told.outcome()) {
@@ -167,21 +167,21 @@
                 case NOT_LEADER -> {
                     leader = told.detail();
                     if (isOpen(leader) && !asked.contains(leader)) {
-                        next();
+                        tryNext();
                     } else {
-                        loop.schedule(this::askAgain, LEADERLESS_MS, TimeUnit.MILLISECONDS);
+                        loop.schedule(this::restart, NO_LEADER_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                     }
                 }
                 case UNKNOWN -> {
-                    insist = true;
-                    next();
+                    forceLeader = true;
+                    tryNext();
                 }
             }
         }
     }
 
     private boolean isOpen(String host) {
-        HeldLink link = links.get(host);
+        ReconnectingLink link = links.get(host);
         return link != null && link.isOpen();
     }
 
@@ -195,22 +195,22 @@
         long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
         LongFunction<Message.Call> call = callId -> new StoreMessages.WritePurge(callId, asked.epoch(), purge);
         MajorityCount count = new MajorityCount(asked, passedOn -> {
-            boolean again = !passedOn && leftMs > LEAST_ATTEMPT_MS + PURGE_AGAIN_MS;
+            boolean again = !passedOn && leftMs > MIN_ATTEMPT_MS + PURGE_RETRY_DELAY_MS;
             if (again) {
-                loop.schedule(() -> purge(purge, endNanos, callback), PURGE_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> purge(purge, endNanos, callback), PURGE_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             } else {
                 callback.accept(passedOn);
             }
         });
         for (String address : asked.addresses()) {
-            HeldLink link = links.get(address);
+            ReconnectingLink link = links.get(address);
             if (link == null) {
                 count.failed(address);
             } else {
-                link.call(call, Math.max(1, leftMs), reply -> count.answered(address, reply));
+                link.call(call, Math.max(1, leftMs), reply -> count.onReply(address, reply));
             }
         }
-        count.failIfNobodyIsAsked();
+        count.failIfNoVoters();
     }
 
     /** Counts the voters that have written something and tells once whether they are a majority. */
@@ -227,8 +227,8 @@
             this.callback = callback;
         }
 
-        void answered(String address, Either<CallFailure, Message.Reply> reply) {
-            if (reply.isRight() && reply.get() instanceof StoreMessages.Written written && written.durable()) {
+        void onReply(String address, Either<CallFailure, Message.Reply> reply) {
+            if (reply.isRight() && reply.get() instanceof StoreMessages.WriteResult written && written.durable()) {
                 succeeded.add(written.store());
                 if (voters.hasQuorum(succeeded::contains)) {
                     decide(true);
@@ -245,7 +245,7 @@
             }
         }
 
-        void failIfNobodyIsAsked() {
+        void failIfNoVoters() {
             if (!voters.isKnown()) {
                 decide(false);
             }
--- a/cdn/src/main/java/ridgemill/cdn/registry/Subscribers.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Subscribers.java
@@ -13,37 +13,37 @@
 /** The edge proxies and shared caches that are connected: pushes numbered news to them and counts what they acknowledge. */
 final class Subscribers {
 
-    private final String lifeId;
+    private final String incarnationId;
     private final Map<Link, Long> acknowledged = new HashMap<>();
     private final Deque<Waiter> waiters = new ArrayDeque<>();
-    private long number;
+    private long lastNumber;
 
     private record Waiter(long number, Runnable done) {}
 
     Subscribers(String lifeId) {
-        this.lifeId = lifeId;
+        this.incarnationId = lifeId;
     }
 
     /** The number of the last news. */
-    long number() {
-        return number;
+    long lastNumber() {
+        return lastNumber;
     }
 
     /** This life, in which the numbers count. */
-    String lifeId() {
-        return lifeId;
+    String incarnationId() {
+        return incarnationId;
     }
 
     /** Adds a proxy and sends it all that is known. */
     void add(Link link, RegistryMessages.Snapshot snapshot) {
-        acknowledged.put(link, number - 1);
+        acknowledged.put(link, lastNumber - 1);
         link.send(snapshot);
     }
 
     /** Forgets a link; those who wait for it wait no longer. */
     void remove(Link link) {
         if (acknowledged.remove(link) != null) {
-            release();
+            runReadyWaiters();
         }
     }
 
@@ -54,11 +54,11 @@
 
     /** Numbers the next news. */
     long nextNumber() {
-        return ++number;
+        return ++lastNumber;
     }
 
     /** Sends each its news. */
-    void push(Function<Link, RegistryMessages.News> news) {
+    void push(Function<Link, RegistryMessages.Update> news) {
         for (Link link : acknowledged.keySet()) {
             link.send(news.apply(link));
         }
@@ -67,16 +67,16 @@
     /** A proxy has carried out the news up to a number. */
     void acknowledged(Link link, long upTo) {
         acknowledged.computeIfPresent(link, (key, before) -> Math.max(before, upTo));
-        release();
+        runReadyWaiters();
     }
 
     /** Runs a task once all connected proxies have acknowledged all news so far; those that disconnect don't count. */
     void whenAcknowledged(Runnable task) {
-        waiters.add(new Waiter(number, task));
-        release();
+        waiters.add(new Waiter(lastNumber, task));
+        runReadyWaiters();
     }
 
-    private void release() {
+    private void runReadyWaiters() {
         long least = Long.MAX_VALUE;
         for (long upTo : acknowledged.values()) {
             least = Math.min(least, upTo);
--- a/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.quorum.VoterSet;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
@@ -22,21 +22,21 @@
     private final int port;
     private final LinkOpener opener;
     private final ClusterMembers members;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final StoreClient client;
-    private final Map<String, HeldLink> links = new HashMap<>();
+    private final Map<String, ReconnectingLink> links = new HashMap<>();
 
     /**
-     * Without links until {@link #connect} or {@link #learn}.
+     * Without links until {@link #connect} or {@link #updateVoters}.
      *
      * @param port the port at which each store takes links
      * @param client given the links to the voters once they are known
      */
-    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyNews news, StoreClient client) {
+    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyUpdates news, StoreClient client) {
         this.port = port;
         this.opener = opener;
         this.members = members;
-        this.news = news;
+        this.proxyUpdates = news;
         this.client = client;
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Takes the voters if they are newer than those that are known. */
-    void learn(VoterSet voters) {
+    void updateVoters(VoterSet voters) {
         if (!members.updateVoters(voters)) {
             return;
         }
@@ -58,21 +58,21 @@
                         + voters.previous());
         List<String> addresses = voters.addresses();
         addresses.forEach(this::connect);
-        Map<String, HeldLink> voterLinks = new HashMap<>(links);
+        Map<String, ReconnectingLink> voterLinks = new HashMap<>(links);
         voterLinks.keySet().retainAll(addresses);
         client.setVoters(voters, voterLinks);
-        news.push(List.of());
+        proxyUpdates.push(List.of());
     }
 
     @Override
     public void opened(Link link) {
-        link.send(new StoreMessages.FollowVoters());
+        link.send(new StoreMessages.WatchVoters());
     }
 
     @Override
     public void received(Link link, Message message) {
-        if (message instanceof StoreMessages.VotersNow now) {
-            learn(now.voters());
+        if (message instanceof StoreMessages.CurrentVoters now) {
+            updateVoters(now.voters());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/registry/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/package-info.java
@@ -5,11 +5,11 @@
  * have missed. By concern:
  *
  * <ul>
- *   <li>Calls from outside: {@code CallRouter} passes each on by its path, to {@code InstanceCalls} (heartbeats, leaving)
+ *   <li>Calls from outside: {@code ControlRouter} passes each on by its path, to {@code InstanceCalls} (heartbeats, leaving)
  *       or {@code OperatorCalls} (configuration, purges).
  *   <li>Instances: {@code InstanceReports} takes what they say. A change of state goes to everybody at once, and its call
  *       is answered when a {@code Confirmation} ends.
- *   <li>Edge proxies: {@code ProxyNews} makes what they are told; {@code Subscribers} numbers and sends it and counts what
+ *   <li>Edge proxies: {@code ProxyUpdates} makes what they are told; {@code Subscribers} numbers and sends it and counts what
  *       they acknowledge.
  *   <li>Other registries: {@code PeerRegistries} tells them over links that it opens; {@code IncomingLinks} takes what
  *       they and the proxies say over links that they open.
--- a/cdn/src/main/java/ridgemill/cdn/settings/SettingsReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/SettingsReader.java
@@ -21,11 +21,11 @@
     private static final String DEFAULT_HEARTBEAT = "1500ms";
 
     private final JsonNode root;
-    private final String place;
+    private final String location;
 
     private SettingsReader(JsonNode root, String place) {
         this.root = root;
-        this.place = place;
+        this.location = place;
     }
 
     /** Reads the file at a path. */
@@ -56,7 +56,7 @@
 
     private static JsonNode tree(String text) throws IOException {
         try (JsonParser parser = new TomlFactory().createParser(text)) {
-            return TreeReader.whole(parser);
+            return TreeReader.readSingleValue(parser);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
@@ -16,19 +16,19 @@
 final class DiskQueue {
 
     private static final System.Logger LOG = System.getLogger(DiskQueue.class.getName());
-    private static final int MAX_WAITING = 20_000;
+    private static final int MAX_QUEUED_BATCHES = 20_000;
     /** The least time between attempts on a disk that refuses. */
-    private static final long RETRY_MS = 250;
+    private static final long RETRY_DELAY_MS = 250;
 
-    private static final long STOP_WAIT_MS = 3_000;
+    private static final long STOP_TIMEOUT_MS = 3_000;
 
     private final StoreDisk disk;
     private final Executor loop;
     private final Thread thread = new Thread(this::run, "store-disk");
-    private final ArrayDeque<Submission> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Submission> queue = new ArrayDeque<>();
     private final PendingChanges unwritten = new PendingChanges();
-    private Consumer<StoredState> opened;
-    private Runnable lost;
+    private Consumer<StoredState> onOpened;
+    private Runnable onDataLost;
     private boolean failing;
     private boolean stopped;
 
@@ -51,17 +51,17 @@
      * @param whenLost called if the disk became unreadable later and was begun anew: all has to be written again
      */
     void start(Consumer<StoredState> whenOpened, Runnable whenLost) {
-        opened = whenOpened;
-        lost = whenLost;
+        onOpened = whenOpened;
+        onDataLost = whenLost;
         thread.start();
     }
 
     /** Queues a batch; the callback is told whether it is on disk. */
     void submit(DiskBatch batch, Consumer<Boolean> done) {
-        synchronized (waiting) {
-            if (!stopped && waiting.size() < MAX_WAITING) {
-                waiting.add(new Submission(batch, done));
-                waiting.notifyAll();
+        synchronized (queue) {
+            if (!stopped && queue.size() < MAX_QUEUED_BATCHES) {
+                queue.add(new Submission(batch, done));
+                queue.notifyAll();
                 return;
             }
         }
@@ -70,12 +70,12 @@
 
     /** Writes what waits, closes the disk and waits for that, but not for ever if the disk hangs. */
     void stop() {
-        synchronized (waiting) {
+        synchronized (queue) {
             stopped = true;
-            waiting.notifyAll();
+            queue.notifyAll();
         }
         try {
-            thread.join(STOP_WAIT_MS);
+            thread.join(STOP_TIMEOUT_MS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -85,7 +85,7 @@
         try {
             StoredState state = openDisk();
             if (state != null) {
-                loop.execute(() -> opened.accept(state));
+                loop.execute(() -> onOpened.accept(state));
                 writeUntilStopped();
             }
         } catch (InterruptedException interrupted) {
@@ -141,15 +141,15 @@
 
     /** Null once the queue was stopped and nothing waits. */
     private List<Submission> take() throws InterruptedException {
-        synchronized (waiting) {
-            while (waiting.isEmpty() && !stopped && unwritten.isEmpty()) {
-                waiting.wait();
+        synchronized (queue) {
+            while (queue.isEmpty() && !stopped && unwritten.isEmpty()) {
+                queue.wait();
             }
-            if (waiting.isEmpty() && stopped) {
+            if (queue.isEmpty() && stopped) {
                 return null;
             }
-            List<Submission> taken = new ArrayList<>(waiting);
-            waiting.clear();
+            List<Submission> taken = new ArrayList<>(queue);
+            queue.clear();
             return taken;
         }
     }
@@ -163,7 +163,7 @@
         } catch (DiskCorruptException corrupt) {
             LOG.log(Level.ERROR, "event=disk_unreadable cause=\"" + corrupt.getMessage() + "\"");
             if (moveAside()) {
-                loop.execute(lost);
+                loop.execute(onDataLost);
             }
             return false;
         } catch (IOException refused) {
@@ -188,17 +188,17 @@
     }
 
     private void pause() throws InterruptedException {
-        synchronized (waiting) {
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_MS);
-            for (long left = RETRY_MS; left > 0 && !stopped; ) {
-                waiting.wait(left);
+        synchronized (queue) {
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MS);
+            for (long left = RETRY_DELAY_MS; left > 0 && !stopped; ) {
+                queue.wait(left);
                 left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             }
         }
     }
 
     private boolean isStopped() {
-        synchronized (waiting) {
+        synchronized (queue) {
             return stopped;
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/JournalDisk.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/JournalDisk.java
@@ -19,7 +19,7 @@
 import ridgemill.cdn.wire.AgreementCodec;
 import ridgemill.cdn.wire.FieldReader;
 import ridgemill.cdn.wire.FieldWriter;
-import ridgemill.cdn.wire.Fields;
+import ridgemill.cdn.wire.ValueCodec;
 
 /**
  * Keeps the store's state in one journal file: its first frame holds the whole state, each later one a batch of changes.
@@ -30,10 +30,10 @@
 final class JournalDisk implements StoreDisk {
 
     private static final System.Logger LOG = System.getLogger(JournalDisk.class.getName());
-    private static final long FORMAT = 2;
-    private static final String PREFIX = "journal-";
+    private static final long FORMAT_VERSION = 2;
+    private static final String FILE_PREFIX = "journal-";
     /** A journal begins anew once it is this much longer than its first frame, in bytes. */
-    private static final long GROWTH_BYTES = 16L << 20;
+    private static final long MAX_GROWTH_BYTES = 16L << 20;
 
     private final Path folder;
     private final DiskFile.Opener opener;
@@ -61,7 +61,7 @@
         Files.createDirectories(folder);
         List<Long> generations = generations();
         for (long candidate : generations) {
-            if (read(candidate)) {
+            if (loadGeneration(candidate)) {
                 removeOthers(candidate);
                 return state();
             }
@@ -70,7 +70,7 @@
             throw new DiskCorruptException("no journal is whole", null);
         }
         // Nothing was acknowledged before the first generation was whole.
-        begin(1);
+        startGeneration(1);
         return state();
     }
 
@@ -80,8 +80,8 @@
         try (Stream<Path> paths = Files.list(folder)) {
             for (Path path : paths.toList()) {
                 String name = path.getFileName().toString();
-                if (name.startsWith(PREFIX)) {
-                    generations.add(Long.parseLong(name.substring(PREFIX.length())));
+                if (name.startsWith(FILE_PREFIX)) {
+                    generations.add(Long.parseLong(name.substring(FILE_PREFIX.length())));
                 }
             }
         } catch (NumberFormatException foreign) {
@@ -92,11 +92,11 @@
     }
 
     private Path pathOf(long number) {
-        return folder.resolve(PREFIX + number);
+        return folder.resolve(FILE_PREFIX + number);
     }
 
     /** Whether the generation's first frame is whole; then its state is taken. */
-    private boolean read(long number) throws IOException {
+    private boolean loadGeneration(long number) throws IOException {
         JournalFile.Opened opened = JournalFile.open(opener.open(pathOf(number)), Long.hashCode(number));
         if (opened.frames().isEmpty()) {
             opened.journal().close();
@@ -108,7 +108,7 @@
         accepted = AcceptorRecord.EMPTY;
         for (byte[] frame : opened.frames()) {
             try {
-                apply(Fields.fromBytes(frame, JournalDisk::readBatch));
+                apply(ValueCodec.fromBytes(frame, JournalDisk::readBatch));
             } catch (IOException unreadable) {
                 opened.journal().close();
                 throw new DiskCorruptException("a frame can't be read: " + unreadable.getMessage(), unreadable);
@@ -121,11 +121,11 @@
     }
 
     private StoredState state() {
-        return new StoredState(diskId, acceptedWhole(), List.copyOf(records.values()), false);
+        return new StoredState(diskId, fullAcceptorRecord(), List.copyOf(records.values()), false);
     }
 
     /** What was promised and accepted, with all items. */
-    private AcceptorRecord acceptedWhole() {
+    private AcceptorRecord fullAcceptorRecord() {
         return new AcceptorRecord(
                 accepted.promised(), accepted.accepted(), accepted.voters(), List.copyOf(items.values()), true);
     }
@@ -158,15 +158,15 @@
             return;
         }
         try {
-            journal.append(Fields.toBytes(batch, JournalDisk::writeBatch));
+            journal.append(ValueCodec.toBytes(batch, JournalDisk::writeBatch));
         } catch (IOException refused) {
             // The file's end is not known any more, and a sync that failed once may report success the next time.
             close();
             throw refused;
         }
         apply(batch);
-        if (journal.length() - firstFrameBytes > GROWTH_BYTES) {
-            begin(generation + 1);
+        if (journal.length() - firstFrameBytes > MAX_GROWTH_BYTES) {
+            startGeneration(generation + 1);
             removeOthers(generation);
         }
     }
@@ -174,19 +174,19 @@
     /** Writes a batch as part of the whole state, where the journal can't be appended to any more. */
     private void rewrite(DiskBatch batch) throws IOException {
         apply(batch);
-        begin(generation + 1);
+        startGeneration(generation + 1);
         removeOthers(generation);
     }
 
     /** Begins a new generation with the whole state. */
-    private void begin(long number) throws IOException {
+    private void startGeneration(long number) throws IOException {
         close();
         Files.deleteIfExists(pathOf(number));
         JournalFile next = JournalFile.open(opener.open(pathOf(number)), Long.hashCode(number))
                 .journal();
-        DiskBatch whole = new DiskBatch(diskId, acceptedWhole(), List.copyOf(records.values()), List.of());
+        DiskBatch whole = new DiskBatch(diskId, fullAcceptorRecord(), List.copyOf(records.values()), List.of());
         try {
-            byte[] frame = Fields.toBytes(whole, JournalDisk::writeBatch);
+            byte[] frame = ValueCodec.toBytes(whole, JournalDisk::writeBatch);
             next.append(frame);
             syncFolder();
             firstFrameBytes = frame.length;
@@ -219,21 +219,21 @@
     }
 
     private static void writeBatch(DiskBatch batch, FieldWriter out) throws IOException {
-        out.number(FORMAT).text(batch.diskId()).flag(batch.accepted() != null);
+        out.number(FORMAT_VERSION).text(batch.diskId()).flag(batch.accepted() != null);
         if (batch.accepted() != null) {
             AcceptorRecord next = batch.accepted();
             out.value(next.promised(), AgreementCodec::writeBallot)
-                    .value(next.accepted(), AgreementCodec::writeStamp)
+                    .value(next.accepted(), AgreementCodec::writeStateId)
                     .value(next.voters(), AgreementCodec::writeVoterSet)
                     .list(next.items(), AgreementCodec::writeVersionedItem)
                     .flag(next.replaces());
         }
-        out.list(batch.records(), Fields::writeKeyRecord).texts(batch.removedKeys());
+        out.list(batch.records(), ValueCodec::writeKeyRecord).texts(batch.removedKeys());
     }
 
     private static DiskBatch readBatch(FieldReader in) throws IOException {
         long format = in.number();
-        if (format != FORMAT) {
+        if (format != FORMAT_VERSION) {
             throw new IOException("format " + format + " is not known");
         }
         String name = in.text();
@@ -241,12 +241,12 @@
         if (in.flag()) {
             next = new AcceptorRecord(
                     AgreementCodec.readBallot(in),
-                    AgreementCodec.readStamp(in),
+                    AgreementCodec.readStateId(in),
                     AgreementCodec.readVoterSet(in),
                     in.list(AgreementCodec::readVersionedItem),
                     in.flag());
         }
-        return new DiskBatch(name, next, in.list(Fields::readKeyRecord), in.texts());
+        return new DiskBatch(name, next, in.list(ValueCodec::readKeyRecord), in.texts());
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
@@ -13,7 +13,7 @@
  */
 final class JournalFile {
 
-    private static final int HEAD_BYTES = 2 * Integer.BYTES;
+    private static final int FRAME_HEADER_BYTES = 2 * Integer.BYTES;
 
     private final DiskFile file;
     private int lastChecksum;
@@ -58,7 +58,7 @@
 
     /** Takes the next frame into the chain, or null if it is not whole. */
     private byte[] nextFrame(ByteBuffer contents) {
-        if (contents.remaining() < HEAD_BYTES) {
+        if (contents.remaining() < FRAME_HEADER_BYTES) {
             return null;
         }
         int frameLength = contents.getInt();
@@ -72,13 +72,13 @@
             return null;
         }
         lastChecksum = checksum;
-        length += HEAD_BYTES + frameLength;
+        length += FRAME_HEADER_BYTES + frameLength;
         return frame;
     }
 
     private int checksumOf(byte[] frame) {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(HEAD_BYTES)
+        crc.update(ByteBuffer.allocate(FRAME_HEADER_BYTES)
                 .putInt(lastChecksum)
                 .putInt(frame.length)
                 .array());
@@ -93,7 +93,7 @@
      */
     void append(byte[] frame) throws IOException {
         int checksum = checksumOf(frame);
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD_BYTES + frame.length)
+        ByteBuffer bytes = ByteBuffer.allocate(FRAME_HEADER_BYTES + frame.length)
                 .putInt(frame.length)
                 .putInt(checksum)
                 .put(frame)
@@ -101,7 +101,7 @@
         file.write(bytes, length);
         file.force();
         lastChecksum = checksum;
-        length += HEAD_BYTES + frame.length;
+        length += FRAME_HEADER_BYTES + frame.length;
     }
 
     /** The file's length in bytes. */
--- a/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
@@ -25,10 +25,10 @@
 
     private final StoreReplica replica;
     private final StorePeers peers;
-    private final Map<Voter, List<KeyRecord>> taken = new HashMap<>();
-    private final Set<Voter> asking = new HashSet<>();
+    private final Map<Voter, List<KeyRecord>> recordsByVoter = new HashMap<>();
+    private final Set<Voter> pendingVoters = new HashSet<>();
     private VoterSet change = VoterSet.UNKNOWN;
-    private boolean writing;
+    private boolean merging;
 
     KeyTransfer(StoreReplica replica, StorePeers peers) {
         this.replica = replica;
@@ -43,26 +43,26 @@
         }
         if (!wanted.equals(change)) {
             change = wanted;
-            taken.clear();
-            asking.clear();
-            writing = false;
+            recordsByVoter.clear();
+            pendingVoters.clear();
+            merging = false;
         }
         for (Voter voter : change.baseVoters()) {
-            if (!taken.containsKey(voter) && asking.add(voter)) {
-                ask(change, voter, "", new ArrayList<>());
+            if (!recordsByVoter.containsKey(voter) && pendingVoters.add(voter)) {
+                requestPage(change, voter, "", new ArrayList<>());
             }
         }
     }
 
-    private void ask(VoterSet forChange, Voter voter, String afterKey, List<KeyRecord> records) {
-        peers.to(voter.address())
+    private void requestPage(VoterSet forChange, Voter voter, String afterKey, List<KeyRecord> records) {
+        peers.linkTo(voter.address())
                 .call(
                         callId -> new StoreMessages.PullKeys(callId, afterKey),
                         CALL_TIMEOUT_MS,
-                        reply -> take(forChange, voter, records, reply));
+                        reply -> onPage(forChange, voter, records, reply));
     }
 
-    private void take(
+    private void onPage(
             VoterSet forChange, Voter voter, List<KeyRecord> records, Either<CallFailure, Message.Reply> reply) {
         if (!forChange.equals(change)) {
             return;
@@ -72,27 +72,27 @@
                 && answer.store().equals(voter)
                 && answer.epoch() == forChange.epoch();
         if (!usable) {
-            asking.remove(voter);
+            pendingVoters.remove(voter);
             return;
         }
         StoreMessages.KeysPage page = (StoreMessages.KeysPage) reply.get();
         records.addAll(page.records());
         if (page.lastPage()) {
-            asking.remove(voter);
-            taken.put(voter, records);
-            finishIfEnough();
+            pendingVoters.remove(voter);
+            recordsByVoter.put(voter, records);
+            mergeIfQuorum();
         } else {
-            ask(forChange, voter, records.get(records.size() - 1).key(), records);
+            requestPage(forChange, voter, records.get(records.size() - 1).key(), records);
         }
     }
 
-    private void finishIfEnough() {
-        if (writing || !change.hasMajorityOfBase(taken::containsKey)) {
+    private void mergeIfQuorum() {
+        if (merging || !change.hasMajorityOfBase(recordsByVoter::containsKey)) {
             return;
         }
-        writing = true;
+        merging = true;
         List<KeyRecord> all = new ArrayList<>();
-        taken.values().forEach(all::addAll);
-        replica.keysPulled(all, change.epoch());
+        recordsByVoter.values().forEach(all::addAll);
+        replica.mergeTransferredKeys(all, change.epoch());
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/store/StorePeers.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StorePeers.java
@@ -5,11 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.SocketKind;
 
 /** The links to other stores, opened when they are first asked for and kept. On the event loop. */
@@ -19,8 +19,8 @@
     private final SocketKind sockets;
     private final LinkMessages.Hello hello;
     private final int port;
-    private final Map<String, HeldLink> links = new LinkedHashMap<>();
-    private Consumer<String> whenReached = address -> {};
+    private final Map<String, ReconnectingLink> links = new LinkedHashMap<>();
+    private Consumer<String> onConnected = address -> {};
 
     StorePeers(EventLoop loop, SocketKind sockets, LinkMessages.Hello hello, int port) {
         this.loop = loop;
@@ -30,14 +30,14 @@
     }
 
     /** Sets what is told the IP address of each store to which a link opens. */
-    void whenReached(Consumer<String> told) {
-        whenReached = told;
+    void setOnConnected(Consumer<String> told) {
+        onConnected = told;
     }
 
     /** The link to the store on the machine with this IP address. */
-    HeldLink to(String address) {
+    ReconnectingLink linkTo(String address) {
         return links.computeIfAbsent(address, host -> {
-            HeldLink link = new HeldLink(loop, sockets, new InetSocketAddress(host, port), hello, this);
+            ReconnectingLink link = new ReconnectingLink(loop, sockets, new InetSocketAddress(host, port), hello, this);
             link.start();
             return link;
         });
@@ -45,12 +45,12 @@
 
     /** Ends all links. */
     void close() {
-        links.values().forEach(HeldLink::close);
+        links.values().forEach(ReconnectingLink::close);
     }
 
     @Override
     public void opened(Link link) {
-        whenReached.accept(link.remoteAddress());
+        onConnected.accept(link.remoteAddress());
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
@@ -28,19 +28,19 @@
 public final class StoreProgram {
 
     private static final System.Logger LOG = System.getLogger(StoreProgram.class.getName());
-    private static final String FOLDER = "store";
+    private static final String DATA_FOLDER = "store";
     private static final long KEY_TRANSFER_INTERVAL_MS = 100;
     /** The part of the grace period in which a store that ends waits for another one to vote in its place. */
-    private static final double LEAVE_SHARE = 0.5;
+    private static final double LEAVE_GRACE_FRACTION = 0.5;
 
     private static final long UPKEEP_INTERVAL_MS = 1_000;
     /** After how long a disk that refused its name is tried again, in milliseconds. */
-    private static final long NAME_AGAIN_MS = 100;
+    private static final long DISK_ID_RETRY_DELAY_MS = 100;
     /** The share of the heap that key records may fill. */
     private static final int KEY_HEAP_DIVISOR = 4;
 
     private final Settings settings;
-    private final String lifeId;
+    private final String incarnationId;
     private final EventLoop loop;
     private final SocketKind sockets;
     private final DiskQueue disk;
@@ -59,7 +59,7 @@
                 loops,
                 sockets,
                 clock,
-                new JournalDisk(settings.dataDirectory().resolve(FOLDER)));
+                new JournalDisk(settings.dataDirectory().resolve(DATA_FOLDER)));
     }
 
     StoreProgram(Settings settings, EventLoopGroup loops, SocketKind sockets, Clock clock, StoreDisk storeDisk) {
@@ -71,7 +71,7 @@
                 + (long) clock.now()
                 + '-'
                 + Long.toHexString(ThreadLocalRandom.current().nextLong());
-        this.lifeId = lifeId;
+        this.incarnationId = lifeId;
         this.disk = new DiskQueue(storeDisk, loop);
         KeyLimits limits = KeyLimits.forWindow(
                 settings.bounds().keyWindowMs(), Runtime.getRuntime().maxMemory() / KEY_HEAP_DIVISOR);
@@ -88,7 +88,7 @@
      * @return done once this store answers calls, though perhaps not yet as a voter; failed if its address is taken
      */
     public CompletableFuture<Void> start() {
-        disk.start(this::opened, replica::writeAll);
+        disk.start(this::onDiskOpened, replica::writeAll);
         return listening;
     }
 
@@ -99,25 +99,25 @@
     }
 
     /** The disk has a name before this store says anything to others. */
-    private void opened(StoredState state) {
+    private void onDiskOpened(StoredState state) {
         if (stopped) {
             return;
         }
         if (state.diskId() != null) {
-            named(state, state.diskId());
+            startServing(state, state.diskId());
             return;
         }
         String diskId = Long.toHexString(ThreadLocalRandom.current().nextLong());
         disk.submit(DiskBatch.ofDiskId(diskId), written -> {
             if (written) {
-                named(state, diskId);
+                startServing(state, diskId);
             } else if (!stopped) {
-                loop.schedule(() -> opened(state), NAME_AGAIN_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(() -> onDiskOpened(state), DISK_ID_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    private void named(StoredState state, String diskId) {
+    private void startServing(StoredState state, String diskId) {
         LOG.log(
                 Level.INFO,
                 "event=disk_opened disk=" + diskId + " epoch="
@@ -127,14 +127,14 @@
                         + state.lost());
         NodeSettings node = new NodeSettings(
                 new Voter(settings.ipAddress(), diskId),
-                lifeId,
+                incarnationId,
                 settings.zone(),
                 settings.lossCounted(),
                 settings.seedHosts(),
                 settings.toleratedMachines());
         replica.start(state, node, new ConfigurationRules());
         InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), settings.storePort());
-        LinkServer.open(loop, sockets, address, service).whenComplete((opened, failure) -> {
+        LinkServer.listenAsync(loop, sockets, address, service).whenComplete((opened, failure) -> {
             if (failure != null) {
                 listening.completeExceptionally(failure);
             } else if (stopped) {
@@ -149,9 +149,9 @@
 
     private void startTimers() {
         KeyTransfer transfer = new KeyTransfer(replica, peers);
-        every(AgreementNode.TICK_MS, () -> replica.agreement().tick(replica.steadyMs()));
-        every(KEY_TRANSFER_INTERVAL_MS, transfer::step);
-        every(UPKEEP_INTERVAL_MS, this::upkeep);
+        schedule(AgreementNode.TICK_MS, () -> replica.agreement().tick(replica.steadyMs()));
+        schedule(KEY_TRANSFER_INTERVAL_MS, transfer::step);
+        schedule(UPKEEP_INTERVAL_MS, this::runMaintenance);
     }
 
     /**
@@ -167,26 +167,26 @@
             double nowMs = replica.steadyMs();
             LOG.log(Level.INFO, "event=leaving voter=" + replica.agreement().isVoter());
             replica.agreement().leave(nowMs);
-            endOnceReplaced(nowMs + LEAVE_SHARE * settings.bounds().gracePeriodMs(), ended);
+            runOnceReplaced(nowMs + LEAVE_GRACE_FRACTION * settings.bounds().gracePeriodMs(), ended);
         });
     }
 
-    private void endOnceReplaced(double latestMs, Runnable ended) {
+    private void runOnceReplaced(double latestMs, Runnable ended) {
         double nowMs = replica.steadyMs();
         if (nowMs >= latestMs || replica.agreement().canStop(nowMs)) {
             ended.run();
         } else {
-            loop.schedule(() -> endOnceReplaced(latestMs, ended), AgreementNode.TICK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> runOnceReplaced(latestMs, ended), AgreementNode.TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void every(long intervalMs, Runnable task) {
+    private void schedule(long intervalMs, Runnable task) {
         timers.add(loop.scheduleWithFixedDelay(task, 0, intervalMs, TimeUnit.MILLISECONDS));
     }
 
-    private void upkeep() {
+    private void runMaintenance() {
         replica.expireKeys();
-        replica.news().logLaggards(replica.nowMs());
+        replica.updates().logLaggards(replica.nowMs());
     }
 
     private void closeLinks() {
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
@@ -28,24 +28,24 @@
 final class StoreReplica implements AgreementEnvironment {
 
     private static final System.Logger LOG = System.getLogger(StoreReplica.class.getName());
-    private static final int EXPIRED_AT_ONCE = 2_000;
+    private static final int MAX_EXPIRED_PER_PASS = 2_000;
 
     private final Clock clock;
     private final DiskQueue disk;
     private final StorePeers peers;
     private final KeyReplica keys;
-    private final NewsHub news;
-    private final String lifeId;
+    private final UpdatePublisher updates;
+    private final String incarnationId;
     private AgreementNode agreement;
     private Voter self;
 
     StoreReplica(String lifeId, KeyLimits limits, Clock clock, DiskQueue disk, StorePeers peers) {
-        this.lifeId = lifeId;
+        this.incarnationId = lifeId;
         this.clock = clock;
         this.disk = disk;
         this.peers = peers;
         this.keys = new KeyReplica(limits);
-        this.news = new NewsHub(lifeId, this::snapshot);
+        this.updates = new UpdatePublisher(lifeId, this::snapshot);
     }
 
     /** Unix milliseconds. */
@@ -64,7 +64,7 @@
         keys.restore(state.records());
         agreement = new AgreementNode(settings, this, rules);
         agreement.start(state.accepted(), steadyMs());
-        peers.whenReached(address -> agreement.onConnected(address, steadyMs()));
+        peers.setOnConnected(address -> agreement.onConnected(address, steadyMs()));
     }
 
     AgreementNode agreement() {
@@ -80,8 +80,8 @@
         return keys;
     }
 
-    NewsHub news() {
-        return news;
+    UpdatePublisher updates() {
+        return updates;
     }
 
     /** The epoch in which this store grants keys and takes purges. */
@@ -91,7 +91,7 @@
 
     @Override
     public void send(String address, AgreementMessage message) {
-        peers.to(address).send(new StoreMessages.Agreement(message));
+        peers.linkTo(address).send(new StoreMessages.Agreement(message));
     }
 
     @Override
@@ -110,7 +110,7 @@
                 Level.INFO,
                 "event=decided items=" + changed.size() + " epoch=" + voters.epoch() + " voters=" + voters.voters()
                         + " previous=" + voters.previous());
-        news.publishDecided(changed, voters, nowMs());
+        updates.publishDecided(changed, voters, nowMs());
     }
 
     @Override
@@ -119,7 +119,7 @@
     }
 
     /** Takes over the keys that other voters hold; this store votes on keys once all of them are on disk. */
-    void keysPulled(List<KeyRecord> pulled, long epoch) {
+    void mergeTransferredKeys(List<KeyRecord> pulled, long epoch) {
         List<KeyRecord> joined = keys.merge(pulled);
         disk.submit(DiskBatch.ofRecords(joined), written -> {
             LOG.log(Level.INFO, "event=keys_complete epoch=" + epoch + " keys=" + keys.size() + " durable=" + written);
@@ -135,13 +135,13 @@
     }
 
     /** Writes a key record; null waits for what was written before. */
-    void store(KeyRecord record, Consumer<Boolean> done) {
+    void writeRecord(KeyRecord record, Consumer<Boolean> done) {
         disk.submit(record == null ? DiskBatch.NONE : DiskBatch.ofRecord(record), done);
     }
 
     /** Forgets key records whose time is over. */
     void expireKeys() {
-        List<String> expired = keys.expire(nowMs(), EXPIRED_AT_ONCE);
+        List<String> expired = keys.expire(nowMs(), MAX_EXPIRED_PER_PASS);
         if (!expired.isEmpty()) {
             disk.submit(DiskBatch.ofRemovedKeys(expired), written -> {});
         }
@@ -149,8 +149,8 @@
 
     private StoreMessages.Snapshot snapshot() {
         return new StoreMessages.Snapshot(
-                lifeId,
-                news.number(),
+                incarnationId,
+                updates.lastNumber(),
                 self,
                 agreement.decidedVoters(),
                 new ArrayList<>(agreement.decidedItems().all()));
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
@@ -18,8 +18,8 @@
 final class StoreService implements LinkListener {
 
     private static final System.Logger LOG = System.getLogger(StoreService.class.getName());
-    private static final int PAGE_RECORDS = 2_000;
-    private static final long PAGE_BYTES = 512 << 10;
+    private static final int MAX_PAGE_RECORDS = 2_000;
+    private static final long MAX_PAGE_BYTES = 512 << 10;
 
     private final StoreReplica replica;
     private final Set<Link> links = new LinkedHashSet<>();
@@ -41,7 +41,7 @@
     @Override
     public void closed(Link link) {
         links.remove(link);
-        replica.news().closed(link);
+        replica.updates().closed(link);
     }
 
     @Override
@@ -54,12 +54,12 @@
             finish(link, finish);
         } else if (message instanceof StoreMessages.ReleaseKey release) {
             release(link, release);
-        } else if (message instanceof StoreMessages.NewsAcknowledged acknowledged) {
-            replica.news().acknowledged(link, acknowledged.number(), replica.nowMs());
+        } else if (message instanceof StoreMessages.UpdateAcknowledged acknowledged) {
+            replica.updates().acknowledged(link, acknowledged.number(), replica.nowMs());
         } else if (message instanceof StoreMessages.Subscribe subscribe) {
-            replica.news().subscribe(link, subscribe.lifeId(), subscribe.number(), replica.nowMs());
-        } else if (message instanceof StoreMessages.FollowVoters) {
-            replica.news().followVoters(link);
+            replica.updates().subscribe(link, subscribe.incarnationId(), subscribe.number(), replica.nowMs());
+        } else if (message instanceof StoreMessages.WatchVoters) {
+            replica.updates().watchVoters(link);
         } else if (message instanceof StoreMessages.ChangeItems change) {
             change(link, change);
         } else if (message instanceof StoreMessages.ReadItems read) {
@@ -79,7 +79,7 @@
         replica.agreement()
                 .submit(
                         change.items(),
-                        change.insist(),
+                        change.forceLeader(),
                         nowMs,
                         nowMs + change.budgetMs(),
                         result -> link.send(new StoreMessages.ItemsChanged(change.callId(), result)));
@@ -89,7 +89,7 @@
         double nowMs = replica.steadyMs();
         replica.agreement()
                 .read(
-                        read.insist(),
+                        read.forceLeader(),
                         nowMs,
                         nowMs + read.budgetMs(),
                         items -> link.send(new StoreMessages.ItemsRead(
@@ -103,14 +103,14 @@
 
     /** Passes a purge on. It counts only if its caller asked the voters of this store's epoch. */
     private void purge(Link link, StoreMessages.WritePurge write) {
-        replica.news().publishPurge(write.purge(), replica.nowMs());
+        replica.updates().publishPurge(write.purge(), replica.nowMs());
         boolean counts = replica.agreement().isVoter() && write.epoch() == replica.epoch();
-        link.send(new StoreMessages.Written(write.callId(), replica.self(), counts));
+        link.send(new StoreMessages.WriteResult(write.callId(), replica.self(), counts));
     }
 
-    private void answer(Link link, Message.Call call, boolean written) {
+    private void sendWriteResult(Link link, Message.Call call, boolean written) {
         boolean counts = written && replica.agreement().isVoter();
-        link.send(new StoreMessages.Written(call.callId(), replica.self(), counts));
+        link.send(new StoreMessages.WriteResult(call.callId(), replica.self(), counts));
     }
 
     /** Grants a key, or says who has it; a grant is sent once it is on disk. */
@@ -128,7 +128,7 @@
             case FULL -> link.send(unavailable(claim));
             case DENIED -> link.send(status(claim, vote.record()));
             case GRANTED ->
-                replica.store(
+                replica.writeRecord(
                         vote.changed() ? vote.record() : null,
                         written -> link.send(written ? status(claim, vote.record()) : unavailable(claim)));
         }
@@ -161,17 +161,17 @@
                     "event=finished_twice key=" + finish.key() + " kept=" + held.claimId() + " refused="
                             + finish.claimId());
         }
-        replica.store(held, written -> answer(link, finish, written));
+        replica.writeRecord(held, written -> sendWriteResult(link, finish, written));
     }
 
     private void release(Link link, StoreMessages.ReleaseKey release) {
         KeyRecord changed = replica.keys().release(release.key(), release.claimId(), replica.nowMs());
-        replica.store(changed, written -> answer(link, release, written));
+        replica.writeRecord(changed, written -> sendWriteResult(link, release, written));
     }
 
     /** A page of the operation keys that this store holds. */
     private StoreMessages.KeysPage page(StoreMessages.PullKeys pull) {
-        List<KeyRecord> records = replica.keys().page(pull.afterKey(), PAGE_RECORDS, PAGE_BYTES);
+        List<KeyRecord> records = replica.keys().page(pull.afterKey(), MAX_PAGE_RECORDS, MAX_PAGE_BYTES);
         boolean last = records.isEmpty()
                 || replica.keys().isLast(records.get(records.size() - 1).key());
         long epoch = replica.agreement().decidedVoters().epoch();
--- a/cdn/src/main/java/ridgemill/cdn/store/NewsHub.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/UpdatePublisher.java
@@ -20,29 +20,29 @@
  * Numbers the decided changes of items and voters and the purges of this life and passes them to the subscribers. Changes
  * of late are kept, so that a subscriber that comes back goes on without a gap. Nothing is told before it is decided.
  */
-final class NewsHub {
+final class UpdatePublisher {
 
-    private static final System.Logger LOG = System.getLogger(NewsHub.class.getName());
-    private static final int KEPT_NEWS = 20_000;
-    private static final int KEPT_CHARACTERS = 4 << 20;
-    private static final int KNOWN_PURGES = 20_000;
+    private static final System.Logger LOG = System.getLogger(UpdatePublisher.class.getName());
+    private static final int MAX_RETAINED_UPDATES = 20_000;
+    private static final int MAX_RETAINED_CHARACTERS = 4 << 20;
+    private static final int MAX_KNOWN_PURGES = 20_000;
     /** A subscriber that lets more bytes wait is dropped; it comes back for a snapshot. */
     private static final long MAX_PENDING_BYTES = 8L << 20;
     /** How long a subscriber may take before it is logged. */
-    private static final long LAG_LOGGED_MS = 2_000;
+    private static final long LAG_LOG_THRESHOLD_MS = 2_000;
 
-    private final String lifeId;
+    private final String incarnationId;
     private final Supplier<StoreMessages.Snapshot> snapshot;
-    private final ArrayDeque<StoreMessages.News> kept = new ArrayDeque<>();
+    private final ArrayDeque<StoreMessages.Update> retained = new ArrayDeque<>();
     private final Set<String> purgeIds = new LinkedHashSet<>();
     private final Map<Link, Subscriber> subscribers = new LinkedHashMap<>();
-    private final Set<Link> voterFollowers = new LinkedHashSet<>();
+    private final Set<Link> voterWatchers = new LinkedHashSet<>();
     /** Those who asked before anything was known to be decided. */
-    private final Set<Link> early = new LinkedHashSet<>();
+    private final Set<Link> waitingForDecision = new LinkedHashSet<>();
 
     private VoterSet voters = VoterSet.UNKNOWN;
-    private long number;
-    private long keptCharacters;
+    private long lastNumber;
+    private long retainedCharacters;
 
     private static final class Subscriber {
 
@@ -55,36 +55,36 @@
      * A hub without subscribers.
      *
      * @param lifeId names this life of the store
-     * @param snapshot makes a message with all items as they are now, see {@link #number}
+     * @param snapshot makes a message with all items as they are now, see {@link #lastNumber}
      */
-    NewsHub(String lifeId, Supplier<StoreMessages.Snapshot> snapshot) {
-        this.lifeId = lifeId;
+    UpdatePublisher(String lifeId, Supplier<StoreMessages.Snapshot> snapshot) {
+        this.incarnationId = lifeId;
         this.snapshot = snapshot;
     }
 
     /** The number of the last change. */
-    long number() {
-        return number;
+    long lastNumber() {
+        return lastNumber;
     }
 
     /** The name of this life. */
-    String lifeId() {
-        return lifeId;
+    String incarnationId() {
+        return incarnationId;
     }
 
     /** Sends what the link has missed, or everything, and each change from now on. */
     void subscribe(Link link, String heardLife, long heardNumber, long nowMs) {
         if (!voters.isKnown()) {
-            early.add(link);
+            waitingForDecision.add(link);
             return;
         }
         Subscriber subscriber = new Subscriber();
         subscriber.behindSinceMs = nowMs;
         subscribers.put(link, subscriber);
-        long firstKept = number - kept.size() + 1;
-        if (lifeId.equals(heardLife) && heardNumber <= number && heardNumber >= firstKept - 1) {
+        long firstKept = lastNumber - retained.size() + 1;
+        if (incarnationId.equals(heardLife) && heardNumber <= lastNumber && heardNumber >= firstKept - 1) {
             subscriber.acknowledged = heardNumber;
-            for (StoreMessages.News news : kept) {
+            for (StoreMessages.Update news : retained) {
                 if (news.number() > heardNumber) {
                     link.send(news);
                 }
@@ -95,10 +95,10 @@
     }
 
     /** Tells a link who votes, now if that is known and with each change. */
-    void followVoters(Link link) {
-        voterFollowers.add(link);
+    void watchVoters(Link link) {
+        voterWatchers.add(link);
         if (voters.isKnown()) {
-            link.send(new StoreMessages.VotersNow(voters));
+            link.send(new StoreMessages.CurrentVoters(voters));
         }
     }
 
@@ -115,8 +115,8 @@
     /** Forgets a link that has ended. */
     void closed(Link link) {
         subscribers.remove(link);
-        voterFollowers.remove(link);
-        early.remove(link);
+        voterWatchers.remove(link);
+        waitingForDecision.remove(link);
     }
 
     /** Passes on what was decided: items that changed, and who votes. */
@@ -124,13 +124,13 @@
         boolean moved = newest.isNewerThan(voters);
         voters = moved ? newest : voters;
         if (moved || !changed.isEmpty()) {
-            publish(new StoreMessages.News(number + 1, voters, List.copyOf(changed), List.of()), nowMs);
+            publish(new StoreMessages.Update(lastNumber + 1, voters, List.copyOf(changed), List.of()), nowMs);
         }
         if (moved) {
-            voterFollowers.forEach(link -> link.send(new StoreMessages.VotersNow(voters)));
+            voterWatchers.forEach(link -> link.send(new StoreMessages.CurrentVoters(voters)));
         }
-        List<Link> waiting = List.copyOf(early);
-        early.clear();
+        List<Link> waiting = List.copyOf(waitingForDecision);
+        waitingForDecision.clear();
         waiting.forEach(link -> subscribe(link, "", 0, nowMs));
     }
 
@@ -138,38 +138,38 @@
     void publishPurge(Purge purge, long nowMs) {
         if (purgeIds.add(purge.id())) {
             trimPurges();
-            publish(new StoreMessages.News(number + 1, voters, List.of(), List.of(purge)), nowMs);
+            publish(new StoreMessages.Update(lastNumber + 1, voters, List.of(), List.of(purge)), nowMs);
         }
     }
 
     /** Logs subscribers that have not carried out changes for long. */
     void logLaggards(long nowMs) {
         subscribers.forEach((link, subscriber) -> {
-            if (subscriber.acknowledged < number
+            if (subscriber.acknowledged < lastNumber
                     && !subscriber.logged
-                    && nowMs - subscriber.behindSinceMs > LAG_LOGGED_MS) {
+                    && nowMs - subscriber.behindSinceMs > LAG_LOG_THRESHOLD_MS) {
                 subscriber.logged = true;
                 LOG.log(
                         Level.INFO,
                         "event=subscriber_lags node=" + link.peer().nodeName() + " acknowledged="
-                                + subscriber.acknowledged + " number=" + number);
+                                + subscriber.acknowledged + " number=" + lastNumber);
             }
         });
     }
 
-    private void publish(StoreMessages.News news, long nowMs) {
-        keep(news);
+    private void publish(StoreMessages.Update news, long nowMs) {
+        retain(news);
         for (Map.Entry<Link, Subscriber> entry : new ArrayList<>(subscribers.entrySet())) {
             Subscriber subscriber = entry.getValue();
-            if (subscriber.acknowledged >= number) {
+            if (subscriber.acknowledged >= lastNumber) {
                 subscriber.behindSinceMs = nowMs;
             }
             send(entry.getKey(), news);
         }
-        number = news.number();
+        lastNumber = news.number();
     }
 
-    private void send(Link link, StoreMessages.News news) {
+    private void send(Link link, StoreMessages.Update news) {
         if (link.pendingBytes() > MAX_PENDING_BYTES) {
             LOG.log(
                     Level.WARNING,
@@ -182,15 +182,15 @@
         }
     }
 
-    private void keep(StoreMessages.News news) {
-        kept.add(news);
-        keptCharacters += charactersOf(news);
-        while (kept.size() > KEPT_NEWS || keptCharacters > KEPT_CHARACTERS) {
-            keptCharacters -= charactersOf(kept.poll());
+    private void retain(StoreMessages.Update news) {
+        retained.add(news);
+        retainedCharacters += charactersOf(news);
+        while (retained.size() > MAX_RETAINED_UPDATES || retainedCharacters > MAX_RETAINED_CHARACTERS) {
+            retainedCharacters -= charactersOf(retained.poll());
         }
     }
 
-    private static long charactersOf(StoreMessages.News news) {
+    private static long charactersOf(StoreMessages.Update news) {
         long characters = 0;
         for (Item item : news.items()) {
             characters += item.name().name().length()
@@ -200,7 +200,7 @@
     }
 
     private void trimPurges() {
-        if (purgeIds.size() > KNOWN_PURGES) {
+        if (purgeIds.size() > MAX_KNOWN_PURGES) {
             Iterator<String> oldest = purgeIds.iterator();
             oldest.next();
             oldest.remove();
--- a/cdn/src/main/java/ridgemill/cdn/store/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/package-info.java
@@ -6,7 +6,7 @@
  * <ul>
  *   <li>{@code StoreReplica} is what the store holds in memory; what changes goes from there to the disk and to the
  *       subscribers.
- *   <li>{@code StoreService} answers the messages of proxies, registries and other stores; {@code NewsHub} numbers
+ *   <li>{@code StoreService} answers the messages of proxies, registries and other stores; {@code UpdatePublisher} numbers
  *       changes and passes them to those who subscribed.
  *   <li>{@code ItemExchange} compares items with other stores in turn; {@code DiskRecovery} brings a voter back that
  *       lost its disk. Both ask over the links of {@code StorePeers}.
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -41,14 +41,14 @@
         } else if (message instanceof AgreementMessage.Promise promise) {
             begin(Type.PROMISE, message, out);
             writeBallot(promise.ballot(), out);
-            writeStamp(promise.accepted(), out);
+            writeStateId(promise.accepted(), out);
             writeVoterSet(promise.voters(), out);
         } else if (message instanceof AgreementMessage.Accept accept) {
             begin(Type.ACCEPT, message, out);
-            writeStep(accept.step(), out);
+            writeDelta(accept.step(), out);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
             begin(Type.ACCEPTED, message, out);
-            writeStamp(accepted.stateId(), out);
+            writeStateId(accepted.stateId(), out);
         } else if (message instanceof AgreementMessage.Refused refused) {
             begin(Type.REFUSED, message, out);
             writeBallot(refused.refused(), out);
@@ -74,8 +74,8 @@
     private static void writeStatus(AgreementMessage.Status status, FieldWriter out) throws IOException {
         out.text(status.zone()).flag(status.eligible()).flag(status.leaving()).flag(status.leading());
         writeBallot(status.promised(), out);
-        writeStamp(status.accepted(), out);
-        writeStamp(status.decided(), out);
+        writeStateId(status.accepted(), out);
+        writeStateId(status.decided(), out);
         writeVoterSet(status.voters(), out);
         out.number(status.completeEpoch()).texts(status.knownAddresses());
     }
@@ -84,19 +84,19 @@
         if (message instanceof AgreementMessage.Pull pull) {
             begin(Type.PULL, message, out);
             out.text(pull.transferId());
-            writeStamp(pull.heldStateId(), out);
+            writeStateId(pull.heldStateId(), out);
             out.number(pull.page());
         } else if (message instanceof AgreementMessage.Difference difference) {
             begin(Type.DIFFERENCE, message, out);
             out.text(difference.transferId());
-            writeStamp(difference.decided(), out);
-            out.list(difference.deltas(), AgreementCodec::writeStep);
+            writeStateId(difference.decided(), out);
+            out.list(difference.deltas(), AgreementCodec::writeDelta);
         } else if (message instanceof AgreementMessage.Page page) {
             begin(Type.PAGE, message, out);
             out.text(page.transferId());
-            writeStamp(page.decided(), out);
+            writeStateId(page.decided(), out);
             out.number(page.page()).number(page.pageCount());
-            writeStamp(page.stateId(), out);
+            writeStateId(page.stateId(), out);
             writeVoterSet(page.voters(), out);
             out.list(page.items(), AgreementCodec::writeVersionedItem).number(page.digest());
         }
@@ -104,7 +104,7 @@
 
     /** Reads what {@link #write} wrote. */
     static AgreementMessage read(FieldReader in) throws IOException {
-        Type type = in.oneOf(Type.values());
+        Type type = in.enumValue(Type.values());
         Voter from = readVoter(in);
         return switch (type) {
             case STATUS ->
@@ -115,29 +115,29 @@
                         in.flag(),
                         in.flag(),
                         readBallot(in),
-                        readStamp(in),
-                        readStamp(in),
+                        readStateId(in),
+                        readStateId(in),
                         readVoterSet(in),
                         in.number(),
                         in.texts());
             case PREPARE -> new AgreementMessage.Prepare(from, readBallot(in));
-            case PROMISE -> new AgreementMessage.Promise(from, readBallot(in), readStamp(in), readVoterSet(in));
-            case ACCEPT -> new AgreementMessage.Accept(from, readStep(in));
-            case ACCEPTED -> new AgreementMessage.Accepted(from, readStamp(in));
+            case PROMISE -> new AgreementMessage.Promise(from, readBallot(in), readStateId(in), readVoterSet(in));
+            case ACCEPT -> new AgreementMessage.Accept(from, readDelta(in));
+            case ACCEPTED -> new AgreementMessage.Accepted(from, readStateId(in));
             case REFUSED -> new AgreementMessage.Refused(from, readBallot(in), readBallot(in));
             case CONFIRM -> new AgreementMessage.Confirm(from, readBallot(in), in.number());
             case CONFIRMED -> new AgreementMessage.Confirmed(from, readBallot(in), in.number());
-            case PULL -> new AgreementMessage.Pull(from, in.text(), readStamp(in), in.smallNumber());
+            case PULL -> new AgreementMessage.Pull(from, in.text(), readStateId(in), in.intNumber());
             case DIFFERENCE ->
-                new AgreementMessage.Difference(from, in.text(), readStamp(in), in.list(AgreementCodec::readStep));
+                new AgreementMessage.Difference(from, in.text(), readStateId(in), in.list(AgreementCodec::readDelta));
             case PAGE ->
                 new AgreementMessage.Page(
                         from,
                         in.text(),
-                        readStamp(in),
-                        in.smallNumber(),
-                        in.smallNumber(),
-                        readStamp(in),
+                        readStateId(in),
+                        in.intNumber(),
+                        in.intNumber(),
+                        readStateId(in),
                         readVoterSet(in),
                         in.list(AgreementCodec::readVersionedItem),
                         in.number());
@@ -177,36 +177,37 @@
     }
 
     /** Writes the stamp of a state. */
-    public static void writeStamp(StateId stamp, FieldWriter out) throws IOException {
+    public static void writeStateId(StateId stamp, FieldWriter out) throws IOException {
         writeBallot(stamp.ballot(), out);
         out.number(stamp.revision());
     }
 
     /** Reads the stamp of a state. */
-    public static StateId readStamp(FieldReader in) throws IOException {
+    public static StateId readStateId(FieldReader in) throws IOException {
         return new StateId(readBallot(in), in.number());
     }
 
-    private static void writeStep(StateDelta step, FieldWriter out) throws IOException {
-        writeStamp(step.base(), out);
-        writeStamp(step.stateId(), out);
+    private static void writeDelta(StateDelta step, FieldWriter out) throws IOException {
+        writeStateId(step.base(), out);
+        writeStateId(step.stateId(), out);
         writeVoterSet(step.voters(), out);
         out.list(step.items(), AgreementCodec::writeVersionedItem);
     }
 
-    private static StateDelta readStep(FieldReader in) throws IOException {
+    private static StateDelta readDelta(FieldReader in) throws IOException {
         return new StateDelta(
-                readStamp(in), readStamp(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
+                readStateId(in), readStateId(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
     }
 
     /** Writes an item with its history. */
     public static void writeVersionedItem(VersionedItem entry, FieldWriter out) throws IOException {
-        Fields.writeItem(entry.item(), out);
+        ValueCodec.writeItem(entry.item(), out);
         out.list(entry.past(), (past, to) -> to.number(past.version()).number(past.contentDigest()));
     }
 
     /** Reads an item with its history. */
     public static VersionedItem readVersionedItem(FieldReader in) throws IOException {
-        return new VersionedItem(Fields.readItem(in), in.list(from -> new PastVersion(from.number(), from.number())));
+        return new VersionedItem(
+                ValueCodec.readItem(in), in.list(from -> new PastVersion(from.number(), from.number())));
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/wire/FieldReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/FieldReader.java
@@ -35,7 +35,7 @@
     }
 
     /** Reads an integer that fits 32 bits. */
-    public int smallNumber() throws IOException {
+    public int intNumber() throws IOException {
         return unpacker.unpackInt();
     }
 
@@ -73,8 +73,8 @@
     }
 
     /** Reads one of an enumeration's values by its number. */
-    public <E extends Enum<E>> E oneOf(E[] values) throws IOException {
-        int number = smallNumber();
+    public <E extends Enum<E>> E enumValue(E[] values) throws IOException {
+        int number = intNumber();
         if (number < 0 || number >= values.length) {
             throw new IOException("no value has the number " + number);
         }
--- a/cdn/src/main/java/ridgemill/cdn/wire/Link.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/Link.java
@@ -103,7 +103,7 @@
     }
 
     /** How long nothing has been received, in milliseconds. */
-    public long silentMs() {
+    public long idleMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastReceivedNanos);
     }
 
@@ -122,17 +122,17 @@
     protected void channelRead0(ChannelHandlerContext context, Message message) {
         lastReceivedNanos = System.nanoTime();
         if (peer == null && ownHello == null) {
-            greeted(message);
+            onHello(message);
         } else if (message instanceof LinkMessages.Ping) {
             send(new LinkMessages.Pong());
         } else if (message instanceof Message.Reply reply) {
-            answered(reply);
+            onReply(reply);
         } else if (!(message instanceof LinkMessages.Pong)) {
             listener.received(this, message);
         }
     }
 
-    private void greeted(Message message) {
+    private void onHello(Message message) {
         if (message instanceof LinkMessages.Hello hello && hello.protocol() == LinkMessages.Hello.PROTOCOL) {
             peer = hello;
             open = true;
@@ -142,7 +142,7 @@
         }
     }
 
-    private void answered(Message.Reply reply) {
+    private void onReply(Message.Reply reply) {
         PendingCall call = pending.remove(reply.callId());
         if (call != null) {
             call.timeout().cancel(false);
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
@@ -14,9 +14,9 @@
      * @param program the program that calls: proxy, cache, registry or store
      * @param nodeName the name of its machine
      * @param address the IP address of its machine
-     * @param lifeId a random text that is new in each life of the process
+     * @param incarnationId a random text that is new in each life of the process
      */
-    public record Hello(int protocol, String program, String nodeName, String address, String lifeId)
+    public record Hello(int protocol, String program, String nodeName, String address, String incarnationId)
             implements Message {
 
         /** The version of the protocol that this build speaks. */
@@ -29,11 +29,11 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.number(protocol).text(program).text(nodeName).text(address).text(lifeId);
+            out.number(protocol).text(program).text(nodeName).text(address).text(incarnationId);
         }
 
         static Hello read(FieldReader in) throws IOException {
-            return new Hello(in.smallNumber(), in.text(), in.text(), in.text(), in.text());
+            return new Hello(in.intNumber(), in.text(), in.text(), in.text(), in.text());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
@@ -6,7 +6,7 @@
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
-import ridgemill.cdn.net.Listening;
+import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.gateway.net.SocketKind;
 
 /** Accepts links from other processes of the system. */
@@ -32,7 +32,7 @@
     }
 
     /** As {@link #listen}, without waiting: may be called on the loop. Fails if the address can't be had. */
-    public static CompletableFuture<LinkServer> open(
+    public static CompletableFuture<LinkServer> listenAsync(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
         CompletableFuture<LinkServer> opened = new CompletableFuture<>();
         bind(loop, sockets, address, listener).addListener((ChannelFutureListener) bound -> {
@@ -47,7 +47,7 @@
 
     private static ChannelFuture bind(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
-        return Listening.bootstrap(
+        return ServerBootstraps.create(
                         loop,
                         sockets,
                         BACKLOG,
--- a/cdn/src/main/java/ridgemill/cdn/wire/MessageKind.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/MessageKind.java
@@ -9,11 +9,11 @@
     PONG(3, LinkMessages.Pong::read),
     STORE_SUBSCRIBE(10, StoreMessages.Subscribe::read),
     STORE_SNAPSHOT(11, StoreMessages.Snapshot::read),
-    STORE_NEWS(12, StoreMessages.News::read),
-    STORE_NEWS_ACKNOWLEDGED(13, StoreMessages.NewsAcknowledged::read),
-    WRITTEN(21, StoreMessages.Written::read),
-    FOLLOW_VOTERS(14, StoreMessages.FollowVoters::read),
-    VOTERS_NOW(15, StoreMessages.VotersNow::read),
+    STORE_NEWS(12, StoreMessages.Update::read),
+    STORE_NEWS_ACKNOWLEDGED(13, StoreMessages.UpdateAcknowledged::read),
+    WRITTEN(21, StoreMessages.WriteResult::read),
+    FOLLOW_VOTERS(14, StoreMessages.WatchVoters::read),
+    VOTERS_NOW(15, StoreMessages.CurrentVoters::read),
     WRITE_PURGE(25, StoreMessages.WritePurge::read),
     CHANGE_ITEMS(26, StoreMessages.ChangeItems::read),
     ITEMS_CHANGED(27, StoreMessages.ItemsChanged::read),
@@ -28,12 +28,12 @@
     AGREEMENT(44, StoreMessages.Agreement::read),
     REGISTRY_SUBSCRIBE(50, RegistryMessages.Subscribe::read),
     REGISTRY_SNAPSHOT(51, RegistryMessages.Snapshot::read),
-    REGISTRY_NEWS(52, RegistryMessages.News::read),
-    REGISTRY_NEWS_ACKNOWLEDGED(53, RegistryMessages.NewsAcknowledged::read),
-    REGISTRY_OFFER_CACHE(54, RegistryMessages.OfferCache::read),
+    REGISTRY_NEWS(52, RegistryMessages.Update::read),
+    REGISTRY_NEWS_ACKNOWLEDGED(53, RegistryMessages.UpdateAcknowledged::read),
+    REGISTRY_OFFER_CACHE(54, RegistryMessages.AnnounceCache::read),
     PEER_UPDATE(60, RegistryMessages.PeerUpdate::read),
-    PEER_UPDATE_TAKEN(61, RegistryMessages.PeerUpdateTaken::read),
-    PEER_BEATS(62, RegistryMessages.PeerBeats::read);
+    PEER_UPDATE_TAKEN(61, RegistryMessages.PeerUpdateMerged::read),
+    PEER_BEATS(62, RegistryMessages.PeerHeartbeats::read);
 
     private static final MessageKind[] BY_NUMBER = new MessageKind[128];
 
--- a/cdn/src/main/java/ridgemill/cdn/wire/HeldLink.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/ReconnectingLink.java
@@ -17,19 +17,19 @@
  * Keeps a link to one process open: connects, connects again after it ended, and ends a link over which nothing has come
  * for too long. All methods are called on the event loop.
  */
-public final class HeldLink implements LinkListener {
+public final class ReconnectingLink implements LinkListener {
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
     /** The pause before the first attempt to connect again, and the longest one; each is longer than the one before. */
-    private static final long FIRST_PAUSE_MS = 40;
+    private static final long INITIAL_RECONNECT_DELAY_MS = 40;
 
-    private static final long LONGEST_PAUSE_MS = 160;
-    private static final double PAUSE_GROWTH = 1.5;
+    private static final long MAX_RECONNECT_DELAY_MS = 160;
+    private static final double RECONNECT_DELAY_FACTOR = 1.5;
     private static final long CHECK_INTERVAL_MS = 500;
     /** Silence after which the other side is asked whether it still answers. */
-    private static final long PING_AFTER_MS = 900;
+    private static final long PING_IDLE_MS = 900;
     /** Silence after which the link is given up. */
-    private static final long SILENT_LIMIT_MS = 2_000;
+    private static final long IDLE_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
     private final SocketKind sockets;
@@ -37,9 +37,9 @@
     private final LinkMessages.Hello hello;
     private final LinkListener listener;
     private Link link;
-    private Future<?> check;
+    private Future<?> idleCheckTimer;
     private boolean closed;
-    private double pauseMs = FIRST_PAUSE_MS;
+    private double reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
 
     /**
      * A link that is opened by {@link #start}.
@@ -48,7 +48,7 @@
      * @param hello what this process says of itself
      * @param listener told of each link that is opened, of its messages and of its end
      */
-    public HeldLink(
+    public ReconnectingLink(
             EventLoop loop,
             SocketKind sockets,
             InetSocketAddress address,
@@ -68,7 +68,7 @@
 
     /** Whether the link is open and something came over it lately: a process that stood still has to hear again first. */
     public boolean isLive() {
-        return isOpen() && link.silentMs() <= SILENT_LIMIT_MS;
+        return isOpen() && link.idleMs() <= IDLE_TIMEOUT_MS;
     }
 
     /** Whether the link is open now. */
@@ -78,15 +78,16 @@
 
     /** Opens the link and keeps it open. */
     public void start() {
-        check = loop.scheduleWithFixedDelay(this::check, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        idleCheckTimer = loop.scheduleWithFixedDelay(
+                this::checkIdle, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         connect();
     }
 
     /** Ends the link for good. */
     public void close() {
         closed = true;
-        if (check != null) {
-            check.cancel(false);
+        if (idleCheckTimer != null) {
+            idleCheckTimer.cancel(false);
         }
         if (link != null) {
             link.close();
@@ -138,19 +139,19 @@
 
     private void reconnectLater() {
         if (!closed) {
-            loop.schedule(this::connect, (long) pauseMs, TimeUnit.MILLISECONDS);
-            pauseMs = Math.min(LONGEST_PAUSE_MS, pauseMs * PAUSE_GROWTH);
+            loop.schedule(this::connect, (long) reconnectDelayMs, TimeUnit.MILLISECONDS);
+            reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, reconnectDelayMs * RECONNECT_DELAY_FACTOR);
         }
     }
 
-    private void check() {
+    private void checkIdle() {
         if (link == null) {
             return;
         }
-        long silentMs = link.silentMs();
-        if (silentMs > SILENT_LIMIT_MS) {
+        long silentMs = link.idleMs();
+        if (silentMs > IDLE_TIMEOUT_MS) {
             link.close();
-        } else if (silentMs > PING_AFTER_MS) {
+        } else if (silentMs > PING_IDLE_MS) {
             link.send(new LinkMessages.Ping());
         }
     }
@@ -162,7 +163,7 @@
             return;
         }
         link = opened;
-        pauseMs = FIRST_PAUSE_MS;
+        reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
         listener.opened(opened);
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
@@ -19,24 +19,24 @@
      * @param instanceId the instance
      * @param sequence the number of its heartbeat
      */
-    public record Beat(String instanceId, long sequence) {
+    public record Heartbeat(String instanceId, long sequence) {
 
         void write(FieldWriter out) throws IOException {
             out.text(instanceId).number(sequence);
         }
 
-        static Beat read(FieldReader in) throws IOException {
-            return new Beat(in.text(), in.number());
+        static Heartbeat read(FieldReader in) throws IOException {
+            return new Heartbeat(in.text(), in.number());
         }
     }
 
     /**
      * An edge proxy asks for instances, core members and the number of proxies, now and from now on.
      *
-     * @param lifeId the life of the registry that was heard last; empty if none was
+     * @param incarnationId the life of the registry that was heard last; empty if none was
      * @param number the last number that was taken in that life
      */
-    public record Subscribe(String lifeId, long number) implements Message {
+    public record Subscribe(String incarnationId, long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -45,7 +45,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number);
+            out.text(incarnationId).number(number);
         }
 
         static Subscribe read(FieldReader in) throws IOException {
@@ -58,7 +58,7 @@
      *
      * @param cache the sender
      */
-    public record OfferCache(CacheNode cache) implements Message {
+    public record AnnounceCache(CacheNode cache) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -70,8 +70,8 @@
             out.value(cache, RegistryMessages::writeCache);
         }
 
-        static OfferCache read(FieldReader in) throws IOException {
-            return new OfferCache(readCache(in));
+        static AnnounceCache read(FieldReader in) throws IOException {
+            return new AnnounceCache(readCache(in));
         }
     }
 
@@ -90,8 +90,8 @@
     }
 
     private static Fleet readFleet(FieldReader in) throws IOException {
-        int size = in.smallNumber();
-        int rank = in.smallNumber();
+        int size = in.intNumber();
+        int rank = in.intNumber();
         if (size < 1 || rank < 0 || rank >= size) {
             throw new IOException("no place " + rank + " among " + size);
         }
@@ -101,28 +101,28 @@
     /**
      * What a registry tells edge proxies and shared caches.
      *
-     * @param settled whether the registry has run for long enough to know all instances
+     * @param complete whether the registry has run for long enough to know all instances
      * @param registries the IP addresses of all known core machines
      * @param voters the voting stores; none while unknown
      * @param fleet who shares the bounds of services, as seen from the subscriber
      * @param instances all known instances, those that left included, or those that changed
-     * @param silent identifiers of all instances that have not been heard for too long
+     * @param unresponsive identifiers of all instances that have not been heard for too long
      */
     public record Overview(
-            boolean settled,
+            boolean complete,
             List<String> registries,
             VoterSet voters,
             Fleet fleet,
             List<Instance> instances,
-            List<String> silent) {
+            List<String> unresponsive) {
 
         void write(FieldWriter out) throws IOException {
-            out.flag(settled)
+            out.flag(complete)
                     .texts(registries)
                     .value(voters, AgreementCodec::writeVoterSet)
                     .value(fleet, RegistryMessages::writeFleet)
-                    .list(instances, Fields::writeInstance)
-                    .texts(silent);
+                    .list(instances, ValueCodec::writeInstance)
+                    .texts(unresponsive);
         }
 
         static Overview read(FieldReader in) throws IOException {
@@ -131,7 +131,7 @@
                     in.texts(),
                     AgreementCodec.readVoterSet(in),
                     readFleet(in),
-                    in.list(Fields::readInstance),
+                    in.list(ValueCodec::readInstance),
                     in.texts());
         }
     }
@@ -139,11 +139,11 @@
     /**
      * All that a registry knows; the numbered changes after it continue from its number.
      *
-     * @param lifeId the life of the registry
+     * @param incarnationId the life of the registry
      * @param number the number of the last change that the snapshot holds
      * @param overview what it knows, with all instances
      */
-    public record Snapshot(String lifeId, long number, Overview overview) implements Message {
+    public record Snapshot(String incarnationId, long number, Overview overview) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -152,7 +152,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number).value(overview, Overview::write);
+            out.text(incarnationId).number(number).value(overview, Overview::write);
         }
 
         static Snapshot read(FieldReader in) throws IOException {
@@ -166,7 +166,7 @@
      * @param number the number of this change
      * @param overview what the registry knows, with the instances that changed
      */
-    public record News(long number, Overview overview) implements Message {
+    public record Update(long number, Overview overview) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -178,8 +178,8 @@
             out.number(number).value(overview, Overview::write);
         }
 
-        static News read(FieldReader in) throws IOException {
-            return new News(in.number(), Overview.read(in));
+        static Update read(FieldReader in) throws IOException {
+            return new Update(in.number(), Overview.read(in));
         }
     }
 
@@ -188,7 +188,7 @@
      *
      * @param number the last number that was carried out
      */
-    public record NewsAcknowledged(long number) implements Message {
+    public record UpdateAcknowledged(long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -200,13 +200,13 @@
             out.number(number);
         }
 
-        static NewsAcknowledged read(FieldReader in) throws IOException {
-            return new NewsAcknowledged(in.number());
+        static UpdateAcknowledged read(FieldReader in) throws IOException {
+            return new UpdateAcknowledged(in.number());
         }
     }
 
     /**
-     * A registry tells another of instances that changed and of machines that it knows; answered by {@link PeerUpdateTaken}.
+     * A registry tells another of instances that changed and of machines that it knows; answered by {@link PeerUpdateMerged}.
      *
      * @param callId the number of the call
      * @param registries the IP addresses of all known core machines
@@ -229,7 +229,7 @@
                     .texts(registries)
                     .value(voters, AgreementCodec::writeVoterSet)
                     .texts(proxies)
-                    .list(instances, Fields::writeInstance);
+                    .list(instances, ValueCodec::writeInstance);
         }
 
         static PeerUpdate read(FieldReader in) throws IOException {
@@ -238,7 +238,7 @@
                     in.texts(),
                     AgreementCodec.readVoterSet(in),
                     in.texts(),
-                    in.list(Fields::readInstance));
+                    in.list(ValueCodec::readInstance));
         }
     }
 
@@ -247,7 +247,7 @@
      *
      * @param callId the number of the call
      */
-    public record PeerUpdateTaken(long callId) implements Message.Reply {
+    public record PeerUpdateMerged(long callId) implements Message.Reply {
 
         @Override
         public MessageKind kind() {
@@ -259,17 +259,17 @@
             out.number(callId);
         }
 
-        static PeerUpdateTaken read(FieldReader in) throws IOException {
-            return new PeerUpdateTaken(in.number());
+        static PeerUpdateMerged read(FieldReader in) throws IOException {
+            return new PeerUpdateMerged(in.number());
         }
     }
 
     /**
      * The newest heartbeats that a registry has taken itself since it last told.
      *
-     * @param beats the heartbeats
+     * @param heartbeats the heartbeats
      */
-    public record PeerBeats(List<Beat> beats) implements Message {
+    public record PeerHeartbeats(List<Heartbeat> heartbeats) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -278,11 +278,11 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.list(beats, Beat::write);
+            out.list(heartbeats, Heartbeat::write);
         }
 
-        static PeerBeats read(FieldReader in) throws IOException {
-            return new PeerBeats(in.list(Beat::read));
+        static PeerHeartbeats read(FieldReader in) throws IOException {
+            return new PeerHeartbeats(in.list(Heartbeat::read));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
@@ -19,10 +19,10 @@
     /**
      * Asks for the configuration and purges, now and from now on.
      *
-     * @param lifeId the life of the store that was heard last; empty if none was
+     * @param incarnationId the life of the store that was heard last; empty if none was
      * @param number the last number that was taken in that life
      */
-    public record Subscribe(String lifeId, long number) implements Message {
+    public record Subscribe(String incarnationId, long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -31,7 +31,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number);
+            out.text(incarnationId).number(number);
         }
 
         static Subscribe read(FieldReader in) throws IOException {
@@ -42,13 +42,13 @@
     /**
      * All items; the numbered changes after it continue from its number. Purges before it are not told.
      *
-     * @param lifeId the life of the store
+     * @param incarnationId the life of the store
      * @param number the number of the last change that the snapshot holds
      * @param store the store that speaks
      * @param voters the voters of the newest decided state
      * @param items all decided items, drops included
      */
-    public record Snapshot(String lifeId, long number, Voter store, VoterSet voters, List<Item> items)
+    public record Snapshot(String incarnationId, long number, Voter store, VoterSet voters, List<Item> items)
             implements Message {
 
         @Override
@@ -58,10 +58,10 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number);
+            out.text(incarnationId).number(number);
             AgreementCodec.writeVoter(store, out);
             AgreementCodec.writeVoterSet(voters, out);
-            out.list(items, Fields::writeItem);
+            out.list(items, ValueCodec::writeItem);
         }
 
         static Snapshot read(FieldReader in) throws IOException {
@@ -70,7 +70,7 @@
                     in.number(),
                     AgreementCodec.readVoter(in),
                     AgreementCodec.readVoterSet(in),
-                    in.list(Fields::readItem));
+                    in.list(ValueCodec::readItem));
         }
     }
 
@@ -82,7 +82,7 @@
      * @param items decided items that are newer than before
      * @param purges purges to carry out
      */
-    public record News(long number, VoterSet voters, List<Item> items, List<Purge> purges) implements Message {
+    public record Update(long number, VoterSet voters, List<Item> items, List<Purge> purges) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -93,15 +93,15 @@
         public void write(FieldWriter out) throws IOException {
             out.number(number);
             AgreementCodec.writeVoterSet(voters, out);
-            out.list(items, Fields::writeItem).list(purges, Fields::writePurge);
+            out.list(items, ValueCodec::writeItem).list(purges, ValueCodec::writePurge);
         }
 
-        static News read(FieldReader in) throws IOException {
-            return new News(
+        static Update read(FieldReader in) throws IOException {
+            return new Update(
                     in.number(),
                     AgreementCodec.readVoterSet(in),
-                    in.list(Fields::readItem),
-                    in.list(Fields::readPurge));
+                    in.list(ValueCodec::readItem),
+                    in.list(ValueCodec::readPurge));
         }
     }
 
@@ -110,7 +110,7 @@
      *
      * @param number the last number that was carried out
      */
-    public record NewsAcknowledged(long number) implements Message {
+    public record UpdateAcknowledged(long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -122,13 +122,13 @@
             out.number(number);
         }
 
-        static NewsAcknowledged read(FieldReader in) throws IOException {
-            return new NewsAcknowledged(in.number());
+        static UpdateAcknowledged read(FieldReader in) throws IOException {
+            return new UpdateAcknowledged(in.number());
         }
     }
 
-    /** Asks to be told who votes, now and from now on; answered by {@link VotersNow}, again with each change. */
-    public record FollowVoters() implements Message {
+    /** Asks to be told who votes, now and from now on; answered by {@link CurrentVoters}, again with each change. */
+    public record WatchVoters() implements Message {
 
         @Override
         public MessageKind kind() {
@@ -138,8 +138,8 @@
         @Override
         public void write(FieldWriter out) {}
 
-        static FollowVoters read(FieldReader in) {
-            return new FollowVoters();
+        static WatchVoters read(FieldReader in) {
+            return new WatchVoters();
         }
     }
 
@@ -148,7 +148,7 @@
      *
      * @param voters the voters of the newest decided state
      */
-    public record VotersNow(VoterSet voters) implements Message {
+    public record CurrentVoters(VoterSet voters) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -160,8 +160,8 @@
             AgreementCodec.writeVoterSet(voters, out);
         }
 
-        static VotersNow read(FieldReader in) throws IOException {
-            return new VotersNow(AgreementCodec.readVoterSet(in));
+        static CurrentVoters read(FieldReader in) throws IOException {
+            return new CurrentVoters(AgreementCodec.readVoterSet(in));
         }
     }
 
@@ -191,11 +191,12 @@
      * Orders a change of the configuration; answered by {@link ItemsChanged}.
      *
      * @param callId the number of the call
-     * @param insist whether the store is to lead although another one does, as that one could not be reached
+     * @param forceLeader whether the store is to lead although another one does, as that one could not be reached
      * @param budgetMs how long the caller waits, in milliseconds
      * @param items the versions to set or drop, all or none
      */
-    public record ChangeItems(long callId, boolean insist, long budgetMs, List<Item> items) implements Message.Call {
+    public record ChangeItems(long callId, boolean forceLeader, long budgetMs, List<Item> items)
+            implements Message.Call {
 
         @Override
         public MessageKind kind() {
@@ -204,11 +205,11 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.number(callId).flag(insist).number(budgetMs).list(items, Fields::writeItem);
+            out.number(callId).flag(forceLeader).number(budgetMs).list(items, ValueCodec::writeItem);
         }
 
         static ChangeItems read(FieldReader in) throws IOException {
-            return new ChangeItems(in.number(), in.flag(), in.number(), in.list(Fields::readItem));
+            return new ChangeItems(in.number(), in.flag(), in.number(), in.list(ValueCodec::readItem));
         }
     }
 
@@ -231,7 +232,8 @@
         }
 
         static ItemsChanged read(FieldReader in) throws IOException {
-            return new ItemsChanged(in.number(), new ChangeResult(in.oneOf(ChangeResult.Outcome.values()), in.text()));
+            return new ItemsChanged(
+                    in.number(), new ChangeResult(in.enumValue(ChangeResult.Outcome.values()), in.text()));
         }
     }
 
@@ -242,7 +244,7 @@
      * @param store the store that answers
      * @param durable whether what was sent is on disk; if not, it may be later
      */
-    public record Written(long callId, Voter store, boolean durable) implements Message.Reply {
+    public record WriteResult(long callId, Voter store, boolean durable) implements Message.Reply {
 
         @Override
         public MessageKind kind() {
@@ -256,8 +258,8 @@
             out.flag(durable);
         }
 
-        static Written read(FieldReader in) throws IOException {
-            return new Written(in.number(), AgreementCodec.readVoter(in), in.flag());
+        static WriteResult read(FieldReader in) throws IOException {
+            return new WriteResult(in.number(), AgreementCodec.readVoter(in), in.flag());
         }
     }
 
@@ -265,10 +267,10 @@
      * Asks for the newest decided items; answered by {@link ItemsRead}.
      *
      * @param callId the number of the call
-     * @param insist as with {@link ChangeItems}
+     * @param forceLeader as with {@link ChangeItems}
      * @param budgetMs how long the caller waits, in milliseconds
      */
-    public record ReadItems(long callId, boolean insist, long budgetMs) implements Message.Call {
+    public record ReadItems(long callId, boolean forceLeader, long budgetMs) implements Message.Call {
 
         @Override
         public MessageKind kind() {
@@ -277,7 +279,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.number(callId).flag(insist).number(budgetMs);
+            out.number(callId).flag(forceLeader).number(budgetMs);
         }
 
         static ReadItems read(FieldReader in) throws IOException {
@@ -290,10 +292,10 @@
      *
      * @param callId the number of the call
      * @param outcome confirmed if a majority confirmed the items after the call came
-     * @param leader the IP address of the store that leads if another one does; else empty
+     * @param leaderAddress the IP address of the store that leads if another one does; else empty
      * @param items all items, drops included
      */
-    public record ItemsRead(long callId, ChangeResult.Outcome outcome, String leader, List<Item> items)
+    public record ItemsRead(long callId, ChangeResult.Outcome outcome, String leaderAddress, List<Item> items)
             implements Message.Reply {
 
         @Override
@@ -303,17 +305,17 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.number(callId).number(outcome.ordinal()).text(leader).list(items, Fields::writeItem);
+            out.number(callId).number(outcome.ordinal()).text(leaderAddress).list(items, ValueCodec::writeItem);
         }
 
         static ItemsRead read(FieldReader in) throws IOException {
             return new ItemsRead(
-                    in.number(), in.oneOf(ChangeResult.Outcome.values()), in.text(), in.list(Fields::readItem));
+                    in.number(), in.enumValue(ChangeResult.Outcome.values()), in.text(), in.list(ValueCodec::readItem));
         }
     }
 
     /**
-     * Orders a purge; answered by {@link Written} once it has been passed on to all subscribers.
+     * Orders a purge; answered by {@link WriteResult} once it has been passed on to all subscribers.
      *
      * @param callId the number of the call
      * @param epoch the epoch of the voters that the caller asks; one that is in another epoch does not count
@@ -329,11 +331,11 @@
         @Override
         public void write(FieldWriter out) throws IOException {
             out.number(callId).number(epoch);
-            Fields.writePurge(purge, out);
+            ValueCodec.writePurge(purge, out);
         }
 
         static WritePurge read(FieldReader in) throws IOException {
-            return new WritePurge(in.number(), in.number(), Fields.readPurge(in));
+            return new WritePurge(in.number(), in.number(), ValueCodec.readPurge(in));
         }
     }
 
@@ -400,12 +402,16 @@
 
         static KeyStatus read(FieldReader in) throws IOException {
             return new KeyStatus(
-                    in.number(), in.oneOf(Availability.values()), in.oneOf(KeyState.values()), in.text(), in.bytes());
+                    in.number(),
+                    in.enumValue(Availability.values()),
+                    in.enumValue(KeyState.values()),
+                    in.text(),
+                    in.bytes());
         }
     }
 
     /**
-     * Records the answer of an operation; answered by {@link Written}.
+     * Records the answer of an operation; answered by {@link WriteResult}.
      *
      * @param callId the number of the call
      * @param key the operation key
@@ -430,7 +436,7 @@
     }
 
     /**
-     * Gives a claim back under which nothing ran; answered by {@link Written}.
+     * Gives a claim back under which nothing ran; answered by {@link WriteResult}.
      *
      * @param callId the number of the call
      * @param key the operation key
@@ -497,12 +503,16 @@
         public void write(FieldWriter out) throws IOException {
             out.number(callId);
             AgreementCodec.writeVoter(store, out);
-            out.number(epoch).list(records, Fields::writeKeyRecord).flag(lastPage);
+            out.number(epoch).list(records, ValueCodec::writeKeyRecord).flag(lastPage);
         }
 
         static KeysPage read(FieldReader in) throws IOException {
             return new KeysPage(
-                    in.number(), AgreementCodec.readVoter(in), in.number(), in.list(Fields::readKeyRecord), in.flag());
+                    in.number(),
+                    AgreementCodec.readVoter(in),
+                    in.number(),
+                    in.list(ValueCodec::readKeyRecord),
+                    in.flag());
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/wire/Fields.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/ValueCodec.java
@@ -14,9 +14,9 @@
 import ridgemill.cdn.purge.Purge;
 
 /** How values that several messages hold are written; the disk of the store uses the same form. */
-public final class Fields {
+public final class ValueCodec {
 
-    private Fields() {}
+    private ValueCodec() {}
 
     /** The bytes of one value, for the disk. */
     public static <T> byte[] toBytes(T value, FieldWriter.ElementWriter<T> writer) throws IOException {
@@ -49,7 +49,7 @@
 
     /** Reads an item version. */
     public static Item readItem(FieldReader in) throws IOException {
-        ItemName name = new ItemName(in.oneOf(ItemKind.values()), in.text());
+        ItemName name = new ItemName(in.enumValue(ItemKind.values()), in.text());
         return new Item(name, in.number(), in.text());
     }
 
@@ -74,7 +74,7 @@
 
     /** Reads a key record. */
     public static KeyRecord readKeyRecord(FieldReader in) throws IOException {
-        return new KeyRecord(in.text(), in.oneOf(KeyState.values()), in.text(), in.bytes(), in.number());
+        return new KeyRecord(in.text(), in.enumValue(KeyState.values()), in.text(), in.bytes(), in.number());
     }
 
     /** Writes an instance. */
@@ -98,8 +98,8 @@
                 in.text(),
                 in.text(),
                 in.text(),
-                in.smallNumber(),
-                in.oneOf(InstanceState.values()),
+                in.intNumber(),
+                in.enumValue(InstanceState.values()),
                 in.number(),
                 in.number());
     }
--- a/cdn/src/test/java/ridgemill/cdn/LayersTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/LayersTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"proxy", "registry", "store"})
-    void noProgramKnowsAnother(String program) {
+    void programsDoNotDependOnEachOther(String program) {
         String own = "ridgemill.cdn." + program + "..";
         assertThat(classes.stream().filter(type -> type.getPackageName().startsWith("ridgemill.cdn." + program)))
                 .as("the classes are found")
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatProgramsShareKnowsNone() {
+    void sharedPackagesDoNotDependOnPrograms() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(PROGRAMS)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void packagesDependOnEachOtherOneWay() {
+    void packagesHaveNoCycles() {
         slices().matching("ridgemill.cdn.(**)").should().beFreeOfCycles().check(classes);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/app/DeployFileTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/app/DeployFileTest.java
@@ -20,7 +20,7 @@
     private static final Set<String> CALLERS = Set.of("edge", "control_plane");
 
     @Test
-    void everyRoleRunsAProgramOfTheJarAndNoTwoOnOneClassServeTheSame() throws Exception {
+    void rolesRunProgramsOfTheJarAndServeDistinctCallers() throws Exception {
         JsonNode roles = deployFile().path("roles");
         Set<String> served = new HashSet<>();
         Set<String> programs = new HashSet<>();
@@ -43,7 +43,7 @@
     private static JsonNode deployFile() throws Exception {
         String text = Files.readString(Path.of("..", "deploy", "system.toml"));
         try (JsonParser parser = new TomlFactory().createParser(text)) {
-            return TreeReader.whole(parser);
+            return TreeReader.readSingleValue(parser);
         }
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/app/SignalsTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/app/SignalsTest.java
@@ -10,7 +10,7 @@
 class SignalsTest {
 
     @Test
-    void theTaskRunsAtEachSignal() throws IOException, InterruptedException {
+    void theTaskRunsOncePerSignal() throws IOException, InterruptedException {
         Semaphore ran = new Semaphore(0);
         Signals.onHangup(ran::release);
         for (int time = 1; time <= 2; time++) {
--- a/cdn/src/test/java/ridgemill/cdn/app/WholeSystemTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/app/WholeSystemTest.java
@@ -18,7 +18,7 @@
 class WholeSystemTest {
 
     private static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
-    private static final Duration PATIENCE = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
 
@@ -52,66 +52,70 @@
     }
 
     @Test
-    void aKeyedOperationRunsOnceWhicheverCoreMachineIsGone() {
-        LoopbackSystem.Exchange first = repeat("k1");
+    void aKeyedOperationRunsOnceWithAnyCoreMachineDown() {
+        LoopbackSystem.HttpResult first = writeUntilAvailable("k1");
         assertThat(first.status()).isEqualTo(OK);
         for (int machine = 0; machine < HOSTS.size(); machine++) {
             int gone = machine;
             system.stopCore(gone);
-            assertThat(repeat("k1").body()).as("machine %d gone", gone + 1).isEqualTo(first.body());
-            assertThat(repeat("new-" + gone).status())
+            assertThat(writeUntilAvailable("k1").body())
+                    .as("machine %d gone", gone + 1)
+                    .isEqualTo(first.body());
+            assertThat(writeUntilAvailable("new-" + gone).status())
                     .as("machine %d gone", gone + 1)
                     .isEqualTo(OK);
             system.startCore(gone, false);
             until(() -> control(gone, "GET", "/ridgemill/configuration", "").status() == OK);
         }
-        assertThat(repeat("k1").body()).isEqualTo(first.body());
+        assertThat(writeUntilAvailable("k1").body()).isEqualTo(first.body());
     }
 
     @Test
-    void aConfigurationIsReadBackFromAnyMachineWhileAnotherIsGone() {
+    void theConfigurationIsReadableWithACoreMachineDown() {
         String change = """
                 {"upsert":{"routeTable":{"r-3":{"hostname":"a.example","pathPrefix":"/more/","routeKind":"idempotent",
                 "timeout":"3s","targetLatency":"250ms","priorityLevel":2,"service":"s","maxAttempts":2,"version":5}}},
                 "remove":{"routeTable":[{"name":"r-1","version":5}]}}
                 """;
-        order(() -> control(1, "PATCH", "/ridgemill/configuration", change));
+        callUntilOk(() -> control(1, "PATCH", "/ridgemill/configuration", change));
         system.stopCore(1);
-        assertThat(readBack(0).body()).contains("/more/").doesNotContain("/read/");
-        assertThat(readBack(2).body()).contains("/more/").doesNotContain("/read/");
+        assertThat(readConfiguration(0).body()).contains("/more/").doesNotContain("/read/");
+        assertThat(readConfiguration(2).body()).contains("/more/").doesNotContain("/read/");
         until(() -> get("/more/1").status() == OK && get("/read/1").status() == 404);
         system.startCore(1, false);
         until(() -> control(1, "GET", "/ridgemill/configuration", "").body().contains("/more/"));
     }
 
     @Test
-    void aPurgeThatWasAcknowledgedEndsTheUseOfCopies() {
+    void anAcknowledgedPurgeEndsTheUseOfCachedResponses() {
         String before = cachedCopy();
-        order(() -> control(2, "POST", "/ridgemill/purges", "{\"hostname\":\"a.example\",\"path\":\"/read/1\"}"));
+        callUntilOk(() -> control(2, "POST", "/ridgemill/purges", "{\"hostname\":\"a.example\",\"path\":\"/read/1\"}"));
         until(() -> !get("/read/1").body().equals(before));
         String fresh = cachedCopy();
         system.stopCore(2);
-        order(() -> control(0, "POST", "/ridgemill/purges", "{\"tag\":\"t2\"}"));
+        callUntilOk(() -> control(0, "POST", "/ridgemill/purges", "{\"tag\":\"t2\"}"));
         until(() -> !get("/read/1").body().equals(fresh));
     }
 
     @Test
-    void anAcknowledgedDrainIsKnownToTheProxyWhicheverMachineTookIt() throws IOException {
+    void anAcknowledgedDrainReachesTheProxyFromAnyRegistry() throws IOException {
         try (LoopbackInstance second = new LoopbackInstance(HOSTS.get(0))) {
             until(() -> heartbeat("i-2", second, 1).status() == OK);
-            order(() -> drain(1, "i-1", instance, 2));
-            until(() -> repeat("known-" + attempts.get()).body().contains(second.address()));
+            callUntilOk(() -> drain(1, "i-1", instance, 2));
+            until(() -> writeUntilAvailable("known-" + attempts.get()).body().contains(second.address()));
             for (int i = 0; i < 20; i++) {
-                assertThat(repeat("after-" + i).body()).contains(second.address());
+                assertThat(writeUntilAvailable("after-" + i).body()).contains(second.address());
             }
-            order(() -> heartbeat("i-1", instance, 1));
-            assertThat(repeat("late").body()).as("after a late heartbeat").contains(second.address());
+            callUntilOk(() -> heartbeat("i-1", instance, 1));
+            assertThat(writeUntilAvailable("late").body())
+                    .as("after a late heartbeat")
+                    .contains(second.address());
         }
     }
 
     @Test
-    void allCoreMachinesEndedAtOnceLoseNothingThatWasAcknowledged() {
-        LoopbackSystem.Exchange first = repeat("k1");
+    void acknowledgedDataSurvivesAStopOfAllCoreMachines() {
+        LoopbackSystem.HttpResult first = writeUntilAvailable("k1");
         for (int machine = 0; machine < HOSTS.size(); machine++) {
             system.stopCore(machine);
         }
@@ -120,11 +124,11 @@
             system.startCore(machine, false);
         }
         until(() -> control(2, "GET", "/ridgemill/configuration", "").body().contains("/write/"));
-        assertThat(repeat("k1").body()).isEqualTo(first.body());
+        assertThat(writeUntilAvailable("k1").body()).isEqualTo(first.body());
     }
 
     /** Sends an order as operators and instances do: again while it is not acknowledged, as links open one by one. */
-    private static void order(Supplier<LoopbackSystem.Exchange> call) {
+    private static void callUntilOk(Supplier<LoopbackSystem.HttpResult> call) {
         until(() -> call.get().status() == OK);
     }
 
@@ -138,14 +142,14 @@
         return copy[0];
     }
 
-    private LoopbackSystem.Exchange write(String key) {
+    private LoopbackSystem.HttpResult write(String key) {
         return system.exchange(
                 0, system.frontPort(), "POST", "/write/1", request() + "X-Operation-Key: " + key + "\r\n", "pay");
     }
 
     /** Repeats an operation as a client does: while it is refused, as a voter that was started is not connected yet. */
-    private LoopbackSystem.Exchange repeat(String key) {
-        LoopbackSystem.Exchange[] last = new LoopbackSystem.Exchange[1];
+    private LoopbackSystem.HttpResult writeUntilAvailable(String key) {
+        LoopbackSystem.HttpResult[] last = new LoopbackSystem.HttpResult[1];
         until(() -> {
             last[0] = write(key);
             return last[0].status() != UNAVAILABLE;
@@ -154,8 +158,8 @@
     }
 
     /** Reads the configuration as operators do: again while no majority can be reached, as links open one by one. */
-    private LoopbackSystem.Exchange readBack(int machine) {
-        LoopbackSystem.Exchange[] last = new LoopbackSystem.Exchange[1];
+    private LoopbackSystem.HttpResult readConfiguration(int machine) {
+        LoopbackSystem.HttpResult[] last = new LoopbackSystem.HttpResult[1];
         until(() -> {
             last[0] = control(machine, "GET", "/ridgemill/configuration", "");
             return last[0].status() != UNAVAILABLE;
@@ -164,7 +168,7 @@
         return last[0];
     }
 
-    private LoopbackSystem.Exchange get(String path) {
+    private LoopbackSystem.HttpResult get(String path) {
         return system.exchange(0, system.frontPort(), "GET", path, request(), "");
     }
 
@@ -172,22 +176,22 @@
         return "X-Attempt-Id: a" + attempts.incrementAndGet() + "\r\nX-Deadline-Remaining: 2500\r\n";
     }
 
-    private LoopbackSystem.Exchange control(int machine, String method, String path, String body) {
+    private LoopbackSystem.HttpResult control(int machine, String method, String path, String body) {
         return system.exchange(machine, system.controlPort(), method, path, "", body);
     }
 
-    private LoopbackSystem.Exchange heartbeat(String id, LoopbackInstance from, long sequence) {
+    private LoopbackSystem.HttpResult heartbeat(String id, LoopbackInstance from, long sequence) {
         return control(0, "PUT", "/ridgemill/instances/" + id, LoopbackSystem.heartbeat(from.address(), sequence));
     }
 
-    private LoopbackSystem.Exchange drain(int machine, String id, LoopbackInstance from, long sequence) {
+    private LoopbackSystem.HttpResult drain(int machine, String id, LoopbackInstance from, long sequence) {
         String heartbeat = LoopbackSystem.heartbeat(from.address(), sequence).replace("\"ready\"", "\"draining\"");
         return control(machine, "PUT", "/ridgemill/instances/" + id, heartbeat);
     }
 
     /** Asks again until it holds; each question waits for an answer over a socket. */
     private static void until(BooleanSupplier condition) {
-        long end = System.nanoTime() + PATIENCE.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).as("time to wait").isLessThan(end);
             Thread.onSpinWait();
