--- a/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
@@ -10,7 +10,7 @@
 
 class ConfigurationChangeTest {
 
-    private static final String GOOD = """
+    private static final String VALID = """
             {"upsert":{"routeTable":{
             "r-1":{"hostname":"a.example","pathPrefix":"/x/","routeKind":"cacheable","timeout":"1200ms",
             "targetLatency":"100ms","priorityLevel":2,"trafficSplit":[{"service":"s","weight":90},
@@ -31,11 +31,11 @@
                         read -> validator
                                 .check(read)
                                 .map(InvalidChange::describe)
-                                .getOrElse(() -> faultTogether(read, current)));
+                                .getOrElse(() -> crossItemFault(read, current)));
     }
 
     /** As the stores judge a change: by the versions that are newer than what is held. */
-    private static String faultTogether(ConfigurationChange change, ItemSet current) {
+    private static String crossItemFault(ConfigurationChange change, ItemSet current) {
         ConfigurationRules rules = new ConfigurationRules();
         rules.reset(current.all());
         return rules.validate(current.copy().mergeAll(change.items())).orElse(null);
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void aGoodChangeIsTakenAndReadBackAsItWasSent() {
-        assertThat(fault(GOOD, new ItemSet())).isNull();
-        String written = new String(reader.write(after(GOOD).all()), StandardCharsets.UTF_8);
+    void aValidChangeRoundTrips() {
+        assertThat(fault(VALID, new ItemSet())).isNull();
+        String written = new String(reader.write(after(VALID).all()), StandardCharsets.UTF_8);
         assertThat(written)
                 .contains("\"ratePerS\":590.0")
                 .contains("\"trafficSplit\":[{\"service\":\"s\",\"weight\":90}");
         assertThat(after("{\"upsert\":" + written + "}").digest())
-                .isEqualTo(after(GOOD).digest());
+                .isEqualTo(after(VALID).digest());
     }
 
     /** One thing is wrong at a time; each text replaces a part of the good change. */
@@ -73,46 +73,46 @@
                     "cacheTtl":"40s","version":7 | "cacheTtl":"40s" | version
                     {"upsert" | {"upsert | no JSON
                     """)
-    void aChangeWithOneFaultIsRefusedWithItsPlace(String part, String replacement, String reason) {
-        String one = GOOD.replace("\n", "");
+    void anInvalidChangeIsRefusedWithTheLocationOfTheFault(String part, String replacement, String reason) {
+        String one = VALID.replace("\n", "");
         String spoilt = one.replace(part, replacement);
         assertThat(spoilt).isNotEqualTo(one);
         assertThat(fault(spoilt, new ItemSet())).contains(reason);
     }
 
     @Test
-    void aChangeThatIsCutShortIsRefused() {
-        for (int length = 0; length < GOOD.stripTrailing().length(); length += 7) {
-            assertThat(fault(GOOD.substring(0, length), new ItemSet()))
+    void aTruncatedChangeIsRefused() {
+        for (int length = 0; length < VALID.stripTrailing().length(); length += 7) {
+            assertThat(fault(VALID.substring(0, length), new ItemSet()))
                     .as("%d bytes", length)
                     .isNotNull();
         }
     }
 
     @Test
-    void twoRoutesAtOnePlaceAreRefusedUnlessTheOtherIsDroppedInTheSameCall() {
+    void twoRoutesWithTheSameHostAndPrefixAreRefusedUnlessOneIsRemoved() {
         String second = """
                 {"upsert":{"routeTable":{"r-2":{"hostname":"a.example","pathPrefix":"/x/","routeKind":"idempotent",
                 "service":"s","version":8}}},"remove":{"routeTable":[%s]}}
                 """;
-        assertThat(fault(second.formatted(""), after(GOOD))).contains("same host and prefix");
-        assertThat(fault(second.formatted("{\"name\":\"r-1\",\"version\":9}"), after(GOOD)))
+        assertThat(fault(second.formatted(""), after(VALID))).contains("same host and prefix");
+        assertThat(fault(second.formatted("{\"name\":\"r-1\",\"version\":9}"), after(VALID)))
                 .isNull();
     }
 
     @Test
-    void aServiceThatARouteNamesCanNotBeDropped() {
+    void aServiceInUseCannotBeRemoved() {
         String drop = "{\"remove\":{\"serviceTable\":[{\"name\":\"s\",\"version\":9}]}}";
-        assertThat(fault(drop, after(GOOD))).contains("unknown service s");
+        assertThat(fault(drop, after(VALID))).contains("unknown service s");
     }
 
     @Test
-    void anOlderChangeThatArrivesAgainIsValidAndChangesNothing() {
-        ItemSet current = after(GOOD.replace("\"version\":7", "\"version\":9"));
+    void anOlderChangeIsValidAndHasNoEffect() {
+        ItemSet current = after(VALID.replace("\"version\":7", "\"version\":9"));
         long before = current.digest();
-        assertThat(fault(GOOD, current)).isNull();
+        assertThat(fault(VALID, current)).isNull();
         current.mergeAll(
-                reader.read(GOOD.getBytes(StandardCharsets.UTF_8)).get().items());
+                reader.read(VALID.getBytes(StandardCharsets.UTF_8)).get().items());
         assertThat(current.digest()).isEqualTo(before);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/registry/RegistryCluster.java
+++ b/cdn/src/test/java/ridgemill/cdn/registry/RegistryCluster.java
@@ -21,12 +21,12 @@
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.settings.Bounds;
 import ridgemill.cdn.settings.Settings;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
 import ridgemill.cdn.wire.LinkServer;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.RegistryMessages;
 import ridgemill.cdn.wire.StoreMessages;
 import ridgemill.gateway.net.Clock;
@@ -51,7 +51,7 @@
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, SocketKind.NIO.handlers());
     private final HttpClient http = HttpClient.newHttpClient();
     private final List<RegistryProgram> programs = new ArrayList<>();
-    private final List<HeldLink> links = new ArrayList<>();
+    private final List<ReconnectingLink> links = new ArrayList<>();
     private final List<LinkServer> stores = new ArrayList<>();
 
     /** A port that, with the one for calls, is free on all addresses, below those that connections get. */
@@ -80,7 +80,7 @@
     void start(int index, boolean votersKnown) {
         if (votersKnown) {
             stores.add(LinkServer.listen(
-                    loops, SocketKind.NIO, new InetSocketAddress(HOSTS.get(index), port + 1), new StandInStore()));
+                    loops, SocketKind.NIO, new InetSocketAddress(HOSTS.get(index), port + 1), new StubStore()));
         }
         RegistryProgram program =
                 new RegistryProgram(settings(index, votersKnown), loops.next(), SocketKind.NIO, new Clock());
@@ -120,15 +120,15 @@
     }
 
     /** Says who votes to all that ask. */
-    private static final class StandInStore implements LinkListener {
+    private static final class StubStore implements LinkListener {
 
         @Override
         public void opened(Link link) {}
 
         @Override
         public void received(Link link, Message message) {
-            if (message instanceof StoreMessages.FollowVoters) {
-                link.send(new StoreMessages.VotersNow(VOTERS));
+            if (message instanceof StoreMessages.WatchVoters) {
+                link.send(new StoreMessages.CurrentVoters(VOTERS));
             }
         }
 
@@ -164,7 +164,8 @@
         Proxy proxy = new Proxy(acknowledging);
         LinkMessages.Hello hello =
                 new LinkMessages.Hello(LinkMessages.Hello.PROTOCOL, "proxy", name, "127.0.0.1", name + "-life");
-        HeldLink link = new HeldLink(loop, SocketKind.NIO, new InetSocketAddress(HOSTS.get(index), port), hello, proxy);
+        ReconnectingLink link =
+                new ReconnectingLink(loop, SocketKind.NIO, new InetSocketAddress(HOSTS.get(index), port), hello, proxy);
         links.add(link);
         loop.execute(link::start);
         return proxy;
@@ -172,7 +173,7 @@
 
     @Override
     public void close() {
-        links.forEach(HeldLink::close);
+        links.forEach(ReconnectingLink::close);
         programs.forEach(RegistryProgram::stop);
         stores.forEach(LinkServer::close);
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
@@ -194,12 +195,12 @@
         }
 
         /** The first news from now on that are as asked for. */
-        RegistryMessages.News news(Predicate<RegistryMessages.News> wanted) throws InterruptedException {
+        RegistryMessages.Update awaitUpdate(Predicate<RegistryMessages.Update> wanted) throws InterruptedException {
             long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
             Message last = null;
             while (System.nanoTime() < endNanos) {
                 Message message = received.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-                if (message instanceof RegistryMessages.News news && wanted.test(news)) {
+                if (message instanceof RegistryMessages.Update news && wanted.test(news)) {
                     return news;
                 }
                 last = message == null ? last : message;
@@ -208,10 +209,10 @@
         }
 
         /** Everything that came and was not looked at. */
-        List<RegistryMessages.News> rest() {
+        List<RegistryMessages.Update> drainUpdates() {
             List<Message> rest = new ArrayList<>();
             received.drainTo(rest);
-            return rest.stream().map(RegistryMessages.News.class::cast).toList();
+            return rest.stream().map(RegistryMessages.Update.class::cast).toList();
         }
 
         @Override
@@ -222,10 +223,10 @@
         @Override
         public void received(Link link, Message message) {
             received.add(message);
-            if (acknowledging && message instanceof RegistryMessages.News news) {
-                link.send(new RegistryMessages.NewsAcknowledged(news.number()));
+            if (acknowledging && message instanceof RegistryMessages.Update news) {
+                link.send(new RegistryMessages.UpdateAcknowledged(news.number()));
             } else if (acknowledging && message instanceof RegistryMessages.Snapshot snapshot) {
-                link.send(new RegistryMessages.NewsAcknowledged(snapshot.number()));
+                link.send(new RegistryMessages.UpdateAcknowledged(snapshot.number()));
             }
         }
 
--- a/cdn/src/test/java/ridgemill/cdn/registry/RegistryProgramTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/registry/RegistryProgramTest.java
@@ -24,32 +24,33 @@
     }
 
     @Test
-    void aProxyIsToldOfMachinesVotersAndWhenTheRegistryKnowsAll() throws Exception {
+    void aProxyReceivesMachinesVotersAndCompleteness() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         RegistryMessages.Snapshot snapshot = proxy.snapshot();
         assertThat(snapshot.overview().registries()).isEqualTo(RegistryCluster.HOSTS);
         if (!snapshot.overview().voters().isKnown()) {
-            proxy.news(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
+            proxy.awaitUpdate(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
         } else {
             assertThat(snapshot.overview().voters()).isEqualTo(RegistryCluster.VOTERS);
         }
         assertThat(snapshot.overview().fleet().proxies().size()).isEqualTo(1);
-        if (!snapshot.overview().settled()) {
-            assertThat(proxy.news(news -> news.overview().settled()).number()).isGreaterThan(snapshot.number());
+        if (!snapshot.overview().complete()) {
+            assertThat(proxy.awaitUpdate(news -> news.overview().complete()).number())
+                    .isGreaterThan(snapshot.number());
         }
     }
 
     @Test
-    void proxiesAtOtherRegistriesCountToo() throws Exception {
+    void proxiesOfOtherRegistriesAreCounted() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         cluster.proxy(1, "q", true);
-        proxy.news(news -> news.overview().fleet().proxies().size() == 2);
+        proxy.awaitUpdate(news -> news.overview().fleet().proxies().size() == 2);
     }
 
     @Test
-    void aNewInstanceIsToldToProxiesAtAllRegistries() throws Exception {
+    void aNewInstanceIsSentToProxiesOfAllRegistries() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy here = cluster.proxy(0, "p", true);
         RegistryCluster.Proxy there = cluster.proxy(1, "q", true);
@@ -58,7 +59,7 @@
         awaitLinks();
         assertThat(cluster.heartbeat(0, "i", "ready", 1)).isEqualTo(OK);
         for (RegistryCluster.Proxy proxy : List.of(here, there)) {
-            Instance told = instance(proxy.news(news -> instance(news) != null));
+            Instance told = findInstance(proxy.awaitUpdate(news -> findInstance(news) != null));
             assertThat(told.state()).isEqualTo(InstanceState.READY);
             assertThat(told.slots()).isEqualTo(4);
         }
@@ -68,7 +69,7 @@
     }
 
     /** What news tell of the instance that the tests are about, or null. */
-    private static Instance instance(RegistryMessages.News news) {
+    private static Instance findInstance(RegistryMessages.Update news) {
         return news.overview().instances().stream()
                 .filter(instance -> instance.id().equals("i"))
                 .findFirst()
@@ -76,21 +77,25 @@
     }
 
     @Test
-    void statesThatChangeAreToldAndMereHeartbeatsAreNot() throws Exception {
+    void stateChangesAreSentAndPlainHeartbeatsAreNot() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         awaitLinks();
         cluster.heartbeat(0, "i", "ready", 1);
-        proxy.news(news -> instance(news) != null);
+        proxy.awaitUpdate(news -> findInstance(news) != null);
         cluster.heartbeat(0, "i", "ready", 2);
         cluster.heartbeat(0, "i", "draining", 3);
-        assertThat(instance(proxy.news(news -> instance(news) != null)).state()).isEqualTo(InstanceState.DRAINING);
+        assertThat(findInstance(proxy.awaitUpdate(news -> findInstance(news) != null))
+                        .state())
+                .isEqualTo(InstanceState.DRAINING);
         assertThat(cluster.leave(0, "i")).isEqualTo(OK);
-        assertThat(instance(proxy.news(news -> instance(news) != null)).state()).isEqualTo(InstanceState.GONE);
+        assertThat(findInstance(proxy.awaitUpdate(news -> findInstance(news) != null))
+                        .state())
+                .isEqualTo(InstanceState.GONE);
     }
 
     @Test
-    void aProxyThatDoesNotAcknowledgeHoldsAnAnswerUpForABoundedTime() throws Exception {
+    void aProxyThatDoesNotAcknowledgeDelaysTheResponseByABoundedTime() throws Exception {
         cluster.startAll();
         cluster.proxy(0, "p", false).snapshot();
         awaitLinks();
@@ -101,7 +106,7 @@
     }
 
     @Test
-    void aChangeThatNoMajorityHasIsNotAcknowledged() throws Exception {
+    void aChangeWithoutAMajorityIsNotAcknowledged() throws Exception {
         cluster.start(0, true);
         assertThat(cluster.heartbeat(0, "i", "ready", 1)).isEqualTo(UNAVAILABLE);
         assertThat(cluster.heartbeat(0, "i", "ready", 2))
@@ -121,18 +126,18 @@
     }
 
     @Test
-    void anInstanceIsSilentUntilItIsHeardAgain() throws Exception {
+    void anInstanceIsUnresponsiveUntilItsNextHeartbeat() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         awaitLinks();
         cluster.heartbeat(0, "i", "ready", 1);
-        proxy.news(news -> news.overview().silent().contains("i"));
+        proxy.awaitUpdate(news -> news.overview().unresponsive().contains("i"));
         cluster.heartbeat(0, "i", "ready", 2);
-        proxy.news(news -> !news.overview().silent().contains("i"));
+        proxy.awaitUpdate(news -> !news.overview().unresponsive().contains("i"));
     }
 
     @Test
-    void whatOneRegistryHearsIsNotSilentAtAnother() throws Exception {
+    void aHeartbeatAtOneRegistryCountsAtAnother() throws Exception {
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(1, "p", true);
         awaitLinks();
@@ -141,19 +146,19 @@
             Thread.sleep(RegistryCluster.HEARTBEAT_INTERVAL_MS / 5);
         }
         proxy.snapshot();
-        assertThat(proxy.rest())
+        assertThat(proxy.drainUpdates())
                 .isNotEmpty()
-                .noneMatch(news -> news.overview().silent().contains("i"));
-        proxy.news(news -> news.overview().silent().contains("i"));
+                .noneMatch(news -> news.overview().unresponsive().contains("i"));
+        proxy.awaitUpdate(news -> news.overview().unresponsive().contains("i"));
     }
 
     @Test
-    void aRegistryThatForgotTheVotersLearnsThemFromAnother() throws Exception {
+    void aRestartedRegistryLearnsTheVotersFromAPeer() throws Exception {
         cluster.start(2, false);
         RegistryCluster.Proxy proxy = cluster.proxy(2, "p", true);
         assertThat(proxy.snapshot().overview().voters().isKnown()).isFalse();
         cluster.start(0, true);
-        proxy.news(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
+        proxy.awaitUpdate(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
     }
 
     /** Waits until each registry has links to the others, as it only then can pass on what it takes. */
--- a/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 
 class SettingsReaderTest {
 
-    private static final String GOOD = """
+    private static final String VALID = """
             nodeName = "edge-a-1"
             ipAddress = "10.1.0.35"
             zone = "a"
@@ -29,8 +29,8 @@
             """;
 
     @Test
-    void aFileIsReadAndUnknownFieldsArePassedOver() {
-        Settings settings = SettingsReader.parse(GOOD, "f").get();
+    void unknownFieldsAreIgnored() {
+        Settings settings = SettingsReader.parse(VALID, "f").get();
         assertThat(settings.seedHosts()).containsExactly("10.1.0.39", "10.2.0.31");
         assertThat(settings.storePort()).isEqualTo(7661);
         assertThat(settings.bounds().drainDeadlineMs()).isEqualTo(2500);
@@ -41,8 +41,8 @@
     }
 
     @Test
-    void boundsMayStandOnOneLine() {
-        String line = GOOD.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
+    void boundsMayBeOneString() {
+        String line = VALID.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
         assertThat(SettingsReader.parse(line, "f").get().bounds().drainDeadlineMs())
                 .isEqualTo(3000);
     }
@@ -59,9 +59,9 @@
                     10.1.0.35:8144 | 10.1.0.35:x | f: listenAddresses.frontAddress
                     zone = "a" | zone = | f: is no TOML
                     """)
-    void aFaultIsOneLineThatNamesItsPlace(String part, String replacement, String place) {
-        String spoilt = GOOD.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(GOOD);
+    void anErrorIsOneLineThatNamesItsField(String part, String replacement, String place) {
+        String spoilt = VALID.replace(part, replacement);
+        assertThat(spoilt).isNotEqualTo(VALID);
         String error = SettingsReader.parse(spoilt, "f").getLeft().describe();
         assertThat(error).startsWith(place).doesNotContain("\n");
     }
--- a/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
@@ -21,20 +21,20 @@
 
     private static final double ORIGIN_RATE = 60;
     private static final int CONNECTION_CAP = 24;
-    private static final long START_MS = 60_000;
-    private static final long CALM_MS = 5_000;
-    private static final long RECOVERY_MS = 15_000;
+    private static final long START_TIMEOUT_MS = 60_000;
+    private static final long FAULT_FREE_MS = 5_000;
+    private static final long RECOVERY_TIMEOUT_MS = 15_000;
     private static final long HEARTBEAT_MS = 500;
-    private static final int TROUBLES = 9;
+    private static final int FAULT_COUNT = 9;
 
     /**
      * What a run came to.
      *
-     * @param broken the rules and invariants that it broke
+     * @param violations the rules and invariants that it broke
      * @param served requests that were served after the troubles
-     * @param troubles what was done
+     * @param faults what was done
      */
-    record Result(long seed, List<String> broken, int served, List<String> troubles, Path folder) {}
+    record Result(long seed, List<String> violations, int served, List<String> faults, Path folder) {}
 
     private final long seed;
     private final int proxies;
@@ -62,7 +62,7 @@
     }
 
     /** Plays it. */
-    Result play() throws IOException {
+    Result run() throws IOException {
         SoakFleet fleet = new SoakFleet(folder, (int) Math.floorMod(seed, 200L), new Random(seed), proxies);
         Map<String, AtomicInteger> versions = SoakInstance.versions();
         for (int i = 0; i < 2; i++) {
@@ -71,7 +71,7 @@
         }
         SoakOperator operator = new SoakOperator(fleet, audit, versions, seed, timer);
         List<SoakClient> running = new ArrayList<>();
-        SoakTroubles troubles = null;
+        SoakFaults troubles = null;
         // A run that is ended from outside takes its processes along.
         Thread cleanUp = new Thread(fleet::kill);
         Runtime.getRuntime().addShutdownHook(cleanUp);
@@ -81,7 +81,7 @@
             timer.scheduleWithFixedDelay(() -> heartbeats(operator), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             until(
                     "all proxies are ready",
-                    START_MS,
+                    START_TIMEOUT_MS,
                     () -> fleet.machines(SoakFleet.Role.PROXY).stream().allMatch(fleet::isReady));
             fleet.started();
             for (int i = 0; i < clients; i++) {
@@ -91,20 +91,20 @@
             }
             List<SoakInstance> all = new ArrayList<>(objects);
             all.addAll(orders);
-            troubles = new SoakTroubles(fleet, audit, operator, all, seed, timer);
-            troubles.plan(TROUBLES, spanMs);
-            pass(troubles.lastEndMs() + 1_000);
+            troubles = new SoakFaults(fleet, audit, operator, all, seed, timer);
+            troubles.plan(FAULT_COUNT, spanMs);
+            sleep(troubles.lastEndMs() + 1_000);
             until(
                     "all proxies are ready again",
-                    RECOVERY_MS,
+                    RECOVERY_TIMEOUT_MS,
                     () -> fleet.machines(SoakFleet.Role.PROXY).stream().allMatch(fleet::isReady));
-            pass(1_500);
-            audit.calm();
-            pass(CALM_MS);
-            until("the configuration is read back", RECOVERY_MS, operator::readBack);
+            sleep(1_500);
+            audit.startFaultFreePhase();
+            sleep(FAULT_FREE_MS);
+            until("the configuration is read back", RECOVERY_TIMEOUT_MS, operator::readBack);
             checkInvariants(fleet);
         } catch (IllegalStateException late) {
-            audit.breaks("RECOVER", late.getMessage());
+            audit.recordViolation("RECOVER", late.getMessage());
         } finally {
             running.forEach(SoakClient::end);
             clientThreads.shutdownNow();
@@ -112,11 +112,11 @@
             fleet.kill();
             Runtime.getRuntime().removeShutdownHook(cleanUp);
         }
-        List<String> broken = audit.broken(ORIGIN_RATE);
+        List<String> broken = audit.violations(ORIGIN_RATE);
         if (broken.isEmpty()) {
             delete(folder);
         }
-        return new Result(seed, broken, audit.served(), troubles == null ? List.of() : troubles.told(), folder);
+        return new Result(seed, broken, audit.served(), troubles == null ? List.of() : troubles.planned(), folder);
     }
 
     private void heartbeats(SoakOperator operator) {
@@ -132,12 +132,12 @@
                 figures.lines()
                         .filter(line -> line.startsWith("ridgemill_invariant_violations_total"))
                         .filter(line -> !line.endsWith(" 0.0"))
-                        .forEach(line -> audit.breaks("INVARIANT", machine.name() + ' ' + line));
+                        .forEach(line -> audit.recordViolation("INVARIANT", machine.name() + ' ' + line));
             }
         }
     }
 
-    private void pass(long ms) {
+    private void sleep(long ms) {
         java.util.concurrent.locks.LockSupport.parkNanos(ms * 1_000_000);
     }
 
@@ -147,7 +147,7 @@
             if (audit.now() > endMs) {
                 throw new IllegalStateException("not after " + mostMs + " ms: " + what);
             }
-            pass(50);
+            sleep(50);
         }
     }
 
@@ -169,14 +169,14 @@
         int clients = arguments.length > 3 ? Integer.parseInt(arguments[3]) : 12;
         int red = 0;
         for (long seed = first; seed < first + count; seed++) {
-            Result result = new Soak(seed, proxies, clients, 10_000).play();
-            boolean good = result.broken().isEmpty() && result.served() > 0;
+            Result result = new Soak(seed, proxies, clients, 10_000).run();
+            boolean good = result.violations().isEmpty() && result.served() > 0;
             red += good ? 0 : 1;
             System.out.println((good ? "held" : "BROKE") + " seed=" + seed + " proxies=" + proxies + " served_calm="
                     + result.served());
             if (!good) {
-                result.troubles().forEach(trouble -> System.out.println("  trouble " + trouble));
-                result.broken().forEach(broken -> System.out.println("  " + broken));
+                result.faults().forEach(trouble -> System.out.println("  trouble " + trouble));
+                result.violations().forEach(broken -> System.out.println("  " + broken));
                 System.out.println("  logs in " + result.folder());
             }
         }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
@@ -15,45 +15,45 @@
     private static final double PURGE_DEADLINE_MS = 2_000;
     private static final double TTL_MS = 4_000;
     private static final double STALE_SLACK_MS = 2_000;
-    private static final double WINDOW_MS = 5_000;
-    private static final double OVERAGE = 1.1;
-    private static final int CEILING_SLACK = 5;
-    private static final int LOST_SLACK = 3;
+    private static final double RATE_WINDOW_MS = 5_000;
+    private static final double RATE_OVERAGE = 1.1;
+    private static final int ALLOWED_EXTRA_REQUESTS = 5;
+    private static final int ALLOWED_LOST_REQUESTS = 3;
 
     private record Purge(String object, int version, double ackedMs) {}
 
-    private record Trouble(String machine, double fromMs, double toMs) {}
+    private record Fault(String machine, double fromMs, double toMs) {}
 
     private final long startNanos = System.nanoTime();
     private final Map<String, AtomicInteger> runsByKey = new ConcurrentHashMap<>();
-    private final Set<String> arrived = ConcurrentHashMap.newKeySet();
-    private final Set<String> promised = ConcurrentHashMap.newKeySet();
+    private final Set<String> arrivedAttempts = ConcurrentHashMap.newKeySet();
+    private final Set<String> refusedAttempts = ConcurrentHashMap.newKeySet();
     private final Map<String, double[]> replacedMs = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<Purge> purges = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<Trouble> troubles = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Fault> faults = new ConcurrentLinkedQueue<>();
     private final ConcurrentLinkedQueue<Double> originArrivals = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<String> broken = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<String> lost = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger calmAsked = new AtomicInteger();
-    private final AtomicInteger calmServed = new AtomicInteger();
-    private volatile double calmFromMs = Double.POSITIVE_INFINITY;
+    private final ConcurrentLinkedQueue<String> violations = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<String> lostAttempts = new ConcurrentLinkedQueue<>();
+    private final AtomicInteger faultFreeRequests = new AtomicInteger();
+    private final AtomicInteger faultFreeServed = new AtomicInteger();
+    private volatile double faultFreeFromMs = Double.POSITIVE_INFINITY;
 
     double now() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    void breaks(String rule, String what) {
-        broken.add(rule + " at " + Math.round(now()) + " ms: " + what);
+    void recordViolation(String rule, String what) {
+        violations.add(rule + " at " + Math.round(now()) + " ms: " + what);
     }
 
     /** A machine is in trouble, or a core machine, which unsettles all. */
-    void trouble(String machine, double fromMs, double toMs) {
-        troubles.add(new Trouble(machine, fromMs, toMs));
+    void recordFault(String machine, double fromMs, double toMs) {
+        faults.add(new Fault(machine, fromMs, toMs));
     }
 
     /** Whether neither the machine nor the core was in trouble from {@code contact} before a span to its end. */
     boolean isInTouch(String machine, double fromMs, double toMs) {
-        for (Trouble trouble : troubles) {
+        for (Fault trouble : faults) {
             boolean concerns =
                     trouble.machine().equals(machine) || trouble.machine().startsWith("core");
             if (concerns && trouble.fromMs() <= toMs && trouble.toMs() >= fromMs - CONTACT_MS) {
@@ -64,16 +64,16 @@
     }
 
     /** From now on every process runs: what is asked has to be served. */
-    void calm() {
-        calmFromMs = now();
+    void startFaultFreePhase() {
+        faultFreeFromMs = now();
     }
 
     /** A request reached an instance and ran. */
-    void ran(String attemptId, String key) {
-        arrived.add(attemptId);
+    void operationRan(String attemptId, String key) {
+        arrivedAttempts.add(attemptId);
         if (key != null
                 && runsByKey.computeIfAbsent(key, k -> new AtomicInteger()).incrementAndGet() > 1) {
-            breaks("TWICE", "key " + key + " ran again as " + attemptId);
+            recordViolation("TWICE", "key " + key + " ran again as " + attemptId);
         }
     }
 
@@ -92,21 +92,21 @@
     }
 
     /** A client was promised that its try has not run and never will. */
-    void promised(String attemptId, int status) {
+    void recordStatus(String attemptId, int status) {
         if (status == 429 || status == 503 || status == 408 || status == 421) {
-            promised.add(attemptId);
+            refusedAttempts.add(attemptId);
         }
     }
 
     /** A request on a kept connection ended without a whole answer at a process that is alive. */
-    void unanswered(String attemptId, String proxy, double sentMs) {
+    void recordLost(String attemptId, String proxy, double sentMs) {
         if (isInTouch(proxy, sentMs, now())) {
-            lost.add(attemptId);
+            lostAttempts.add(attemptId);
         }
     }
 
     /** A read was answered with this version. */
-    void read(String object, int version, String proxy, double sentMs) {
+    void recordRead(String object, int version, String proxy, double sentMs) {
         if (!isInTouch(proxy, sentMs, now())) {
             return;
         }
@@ -114,53 +114,54 @@
             if (purge.object().equals(object)
                     && version <= purge.version()
                     && sentMs > purge.ackedMs() + PURGE_DEADLINE_MS) {
-                breaks("STALE", object + " v" + version + " at " + proxy + ", purged at " + purge.ackedMs());
+                recordViolation("STALE", object + " v" + version + " at " + proxy + ", purged at " + purge.ackedMs());
             }
         }
         double[] replaced = replacedMs.get(object + '/' + version);
         if (replaced != null && sentMs > replaced[0] + TTL_MS + STALE_SLACK_MS) {
-            breaks("STALE", object + " v" + version + " at " + proxy + ", replaced at " + replaced[0]);
+            recordViolation("STALE", object + " v" + version + " at " + proxy + ", replaced at " + replaced[0]);
         }
     }
 
     /** A client has its last word on a request. */
-    void settled(double sentMs, boolean served) {
-        if (sentMs > calmFromMs) {
-            calmAsked.incrementAndGet();
-            calmServed.addAndGet(served ? 1 : 0);
+    void requestFinished(double sentMs, boolean served) {
+        if (sentMs > faultFreeFromMs) {
+            faultFreeRequests.incrementAndGet();
+            faultFreeServed.addAndGet(served ? 1 : 0);
         }
     }
 
     int served() {
-        return calmServed.get();
+        return faultFreeServed.get();
     }
 
     /** All rules that the run broke. */
-    List<String> broken(double originRate) {
-        List<String> all = new ArrayList<>(broken);
-        for (String attemptId : promised) {
-            if (arrived.contains(attemptId)) {
+    List<String> violations(double originRate) {
+        List<String> all = new ArrayList<>(violations);
+        for (String attemptId : refusedAttempts) {
+            if (arrivedAttempts.contains(attemptId)) {
                 all.add("REFUSED: " + attemptId + " was promised not to run and ran");
             }
         }
-        List<String> passedOn = lost.stream().filter(arrived::contains).toList();
-        if (passedOn.size() > LOST_SLACK) {
+        List<String> passedOn =
+                lostAttempts.stream().filter(arrivedAttempts::contains).toList();
+        if (passedOn.size() > ALLOWED_LOST_REQUESTS) {
             all.add("LOST: requests that were passed on ended without an answer at machines in touch: " + passedOn);
         }
-        ceiling(originRate, all);
-        if (calmAsked.get() > 0 && calmServed.get() < 0.9 * calmAsked.get()) {
-            all.add("RECOVER: " + calmServed + " of " + calmAsked + " served after the troubles");
+        checkRateCeiling(originRate, all);
+        if (faultFreeRequests.get() > 0 && faultFreeServed.get() < 0.9 * faultFreeRequests.get()) {
+            all.add("RECOVER: " + faultFreeServed + " of " + faultFreeRequests + " served after the troubles");
         }
         return all;
     }
 
-    private void ceiling(double originRate, List<String> all) {
+    private void checkRateCeiling(double originRate, List<String> all) {
         List<Double> times = new ArrayList<>(originArrivals);
         times.sort(Double::compare);
-        int most = (int) (originRate * OVERAGE * WINDOW_MS / 1_000) + CEILING_SLACK;
+        int most = (int) (originRate * RATE_OVERAGE * RATE_WINDOW_MS / 1_000) + ALLOWED_EXTRA_REQUESTS;
         for (int first = 0; first + most < times.size(); first++) {
             double lasted = times.get(first + most) - times.get(first);
-            if (lasted < WINDOW_MS && !anyFrozen(times.get(first), times.get(first + most))) {
+            if (lasted < RATE_WINDOW_MS && !anyFrozen(times.get(first), times.get(first + most))) {
                 all.add("CEILING: " + (most + 1) + " requests in " + lasted + " ms from " + times.get(first));
                 return;
             }
@@ -169,6 +170,6 @@
 
     /** What frozen machines sent doesn't count, and can't be told apart here. */
     private boolean anyFrozen(double fromMs, double toMs) {
-        return troubles.stream().anyMatch(trouble -> trouble.fromMs() <= toMs && trouble.toMs() + CONTACT_MS >= fromMs);
+        return faults.stream().anyMatch(trouble -> trouble.fromMs() <= toMs && trouble.toMs() + CONTACT_MS >= fromMs);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
@@ -12,7 +12,7 @@
 final class SoakClient implements Runnable {
 
     private static final int DEADLINE_MS = 3_000;
-    private static final int MOST_TRIES = 4;
+    private static final int MAX_ATTEMPTS = 4;
     private static final int OBJECTS = 60;
     private static final AtomicLong IDS = new AtomicLong();
 
@@ -44,36 +44,36 @@
             if (draw < 0.7) {
                 read();
             } else if (draw < 0.85) {
-                ask("GET", "/safe/" + random.nextInt(9), "", null);
+                request("GET", "/safe/" + random.nextInt(9), "", null);
             } else {
                 write();
             }
             java.util.concurrent.locks.LockSupport.parkNanos((long) (2e6 * random.nextDouble() * pauseMs));
         }
-        drop();
+        closeConnection();
     }
 
     private void read() {
         // A few objects are read most of the time.
         int object = (int) (OBJECTS * Math.pow(random.nextDouble(), 2));
-        ask("GET", "/read/" + object, "", null);
+        request("GET", "/read/" + object, "", null);
     }
 
     private void write() {
         String key = "k" + IDS.incrementAndGet();
-        boolean served = ask("POST", "/write/" + random.nextInt(9), "X-Operation-Key: " + key + "\r\n", key);
+        boolean served = request("POST", "/write/" + random.nextInt(9), "X-Operation-Key: " + key + "\r\n", key);
         if (served && random.nextInt(10) == 0) {
-            ask("POST", "/write/0", "X-Operation-Key: " + key + "\r\n", key);
+            request("POST", "/write/0", "X-Operation-Key: " + key + "\r\n", key);
         }
     }
 
-    private boolean ask(String method, String path, String headers, String key) {
+    private boolean request(String method, String path, String headers, String key) {
         double begunMs = audit.now();
         boolean served = false;
-        for (int attempt = 0; attempt < MOST_TRIES && !served && audit.now() - begunMs < DEADLINE_MS; attempt++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !served && audit.now() - begunMs < DEADLINE_MS; attempt++) {
             served = tryOnce(method, path, headers, key);
         }
-        audit.settled(begunMs, served);
+        audit.requestFinished(begunMs, served);
         return served;
     }
 
@@ -93,18 +93,18 @@
                     "");
             sent = true;
             SoakHttp.Message answer = connection.read();
-            judge(answer, attemptId, path, key, sentMs);
+            check(answer, attemptId, path, key, sentMs);
             if (answer.status() != 200) {
                 pause(answer);
-                drop();
+                closeConnection();
             }
             return answer.status() == 200;
         } catch (IOException failed) {
             boolean silence = failed instanceof java.net.SocketTimeoutException;
             if (sent && kept && !silence && proxy.processes().get(0).isAlive()) {
-                audit.unanswered(attemptId, proxy.name(), sentMs);
+                audit.recordLost(attemptId, proxy.name(), sentMs);
             }
-            drop();
+            closeConnection();
             return false;
         }
     }
@@ -115,10 +115,10 @@
         java.util.concurrent.locks.LockSupport.parkNanos((long) (seconds * 1e9));
     }
 
-    private void judge(SoakHttp.Message answer, String attemptId, String path, String key, double sentMs) {
-        audit.promised(attemptId, answer.status());
+    private void check(SoakHttp.Message answer, String attemptId, String path, String key, double sentMs) {
+        audit.recordStatus(attemptId, answer.status());
         if (answer.status() == 404 && audit.isInTouch(proxy.name(), sentMs, audit.now())) {
-            audit.breaks("DENIED", path + " at " + proxy.name());
+            audit.recordViolation("DENIED", path + " at " + proxy.name());
         }
         if (answer.status() != 200) {
             return;
@@ -128,21 +128,21 @@
         boolean own = attemptId.equals(answer.header("X-Attempt-Id")) && body.startsWith(path.substring(0, 6));
         boolean ofKey = key == null || body.split(" ")[1].equals(key);
         if (!sealed || !own || !ofKey) {
-            audit.breaks(
+            audit.recordViolation(
                     "MIXED", attemptId + " " + path + " got " + answer.head().replace("\r\n", " | "));
         }
         if (path.startsWith("/read/")) {
-            audit.read(path, Integer.parseInt(body.split(" ")[1]), proxy.name(), sentMs);
+            audit.recordRead(path, Integer.parseInt(body.split(" ")[1]), proxy.name(), sentMs);
         }
     }
 
     private void connect() throws IOException {
-        drop();
+        closeConnection();
         proxy = proxies.get(random.nextInt(proxies.size()));
         connection = new SoakHttp(proxy.host(), fleet.frontPort(), DEADLINE_MS + 1_000);
     }
 
-    private void drop() {
+    private void closeConnection() {
         if (connection != null) {
             connection.close();
             connection = null;
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakTroubles.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFaults.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** Draws troubles that overlap and carries them out. Everything that was stopped is started again by the end. */
-final class SoakTroubles {
+final class SoakFaults {
 
-    private static final double LONGEST_MS = 3_000;
-    private static final int PURGES = 20;
-    private static final int CHANGES = 6;
+    private static final double MAX_FAULT_MS = 3_000;
+    private static final int PURGES_PER_SERIES = 20;
+    private static final int CHANGES_PER_SERIES = 6;
 
     private final SoakFleet fleet;
     private final SoakAudit audit;
@@ -21,12 +21,12 @@
     private final List<SoakInstance> instances;
     private final Random random;
     private final ScheduledExecutorService timer;
-    private final List<String> told = new ArrayList<>();
+    private final List<String> planned = new ArrayList<>();
     private final AtomicLong lastEndMs = new AtomicLong();
     /** One core machine may be in trouble at once. */
-    private final AtomicInteger coreInTrouble = new AtomicInteger();
+    private final AtomicInteger coreFaults = new AtomicInteger();
 
-    SoakTroubles(
+    SoakFaults(
             SoakFleet fleet,
             SoakAudit audit,
             SoakOperator operator,
@@ -46,24 +46,24 @@
         double atMs = 0;
         for (int i = 0; i < count; i++) {
             atMs = random.nextInt(3) == 0 ? atMs : random.nextDouble() * spanMs;
-            double forMs = 300 + random.nextDouble() * (LONGEST_MS - 300);
-            draw(atMs, forMs);
+            double forMs = 300 + random.nextDouble() * (MAX_FAULT_MS - 300);
+            planFault(atMs, forMs);
         }
     }
 
-    List<String> told() {
-        return told;
+    List<String> planned() {
+        return planned;
     }
 
-    private void draw(double atMs, double forMs) {
+    private void planFault(double atMs, double forMs) {
         switch (random.nextInt(10)) {
             case 0 -> kill(machine(SoakFleet.Role.PROXY), atMs, forMs);
             case 1 -> kill(machine(SoakFleet.Role.CACHE), atMs, forMs);
             case 2 -> pause(machine(SoakFleet.Role.PROXY), atMs, forMs);
             case 3 -> pause(machine(SoakFleet.Role.CACHE), atMs, forMs);
             case 4 -> core(atMs, forMs);
-            case 5 -> roll(SoakFleet.Role.PROXY, atMs);
-            case 6 -> roll(SoakFleet.Role.CACHE, atMs);
+            case 5 -> rollingRestart(SoakFleet.Role.PROXY, atMs);
+            case 6 -> rollingRestart(SoakFleet.Role.CACHE, atMs);
             case 7 -> changes(atMs);
             case 8 -> purges(atMs);
             default -> instance(atMs, forMs);
@@ -80,33 +80,33 @@
         timer.schedule(task, (long) ms, TimeUnit.MILLISECONDS);
     }
 
-    private void tell(double atMs, String what) {
-        told.add(Math.round(atMs) + " ms " + what);
+    private void recordPlan(double atMs, String what) {
+        planned.add(Math.round(atMs) + " ms " + what);
     }
 
     private void kill(SoakFleet.Machine machine, double atMs, double forMs) {
-        tell(atMs, "kill " + machine.name() + " for " + Math.round(forMs) + " ms");
+        recordPlan(atMs, "kill " + machine.name() + " for " + Math.round(forMs) + " ms");
         at(atMs, () -> {
-            audit.trouble(machine.name(), audit.now(), audit.now() + forMs);
+            audit.recordFault(machine.name(), audit.now(), audit.now() + forMs);
             machine.processes().forEach(SoakProcess::kill);
         });
         at(atMs + forMs, () -> machine.processes().forEach(SoakProcess::start));
     }
 
     private void pause(SoakFleet.Machine machine, double atMs, double forMs) {
-        tell(atMs, "pause " + machine.name() + " for " + Math.round(forMs) + " ms");
+        recordPlan(atMs, "pause " + machine.name() + " for " + Math.round(forMs) + " ms");
         at(atMs, () -> {
-            audit.trouble(machine.name(), audit.now(), audit.now() + forMs);
+            audit.recordFault(machine.name(), audit.now(), audit.now() + forMs);
             machine.processes().forEach(SoakProcess::pause);
         });
         at(atMs + forMs, () -> {
-            audit.trouble(machine.name(), audit.now(), audit.now());
+            audit.recordFault(machine.name(), audit.now(), audit.now());
             machine.processes().forEach(SoakProcess::resume);
         });
     }
 
     private void core(double atMs, double forMs) {
-        if (coreInTrouble.getAndIncrement() > 0) {
+        if (coreFaults.getAndIncrement() > 0) {
             return;
         }
         if (random.nextBoolean()) {
@@ -120,14 +120,14 @@
     }
 
     /** Several machines are asked to end in turn, hung up on before, and started again once they are gone. */
-    private void roll(SoakFleet.Role role, double atMs) {
+    private void rollingRestart(SoakFleet.Role role, double atMs) {
         List<SoakFleet.Machine> all = fleet.machines(role);
         int first = random.nextInt(all.size());
         int count = Math.min(all.size() - 1, 1 + random.nextInt(2));
         for (int i = 0; i < count; i++) {
             SoakFleet.Machine machine = all.get((first + i) % all.size());
             double beginMs = atMs + 700 * i;
-            tell(beginMs, "hang up on and terminate " + machine.name());
+            recordPlan(beginMs, "hang up on and terminate " + machine.name());
             SoakProcess process = machine.processes().get(0);
             at(beginMs, process::hangUp);
             at(beginMs + 100, process::terminate);
@@ -145,16 +145,16 @@
     }
 
     private void changes(double atMs) {
-        tell(atMs, "series of changes");
-        for (int i = 0; i < CHANGES; i++) {
+        recordPlan(atMs, "series of changes");
+        for (int i = 0; i < CHANGES_PER_SERIES; i++) {
             boolean timeout = random.nextBoolean();
             at(atMs + 120 * i, () -> operator.change(timeout));
         }
     }
 
     private void purges(double atMs) {
-        tell(atMs, "series of purges");
-        for (int i = 0; i < PURGES; i++) {
+        recordPlan(atMs, "series of purges");
+        for (int i = 0; i < PURGES_PER_SERIES; i++) {
             int object = random.nextInt(20);
             at(atMs + 50 * i, () -> operator.purge(object));
         }
@@ -163,14 +163,14 @@
     private void instance(double atMs, double forMs) {
         SoakInstance instance = instances.get(random.nextInt(instances.size()));
         boolean cut = random.nextBoolean();
-        tell(atMs, (cut ? "cut off " : "answers lost by ") + instance.id() + " for " + Math.round(forMs) + " ms");
+        recordPlan(atMs, (cut ? "cut off " : "answers lost by ") + instance.id() + " for " + Math.round(forMs) + " ms");
         at(atMs, () -> {
             instance.cutOff(cut);
-            instance.loseAnswers(cut ? 0 : 0.2);
+            instance.loseResponses(cut ? 0 : 0.2);
         });
         at(atMs + forMs, () -> {
             instance.cutOff(false);
-            instance.loseAnswers(0);
+            instance.loseResponses(0);
         });
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
@@ -12,7 +12,7 @@
 /** The machines of a run, each with a loopback address of its own, and the processes on them. */
 final class SoakFleet {
 
-    private static final int PORTS = 10;
+    private static final int PORT_COUNT = 10;
     private static final int LOWEST_PORT = 12_000;
     private static final int HIGHEST_PORT = 30_000;
 
@@ -56,14 +56,14 @@
         while (true) {
             int first = random.nextInt(LOWEST_PORT, HIGHEST_PORT);
             int free = 0;
-            for (int port = first; port < first + PORTS; port++) {
+            for (int port = first; port < first + PORT_COUNT; port++) {
                 try (ServerSocket socket = new ServerSocket(port)) {
                     free += socket.getLocalPort() > 0 ? 1 : 0;
                 } catch (IOException taken) {
                     break;
                 }
             }
-            if (free == PORTS) {
+            if (free == PORT_COUNT) {
                 return first;
             }
         }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakHttp.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakHttp.java
@@ -13,7 +13,7 @@
 /** A plain HTTP/1.1 connection that says how far an exchange came when it fails. */
 final class SoakHttp implements AutoCloseable {
 
-    private static final int CONNECT_MS = 800;
+    private static final int CONNECT_TIMEOUT_MS = 800;
     private static final String HEAD_END = "\r\n\r\n";
 
     private final Socket socket = new Socket();
@@ -45,7 +45,7 @@
     SoakHttp(InetAddress host, int port, int timeoutMs) throws IOException {
         socket.setSoTimeout(timeoutMs);
         socket.setTcpNoDelay(true);
-        socket.connect(new InetSocketAddress(host, port), CONNECT_MS);
+        socket.connect(new InetSocketAddress(host, port), CONNECT_TIMEOUT_MS);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakInstance.java
@@ -23,8 +23,8 @@
     private final AtomicInteger open = new AtomicInteger();
     private final AtomicInteger overCap = new AtomicInteger();
     private final Map<String, AtomicInteger> versions;
-    private volatile double lostAnswers;
-    private volatile boolean silent;
+    private volatile double lostResponseRatio;
+    private volatile boolean cutOff;
 
     /** Listens at a free port. The versions are those of all instances of the service. */
     SoakInstance(String id, SoakAudit audit, long seed, int cap, Map<String, AtomicInteger> versions)
@@ -49,13 +49,13 @@
     }
 
     /** From now on this share of the answers is lost, after their requests ran. */
-    void loseAnswers(double share) {
-        lostAnswers = share;
+    void loseResponses(double share) {
+        lostResponseRatio = share;
     }
 
     /** It takes no new connections into work, as behind a cut, while this holds. */
     void cutOff(boolean cut) {
-        silent = cut;
+        cutOff = cut;
     }
 
     /** Connections that were reset as they were beyond the cap. */
@@ -97,7 +97,7 @@
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (SoakHttp.Message next = SoakHttp.read(in); next != null; next = SoakHttp.read(in)) {
-                if (silent || !answer(next, socket)) {
+                if (cutOff || !answer(next, socket)) {
                     return;
                 }
             }
@@ -112,10 +112,10 @@
         String path = request.first().split(" ")[1];
         String attemptId = request.header("X-Attempt-Id");
         if (!id.equals(request.header("X-Expected-Instance"))) {
-            audit.breaks("ROUTE", attemptId + " was not meant for " + id);
+            audit.recordViolation("ROUTE", attemptId + " was not meant for " + id);
         }
         String body = path.startsWith("/read/") ? object(path) : operation(attemptId, request, path);
-        if (random.nextDouble() < lostAnswers) {
+        if (random.nextDouble() < lostResponseRatio) {
             return false;
         }
         String head = "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + attemptId + "\r\nX-Response-Seal: " + body.hashCode()
@@ -136,7 +136,7 @@
     }
 
     private String operation(String attemptId, SoakHttp.Message request, String path) {
-        audit.ran(attemptId, path.startsWith("/write/") ? request.header("X-Operation-Key") : null);
+        audit.operationRan(attemptId, path.startsWith("/write/") ? request.header("X-Operation-Key") : null);
         return path + ' ' + request.header("X-Operation-Key") + ' ' + attemptId;
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
@@ -12,8 +12,8 @@
 /** Sends the configuration, changes, purges and heartbeats, each again until it is acknowledged, to any core machine. */
 final class SoakOperator {
 
-    private static final long AGAIN_MS = 150;
-    private static final int MOST_TRIES = 60;
+    private static final long RETRY_DELAY_MS = 150;
+    private static final int MAX_ATTEMPTS = 60;
 
     private final SoakFleet fleet;
     private final SoakAudit audit;
@@ -43,16 +43,18 @@
     }
 
     /** Sends an order until it is acknowledged, then runs the task; a refusal of a proper order is a break. */
-    private void order(String method, String path, String body, Runnable acknowledgedTask, int tries) {
+    private void callUntilAcknowledged(String method, String path, String body, Runnable acknowledgedTask, int tries) {
         timer.execute(() -> {
             int status = call(method, path, body);
             if (status == 200) {
                 acknowledgedTask.run();
             } else if (status >= 400 && status < 500 && status != 408 && status != 429) {
-                audit.breaks("CONFIG", "a proper order was refused with " + status + ": " + body);
-            } else if (tries < MOST_TRIES) {
+                audit.recordViolation("CONFIG", "a proper order was refused with " + status + ": " + body);
+            } else if (tries < MAX_ATTEMPTS) {
                 timer.schedule(
-                        () -> order(method, path, body, acknowledgedTask, tries + 1), AGAIN_MS, TimeUnit.MILLISECONDS);
+                        () -> callUntilAcknowledged(method, path, body, acknowledgedTask, tries + 1),
+                        RETRY_DELAY_MS,
+                        TimeUnit.MILLISECONDS);
             }
         });
     }
@@ -79,7 +81,7 @@
                 + service.formatted("orders", 400, "")
                 + "},\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeout\":\"3000ms\","
                 + "\"idleTimeout\":\"15000ms\",\"version\":1}},\"remove\":{\"routeTable\":[]}}";
-        order("PATCH", "/ridgemill/configuration", body, done, 0);
+        callUntilAcknowledged("PATCH", "/ridgemill/configuration", body, done, 0);
     }
 
     /** Changes a route: of no traffic, or the timeout of the reads. */
@@ -90,7 +92,8 @@
                 ? route(name, "/read/", "cacheable", "objects", 2_500 + version, version)
                 : route(name, "/idle/", "idempotent", "orders", 3_000, version);
         String body = "{\"upsert\":{\"routeTable\":{" + route + "}},\"remove\":{\"routeTable\":[]}}";
-        order("PATCH", "/ridgemill/configuration", body, () -> acknowledged.merge(name, version, Math::max), 0);
+        callUntilAcknowledged(
+                "PATCH", "/ridgemill/configuration", body, () -> acknowledged.merge(name, version, Math::max), 0);
     }
 
     /** Puts the next version of an object in place and purges the one before. */
@@ -100,7 +103,7 @@
         int replaced = version.getAndIncrement();
         audit.replaced(path, replaced);
         String body = "{\"hostname\":\"h.example\",\"path\":\"" + path + "\"}";
-        order("POST", "/ridgemill/purges", body, () -> audit.purgeAcknowledged(path, replaced), 0);
+        callUntilAcknowledged("POST", "/ridgemill/purges", body, () -> audit.purgeAcknowledged(path, replaced), 0);
     }
 
     /** Tells of an instance. */
@@ -122,7 +125,7 @@
                             "\"" + name + "\":\\{[^}]*\"version\":(\\d+)")
                     .matcher(items);
             if (!held.find() || Long.parseLong(held.group(1)) < version) {
-                audit.breaks("CONFIG", name + " was acknowledged with version " + version + ": " + items);
+                audit.recordViolation("CONFIG", name + " was acknowledged with version " + version + ": " + items);
             }
         });
         return true;
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
@@ -23,7 +23,7 @@
             "-Dio.netty.allocator.numHeapArenas=1",
             "-Dio.netty.allocator.numDirectArenas=1",
             "-Dio.netty.allocator.maxOrder=5");
-    private static final long END_SECONDS = 10;
+    private static final long STOP_TIMEOUT_SECONDS = 10;
 
     private final String program;
     private final Path settings;
@@ -77,7 +77,7 @@
 
     private void await() {
         try {
-            process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
         }
@@ -111,7 +111,7 @@
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                     .start()
-                    .waitFor(END_SECONDS, TimeUnit.SECONDS);
+                    .waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (IOException failed) {
             throw new java.io.UncheckedIOException(failed);
         } catch (InterruptedException ended) {
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
@@ -14,9 +14,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {7, 21})
-    void noRuleBreaksUnderTroublesThatOverlap(long seed) throws Exception {
-        Soak.Result result = new Soak(seed, PROXIES, CLIENTS, SPAN_MS).play();
-        assertThat(result.broken()).as("%s", result).isEmpty();
+    void noRuleIsViolatedUnderOverlappingFaults(long seed) throws Exception {
+        Soak.Result result = new Soak(seed, PROXIES, CLIENTS, SPAN_MS).run();
+        assertThat(result.violations()).as("%s", result).isEmpty();
         assertThat(result.served()).as("served after the troubles").isPositive();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/store/TroubledDisk.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/FaultyDisk.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.Semaphore;
 
 /** Opens files of a disk that refuses or hangs when it is told to. */
-final class TroubledDisk implements DiskFile.Opener {
+final class FaultyDisk implements DiskFile.Opener {
 
     private final Semaphore working = new Semaphore(1);
-    private volatile boolean refusesWrites;
-    private volatile boolean refusesSyncs;
+    private volatile boolean failWrites;
+    private volatile boolean failSyncs;
 
-    void refuse(boolean writes, boolean syncs) {
-        refusesWrites = writes;
-        refusesSyncs = syncs;
+    void setFailing(boolean writes, boolean syncs) {
+        failWrites = writes;
+        failSyncs = syncs;
     }
 
     void hang() {
         working.acquireUninterruptibly();
     }
 
-    void goOn() {
+    void resume() {
         working.release();
     }
 
@@ -41,7 +41,7 @@
 
             @Override
             public void write(ByteBuffer bytes, long position) throws IOException {
-                if (refusesWrites) {
+                if (failWrites) {
                     bytes.limit(bytes.position() + bytes.remaining() / 2);
                     file.write(bytes, position);
                     throw new IOException("No space left on device");
@@ -58,7 +58,7 @@
             public void force() throws IOException {
                 working.acquireUninterruptibly();
                 working.release();
-                if (refusesSyncs) {
+                if (failSyncs) {
                     throw new IOException("Input/output error");
                 }
                 file.force();
--- a/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
@@ -36,7 +36,7 @@
     private final Map<String, byte[]> written = new HashMap<>();
 
     @Test
-    void allThatWasWrittenSurvivesALossOfPower() throws Exception {
+    void acknowledgedWritesSurviveAPowerLoss() throws Exception {
         Random random = new Random(7);
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
@@ -48,7 +48,7 @@
             Map<String, byte[]> later = PowerLoss.contents(folder.resolve("live"));
             for (int image = 0; image < 3; image++) {
                 Path lost = folder.resolve("lost-" + commit + "-" + image);
-                PowerLoss.write(synced, later, random, lost);
+                PowerLoss.writeImage(synced, later, random, lost);
                 check(lost, acknowledged);
             }
             synced = later;
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aJournalThatHasGrownBeginsAnewAndLosesNothing() throws IOException {
+    void aLargeJournalIsRewrittenWithoutLoss() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
@@ -101,19 +101,19 @@
     }
 
     @Test
-    void anOlderGenerationThatComesBackIsNotTaken() throws IOException {
+    void anOlderGenerationThatReappearsIsIgnored() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
         disk.write(DiskBatch.ofDiskId("a"));
         disk.close();
         byte[] old = PowerLoss.contents(live).get("journal-1");
-        TroubledDisk trouble = new TroubledDisk();
+        FaultyDisk trouble = new FaultyDisk();
         JournalDisk again = new JournalDisk(live, trouble);
         again.open();
-        trouble.refuse(true, false);
+        trouble.setFailing(true, false);
         assertThatThrownBy(() -> again.write(DiskBatch.ofDiskId("b"))).isInstanceOf(IOException.class);
-        trouble.refuse(false, false);
+        trouble.setFailing(false, false);
         again.write(DiskBatch.ofDiskId("b"));
         again.close();
         Files.write(live.resolve("journal-1"), old);
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aNewGenerationThatIsTornIsPassedOverForTheOneBefore() throws IOException {
+    void aTornNewGenerationIsIgnoredInFavorOfThePreviousOne() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aFolderWithoutAWholeJournalIsToldAndNotTakenForEmpty() throws IOException {
+    void aFolderWithoutAnIntactJournalIsReportedAsCorrupt() throws IOException {
         Path live = folder.resolve("live");
         Files.createDirectories(live);
         Files.write(live.resolve("journal-7"), new byte[100]);
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void whatWasPromisedAndAcceptedIsReadAsItWasWrittenLast() throws IOException {
+    void theLatestAcceptorRecordIsRestored() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
         StateId first = new StateId(new Ballot(3, "p"), 1);
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aWholeStateTakesThePlaceOfAllItems() throws IOException {
+    void aReplacingStateRemovesAllEarlierItems() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
         StateId first = new StateId(new Ballot(3, "p"), 1);
--- a/cdn/src/test/java/ridgemill/cdn/store/PowerLoss.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/PowerLoss.java
@@ -15,7 +15,7 @@
  */
 final class PowerLoss {
 
-    private static final int SECTOR = 512;
+    private static final int SECTOR_BYTES = 512;
 
     private PowerLoss() {}
 
@@ -31,14 +31,14 @@
     }
 
     /** Writes an image of a folder that was synced at one moment and lost power at a later one. */
-    static void write(Map<String, byte[]> synced, Map<String, byte[]> later, Random random, Path folder)
+    static void writeImage(Map<String, byte[]> synced, Map<String, byte[]> later, Random random, Path folder)
             throws IOException {
         Files.createDirectories(folder);
         for (Map.Entry<String, byte[]> file : later.entrySet()) {
             byte[] before = synced.get(file.getKey());
             if (before != null || random.nextInt(3) > 0) {
                 byte[] old = before == null ? new byte[0] : before;
-                Files.write(folder.resolve(file.getKey()), torn(old, file.getValue(), random));
+                Files.write(folder.resolve(file.getKey()), tearFile(old, file.getValue(), random));
             }
         }
         for (Map.Entry<String, byte[]> file : synced.entrySet()) {
@@ -48,7 +48,7 @@
         }
     }
 
-    private static byte[] torn(byte[] before, byte[] after, Random random) {
+    private static byte[] tearFile(byte[] before, byte[] after, Random random) {
         int length = switch (random.nextInt(3)) {
             case 0 -> after.length;
             case 1 -> before.length;
@@ -59,14 +59,14 @@
         int kept = Math.min(Arrays.mismatch(before, after) < 0 ? length : Arrays.mismatch(before, after), length);
         int start = kept;
         while (start < length) {
-            int end = Math.min(length, (start / SECTOR + 1) * SECTOR);
-            tear(image, before, start, end, random);
+            int end = Math.min(length, (start / SECTOR_BYTES + 1) * SECTOR_BYTES);
+            tearSector(image, before, start, end, random);
             start = end;
         }
         return image;
     }
 
-    private static void tear(byte[] image, byte[] before, int start, int end, Random random) {
+    private static void tearSector(byte[] image, byte[] before, int start, int end, Random random) {
         switch (random.nextInt(6)) {
             case 0 -> Arrays.fill(image, start, end, (byte) 0);
             case 1 -> {
--- a/cdn/src/test/java/ridgemill/cdn/store/StoreCluster.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/StoreCluster.java
@@ -20,11 +20,11 @@
 import java.util.function.LongFunction;
 import ridgemill.cdn.settings.Bounds;
 import ridgemill.cdn.settings.Settings;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
@@ -41,7 +41,7 @@
     private final int port;
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, SocketKind.NIO.handlers());
     private final StoreProgram[] programs = new StoreProgram[HOSTS.size()];
-    private final List<HeldLink> links = new ArrayList<>();
+    private final List<ReconnectingLink> links = new ArrayList<>();
 
     StoreCluster(Path folder) throws IOException {
         this.folder = folder;
@@ -133,7 +133,7 @@
         LinkMessages.Hello hello =
                 new LinkMessages.Hello(LinkMessages.Hello.PROTOCOL, "test", "test", "127.0.0.1", "life");
         InetSocketAddress address = new InetSocketAddress(HOSTS.get(index), port);
-        caller.link = new HeldLink(loop, SocketKind.NIO, address, hello, caller);
+        caller.link = new ReconnectingLink(loop, SocketKind.NIO, address, hello, caller);
         links.add(caller.link);
         loop.execute(caller.link::start);
         caller.opened.orTimeout(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS).join();
@@ -142,7 +142,7 @@
 
     @Override
     public void close() {
-        links.forEach(HeldLink::close);
+        links.forEach(ReconnectingLink::close);
         for (StoreProgram program : programs) {
             if (program != null) {
                 program.stop();
@@ -157,13 +157,13 @@
         private final EventLoop loop;
         private final CompletableFuture<Void> opened = new CompletableFuture<>();
         private final BlockingQueue<Message> received = new LinkedBlockingQueue<>();
-        private HeldLink link;
+        private ReconnectingLink link;
 
         private Caller(EventLoop loop) {
             this.loop = loop;
         }
 
-        <R extends Message.Reply> CompletableFuture<R> begin(
+        <R extends Message.Reply> CompletableFuture<R> startCall(
                 LongFunction<? extends Message.Call> message, Class<R> type) {
             CompletableFuture<R> answer = new CompletableFuture<>();
             loop.execute(() -> link.call(message, CALL_TIMEOUT_MS, reply -> complete(answer, type, reply)));
@@ -179,7 +179,7 @@
         }
 
         <R extends Message.Reply> R call(LongFunction<? extends Message.Call> message, Class<R> type) {
-            return begin(message, type).join();
+            return startCall(message, type).join();
         }
 
         void send(Message message) {
--- a/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
@@ -26,8 +26,8 @@
 final class StoreProgramTest {
 
     private static final long BUDGET_MS = 900;
-    private static final long MOST_EPOCHS = 20;
-    private static final int MOST_ATTEMPTS = 2_000;
+    private static final long MAX_EPOCHS = 20;
+    private static final int MAX_ATTEMPTS = 2_000;
     private static final byte[] ANSWER = "answer".getBytes(StandardCharsets.UTF_8);
 
     @TempDir
@@ -47,9 +47,9 @@
     }
 
     @Test
-    void itemsOutliveARestart() {
+    void itemsSurviveARestart() {
         Item item = item("r1", 3);
-        order(cluster.caller(0), item);
+        changeUntilConfirmed(cluster.caller(0), item);
         for (int i = 0; i < StoreCluster.HOSTS.size(); i++) {
             cluster.stop(i);
         }
@@ -67,36 +67,36 @@
         assertThat(snapshot.voters().addresses()).isEqualTo(StoreCluster.HOSTS);
         assertThat(snapshot.store().address()).isEqualTo(StoreCluster.HOSTS.get(1));
         Item item = item("r1", 1);
-        order(cluster.caller(0), item);
-        StoreMessages.News news = subscriber.take(StoreMessages.News.class);
+        changeUntilConfirmed(cluster.caller(0), item);
+        StoreMessages.Update news = subscriber.take(StoreMessages.Update.class);
         assertThat(news.number()).isEqualTo(snapshot.number() + 1);
         assertThat(news.items()).containsExactly(item);
         assertThat(news.voters()).isEqualTo(snapshot.voters());
     }
 
     @Test
-    void aSubscriberThatComesBackMissesNoPurgeAndSeesNoneTwice() throws Exception {
+    void aReconnectingSubscriberGetsEachPurgeExactlyOnce() throws Exception {
         StoreCluster.Caller first = cluster.caller(0);
         first.send(new StoreMessages.Subscribe("", 0));
         StoreMessages.Snapshot before = first.take(StoreMessages.Snapshot.class);
-        String life = before.lifeId();
+        String life = before.incarnationId();
         long number = before.number();
         Purge purge = Purge.ofTag("p1", "tag");
         purge(first, purge);
         purge(first, purge);
         purge(first, Purge.ofTag("p2", "tag"));
-        assertThat(first.take(StoreMessages.News.class).purges()).containsExactly(purge);
-        assertThat(first.take(StoreMessages.News.class).number()).isEqualTo(number + 2);
+        assertThat(first.take(StoreMessages.Update.class).purges()).containsExactly(purge);
+        assertThat(first.take(StoreMessages.Update.class).number()).isEqualTo(number + 2);
         StoreCluster.Caller again = cluster.caller(0);
         again.send(new StoreMessages.Subscribe(life, number + 1));
-        assertThat(again.take(StoreMessages.News.class).purges()).containsExactly(Purge.ofTag("p2", "tag"));
+        assertThat(again.take(StoreMessages.Update.class).purges()).containsExactly(Purge.ofTag("p2", "tag"));
         StoreCluster.Caller otherLife = cluster.caller(0);
         otherLife.send(new StoreMessages.Subscribe("other", 1));
         assertThat(otherLife.take(StoreMessages.Snapshot.class).number()).isEqualTo(number + 2);
     }
 
     @Test
-    void aKeyIsHeldThenFinishedAndStaysSoAfterARestart() {
+    void aFinishedKeyStaysFinishedAfterARestart() {
         StoreCluster.Caller caller = cluster.caller(0);
         assertThat(awaitVote(caller, "c1").claimId()).isEqualTo("c1");
         assertThat(claim(caller, "c2").claimId()).isEqualTo("c1");
@@ -111,9 +111,9 @@
     }
 
     @Test
-    void aWipedVoterVotesAgainAsAnotherDiskOnceItHoldsAll() throws Exception {
+    void aWipedVoterVotesUnderANewDiskIdOnceItHoldsAllData() throws Exception {
         Item item = item("r1", 1);
-        order(cluster.caller(0), item);
+        changeUntilConfirmed(cluster.caller(0), item);
         claim(cluster.caller(0), "c1");
         finish(cluster.caller(1), "c1");
         VoterSet before = voters(cluster.caller(1));
@@ -128,10 +128,10 @@
                 .isNotEqualTo(ChangeResult.Outcome.CONFIRMED);
         cluster.start(2, false);
         StoreCluster.Caller other = cluster.caller(1);
-        other.send(new StoreMessages.FollowVoters());
-        VoterSet after = other.take(StoreMessages.VotersNow.class).voters();
+        other.send(new StoreMessages.WatchVoters());
+        VoterSet after = other.take(StoreMessages.CurrentVoters.class).voters();
         while (after.isJoint() || after.equals(before)) {
-            after = other.take(StoreMessages.VotersNow.class).voters();
+            after = other.take(StoreMessages.CurrentVoters.class).voters();
         }
         assertThat(after.addresses()).containsExactlyInAnyOrderElementsOf(StoreCluster.HOSTS);
         assertThat(after.voters()).isNotEqualTo(before.voters());
@@ -142,32 +142,32 @@
     }
 
     @Test
-    void ofTwoContentsUnderOneVersionOneIsConfirmedAndTheSameOrderAgainIsToo() {
+    void conflictingContentOfAVersionIsRejectedAndARepeatedChangeIsConfirmed() {
         StoreCluster.Caller here = cluster.caller(0);
         StoreCluster.Caller there = cluster.caller(1);
         Item one = new Item(new ItemName(ItemKind.SERVICE, "s"), 4, "{\"version\":4,\"a\":1}");
         Item other = new Item(new ItemName(ItemKind.SERVICE, "s"), 4, "{\"version\":4,\"a\":2}");
-        order(here, one);
-        assertThat(settled(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
-        assertThat(settled(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        order(here, new Item(one.name(), 9, "{\"version\":9}"));
-        assertThat(settled(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
-        assertThat(settled(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        changeUntilConfirmed(here, one);
+        assertThat(changeUntilClear(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
+        assertThat(changeUntilClear(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        changeUntilConfirmed(here, new Item(one.name(), 9, "{\"version\":9}"));
+        assertThat(changeUntilClear(there, one).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+        assertThat(changeUntilClear(there, other).outcome()).isEqualTo(ChangeResult.Outcome.CONFLICT);
     }
 
     @ParameterizedTest
     @CsvSource({"true,false", "false,true"})
-    void aDiskThatRefusesIsSaidSoAndIsUsedAgainLater(boolean writes, boolean syncs) {
-        TroubledDisk trouble = new TroubledDisk();
+    void aFailingDiskIsReportedAndUsedAgainOnceItWorks(boolean writes, boolean syncs) {
+        FaultyDisk trouble = new FaultyDisk();
         restartOn(trouble);
         StoreCluster.Caller caller = cluster.caller(0);
         Item item = item("r1", 1);
         awaitVote(caller, "c1");
-        trouble.refuse(writes, syncs);
+        trouble.setFailing(writes, syncs);
         assertThat(finish(caller, "c1").durable()).isFalse();
         assertThat(claim(caller, "c2").state()).isEqualTo(KeyState.FINISHED);
-        order(cluster.caller(1), item);
-        trouble.refuse(false, false);
+        changeUntilConfirmed(cluster.caller(1), item);
+        trouble.setFailing(false, false);
         while (!finish(caller, "c1").durable()) {
             continue;
         }
@@ -179,8 +179,8 @@
     }
 
     @Test
-    void aDiskThatHangsHoldsUpItsOwnVotesOnly() throws Exception {
-        TroubledDisk trouble = new TroubledDisk();
+    void aHangingDiskDelaysOnlyVotesThatNeedIt() throws Exception {
+        FaultyDisk trouble = new FaultyDisk();
         restartOn(trouble);
         StoreCluster.Caller caller = cluster.caller(0);
         caller.send(new StoreMessages.Subscribe("", 0));
@@ -188,18 +188,18 @@
         awaitVote(caller, "c0");
         trouble.hang();
         long epoch = voters(cluster.caller(0)).epoch();
-        var granted =
-                caller.begin(id -> new StoreMessages.ClaimKey(id, epoch, "other", "c1"), StoreMessages.KeyStatus.class);
-        order(cluster.caller(1), item("r1", 1));
-        StoreMessages.News news = caller.take(StoreMessages.News.class);
+        var granted = caller.startCall(
+                id -> new StoreMessages.ClaimKey(id, epoch, "other", "c1"), StoreMessages.KeyStatus.class);
+        changeUntilConfirmed(cluster.caller(1), item("r1", 1));
+        StoreMessages.Update news = caller.take(StoreMessages.Update.class);
         assertThat(news.items()).as("decided by the others").containsExactly(item("r1", 1));
         assertThat(claim(caller, "c2").claimId()).as("a claim that is denied").isEqualTo("c0");
         assertThat(granted).isNotDone();
-        trouble.goOn();
+        trouble.resume();
         assertThat(granted.join().claimId()).isEqualTo("c1");
     }
 
-    private void restartOn(TroubledDisk trouble) {
+    private void restartOn(FaultyDisk trouble) {
         cluster.stop(0);
         cluster.start(0, false, new JournalDisk(cluster.folderOf(0).resolve("store"), trouble));
     }
@@ -209,15 +209,15 @@
     }
 
     /** Orders an item until it is confirmed, as an operator does that gets no clear answer. */
-    private void order(StoreCluster.Caller caller, Item item) {
-        assertThat(settled(caller, item).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
+    private void changeUntilConfirmed(StoreCluster.Caller caller, Item item) {
+        assertThat(changeUntilClear(caller, item).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
     }
 
     /** Goes on to the store that leads, or to another one, as a registry does. */
-    private ChangeResult settled(StoreCluster.Caller caller, Item item) {
+    private ChangeResult changeUntilClear(StoreCluster.Caller caller, Item item) {
         StoreCluster.Caller asked = caller;
         ChangeResult result = change(asked, false, item);
-        for (int i = 0; i < MOST_ATTEMPTS && !isClear(result); i++) {
+        for (int i = 0; i < MAX_ATTEMPTS && !isClear(result); i++) {
             boolean hint =
                     result.outcome() == ChangeResult.Outcome.NOT_LEADER && StoreCluster.HOSTS.contains(result.detail());
             asked = hint ? cluster.caller(StoreCluster.HOSTS.indexOf(result.detail())) : caller;
@@ -239,13 +239,13 @@
 
     private List<Item> read(StoreCluster.Caller caller) {
         StoreCluster.Caller asked = caller;
-        for (int i = 0; i < MOST_ATTEMPTS; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             StoreMessages.ItemsRead read =
                     asked.call(id -> new StoreMessages.ReadItems(id, true, BUDGET_MS), StoreMessages.ItemsRead.class);
             if (read.outcome() == ChangeResult.Outcome.CONFIRMED) {
                 return read.items();
             }
-            int leader = StoreCluster.HOSTS.indexOf(read.leader());
+            int leader = StoreCluster.HOSTS.indexOf(read.leaderAddress());
             asked = leader < 0 ? caller : cluster.caller(leader);
         }
         throw new AssertionError("no read was confirmed");
@@ -253,12 +253,12 @@
 
     /** The voters that a store knows to be decided. */
     private static VoterSet voters(StoreCluster.Caller caller) throws InterruptedException {
-        caller.send(new StoreMessages.FollowVoters());
-        return caller.take(StoreMessages.VotersNow.class).voters();
+        caller.send(new StoreMessages.WatchVoters());
+        return caller.take(StoreMessages.CurrentVoters.class).voters();
     }
 
     private static void purge(StoreCluster.Caller caller, Purge purge) {
-        caller.call(id -> new StoreMessages.WritePurge(id, 1, purge), StoreMessages.Written.class);
+        caller.call(id -> new StoreMessages.WritePurge(id, 1, purge), StoreMessages.WriteResult.class);
     }
 
     private static StoreMessages.KeyStatus awaitVote(StoreCluster.Caller caller, String claimId) {
@@ -272,7 +272,7 @@
     /** Claims in each epoch in turn until the store is in it, or in none of them. */
     private static StoreMessages.KeyStatus claim(StoreCluster.Caller caller, String claimId) {
         StoreMessages.KeyStatus status = null;
-        for (long epoch = 1; epoch < MOST_EPOCHS; epoch++) {
+        for (long epoch = 1; epoch < MAX_EPOCHS; epoch++) {
             long claimed = epoch;
             status = caller.call(
                     id -> new StoreMessages.ClaimKey(id, claimed, "key", claimId), StoreMessages.KeyStatus.class);
@@ -283,7 +283,8 @@
         return status;
     }
 
-    private static StoreMessages.Written finish(StoreCluster.Caller caller, String claimId) {
-        return caller.call(id -> new StoreMessages.FinishKey(id, "key", claimId, ANSWER), StoreMessages.Written.class);
+    private static StoreMessages.WriteResult finish(StoreCluster.Caller caller, String claimId) {
+        return caller.call(
+                id -> new StoreMessages.FinishKey(id, "key", claimId, ANSWER), StoreMessages.WriteResult.class);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
@@ -45,9 +45,9 @@
     private static final Voter VOTER = new Voter("10.0.0.1", "d1");
     private static final VoterSet VOTERS = new VoterSet(7, List.of(VOTER), List.of(new Voter("10.0.0.2", "d2")));
     private static final Ballot BALLOT = new Ballot(5, "life");
-    private static final StateId STAMP = new StateId(BALLOT, 12);
+    private static final StateId STATE_ID = new StateId(BALLOT, 12);
     private static final VersionedItem ENTRY = new VersionedItem(ITEMS.get(0), List.of(new PastVersion(3, -9)));
-    private static final StateDelta STEP = new StateDelta(STAMP, STAMP.next(BALLOT), VOTERS, List.of(ENTRY));
+    private static final StateDelta DELTA = new StateDelta(STATE_ID, STATE_ID.next(BALLOT), VOTERS, List.of(ENTRY));
 
     private static Message agreement(AgreementMessage content) {
         return new StoreMessages.Agreement(content);
@@ -60,54 +60,54 @@
                 new LinkMessages.Pong(),
                 new StoreMessages.Subscribe("life", 3),
                 new StoreMessages.Snapshot("life", 4, VOTER, VOTERS, ITEMS),
-                new StoreMessages.News(5, VOTERS, ITEMS, List.of(PURGE, Purge.ofTag("q", "t"))),
-                new StoreMessages.NewsAcknowledged(5),
-                new StoreMessages.FollowVoters(),
-                new StoreMessages.VotersNow(VOTERS),
+                new StoreMessages.Update(5, VOTERS, ITEMS, List.of(PURGE, Purge.ofTag("q", "t"))),
+                new StoreMessages.UpdateAcknowledged(5),
+                new StoreMessages.WatchVoters(),
+                new StoreMessages.CurrentVoters(VOTERS),
                 new StoreMessages.ChangeItems(1, true, 900, ITEMS),
                 new StoreMessages.ItemsChanged(1, new ChangeResult(ChangeResult.Outcome.CONFLICT, "r")),
-                new StoreMessages.Written(1, VOTER, true),
+                new StoreMessages.WriteResult(1, VOTER, true),
                 new StoreMessages.ReadItems(2, false, 800),
                 new StoreMessages.ItemsRead(2, ChangeResult.Outcome.CONFIRMED, "", ITEMS),
                 new StoreMessages.WritePurge(3, 7, PURGE),
                 new StoreMessages.ClaimKey(4, 7, "k", "c"),
                 new StoreMessages.PullKeys(7, "k"),
                 agreement(new AgreementMessage.Status(
-                        VOTER, "z", true, false, true, BALLOT, STAMP, StateId.NONE, VOTERS, 3, HOSTS)),
+                        VOTER, "z", true, false, true, BALLOT, STATE_ID, StateId.NONE, VOTERS, 3, HOSTS)),
                 agreement(new AgreementMessage.Prepare(VOTER, BALLOT)),
-                agreement(new AgreementMessage.Promise(VOTER, BALLOT, STAMP, VOTERS)),
-                agreement(new AgreementMessage.Accept(VOTER, STEP)),
-                agreement(new AgreementMessage.Accepted(VOTER, STAMP)),
+                agreement(new AgreementMessage.Promise(VOTER, BALLOT, STATE_ID, VOTERS)),
+                agreement(new AgreementMessage.Accept(VOTER, DELTA)),
+                agreement(new AgreementMessage.Accepted(VOTER, STATE_ID)),
                 agreement(new AgreementMessage.Refused(VOTER, BALLOT, Ballot.NONE)),
                 agreement(new AgreementMessage.Confirm(VOTER, BALLOT, 8)),
                 agreement(new AgreementMessage.Confirmed(VOTER, BALLOT, 8)),
-                agreement(new AgreementMessage.Pull(VOTER, "life-1", STAMP, 0)),
-                agreement(new AgreementMessage.Difference(VOTER, "life-1", STAMP, List.of(STEP))),
+                agreement(new AgreementMessage.Pull(VOTER, "life-1", STATE_ID, 0)),
+                agreement(new AgreementMessage.Difference(VOTER, "life-1", STATE_ID, List.of(DELTA))),
                 agreement(new AgreementMessage.Page(
-                        VOTER, "life-1", STAMP, 0, 2, STAMP, VOTERS, List.of(ENTRY), -12345678901L)),
+                        VOTER, "life-1", STATE_ID, 0, 2, STATE_ID, VOTERS, List.of(ENTRY), -12345678901L)),
                 new RegistryMessages.Subscribe("life", 1),
                 new RegistryMessages.Snapshot(
                         "life", 1, new RegistryMessages.Overview(true, HOSTS, VOTERS, FLEET, INSTANCES, List.of("i"))),
-                new RegistryMessages.News(
+                new RegistryMessages.Update(
                         2,
                         new RegistryMessages.Overview(
                                 false, HOSTS, VoterSet.UNKNOWN, Fleet.ALONE, INSTANCES, List.of())),
-                new RegistryMessages.NewsAcknowledged(2),
-                new RegistryMessages.OfferCache(CACHE),
+                new RegistryMessages.UpdateAcknowledged(2),
+                new RegistryMessages.AnnounceCache(CACHE),
                 new RegistryMessages.PeerUpdate(5, HOSTS, VOTERS, List.of("edge-1"), INSTANCES),
-                new RegistryMessages.PeerUpdateTaken(5),
-                new RegistryMessages.PeerBeats(List.of(new RegistryMessages.Beat("i", 12))));
+                new RegistryMessages.PeerUpdateMerged(5),
+                new RegistryMessages.PeerHeartbeats(List.of(new RegistryMessages.Heartbeat("i", 12))));
     }
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageIsReadAsItWasWritten(Message message) throws IOException {
+    void messagesRoundTrip(Message message) throws IOException {
         assertThat(MessageCodec.decode(MessageCodec.encode(message))).isEqualTo(message);
     }
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aSpoiltByteIsAnErrorOrAnotherMessageAndNothingElse(Message message) throws IOException {
+    void aCorruptByteYieldsAnIoExceptionOrAnotherMessage(Message message) throws IOException {
         byte[] whole = MessageCodec.encode(message);
         for (int at = 0; at < whole.length; at++) {
             for (int flip = 1; flip < 256; flip <<= 1) {
@@ -124,7 +124,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void aMessageThatEndsEarlyOrGoesOnIsRefused(Message message) throws IOException {
+    void truncatedAndOverlongMessagesAreRejected(Message message) throws IOException {
         byte[] whole = MessageCodec.encode(message);
         byte[] longer = java.util.Arrays.copyOf(whole, whole.length + 1);
         assertThatThrownBy(() -> MessageCodec.decode(longer)).isInstanceOf(IOException.class);
@@ -135,7 +135,7 @@
     }
 
     @org.junit.jupiter.api.Test
-    void bytesInRecordsAreCarriedToo() throws IOException {
+    void keyRecordsKeepTheirBytes() throws IOException {
         KeyRecord record = new KeyRecord("k", KeyState.FINISHED, "c", new byte[] {1, 2, 3}, 99);
         StoreMessages.KeysPage page = new StoreMessages.KeysPage(1, VOTER, 7, List.of(record), false);
         StoreMessages.KeysPage read = (StoreMessages.KeysPage) MessageCodec.decode(MessageCodec.encode(page));
