--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -51,7 +51,7 @@
 import ridgemill.gateway.net.LoopTimers;
 import ridgemill.gateway.net.SocketKind;
 import ridgemill.gateway.net.Transport;
-import ridgemill.gateway.succession.ServingMark;
+import ridgemill.gateway.succession.ServingProcessFile;
 import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.monitoring.ProxyMetrics;
 import ridgemill.monitoring.Readiness;
@@ -515,14 +515,14 @@
 
     /** Whether another process of this proxy serves at its address. */
     private static boolean anotherServes(Config config, InetSocketAddress address) {
-        return config.console() != null && ServingMark.of(address).another().isPresent();
+        return config.console() != null && ServingProcessFile.of(address).otherProcess().isPresent();
     }
 
     /** This process has become the one that serves; before the console says so, as the other is told to end then. */
     private void markServing() {
         if (isShared() && !marked && readyToServe()) {
             marked = true;
-            ServingMark.of(listening).set();
+            ServingProcessFile.of(listening).recordThisProcess();
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallKeys.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterAuthenticator.java
@@ -1,4 +1,4 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import io.netty.handler.codec.http2.Http2SecurityUtil;
 import io.netty.handler.ssl.ApplicationProtocolConfig;
@@ -27,37 +27,37 @@
 import javax.net.ssl.SSLSession;
 
 /** What gateways prove to each other, by certificates or by a key that they share. */
-final class HallKeys {
+final class DatacenterAuthenticator {
 
-    private static final String MAC = "HmacSHA256";
+    private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final int NONCE_BYTES = 16;
-    private static final int DNS_NAME = 2;
+    private static final int DNS_NAME_TYPE = 2;
 
-    private final HallSecurity security;
+    private final DatacenterSecurity security;
     private final SecureRandom random = new SecureRandom();
-    private final SslContext server;
-    private final SslContext client;
+    private final SslContext serverContext;
+    private final SslContext clientContext;
 
     /** Reads the certificates, where there are any; throws where one can't be used. */
-    HallKeys(HallSecurity security) throws IOException {
+    DatacenterAuthenticator(DatacenterSecurity security) throws IOException {
         this.security = security;
-        if (security instanceof HallSecurity.Tls tls) {
+        if (security instanceof DatacenterSecurity.Tls tls) {
             try {
-                server = common(SslContextBuilder.forServer(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
+                serverContext = configure(SslContextBuilder.forServer(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
                         .clientAuth(ClientAuth.REQUIRE).build();
                 // Halls are known by their names in the certificate; addresses of gateways are not in it.
-                client = common(SslContextBuilder.forClient().keyManager(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
+                clientContext = configure(SslContextBuilder.forClient().keyManager(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
                         .endpointIdentificationAlgorithm(null).build();
             } catch (IllegalArgumentException e) {
                 throw new IOException("certificates of halls: " + e.getMessage(), e);
             }
         } else {
-            server = null;
-            client = null;
+            serverContext = null;
+            clientContext = null;
         }
     }
 
-    private static SslContextBuilder common(SslContextBuilder builder, HallSecurity.Tls tls) {
+    private static SslContextBuilder configure(SslContextBuilder builder, DatacenterSecurity.Tls tls) {
         return builder.trustManager(tls.trust().toFile()).sslProvider(SslProvider.JDK)
                 .ciphers(Http2SecurityUtil.CIPHERS, SupportedCipherSuiteFilter.INSTANCE)
                 .applicationProtocolConfig(new ApplicationProtocolConfig(ApplicationProtocolConfig.Protocol.ALPN,
@@ -66,18 +66,18 @@
     }
 
     /** For connections that come; null without TLS. */
-    SslContext server() {
-        return server;
+    SslContext serverContext() {
+        return serverContext;
     }
 
     /** For connections that go; null without TLS. */
-    SslContext client() {
-        return client;
+    SslContext clientContext() {
+        return clientContext;
     }
 
     /** Whether each side must prove that it has the key. */
-    boolean hasKey() {
-        return security instanceof HallSecurity.SharedKey;
+    boolean usesSharedKey() {
+        return security instanceof DatacenterSecurity.SharedKey;
     }
 
     /** A number that nobody had before. */
@@ -89,34 +89,34 @@
 
     /** What only one with the key can say of these; {@code role} keeps an answer from being sent back as a question's. */
     String proof(String role, String... about) {
-        if (!(security instanceof HallSecurity.SharedKey shared)) {
+        if (!(security instanceof DatacenterSecurity.SharedKey shared)) {
             return "";
         }
         try {
-            Mac mac = Mac.getInstance(MAC);
-            mac.init(new SecretKeySpec(shared.key(), MAC));
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
+            mac.init(new SecretKeySpec(shared.key(), MAC_ALGORITHM));
             // No part holds a line's end, so no two lists read alike.
             return HexFormat.of().formatHex(mac.doFinal((role + "\n" + String.join("\n", about)).getBytes(StandardCharsets.UTF_8)));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this Java machine has no " + MAC, e);
+            throw new IllegalStateException("this Java machine has no " + MAC_ALGORITHM, e);
         }
     }
 
     /** Whether a proof is the one expected; takes as long whatever it is. */
-    static boolean isSame(String proof, String expected) {
+    static boolean constantTimeEquals(String proof, String expected) {
         return MessageDigest.isEqual(proof.getBytes(StandardCharsets.UTF_8), expected.getBytes(StandardCharsets.UTF_8));
     }
 
     /** The names that the other side's certificate has; empty where it has shown none. */
-    static List<String> names(SSLSession session) {
+    static List<String> certificateNames(SSLSession session) {
         try {
-            return names((X509Certificate) session.getPeerCertificates()[0]);
+            return certificateNames((X509Certificate) session.getPeerCertificates()[0]);
         } catch (SSLPeerUnverifiedException | CertificateParsingException | InvalidNameException e) {
             return List.of();
         }
     }
 
-    private static List<String> names(X509Certificate certificate) throws CertificateParsingException, InvalidNameException {
+    private static List<String> certificateNames(X509Certificate certificate) throws CertificateParsingException, InvalidNameException {
         List<String> names = new ArrayList<>();
         for (Rdn rdn : new LdapName(certificate.getSubjectX500Principal().getName()).getRdns()) {
             if (rdn.getType().equalsIgnoreCase("CN")) {
@@ -124,7 +124,7 @@
             }
         }
         if (certificate.getSubjectAlternativeNames() != null) {
-            certificate.getSubjectAlternativeNames().stream().filter(n -> n.get(0).equals(DNS_NAME))
+            certificate.getSubjectAlternativeNames().stream().filter(n -> n.get(0).equals(DNS_NAME_TYPE))
                     .forEach(n -> names.add(String.valueOf(n.get(1))));
         }
         return names;
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterConnection.java
@@ -1,4 +1,4 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelFuture;
@@ -18,13 +18,13 @@
 import io.netty.util.ReferenceCountUtil;
 
 /** What both ends of a connection between gateways do: windows, writes that are gathered, and frames by their kind. */
-abstract class HallConnection extends Http2ChannelDuplexHandler {
+abstract class DatacenterConnection extends Http2ChannelDuplexHandler {
 
     /**
      * By how much more than HTTP/2's 64 KiB may be under way on one connection (RFC 9113, section 6.9.2): with a round trip of
      * 40 ms those alone would hold all answers together to 1.6 MB/s.
      */
-    private static final int MORE_WINDOW = 8 * 1024 * 1024;
+    private static final int EXTRA_WINDOW_BYTES = 8 * 1024 * 1024;
 
     private ChannelHandlerContext context;
     private boolean flushing;
@@ -49,7 +49,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) throws Exception {
         super.channelActive(ctx);
-        ctx.writeAndFlush(new DefaultHttp2WindowUpdateFrame(MORE_WINDOW));
+        ctx.writeAndFlush(new DefaultHttp2WindowUpdateFrame(EXTRA_WINDOW_BYTES));
     }
 
     @Override
@@ -81,7 +81,7 @@
     }
 
     /** Ends a stream for the other side. */
-    final void end(Http2FrameStream stream, Http2Error why) {
+    final void resetStream(Http2FrameStream stream, Http2Error why) {
         write(new DefaultHttp2ResetFrame(why).stream(stream));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallSecurity.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSecurity.java
@@ -1,10 +1,10 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import java.nio.file.Path;
 import java.util.Arrays;
 
 /** How gateways of different halls know each other. */
-public sealed interface HallSecurity {
+public sealed interface DatacenterSecurity {
 
     /**
      * TLS with a certificate on both sides (RFC 8446). A certificate is a hall's if its subject's common name or one of its
@@ -14,10 +14,10 @@
      * @param privateKey of the certificate, PKCS #8 in PEM
      * @param trust certificates that vouch for other halls, in PEM
      */
-    record Tls(Path certificate, Path privateKey, Path trust) implements HallSecurity { }
+    record Tls(Path certificate, Path privateKey, Path trust) implements DatacenterSecurity { }
 
     /** A key that all gateways have and prove to each other. What follows is neither hidden nor signed. */
-    record SharedKey(byte[] key) implements HallSecurity {
+    record SharedKey(byte[] key) implements DatacenterSecurity {
 
         @Override
         public boolean equals(Object o) {
@@ -36,5 +36,5 @@
     }
 
     /** Nothing is proven: for links that are safe by other means. */
-    record Unproven() implements HallSecurity { }
+    record Unauthenticated() implements DatacenterSecurity { }
 }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSettings.java
@@ -1,4 +1,4 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import java.net.InetSocketAddress;
 import java.util.Map;
@@ -9,13 +9,13 @@
  *
  * @param listen where gateways of other halls connect; null where none may
  * @param security how they know each other
- * @param addresses of other halls' gateways, by the names that the policy has for them
+ * @param gatewayAddresses of other halls' gateways, by the names that the policy has for them
  * @param policy what may cross
  */
-public record HallSettings(InetSocketAddress listen, HallSecurity security, Map<String, InetSocketAddress> addresses,
+public record DatacenterSettings(InetSocketAddress listen, DatacenterSecurity security, Map<String, InetSocketAddress> gatewayAddresses,
                            DatacenterPolicy policy) {
 
-    public HallSettings {
-        addresses = Map.copyOf(addresses);
+    public DatacenterSettings {
+        gatewayAddresses = Map.copyOf(gatewayAddresses);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
@@ -1,4 +1,4 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import io.netty.handler.codec.http2.DefaultHttp2Headers;
 import io.netty.handler.codec.http2.Http2Headers;
@@ -26,7 +26,7 @@
  * What gateways say to each other, as fields of HTTP/2 (RFC 9113, section 8): one stream for each question. Fields that
  * begin with {@code rm-} are taken from gateways alone; no client can reach this listener's protocol without their proofs.
  */
-final class HallWire {
+final class DatacenterWire {
 
     static final String KIND = "rm-kind";
     static final String HELLO = "hello";
@@ -38,43 +38,43 @@
     static final String VERSION = "rm-version";
     /** Gateways of one version understand each other; another is told so. */
     static final String THIS_VERSION = "1";
-    static final String HALL = "rm-hall";
+    static final String DATACENTER = "rm-hall";
     static final String NONCE = "rm-nonce";
-    static final String PROVES = "rm-proof";
+    static final String PROOF_VALUE = "rm-proof";
     private static final String ID = "rm-id";
-    private static final String LEFT = "rm-left";
-    private static final String SENT = "rm-sent";
+    private static final String REMAINING = "rm-left";
+    private static final String SENT_AT = "rm-sent";
     private static final String CLASS = "rm-class";
     private static final String TENANT = "rm-tenant";
-    private static final String AGAIN = "rm-again";
+    private static final String RETRY = "rm-again";
     private static final String IDEMPOTENCY = "rm-idempotency-key";
-    private static final String COST = "rm-cost";
-    private static final String HALLS = "rm-halls";
+    private static final String WORK = "rm-cost";
+    private static final String DATACENTERS = "rm-halls";
     private static final String RAN = "rm-ran";
-    private static final String BACK = "rm-back";
+    private static final String RETRY_AFTER = "rm-back";
     private static final String LEVEL = "rm-level";
-    private static final String TAKES = "rm-takes";
+    private static final String ACCEPTING = "rm-takes";
     private static final String LEAVING = "rm-leaving";
     private static final String WINDOW = "rm-window";
-    private static final String AGO = "rm-ago";
+    private static final String AGE = "rm-ago";
     /** The id of the call that took effect, in the answer to one that did not run again. */
     private static final String RECORDED = "rm-recorded";
     /** The idempotency key was given with another request: nothing of this one ran. */
     private static final String CONFLICT = "rm-conflict";
-    private static final String TYPE = "content-type";
+    private static final String CONTENT_TYPE = "content-type";
     private static final String NEVER = "never";
     private static final String MAYBE = "maybe";
-    private static final String OUT = "out";
+    private static final String IN_PROGRESS = "out";
     private static final String UNKNOWN = "unknown";
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,14}(\\.[0-9]{1,6})?");
-    private static final int MOST_HALLS = 16;
-    private static final int MOST_TEXT = 1024;
-    private static final int MOST_PATH = 8192;
+    private static final int MAX_DATACENTERS = 16;
+    private static final int MAX_TEXT_CHARS = 1024;
+    private static final int MAX_PATH_CHARS = 8192;
     /** What a head may have in all: four texts, a path, and the small ones. */
-    static final int MOST_HEAD = 16 * 1024;
-    private static final double MAX_LEFT_MS = 3_600_000;
+    static final int MAX_HEADER_LIST_BYTES = 16 * 1024;
+    private static final double MAX_TIME_MS = 3_600_000;
 
-    private HallWire() { }
+    private DatacenterWire() { }
 
     /** What came makes no sense; nothing of it was done. */
     static final class WireException extends Exception {
@@ -88,9 +88,9 @@
     /**
      * A request that crosses.
      *
-     * @param leftMs how long its client still waits when it is written, the least time on the way there and back taken off
+     * @param remainingMs how long its client still waits when it is written, the least time on the way there and back taken off
      */
-    record Call(String id, double leftMs, String service, String tenant, boolean again, double workMs, DatacenterPath trail,
+    record Call(String id, double remainingMs, String serviceClass, String tenant, boolean retry, double workMs, DatacenterPath path,
                 Command<Content> command) { }
 
     /**
@@ -99,7 +99,7 @@
      * @param recorded the id of the call that took effect before, in whose place this one did not run; null for none
      * @param conflict whether its idempotency key was given with another request
      */
-    record Reply(ForwardOutcome end, Content content, double retryAfterMs, Set<String> beyond, String recorded, boolean conflict) {
+    record Reply(ForwardOutcome outcome, Content content, double retryAfterMs, Set<String> enteredDatacenters, String recorded, boolean conflict) {
 
         Reply(ForwardOutcome end, Content content, double retryAfterMs, Set<String> beyond) {
             this(end, content, retryAfterMs, beyond, null, false);
@@ -111,18 +111,18 @@
         }
     }
 
-    static Http2Headers ask(String kind) {
+    static Http2Headers request(String kind) {
         return new DefaultHttp2Headers().method("GET").scheme("http").path("/").authority("hall").set(KIND, kind);
     }
 
     /** Says when it is written, by a clock of the connection's own. */
-    static void stamp(Http2Headers h, double ms) {
-        h.set(SENT, number(ms));
+    static void sentAt(Http2Headers h, double ms) {
+        h.set(SENT_AT, number(ms));
     }
 
     /** When it was written by the sender's clock; not a number where it does not say. */
-    static double stamp(Http2Headers h) {
-        return number(h, SENT);
+    static double sentAt(Http2Headers h) {
+        return number(h, SENT_AT);
     }
 
     static Http2Headers status(int status) {
@@ -130,13 +130,13 @@
     }
 
     /** Whether what its client chose is short enough to cross whole; a key that is cut is another key. */
-    static boolean fits(Command<Content> command, String service, String tenant) {
+    static boolean fitsHeaders(Command<Content> command, String service, String tenant) {
         for (String text : new String[] {command.idempotencyKey(), service, tenant, command.content().mediaType()}) {
-            if (text != null && encode(text).length() > MOST_TEXT) {
+            if (text != null && encode(text).length() > MAX_TEXT_CHARS) {
                 return false;
             }
         }
-        return command.target().length() <= MOST_PATH;
+        return command.target().length() <= MAX_PATH_CHARS;
     }
 
     static Http2Headers call(Call c) {
@@ -144,25 +144,25 @@
             case READ -> "GET";
             case WRITE -> "PUT";
             case DELETE -> "DELETE";
-        }).scheme("http").path(c.command().target()).authority("hall").set(KIND, CALL).set(ID, c.id()).set(LEFT, number(c.leftMs()))
-                .set(CLASS, encode(c.service())).set(HALLS, String.join(",", c.trail().datacenters()));
-        if (!c.trail().mayHaveRun().isEmpty()) {
-            h.set(RAN, String.join(",", c.trail().mayHaveRun()));
+        }).scheme("http").path(c.command().target()).authority("hall").set(KIND, CALL).set(ID, c.id()).set(REMAINING, number(c.remainingMs()))
+                .set(CLASS, encode(c.serviceClass())).set(DATACENTERS, String.join(",", c.path().datacenters()));
+        if (!c.path().mayHaveRun().isEmpty()) {
+            h.set(RAN, String.join(",", c.path().mayHaveRun()));
         }
         if (c.tenant() != null) {
             h.set(TENANT, encode(c.tenant()));
         }
-        if (c.again()) {
-            h.set(AGAIN, "1");
+        if (c.retry()) {
+            h.set(RETRY, "1");
         }
         if (c.workMs() > 0) {
-            h.set(COST, number(c.workMs()));
+            h.set(WORK, number(c.workMs()));
         }
         if (c.command().idempotencyKey() != null) {
             h.set(IDEMPOTENCY, encode(c.command().idempotencyKey()));
         }
         if (c.command().content().mediaType() != null) {
-            h.set(TYPE, encode(c.command().content().mediaType()));
+            h.set(CONTENT_TYPE, encode(c.command().content().mediaType()));
         }
         return h;
     }
@@ -180,24 +180,24 @@
             case "DELETE" -> Command.Action.DELETE;
             default -> throw new WireException("unknown method");
         };
-        double left = number(h, LEFT);
-        List<String> halls = names(h, HALLS);
-        if (!(left >= 0 && left <= MAX_LEFT_MS) || halls.isEmpty() || halls.size() > MOST_HALLS) {
+        double left = number(h, REMAINING);
+        List<String> halls = datacenters(h, DATACENTERS);
+        if (!(left >= 0 && left <= MAX_TIME_MS) || halls.isEmpty() || halls.size() > MAX_DATACENTERS) {
             throw new WireException("no time, or no hall that it comes from");
         }
-        String service = decoded(h, CLASS);
+        String service = decode(h, CLASS);
         if (service == null) {
             throw new WireException("no class");
         }
-        String key = decoded(h, IDEMPOTENCY);
-        return new Call(id, left, service, decoded(h, TENANT), "1".equals(text(h, AGAIN)),
-                h.contains(COST) ? number(h, COST) : 0, new DatacenterPath(halls, Set.copyOf(names(h, RAN))),
-                new Command<>(action, path, key, new Content(content.bytes(), decoded(h, TYPE))));
+        String key = decode(h, IDEMPOTENCY);
+        return new Call(id, left, service, decode(h, TENANT), "1".equals(text(h, RETRY)),
+                h.contains(WORK) ? number(h, WORK) : 0, new DatacenterPath(halls, Set.copyOf(datacenters(h, RAN))),
+                new Command<>(action, path, key, new Content(content.bytes(), decode(h, CONTENT_TYPE))));
     }
 
     static Http2Headers served(Content content) {
         Http2Headers h = status(content.isAbsent() ? 404 : 200);
-        return content.mediaType() == null ? h : h.set(TYPE, encode(content.mediaType()));
+        return content.mediaType() == null ? h : h.set(CONTENT_TYPE, encode(content.mediaType()));
     }
 
     /** It took effect before, by this call. */
@@ -210,25 +210,25 @@
         return status(422).set(RAN, NEVER).set(CONFLICT, "1");
     }
 
-    static Http2Headers outcomeAsked(String key, String tenant) {
-        Http2Headers h = ask(OUTCOME).set(IDEMPOTENCY, encode(key));
+    static Http2Headers outcomeQuery(String key, String tenant) {
+        Http2Headers h = request(OUTCOME).set(IDEMPOTENCY, encode(key));
         return tenant == null ? h : h.set(TENANT, encode(tenant));
     }
 
-    static String askedTenant(Http2Headers h) {
-        return decoded(h, TENANT);
+    static String queriedTenant(Http2Headers h) {
+        return decode(h, TENANT);
     }
 
     /** What is known of a key; null for nothing. */
-    static Http2Headers known(IdempotencyRecord known, double nowMs) {
+    static Http2Headers idempotencyRecord(IdempotencyRecord known, double nowMs) {
         return known == null ? status(404) : status(200).set(RAN, known.state().name()).set(ID, encode(known.callId()))
-                .set(AGO, number(nowMs - known.stateSinceMs()));
+                .set(AGE, number(nowMs - known.stateSinceMs()));
     }
 
     /** Reads what a gateway knows of a key; null for nothing, and for what makes no sense. */
-    static IdempotencyRecord known(Http2Headers h, String tenant, double nowMs) {
-        String call = decoded(h, ID);
-        double ago = h.contains(AGO) ? number(h, AGO) : Double.NaN;
+    static IdempotencyRecord idempotencyRecord(Http2Headers h, String tenant, double nowMs) {
+        String call = decode(h, ID);
+        double ago = h.contains(AGE) ? number(h, AGE) : Double.NaN;
         if (!"200".equals(String.valueOf(h.status())) || call == null || Double.isNaN(ago)) {
             return null;
         }
@@ -241,28 +241,28 @@
     }
 
     /** An answer without a value; whether it may have run, or be running still, is of this hall and those beyond. */
-    static Http2Headers turnedAway(int status, boolean mayHaveRun, boolean mayBeOut, double retryAfterMs, Set<String> beyond) {
-        Http2Headers h = status(status).set(RAN, mayBeOut ? OUT : mayHaveRun ? MAYBE : NEVER);
+    static Http2Headers rejected(int status, boolean mayHaveRun, boolean mayBeOut, double retryAfterMs, Set<String> beyond) {
+        Http2Headers h = status(status).set(RAN, mayBeOut ? IN_PROGRESS : mayHaveRun ? MAYBE : NEVER);
         if (!beyond.isEmpty()) {
-            h.set(HALLS, String.join(",", beyond));
+            h.set(DATACENTERS, String.join(",", beyond));
         }
-        return retryAfterMs > 0 ? h.set(BACK, number(retryAfterMs)) : h;
+        return retryAfterMs > 0 ? h.set(RETRY_AFTER, number(retryAfterMs)) : h;
     }
 
     /** Reads the answer to a call, whose body is all here. */
     static Reply reply(Http2Headers h, Content content) {
         return switch (String.valueOf(h.status())) {
-            case "200" -> new Reply(ForwardOutcome.SERVED, new Content(content.bytes(), decoded(h, TYPE)), 0, Set.of(),
-                    decoded(h, RECORDED), false);
+            case "200" -> new Reply(ForwardOutcome.SERVED, new Content(content.bytes(), decode(h, CONTENT_TYPE)), 0, Set.of(),
+                    decode(h, RECORDED), false);
             case "404" -> new Reply(ForwardOutcome.SERVED, Content.ABSENT, 0, Set.of());
             default -> {
                 // Only a word to that effect shows that nothing ran.
                 boolean never = NEVER.equals(text(h, RAN));
                 boolean maybe = MAYBE.equals(text(h, RAN));
-                double back = h.contains(BACK) ? number(h, BACK) : 0;
+                double back = h.contains(RETRY_AFTER) ? number(h, RETRY_AFTER) : 0;
                 try {
                     yield new Reply(never ? ForwardOutcome.REFUSED : maybe ? ForwardOutcome.FAILED : ForwardOutcome.LOST, null, Double.isNaN(back) ? 0 : back,
-                            Set.copyOf(names(h, HALLS)), null, never && h.contains(CONFLICT));
+                            Set.copyOf(datacenters(h, DATACENTERS)), null, never && h.contains(CONFLICT));
                 } catch (WireException e) {
                     yield Reply.of(ForwardOutcome.LOST);
                 }
@@ -270,45 +270,45 @@
         };
     }
 
-    static Http2Headers state(GatewayState told) {
-        return status(200).set(LEVEL, String.valueOf(told.level())).set(TAKES, told.accepting() ? "1" : "0")
+    static Http2Headers gatewayState(GatewayState told) {
+        return status(200).set(LEVEL, String.valueOf(told.level())).set(ACCEPTING, told.accepting() ? "1" : "0")
                 .set(LEAVING, told.leaving() ? "1" : "0");
     }
 
-    static GatewayState state(Http2Headers h) {
+    static GatewayState gatewayState(Http2Headers h) {
         double level = h.contains(LEVEL) ? number(h, LEVEL) : 0;
-        return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, TAKES)), "1".equals(text(h, LEAVING)));
+        return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, ACCEPTING)), "1".equals(text(h, LEAVING)));
     }
 
-    static Http2Headers keyAsked(String key, double windowMs) {
-        return ask(KEY).set(IDEMPOTENCY, encode(key)).set(WINDOW, number(windowMs));
+    static Http2Headers keyQuery(String key, double windowMs) {
+        return request(KEY).set(IDEMPOTENCY, encode(key)).set(WINDOW, number(windowMs));
     }
 
-    static String askedKey(Http2Headers h) throws WireException {
-        String key = decoded(h, IDEMPOTENCY);
+    static String queriedKey(Http2Headers h) throws WireException {
+        String key = decode(h, IDEMPOTENCY);
         if (key == null || key.isEmpty()) {
             throw new WireException("no key");
         }
         return key;
     }
 
-    static double askedWindow(Http2Headers h) throws WireException {
+    static double queriedWindowMs(Http2Headers h) throws WireException {
         double window = number(h, WINDOW);
-        if (!(window > 0 && window <= MAX_LEFT_MS)) {
+        if (!(window > 0 && window <= MAX_TIME_MS)) {
             throw new WireException("no window");
         }
         return window;
     }
 
-    static Http2Headers word(KeyStatus word) {
+    static Http2Headers keyStatus(KeyStatus word) {
         Http2Headers h = status(200);
-        return word instanceof MayHaveRun ran ? h.set(RAN, ran.datacenter()).set(AGO, number(ran.ageMs()))
+        return word instanceof MayHaveRun ran ? h.set(RAN, ran.datacenter()).set(AGE, number(ran.ageMs()))
                 : h.set(RAN, word instanceof NotSeen ? NEVER : UNKNOWN);
     }
 
-    static KeyStatus word(Http2Headers h) {
+    static KeyStatus keyStatus(Http2Headers h) {
         String ran = text(h, RAN);
-        double ago = h.contains(AGO) ? number(h, AGO) : Double.NaN;
+        double ago = h.contains(AGE) ? number(h, AGE) : Double.NaN;
         if (ran == null || !"200".equals(String.valueOf(h.status())) || ran.equals(UNKNOWN)) {
             return new Indeterminate();
         }
@@ -318,7 +318,7 @@
     /** A field as text; null where there is none. */
     static String text(Http2Headers h, String name) {
         CharSequence value = h.get(name);
-        return value == null || value.length() > MOST_TEXT ? null : value.toString();
+        return value == null || value.length() > MAX_TEXT_CHARS ? null : value.toString();
     }
 
     private static String number(double value) {
@@ -330,7 +330,7 @@
         return text != null && NUMBER.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
     }
 
-    private static List<String> names(Http2Headers h, String name) throws WireException {
+    private static List<String> datacenters(Http2Headers h, String name) throws WireException {
         String text = text(h, name);
         if (text == null || text.isEmpty()) {
             return List.of();
@@ -347,7 +347,7 @@
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
 
-    private static String decoded(Http2Headers h, String name) {
+    private static String decode(Http2Headers h, String name) {
         String text = text(h, name);
         try {
             return text == null ? null : URLDecoder.decode(text, StandardCharsets.UTF_8);
--- a/gateway/src/main/java/ridgemill/gateway/halls/HallBody.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/MessageBody.java
@@ -1,11 +1,11 @@
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import ridgemill.gateway.net.Content;
 
 /** A message's body as its parts come in, up to what a value may have. */
-final class HallBody {
+final class MessageBody {
 
     private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
--- a/gateway/src/main/java/ridgemill/gateway/halls/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/package-info.java
@@ -3,4 +3,4 @@
  * their clients are owed. What crosses and when is decided by {@link ridgemill.datacenter}. Not loaded unless an operator file
  * has a section of that name.
  */
-package ridgemill.gateway.halls;
+package ridgemill.gateway.datacenter;
--- a/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
@@ -30,13 +30,13 @@
  */
 final class CallClient {
 
-    private static final int MOST_ANSWER = 1 << 16;
-    private static final int CONFLICT = 409;
-    private static final int FIRST_FAILURE = 300;
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final int CONFLICT_STATUS = 409;
+    private static final int FIRST_FAILURE_STATUS = 300;
 
     /** What came of a call: {@code term} is the highest that the receiver says it has seen, 0 where it says none. */
-    record Answer(boolean done, boolean refused, long term) {
-        static final Answer NONE = new Answer(false, false, 0);
+    record CallResult(boolean succeeded, boolean refused, long term) {
+        static final CallResult NO_RESPONSE = new CallResult(false, false, 0);
     }
 
     private final EventLoop loop;
@@ -53,69 +53,69 @@
      * @param leave gives leave to write now, or null; asked once, if the connection comes up
      * @param ended is told once, when nothing of the call is on its way any more
      */
-    void call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<Answer> ended) {
+    void call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<CallResult> ended) {
         Call call = new Call(to, path, withinMs, leave, ended);
         ChannelFuture opening = new Bootstrap().group(loop).channel(SocketKind.of(loop).client())
                 .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(withinMs))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER), call);
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), call);
                     }
                 }).connect(to);
         opening.addListener(f -> {
             if (f.isSuccess()) {
                 call.write(opening.channel());
             } else {
-                call.end(Answer.NONE);
+                call.finish(CallResult.NO_RESPONSE);
             }
         });
     }
 
     private final class Call extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final InetSocketAddress to;
+        private final InetSocketAddress target;
         private final String path;
-        private final double withinMs;
-        private final Supplier<Permit> leave;
-        private final Consumer<Answer> ended;
-        private boolean over;
+        private final double timeoutMs;
+        private final Supplier<Permit> permitSource;
+        private final Consumer<CallResult> onEnd;
+        private boolean finished;
 
-        Call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<Answer> ended) {
-            this.to = to;
+        Call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<CallResult> ended) {
+            this.target = to;
             this.path = path;
-            this.withinMs = withinMs;
-            this.leave = leave;
-            this.ended = ended;
+            this.timeoutMs = withinMs;
+            this.permitSource = leave;
+            this.onEnd = ended;
         }
 
         void write(Channel channel) {
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path, Unpooled.EMPTY_BUFFER);
-            Permit permit = leave.get();
+            Permit permit = permitSource.get();
             if (permit == null) {
                 channel.close();
-                end(Answer.NONE);
+                finish(CallResult.NO_RESPONSE);
                 return;
             }
-            request.headers().set("Host", Addresses.text(to)).set("Content-Length", 0).set("Connection", "close")
+            request.headers().set("Host", Addresses.text(target)).set("Content-Length", 0).set("Connection", "close")
                     .set("Lease-Task", permit.task()).set("Lease-Holder", holder).set("Lease-Term", permit.term());
             channel.writeAndFlush(request);
             loop.schedule(() -> {
-                if (!over) {
+                if (!finished) {
                     reset(channel);
-                    end(Answer.NONE);
+                    finish(CallResult.NO_RESPONSE);
                 }
-            }, (long) (withinMs * 1e6), TimeUnit.NANOSECONDS);
+            }, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             int status = response.status().code();
             ctx.close();
-            end(new Answer(status < FIRST_FAILURE, status == CONFLICT, seen(response.headers().get("Lease-Term", "0"))));
+            finish(new CallResult(status < FIRST_FAILURE_STATUS, status == CONFLICT_STATUS, parseTerm(response.headers().get("Lease-Term", "0"))));
         }
 
         /** A receiver that says nonsense says nothing. */
-        private static long seen(String term) {
+        private static long parseTerm(String term) {
             try {
                 return Long.parseLong(term);
             } catch (NumberFormatException e) {
@@ -125,19 +125,19 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            end(Answer.NONE);
+            finish(CallResult.NO_RESPONSE);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             reset(ctx.channel());
-            end(Answer.NONE);
+            finish(CallResult.NO_RESPONSE);
         }
 
-        private void end(Answer answer) {
-            if (!over) {
-                over = true;
-                ended.accept(answer);
+        private void finish(CallResult answer) {
+            if (!finished) {
+                finished = true;
+                onEnd.accept(answer);
             }
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -37,11 +37,11 @@
 public final class LeaseService implements LeaseManager.Callbacks {
 
     private static final long LOCK_POLL_MS = 100;
-    private static final double HELLO_MS = 1000;
+    private static final double HELLO_INTERVAL_MS = 1000;
     /** Who has said nothing for so long is taken for one that may not understand any more. */
-    private static final double SPEAKS_MS = 10_000;
+    private static final double HELLO_TIMEOUT_MS = 10_000;
     /** A task whose act failed waits so long before it is tried again. */
-    private static final double AGAIN_MS = 200;
+    private static final double RETRY_DELAY_MS = 200;
     private static final double MS_PER_S = 1000;
 
     private final EventLoop loop;
@@ -53,47 +53,47 @@
     private final long seed;
     private final VotingLock lock;
     private final CallClient client;
-    private final Map<Integer, Integer> indexes = new HashMap<>();
-    private final Map<Integer, Double> spokeAt = new HashMap<>();
+    private final Map<Integer, Integer> indexByMember = new HashMap<>();
+    private final Map<Integer, Double> lastReceivedAt = new HashMap<>();
     private final Map<Integer, List<LeaseMessage>> outbox = new LinkedHashMap<>();
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Map<String, Duty> duties = new LinkedHashMap<>();
+    private final Map<String, CallTask> callTasks = new LinkedHashMap<>();
+    private final Map<String, LeasedTask> leasedTasks = new LinkedHashMap<>();
     private final Map<String, Boolean> wanted = new HashMap<>();
-    private BooleanSupplier aside = () -> false;
-    private IntPredicate mute = from -> false;
-    private BiConsumer<String, String> changed = (task, words) -> { };
+    private BooleanSupplier outOfService = () -> false;
+    private IntPredicate ignoredPeers = from -> false;
+    private BiConsumer<String, String> statusListener = (task, words) -> { };
     private LeaseSettings settings;
     private LeaseManager leases;
     private Timer timer;
-    private boolean left;
+    private boolean released;
     private double helloAt;
     private long changes;
     private long datagrams;
     private long bytes;
 
     /** A task that the program does by itself under a lease, and that tells other proxies. All calls are on the loop. */
-    public interface Duty {
+    public interface LeasedTask {
 
         /** Whether this proxy wants to be the one that does it. */
-        boolean wants(double now);
+        boolean wantsLease(double now);
 
         /** Does what is due and returns when something will be; {@code holds} says whether this proxy is the one. */
         double tick(double now, boolean holds);
 
         /** A datagram of a member that is not of leases; not each is for this duty. */
-        void heard(double now, int member, byte[] datagram);
+        void datagramReceived(double now, int member, byte[] datagram);
     }
 
     /** One task that calls. */
-    private final class Task {
+    private final class CallTask {
         private LeaseSettings.Call call;
-        private TargetSchedule sweep;
-        private boolean out;
+        private TargetSchedule schedule;
+        private boolean callInFlight;
         private double notBefore;
 
-        Task(LeaseSettings.Call call) {
+        CallTask(LeaseSettings.Call call) {
             this.call = call;
-            this.sweep = new TargetSchedule(call.to().size(), call.everyMs(), timers.now());
+            this.schedule = new TargetSchedule(call.targets().size(), call.intervalMs(), timers.now());
         }
     }
 
@@ -111,24 +111,24 @@
         this.timers = timers;
         this.peers = List.copyOf(peers);
         this.send = send;
-        this.self = LeaseSettings.number(peers.get(self));
+        this.self = LeaseSettings.memberId(peers.get(self));
         this.seed = seed;
         this.settings = settings;
         this.incarnation = Incarnation.of(timers.now());
         this.lock = new VotingLock(directory, peers.get(self));
         this.client = new CallClient(loop, name + "#" + Integer.toHexString(incarnation));
         for (int i = 0; i < peers.size(); i++) {
-            indexes.put(LeaseSettings.number(peers.get(i)), i);
+            indexByMember.put(LeaseSettings.memberId(peers.get(i)), i);
         }
     }
 
     /** Takes its part from now on, or as soon as no other process of this proxy does. */
     public void start() {
         try {
-            if (left) {
+            if (released) {
                 return;
             }
-            if (!lock.take()) {
+            if (!lock.tryAcquire()) {
                 loop.schedule(this::start, LOCK_POLL_MS, TimeUnit.MILLISECONDS);
                 return;
             }
@@ -137,18 +137,18 @@
             return;
         }
         double now = timers.now();
-        settings.calls().values().forEach(c -> tasks.put(c.name(), new Task(c)));
-        leases = new LeaseManager(self, incarnation, settings.policy(), settings.electorates(peers), settings.calls().keySet().stream().sorted().toList(),
+        settings.calls().values().forEach(c -> callTasks.put(c.name(), new CallTask(c)));
+        leases = new LeaseManager(self, incarnation, settings.policy(), settings.voterSets(peers), settings.calls().keySet().stream().sorted().toList(),
                 seed, now, this);
-        tasks.values().stream().filter(t -> !t.sweep.wantsLease()).forEach(t -> leases.setWanted(now, t.call.name(), false));
-        duties.keySet().forEach(n -> leases.addTask(now, n));
+        callTasks.values().stream().filter(t -> !t.schedule.wantsLease()).forEach(t -> leases.setWanted(now, t.call.name(), false));
+        leasedTasks.keySet().forEach(n -> leases.addTask(now, n));
         Log.info("leases: this process votes for its proxy from now on");
         step();
     }
 
     /** A duty is done under the lease of this name from now on, in place of one of the same name. */
-    public void take(String name, Duty duty) {
-        boolean again = duties.put(name, duty) == null && Boolean.FALSE.equals(wanted.remove(name));
+    public void register(String name, LeasedTask duty) {
+        boolean again = leasedTasks.put(name, duty) == null && Boolean.FALSE.equals(wanted.remove(name));
         if (leases != null) {
             leases.addTask(timers.now(), name);
             if (again && leases.voters(name).contains(self)) {
@@ -159,27 +159,27 @@
     }
 
     /** This proxy has no more part in a duty, if it is still this one; it votes on. */
-    public void drop(String name, Duty duty) {
-        if (duties.remove(name, duty) && leases != null) {
+    public void unregister(String name, LeasedTask duty) {
+        if (leasedTasks.remove(name, duty) && leases != null) {
             wanted.put(name, false);
             leases.setWanted(timers.now(), name, false);
             step();
         }
     }
 
-    /** Leave for an act of a duty, as {@link LeaseManager#permit}; {@link #done} is owed for it. */
+    /** Leave for an act of a duty, as {@link LeaseManager#permit}; {@link #permitDone} is owed for it. */
     public Optional<Permit> permit(String name, double actMs) {
-        return leases == null || left ? Optional.empty() : leases.permit(timers.now(), name, actMs);
+        return leases == null || released ? Optional.empty() : leases.permit(timers.now(), name, actMs);
     }
 
     /** An act of a duty is over. */
-    public void done(Permit permit) {
+    public void permitDone(Permit permit) {
         leases.done(timers.now(), permit);
     }
 
     /** Whether this proxy holds a duty's lease, as far as the clock goes. */
     public boolean holds(String name) {
-        return leases != null && !left && leases.holds(timers.now(), name);
+        return leases != null && !released && leases.holds(timers.now(), name);
     }
 
     /** Gives a duty's lease up, to whoever wants it. */
@@ -191,34 +191,34 @@
     }
 
     /** While this is so the proxy holds no lease and wants none; it goes on to vote. */
-    public void asideWhile(BooleanSupplier isAside) {
-        aside = isAside;
+    public void setOutOfService(BooleanSupplier isAside) {
+        outOfService = isAside;
     }
 
     /** What such peers, by their place, say of leases is not heard; what they say to duties is. */
-    public void mutes(IntPredicate from) {
-        mute = from;
+    public void ignoreLeaseMessagesFrom(IntPredicate from) {
+        ignoredPeers = from;
     }
 
     /** Whether this proxy may hold a duty's lease. */
-    public boolean isElector(String name) {
+    public boolean isVoter(String name) {
         return leases != null && leases.voters(name).contains(self);
     }
 
     /** Who may, by their peers' addresses. */
-    public String electorsText(String name) {
+    public String votersText(String name) {
         return leases == null ? "" : leases.voters(name).stream().map(this::address).collect(Collectors.joining(", "));
     }
 
     /** Who may hold a duty's lease, but for this proxy. */
-    public List<Integer> others(String name) {
+    public List<Integer> otherVoters(String name) {
         return leases == null ? List.of() : leases.voters(name).stream().filter(m -> m != self).toList();
     }
 
     /** Sends a datagram of a duty to a member, if that has said lately that it understands any. */
-    public void tellMember(int member, byte[] datagram) {
-        if (speaks(member)) {
-            tell(member, datagram);
+    public void sendToMember(int member, byte[] datagram) {
+        if (supportsLeases(member)) {
+            sendDatagram(member, datagram);
         }
     }
 
@@ -228,55 +228,55 @@
     }
 
     /** Another file holds from now on; throws, and changes nothing, where its electorates can't follow. */
-    public void changeTo(LeaseSettings next) {
+    public void applySettings(LeaseSettings next) {
         double now = timers.now();
         if (leases != null) {
-            leases.changeVoterSets(now, next.electorates(peers));
+            leases.changeVoterSets(now, next.voterSets(peers));
         }
         settings = next;
         if (leases == null) {
             return;
         }
         for (LeaseSettings.Call c : next.calls().values()) {
-            Task task = tasks.get(c.name());
+            CallTask task = callTasks.get(c.name());
             if (task == null || !task.call.equals(c)) {
-                tasks.put(c.name(), new Task(c));
-                leases.setWanted(now, c.name(), c.everyMs() > 0);
+                callTasks.put(c.name(), new CallTask(c));
+                leases.setWanted(now, c.name(), c.intervalMs() > 0);
             }
         }
-        List.copyOf(tasks.keySet()).stream().filter(n -> !next.calls().containsKey(n)).forEach(n -> {
-            tasks.remove(n);
+        List.copyOf(callTasks.keySet()).stream().filter(n -> !next.calls().containsKey(n)).forEach(n -> {
+            callTasks.remove(n);
             leases.setWanted(now, n, false);
         });
         step();
     }
 
     /** A datagram of a peer, by its place. */
-    public void heard(int from, byte[] datagram) {
-        int member = LeaseSettings.number(peers.get(from));
-        spokeAt.put(member, timers.now());
-        if (leases == null || left && !LeaseWire.isLease(datagram)) {
+    public void datagramReceived(int from, byte[] datagram) {
+        int member = LeaseSettings.memberId(peers.get(from));
+        lastReceivedAt.put(member, timers.now());
+        if (leases == null || released && !LeaseWire.isLease(datagram)) {
             return;
         }
         if (!LeaseWire.isLease(datagram)) {
             double now = timers.now();
-            List.copyOf(duties.values()).forEach(d -> d.heard(now, member, datagram));
+            List.copyOf(leasedTasks.values()).forEach(d -> d.datagramReceived(now, member, datagram));
             return;
         }
         if (datagram.length == LeaseWire.hello().length && !leases.peers().contains(member)) {
             // It wants a lease on which this proxy votes, and may not have heard of it before.
-            tell(member, LeaseWire.hello());
+            sendDatagram(member, LeaseWire.hello());
         }
-        if (!mute.test(from)) {
+        if (!ignoredPeers.test(from)) {
             LeaseWire.decode(datagram).forEach(m -> leases.receive(timers.now(), member, m));
         }
         step();
     }
 
     /** Gives all back for good: this process ends. It votes until it does, and says again what it gave back. */
-    public void leave() {
-        boolean already = left;
-        left = true;
+    public void releaseAll() {
+        boolean already = released;
+        released = true;
         if (leases != null && !already) {
             leases.releaseAll(timers.now());
             step();
@@ -289,33 +289,33 @@
     }
 
     /** Each change of a lease's standing here is told there too, by the task's name, in words. */
-    public void tells(BiConsumer<String, String> to) {
-        changed = to;
+    public void setStatusListener(BiConsumer<String, String> to) {
+        statusListener = to;
     }
 
     @Override
     public void statusChanged(String task, String words) {
         changes++;
         Log.info("lease " + task + ": " + words);
-        changed.accept(task, words);
+        statusListener.accept(task, words);
     }
 
     /** Does what is due, sends what was said, and sets the timer for what comes. */
     private void step() {
         double now = timers.now();
         double due = leases.tick(now);
-        if (!left) {
-            for (Task task : tasks.values()) {
-                due = Math.min(due, act(now, task));
+        if (!released) {
+            for (CallTask task : callTasks.values()) {
+                due = Math.min(due, startCall(now, task));
             }
-            for (Map.Entry<String, Duty> d : List.copyOf(duties.entrySet())) {
-                due = Math.min(due, attend(now, d.getKey(), d.getValue()));
+            for (Map.Entry<String, LeasedTask> d : List.copyOf(leasedTasks.entrySet())) {
+                due = Math.min(due, runTask(now, d.getKey(), d.getValue()));
             }
             if (now >= helloAt) {
-                helloAt = now + HELLO_MS;
+                helloAt = now + HELLO_INTERVAL_MS;
                 Set<Integer> others = new LinkedHashSet<>(leases.peers());
-                duties.keySet().forEach(n -> others.addAll(others(n)));
-                others.forEach(member -> tell(member, LeaseWire.hello()));
+                leasedTasks.keySet().forEach(n -> others.addAll(otherVoters(n)));
+                others.forEach(member -> sendDatagram(member, LeaseWire.hello()));
             }
             due = Math.min(due, helloAt);
         }
@@ -326,8 +326,8 @@
         timer = Double.isInfinite(due) ? null : timers.scheduleAt(Math.max(due, now + 1), this::step);
     }
 
-    private double attend(double now, String name, Duty duty) {
-        boolean wants = duty.wants(now) && !aside.getAsBoolean();
+    private double runTask(double now, String name, LeasedTask duty) {
+        boolean wants = duty.wantsLease(now) && !outOfService.getAsBoolean();
         // A candidate wants its lease from the first.
         if (leases.voters(name).contains(self) && wants != wanted.getOrDefault(name, true)) {
             wanted.put(name, wants);
@@ -337,40 +337,40 @@
     }
 
     /** Begins a task's next act if there is one and it may be done; returns when to look again. */
-    private double act(double now, Task task) {
-        if (task.out || !leases.holds(now, task.call.name())) {
+    private double startCall(double now, CallTask task) {
+        if (task.callInFlight || !leases.holds(now, task.call.name())) {
             return Double.POSITIVE_INFINITY;
         }
-        int target = now < task.notBefore ? -1 : task.sweep.nextTarget(now);
+        int target = now < task.notBefore ? -1 : task.schedule.nextTarget(now);
         if (target < 0) {
-            return Math.max(task.notBefore, task.sweep.dueAt());
+            return Math.max(task.notBefore, task.schedule.dueAt());
         }
-        task.out = true;
+        task.callInFlight = true;
         Permit[] permit = {null};
-        client.call(task.call.to().get(target), task.call.path(), task.call.withinMs(), () -> {
-            Optional<Permit> given = leases.permit(timers.now(), task.call.name(), task.call.withinMs());
+        client.call(task.call.targets().get(target), task.call.path(), task.call.timeoutMs(), () -> {
+            Optional<Permit> given = leases.permit(timers.now(), task.call.name(), task.call.timeoutMs());
             permit[0] = given.orElse(null);
             return permit[0];
-        }, answer -> ended(task, permit[0], answer));
+        }, answer -> callEnded(task, permit[0], answer));
         return Double.POSITIVE_INFINITY;
     }
 
-    private void ended(Task task, Permit permit, CallClient.Answer answer) {
+    private void callEnded(CallTask task, Permit permit, CallClient.CallResult answer) {
         double now = timers.now();
-        task.out = false;
+        task.callInFlight = false;
         if (permit != null) {
             if (answer.refused() || answer.term() > permit.term()) {
                 leases.observeTerm(now, task.call.name(), answer.term());
             }
-            task.sweep.recordOutcome(answer.done() ? TargetSchedule.Outcome.DONE : answer.refused() ? TargetSchedule.Outcome.REFUSED : TargetSchedule.Outcome.FAILED);
+            task.schedule.recordOutcome(answer.succeeded() ? TargetSchedule.Outcome.DONE : answer.refused() ? TargetSchedule.Outcome.REFUSED : TargetSchedule.Outcome.FAILED);
             leases.done(now, permit);
         } else {
-            task.notBefore = now + AGAIN_MS;
+            task.notBefore = now + RETRY_DELAY_MS;
         }
-        if (!answer.done()) {
-            task.notBefore = now + AGAIN_MS;
+        if (!answer.succeeded()) {
+            task.notBefore = now + RETRY_DELAY_MS;
         }
-        if (!task.sweep.wantsLease() && tasks.get(task.call.name()) == task) {
+        if (!task.schedule.wantsLease() && callTasks.get(task.call.name()) == task) {
             leases.setWanted(now, task.call.name(), false);
         }
         step();
@@ -378,20 +378,20 @@
 
     private void flush() {
         outbox.forEach((to, messages) -> LeaseWire.encode(messages).forEach(d -> {
-            if (speaks(to)) {
-                tell(to, d);
+            if (supportsLeases(to)) {
+                sendDatagram(to, d);
             }
         }));
         outbox.clear();
     }
 
     /** One that has not said that it understands may be of a build that takes what it is told for something else. */
-    private boolean speaks(int member) {
-        return spokeAt.getOrDefault(member, Double.NEGATIVE_INFINITY) > timers.now() - SPEAKS_MS;
+    private boolean supportsLeases(int member) {
+        return lastReceivedAt.getOrDefault(member, Double.NEGATIVE_INFINITY) > timers.now() - HELLO_TIMEOUT_MS;
     }
 
-    private void tell(int member, byte[] datagram) {
-        Integer index = indexes.get(member);
+    private void sendDatagram(int member, byte[] datagram) {
+        Integer index = indexByMember.get(member);
         if (index != null) {
             datagrams++;
             bytes += datagram.length;
@@ -402,7 +402,7 @@
     private String release(double now, String name, String to) {
         int heir = -1;
         if (to != null) {
-            heir = peers.stream().filter(p -> Addresses.text(p).equals(to)).map(LeaseSettings::number).findFirst().orElse(-1);
+            heir = peers.stream().filter(p -> Addresses.text(p).equals(to)).map(LeaseSettings::memberId).findFirst().orElse(-1);
             if (heir < 0) {
                 return "no such peer: " + to;
             }
@@ -418,9 +418,9 @@
             return "another process of this proxy votes";
         }
         String name = words.size() > 1 ? words.get(1) : "";
-        if (!tasks.containsKey(name) && !duties.containsKey(name)) {
+        if (!callTasks.containsKey(name) && !leasedTasks.containsKey(name)) {
             return "no such lease: " + name + "; there are "
-                    + Stream.concat(tasks.keySet().stream(), duties.keySet().stream()).collect(Collectors.joining(", "));
+                    + Stream.concat(callTasks.keySet().stream(), leasedTasks.keySet().stream()).collect(Collectors.joining(", "));
         }
         double now = timers.now();
         String said = switch (words.get(0)) {
@@ -430,10 +430,10 @@
                 yield "forbidden here, and its voters were told";
             }
             case "run" -> {
-                if (!tasks.containsKey(name)) {
+                if (!callTasks.containsKey(name)) {
                     yield "it goes on by itself";
                 }
-                boolean began = tasks.get(name).sweep.start(now);
+                boolean began = callTasks.get(name).schedule.start(now);
                 leases.setWanted(now, name, true);
                 yield began ? "begun: as soon as this proxy holds its lease" : "a run is under way here";
             }
@@ -444,34 +444,34 @@
     }
 
     /** How all leases are here. */
-    public List<LeaseManager.Status> explain() {
+    public List<LeaseManager.Status> statuses() {
         return leases == null ? List.of() : leases.statuses(timers.now());
     }
 
     /** The same in words, a line each, with what the tasks did and what it cost. */
-    public List<String> lines() {
+    public List<String> describe() {
         List<String> lines = new ArrayList<>();
         if (leases == null) {
             return List.of("another process of this proxy votes");
         }
-        for (LeaseManager.Status s : explain()) {
+        for (LeaseManager.Status s : statuses()) {
             String who = s.holds() ? "this proxy" : s.holder() < 0 ? "nobody known" : Objects.requireNonNullElse(address(s.holder()), "?");
-            Task task = tasks.get(s.task());
+            CallTask task = callTasks.get(s.task());
             lines.add("%s: %s, term %d, for %.1f s; %d of %d votes; %s%s".formatted(s.task(), who, s.term(), s.forMs() / MS_PER_S, s.votes(),
-                    s.voters(), s.words(), task == null ? "" : "; " + task.sweep.explain()));
+                    s.voters(), s.words(), task == null ? "" : "; " + task.schedule.explain()));
         }
         lines.add("version " + leases.voterSetsVersion() + " of the electorates; " + datagrams + " datagrams of " + bytes + " bytes sent");
         return lines;
     }
 
     /** Counts for the console. */
-    public Map<String, Long> figures() {
-        long held = leases == null ? 0 : explain().stream().filter(LeaseManager.Status::holds).count();
+    public Map<String, Long> metrics() {
+        long held = leases == null ? 0 : statuses().stream().filter(LeaseManager.Status::holds).count();
         return Map.of("leases_held", held, "lease_changes", changes, "lease_datagrams", datagrams);
     }
 
     private String address(int member) {
-        Integer index = indexes.get(member);
+        Integer index = indexByMember.get(member);
         return index == null ? null : Addresses.text(peers.get(index));
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedReading.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedRegistryReader.java
@@ -17,16 +17,16 @@
  * Stands between a registry's client and whoever goes by what it says, so that one proxy reads for the fleet. What it decides is
  * {@link ElectedRegistryReader}'s; this has the datagrams, and the lease under which others are told. All calls are on the loop.
  */
-public final class SharedReading implements LeaseService.Duty, EurekaClient.Listener, ElectedRegistryReader.Out {
+public final class SharedRegistryReader implements LeaseService.LeasedTask, EurekaClient.Listener, ElectedRegistryReader.Out {
 
     /** The lease's name. */
     public static final String LEASE = "registry";
     /** What telling may take, from the look at the clock to the last datagram. */
-    private static final double TELL_MS = 50;
+    private static final double SEND_PERMIT_MS = 50;
 
     private final LeaseService leases;
-    private final EurekaClient.Listener to;
-    private final Runnable readNow;
+    private final EurekaClient.Listener listener;
+    private final Runnable pollTrigger;
     private final ElectedRegistryReader reader;
 
     /**
@@ -34,18 +34,18 @@
      * @param to goes by what is read or told
      * @param readNow has the client ask as soon as it can
      */
-    public SharedReading(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed, EurekaClient.Listener to,
+    public SharedRegistryReader(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed, EurekaClient.Listener to,
                          Runnable readNow) {
         this.leases = leases;
-        this.to = to;
-        this.readNow = readNow;
+        this.listener = to;
+        this.pollTrigger = readNow;
         this.reader = new ElectedRegistryReader(policy, apps, seed, leases.now(), this);
-        leases.take(LEASE, this);
+        leases.register(LEASE, this);
     }
 
     /** Has no more part in it. */
     public void close() {
-        leases.drop(LEASE, this);
+        leases.unregister(LEASE, this);
     }
 
     @Override
@@ -56,9 +56,9 @@
     @Override
     public void answered(String app, double tookMs, List<Instance> instances) {
         double now = leases.now();
-        Optional<Permit> permit = leases.permit(LEASE, TELL_MS);
+        Optional<Permit> permit = leases.permit(LEASE, SEND_PERMIT_MS);
         reader.pollSucceeded(now, now - tookMs, app, instances, permit.map(Permit::term).orElse(0L));
-        permit.ifPresent(leases::done);
+        permit.ifPresent(leases::permitDone);
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void failed(String why) {
-        to.failed(why);
+        listener.failed(why);
         if (reader.pollFailed(leases.now(), leases.holds(LEASE))) {
             leases.release(LEASE);
         }
@@ -86,39 +86,39 @@
     }
 
     @Override
-    public boolean wants(double now) {
+    public boolean wantsLease(double now) {
         return reader.wantsLease(now);
     }
 
     @Override
     public double tick(double now, boolean holds) {
-        return reader.tick(now, holds, leases.others(LEASE));
+        return reader.tick(now, holds, leases.otherVoters(LEASE));
     }
 
     @Override
-    public void heard(double now, int member, byte[] datagram) {
+    public void datagramReceived(double now, int member, byte[] datagram) {
         RegistryUpdateCodec.decodeListen(datagram).ifPresent(mark -> reader.listenReceived(now, member, mark));
         RegistryUpdateCodec.decode(datagram).ifPresent(news -> reader.updateReceived(now, member, news));
     }
 
     @Override
     public void sendListen(int member, int mark) {
-        leases.tellMember(member, RegistryUpdateCodec.encodeListen(mark));
+        leases.sendToMember(member, RegistryUpdateCodec.encodeListen(mark));
     }
 
     @Override
     public void sendUpdate(int member, RegistryUpdate telling, int mark) {
-        RegistryUpdateCodec.encode(telling, mark).forEach(d -> leases.tellMember(member, d));
+        RegistryUpdateCodec.encode(telling, mark).forEach(d -> leases.sendToMember(member, d));
     }
 
     @Override
     public void instancesChanged(String stream, List<Instance> instances) {
-        to.told(stream, instances);
+        listener.told(stream, instances);
     }
 
     @Override
     public void pollNow() {
-        readNow.run();
+        pollTrigger.run();
     }
 
     @Override
--- a/gateway/src/main/java/ridgemill/gateway/lease/VotingLock.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/VotingLock.java
@@ -23,7 +23,7 @@
     }
 
     /** Whether this process has it now. */
-    boolean take() throws IOException {
+    boolean tryAcquire() throws IOException {
         if (lock == null) {
             lock = file.tryLock();
         }
--- a/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/HallsSection.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.serviceclass.PlatformConstraints;
-import ridgemill.gateway.halls.HallSecurity;
-import ridgemill.gateway.halls.HallSettings;
+import ridgemill.gateway.datacenter.DatacenterSecurity;
+import ridgemill.gateway.datacenter.DatacenterSettings;
 import ridgemill.gateway.net.Addresses;
 import ridgemill.datacenter.DatacenterPolicy;
 
@@ -35,18 +35,18 @@
 
     private HallsSection() { }
 
-    static HallSettings read(Section root, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
+    static DatacenterSettings read(Section root, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
         return root.table("halls").map(s -> settings(s, classes, platform)).orElse(null);
     }
 
-    private static HallSettings settings(Section s, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
+    private static DatacenterSettings settings(Section s, Map<String, ServiceClassPolicy> classes, PlatformConstraints platform) {
         String name = s.text("name").orElse("");
         if (!DatacenterPolicy.isValidName(name)) {
             s.problem(s.has("name") ? "name" : null, s.has("name") ? "bad-name" : "missing", s.has("name") ? "\"" + name
                     + "\" is no name of a hall" : "has no name", "set name = \"teku-hall\": letters, digits and . _ -");
         }
         Optional<InetSocketAddress> listen = s.address("listen");
-        HallSecurity security = security(s);
+        DatacenterSecurity security = security(s);
         Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         Set<String> sharing = new HashSet<>();
         Map<String, List<String>> gateways = peers(s, name, addresses, sharing);
@@ -66,7 +66,7 @@
         if (!DatacenterPolicy.isValidName(name) || gateways.containsKey(name) || security == null) {
             return null;
         }
-        return new HallSettings(listen.orElse(null), security, addresses, new DatacenterPolicy(name, gateways, crossing, sharing, perS,
+        return new DatacenterSettings(listen.orElse(null), security, addresses, new DatacenterPolicy(name, gateways, crossing, sharing, perS,
                 inFlight, listen.isPresent() ? take : 0, hops, quiet));
     }
 
@@ -114,7 +114,7 @@
         return gateways;
     }
 
-    private static HallSecurity security(Section s) {
+    private static DatacenterSecurity security(Section s) {
         Map<String, Optional<Path>> files = new HashMap<>();
         for (String key : List.of("certificate", "private-key", "trust")) {
             files.put(key, file(s, key));
@@ -134,7 +134,7 @@
                     s.problem(null, "missing", "has no " + key, "set " + key + " = \"/etc/ridgemill/hall.pem\"");
                 }
             }
-            return files.values().stream().anyMatch(Optional::isEmpty) ? null : new HallSecurity.Tls(files.get("certificate").get(),
+            return files.values().stream().anyMatch(Optional::isEmpty) ? null : new DatacenterSecurity.Tls(files.get("certificate").get(),
                     files.get("private-key").get(), files.get("trust").get());
         }
         for (String key : List.of("certificate", "private-key", "trust")) {
@@ -143,7 +143,7 @@
             }
         }
         if (kind.get().equals("none")) {
-            return new HallSecurity.Unproven();
+            return new DatacenterSecurity.Unauthenticated();
         }
         byte[] bytes = shared.orElse("").getBytes(StandardCharsets.UTF_8);
         if (bytes.length < LEAST_KEY_BYTES) {
@@ -151,7 +151,7 @@
                     + " bytes" : "has no key", "give " + LEAST_KEY_BYTES + " bytes or more, of chance alone");
             return null;
         }
-        return new HallSecurity.SharedKey(bytes);
+        return new DatacenterSecurity.SharedKey(bytes);
     }
 
     private static Optional<Path> file(Section s, String key) {
--- a/gateway/src/main/java/ridgemill/gateway/operator/LeasesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/LeasesSection.java
@@ -92,7 +92,7 @@
             try {
                 InetSocketAddress address = Addresses.parse(text);
                 addresses.add(address);
-                if (peers && !numbers.add(LeaseSettings.number(address))) {
+                if (peers && !numbers.add(LeaseSettings.memberId(address))) {
                     s.problem(key, "duplicate", text + " is named twice, or can't be told from another", "name each once");
                 }
             } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -19,7 +19,7 @@
 import ridgemill.gateway.back.resp.RespBack;
 import ridgemill.gateway.back.resp.RespNodes;
 import ridgemill.gateway.lease.LeaseService;
-import ridgemill.gateway.lease.SharedReading;
+import ridgemill.gateway.lease.SharedRegistryReader;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.membership.eureka.EurekaClient;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
@@ -82,7 +82,7 @@
     private EurekaSettings asked;
     /** By whom one proxy may read for the fleet; null where there are no leases. */
     private final LeaseService leases;
-    private SharedReading reading;
+    private SharedRegistryReader reading;
     private long version;
 
     NodeGroups(Service service, Settings settings, long seed, Clock clock, LeaseService leases) {
@@ -163,7 +163,7 @@
                 }
             };
             reading = wanted.oneReader() == null || leases == null ? null
-                    : new SharedReading(leases, wanted.oneReader(), apps, seed, members, () -> eureka.askNow());
+                    : new SharedRegistryReader(leases, wanted.oneReader(), apps, seed, members, () -> eureka.askNow());
             eureka = new EurekaClient(service.loop(), wanted, seed, reading == null ? members : reading);
             eureka.start();
         }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -23,10 +23,10 @@
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.control.ControlServer;
 import ridgemill.gateway.front.resp.RespFront;
-import ridgemill.gateway.halls.HallCrossings;
+import ridgemill.gateway.datacenter.DatacenterForwarder;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.lease.LeaseSettings;
-import ridgemill.gateway.lease.SharedProbing;
+import ridgemill.gateway.lease.SharedProber;
 import ridgemill.gateway.membership.eureka.EurekaRegistration;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.Log;
@@ -34,7 +34,7 @@
 import ridgemill.gateway.net.Transport;
 import ridgemill.gateway.operator.OperatorConfig.Listener;
 import ridgemill.gateway.rollout.RolloutService;
-import ridgemill.gateway.succession.ServingMark;
+import ridgemill.gateway.succession.ServingProcessFile;
 import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.idempotency.InMemoryIdempotencyStore;
 import ridgemill.limit.LoopShare;
@@ -77,11 +77,11 @@
     private SharedLimits shared;
     private ControlServer control;
     private EurekaRegistration registration;
-    private HallCrossings halls;
+    private DatacenterForwarder halls;
     private LeaseService leases;
     private AuditService audit;
     private String build;
-    private SharedProbing probing;
+    private SharedProber probing;
     private RolloutService rollout;
     private final RolledFile rolled;
     private long reloads;
@@ -157,7 +157,7 @@
         Operated operated = new Operated(file, config, operator);
         if (operator.audit() != null) {
             // Before anything listens, as it takes a while.
-            operated.build = AuditService.build();
+            operated.build = AuditService.buildId();
         }
         if (operator.process().loops() > 1) {
             operated.startCrew(routers);
@@ -217,8 +217,8 @@
         if (leases != null) {
             String shared = holds.rollout() == null ? null : rolled.shared();
             service().between(() -> {
-                service().onFleet(leases::heard);
-                service().moreFigures(leases::figures);
+                service().onFleet(leases::datagramReceived);
+                service().moreFigures(leases::metrics);
                 probing(holds.leases());
                 if (shared != null) {
                     beginRollout(shared);
@@ -249,7 +249,7 @@
         IOException[] failed = {null};
         service.between(() -> {
             try {
-                halls = new HallCrossings(service.loop(), new LoopTimers(service.loop(), clock), service.intake(), holds.halls(),
+                halls = new DatacenterForwarder(service.loop(), new LoopTimers(service.loop(), clock), service.intake(), holds.halls(),
                         service::level, config.seed());
                 service.onStop(halls::stop);
             } catch (IOException e) {
@@ -272,13 +272,13 @@
         service.between(() -> {
             audit = new AuditService(service.loop(), new LoopTimers(service.loop(), clock), config, build, holds.version(), holds.digest(),
                     holds.audit().tellVersion(), service::tellPeer);
-            audit.keepRequests(holds.audit().requests());
+            audit.keepTraces(holds.audit().requests());
             if (holds.audit().directory() != null) {
-                audit.keepIn(holds.audit().directory(), holds.audit().fileBytes());
+                audit.writeTo(holds.audit().directory(), holds.audit().fileBytes());
             }
-            service.intake().setVersionTracker(audit.record());
-            service.onFleet(audit::heard);
-            service.moreFigures(audit::figures);
+            service.intake().setVersionTracker(audit.history());
+            service.onFleet(audit::datagramReceived);
+            service.moreFigures(audit::metrics);
         });
     }
 
@@ -290,9 +290,9 @@
         // The file's checks let no leases through beside several loops.
         Service service = service();
         leases = new LeaseService(service.loop(), new LoopTimers(service.loop(), clock), config.name(), config.peers(),
-                config.settings().proxyIndex(), config.seed(), ServingMark.directory(), holds.leases(), service::tellPeer);
+                config.settings().proxyIndex(), config.seed(), ServingProcessFile.sharedDirectory(), holds.leases(), service::tellPeer);
         if (audit != null) {
-            leases.tells(audit::lease);
+            leases.setStatusListener(audit::leaseChanged);
         }
     }
 
@@ -300,24 +300,24 @@
     private void beginRollout(String shared) {
         Service service = service();
         rollout = new RolloutService(service.loop(), leases, audit, service.intake()::counters, holds.rollout(),
-                config.peers().stream().map(LeaseSettings::number).toList(), config.settings().proxyIndex(), rolled);
-        rollout.actsUnder(RolledFile.stamp(holds, shared), shared);
+                config.peers().stream().map(LeaseSettings::memberId).toList(), config.settings().proxyIndex(), rolled);
+        rollout.setInEffect(RolledFile.stamp(holds, shared), shared);
         seats.get(0).gate.aside(rollout::isOutOfService);
         service.clients().aside(rollout::isOutOfService);
-        service.mutes(audit::isOut);
-        leases.mutes(audit::isOut);
-        service.moreFigures(rollout::figures);
+        service.mutes(audit::isOutOfService);
+        leases.ignoreLeaseMessagesFrom(audit::isOutOfService);
+        service.moreFigures(rollout::metrics);
     }
 
     /** Begins to have one proxy ask spared nodes for all, or ends it; on the loop. */
     private void probing(LeaseSettings settings) {
-        if (settings.probes() && probing == null) {
-            probing = new SharedProbing(leases, () -> {
+        if (settings.sharedProbing() && probing == null) {
+            probing = new SharedProber(leases, () -> {
                 Map<String, Service.Group> groups = seats.get(0).groups.groups();
                 groups.put("", service().platform());
                 return groups;
             });
-        } else if (!settings.probes() && probing != null) {
+        } else if (!settings.sharedProbing() && probing != null) {
             probing.close();
             probing = null;
         }
@@ -435,10 +435,10 @@
             registration.outOfService();
         }
         if (halls != null) {
-            loop().execute(halls::leave);
+            loop().execute(halls::announceLeaving);
         }
         if (leases != null) {
-            loop().execute(leases::leave);
+            loop().execute(leases::releaseAll);
         }
         Runnable last = () -> {
             if (registration != null) {
@@ -457,7 +457,7 @@
     private void endAudit() {
         try {
             if (audit != null) {
-                loop().submit(audit::keepCounts).sync();
+                loop().submit(audit::writeCounts).sync();
                 audit.close();
             }
         } catch (InterruptedException e) {
@@ -500,7 +500,7 @@
             result = new Reload(false, "the file that held goes on holding", e.problems(), List.of());
             if (audit != null) {
                 long version = OperatorFile.versionOf(file);
-                seats.get(0).between(() -> audit.refused(version, String.valueOf(e.problems().get(0))));
+                seats.get(0).between(() -> audit.fileRefused(version, String.valueOf(e.problems().get(0))));
             }
             e.problems().forEach(p -> Log.info("operator file not taken, the old one stays: " + p));
         }
@@ -556,7 +556,7 @@
         if (!Objects.equals(holds.register(), next.register())) {
             notes.add("eureka.register holds from the next start on");
         }
-        if (!Objects.equals(holds.halls(), next.halls()) && (halls == null || !halls.isFixedIn(next.halls()))) {
+        if (!Objects.equals(holds.halls(), next.halls()) && (halls == null || !halls.hasSameFixedSettings(next.halls()))) {
             notes.add("halls: its name, listen and security hold from the next start on, and so does the section as a whole");
         }
         if (!Objects.equals(holds.audit(), next.audit())) {
@@ -582,7 +582,7 @@
             return null;
         }
         try {
-            leases.changeTo(next);
+            leases.applySettings(next);
             probing(next);
             return null;
         } catch (IllegalArgumentException e) {
@@ -592,7 +592,7 @@
 
     private void take(Seat seat, OperatorConfig next, String cause) {
         if (audit != null) {
-            audit.changed(next.version(), next.digest(), cause);
+            audit.fileChanged(next.version(), next.digest(), cause);
         }
         seat.groups.take(next.groups(), next.eureka());
         seat.gate.changeTo(next, clock.now());
@@ -604,8 +604,8 @@
         seat.service.clients().keepIdle(next.process().idleMs());
         seat.deadlines(next.deadlines());
         seat.outcomes(next.outcomes());
-        if (halls != null && halls.isFixedIn(next.halls())) {
-            halls.changeTo(next.halls());
+        if (halls != null && halls.hasSameFixedSettings(next.halls())) {
+            halls.applySettings(next.halls());
         }
         seat.service.intake().limitsChanged();
     }
@@ -647,10 +647,10 @@
             case "nodes" -> CompletableFuture.supplyAsync(() -> linesJson("nodes", nodes()), turns);
             case "status" -> CompletableFuture.supplyAsync(this::statusJson, turns);
             case "audit" -> CompletableFuture.completedFuture(auditJson(null));
-            case "versions" -> CompletableFuture.completedFuture(linesJson("versions", audit == null ? List.of(NO_AUDIT) : audit.versions()));
+            case "versions" -> CompletableFuture.completedFuture(linesJson("versions", audit == null ? List.of(NO_AUDIT) : audit.describeFleet()));
             case "leases" -> CompletableFuture.completedFuture(leasesJson());
-            case "rolls" -> CompletableFuture.completedFuture(linesJson("rolls", rollout == null ? List.of(NO_ROLLS) : rollout.lines()));
-            case "roll-back" -> CompletableFuture.completedFuture(said(rollout == null ? NO_ROLLS : rollout.goBack()));
+            case "rolls" -> CompletableFuture.completedFuture(linesJson("rolls", rollout == null ? List.of(NO_ROLLS) : rollout.describe()));
+            case "roll-back" -> CompletableFuture.completedFuture(said(rollout == null ? NO_ROLLS : rollout.rollBack()));
             default -> line.startsWith("roll ") ? CompletableFuture.supplyAsync(() -> roll(line.substring("roll ".length())), turns)
                     : CompletableFuture.completedFuture(line.startsWith("lease ") ? leaseCommand(line)
                     : line.startsWith("audit ") ? auditJson(line.substring("audit ".length()))
@@ -683,7 +683,7 @@
     /** Of one request, or of all that is kept where that is null; on the loop. */
     private String auditJson(String request) {
         if (audit != null) {
-            return JSON.toJson(request == null ? audit.audit() : audit.request(request));
+            return JSON.toJson(request == null ? audit.auditJson() : audit.requestJson(request));
         }
         JsonObject o = new JsonObject();
         o.addProperty("reason", NO_AUDIT);
@@ -693,12 +693,12 @@
     /** On the loop. */
     private String leasesJson() {
         JsonObject o = new JsonObject();
-        List<String> lines = new ArrayList<>(leases == null ? List.of("there are no leases here: see [leases]") : leases.lines());
+        List<String> lines = new ArrayList<>(leases == null ? List.of("there are no leases here: see [leases]") : leases.describe());
         if (probing != null) {
             lines.addAll(probing.explain());
         }
         o.add("leases", JSON.toJsonTree(lines));
-        o.add("standing", JSON.toJsonTree(leases == null ? List.of() : leases.explain()));
+        o.add("standing", JSON.toJsonTree(leases == null ? List.of() : leases.statuses()));
         return JSON.toJson(o);
     }
 
@@ -720,7 +720,7 @@
         }
         try {
             String[] words = {null};
-            seats.get(0).between(() -> words[0] = rollout.actingText());
+            seats.get(0).between(() -> words[0] = rollout.textInEffect());
             RolledFile.Wanted wanted = rolled.wanted(path, words[0]);
             seats.get(0).between(() -> words[0] = rollout.begin(wanted.target(), wanted.targetText(), wanted.back(), wanted.backText()));
             return said(words[0]);
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorConfig.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorConfig.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import ridgemill.serviceclass.ServiceClassPolicy;
-import ridgemill.gateway.halls.HallSettings;
+import ridgemill.gateway.datacenter.DatacenterSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaRegistration;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
@@ -40,7 +40,7 @@
  */
 public record OperatorConfig(Map<String, ServiceClassPolicy> classes, RouteTable<Target> routes, Limits limits,
                              Map<String, NodeGroup> groups, List<Listener> listeners, Map<String, String> passwords,
-                             EurekaSettings eureka, EurekaRegistration.Self register, Path control, HallSettings halls, DeadlineSettings deadlines,
+                             EurekaSettings eureka, EurekaRegistration.Self register, Path control, DatacenterSettings halls, DeadlineSettings deadlines,
                              OutcomeSettings outcomes, LeaseSettings leases, RolloutSettings rollout, long version, String digest, AuditSettings audit,
                              ProcessSettings process) {
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
@@ -16,7 +16,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import ridgemill.gateway.halls.HallSettings;
+import ridgemill.gateway.datacenter.DatacenterSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
 import ridgemill.gateway.operator.OperatorConfig.Listener;
@@ -141,7 +141,7 @@
         List<Listener> listeners = ListenersSection.read(root);
         Map<String, String> passwords = RespSection.read(root);
         Path control = ControlSection.read(root);
-        HallSettings halls = HallsSection.read(root, classes, platform);
+        DatacenterSettings halls = HallsSection.read(root, classes, platform);
         ProcessSettings process = ProcessSection.read(root, halls != null);
         DeadlineSettings deadlines = DeadlinesSection.read(root);
         OutcomeSettings outcomes = OutcomesSection.read(root, classes, process.loops());
--- a/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/RolledFile.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.net.Log;
-import ridgemill.gateway.rollout.RolledText;
+import ridgemill.gateway.rollout.RolloutText;
 import ridgemill.gateway.rollout.RolloutService;
 import ridgemill.rollout.FileFingerprint.FileVersion;
 import ridgemill.rollout.FileFingerprint;
@@ -21,7 +21,7 @@
  * A proxy's operator file as rolls change it: what comes from others is looked at beside what is this proxy's own, and is written to the
  * file once it holds, so that a restart comes back with it. Used on the thread where reloads take turns.
  */
-final class RolledFile implements RolloutService.Files {
+final class RolledFile implements RolloutService.FileHandler {
 
     /** Has a file take effect; throws where it has a problem, or came too late. */
     interface Taker {
@@ -48,31 +48,31 @@
 
     /** What this proxy's file says that is the same for all; throws where it can't be read. */
     String shared() throws IOException {
-        return RolledText.shared(Files.readString(Path.of(file)));
+        return RolloutText.sharedPart(Files.readString(Path.of(file)));
     }
 
     private String own() throws IOException {
-        return RolledText.own(Files.readString(Path.of(file)));
+        return RolloutText.localPart(Files.readString(Path.of(file)));
     }
 
     private OperatorConfig parse(String name, String shared) throws OperatorFileException, IOException {
-        return OperatorFile.parse(name, RolledText.with(shared, own()), platform);
+        return OperatorFile.parse(name, RolloutText.join(shared, own()), platform);
     }
 
     static FileFingerprint stamp(OperatorConfig config, String shared) {
-        return FileFingerprint.of((int) config.version(), AuditService.meaning(config.digest()), shared);
+        return FileFingerprint.of((int) config.version(), AuditService.digestBits(config.digest()), shared);
     }
 
     @Override
-    public CompletionStage<RolloutService.Found> look(String shared) {
+    public CompletionStage<RolloutService.Validation> validate(String shared) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 OperatorConfig config = parse("rolled", shared);
-                return new RolloutService.Found(new FileVersion((int) config.version(), AuditService.meaning(config.digest())), "");
+                return new RolloutService.Validation(new FileVersion((int) config.version(), AuditService.digestBits(config.digest())), "");
             } catch (OperatorFileException e) {
-                return new RolloutService.Found(new FileVersion(0, 0), brief(e));
+                return new RolloutService.Validation(new FileVersion(0, 0), brief(e));
             } catch (IOException e) {
-                return new RolloutService.Found(new FileVersion(0, 0), "its own file can't be read");
+                return new RolloutService.Validation(new FileVersion(0, 0), "its own file can't be read");
             }
         }, turns);
     }
@@ -86,10 +86,10 @@
     }
 
     @Override
-    public CompletionStage<String> take(String shared, BooleanSupplier may, String cause) {
+    public CompletionStage<String> apply(String shared, BooleanSupplier may, String cause) {
         return CompletableFuture.supplyAsync(() -> {
             try {
-                String whole = RolledText.with(shared, own());
+                String whole = RolloutText.join(shared, own());
                 taker.take(OperatorFile.parse("rolled", whole, platform), may, cause);
                 write(whole);
                 return "";
@@ -120,12 +120,12 @@
      */
     Wanted wanted(String path, String acting) throws OperatorFileException {
         try {
-            String shared = RolledText.shared(Files.readString(Path.of(path)));
+            String shared = RolloutText.sharedPart(Files.readString(Path.of(path)));
             if (shared.length() > FileFingerprint.MAX_BYTES / 2) {
                 throw refused(path, "too-large", "has more than " + FileFingerprint.MAX_BYTES / 2 + " characters", "shorten it");
             }
             OperatorConfig target = parse(path, shared);
-            String back = RolledText.numbered(acting, (int) target.version() + 1);
+            String back = RolloutText.withVersion(acting, (int) target.version() + 1);
             return new Wanted(stamp(target, shared), shared, stamp(parse(file, back), back), back);
         } catch (IOException e) {
             throw refused(path, "unreadable", "cannot be read", "name a file that is there");
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
@@ -25,20 +25,20 @@
  * One proxy's part in rolls. What it decides is {@link Rollout}'s and {@link Quarantine}'s; this has the datagrams, the lease, and the file,
  * which is looked at and taken elsewhere than on the loop. All calls are on the loop but where it is said.
  */
-public final class RolloutService implements LeaseService.Duty, Rollout.Callbacks {
+public final class RolloutService implements LeaseService.LeasedTask, Rollout.Callbacks {
 
     /** The lease's name. */
     public static final String LEASE = "roll";
     /** What telling may take, from the look at the clock to the last datagram. */
-    private static final double TELL_MS = 50;
+    private static final double SEND_PERMIT_MS = 50;
     /** Who was answered within so long has its place in a roll. */
-    private static final double LED_MS = 5000;
+    private static final double COORDINATED_WITHIN_MS = 5000;
 
     /** What becomes of texts; both answer anywhere. */
-    public interface Files {
+    public interface FileHandler {
 
         /** Looks at a text that came: its number and meaning, or what is wrong with it. */
-        CompletionStage<Found> look(String shared);
+        CompletionStage<Validation> validate(String shared);
 
         /**
          * Has this proxy act under a text that was found good.
@@ -46,121 +46,121 @@
          * @param may asked on the loop, in the same turn in which it takes effect; false for too late
          * @return what was wrong; empty where it acts under it now
          */
-        CompletionStage<String> take(String shared, BooleanSupplier may, String cause);
+        CompletionStage<String> apply(String shared, BooleanSupplier may, String cause);
     }
 
     /** What a text was found to be; {@code problem} is empty for a good one. */
-    public record Found(FileVersion acting, String problem) { }
+    public record Validation(FileVersion version, String problem) { }
 
     private final EventLoop loop;
     private final LeaseService leases;
     private final AuditService audit;
-    private final Supplier<RequestCounters> tally;
-    private final Files files;
-    private final Rollout roll;
-    private final Quarantine aside;
-    private final Map<Integer, Integer> members = new HashMap<>();
-    private final List<Integer> numbers;
-    private Quarantine.Reason before = Quarantine.Reason.IN;
+    private final Supplier<RequestCounters> requestCounters;
+    private final FileHandler fileHandler;
+    private final Rollout rollout;
+    private final Quarantine quarantine;
+    private final Map<Integer, Integer> indexByMember = new HashMap<>();
+    private final List<Integer> memberIds;
+    private Quarantine.Reason lastReason = Quarantine.Reason.IN;
     private long changes;
 
     /** {@code members} are the lease's numbers of all proxies, in the order of the platform's peers; {@code self} is this one's place. */
     public RolloutService(EventLoop loop, LeaseService leases, AuditService audit, Supplier<RequestCounters> tally, RolloutSettings settings, List<Integer> members,
-                          int self, Files files) {
+                          int self, FileHandler files) {
         this.loop = loop;
         this.leases = leases;
         this.audit = audit;
-        this.tally = tally;
-        this.files = files;
-        this.numbers = List.copyOf(members);
+        this.requestCounters = tally;
+        this.fileHandler = files;
+        this.memberIds = List.copyOf(members);
         for (int i = 0; i < members.size(); i++) {
-            this.members.put(members.get(i), i);
+            this.indexByMember.put(members.get(i), i);
         }
-        this.roll = new Rollout(self, members.size(), audit.record().incarnation(), leases.now(), settings.policy(), this);
-        this.aside = new Quarantine(self, members.size(), leases.now(), settings.bounds());
-        audit.tellOut(this::isOutOfService);
-        leases.asideWhile(this::isOutOfService);
-        leases.take(LEASE, this);
+        this.rollout = new Rollout(self, members.size(), audit.history().incarnation(), leases.now(), settings.policy(), this);
+        this.quarantine = new Quarantine(self, members.size(), leases.now(), settings.quarantineLimits());
+        audit.setOutOfService(this::isOutOfService);
+        leases.setOutOfService(this::isOutOfService);
+        leases.register(LEASE, this);
     }
 
     /** This proxy acts under a file whose shared text this is. */
-    public void actsUnder(FileFingerprint stamp, String shared) {
-        roll.setInEffect(stamp, shared);
+    public void setInEffect(FileFingerprint stamp, String shared) {
+        rollout.setInEffect(stamp, shared);
     }
 
     /** What this proxy acts under, as it goes from proxy to proxy. */
-    public String actingText() {
-        return roll.textInEffect();
+    public String textInEffect() {
+        return rollout.textInEffect();
     }
 
     @Override
-    public boolean wants(double now) {
-        return roll.wantsLease(now);
+    public boolean wantsLease(double now) {
+        return rollout.wantsLease(now);
     }
 
     @Override
     public double tick(double now, boolean holds) {
-        boolean led = roll.isCoordinated(now, LED_MS);
-        aside.update(now, versionInEffect(), audit.others(), led);
-        if (aside.reason() != before) {
-            before = aside.reason();
+        boolean led = rollout.isCoordinated(now, COORDINATED_WITHIN_MS);
+        quarantine.update(now, versionInEffect(), audit.others(), led);
+        if (quarantine.reason() != lastReason) {
+            lastReason = quarantine.reason();
             changes++;
-            Log.info("fleet: this proxy is " + (isOutOfService() ? "out" : "in") + ": " + before);
+            Log.info("fleet: this proxy is " + (isOutOfService() ? "out" : "in") + ": " + lastReason);
         }
-        return roll.tick(now, holds, electors(), aside.differsFromFleet() && !led);
+        return rollout.tick(now, holds, voterIndexes(), quarantine.differsFromFleet() && !led);
     }
 
-    private boolean lags(double now) {
-        return aside.differsFromFleet() && !roll.isCoordinated(now, LED_MS);
+    private boolean isLagging(double now) {
+        return quarantine.differsFromFleet() && !rollout.isCoordinated(now, COORDINATED_WITHIN_MS);
     }
 
-    private List<Integer> electors() {
-        return leases.others(LEASE).stream().map(members::get).filter(m -> m != null).toList();
+    private List<Integer> voterIndexes() {
+        return leases.otherVoters(LEASE).stream().map(indexByMember::get).filter(m -> m != null).toList();
     }
 
     @Override
-    public void heard(double now, int member, byte[] datagram) {
-        Integer from = members.get(member);
+    public void datagramReceived(double now, int member, byte[] datagram) {
+        Integer from = indexByMember.get(member);
         if (from != null) {
-            RolloutWire.decode(datagram).ifPresent(word -> roll.receive(now, from, word, lags(now)));
+            RolloutWire.decode(datagram).ifPresent(word -> rollout.receive(now, from, word, isLagging(now)));
         }
     }
 
     @Override
     public long term() {
         // Taken and given back at once: what is told is one datagram, whose age its reader checks.
-        Optional<Permit> permit = leases.permit(LEASE, TELL_MS);
-        permit.ifPresent(leases::done);
+        Optional<Permit> permit = leases.permit(LEASE, SEND_PERMIT_MS);
+        permit.ifPresent(leases::permitDone);
         return permit.map(Permit::term).orElse(0L);
     }
 
     @Override
     public void sendMessage(int to, RolloutMessage word) {
-        leases.tellMember(numbers.get(to), RolloutWire.encode(word));
+        leases.sendToMember(memberIds.get(to), RolloutWire.encode(word));
     }
 
     @Override
     public void validate(FileFingerprint stamp, String text) {
-        files.look(text).whenComplete((found, failed) -> loop.execute(() -> {
+        fileHandler.validate(text).whenComplete((found, failed) -> loop.execute(() -> {
             String problem = failed != null ? "fault: " + failed.getMessage() : !found.problem().isEmpty() ? found.problem()
-                    : stamp.matches(found.acting()) ? "" : "says that it is " + found.acting().text() + " and not " + stamp.text();
+                    : stamp.matches(found.version()) ? "" : "says that it is " + found.version().text() + " and not " + stamp.text();
             if (!problem.isEmpty()) {
-                audit.refused(stamp.number(), problem);
+                audit.fileRefused(stamp.number(), problem);
             }
-            roll.validated(leases.now(), stamp, problem);
+            rollout.validated(leases.now(), stamp, problem);
         }));
     }
 
     @Override
     public void apply(FileFingerprint stamp, String text, double byMs, long term) {
         boolean[] late = {false};
-        files.take(text, () -> {
+        fileHandler.apply(text, () -> {
             late[0] = leases.now() > byMs;
             return !late[0];
         }, term > 0 ? "roll, term " + term : "brought up by others").whenComplete((said, failed) -> loop.execute(() -> {
             String problem = failed != null ? "fault: " + failed.getMessage() : said;
             changes += problem.isEmpty() ? 1 : 0;
-            roll.applied(leases.now(), stamp, problem, late[0]);
+            rollout.applied(leases.now(), stamp, problem, late[0]);
         }));
     }
 
@@ -171,40 +171,40 @@
 
     @Override
     public FileVersion versionInEffect() {
-        return audit.acting();
+        return audit.fileInEffect();
     }
 
     @Override
     public boolean isOutOfService() {
-        return aside.isOutOfService(leases.now());
+        return quarantine.isOutOfService(leases.now());
     }
 
     @Override
     public Rollout.Counts counts() {
-        RequestCounters t = tally.get();
+        RequestCounters t = requestCounters.get();
         return new Rollout.Counts((int) t.served(), (int) (t.served() + t.refused() + t.failed()));
     }
 
     /** Begins a roll of a text that was found good, as was the way back; returns what came of it, in words. */
     public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
-        return leases.isElector(LEASE) ? roll.begin(target, targetText, back, backText)
-                : "no: this proxy can't hold the lease; ask one of " + leases.electorsText(LEASE);
+        return leases.isVoter(LEASE) ? rollout.begin(target, targetText, back, backText)
+                : "no: this proxy can't hold the lease; ask one of " + leases.votersText(LEASE);
     }
 
     /** Has the roll that is conducted here go back; returns what came of it, in words. */
-    public String goBack() {
-        return roll.rollBack();
+    public String rollBack() {
+        return rollout.rollBack();
     }
 
     /** How it goes, in words. */
-    public List<String> lines() {
-        List<String> lines = new ArrayList<>(roll.explain());
-        lines.add("this proxy acts under " + versionInEffect().text() + " and is " + (isOutOfService() ? "OUT" : "in") + ": " + aside.reason());
+    public List<String> describe() {
+        List<String> lines = new ArrayList<>(rollout.explain());
+        lines.add("this proxy acts under " + versionInEffect().text() + " and is " + (isOutOfService() ? "OUT" : "in") + ": " + quarantine.reason());
         return lines;
     }
 
     /** Counts for the console. */
-    public Map<String, Long> figures() {
-        return Map.of("fleet_out", isOutOfService() ? 1L : 0L, "fleet_changes", changes, "roll_open", roll.isInProgress() ? 1L : 0L);
+    public Map<String, Long> metrics() {
+        return Map.of("fleet_out", isOutOfService() ? 1L : 0L, "fleet_changes", changes, "roll_open", rollout.isInProgress() ? 1L : 0L);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
@@ -7,6 +7,6 @@
  * What an operator file says of taking versions through the fleet.
  *
  * @param policy how a roll goes
- * @param bounds when this proxy steps aside
+ * @param quarantineLimits when this proxy steps aside
  */
-public record RolloutSettings(RolloutPolicy policy, Quarantine.Limits bounds) { }
+public record RolloutSettings(RolloutPolicy policy, Quarantine.Limits quarantineLimits) { }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolledText.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutText.java
@@ -8,20 +8,20 @@
  * An operator file's text as it goes from proxy to proxy: without the sections that are each proxy's own, which stay where they are.
  * A section begins at its header's line and ends before the next header's.
  */
-public final class RolledText {
+public final class RolloutText {
 
     private static final Pattern HEADER = Pattern.compile("\\s*\\[\\[?\\s*([A-Za-z0-9_.\"-]+)\\s*]]?\\s*(#.*)?");
     private static final Pattern VERSION = Pattern.compile("\\s*version\\s*=\\s*[0-9_]+\\s*(#.*)?");
 
-    private RolledText() { }
+    private RolloutText() { }
 
     /** What is the same for all proxies. */
-    public static String shared(String text) {
+    public static String sharedPart(String text) {
         return part(text, false);
     }
 
     /** What is this proxy's own. */
-    public static String own(String text) {
+    public static String localPart(String text) {
         return part(text, true);
     }
 
@@ -41,12 +41,12 @@
     }
 
     /** A text that came, with what is this proxy's own. */
-    public static String with(String shared, String own) {
+    public static String join(String shared, String own) {
         return own.isBlank() ? shared : shared + "\n" + own;
     }
 
     /** The same under another number; throws where the text has no line {@code version = N} before its first section. */
-    public static String numbered(String shared, int version) {
+    public static String withVersion(String shared, int version) {
         StringBuilder text = new StringBuilder();
         boolean found = false;
         boolean inSection = false;
