--- a/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/DataPath.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import ridgemill.cdn.config.Limits;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.net.Listening;
+import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.cdn.proxy.control.ControlListener;
 import ridgemill.cdn.proxy.control.ControlView;
 import ridgemill.cdn.proxy.control.OperationRegister;
@@ -121,7 +121,7 @@
 
     /** Listens for clients; the future fails if the address cannot be bound. */
     public ChannelFuture listen() {
-        ChannelFuture bound = Listening.bootstrap(
+        ChannelFuture bound = ServerBootstraps.create(
                         context.loop(),
                         context.sockets(),
                         ACCEPT_BACKLOG,
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/QuorumRegister.java
@@ -104,7 +104,7 @@
         }
 
         private void writeEnded(Either<CallFailure, Message.Reply> result) {
-            if (result.isRight() && result.get() instanceof StoreMessages.Written written && written.durable()) {
+            if (result.isRight() && result.get() instanceof StoreMessages.WriteResult written && written.durable()) {
                 recordedAt.add(written.store());
             }
         }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/StoreFeed.java
@@ -9,10 +9,10 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.CallFailure;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
@@ -32,7 +32,7 @@
     }
 
     private final Receiver receiver;
-    private HeldLink link;
+    private ReconnectingLink link;
     private String incarnationId = "";
     private long lastNumber;
     private Voter store;
@@ -41,7 +41,7 @@
         this.receiver = receiver;
     }
 
-    void start(HeldLink newLink) {
+    void start(ReconnectingLink newLink) {
         link = newLink;
         newLink.start();
     }
@@ -77,17 +77,17 @@
     @Override
     public void received(Link from, Message message) {
         if (message instanceof StoreMessages.Snapshot snapshot) {
-            incarnationId = snapshot.lifeId();
+            incarnationId = snapshot.incarnationId();
             lastNumber = snapshot.number();
             store = snapshot.store();
             receiver.snapshotReceived(this, snapshot.voters(), snapshot.items());
-            from.send(new StoreMessages.NewsAcknowledged(lastNumber));
-        } else if (message instanceof StoreMessages.News update) {
+            from.send(new StoreMessages.UpdateAcknowledged(lastNumber));
+        } else if (message instanceof StoreMessages.Update update) {
             applyUpdate(from, update);
         }
     }
 
-    private void applyUpdate(Link from, StoreMessages.News update) {
+    private void applyUpdate(Link from, StoreMessages.Update update) {
         if (update.number() <= lastNumber) {
             return;
         }
@@ -98,7 +98,7 @@
         }
         lastNumber = update.number();
         receiver.updateReceived(update.voters(), update.items(), update.purges());
-        from.send(new StoreMessages.NewsAcknowledged(lastNumber));
+        from.send(new StoreMessages.UpdateAcknowledged(lastNumber));
     }
 
     @Override
--- a/core/src/main/java/ridgemill/core/RequestCounters.java
+++ b/core/src/main/java/ridgemill/core/RequestCounters.java
@@ -8,94 +8,97 @@
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
-/** Counts since the start, for the log and for whoever watches. */
+/** Counts of requests and attempts since the start, for logs and metrics. Not thread-safe. */
 public final class RequestCounters {
 
     private final Map<String, long[]> reasons = new HashMap<>();
-    private final Map<String, long[]> ends = new HashMap<>();
+    private final Map<String, long[]> results = new HashMap<>();
     private final long[] outcomes = new long[Outcome.values().length];
     private long requests;
-    private long written;
+    private long attemptsWritten;
 
-    /** How a request ended. */
+    /** How a request ended; {@code GONE} means that its client disconnected. */
     public enum RequestResult { SERVED, REFUSED, FAILED, GONE }
 
-    /** A request was taken. */
+    /** Counts a request that was taken. */
     public void requestStarted() {
         requests++;
     }
 
-    /** One of this class that was taken has ended so. */
-    public void requestEnded(String service, RequestResult end) {
-        add(service, end, 1);
+    /** Counts the end of a request of this class. */
+    public void requestEnded(String serviceClass, RequestResult result) {
+        add(serviceClass, result, 1);
     }
 
-    /** One that was counted as ended in one way has ended in another. */
-    public void changeResult(String service, RequestResult from, RequestResult to) {
-        add(service, from, -1);
-        add(service, to, 1);
+    /** Moves a request of this class that was counted with one result to another. */
+    public void changeResult(String serviceClass, RequestResult from, RequestResult to) {
+        add(serviceClass, from, -1);
+        add(serviceClass, to, 1);
     }
 
-    private void add(String service, RequestResult end, int by) {
-        ends.computeIfAbsent(service, s -> new long[RequestResult.values().length])[end.ordinal()] += by;
+    private void add(String serviceClass, RequestResult result, int by) {
+        results.computeIfAbsent(serviceClass, s -> new long[RequestResult.values().length])[result.ordinal()] += by;
     }
 
-    /** The last byte of an attempt was written to its node. */
+    /** Counts an attempt whose last byte was written to its node. */
     void attemptWritten() {
-        written++;
+        attemptsWritten++;
     }
 
-    /** Attempts whose last byte was written to their node, however they ended. */
+    /** The number of attempts whose last byte was written to their node, whatever their outcome. */
     public long attemptsWritten() {
-        return written;
+        return attemptsWritten;
     }
 
-    /** Requests of a class that ended so. */
-    public long count(String service, RequestResult end) {
-        long[] of = ends.get(service);
-        return of == null ? 0 : of[end.ordinal()];
+    /** The number of requests of a class with this result. */
+    public long count(String serviceClass, RequestResult result) {
+        long[] counts = results.get(serviceClass);
+        return counts == null ? 0 : counts[result.ordinal()];
     }
 
-    /** Requests of all classes that ended so. */
-    public long count(RequestResult end) {
-        return ends.values().stream().mapToLong(of -> of[end.ordinal()]).sum();
+    /** The number of requests of all classes with this result. */
+    public long count(RequestResult result) {
+        return results.values().stream().mapToLong(counts -> counts[result.ordinal()]).sum();
     }
 
-    /** One of this class was refused or has failed, and why. */
-    void reasonCount(String service, Reason why) {
-        reasons.computeIfAbsent(service, s -> new long[Reason.values().length])[why.ordinal()]++;
+    /** Counts the reason for which a request of this class was refused or failed. */
+    void countReason(String serviceClass, Reason reason) {
+        reasons.computeIfAbsent(serviceClass, s -> new long[Reason.values().length])[reason.ordinal()]++;
     }
 
-    /** How many of each class were refused or have failed for each reason that there was; in the order of names. */
+    /**
+     * The number of refused and failed requests by class and reason code, in alphabetical order, without zero counts.
+     */
     public Map<String, Map<String, Long>> reasons() {
         Map<String, Map<String, Long>> all = new TreeMap<>();
-        reasons.forEach((service, counts) -> {
-            Map<String, Long> of = new TreeMap<>();
+        reasons.forEach((serviceClass, counts) -> {
+            Map<String, Long> byCode = new TreeMap<>();
             for (Reason r : Reason.values()) {
                 if (counts[r.ordinal()] > 0) {
-                    of.put(r.code(), counts[r.ordinal()]);
+                    byCode.put(r.code(), counts[r.ordinal()]);
                 }
             }
-            all.put(service, of);
+            all.put(serviceClass, byCode);
         });
         return all;
     }
 
-    /** How many were refused or have failed for a reason, of all classes. */
-    public long reasonCount(Reason why) {
-        return reasons.values().stream().mapToLong(c -> c[why.ordinal()]).sum();
+    /** The number of requests of all classes that were refused or failed for this reason. */
+    public long reasonCount(Reason reason) {
+        return reasons.values().stream().mapToLong(c -> c[reason.ordinal()]).sum();
     }
 
+    /** Counts the outcome of an attempt. */
     void attemptEnded(Outcome outcome) {
         outcomes[outcome.ordinal()]++;
     }
 
-    /** Adds what another counted. */
+    /** Adds the counts of {@code other} to these and returns this object. */
     public RequestCounters add(RequestCounters other) {
         requests += other.requests;
-        written += other.written;
-        other.ends.forEach((service, counts) -> {
-            long[] own = ends.computeIfAbsent(service, s -> new long[counts.length]);
+        attemptsWritten += other.attemptsWritten;
+        other.results.forEach((serviceClass, counts) -> {
+            long[] own = results.computeIfAbsent(serviceClass, s -> new long[counts.length]);
             for (int i = 0; i < counts.length; i++) {
                 own[i] += counts[i];
             }
@@ -103,8 +106,8 @@
         for (int i = 0; i < outcomes.length; i++) {
             outcomes[i] += other.outcomes[i];
         }
-        other.reasons.forEach((service, counts) -> {
-            long[] own = reasons.computeIfAbsent(service, s -> new long[counts.length]);
+        other.reasons.forEach((serviceClass, counts) -> {
+            long[] own = reasons.computeIfAbsent(serviceClass, s -> new long[counts.length]);
             for (int i = 0; i < counts.length; i++) {
                 own[i] += counts[i];
             }
@@ -112,7 +115,7 @@
         return this;
     }
 
-    /** Requests taken, whatever became of them. */
+    /** The number of requests taken, whatever their result. */
     public long requests() {
         return requests;
     }
@@ -129,22 +132,23 @@
         return count(RequestResult.FAILED);
     }
 
-    /** Requests whose client left before its answer. */
+    /** The number of requests whose client disconnected before the response. */
     public long gone() {
         return count(RequestResult.GONE);
     }
 
-    /** Attempts that ended so. */
+    /** The number of attempts with this outcome. */
     public long attempts(Outcome outcome) {
         return outcomes[outcome.ordinal()];
     }
 
     @Override
     public String toString() {
-        return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed() + " gone="
-                + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
-                .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" ")) + (reasons.isEmpty() ? "" : " reasons: "
-                + Arrays.stream(Reason.values()).filter(r -> reasonCount(r) > 0).map(r -> r.code() + "=" + reasonCount(r))
-                .collect(Collectors.joining(" ")));
+        return "requests=" + requests + " served=" + served() + " refused=" + refused() + " failed=" + failed()
+                + " gone=" + gone() + " attempts: " + Arrays.stream(Outcome.values()).filter(o -> attempts(o) > 0)
+                .map(o -> o + "=" + attempts(o)).collect(Collectors.joining(" "))
+                + (reasons.isEmpty() ? "" : " reasons: " + Arrays.stream(Reason.values())
+                        .filter(r -> reasonCount(r) > 0)
+                .map(r -> r.code() + "=" + reasonCount(r)).collect(Collectors.joining(" ")));
     }
 }
--- a/core/src/main/java/ridgemill/version/RequestTrace.java
+++ b/core/src/main/java/ridgemill/version/RequestTrace.java
@@ -7,110 +7,110 @@
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
-/** What one request was decided under, and what became of it. Used by one thread. */
+/** The version under which one request was handled, its attempts and its result. Used by one thread. */
 public final class RequestTrace implements VersionTracker.RequestVersion {
 
-    /** One attempt: {@code outcome} is null while it is out. */
+    /** An attempt at a node; {@code outcome} is null and {@code endMs} NaN while it is open. */
     public record Attempt(String node, double sentMs, double endMs, Outcome outcome) { }
 
-    private final VersionPeriod era;
+    private final VersionPeriod period;
     private final String id;
     private final String service;
     private final String group;
-    private final long list;
-    private final double fromMs;
-    private final List<Attempt> sent = new ArrayList<>();
+    private final long hostList;
+    private final double startMs;
+    private final List<Attempt> attempts = new ArrayList<>();
     private RequestResult end;
-    private Reason why = Reason.UNSAID;
-    private double overMs = Double.NaN;
+    private Reason reason = Reason.UNSAID;
+    private double endMs = Double.NaN;
 
-    RequestTrace(VersionPeriod era, String id, String service, String group, long list, double fromMs) {
-        this.era = era;
+    RequestTrace(VersionPeriod period, String id, String service, String group, long hostList, double startMs) {
+        this.period = period;
         this.id = id;
         this.service = service;
         this.group = group;
-        this.list = list;
-        this.fromMs = fromMs;
+        this.hostList = hostList;
+        this.startMs = startMs;
     }
 
     @Override
-    public void requestEnded(double nowMs, String of, RequestResult as, Reason because) {
-        overMs = nowMs;
-        end = as;
-        why = because;
-        era.requestEnded(nowMs, of, as, because);
+    public void requestEnded(double nowMs, String service, RequestResult result, Reason cause) {
+        endMs = nowMs;
+        end = result;
+        reason = cause;
+        period.requestEnded(nowMs, service, result, cause);
     }
 
     @Override
     public void attemptSent(double nowMs, String node) {
-        sent.add(new Attempt(node, nowMs, Double.NaN, null));
+        attempts.add(new Attempt(node, nowMs, Double.NaN, null));
     }
 
     @Override
     public void attemptEnded(double nowMs, Outcome outcome) {
-        int last = sent.size() - 1;
-        Attempt out = last < 0 ? null : sent.get(last);
-        if (out != null && out.outcome() == null) {
-            sent.set(last, new Attempt(out.node(), out.sentMs(), nowMs, outcome));
+        int last = attempts.size() - 1;
+        Attempt open = last < 0 ? null : attempts.get(last);
+        if (open != null && open.outcome() == null) {
+            attempts.set(last, new Attempt(open.node(), open.sentMs(), nowMs, outcome));
         }
     }
 
     @Override
     public void attemptWritten() {
-        era.attemptWritten();
+        period.attemptWritten();
     }
 
     @Override
     public String versionLabel() {
-        return era.versionLabel();
+        return period.versionLabel();
     }
 
-    /** What it was decided under. */
+    /** Returns the period under whose version the request was handled. */
     public VersionPeriod period() {
-        return era;
+        return period;
     }
 
     public String id() {
         return id;
     }
 
-    /** Its class. */
+    /** Returns the name of its service class. */
     public String service() {
         return service;
     }
 
-    /** The group of nodes that it went to. */
+    /** Returns the group of nodes that it was sent to. */
     public String group() {
         return group;
     }
 
-    /** The number of that group's host list when it began. */
+    /** Returns the number of that group's host list when the request began. */
     public long hostList() {
-        return list;
+        return hostList;
     }
 
-    /** When it was taken. */
+    /** Returns the time at which the request was taken. */
     public double startMs() {
-        return fromMs;
+        return startMs;
     }
 
-    /** When it ended; NaN while it is open. */
+    /** Returns the time at which the request ended; NaN while it is open. */
     public double endMs() {
-        return overMs;
+        return endMs;
     }
 
-    /** Its attempts, in turn. */
+    /** Returns its attempts in their order. */
     public List<Attempt> sent() {
-        return List.copyOf(sent);
+        return List.copyOf(attempts);
     }
 
-    /** How it ended; null while it is open. */
+    /** Returns how the request ended; null while it is open. */
     public RequestResult end() {
         return end;
     }
 
-    /** Why it ended so, as far as somebody said. */
+    /** Returns why it ended that way, if a reason was given. */
     public Reason reason() {
-        return why;
+        return reason;
     }
 }
--- a/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
+++ b/core/src/test/java/ridgemill/policy/ClassSettingsTest.java
@@ -5,113 +5,114 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.DeduplicationScope;
+import ridgemill.policy.Router.Effect;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.RetryPolicy;
 import ridgemill.policy.Router.ServiceClass;
 
-/** What a class sets for its own attempts, and that a request keeps the class that it came under. */
+/** The retry policy of a service class, and that a request keeps the class that it arrived with. */
 class ClassSettingsTest {
 
-    private static ServiceClass dear(Effect effect, RetryPolicy retry) {
-        return new ServiceClass("dear", 300, 0, Bench.BUDGET, 5, 0.2, effect, DeduplicationScope.ALL, 500, false, retry);
+    private static ServiceClass premium(Effect effect, RetryPolicy retry) {
+        return new ServiceClass("premium", 300, 0, RouterHarness.BUDGET_MS, 5, 0.2, effect, DeduplicationScope.ALL, 500,
+                false, retry);
     }
 
-    private static Bench under(ServiceClass... classes) {
-        Bench b = Bench.withCaches(4);
-        b.router.onClassesChanged(b.now, List.of(classes));
-        return b;
+    private static RouterHarness withClasses(ServiceClass... classes) {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
+        harness.router.onClassesChanged(harness.now, List.of(classes));
+        return harness;
     }
 
     @Test
-    void oneAttemptIsNotRepeated() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
-        String id = b.ask("dear", 1);
-        b.end(id, Outcome.RESET);
-        assertEquals(1, b.sendsOf(id));
-        assertEquals(1, b.out.answers(id));
-        Bench usual = Bench.withCaches(4);
-        String repeated = usual.ask("dear", 1);
-        usual.end(repeated, Outcome.RESET);
-        assertEquals(2, usual.sendsOf(repeated));
+    void singleAttemptIsNotRetried() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.RESET);
+        assertEquals(1, harness.sendCount(id));
+        assertEquals(1, harness.actions.finalAnswers(id));
+        RouterHarness unlimited = RouterHarness.withCacheNodes(4);
+        String retried = unlimited.request("premium", 1);
+        unlimited.endAttempt(retried, Outcome.RESET);
+        assertEquals(2, unlimited.sendCount(retried));
     }
 
     @Test
-    void aMissIsNoFailureAndItsFetchGoesOut() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
-        String id = b.ask("dear", 1);
-        while (!b.nodeOf(id).equals("db")) {
-            b.end(id, Outcome.MISS);
+    void missIsNotAFailureAndIsFetched() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(1, 0, 0, 1, 0)));
+        String id = harness.request("premium", 1);
+        while (!harness.nodeOf(id).equals("db")) {
+            harness.endAttempt(id, Outcome.MISS);
         }
-        b.end(id, Outcome.OK);
-        assertEquals("db", b.nodeOf(id));
+        harness.endAttempt(id, Outcome.OK);
+        assertEquals("db", harness.nodeOf(id));
     }
 
     @Test
-    void anAttemptHasNoMoreThanItsTime() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(2, 120, 0, 1, 0)));
-        String id = b.ask("dear", 1);
-        assertEquals(120, b.out.sent.get(b.out.sent.size() - 1).timeoutMs());
-        b.end(id, Outcome.RESET);
-        assertEquals(120, b.out.sent.get(b.out.sent.size() - 1).timeoutMs());
+    void attemptTimeoutIsLimitedByClass() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(2, 120, 0, 1, 0)));
+        String id = harness.request("premium", 1);
+        assertEquals(120, harness.actions.sentAttempts.get(harness.actions.sentAttempts.size() - 1).timeoutMs());
+        harness.endAttempt(id, Outcome.RESET);
+        assertEquals(120, harness.actions.sentAttempts.get(harness.actions.sentAttempts.size() - 1).timeoutMs());
     }
 
     @Test
-    void theNextAttemptWaitsAndNothingGoesOutMeanwhile() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 80, 2, 1000)));
-        String id = b.ask("dear", 1);
-        b.end(id, Outcome.RESET);
-        b.advance(79);
-        assertEquals(1, b.sendsOf(id));
-        b.advance(1);
-        assertEquals(2, b.sendsOf(id));
-        assertEquals(0, b.out.answers(id));
+    void nextAttemptWaitsForBackoff() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(3, 0, 80, 2, 1000)));
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.RESET);
+        harness.advance(79);
+        assertEquals(1, harness.sendCount(id));
+        harness.advance(1);
+        assertEquals(2, harness.sendCount(id));
+        assertEquals(0, harness.actions.finalAnswers(id));
     }
 
     @Test
-    void aWaitThatOutlastsTheClientIsAnsweredAtOnce() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 2000, 1, 2000)));
-        String id = b.ask("dear", 1);
-        b.end(id, Outcome.RESET);
-        assertEquals(1, b.out.answers(id), "held back for nothing");
-        b.advance(5000);
-        assertEquals(1, b.sendsOf(id));
+    void backoffBeyondDeadlineIsAnsweredAtOnce() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(3, 0, 2000, 1, 2000)));
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.RESET);
+        assertEquals(1, harness.actions.finalAnswers(id), "must not wait in vain");
+        harness.advance(5000);
+        assertEquals(1, harness.sendCount(id));
     }
 
     @Test
-    void aClientThatLeavesDuringTheWaitIsForgotten() {
-        Bench b = under(dear(Effect.SAFE, new RetryPolicy(3, 0, 80, 1, 80)));
-        String id = b.ask("dear", 1);
-        b.end(id, Outcome.RESET);
-        b.router.onClientDisconnected(b.now, id, b.out);
-        b.advance(500);
-        assertEquals(1, b.sendsOf(id));
-        assertEquals(0, b.out.answers(id));
+    void requestIsDroppedWhenClientDisconnectsDuringBackoff() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, new RetryPolicy(3, 0, 80, 1, 80)));
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.RESET);
+        harness.router.onClientDisconnected(harness.now, id, harness.actions);
+        harness.advance(500);
+        assertEquals(1, harness.sendCount(id));
+        assertEquals(0, harness.actions.finalAnswers(id));
     }
 
     @Test
-    void aRequestKeepsTheClassThatItCameUnder() {
-        Bench b = under(dear(Effect.UNSAFE, RetryPolicy.PLATFORM_DEFAULT));
-        String unsafe = b.ask("dear", 1);
-        b.router.onClassesChanged(b.now, List.of(dear(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT)));
-        String safe = b.ask("dear", 2);
-        b.end(unsafe, Outcome.RESET);
-        b.end(safe, Outcome.RESET);
-        assertEquals(1, b.sendsOf(unsafe), "it came as unsafe and may have run");
-        assertEquals(1, b.out.answers(unsafe));
-        assertEquals(2, b.sendsOf(safe));
+    void requestKeepsTheClassItArrivedWith() {
+        RouterHarness harness = withClasses(premium(Effect.UNSAFE, RetryPolicy.PLATFORM_DEFAULT));
+        String unsafe = harness.request("premium", 1);
+        harness.router.onClassesChanged(harness.now, List.of(premium(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT)));
+        String safe = harness.request("premium", 2);
+        harness.endAttempt(unsafe, Outcome.RESET);
+        harness.endAttempt(safe, Outcome.RESET);
+        assertEquals(1, harness.sendCount(unsafe), "it arrived as unsafe and may have run");
+        assertEquals(1, harness.actions.finalAnswers(unsafe));
+        assertEquals(2, harness.sendCount(safe));
     }
 
     @Test
-    void aClassThatIsTakenOutStillHoldsForWhatIsInFlight() {
-        Bench b = under(dear(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT));
-        String id = b.ask("dear", 1);
-        b.router.onClassesChanged(b.now, List.of());
-        b.end(id, Outcome.RESET);
-        assertEquals(2, b.sendsOf(id));
-        b.advance(Bench.BUDGET);
-        assertEquals(1, b.out.answers(id));
-        assertTrue(b.out.answers(b.ask("dear", 1)) <= 1);
+    void removedClassStillAppliesToRequestsInFlight() {
+        RouterHarness harness = withClasses(premium(Effect.SAFE, RetryPolicy.PLATFORM_DEFAULT));
+        String id = harness.request("premium", 1);
+        harness.router.onClassesChanged(harness.now, List.of());
+        harness.endAttempt(id, Outcome.RESET);
+        assertEquals(2, harness.sendCount(id));
+        harness.advance(RouterHarness.BUDGET_MS);
+        assertEquals(1, harness.actions.finalAnswers(id));
+        assertTrue(harness.actions.finalAnswers(harness.request("premium", 1)) <= 1);
     }
 }
