--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -5,15 +5,15 @@
 import java.util.Arrays;
 
 /**
- * Reads one HTTP/1.1 message at a time from the bytes of a connection, and refuses all framing that two readers could
- * understand differently.
+ * Reads one HTTP/1.1 message at a time from the bytes of a connection. Rejects all framing that two parsers could
+ * interpret differently, which prevents request smuggling.
  */
 public abstract class MessageReader {
 
     private static final byte[] EMPTY = {};
     private static final int MAX_CHUNK_LINE_BYTES = 1_024;
     private static final int MAX_CHUNK_SIZE_DIGITS = 8;
-    /** A body takes this much at once at most, whatever length its head states. */
+    /** Maximum initial buffer size of a body, whatever its Content-Length, in bytes. */
     private static final int INITIAL_BODY_BYTES = 256 * 1_024;
 
     private enum State {
@@ -34,33 +34,34 @@
     private long remaining;
     private Headers headers;
 
-    /** Reads the first line of a head. */
+    /** Parses the start line. */
     abstract void startLine(String line) throws BadMessageException;
 
-    /** Whether no body follows this head, whatever it says. */
+    /** Whether the message has no body, whatever its headers state. */
     abstract boolean isBodiless();
 
-    /** Whether a head that states no length has no body; else it can't be read. */
+    /** Whether a message without Content-Length and Transfer-Encoding has no body; otherwise it is rejected. */
     abstract boolean isEmptyWithoutLength();
 
-    /** The most bytes a head may have. */
+    /** Maximum size of the start line and the headers, in bytes. */
     abstract int maxHeadBytes();
 
-    /** The most bytes a body may have. */
+    /** Maximum size of a body, in bytes. */
     abstract long maxBodyBytes();
 
     /**
-     * Reads on; bytes that belong to the message are taken from the buffer.
+     * Reads more of the message; bytes that belong to it are consumed from the buffer.
      *
-     * @return whether the message is whole
-     * @throws BadMessageException if it can't be one; the connection is of no use any more
+     * @return whether the message is complete
+     * @throws BadMessageException if the message is malformed or exceeds a limit; the connection cannot be used any
+     *     more
      */
     public final boolean read(ByteBuf in) throws BadMessageException {
         while (state != State.COMPLETE) {
             boolean more = switch (state) {
                 case HEAD -> readHead(in);
                 case FIXED -> readBody(in, State.COMPLETE);
-                case CHUNK_HEADER -> readChunkLine(in);
+                case CHUNK_HEADER -> readChunkHeader(in);
                 case CHUNK -> readBody(in, State.CHUNK_END);
                 case CHUNK_END -> readChunkEnd(in);
                 case TRAILER -> readTrailer(in);
@@ -78,17 +79,17 @@
         return state != State.HEAD;
     }
 
-    /** The header lines, once the head has been read. */
+    /** The headers, once the head has been read. */
     public final Headers headers() {
         return headers;
     }
 
-    /** The body, once the message is whole. */
+    /** The body, once the message is complete. */
     public final byte[] body() {
         return body.length == filled ? body : Arrays.copyOf(body, filled);
     }
 
-    /** Makes ready for the next message. */
+    /** Prepares for the next message. */
     public void reset() {
         state = State.HEAD;
         scanned = 0;
@@ -119,7 +120,8 @@
     }
 
     /**
-     * The number of bytes up to the empty line and with it; negative where it has not come. Ends of lines are CR LF.
+     * Returns the number of bytes up to and including the empty line, or a negative number if it has not arrived.
+     * Lines must end with CR LF.
      */
     private int endOfHead(ByteBuf in) throws BadMessageException {
         int start = in.readerIndex();
@@ -131,13 +133,13 @@
             byte b = in.getByte(start + scanned);
             if (b == '\n') {
                 if (scanned == 0 || in.getByte(start + scanned - 1) != '\r') {
-                    throw new BadMessageException(400, "a line ends without CR");
+                    throw new BadMessageException(400, "LF without CR");
                 }
                 if (scanned >= 3 && in.getByte(start + scanned - 2) == '\n') {
                     return scanned + 1;
                 }
             } else if (scanned > 0 && in.getByte(start + scanned - 1) == '\r') {
-                throw new BadMessageException(400, "a CR without LF");
+                throw new BadMessageException(400, "CR without LF");
             }
         }
         return -1;
@@ -156,17 +158,17 @@
         int lengths = headers.count("Content-Length");
         if (codings > 0) {
             if (lengths > 0 || codings > 1 || !"chunked".equalsIgnoreCase(headers.get("Transfer-Encoding"))) {
-                throw new BadMessageException(400, "the coding leaves the length open");
+                throw new BadMessageException(400, "unsupported or conflicting Transfer-Encoding");
             }
             state = isBodiless() ? State.COMPLETE : State.CHUNK_HEADER;
         } else if (lengths > 1) {
-            throw new BadMessageException(400, "more than one length");
+            throw new BadMessageException(400, "more than one Content-Length");
         } else if (lengths == 1) {
             startFixedBody(HeaderLine.parseContentLength(headers.get("Content-Length")));
         } else if (isBodiless() || isEmptyWithoutLength()) {
             state = State.COMPLETE;
         } else {
-            throw new BadMessageException(400, "nothing tells the end of the body");
+            throw new BadMessageException(400, "neither Content-Length nor chunked coding");
         }
     }
 
@@ -176,7 +178,7 @@
             return;
         }
         if (length > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
         remaining = length;
         body = length == 0 ? EMPTY : new byte[(int) Math.min(length, INITIAL_BODY_BYTES)];
@@ -201,7 +203,7 @@
         return remaining == 0;
     }
 
-    private boolean readChunkLine(ByteBuf in) throws BadMessageException {
+    private boolean readChunkHeader(ByteBuf in) throws BadMessageException {
         String line = readLine(in, MAX_CHUNK_LINE_BYTES);
         if (line == null) {
             return false;
@@ -211,11 +213,11 @@
             digits++;
         }
         if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
-            throw new BadMessageException(400, "a chunk without a length");
+            throw new BadMessageException(400, "malformed chunk size");
         }
         remaining = Long.parseLong(line.substring(0, digits), 16);
         if (filled + remaining > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
         state = remaining == 0 ? State.TRAILER : State.CHUNK;
         return true;
@@ -226,13 +228,13 @@
             return false;
         }
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new BadMessageException(400, "a chunk is longer than it says");
+            throw new BadMessageException(400, "chunk data exceeds the chunk size");
         }
         state = State.CHUNK_HEADER;
         return true;
     }
 
-    /** Reads and drops the lines behind the last chunk. */
+    /** Reads and discards the trailer section after the last chunk. */
     private boolean readTrailer(ByteBuf in) throws BadMessageException {
         String line = readLine(in, maxHeadBytes());
         if (line == null) {
@@ -240,7 +242,7 @@
         }
         trailerBytes += line.length() + 2;
         if (trailerBytes > maxHeadBytes()) {
-            throw new BadMessageException(431, "the trailer is too long");
+            throw new BadMessageException(431, "trailer section exceeds the size limit");
         }
         if (line.isEmpty()) {
             state = State.COMPLETE;
@@ -251,21 +253,21 @@
         return true;
     }
 
-    private static String readLine(ByteBuf in, int most) throws BadMessageException {
+    private static String readLine(ByteBuf in, int maxBytes) throws BadMessageException {
         int start = in.readerIndex();
         int lineFeed = in.indexOf(start, in.writerIndex(), (byte) '\n');
         if (lineFeed < 0) {
-            if (in.readableBytes() > most) {
-                throw new BadMessageException(400, "a line is too long");
+            if (in.readableBytes() > maxBytes) {
+                throw new BadMessageException(400, "line exceeds the size limit");
             }
             return null;
         }
-        if (lineFeed - start > most || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
-            throw new BadMessageException(400, "a line ends without CR or is too long");
+        if (lineFeed - start > maxBytes || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
+            throw new BadMessageException(400, "line ends without CR or exceeds the size limit");
         }
         String line = in.toString(start, lineFeed - 1 - start, StandardCharsets.ISO_8859_1);
         if (line.indexOf('\r') >= 0) {
-            throw new BadMessageException(400, "a CR without LF");
+            throw new BadMessageException(400, "CR without LF");
         }
         in.readerIndex(lineFeed + 1);
         return line;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
@@ -9,7 +9,7 @@
     private String target;
     private boolean http10;
 
-    /** Bounds what is read from now on. */
+    /** Sets the maximum size of the head and the body, in bytes. */
     public void setLimits(int headBytes, long bodyBytes) {
         maxHeadBytes = headBytes;
         maxBodyBytes = bodyBytes;
@@ -20,17 +20,17 @@
         return method;
     }
 
-    /** The path with its query, as it came. */
+    /** The path and query as received. */
     public String target() {
         return target;
     }
 
-    /** Whether the client wants the connection to stay open. */
+    /** Whether the client allows the connection to stay open. */
     public boolean isKeepAlive() {
         return !http10 && !headers().containsToken("Connection", "close");
     }
 
-    /** Whether the client waits for a word before it sends the body. */
+    /** Whether the client waits for {@code 100 Continue} before it sends the body. */
     public boolean expectsContinue() {
         return "100-continue".equalsIgnoreCase(headers().get("Expect"));
     }
@@ -40,14 +40,14 @@
         int first = line.indexOf(' ');
         int second = line.indexOf(' ', first + 1);
         if (first <= 0 || second < 0 || line.indexOf(' ', second + 1) >= 0) {
-            throw new BadMessageException(400, "the request line has other than three parts");
+            throw new BadMessageException(400, "request line does not have three parts");
         }
         method = line.substring(0, first);
         target = line.substring(first + 1, second);
         String version = line.substring(second + 1);
         http10 = version.equals("HTTP/1.0");
         if (!HeaderLine.isToken(method) || !isOriginForm(target) || !http10 && !version.equals("HTTP/1.1")) {
-            throw new BadMessageException(400, "the request line makes no sense");
+            throw new BadMessageException(400, "invalid method, target or version in the request line");
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/ResponseReader.java
@@ -1,6 +1,9 @@
 package ridgemill.cdn.proxy.http;
 
-/** Reads answers. One whose end only the end of the connection would tell is refused: it could have been cut. */
+/**
+ * Reads responses. A response that is delimited only by the end of the connection is rejected, because it could be
+ * truncated.
+ */
 public final class ResponseReader extends MessageReader {
 
     private static final int MAX_HEAD_BYTES = 32 * 1_024;
@@ -12,17 +15,17 @@
     private boolean headRequest;
     private boolean http10;
 
-    /** Says whether the next answer is to a HEAD request, and so has no body. */
-    public void setHeadRequest(boolean isToHead) {
-        headRequest = isToHead;
+    /** Sets whether the next response is to a HEAD request and therefore has no body. */
+    public void setHeadRequest(boolean isHead) {
+        headRequest = isHead;
     }
 
-    /** The status. */
+    /** The status code. */
     public int status() {
         return status;
     }
 
-    /** Whether the connection stays open behind this answer. */
+    /** Whether the connection stays open after this response. */
     public boolean isKeepAlive() {
         return !http10 && !headers().containsToken("Connection", "close");
     }
@@ -33,18 +36,18 @@
         if (!http10 && !line.startsWith("HTTP/1.1 ")
                 || line.length() < STATUS_END
                 || line.length() > STATUS_END && line.charAt(STATUS_END) != ' ') {
-            throw new BadMessageException(502, "no status line");
+            throw new BadMessageException(502, "malformed status line");
         }
         status = 0;
         for (int i = STATUS_START; i < STATUS_END; i++) {
             int digit = line.charAt(i) - '0';
             if (digit < 0 || digit > 9) {
-                throw new BadMessageException(502, "no status");
+                throw new BadMessageException(502, "malformed status code");
             }
             status = 10 * status + digit;
         }
         if (status < 200 || status > 599) {
-            throw new BadMessageException(502, "no final status");
+            throw new BadMessageException(502, "status code is not a final status");
         }
     }
 
--- a/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/ClientConnectionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What clients may send, and how their connections fare. */
+/** Tests the requests that clients may send and the handling of their connections. */
 class ClientConnectionTest {
 
     private static final int LARGE_BODY_BYTES = 8 << 20;
@@ -19,7 +19,7 @@
 
     private ProxyFixture proxy;
 
-    /** So few descriptors that four are left for clients. */
+    /** A limit on file descriptors that leaves four for clients. */
     private static final int DESCRIPTORS_FOR_FOUR = 237;
 
     @BeforeEach
@@ -94,7 +94,7 @@
         slow.send("GET /i/1 HTTP/1.1\r\n");
         assertThat(slow.read().status()).isEqualTo(408);
         assertThat(slow.isClosed()).isTrue();
-        assertThat(proxy.client().isClosed()).as("idle for too long").isTrue();
+        assertThat(proxy.client().isClosed()).as("idle timeout passed").isTrue();
     }
 
     @Test
@@ -104,7 +104,7 @@
         assertThat(client.read().status()).isEqualTo(400);
         assertThat(client.request("GET", "/nowhere/", "1", "").status()).isEqualTo(404);
         assertThat(client.request("POST", "/k/1", "1", "").status())
-                .as("without its key")
+                .as("without an operation key")
                 .isEqualTo(400);
     }
 
@@ -121,7 +121,7 @@
         assertThat(clients[0].request("GET", "/i/1", "again", "").status()).isEqualTo(200);
         ProxyFixture.Client fifth = proxy.client();
         assertThat(fifth.request("GET", "/i/1", "b", "").status()).isEqualTo(200);
-        assertThat(clients[1].isClosed()).as("idle for longest").isTrue();
+        assertThat(clients[1].isClosed()).as("longest idle").isTrue();
         for (ProxyFixture.Client open : new ProxyFixture.Client[] {clients[0], clients[2], clients[3], fifth}) {
             assertThat(open.request("GET", "/i/1", "c", "").status()).isEqualTo(200);
         }
@@ -168,7 +168,7 @@
         assertThat(idle.isClosed()).isTrue();
     }
 
-    /** A client that reads slowly still has a part of its answer to come when the proxy begins to leave. */
+    /** A slow client has not received its complete response when the proxy starts to drain. */
     @Test
     void drainingDoesNotTruncateAResponseThatIsBeingSent() throws Exception {
         String body = "x".repeat(LARGE_BODY_BYTES);
@@ -187,14 +187,17 @@
                 inFlight[0] = proxy.dataPath.inFlight();
                 proxy.dataPath.drain();
             });
-            assertThat(inFlight[0]).as("not over while a part is unsent").isEqualTo(1);
+            assertThat(inFlight[0]).as("in flight while output is unsent").isEqualTo(1);
             byte[] rest = client.getInputStream().readAllBytes();
             assertThat(first.length + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
         }
     }
 
-    /** At its bound of connections, and after its idle time, a proxy closes none whose last answer is still going out. */
+    /**
+     * A connection whose last response is still being sent must not be closed as idle, neither at the connection limit
+     * nor after the idle timeout.
+     */
     @Test
     void connectionWithUnsentOutputIsNotIdle() throws Exception {
         proxy.close();
@@ -213,8 +216,8 @@
             }
             ProxyFixture.Client fifth = proxy.client();
             assertThat(fifth.request("GET", "/none", "f", "").status()).isEqualTo(404);
-            assertThat(others[0].isClosed()).as("idle for longest").isTrue();
-            assertThat(fifth.isClosed()).as("the idle time of all has passed").isTrue();
+            assertThat(others[0].isClosed()).as("longest idle").isTrue();
+            assertThat(fifth.isClosed()).as("idle timeout passed").isTrue();
             byte[] rest = slow.getInputStream().readAllBytes();
             assertThat(first + rest.length).isGreaterThan(LARGE_BODY_BYTES);
             assertThat(new String(rest, StandardCharsets.US_ASCII)).endsWith("xxx");
--- a/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/SharedCacheTest.java
@@ -10,7 +10,10 @@
 import ridgemill.cdn.config.RouteKind;
 import ridgemill.cdn.membership.CacheNode;
 
-/** Reads over shared caches: freshness, purges that one side has not heard of, caches that are gone or behind. */
+/**
+ * Tests reads through shared caches: freshness, purges that one side has not received, and shared caches that are
+ * unreachable or outdated.
+ */
 class SharedCacheTest {
 
     private static final int PROXIES = 3;
@@ -61,7 +64,7 @@
         assertThat(read(1, "2").body()).isEqualTo("v1");
         fleet.advanceTime(25_000);
         assertThat(read(1, "3").body())
-                .as("65 s after the fetch, of 60 s that copies are kept")
+                .as("65 s after the fetch, with a TTL of 60 s")
                 .isEqualTo("v2");
     }
 
