--- a/gateway/src/main/java/ridgemill/gateway/Crew.java
+++ b/gateway/src/main/java/ridgemill/gateway/Crew.java
@@ -14,7 +14,7 @@
 import java.util.function.Function;
 import java.util.function.IntFunction;
 import ridgemill.core.AdmissionController;
-import ridgemill.gateway.front.Dealer;
+import ridgemill.gateway.front.ConnectionAcceptor;
 import ridgemill.gateway.front.Listeners;
 import ridgemill.gateway.membership.Discovery;
 import ridgemill.gateway.membership.HostList;
@@ -51,7 +51,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Config config;
     private final List<Service> members = new ArrayList<>();
-    private final Dealer dealer;
+    private final ConnectionAcceptor dealer;
     private final Discovery discovery;
     private final Peers peers;
     private final boolean[] beating;
@@ -65,9 +65,9 @@
         for (int i = 0; i < loops; i++) {
             Config part = config.part(i, loops, reserved);
             members.add(Service.member(part, routers.apply(part.settings()), gates.apply(i), new Member(i)));
-            most[i] = members.get(i).clients().most();
+            most[i] = members.get(i).clients().maxConnections();
         }
-        dealer = new Dealer(door, clock, new ConnectionDistributor(most, clock.now()));
+        dealer = new ConnectionAcceptor(door, clock, new ConnectionDistributor(most, clock.now()));
         discovery = new Discovery(door, config.discovery(), config.known(), !config.settings().mustSubscribe(), new Told());
         peers = config.peerListen() == null ? null : new Peers(door, config, this::peerMessage);
     }
@@ -105,7 +105,7 @@
         long patience = config.settings().mustSubscribe() ? 0 : Service.FIRST_NEWS_MS;
         door.schedule(() -> each(Service::ready), patience, TimeUnit.MILLISECONDS);
         door.scheduleAtFixedRate(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
-        door.scheduleAtFixedRate(dealer::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        door.scheduleAtFixedRate(dealer::checkLoops, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
         door.scheduleAtFixedRate(this::logTally, Service.TALLY_S, Service.TALLY_S, TimeUnit.SECONDS);
     }
 
@@ -125,7 +125,7 @@
                 double late = clock.now() - sent;
                 toDoor(() -> {
                     beating[loop] = false;
-                    dealer.beat(loop, late);
+                    dealer.reportDelay(loop, late);
                 });
             });
         }
@@ -140,7 +140,7 @@
 
     /** No new connections at an address. */
     public void unlisten(InetSocketAddress address) {
-        toDoor(() -> dealer.unlisten(address));
+        toDoor(() -> dealer.stopListening(address));
     }
 
     /** Where clients connect. */
@@ -160,7 +160,7 @@
 
     /** What is known of each loop, a line each. Not to be called on a loop. */
     public List<String> explain() {
-        return door.submit(dealer::explain).syncUninterruptibly().getNow();
+        return door.submit(dealer::describeLoops).syncUninterruptibly().getNow();
     }
 
     private void each(Consumer<Service> task) {
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -37,8 +37,8 @@
 import ridgemill.gateway.console.Console;
 import ridgemill.gateway.front.ClientTable;
 import ridgemill.gateway.front.Listeners;
-import ridgemill.gateway.front.http.HttpFront;
-import ridgemill.gateway.front.http.HttpTerms;
+import ridgemill.gateway.front.http.HttpFrontend;
+import ridgemill.gateway.front.http.HttpClientPolicy;
 import ridgemill.gateway.membership.Discovery;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Addresses;
@@ -90,7 +90,7 @@
     private final Upstream platform;
     private final ClientTable clients;
     private final List<Runnable> stops = new ArrayList<>();
-    private final HttpFront front;
+    private final HttpFrontend front;
     private final Discovery discovery;
     private final Peers peers;
     private final Map<String, HostList.Host> hosts = new LinkedHashMap<>();
@@ -124,8 +124,8 @@
         platform = upstream(Intake.PLATFORM_GROUP, settings, router, pool, faults(outside));
         intake.addGroup(Intake.PLATFORM_GROUP, platform.dispatcher());
         clients = new ClientTable(clientSockets, gate::maxConnectionsPerClient);
-        front = new HttpFront(loop, intake, clients);
-        stops.add(front::stop);
+        front = new HttpFrontend(loop, intake, clients);
+        stops.add(front::stopListening);
         if (outside != null) {
             discovery = null;
             peers = null;
@@ -203,19 +203,19 @@
     void begin() {
         between(() -> {
             tellStart();
-            clients.watch(loop);
+            clients.startTimeoutChecks(loop);
         });
     }
 
     /** What holds for clients over HTTP from now on; on the loop. */
-    public void terms(HttpTerms terms) {
-        front.terms(terms);
+    public void terms(HttpClientPolicy terms) {
+        front.policy(terms);
     }
 
     /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
     public void record(IdempotencyRecords outcomes) {
         intake.setDeduplicator(new WriteDeduplicator<>(timers, outcomes, Fingerprint::of));
-        front.tellOutcomes();
+        front.enableOutcomeQueries();
     }
 
     /** Where the HTTP front takes connections in, which a crew deals. */
@@ -225,7 +225,7 @@
 
     /** From now on the proxy says that it may be used; on the loop. */
     void ready() {
-        front.ready();
+        front.markReady();
         markServing();
     }
 
@@ -339,7 +339,7 @@
 
     /** No new connections at an address that was listened at besides. */
     public void unlisten(InetSocketAddress address) {
-        loop.execute(() -> front.unlisten(address));
+        loop.execute(() -> front.stopListening(address));
     }
 
     /** The hosts of the platform's list as it was told last; on the loop. */
@@ -461,7 +461,7 @@
             reached = reached.advanceTo(Readiness.WAITING_FOR_LIST);
             markServing();
         });
-        clients.watch(loop);
+        clients.startTimeoutChecks(loop);
         long patience = config.settings().mustSubscribe() ? 0 : FIRST_NEWS_MS;
         loop.schedule(this::ready, patience, TimeUnit.MILLISECONDS);
         loop.scheduleAtFixedRate(this::logTally, TALLY_S, TALLY_S, TimeUnit.SECONDS);
@@ -601,8 +601,8 @@
         if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
             loop.execute(() -> {
-                front.succeeded();
-                clients.answersWithin(plan.responseMs());
+                front.markSucceeded();
+                clients.limitResponseTime(plan.responseMs());
                 if (peers != null) {
                     peers.leave();
                 }
@@ -629,7 +629,7 @@
     void endDrain() {
         loop.execute(() -> {
             stopListening();
-            clients.stop();
+            clients.closeIdleConnections();
             finish();
         });
     }
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -37,7 +37,7 @@
 import ridgemill.gateway.back.Sockets;
 import ridgemill.gateway.back.http.HttpNodeConnection;
 import ridgemill.gateway.front.ClientTable;
-import ridgemill.gateway.front.http.HttpFront;
+import ridgemill.gateway.front.http.HttpFrontend;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.Content;
@@ -129,7 +129,7 @@
         Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
                 intake::requestFinished, AT_ONCE + 1);
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        HttpFront clients = new HttpFront(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
+        HttpFrontend clients = new HttpFrontend(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = 0; i <= NODES; i++) {
             boolean origin = i == NODES && settings.originModel() != null;
--- a/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
@@ -22,59 +22,59 @@
      * ones go sooner: clients that ask once and stay would else use up the connections that clients may hold, and all
      * others would find none. Could do harm where that many clients do ask again: each request then opens a connection.
      */
-    private static final int KEPT_PART = 4;
-    private static final long SWEEP_MS = 250;
+    private static final int IDLE_DIVISOR = 4;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 250;
 
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private final int maxConnections;
-    private final IntSupplier perClient;
-    private final List<Consumer<Boolean>> accepting = new ArrayList<>();
-    private double idleMs;
+    private final IntSupplier maxPerClient;
+    private final List<Consumer<Boolean>> acceptingListeners = new ArrayList<>();
+    private double idleTimeoutMs;
     private boolean full;
-    private double endsAt = Double.POSITIVE_INFINITY;
+    private double responseDeadlineMs = Double.POSITIVE_INFINITY;
     private boolean draining;
-    private BooleanSupplier aside = () -> false;
-    private boolean stopped;
-    int idle;
+    private BooleanSupplier outOfService = () -> false;
+    private boolean closingIdle;
+    int idleCount;
 
     /** A table for so many connections, of which one client's address may have so many. */
     public ClientTable(int maxConnections, IntSupplier perClient) {
         this.maxConnections = maxConnections;
-        this.perClient = perClient;
+        this.maxPerClient = perClient;
     }
 
     /** Names what makes a front's listeners accept or stop accepting. */
-    public void onRoom(Consumer<Boolean> accepts) {
-        accepting.add(accepts);
+    public void onAcceptingChanged(Consumer<Boolean> accepts) {
+        acceptingListeners.add(accepts);
     }
 
-    private void accept(boolean accepts) {
-        accepting.forEach(a -> a.accept(accepts));
+    private void setAccepting(boolean accepts) {
+        acceptingListeners.forEach(a -> a.accept(accepts));
     }
 
     /** Makes room for a connection and takes it in. */
     public void add(ClientConnection connection) {
         makeRoom();
-        int most = perClient.getAsInt();
+        int most = maxPerClient.getAsInt();
         if (most < maxConnections) {
-            holdToShare(connection, most);
+            enforceClientLimit(connection, most);
         }
         connections.add(connection);
     }
 
     /** Past a client's share its own idle connection goes; if it has none, the new one is one too many. */
-    private void holdToShare(ClientConnection connection, int most) {
-        Object client = connection.client();
+    private void enforceClientLimit(ClientConnection connection, int most) {
+        Object client = connection.clientAddress();
         List<ClientConnection> own = client == null ? List.of()
-                : connections.stream().filter(c -> client.equals(c.client())).toList();
+                : connections.stream().filter(c -> client.equals(c.clientAddress())).toList();
         if (own.size() >= most) {
             own.stream().filter(c -> !c.isBusy() && c.wasRead()).findFirst()
-                    .ifPresentOrElse(this::evict, connection::surplus);
+                    .ifPresentOrElse(this::evict, connection::markOverLimit);
         }
     }
 
     /** Connections that may be open. */
-    public int most() {
+    public int maxConnections() {
         return maxConnections;
     }
 
@@ -89,23 +89,23 @@
     }
 
     /** Requests that come must have their answers within so many milliseconds from now; infinite for no such bound. */
-    public void answersWithin(double ms) {
-        endsAt = nowMs() + ms;
+    public void limitResponseTime(double ms) {
+        responseDeadlineMs = nowMs() + ms;
     }
 
     /** What a request that comes now has until then, in milliseconds. */
-    public double leftMs() {
-        return Math.max(0, endsAt - nowMs());
+    public double remainingMs() {
+        return Math.max(0, responseDeadlineMs - nowMs());
     }
 
     /** While a proxy has stepped aside each answer is its connection's last, as while it drains; it may come back. */
-    public void aside(BooleanSupplier isAside) {
-        aside = isAside;
+    public void outOfServiceWhile(BooleanSupplier isAside) {
+        outOfService = isAside;
     }
 
     /** Whether the proxy has stepped aside. */
-    public boolean isAside() {
-        return aside.getAsBoolean();
+    public boolean isOutOfService() {
+        return outOfService.getAsBoolean();
     }
 
     /** Whether each answer is its connection's last because the proxy goes down. */
@@ -114,61 +114,61 @@
     }
 
     /** None is kept any more that has no request. */
-    public void stop() {
-        stopped = true;
+    public void closeIdleConnections() {
+        closingIdle = true;
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
     /** Whether a connection without a request is to close. */
-    boolean isStopped() {
-        return stopped;
+    boolean isClosingIdle() {
+        return closingIdle;
     }
 
     /** Looks at the limits in time from now on: one timer for all, as most connections never reach one. */
-    public void watch(EventLoop loop) {
-        loop.scheduleAtFixedRate(() -> sweep(System.nanoTime()), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+    public void startTimeoutChecks(EventLoop loop) {
+        loop.scheduleAtFixedRate(() -> checkTimeouts(System.nanoTime()), TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Holds each connection to the limits in time. */
-    private void sweep(long nowNanos) {
-        List.copyOf(connections).forEach(c -> c.sweep(nowNanos));
-        retryRoom();
+    private void checkTimeouts(long nowNanos) {
+        List.copyOf(connections).forEach(c -> c.checkTimeouts(nowNanos));
+        retryEviction();
     }
 
     /** Whether no connection may be kept: while clients wait to be accepted, one that is kept keeps one of them out. */
-    boolean keepsNone() {
-        return draining || full || crowded() || isAside();
+    boolean disablesKeepAlive() {
+        return draining || full || hasManyIdle() || isOutOfService();
     }
 
-    boolean crowded() {
-        return idleMs == 0 && idle >= Math.max(1, maxConnections / KEPT_PART);
+    boolean hasManyIdle() {
+        return idleTimeoutMs == 0 && idleCount >= Math.max(1, maxConnections / IDLE_DIVISOR);
     }
 
     /**
      * Keeps connections for so long without a request, in milliseconds, as many as there are; 0 for this table's own
      * measure. To be called on the loop.
      */
-    public void keepIdle(double ms) {
-        idleMs = ms;
+    public void setIdleTimeoutMs(double ms) {
+        idleTimeoutMs = ms;
     }
 
     /** For how long a connection without a request is kept where that was set; 0 where it was not. */
-    double idleMs() {
-        return idleMs;
+    double idleTimeoutMs() {
+        return idleTimeoutMs;
     }
 
     /** To the end of those that may be closed for room: it was the last to be used. */
-    void used(ClientConnection connection) {
+    void markUsed(ClientConnection connection) {
         if (connections.remove(connection)) {
             connections.add(connection);
         }
     }
 
-    void closed(ClientConnection connection) {
+    void remove(ClientConnection connection) {
         connections.remove(connection);
         if (full && connections.size() < maxConnections) {
             full = false;
-            accept(true);
+            setAccepting(true);
         }
     }
 
@@ -185,12 +185,12 @@
             evict(goes);
         } else {
             full = true;
-            accept(false);
+            setAccepting(false);
         }
     }
 
     /** While others wait for a place: one may have been read by now, or have stopped. */
-    void retryRoom() {
+    void retryEviction() {
         ClientConnection goes = full ? ConnectionEviction.selectVictim(connections, nowMs()) : null;
         if (goes != null) {
             evict(goes);
@@ -206,7 +206,7 @@
      * again, and a crowd that says nothing would fill the table until its own time is up.
      */
     private void evict(ClientConnection connection) {
-        closed(connection);
+        remove(connection);
         connection.close();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/Dealer.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ConnectionAcceptor.java
@@ -21,24 +21,24 @@
  * backlog of its own listener would be where each loop listens (SO_REUSEPORT). Used on the door's loop alone, but for
  * {@link #listen}.
  */
-public final class Dealer {
+public final class ConnectionAcceptor {
 
     /** How long a loop may be silent before it is told of in the log. */
-    private static final double STUCK_MS = 2000;
+    private static final double STALL_THRESHOLD_MS = 2000;
 
-    private final EventLoop door;
+    private final EventLoop acceptorLoop;
     private final Clock clock;
-    private final ConnectionDistributor dealing;
-    private final OpenAddresses open;
-    private final boolean[] stuck;
+    private final ConnectionDistributor distributor;
+    private final OpenListeners openListeners;
+    private final boolean[] stalled;
 
     /** Deals to as many loops as {@code dealing} knows. */
-    public Dealer(EventLoop door, Clock clock, ConnectionDistributor dealing) {
-        this.door = door;
+    public ConnectionAcceptor(EventLoop door, Clock clock, ConnectionDistributor dealing) {
+        this.acceptorLoop = door;
         this.clock = clock;
-        this.dealing = dealing;
-        this.open = new OpenAddresses(door);
-        this.stuck = new boolean[dealing.loopCount()];
+        this.distributor = dealing;
+        this.openListeners = new OpenListeners(door);
+        this.stalled = new boolean[dealing.loopCount()];
     }
 
     /**
@@ -47,35 +47,35 @@
      * @param fronts what takes connections on each loop, in the loops' order
      */
     public ChannelFuture listen(Transport transport, SocketAddress address, List<Listeners> fronts) {
-        return open.add(address, transport.server(door).handler(new Deals(List.copyOf(fronts)))
+        return openListeners.add(address, transport.server(acceptorLoop).handler(new DistributionHandler(List.copyOf(fronts)))
                 .childHandler(new ChannelInboundHandlerAdapter()).bind(address));
     }
 
     /** No new connections at an address; those that it has stay. */
-    public void unlisten(SocketAddress address) {
-        open.unlisten(address);
+    public void stopListening(SocketAddress address) {
+        openListeners.close(address);
     }
 
     /** No new connections. */
     public void close() {
-        open.close();
+        openListeners.closeAll();
     }
 
     /** A loop tells how late it ran. */
-    public void beat(int loop, double lateMs) {
-        dealing.reportDelay(loop, clock.now(), lateMs);
-        if (stuck[loop]) {
-            stuck[loop] = false;
+    public void reportDelay(int loop, double lateMs) {
+        distributor.reportDelay(loop, clock.now(), lateMs);
+        if (stalled[loop]) {
+            stalled[loop] = false;
             Log.info("loop " + loop + " answers again");
         }
     }
 
     /** Looks for loops that have not told anything; to be called at intervals. */
-    public void look() {
-        for (int i = 0; i < stuck.length; i++) {
-            double silent = dealing.sinceLastReportMs(i, clock.now());
-            if (!stuck[i] && silent > STUCK_MS) {
-                stuck[i] = true;
+    public void checkLoops() {
+        for (int i = 0; i < stalled.length; i++) {
+            double silent = distributor.sinceLastReportMs(i, clock.now());
+            if (!stalled[i] && silent > STALL_THRESHOLD_MS) {
+                stalled[i] = true;
                 Log.info("loop " + i + " has not answered for " + Math.round(silent) + " ms; new connections go to others");
             }
         }
@@ -83,51 +83,51 @@
 
     /** A loop gets no more connections. */
     public void retire(int loop) {
-        dealing.retire(loop);
+        distributor.retire(loop);
     }
 
     /** What is known of each loop, a line each. */
-    public List<String> explain() {
+    public List<String> describeLoops() {
         List<String> lines = new ArrayList<>();
         double now = clock.now();
-        for (int i = 0; i < dealing.loopCount(); i++) {
-            lines.add("loop " + i + ": " + dealing.openConnections(i) + " connections, " + (dealing.isRetired(i) ? "retired after an error"
-                    : dealing.isKeepingUp(i, now) ? "keeps up" : "late, last heard of " + Math.round(dealing.sinceLastReportMs(i, now))
+        for (int i = 0; i < distributor.loopCount(); i++) {
+            lines.add("loop " + i + ": " + distributor.openConnections(i) + " connections, " + (distributor.isRetired(i) ? "retired after an error"
+                    : distributor.isKeepingUp(i, now) ? "keeps up" : "late, last heard of " + Math.round(distributor.sinceLastReportMs(i, now))
                     + " ms ago"));
         }
         return lines;
     }
 
     /** Stands before the acceptor of a listener's own loop, and leaves nothing to it. */
-    private final class Deals extends ChannelInboundHandlerAdapter {
-        private final List<Listeners> fronts;
+    private final class DistributionHandler extends ChannelInboundHandlerAdapter {
+        private final List<Listeners> listenersByLoop;
 
-        Deals(List<Listeners> fronts) {
-            this.fronts = fronts;
+        DistributionHandler(List<Listeners> fronts) {
+            this.listenersByLoop = fronts;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             Channel client = (Channel) message;
-            int loop = dealing.nextLoop(clock.now());
-            if (loop == ConnectionDistributor.NONE || open.isOver()) {
+            int loop = distributor.nextLoop(clock.now());
+            if (loop == ConnectionDistributor.NONE || openListeners.isClosed()) {
                 // Accepted in the same go as the last one that had a place.
                 client.unsafe().closeForcibly();
                 return;
             }
-            dealing.connectionOpened(loop);
+            distributor.connectionOpened(loop);
             // Past this the system's backlog keeps them, as any that is accepted must be served.
-            open.accept(dealing.nextLoop(clock.now()) != ConnectionDistributor.NONE);
+            openListeners.setAccepting(distributor.nextLoop(clock.now()) != ConnectionDistributor.NONE);
             client.config().setOption(ChannelOption.TCP_NODELAY, true);
-            client.pipeline().addLast(fronts.get(loop).accepted());
-            fronts.get(loop).loop().register(client).addListener(f -> {
+            client.pipeline().addLast(listenersByLoop.get(loop).channelInitializer());
+            listenersByLoop.get(loop).loop().register(client).addListener(f -> {
                 if (!f.isSuccess()) {
                     client.unsafe().closeForcibly();
                 }
             });
-            client.closeFuture().addListener(f -> door.execute(() -> {
-                dealing.connectionClosed(loop);
-                open.accept(true);
+            client.closeFuture().addListener(f -> acceptorLoop.execute(() -> {
+                distributor.connectionClosed(loop);
+                openListeners.setAccepting(true);
             }));
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/Listeners.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/Listeners.java
@@ -10,20 +10,20 @@
 public final class Listeners {
 
     private final EventLoop loop;
-    private final ChannelHandler accepted;
-    private final OpenAddresses open;
+    private final ChannelHandler channelInitializer;
+    private final OpenListeners openListeners;
 
     /** {@code accepted} sets up each connection and takes it into the table. */
     public Listeners(EventLoop loop, ClientTable table, ChannelHandler accepted) {
         this.loop = loop;
-        this.accepted = accepted;
-        this.open = new OpenAddresses(loop);
-        table.onRoom(open::accept);
+        this.channelInitializer = accepted;
+        this.openListeners = new OpenListeners(loop);
+        table.onAcceptingChanged(openListeners::setAccepting);
     }
 
     /** What sets up a connection, for whoever takes it in elsewhere. */
-    ChannelHandler accepted() {
-        return accepted;
+    ChannelHandler channelInitializer() {
+        return channelInitializer;
     }
 
     /** The loop that its connections belong to. */
@@ -33,16 +33,16 @@
 
     /** Starts to listen at one more address; the future fails where it can't be had. */
     public ChannelFuture listen(Transport transport, SocketAddress address) {
-        return open.add(address, transport.server(loop).childHandler(accepted).bind(address));
+        return openListeners.add(address, transport.server(loop).childHandler(channelInitializer).bind(address));
     }
 
     /** No new connections at an address; those that it has stay. */
-    public void unlisten(SocketAddress address) {
-        open.unlisten(address);
+    public void stopListening(SocketAddress address) {
+        openListeners.close(address);
     }
 
     /** No new connections. */
     public void close() {
-        open.close();
+        openListeners.closeAll();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/OpenAddresses.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/OpenListeners.java
@@ -10,14 +10,14 @@
 import ridgemill.gateway.net.SocketKind;
 
 /** The listeners that a loop has open, which accept or stop accepting together. Used on that loop, but for {@link #add}. */
-final class OpenAddresses {
+final class OpenListeners {
 
     private final EventLoop loop;
-    private final Map<SocketAddress, Channel> open = new HashMap<>();
+    private final Map<SocketAddress, Channel> listenersByAddress = new HashMap<>();
     private boolean accepting = true;
-    private boolean over;
+    private boolean closed;
 
-    OpenAddresses(EventLoop loop) {
+    OpenListeners(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -26,29 +26,29 @@
         Channel listener = bound.channel();
         // On the loop, to which the others belong.
         loop.execute(() -> {
-            if (over) {
+            if (closed) {
                 listener.close();
                 return;
             }
-            open.put(address, listener);
-            listener.closeFuture().addListener(f -> open.remove(address, listener));
+            listenersByAddress.put(address, listener);
+            listener.closeFuture().addListener(f -> listenersByAddress.remove(address, listener));
             listener.config().setAutoRead(accepting);
         });
         return bound;
     }
 
     /** No new connections at an address; those that it has stay. */
-    void unlisten(SocketAddress address) {
-        Channel listener = open.remove(address);
+    void close(SocketAddress address) {
+        Channel listener = listenersByAddress.remove(address);
         if (listener != null) {
             listener.close();
         }
     }
 
     /** No new connections, now and from whatever is bound later. */
-    void close() {
-        over = true;
-        for (Channel listener : List.copyOf(open.values())) {
+    void closeAll() {
+        closed = true;
+        for (Channel listener : List.copyOf(listenersByAddress.values())) {
             // In one step: what comes between the two is reset.
             SocketKind.of(loop).takeWaiting(listener);
             listener.close();
@@ -56,14 +56,14 @@
     }
 
     /** Whether new connections are taken; those that are not wait with the system. */
-    void accept(boolean accept) {
+    void setAccepting(boolean accept) {
         if (accepting != accept) {
             accepting = accept;
-            open.values().forEach(l -> l.config().setAutoRead(accept));
+            listenersByAddress.values().forEach(l -> l.config().setAutoRead(accept));
         }
     }
 
-    boolean isOver() {
-        return over;
+    boolean isClosed() {
+        return closed;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -34,7 +34,7 @@
 import ridgemill.core.NodeResponse;
 import ridgemill.core.ResponseHandler;
 import ridgemill.gateway.front.ClientConnection;
-import ridgemill.gateway.front.OrderWatch;
+import ridgemill.gateway.front.PipelineTimer;
 import ridgemill.gateway.net.BodyStream;
 import ridgemill.gateway.net.BodyWriter;
 import ridgemill.gateway.net.Content;
@@ -50,61 +50,61 @@
  */
 final class HttpClientConnection extends ClientConnection {
 
-    private static final int MAX_WAITING = 16;
+    private static final int MAX_QUEUED_REQUESTS = 16;
     /** Bytes of answers that wait for an earlier one, beyond which no further request is begun. */
-    private static final int MOST_HELD = 256 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** For how many bytes input is read on after an error: unread input would reset the error away. */
     private static final long LINGER_BYTES = 1 << 20;
 
-    private final HttpFront front;
-    private final Bytes bytes = new Bytes();
-    private final Queue<Waiting> waiting = new ArrayDeque<>();
-    private final Deque<Exchange> slots = new ArrayDeque<>();
-    private final OrderWatch<Exchange> order;
-    private int held;
+    private final HttpFrontend frontend;
+    private final FastPathCodec codec = new FastPathCodec();
+    private final Queue<QueuedRequest> queue = new ArrayDeque<>();
+    private final Deque<Exchange> exchanges = new ArrayDeque<>();
+    private final PipelineTimer<Exchange> pipelineTimer;
+    private int bufferedBytes;
     private boolean beginning;
     /** The rest of the request that is being read; with its end the connection goes where its answer was the last. */
     private BodyStream upload;
     /** One that waits for the answers of those before it. */
-    private Bodies.Open waitingOpen;
+    private RequestAggregator.StreamingRequest queuedStreamingRequest;
     private boolean closesAfterUpload;
     /** The rest of the answer that is being written. */
-    private BodyStream streamed;
+    private BodyStream responseStream;
     /** No further request is begun; with the answer of the last the connection closes. */
-    private boolean last;
+    private boolean lastRequestBegun;
     /** The client sends nothing more, and reads on. */
     private boolean inputEnded;
 
-    HttpClientConnection(Channel channel, HttpFront front) {
+    HttpClientConnection(Channel channel, HttpFrontend front) {
         super(channel, front.table());
-        this.front = front;
-        this.order = new OrderWatch<>(channel.eventLoop(), front.intake()::now, Exchange::giveUp);
-        if (front.terms().halfCloseStays() && channel.config() instanceof SocketChannelConfig config) {
+        this.frontend = front;
+        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), front.intake()::now, Exchange::answerNow);
+        if (front.policy().allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
             config.setAllowHalfClosure(true);
         }
     }
 
-    Bytes bytes() {
-        return bytes;
+    FastPathCodec codec() {
+        return codec;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (message instanceof Bodies.Open open) {
-            take(open);
+        if (message instanceof RequestAggregator.StreamingRequest open) {
+            beginOrQueue(open);
             return;
         }
         FullHttpRequest request = (FullHttpRequest) message;
         try {
-            if (phase() == Phase.CLOSING || last) {
+            if (phase() == Phase.CLOSING || lastRequestBegun) {
                 return;
             }
-            if (slots.isEmpty() && waiting.isEmpty()) {
-                begin(request, stalledMs());
+            if (exchanges.isEmpty() && queue.isEmpty()) {
+                begin(request, loopStallMs());
                 return;
             }
-            waiting.add(new Waiting(request.retain(), System.nanoTime(), stalledMs()));
-            if (waiting.size() >= MAX_WAITING) {
+            queue.add(new QueuedRequest(request.retain(), System.nanoTime(), loopStallMs()));
+            if (queue.size() >= MAX_QUEUED_REQUESTS) {
                 // What it sends further waits on its side of the connection.
                 channel().config().setAutoRead(false);
             }
@@ -115,44 +115,44 @@
     }
 
     /** A request whose body is still coming; nothing behind it is read before its end. */
-    private void take(Bodies.Open open) {
-        if (phase() == Phase.CLOSING || last) {
-            open.first().release();
+    private void beginOrQueue(RequestAggregator.StreamingRequest open) {
+        if (phase() == Phase.CLOSING || lastRequestBegun) {
+            open.firstPart().release();
             open.rest().drop();
-        } else if (slots.isEmpty() && waiting.isEmpty()) {
+        } else if (exchanges.isEmpty() && queue.isEmpty()) {
             begin(open);
         } else {
-            waitingOpen = open;
+            queuedStreamingRequest = open;
         }
     }
 
-    private void begin(Bodies.Open open) {
+    private void begin(RequestAggregator.StreamingRequest open) {
         upload = open.rest();
         try {
             Exchange exchange = new Exchange(HttpUtil.isKeepAlive(open.head()), false, true);
-            if (!isTurnedAway(exchange, open.head().headers().get("X-Call-Class"))) {
-                act(exchange, front.requests().read(open, said -> left(said, 0), front.intake()::isOpen, front.intake()::acceptsStreamingBody));
+            if (!rejectIfOverLimit(exchange, open.head().headers().get("X-Call-Class"))) {
+                handle(exchange, frontend.requests().read(open, said -> remainingMs(said, 0), frontend.intake()::isOpen, frontend.intake()::acceptsStreamingBody));
             }
             exchange.upload(open.rest());
         } finally {
-            open.first().release();
+            open.firstPart().release();
         }
     }
 
     /** The body of the request in hand is whole, or will never be. */
-    private void uploaded(Exchange exchange, boolean whole) {
+    private void uploadEnded(Exchange exchange, boolean whole) {
         upload = null;
         if (whole && exchange.id != null) {
-            front.intake().bodyReceived(exchange.id);
+            frontend.intake().bodyReceived(exchange.id);
         }
         if (!whole && phase() != Phase.CLOSING) {
             // Nothing that follows could be told from the rest of it.
             channel().close();
         } else if (closesAfterUpload) {
             channel().close();
-        } else if (slots.isEmpty() && phase() == Phase.READING) {
-            enter(Phase.IDLE);
-            used();
+        } else if (exchanges.isEmpty() && phase() == Phase.READING) {
+            enterPhase(Phase.IDLE);
+            markUsed();
         }
     }
 
@@ -160,23 +160,23 @@
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof ChannelInputShutdownEvent) {
             inputEnded = true;
-            if (slots.isEmpty() && waiting.isEmpty() && phase() != Phase.CLOSING) {
+            if (exchanges.isEmpty() && queue.isEmpty() && phase() != Phase.CLOSING) {
                 // Behind what is still being written.
-                enter(Phase.CLOSING);
-                bytes.end();
+                enterPhase(Phase.CLOSING);
+                codec.closeAfterWrites();
             }
         }
         super.userEventTriggered(ctx, event);
     }
 
     /** How old what is read now may be, as the loop did not turn for a while. */
-    private double stalledMs() {
-        return front.intake().deadlines().loopStalls().maxAgeMs(front.intake().now());
+    private double loopStallMs() {
+        return frontend.intake().deadlines().loopStalls().maxAgeMs(frontend.intake().now());
     }
 
     /** What a client's time comes to here, of which so much has passed already. */
-    private double left(double saidMs, double passedMs) {
-        return Math.min(front.intake().deadlines().remainingMs(saidMs, passedMs, front.wayBack()), front.table().leftMs());
+    private double remainingMs(double saidMs, double passedMs) {
+        return Math.min(frontend.intake().deadlines().remainingMs(saidMs, passedMs, frontend.returnDelay()), frontend.table().remainingMs());
     }
 
     /** Begins what may be begun beside what is open: reads beside reads. */
@@ -186,16 +186,16 @@
         }
         beginning = true;
         try {
-            if (waiting.isEmpty() && slots.isEmpty() && waitingOpen != null && phase() != Phase.CLOSING && !last) {
-                Bodies.Open next = waitingOpen;
-                waitingOpen = null;
+            if (queue.isEmpty() && exchanges.isEmpty() && queuedStreamingRequest != null && phase() != Phase.CLOSING && !lastRequestBegun) {
+                RequestAggregator.StreamingRequest next = queuedStreamingRequest;
+                queuedStreamingRequest = null;
                 begin(next);
             }
-            while (!waiting.isEmpty() && phase() != Phase.CLOSING && !last && mayBegin(waiting.peek().request())) {
-                Waiting next = waiting.poll();
+            while (!queue.isEmpty() && phase() != Phase.CLOSING && !lastRequestBegun && canBegin(queue.peek().request())) {
+                QueuedRequest next = queue.poll();
                 channel().config().setAutoRead(true);
                 try {
-                    begin(next.request(), TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - next.arrived()) / 1e3 + next.stalledMs());
+                    begin(next.request(), TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - next.arrivedNanos()) / 1e3 + next.stalledMs());
                 } finally {
                     next.request().release();
                 }
@@ -205,9 +205,9 @@
         }
     }
 
-    private boolean mayBegin(FullHttpRequest next) {
-        return slots.isEmpty() || slots.size() < front.terms().sideBySide() && held < MOST_HELD && isRead(next)
-                && slots.stream().allMatch(e -> e.read);
+    private boolean canBegin(FullHttpRequest next) {
+        return exchanges.isEmpty() || exchanges.size() < frontend.policy().maxConcurrentRequests() && bufferedBytes < MAX_BUFFERED_BYTES && isRead(next)
+                && exchanges.stream().allMatch(e -> e.read);
     }
 
     private static boolean isRead(FullHttpRequest request) {
@@ -216,85 +216,85 @@
 
     private void begin(FullHttpRequest in, double passedMs) {
         Exchange exchange = new Exchange(HttpUtil.isKeepAlive(in), isRead(in), in.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
-        if (!isTurnedAway(exchange, in.headers().get("X-Call-Class"))) {
-            act(exchange, front.requests().read(in, said -> left(said, passedMs), front.intake()::isOpen));
+        if (!rejectIfOverLimit(exchange, in.headers().get("X-Call-Class"))) {
+            handle(exchange, frontend.requests().read(in, said -> remainingMs(said, passedMs), frontend.intake()::isOpen));
         }
     }
 
     private void begin(LeanHttp in, ByteBuf all) {
         Exchange exchange = new Exchange(in.isKeepAlive(), !in.isPut(), true);
-        if (isTurnedAway(exchange, in.get("X-Call-Class"))) {
+        if (rejectIfOverLimit(exchange, in.get("X-Call-Class"))) {
             return;
         }
         ByteBuf body = in.body(all);
         try {
-            double passedMs = stalledMs();
-            act(exchange, front.requests().read(in, body, said -> left(said, passedMs), front.intake()::isOpen));
+            double passedMs = loopStallMs();
+            handle(exchange, frontend.requests().read(in, body, said -> remainingMs(said, passedMs), frontend.intake()::isOpen));
         } finally {
             body.release();
         }
     }
 
-    private boolean isTurnedAway(Exchange exchange, String service) {
-        if (!isSurplus()) {
+    private boolean rejectIfOverLimit(Exchange exchange, String service) {
+        if (!isOverLimit()) {
             return false;
         }
-        front.intake().countRejected(service);
-        busy();
-        last = true;
-        open(exchange, Double.POSITIVE_INFINITY);
-        exchange.ready(HttpResponseStatus.TOO_MANY_REQUESTS, SURPLUS_BACK_MS);
+        frontend.intake().countRejected(service);
+        requestStarted();
+        lastRequestBegun = true;
+        addExchange(exchange, Double.POSITIVE_INFINITY);
+        exchange.respond(HttpResponseStatus.TOO_MANY_REQUESTS, OVER_LIMIT_RETRY_AFTER_MS);
         return true;
     }
 
-    private void open(Exchange exchange, double dueMs) {
-        slots.addLast(exchange);
-        order.add(exchange, dueMs);
-        last |= !exchange.keepAlive;
+    private void addExchange(Exchange exchange, double dueMs) {
+        exchanges.addLast(exchange);
+        pipelineTimer.add(exchange, dueMs);
+        lastRequestBegun |= !exchange.keepAlive;
     }
 
-    private void act(Exchange exchange, HttpRequests.Read read) {
-        if (read instanceof HttpRequests.Call call) {
-            busy();
+    private void handle(Exchange exchange, HttpRequestReader.ParsedRequest read) {
+        if (read instanceof HttpRequestReader.Call call) {
+            requestStarted();
             exchange.id = call.request().id();
-            open(exchange, front.intake().now() + call.request().budgetMs());
-            front.intake().submit(call.go(), call.request(), call.command(), exchange);
-            order.watch();
-        } else if (read instanceof HttpRequests.Refused refused) {
-            front.intake().countRejected(refused.service());
-            busy();
-            open(exchange, Double.POSITIVE_INFINITY);
+            addExchange(exchange, frontend.intake().now() + call.request().budgetMs());
+            frontend.intake().submit(call.admitted(), call.request(), call.command(), exchange);
+            pipelineTimer.schedule();
+        } else if (read instanceof HttpRequestReader.Rejected refused) {
+            frontend.intake().countRejected(refused.requestedClass());
+            requestStarted();
+            addExchange(exchange, Double.POSITIVE_INFINITY);
             exchange.reason(Reason.LIMIT);
             exchange.limited(refused.retryAfterMs());
-        } else if (read instanceof HttpRequests.Outcome asked) {
-            busy();
-            open(exchange, Double.POSITIVE_INFINITY);
-            front.intake().findOutcome(asked.key(), asked.tenant(), known ->
-                    exchange.ready(known == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK, 0,
-                            OutcomeText.of(known, front.intake().now()), null));
-        } else if (read instanceof HttpRequests.Bad bad && slots.isEmpty()) {
+        } else if (read instanceof HttpRequestReader.OutcomeQuery asked) {
+            requestStarted();
+            addExchange(exchange, Double.POSITIVE_INFINITY);
+            frontend.intake().findOutcome(asked.key(), asked.tenant(), known ->
+                    exchange.respond(known == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK, 0,
+                            OutcomeJson.of(known, frontend.intake().now()), null));
+        } else if (read instanceof HttpRequestReader.InvalidRequest bad && exchanges.isEmpty()) {
             reject(bad.status());
-        } else if (read instanceof HttpRequests.Bad bad) {
+        } else if (read instanceof HttpRequestReader.InvalidRequest bad) {
             // Those before it have their answers first.
-            open(exchange, Double.POSITIVE_INFINITY);
-            last = true;
+            addExchange(exchange, Double.POSITIVE_INFINITY);
+            lastRequestBegun = true;
             exchange.rejection = bad.status();
-            exchange.ready(bad.status(), 0);
+            exchange.respond(bad.status(), 0);
         } else {
-            open(exchange, Double.POSITIVE_INFINITY);
-            exchange.ready(front.isUp() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
+            addExchange(exchange, Double.POSITIVE_INFINITY);
+            exchange.respond(frontend.isUp() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         }
     }
 
     /** Writes the answers that no earlier one holds up. */
     private void writeReady() {
-        while (!slots.isEmpty() && slots.peek().done && phase() != Phase.CLOSING) {
-            if (slots.peek().content.rest() != null) {
-                stream(slots.peek());
+        while (!exchanges.isEmpty() && exchanges.peek().done && phase() != Phase.CLOSING) {
+            if (exchanges.peek().content.rest() != null) {
+                stream(exchanges.peek());
                 return;
             }
-            Exchange e = slots.poll();
-            order.left();
+            Exchange e = exchanges.poll();
+            pipelineTimer.removeFirst();
             if (e.rejection != null) {
                 reject(e.rejection);
                 return;
@@ -307,61 +307,61 @@
     }
 
     private void write(Exchange e) {
-        boolean closes = slots.isEmpty() && (last || mustClose() || inputEnded && waiting.isEmpty());
+        boolean closes = exchanges.isEmpty() && (lastRequestBegun || mustCloseAfterResponse() || inputEnded && queue.isEmpty());
         boolean uploading = upload != null && upload.isOpen();
         if (uploading) {
             upload.drop();
-            enter(Phase.READING);
+            enterPhase(Phase.READING);
         } else if (closes) {
-            enter(Phase.CLOSING);
-        } else if (slots.isEmpty()) {
-            enter(Phase.IDLE);
+            enterPhase(Phase.CLOSING);
+        } else if (exchanges.isEmpty()) {
+            enterPhase(Phase.IDLE);
         }
         long began = System.nanoTime();
         Content content = e.content;
         ChannelFuture written = content.mediaType() == null || LeanHttp.isPlain(content.mediaType(), true)
-                ? bytes.write(e.status, e.retryAfterMs, content, e.note, closes) : writeEncoded(e.status, content, closes);
+                ? codec.write(e.status, e.retryAfterMs, content, e.extraHeaders, closes) : writeEncoded(e.status, content, closes);
         e.release();
-        writing(written);
+        trackWrite(written);
         if (written.isDone()) {
-            front.wayBack().record((System.nanoTime() - began) / 1e6);
+            frontend.returnDelay().record((System.nanoTime() - began) / 1e6);
         } else {
-            written.addListener(f -> front.wayBack().record((System.nanoTime() - began) / 1e6));
+            written.addListener(f -> frontend.returnDelay().record((System.nanoTime() - began) / 1e6));
         }
         if (uploading) {
             // Its answer is out before its rest has come: that is read to its end, as cutting it off would take the answer along.
             closesAfterUpload = closes;
         } else if (closes) {
             written.addListener(ChannelFutureListener.CLOSE);
-        } else if (slots.isEmpty()) {
-            used();
+        } else if (exchanges.isEmpty()) {
+            markUsed();
         }
     }
 
     /** Writes what there is of an answer; the rest follows as it comes, and until then nothing else is written. */
     private void stream(Exchange e) {
-        if (streamed != null) {
+        if (responseStream != null) {
             return;
         }
         BodyStream rest = e.content.rest();
-        boolean closes = last || mustClose() || inputEnded || rest.length() < 0 && !e.chunks;
-        last |= closes;
-        BodyWriter writer = new BodyWriter(bytes.context, rest.length() < 0 && e.chunks);
-        streamed = rest;
-        writing(bytes.beginStream(e.content, writer, closes));
+        boolean closes = lastRequestBegun || mustCloseAfterResponse() || inputEnded || rest.length() < 0 && !e.supportsChunked;
+        lastRequestBegun |= closes;
+        BodyWriter writer = new BodyWriter(codec.context, rest.length() < 0 && e.supportsChunked);
+        responseStream = rest;
+        trackWrite(codec.beginStream(e.content, writer, closes));
         e.release();
         rest.drain(new BodyStream.Sink() {
             @Override
             public void part(ByteBuf part) {
-                writing(writer.part(part));
+                trackWrite(writer.part(part));
                 rest.wants(channel().isWritable());
             }
 
             @Override
             public void end() {
-                streamed = null;
+                responseStream = null;
                 ChannelFuture written = writer.end(channel().newPromise());
-                writing(written);
+                trackWrite(written);
                 endStream(e, written);
             }
 
@@ -371,32 +371,32 @@
                 if (rest.length() < 0 && !writer.isChunked()) {
                     channel().config().setOption(ChannelOption.SO_LINGER, 0);
                 }
-                streamed = null;
+                responseStream = null;
                 channel().close();
             }
         });
     }
 
     private void endStream(Exchange e, ChannelFuture written) {
-        if (slots.peek() != e) {
+        if (exchanges.peek() != e) {
             return;
         }
-        slots.poll();
-        order.left();
-        if (slots.isEmpty() && last) {
-            enter(Phase.CLOSING);
+        exchanges.poll();
+        pipelineTimer.removeFirst();
+        if (exchanges.isEmpty() && lastRequestBegun) {
+            enterPhase(Phase.CLOSING);
             written.addListener(ChannelFutureListener.CLOSE);
-        } else if (slots.isEmpty()) {
-            enter(Phase.IDLE);
-            used();
+        } else if (exchanges.isEmpty()) {
+            enterPhase(Phase.IDLE);
+            markUsed();
         }
         writeReady();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) throws Exception {
-        if (streamed != null) {
-            streamed.wants(channel().isWritable());
+        if (responseStream != null) {
+            responseStream.wants(channel().isWritable());
         }
         super.channelWritabilityChanged(ctx);
     }
@@ -409,7 +409,7 @@
         if (closes) {
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        bytes.codec();
+        codec.installNettyCodec();
         return channel().writeAndFlush(answer);
     }
 
@@ -425,12 +425,12 @@
         FullHttpResponse answer = response(status, Unpooled.EMPTY_BUFFER);
         HttpUtil.setContentLength(answer, 0);
         answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        enter(Phase.CLOSING);
-        dropWaiting();
+        enterPhase(Phase.CLOSING);
+        dropQueue();
         channel().config().setAutoRead(true);
-        bytes.codec();
+        codec.installNettyCodec();
         ChannelFuture written = channel().writeAndFlush(answer);
-        writing(written);
+        trackWrite(written);
         written.addListener(f -> {
             if (channel() instanceof DuplexChannel halves) {
                 halves.shutdownOutput();
@@ -438,13 +438,13 @@
         });
     }
 
-    private void dropWaiting() {
-        waiting.forEach(w -> w.request().release());
-        waiting.clear();
-        if (waitingOpen != null) {
-            waitingOpen.first().release();
-            waitingOpen.rest().drop();
-            waitingOpen = null;
+    private void dropQueue() {
+        queue.forEach(w -> w.request().release());
+        queue.clear();
+        if (queuedStreamingRequest != null) {
+            queuedStreamingRequest.firstPart().release();
+            queuedStreamingRequest.rest().drop();
+            queuedStreamingRequest = null;
         }
     }
 
@@ -452,26 +452,26 @@
     protected boolean isUploading() {
         if (upload != null && upload.isOpen() && !upload.isFlowing()) {
             // It is the node that is slow: the client's pace counts from when it is read again.
-            paceAgain();
+            restartRequestRate();
             return false;
         }
         return upload != null && upload.isOpen();
     }
 
     @Override
-    protected void tooSlow() {
-        List<Exchange> open = List.copyOf(slots);
-        slots.clear();
+    protected void requestTimedOut() {
+        List<Exchange> open = List.copyOf(exchanges);
+        exchanges.clear();
         open.forEach(Exchange::drop);
         reject(HttpResponseStatus.REQUEST_TIMEOUT);
     }
 
     @Override
-    protected void left() {
-        dropWaiting();
-        order.close();
-        List<Exchange> open = List.copyOf(slots);
-        slots.clear();
+    protected void disconnected() {
+        dropQueue();
+        pipelineTimer.cancel();
+        List<Exchange> open = List.copyOf(exchanges);
+        exchanges.clear();
         open.forEach(Exchange::drop);
     }
 
@@ -487,7 +487,7 @@
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else {
             // Behind requests that are open: those have their answers first, and the last of them is the connection's.
-            last = true;
+            lastRequestBegun = true;
         }
     }
 
@@ -496,36 +496,36 @@
         private final boolean keepAlive;
         private final boolean read;
         /** Whether its client knows chunks, which came with version 1.1. */
-        private final boolean chunks;
+        private final boolean supportsChunked;
         private String id;
         private boolean done;
-        private boolean holds;
+        private boolean retainsContent;
         private HttpResponseStatus rejection;
         private HttpResponseStatus status;
         private double retryAfterMs;
         private Content content;
-        private String note;
-        private String why;
+        private String extraHeaders;
+        private String reasonHeader;
 
         Exchange(boolean keepAlive, boolean read, boolean chunks) {
             this.keepAlive = keepAlive;
             this.read = read;
-            this.chunks = chunks;
+            this.supportsChunked = chunks;
         }
 
         /** The rest of its body: told of its end where nobody else drains it, or behind whoever does. */
         private void upload(BodyStream rest) {
-            rest.onEnd(whole -> uploaded(this, whole));
+            rest.onEnd(whole -> uploadEnded(this, whole));
             if (done || id == null) {
                 rest.drop();
             }
         }
 
-        private void ready(HttpResponseStatus how, double backMs) {
-            ready(how, backMs, Content.EMPTY, null);
+        private void respond(HttpResponseStatus how, double backMs) {
+            respond(how, backMs, Content.EMPTY, null);
         }
 
-        private void ready(HttpResponseStatus how, double backMs, Content what, String toldBeside) {
+        private void respond(HttpResponseStatus how, double backMs, Content what, String toldBeside) {
             if (done) {
                 return;
             }
@@ -533,29 +533,29 @@
             status = how;
             retryAfterMs = backMs;
             content = what;
-            note = toldBeside;
-            if (slots.peek() == this) {
+            extraHeaders = toldBeside;
+            if (exchanges.peek() == this) {
                 writeReady();
             } else {
                 // Its bytes hold until this returns alone, and others are ahead of it.
                 what.bytes().retain();
-                holds = true;
-                held += what.bytes().readableBytes();
+                retainsContent = true;
+                bufferedBytes += what.bytes().readableBytes();
             }
         }
 
         private void release() {
-            if (holds) {
-                holds = false;
-                held -= content.bytes().readableBytes();
+            if (retainsContent) {
+                retainsContent = false;
+                bufferedBytes -= content.bytes().readableBytes();
                 content.bytes().release();
             }
         }
 
         /** Its final answer is needed now. */
-        private void giveUp() {
+        private void answerNow() {
             if (!done && id != null) {
-                front.intake().answerNow(id);
+                frontend.intake().answerNow(id);
             }
         }
 
@@ -564,12 +564,12 @@
             release();
             if (content != null && content.rest() != null) {
                 content.rest().drop();
-                front.intake().clientGone(id);
+                frontend.intake().clientGone(id);
             }
             if (!done) {
                 done = true;
                 if (id != null) {
-                    front.intake().clientGone(id);
+                    frontend.intake().clientGone(id);
                 }
             }
         }
@@ -582,54 +582,54 @@
         @Override
         public void served(NodeResponse<Content> answer) {
             if (answer.content().isAbsent()) {
-                ready(HttpResponseStatus.NOT_FOUND, 0);
+                respond(HttpResponseStatus.NOT_FOUND, 0);
             } else {
-                ready(HttpResponseStatus.OK, 0, answer.content(), null);
+                respond(HttpResponseStatus.OK, 0, answer.content(), null);
             }
         }
 
         @Override
         public void recorded(String call) {
-            ready(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-call: " + call);
+            respond(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-call: " + call);
         }
 
         @Override
         public void conflict() {
-            ready(HttpResponseStatus.UNPROCESSABLE_ENTITY, 0);
+            respond(HttpResponseStatus.UNPROCESSABLE_ENTITY, 0);
         }
 
         @Override
         public void reason(Reason reason) {
-            why = front.terms().tellsWhy() ? "\r\nx-reason: " + reason.code() : null;
+            reasonHeader = frontend.policy().sendsReasons() ? "\r\nx-reason: " + reason.code() : null;
         }
 
         @Override
         public void refused(double retryAfterMs) {
-            ready(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs, Content.EMPTY, why);
+            respond(HttpResponseStatus.SERVICE_UNAVAILABLE, retryAfterMs, Content.EMPTY, reasonHeader);
         }
 
         @Override
         public void limited(double retryAfterMs) {
-            ready(HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs, Content.EMPTY, why);
+            respond(HttpResponseStatus.TOO_MANY_REQUESTS, retryAfterMs, Content.EMPTY, reasonHeader);
         }
 
         @Override
         public void failed() {
-            ready(HttpResponseStatus.BAD_GATEWAY, 0, Content.EMPTY, why);
+            respond(HttpResponseStatus.BAD_GATEWAY, 0, Content.EMPTY, reasonHeader);
         }
     }
 
     /** A request that came while another was open on its connection, when, and how old it may have been by then. */
-    private record Waiting(FullHttpRequest request, long arrived, double stalledMs) { }
+    private record QueuedRequest(FullHttpRequest request, long arrivedNanos, double stalledMs) { }
 
     /**
      * Sees bytes first: the clock for a request runs from its first. One that is plain is read here; from the first one on
      * that is not, Netty's decoder reads all that this connection brings, as it may hold the beginning of the next.
      */
-    final class Bytes extends ChannelInboundHandlerAdapter {
+    final class FastPathCodec extends ChannelInboundHandlerAdapter {
         /** Bodies up to this are copied behind their head: one piece costs less than two that are gathered. */
-        private static final int COPIED = 2048;
-        private static final int HEAD = 256;
+        private static final int MAX_COPIED_BYTES = 2048;
+        private static final int HEAD_CAPACITY_BYTES = 256;
         private static final byte[] OK = ascii("HTTP/1.1 200 OK\r\ncontent-length: ");
         private static final byte[] CHUNKED = ascii("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked");
         private static final byte[] UNFRAMED = ascii("HTTP/1.1 200 OK");
@@ -641,8 +641,8 @@
         private static final byte[] END = ascii("\r\n\r\n");
 
         private ChannelHandlerContext context;
-        private boolean plain = true;
-        private long dropped;
+        private boolean fastPath = true;
+        private long droppedBytes;
 
         private static byte[] ascii(String text) {
             return text.getBytes(StandardCharsets.US_ASCII);
@@ -656,21 +656,21 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (phase() == Phase.CLOSING) {
-                dropped += message instanceof ByteBuf in ? in.readableBytes() : 0;
+                droppedBytes += message instanceof ByteBuf in ? in.readableBytes() : 0;
                 ReferenceCountUtil.release(message);
-                if (dropped > LINGER_BYTES) {
+                if (droppedBytes > LINGER_BYTES) {
                     channel().config().setAutoRead(false);
                 }
                 return;
             }
             boolean next = phase() == Phase.SILENT || phase() == Phase.IDLE;
             if (next) {
-                enter(Phase.READING);
+                enterPhase(Phase.READING);
             }
             if (message instanceof ByteBuf in) {
-                heard(in.readableBytes());
+                bytesReceived(in.readableBytes());
             }
-            if (plain && next && message instanceof ByteBuf in) {
+            if (fastPath && next && message instanceof ByteBuf in) {
                 LeanHttp request = LeanHttp.request(in);
                 if (request != null) {
                     try {
@@ -681,13 +681,13 @@
                     return;
                 }
             }
-            codec();
+            installNettyCodec();
             ctx.fireChannelRead(message);
         }
 
         /** Writes the head of an answer whose body follows, and what there is of that. */
         ChannelFuture beginStream(Content content, BodyWriter writer, boolean last) {
-            ByteBuf out = context.alloc().ioBuffer(HEAD);
+            ByteBuf out = context.alloc().ioBuffer(HEAD_CAPACITY_BYTES);
             long length = content.rest().length();
             if (writer.isChunked()) {
                 out.writeBytes(CHUNKED);
@@ -707,16 +707,16 @@
         }
 
         /** Closes when all that was written is out. */
-        void end() {
+        void closeAfterWrites() {
             context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         }
 
         /** From now on Netty's codec has what comes. */
-        void codec() {
-            if (plain) {
-                plain = false;
+        void installNettyCodec() {
+            if (fastPath) {
+                fastPath = false;
                 // Each right behind this one: the last to be added is the first.
-                context.pipeline().addAfter(context.name(), null, new Bodies()).addAfter(context.name(), null,
+                context.pipeline().addAfter(context.name(), null, new RequestAggregator()).addAfter(context.name(), null,
                         new HttpResponseEncoder()).addAfter(context.name(), null, new StrictHttp.Requests());
             }
         }
@@ -725,8 +725,8 @@
         ChannelFuture write(HttpResponseStatus status, double retryAfterMs, Content content, String note, boolean last) {
             ByteBuf body = content.bytes();
             int length = body.readableBytes();
-            boolean copied = length <= COPIED;
-            ByteBuf out = context.alloc().ioBuffer(HEAD + (copied ? length : 0));
+            boolean copied = length <= MAX_COPIED_BYTES;
+            ByteBuf out = context.alloc().ioBuffer(HEAD_CAPACITY_BYTES + (copied ? length : 0));
             if (status == HttpResponseStatus.OK) {
                 out.writeBytes(OK);
             } else {
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpFrontend.java
@@ -13,28 +13,28 @@
 import ridgemill.gateway.net.Transport;
 
 /** Takes clients' requests in over HTTP/1.1 and their answers out. What no node could make sense of is answered here. */
-public final class HttpFront {
+public final class HttpFrontend {
 
     private final Intake<Content> intake;
-    private final HttpRequests requests;
+    private final HttpRequestReader requests;
     private final ClientTable table;
     private final Listeners listeners;
-    private final ReturnDelay wayBack;
-    private HttpTerms terms = HttpTerms.PLATFORM;
+    private final ReturnDelay returnDelay;
+    private HttpClientPolicy policy = HttpClientPolicy.PLATFORM;
     private boolean ready;
-    private boolean succeeded;
+    private boolean hasSuccessor;
 
     /** A front whose connections go into a table that it may share with others. */
-    public HttpFront(EventLoop loop, Intake<Content> intake, ClientTable table) {
+    public HttpFrontend(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
-        this.requests = new HttpRequests(intake::admit, intake::withdraw);
-        this.wayBack = intake.deadlines().returnDelay("http");
+        this.requests = new HttpRequestReader(intake::admit, intake::withdraw);
+        this.returnDelay = intake.deadlines().returnDelay("http");
         this.table = table;
         this.listeners = new Listeners(loop, table, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                HttpClientConnection connection = new HttpClientConnection(channel, HttpFront.this);
-                channel.pipeline().addLast(connection.bytes(), connection);
+                HttpClientConnection connection = new HttpClientConnection(channel, HttpFrontend.this);
+                channel.pipeline().addLast(connection.codec(), connection);
                 table.add(connection);
             }
         });
@@ -46,18 +46,18 @@
     }
 
     /** No new connections at an address; those that it has stay. */
-    public void unlisten(SocketAddress address) {
-        listeners.unlisten(address);
+    public void stopListening(SocketAddress address) {
+        listeners.stopListening(address);
     }
 
     /** From now on {@code GET /up} answers that this proxy may be used. */
-    public void ready() {
+    public void markReady() {
         ready = true;
     }
 
     /** Another process of this proxy serves at its address: whoever asks here too is told that the proxy may be used. */
-    public void succeeded() {
-        succeeded = true;
+    public void markSucceeded() {
+        hasSuccessor = true;
     }
 
     /** Where its connections come in. */
@@ -66,40 +66,40 @@
     }
 
     /** No new connections. */
-    public void stop() {
+    public void stopListening() {
         listeners.close();
     }
 
     /** Other terms hold for requests that come, and for connections, from now on. */
-    public void terms(HttpTerms next) {
-        terms = next;
-        requests.terms(next);
+    public void policy(HttpClientPolicy next) {
+        policy = next;
+        requests.policy(next);
     }
 
     /** What idempotency keys came to may be asked for from now on, at {@code /outcome/KEY}. */
-    public void tellOutcomes() {
-        requests.tellOutcomes();
+    public void enableOutcomeQueries() {
+        requests.enableOutcomeQueries();
     }
 
-    HttpTerms terms() {
-        return terms;
+    HttpClientPolicy policy() {
+        return policy;
     }
 
     /** The way of answers to clients. */
-    ReturnDelay wayBack() {
-        return wayBack;
+    ReturnDelay returnDelay() {
+        return returnDelay;
     }
 
     /** Whether clients are told that this proxy may be used. */
     public boolean isUp() {
-        return ready && (succeeded || !table.isDraining()) && !table.isAside();
+        return ready && (hasSuccessor || !table.isDraining()) && !table.isOutOfService();
     }
 
     Intake<Content> intake() {
         return intake;
     }
 
-    HttpRequests requests() {
+    HttpRequestReader requests() {
         return requests;
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequests.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
@@ -28,20 +28,20 @@
 import ridgemill.route.RouteQuery;
 
 /** Reads what an HTTP request asks for: a call, a look at whether the proxy is up, or nothing that can be made sense of. */
-final class HttpRequests {
+final class HttpRequestReader {
 
-    private static final String UP = "/up";
-    private static final String OUTCOME = "/outcome/";
+    private static final String READINESS_PATH = "/up";
+    private static final String OUTCOME_PATH_PREFIX = "/outcome/";
     private static final String GET = "GET";
     private static final String PUT = "PUT";
-    private static final String SECONDS = HttpTerms.header(Format.SECONDS);
-    private static final int LONGEST_ID = 64;
+    private static final String SECONDS_HEADER = HttpClientPolicy.timeoutHeader(Format.SECONDS);
+    private static final int MAX_ID_LENGTH = 64;
     /** As many digits as a whole number of this type surely holds. */
-    private static final int EXACT_DIGITS = 15;
-    private static final int LONGEST_KEY = 512;
+    private static final int MAX_EXACT_DIGITS = 15;
+    private static final int MAX_KEY_LENGTH = 512;
 
     /** A message's header lines. */
-    interface Lines {
+    interface HeaderFields {
 
         /** The first line of a name; null where it has none. */
         String get(String name);
@@ -51,37 +51,37 @@
     }
 
     /** What a request turned out to be. */
-    sealed interface Read { }
+    sealed interface ParsedRequest { }
 
     /** A request for the decision module, and how the gate let it on. */
-    record Call(AdmissionController.Admitted go, Request request, Command<Content> command) implements Read { }
+    record Call(AdmissionController.Admitted admitted, Request request, Command<Content> command) implements ParsedRequest { }
 
     /** A request that a limit turns away, the class that it names, and when its client may come back. */
-    record Refused(String service, double retryAfterMs) implements Read { }
+    record Rejected(String requestedClass, double retryAfterMs) implements ParsedRequest { }
 
     /** A look at whether the proxy is up. */
-    record Up() implements Read { }
+    record ReadinessQuery() implements ParsedRequest { }
 
     /** A question what an idempotency key came to, and whose it is. */
-    record Outcome(String key, String tenant) implements Read { }
+    record OutcomeQuery(String key, String tenant) implements ParsedRequest { }
 
     /** Something that is answered with an error. */
-    record Bad(HttpResponseStatus status) implements Read { }
+    record InvalidRequest(HttpResponseStatus status) implements ParsedRequest { }
 
-    private final Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate;
-    private final BiConsumer<AdmissionController.Admitted, String> leave;
-    private HttpTerms terms = HttpTerms.PLATFORM;
-    private boolean outcomes;
+    private final Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> admission;
+    private final BiConsumer<AdmissionController.Admitted, String> withdrawal;
+    private HttpClientPolicy policy = HttpClientPolicy.PLATFORM;
+    private boolean outcomeQueriesEnabled;
 
     /** {@code gate} says what becomes of a call; {@code leave} takes back one that it let on, by its id. */
-    HttpRequests(Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate, BiConsumer<AdmissionController.Admitted, String> leave) {
-        this.gate = gate;
-        this.leave = leave;
+    HttpRequestReader(Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate, BiConsumer<AdmissionController.Admitted, String> leave) {
+        this.admission = gate;
+        this.withdrawal = leave;
     }
 
     /** How clients may say their time from now on. */
-    void terms(HttpTerms next) {
-        terms = next;
+    void policy(HttpClientPolicy next) {
+        policy = next;
     }
 
     /**
@@ -90,7 +90,7 @@
      * @param left what its client's time, in milliseconds, comes to here
      * @param isOpen knows the ids that are in use
      */
-    Read read(FullHttpRequest in, DoubleUnaryOperator left, Predicate<String> isOpen) {
+    ParsedRequest read(FullHttpRequest in, DoubleUnaryOperator left, Predicate<String> isOpen) {
         return read(in, in.content(), null, left, isOpen, go -> true);
     }
 
@@ -99,16 +99,16 @@
      *
      * @param takesOpen whether one that the gate lets on may go on before it is whole
      */
-    Read read(Bodies.Open in, DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
-        return read(in.head(), in.first(), in.rest(), left, isOpen, takesOpen);
+    ParsedRequest read(RequestAggregator.StreamingRequest in, DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
+        return read(in.head(), in.firstPart(), in.rest(), left, isOpen, takesOpen);
     }
 
-    private Read read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator left, Predicate<String> isOpen,
+    private ParsedRequest read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator left, Predicate<String> isOpen,
                       Predicate<AdmissionController.Admitted> takesOpen) {
         if (head.decoderResult().isFailure() || StrictHttp.oddCoding(head)) {
-            return new Bad(HttpResponseStatus.BAD_REQUEST);
+            return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
-        return read(head.method().name(), head.uri(), new Lines() {
+        return read(head.method().name(), head.uri(), new HeaderFields() {
             @Override
             public String get(String name) {
                 return head.headers().get(name);
@@ -122,8 +122,8 @@
     }
 
     /** The same of one that was read as it came; {@code body} stays its holder's. */
-    Read read(LeanHttp in, ByteBuf body, DoubleUnaryOperator left, Predicate<String> isOpen) {
-        return read(in.isPut() ? PUT : GET, in.target(), new Lines() {
+    ParsedRequest read(LeanHttp in, ByteBuf body, DoubleUnaryOperator left, Predicate<String> isOpen) {
+        return read(in.isPut() ? PUT : GET, in.target(), new HeaderFields() {
             @Override
             public String get(String name) {
                 return in.get(name);
@@ -136,42 +136,42 @@
         }, body, null, left, isOpen, go -> true);
     }
 
-    private Read read(String method, String asked, Lines headers, ByteBuf body, BodyStream rest, DoubleUnaryOperator left,
+    private ParsedRequest read(String method, String asked, HeaderFields headers, ByteBuf body, BodyStream rest, DoubleUnaryOperator left,
                       Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
         String target = Targets.origin(asked);
         String path = Targets.path(target);
-        if (path.startsWith(OUTCOME) && outcomes) {
-            return method.equals(GET) ? outcome(path.substring(OUTCOME.length()), headers.get("X-Caller"))
-                    : new Bad(HttpResponseStatus.METHOD_NOT_ALLOWED);
+        if (path.startsWith(OUTCOME_PATH_PREFIX) && outcomeQueriesEnabled) {
+            return method.equals(GET) ? outcome(path.substring(OUTCOME_PATH_PREFIX.length()), headers.get("X-Caller"))
+                    : new InvalidRequest(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         boolean api = path.startsWith(Targets.API) && path.length() > Targets.API.length();
-        if (!api && !path.equals(UP)) {
-            return new Bad(HttpResponseStatus.NOT_FOUND);
+        if (!api && !path.equals(READINESS_PATH)) {
+            return new InvalidRequest(HttpResponseStatus.NOT_FOUND);
         }
         if (!method.equals(GET) && !(api && method.equals(PUT))) {
-            return new Bad(HttpResponseStatus.METHOD_NOT_ALLOWED);
+            return new InvalidRequest(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
-        return api ? call(method, target, path, headers, body, rest, left, isOpen, takesOpen) : new Up();
+        return api ? call(method, target, path, headers, body, rest, left, isOpen, takesOpen) : new ReadinessQuery();
     }
 
     /** Outcomes of idempotency keys may be asked for from now on. */
-    void tellOutcomes() {
-        outcomes = true;
+    void enableOutcomeQueries() {
+        outcomeQueriesEnabled = true;
     }
 
-    private static Read outcome(String text, String tenant) {
+    private static ParsedRequest outcome(String text, String tenant) {
         try {
             String key = URLDecoder.decode(text, StandardCharsets.UTF_8);
-            return key.isEmpty() || key.length() > LONGEST_KEY ? new Bad(HttpResponseStatus.NOT_FOUND) : new Outcome(key, tenant);
+            return key.isEmpty() || key.length() > MAX_KEY_LENGTH ? new InvalidRequest(HttpResponseStatus.NOT_FOUND) : new OutcomeQuery(key, tenant);
         } catch (IllegalArgumentException e) {
-            return new Bad(HttpResponseStatus.BAD_REQUEST);
+            return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
     }
 
     /** How long the client waits, in milliseconds; infinite where its class alone tells, not a number for nonsense. */
-    private double saidMs(Lines headers) {
-        String seconds = terms.forms().contains(Format.SECONDS) ? headers.get(SECONDS) : null;
-        if (seconds != null && terms.forms().size() == 1 && !headers.repeats(SECONDS)) {
+    private double clientTimeoutMs(HeaderFields headers) {
+        String seconds = policy.timeoutFormats().contains(Format.SECONDS) ? headers.get(SECONDS_HEADER) : null;
+        if (seconds != null && policy.timeoutFormats().size() == 1 && !headers.repeats(SECONDS_HEADER)) {
             // As nearly all come: one plain number.
             double plain = plainNumber(seconds);
             if (plain * 1000 <= ClientTimeout.MAX_MS) {
@@ -179,8 +179,8 @@
             }
         }
         List<ClientTimeout.RawValue> claims = new ArrayList<>();
-        for (Format form : terms.forms()) {
-            String name = HttpTerms.header(form);
+        for (Format form : policy.timeoutFormats()) {
+            String name = HttpClientPolicy.timeoutHeader(form);
             String text = headers.get(name);
             if (text != null) {
                 claims.add(new ClientTimeout.RawValue(form, text));
@@ -191,37 +191,37 @@
         }
         ClientTimeout.Parsed reading = ClientTimeout.parse(claims, System.currentTimeMillis());
         return reading instanceof ClientTimeout.Remaining l ? l.ms()
-                : reading instanceof ClientTimeout.Absent && terms.unsaid() ? Double.POSITIVE_INFINITY : Double.NaN;
+                : reading instanceof ClientTimeout.Absent && policy.timeoutOptional() ? Double.POSITIVE_INFINITY : Double.NaN;
     }
 
-    private Read call(String method, String target, String path, Lines headers, ByteBuf body, BodyStream rest,
+    private ParsedRequest call(String method, String target, String path, HeaderFields headers, ByteBuf body, BodyStream rest,
                       DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
         String id = headers.get("X-Call-Id");
-        double saidMs = saidMs(headers);
-        if (!isId(id) || isOpen.test(id) || Double.isNaN(saidMs)) {
-            return new Bad(HttpResponseStatus.BAD_REQUEST);
+        double saidMs = clientTimeoutMs(headers);
+        if (!isValidId(id) || isOpen.test(id) || Double.isNaN(saidMs)) {
+            return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
         boolean write = method.equals(PUT);
         boolean retry = "1".equals(headers.get("X-Again"));
         String tenant = headers.get("X-Caller");
-        AdmissionController.Decision entry = gate.apply(new AdmissionController.AdmissionRequest(id, new RouteQuery(method, path, tenant, headers::get),
-                headers.get("X-Call-Class"), retry, size(body, rest),
+        AdmissionController.Decision entry = admission.apply(new AdmissionController.AdmissionRequest(id, new RouteQuery(method, path, tenant, headers::get),
+                headers.get("X-Call-Class"), retry, contentLength(body, rest),
                 Double.isInfinite(saidMs) ? Double.MAX_VALUE : left.applyAsDouble(saidMs)));
         if (entry instanceof AdmissionController.Rejected refuse) {
-            return new Refused(headers.get("X-Call-Class"), refuse.retryAfterMs());
+            return new Rejected(headers.get("X-Call-Class"), refuse.retryAfterMs());
         }
         if (!(entry instanceof AdmissionController.Admitted go)) {
-            return new Bad(entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
+            return new InvalidRequest(entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
                     ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
         }
         if (rest != null && !takesOpen.test(go)) {
-            leave.accept(go, id);
-            return new Bad(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            withdrawal.accept(go, id);
+            return new InvalidRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         String key = headers.get("Idempotency-Key");
         if (go.requiresIdempotencyKey(write) && (key == null || key.isEmpty())) {
-            leave.accept(go, id);
-            return new Bad(HttpResponseStatus.BAD_REQUEST);
+            withdrawal.accept(go, id);
+            return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
         double budgetMs = Double.isInfinite(saidMs) ? left.applyAsDouble(Math.min(go.budgetMs(), go.service().deadlineMs()))
                 : go.budgetMs();
@@ -234,12 +234,12 @@
     }
 
     /** Of a body in all; the greatest number where only its end tells. */
-    private static long size(ByteBuf body, BodyStream rest) {
+    private static long contentLength(ByteBuf body, BodyStream rest) {
         return rest == null ? body.readableBytes() : rest.length() < 0 ? Long.MAX_VALUE : rest.length();
     }
 
-    private static boolean isId(String text) {
-        if (text == null || text.isEmpty() || text.length() > LONGEST_ID) {
+    private static boolean isValidId(String text) {
+        if (text == null || text.isEmpty() || text.length() > MAX_ID_LENGTH) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
@@ -270,7 +270,7 @@
     private static double plainNumber(String text) {
         long digits = 0;
         long scale = 0;
-        if (text.isEmpty() || text.length() > EXACT_DIGITS || text.charAt(0) == '.') {
+        if (text.isEmpty() || text.length() > MAX_EXACT_DIGITS || text.charAt(0) == '.') {
             return Double.NaN;
         }
         for (int i = 0; i < text.length(); i++) {
--- a/gateway/src/main/java/ridgemill/gateway/front/http/OutcomeText.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/OutcomeJson.java
@@ -8,9 +8,9 @@
 import ridgemill.idempotency.IdempotencyRecord;
 
 /** What a key came to, as JSON. Not loaded unless somebody asks. */
-final class OutcomeText {
+final class OutcomeJson {
 
-    private OutcomeText() { }
+    private OutcomeJson() { }
 
     /** The text for what is known; for null, that nothing is. */
     static Content of(IdempotencyRecord known, double nowMs) {
--- a/gateway/src/main/java/ridgemill/gateway/front/http/Bodies.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/RequestAggregator.java
@@ -23,15 +23,15 @@
 
 /**
  * Puts requests together. One whose body is no larger than what is held whole goes on as a {@link FullHttpRequest}; of a larger
- * one an {@link Open} goes on as soon as that is known, and the rest of its body follows by its stream.
+ * one an {@link StreamingRequest} goes on as soon as that is known, and the rest of its body follows by its stream.
  */
-final class Bodies extends ChannelInboundHandlerAdapter {
+final class RequestAggregator extends ChannelInboundHandlerAdapter {
 
     /** A request whose body is still coming; {@code first} is what there is of it and belongs to whoever takes this. */
-    record Open(HttpRequest head, ByteBuf first, BodyStream rest) { }
+    record StreamingRequest(HttpRequest head, ByteBuf firstPart, BodyStream rest) { }
 
     private HttpRequest head;
-    private ByteBuf held = Unpooled.EMPTY_BUFFER;
+    private ByteBuf buffered = Unpooled.EMPTY_BUFFER;
     private BodyStream stream;
 
     @Override
@@ -41,7 +41,7 @@
                 begin(ctx, begins);
             }
             if (message instanceof HttpContent part) {
-                read(ctx, part);
+                readContent(ctx, part);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -49,9 +49,9 @@
     }
 
     private void begin(ChannelHandlerContext ctx, HttpRequest begins) {
-        drop();
+        reset();
         if (begins.decoderResult().isFailure()) {
-            whole(ctx, begins, Unpooled.EMPTY_BUFFER, begins.decoderResult());
+            fireFullRequest(ctx, begins, Unpooled.EMPTY_BUFFER, begins.decoderResult());
             return;
         }
         head = begins;
@@ -64,26 +64,26 @@
                 ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
             }
             if (length > Content.MAX_BYTES) {
-                open(ctx, length);
+                startStreaming(ctx, length);
             }
         }
     }
 
-    private void read(ChannelHandlerContext ctx, HttpContent part) {
+    private void readContent(ChannelHandlerContext ctx, HttpContent part) {
         if (head == null) {
             return;
         }
         if (part.decoderResult().isFailure()) {
             HttpRequest spoilt = head;
             boolean begun = stream != null;
-            drop();
+            reset();
             if (!begun) {
-                whole(ctx, spoilt, Unpooled.EMPTY_BUFFER, part.decoderResult());
+                fireFullRequest(ctx, spoilt, Unpooled.EMPTY_BUFFER, part.decoderResult());
             }
             return;
         }
         if (stream == null) {
-            hold(ctx, part.content());
+            buffer(ctx, part.content());
         } else {
             feed(part.content());
         }
@@ -92,10 +92,10 @@
         }
     }
 
-    private void hold(ChannelHandlerContext ctx, ByteBuf part) {
-        held = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), held, part.retain());
-        if (held.readableBytes() > Content.MAX_BYTES) {
-            open(ctx, -1);
+    private void buffer(ChannelHandlerContext ctx, ByteBuf part) {
+        buffered = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(ctx.alloc(), buffered, part.retain());
+        if (buffered.readableBytes() > Content.MAX_BYTES) {
+            startStreaming(ctx, -1);
         }
     }
 
@@ -108,36 +108,36 @@
 
     private void end(ChannelHandlerContext ctx) {
         HttpRequest request = head;
-        ByteBuf body = held;
+        ByteBuf body = buffered;
         BodyStream goesOn = stream;
         head = null;
-        held = Unpooled.EMPTY_BUFFER;
+        buffered = Unpooled.EMPTY_BUFFER;
         stream = null;
         if (goesOn == null) {
-            whole(ctx, request, body, DecoderResult.SUCCESS);
+            fireFullRequest(ctx, request, body, DecoderResult.SUCCESS);
         } else {
             goesOn.end();
         }
     }
 
-    private void open(ChannelHandlerContext ctx, long length) {
+    private void startStreaming(ChannelHandlerContext ctx, long length) {
         stream = new BodyStream(length, flows -> ctx.channel().config().setAutoRead(flows));
-        ByteBuf first = held;
-        held = Unpooled.EMPTY_BUFFER;
-        ctx.fireChannelRead(new Open(head, first, stream));
+        ByteBuf first = buffered;
+        buffered = Unpooled.EMPTY_BUFFER;
+        ctx.fireChannelRead(new StreamingRequest(head, first, stream));
     }
 
-    private static void whole(ChannelHandlerContext ctx, HttpRequest head, ByteBuf body, DecoderResult result) {
+    private static void fireFullRequest(ChannelHandlerContext ctx, HttpRequest head, ByteBuf body, DecoderResult result) {
         FullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(), body, head.headers(),
                 new DefaultHttpHeaders());
         request.setDecoderResult(result);
         ctx.fireChannelRead(request);
     }
 
-    private void drop() {
+    private void reset() {
         head = null;
-        held.release();
-        held = Unpooled.EMPTY_BUFFER;
+        buffered.release();
+        buffered = Unpooled.EMPTY_BUFFER;
         if (stream != null) {
             BodyStream broken = stream;
             stream = null;
@@ -147,7 +147,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-        drop();
+        reset();
         super.channelInactive(ctx);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
@@ -8,35 +8,35 @@
  * What a client says of its calls beside the command itself: for a connection by its name ({@code CLIENT SETNAME},
  * {@code HELLO ... SETNAME}), for one command by {@code RIDGE.WITH}. What is not said is null or 0.
  *
- * @param service the class that the call names
- * @param deadlineMs how long its client waits, in milliseconds; 0 for as long as the class says
+ * @param requestedClass the class that the call names
+ * @param timeoutMs how long its client waits, in milliseconds; 0 for as long as the class says
  * @param id the call's own id; not for a connection
  * @param idempotencyKey by which nodes drop its repeats; not for a connection
- * @param again whether it is a client's retry; not for a connection
+ * @param retry whether it is a client's retry; not for a connection
  */
-record CallOptions(String service, double deadlineMs, String id, String idempotencyKey, boolean again) {
+record CallOptions(String requestedClass, double timeoutMs, String id, String idempotencyKey, boolean retry) {
 
     static final CallOptions NONE = new CallOptions(null, 0, null, null, false);
-    private static final int MOST_ID = 64;
-    private static final int MOST_KEY = 128;
+    private static final int MAX_ID_LENGTH = 64;
+    private static final int MAX_KEY_LENGTH = 128;
 
     /** The options with one more said; throws where it makes no sense, with a message for the client. */
     CallOptions with(String field, String value, boolean ofOneCall) {
         return switch (field.toLowerCase(Locale.ROOT)) {
-            case "class" -> new CallOptions(value, deadlineMs, id, idempotencyKey, again);
-            case "deadline" -> new CallOptions(service, deadline(value), id, idempotencyKey, again);
-            case "id" -> new CallOptions(service, deadlineMs, own(ofOneCall, field, word(field, value, MOST_ID)),
-                    idempotencyKey, again);
-            case "idempotency-key" -> new CallOptions(service, deadlineMs, id, own(ofOneCall, field, word(field, value,
-                    MOST_KEY)), again);
-            case "again" -> new CallOptions(service, deadlineMs, id, idempotencyKey,
-                    own(ofOneCall, field, value).equals("1"));
+            case "class" -> new CallOptions(value, timeoutMs, id, idempotencyKey, retry);
+            case "deadline" -> new CallOptions(requestedClass, parseTimeoutMs(value), id, idempotencyKey, retry);
+            case "id" -> new CallOptions(requestedClass, timeoutMs, requireSingleCall(ofOneCall, field, requirePrintable(field, value, MAX_ID_LENGTH)),
+                    idempotencyKey, retry);
+            case "idempotency-key" -> new CallOptions(requestedClass, timeoutMs, id, requireSingleCall(ofOneCall, field, requirePrintable(field, value,
+                    MAX_KEY_LENGTH)), retry);
+            case "again" -> new CallOptions(requestedClass, timeoutMs, id, idempotencyKey,
+                    requireSingleCall(ofOneCall, field, value).equals("1"));
             default -> throw new IllegalArgumentException("no such option: " + field
                     + "; class, deadline, id, idempotency-key and again are");
         };
     }
 
-    private static String own(boolean ofOneCall, String field, String value) {
+    private static String requireSingleCall(boolean ofOneCall, String field, String value) {
         if (!ofOneCall) {
             throw new IllegalArgumentException(field + " is of one call alone: say it by RIDGE.WITH");
         }
@@ -44,14 +44,14 @@
     }
 
     /** Texts that go into other protocols' headers: what could end a line there is refused here. */
-    private static String word(String field, String value, int most) {
+    private static String requirePrintable(String field, String value, int most) {
         if (value.isEmpty() || value.length() > most || !value.chars().allMatch(c -> c > ' ' && c <= '~')) {
             throw new IllegalArgumentException(field + " is 1 to " + most + " printable characters without blanks");
         }
         return value;
     }
 
-    private static double deadline(String value) {
+    private static double parseTimeoutMs(String value) {
         boolean millis = value.endsWith("ms");
         int unit = millis ? 2 : value.endsWith("s") ? 1 : 0;
         if (unit > 0 && ClientTimeout.parse(List.of(new ClientTimeout.RawValue(ClientTimeout.Format.SECONDS, value.substring(0, value.length() - unit))), 0)
@@ -66,7 +66,7 @@
     }
 
     /** Reads a connection's name: one that holds {@code =} says options, such as {@code class=balance;deadline=1s}. */
-    static CallOptions ofName(String name) {
+    static CallOptions fromConnectionName(String name) {
         CallOptions options = NONE;
         if (name.indexOf('=') < 0) {
             return options;
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/Slot.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/PendingReply.java
@@ -20,67 +20,67 @@
  * A command's place in its connection's order: its reply is written when those of all before it are. It is made of as many
  * calls as the command has keys, and is whole when each has its final answer.
  */
-final class Slot {
+final class PendingReply {
 
     /** What a command's parts are put together to. */
-    enum Shape { VALUE, VALUES, STORED, COUNT, PRESENT }
+    enum ReplyKind { VALUE, VALUES, STORED, COUNT, PRESENT }
 
     /** How a part ended, worst last. */
-    private enum End { OPEN, DONE, LIMITED, REFUSED, UNPROVEN, FAILED }
+    private enum CallState { OPEN, DONE, LIMITED, REFUSED, UNPROVEN, FAILED }
 
     private final RespClientConnection connection;
     private final int version;
-    private final Shape shape;
+    private final ReplyKind kind;
     private final Command.Action action;
     private final Set<String> keys;
-    private final End[] ends;
+    private final CallState[] callStates;
     private final ByteBuf[] values;
     private final boolean[] absent;
-    private final Set<String> openIds = new LinkedHashSet<>();
+    private final Set<String> openCallIds = new LinkedHashSet<>();
     private double dueMs = Double.POSITIVE_INFINITY;
     private double retryAfterMs;
-    private boolean conflicts;
-    private Reason why;
-    private int open;
+    private boolean conflict;
+    private Reason reason;
+    private int openCallCount;
     private ByteBuf reply;
 
     /** A command with so many keys, each of which is a call. */
-    Slot(RespClientConnection connection, int version, Shape shape, Command.Action action, List<String> keys) {
+    PendingReply(RespClientConnection connection, int version, ReplyKind shape, Command.Action action, List<String> keys) {
         this.connection = connection;
         this.version = version;
-        this.shape = shape;
+        this.kind = shape;
         this.action = action;
         this.keys = Set.copyOf(keys);
         int parts = keys.size();
-        this.open = parts;
-        this.ends = new End[parts];
+        this.openCallCount = parts;
+        this.callStates = new CallState[parts];
         this.values = new ByteBuf[parts];
         this.absent = new boolean[parts];
-        Arrays.fill(ends, End.OPEN);
+        Arrays.fill(callStates, CallState.OPEN);
     }
 
     /** A command that was answered at once. */
-    static Slot answered(RespClientConnection connection, int version, Resp reply) {
-        Slot slot = new Slot(connection, version, Shape.VALUE, Command.Action.READ, List.of());
+    static PendingReply answered(RespClientConnection connection, int version, Resp reply) {
+        PendingReply slot = new PendingReply(connection, version, ReplyKind.VALUE, Command.Action.READ, List.of());
         slot.write(reply);
         reply.release();
         return slot;
     }
 
-    /** A question that is answered later, by {@link #fill}. */
-    static Slot awaited(RespClientConnection connection, int version) {
-        return new Slot(connection, version, Shape.VALUE, Command.Action.READ, List.of());
+    /** A question that is answered later, by {@link #complete}. */
+    static PendingReply pending(RespClientConnection connection, int version) {
+        return new PendingReply(connection, version, ReplyKind.VALUE, Command.Action.READ, List.of());
     }
 
     /** The answer has come. */
-    void fill(Resp value) {
+    void complete(Resp value) {
         write(value);
         value.release();
     }
 
     /** A part of it is a call that must be answered by then. */
-    void due(String call, double atMs) {
-        openIds.add(call);
+    void addCall(String call, double atMs) {
+        openCallIds.add(call);
         dueMs = Math.min(dueMs, atMs);
     }
 
@@ -90,22 +90,22 @@
     }
 
     /** The calls of it that have no final answer yet. */
-    List<String> openCalls() {
-        return List.copyOf(openIds);
+    List<String> openCallIds() {
+        return List.copyOf(openCallIds);
     }
 
-    boolean isWhole() {
+    boolean isComplete() {
         return reply != null;
     }
 
     /** Bytes that it holds. */
-    int held() {
+    int size() {
         return reply == null ? 0 : reply.readableBytes();
     }
 
     /** Whether a command on these keys must wait for this one, as it would for Redis: either changes what both name. */
-    boolean holdsUp(boolean writes, List<String> others) {
-        return open > 0 && (writes || action != Command.Action.READ) && others.stream().anyMatch(keys::contains);
+    boolean blocks(boolean writes, List<String> others) {
+        return openCallCount > 0 && (writes || action != Command.Action.READ) && others.stream().anyMatch(keys::contains);
     }
 
     /** Its reply, which is the taker's from now on. */
@@ -117,7 +117,7 @@
 
     /** Gives back what it holds; answers that still come are dropped. */
     void drop() {
-        open = 0;
+        openCallCount = 0;
         releaseValues();
         if (reply != null) {
             reply.release();
@@ -135,65 +135,65 @@
     }
 
     /** Who waits for the answer of one part, which is the call with this id. */
-    ResponseHandler<Content> part(int index, String id) {
+    ResponseHandler<Content> responseHandler(int index, String id) {
         return new ResponseHandler<>() {
             @Override
             public void served(NodeResponse<Content> answer) {
-                if (open > 0) {
+                if (openCallCount > 0) {
                     absent[index] = answer.content().isAbsent();
                     values[index] = answer.content().bytes().retain();
                 }
-                ended(End.DONE, 0);
+                ended(CallState.DONE, 0);
             }
 
             @Override
             public void refused(double retryAfter) {
-                ended(End.REFUSED, retryAfter);
+                ended(CallState.REFUSED, retryAfter);
             }
 
             @Override
             public void refusedMayHaveRun(double retryAfter) {
-                ended(End.UNPROVEN, retryAfter);
+                ended(CallState.UNPROVEN, retryAfter);
             }
 
             @Override
             public void limited(double retryAfter) {
-                ended(End.LIMITED, retryAfter);
+                ended(CallState.LIMITED, retryAfter);
             }
 
             @Override
             public void failed() {
-                ended(End.FAILED, 0);
+                ended(CallState.FAILED, 0);
             }
 
             @Override
             public void reason(Reason reason) {
-                why = reason;
+                reason = reason;
             }
 
             @Override
             public void recorded(String call) {
-                if (open > 0) {
+                if (openCallCount > 0) {
                     values[index] = Unpooled.EMPTY_BUFFER;
                 }
-                ended(End.DONE, 0);
+                ended(CallState.DONE, 0);
             }
 
             @Override
             public void conflict() {
-                conflicts = true;
-                ended(End.FAILED, 0);
+                conflict = true;
+                ended(CallState.FAILED, 0);
             }
 
-            private void ended(End how, double retryAfter) {
-                openIds.remove(id);
-                connection.settled(id);
-                if (open > 0 && ends[index] == End.OPEN) {
-                    ends[index] = how;
+            private void ended(CallState how, double retryAfter) {
+                openCallIds.remove(id);
+                connection.callEnded(id);
+                if (openCallCount > 0 && callStates[index] == CallState.OPEN) {
+                    callStates[index] = how;
                     retryAfterMs = Math.max(retryAfterMs, retryAfter);
-                    if (--open == 0) {
+                    if (--openCallCount == 0) {
                         finish();
-                        connection.whole(Slot.this);
+                        connection.commandCompleted(PendingReply.this);
                     }
                 }
             }
@@ -201,15 +201,15 @@
     }
 
     /** It makes no sense as a whole; parts that are out already are answered to nobody. */
-    void invalid(Resp.Err why) {
+    void failInvalid(Resp.Err why) {
         drop();
         reply = null;
         write(why);
     }
 
-    private int count(End how) {
+    private int count(CallState how) {
         int n = 0;
-        for (End e : ends) {
+        for (CallState e : callStates) {
             n += e == how ? 1 : 0;
         }
         return n;
@@ -217,29 +217,29 @@
 
     /** An error, with the reason behind it where clients are told. */
     private void writeError(Resp.Err error) {
-        write(why == null || !connection.tellsWhy() ? error : new Resp.Err(error.text() + " [" + why.code() + "]"));
+        write(reason == null || !connection.sendsReasons() ? error : new Resp.Err(error.text() + " [" + reason.code() + "]"));
     }
 
     private void finish() {
-        int done = count(End.DONE);
-        if (conflicts) {
-            write(Replies.CONFLICT);
-        } else if (done == ends.length) {
+        int done = count(CallState.DONE);
+        if (conflict) {
+            write(RespErrors.CONFLICT);
+        } else if (done == callStates.length) {
             write(result());
-        } else if (action == Command.Action.READ && count(End.FAILED) == 0) {
-            writeError(Replies.refused(count(End.UNPROVEN) > 0 ? Replies.Why.HARMLESS : count(End.LIMITED) > 0 ? Replies.Why.LIMIT
-                    : Replies.Why.NOTHING_RAN, retryAfterMs));
-        } else if (count(End.LIMITED) + count(End.REFUSED) == ends.length) {
-            writeError(Replies.refused(count(End.LIMITED) > 0 ? Replies.Why.LIMIT : Replies.Why.NOTHING_RAN, retryAfterMs));
+        } else if (action == Command.Action.READ && count(CallState.FAILED) == 0) {
+            writeError(RespErrors.refused(count(CallState.UNPROVEN) > 0 ? RespErrors.RefusalReason.HARMLESS : count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT
+                    : RespErrors.RefusalReason.NOTHING_RAN, retryAfterMs));
+        } else if (count(CallState.LIMITED) + count(CallState.REFUSED) == callStates.length) {
+            writeError(RespErrors.refused(count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT : RespErrors.RefusalReason.NOTHING_RAN, retryAfterMs));
         } else {
             // A write of which any part may have run never reads as refused.
-            writeError(Replies.failed(action, done, ends.length, count(End.FAILED) == 0));
+            writeError(RespErrors.failed(action, done, callStates.length, count(CallState.FAILED) == 0));
         }
         releaseValues();
     }
 
     private Resp result() {
-        return switch (shape) {
+        return switch (kind) {
             case VALUE -> value(0);
             case VALUES -> {
                 List<Resp> all = new ArrayList<>();
@@ -275,7 +275,7 @@
     }
 
     private void write(Resp value) {
-        reply = connection.buffer();
+        reply = connection.allocateBuffer();
         RespWriter.write(reply, value, version);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -27,7 +27,7 @@
 import ridgemill.core.Intake;
 import ridgemill.deadline.Deadlines;
 import ridgemill.gateway.front.ClientConnection;
-import ridgemill.gateway.front.OrderWatch;
+import ridgemill.gateway.front.PipelineTimer;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Targets;
@@ -48,80 +48,80 @@
 final class RespClientConnection extends ClientConnection {
 
     /** Commands without a reply on one connection. */
-    static final int MOST_OPEN = 64;
+    static final int MAX_OPEN_COMMANDS = 64;
     /** Bytes of replies that wait for an earlier one; those of commands that are out already may come on top. */
-    static final int MOST_HELD = 256 * 1024;
+    static final int MAX_BUFFERED_BYTES = 256 * 1024;
     /** Keys of one command. */
-    static final int MOST_KEYS = 128;
-    private static final int MOST_KEY_BYTES = 512;
-    private static final int BUFFER = 64;
+    static final int MAX_KEYS = 128;
+    private static final int MAX_KEY_BYTES = 512;
+    private static final int REPLY_BUFFER_BYTES = 64;
 
     /** A command, when it came, and how old it may have been by then. */
-    private record Waiting(Resp.Array command, long arrived, double stalledMs) {
+    private record QueuedCommand(Resp.Array command, long arrivedNanos, double stalledMs) {
 
         /** How long it has been here, with what may have passed before that. */
         double passedMs() {
-            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrived) / 1e3 + stalledMs;
+            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedNanos) / 1e3 + stalledMs;
         }
     }
 
-    private final RespFront front;
+    private final RespFrontend frontend;
     private final RespDecoder decoder;
     private final Session session;
-    private final Queue<Waiting> backlog = new ArrayDeque<>();
-    private final Deque<Slot> slots = new ArrayDeque<>();
-    private final OrderWatch<Slot> order;
-    private final Set<String> calls = new LinkedHashSet<>();
-    private final String prefix;
-    private long sent;
-    private int held;
-    private boolean pumping;
+    private final Queue<QueuedCommand> backlog = new ArrayDeque<>();
+    private final Deque<PendingReply> pendingReplies = new ArrayDeque<>();
+    private final PipelineTimer<PendingReply> pipelineTimer;
+    private final Set<String> openCallIds = new LinkedHashSet<>();
+    private final String idPrefix;
+    private long nextId;
+    private int bufferedBytes;
+    private boolean processing;
     private boolean flushing;
     private long writtenNanos;
-    private boolean last;
+    private boolean closing;
     private boolean inputEnded;
 
-    RespClientConnection(Channel channel, RespFront front, RespDecoder decoder, long number) {
+    RespClientConnection(Channel channel, RespFrontend front, RespDecoder decoder, long number) {
         super(channel, front.table());
-        this.front = front;
+        this.frontend = front;
         this.decoder = decoder;
         this.session = new Session(front, number);
-        this.order = new OrderWatch<>(channel.eventLoop(), front.intake()::now, slot -> {
-            if (!slot.isWhole()) {
-                slot.openCalls().forEach(front.intake()::answerNow);
+        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), front.intake()::now, slot -> {
+            if (!slot.isComplete()) {
+                slot.openCallIds().forEach(front.intake()::answerNow);
             }
         });
-        if (front.halfCloseStays() && channel.config() instanceof SocketChannelConfig config) {
+        if (front.allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
             config.setAllowHalfClosure(true);
         }
-        this.prefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + number + "-";
+        this.idPrefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + number + "-";
     }
 
     @Override
-    protected boolean staysIdle() {
+    protected boolean isLongLived() {
         return true;
     }
 
-    ByteBuf buffer() {
-        return channel().alloc().buffer(BUFFER);
+    ByteBuf allocateBuffer() {
+        return channel().alloc().buffer(REPLY_BUFFER_BYTES);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (phase() == Phase.CLOSING || last) {
+        if (phase() == Phase.CLOSING || closing) {
             ((Resp) message).release();
             return;
         }
-        if (isSurplus()) {
+        if (isOverLimit()) {
             ((Resp) message).release();
-            front.intake().countRejected(null);
-            busy();
-            end(Replies.refused(Replies.Why.LIMIT, SURPLUS_BACK_MS));
+            frontend.intake().countRejected(null);
+            requestStarted();
+            replyAndClose(RespErrors.refused(RespErrors.RefusalReason.LIMIT, OVER_LIMIT_RETRY_AFTER_MS));
             return;
         }
-        Intake<Content> intake = front.intake();
-        backlog.add(new Waiting((Resp.Array) message, System.nanoTime(), intake.deadlines().loopStalls().maxAgeMs(intake.now())));
-        pump();
+        Intake<Content> intake = frontend.intake();
+        backlog.add(new QueuedCommand((Resp.Array) message, System.nanoTime(), intake.deadlines().loopStalls().maxAgeMs(intake.now())));
+        processBacklog();
     }
 
     @Override
@@ -129,7 +129,7 @@
         if (event instanceof ChannelInputShutdownEvent) {
             // It sends nothing more, and reads on: its replies come first.
             inputEnded = true;
-            if (slots.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
+            if (pendingReplies.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
                 flush();
             }
         }
@@ -139,49 +139,49 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if ((phase() == Phase.SILENT || phase() == Phase.IDLE) && decoder.isWithin()) {
-            enter(Phase.READING);
+            enterPhase(Phase.READING);
         }
         ctx.fireChannelReadComplete();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        pump();
+        processBacklog();
         ctx.fireChannelWritabilityChanged();
     }
 
     /** Starts what may be started, and reads on where all was. */
-    private void pump() {
-        if (pumping || phase() == Phase.CLOSING) {
+    private void processBacklog() {
+        if (processing || phase() == Phase.CLOSING) {
             return;
         }
-        pumping = true;
+        processing = true;
         try {
-            while (!backlog.isEmpty() && !last && hasRoom() && start(backlog.peek())) {
+            while (!backlog.isEmpty() && !closing && hasCapacity() && start(backlog.peek())) {
                 backlog.poll().command().release();
             }
         } finally {
-            pumping = false;
+            processing = false;
         }
-        channel().config().setAutoRead(backlog.isEmpty() && hasRoom());
+        channel().config().setAutoRead(backlog.isEmpty() && hasCapacity());
     }
 
-    private boolean hasRoom() {
-        return slots.size() < MOST_OPEN && held < MOST_HELD && channel().isWritable();
+    private boolean hasCapacity() {
+        return pendingReplies.size() < MAX_OPEN_COMMANDS && bufferedBytes < MAX_BUFFERED_BYTES && channel().isWritable();
     }
 
     /** Carries a command out; false where it must wait for an earlier one. */
-    private boolean start(Waiting waiting) {
+    private boolean start(QueuedCommand waiting) {
         List<Resp> words = waiting.command().items();
         CallOptions options = session.options();
-        String name = word(words, 0);
+        String name = upperCaseWord(words, 0);
         int from = 0;
         try {
             if (name.equals("RIDGE.WITH")) {
                 int at = 1;
                 Set<String> said = new HashSet<>();
-                for (; at + 1 < words.size() && !word(words, at).equals("DO"); at += 2) {
-                    if (!said.add(word(words, at))) {
+                for (; at + 1 < words.size() && !upperCaseWord(words, at).equals("DO"); at += 2) {
+                    if (!said.add(upperCaseWord(words, at))) {
                         throw new IllegalArgumentException(text(words, at) + " is said twice");
                     }
                     options = options.with(text(words, at), text(words, at + 1), true);
@@ -190,142 +190,142 @@
                 if (from >= words.size()) {
                     throw new IllegalArgumentException("RIDGE.WITH says options by name and value, then DO and a command");
                 }
-                name = word(words, from);
+                name = upperCaseWord(words, from);
             }
-            return data(name, words.subList(from, words.size()), options, waiting);
+            return execute(name, words.subList(from, words.size()), options, waiting);
         } catch (IllegalArgumentException e) {
-            answer(Replies.error(e.getMessage()));
+            reply(RespErrors.error(e.getMessage()));
             return true;
         }
     }
 
-    private boolean data(String name, List<Resp> words, CallOptions options, Waiting waiting) {
+    private boolean execute(String name, List<Resp> words, CallOptions options, QueuedCommand waiting) {
         return switch (name) {
-            case "GET" -> calls(words, 2, 2, 1, Slot.Shape.VALUE, Command.Action.READ, options, waiting);
-            case "MGET" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.VALUES, Command.Action.READ, options, waiting);
-            case "EXISTS" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.PRESENT, Command.Action.READ, options, waiting);
-            case "DEL", "UNLINK" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.COUNT, Command.Action.DELETE, options, waiting);
+            case "GET" -> executeOnKeys(words, 2, 2, 1, PendingReply.ReplyKind.VALUE, Command.Action.READ, options, waiting);
+            case "MGET" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.VALUES, Command.Action.READ, options, waiting);
+            case "EXISTS" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.PRESENT, Command.Action.READ, options, waiting);
+            case "DEL", "UNLINK" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.COUNT, Command.Action.DELETE, options, waiting);
             case "SET" -> set(words, options, waiting);
-            case "MSET" -> calls(words, 3, 1 + 2 * MOST_KEYS, 2, Slot.Shape.STORED, Command.Action.WRITE, options, waiting);
-            case "RIDGE.OUTCOME" -> outcome(words);
+            case "MSET" -> executeOnKeys(words, 3, 1 + 2 * MAX_KEYS, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, waiting);
+            case "RIDGE.OUTCOME" -> queryOutcome(words);
             default -> {
-                Session.Said said = session.command(name, words);
-                answer(said.reply());
-                last = said.last();
+                Session.CommandReply said = session.execute(name, words);
+                reply(said.reply());
+                closing = said.last();
                 yield true;
             }
         };
     }
 
-    private boolean set(List<Resp> words, CallOptions options, Waiting waiting) {
+    private boolean set(List<Resp> words, CallOptions options, QueuedCommand waiting) {
         if (words.size() > 3) {
-            throw new IllegalArgumentException("SET with " + word(words, 3) + " is not kept here: values belong to the store, "
+            throw new IllegalArgumentException("SET with " + upperCaseWord(words, 3) + " is not kept here: values belong to the store, "
                     + "which knows no conditions and no expiry; nothing ran");
         }
-        return calls(words, 3, 3, 2, Slot.Shape.STORED, Command.Action.WRITE, options, waiting);
+        return executeOnKeys(words, 3, 3, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, waiting);
     }
 
     /** A command on keys, each with {@code step - 1} values behind it. */
-    private boolean calls(List<Resp> words, int least, int most, int step, Slot.Shape shape, Command.Action action,
-                          CallOptions options, Waiting waiting) {
+    private boolean executeOnKeys(List<Resp> words, int least, int most, int step, PendingReply.ReplyKind shape, Command.Action action,
+                          CallOptions options, QueuedCommand waiting) {
         if (words.size() < least || words.size() > most || (words.size() - 1) % step != 0) {
-            answer(words.size() > most && most > 3 ? Replies.error("over " + MOST_KEYS + " keys in one command")
-                    : Replies.arguments(text(words, 0)));
+            reply(words.size() > most && most > 3 ? RespErrors.error("over " + MAX_KEYS + " keys in one command")
+                    : RespErrors.wrongArity(text(words, 0)));
             return true;
         }
-        if (!session.mayAsk()) {
-            answer(Replies.NOAUTH);
+        if (!session.isAuthorized()) {
+            reply(RespErrors.NOAUTH);
             return true;
         }
         List<String> targets = new ArrayList<>();
         for (int i = 1; i < words.size(); i += step) {
             ByteBuf key = ((Resp.Blob) words.get(i)).bytes();
-            if (!key.isReadable() || key.readableBytes() > MOST_KEY_BYTES) {
-                throw new IllegalArgumentException("a key is 1 to " + MOST_KEY_BYTES + " bytes");
+            if (!key.isReadable() || key.readableBytes() > MAX_KEY_BYTES) {
+                throw new IllegalArgumentException("a key is 1 to " + MAX_KEY_BYTES + " bytes");
             }
             targets.add(Targets.of(key));
         }
         boolean writes = action != Command.Action.READ;
-        if (slots.stream().anyMatch(s -> s.holdsUp(writes, targets))) {
+        if (pendingReplies.stream().anyMatch(s -> s.blocks(writes, targets))) {
             return false;
         }
-        busy();
-        Slot slot = new Slot(this, session.version(), shape, action, targets);
-        slots.add(slot);
-        order.add(slot, Double.POSITIVE_INFINITY);
+        requestStarted();
+        PendingReply slot = new PendingReply(this, session.protocolVersion(), shape, action, targets);
+        pendingReplies.add(slot);
+        pipelineTimer.add(slot, Double.POSITIVE_INFINITY);
         double passedMs = waiting.passedMs();
         for (int i = 0; i < targets.size(); i++) {
             ByteBuf value = step == 1 ? Unpooled.EMPTY_BUFFER : ((Resp.Blob) words.get(2 + i * step)).bytes();
-            call(slot, i, targets.size(), targets.get(i), value, action, options, passedMs);
+            submitCall(slot, i, targets.size(), targets.get(i), value, action, options, passedMs);
         }
-        order.watch();
+        pipelineTimer.schedule();
         return true;
     }
 
-    private void call(Slot slot, int index, int parts, String target, ByteBuf value, Command.Action action,
+    private void submitCall(PendingReply slot, int index, int parts, String target, ByteBuf value, Command.Action action,
                       CallOptions options, double passedMs) {
         String own = parts > 1 ? "-" + index : "";
-        String id = options.id() == null ? prefix + sent++ : options.id() + own;
-        ResponseHandler<Content> client = slot.part(index, id);
-        if (front.intake().isOpen(id)) {
-            refuse(slot, "the id " + id + " is in use");
+        String id = options.id() == null ? idPrefix + nextId++ : options.id() + own;
+        ResponseHandler<Content> client = slot.responseHandler(index, id);
+        if (frontend.intake().isOpen(id)) {
+            rejectCall(slot, "the id " + id + " is in use");
             return;
         }
         boolean writes = action != Command.Action.READ;
-        Deadlines deadlines = front.intake().deadlines();
-        double budget = options.deadlineMs() > 0 ? deadlines.remainingMs(options.deadlineMs(), passedMs, front.wayBack()) : Double.MAX_VALUE;
+        Deadlines deadlines = frontend.intake().deadlines();
+        double budget = options.timeoutMs() > 0 ? deadlines.remainingMs(options.timeoutMs(), passedMs, frontend.returnDelay()) : Double.MAX_VALUE;
         String path = Targets.path(target);
-        AdmissionController.Decision entry = front.intake().admit(new AdmissionController.AdmissionRequest(id, new RouteQuery(method(action), path, session.tenant(),
-                NO_HEADERS), options.service(), options.again(), value.readableBytes(), budget));
+        AdmissionController.Decision entry = frontend.intake().admit(new AdmissionController.AdmissionRequest(id, new RouteQuery(method(action), path, session.tenant(),
+                NO_HEADERS), options.requestedClass(), options.retry(), value.readableBytes(), budget));
         if (entry instanceof AdmissionController.Rejected refused) {
-            front.intake().countRejected(options.service());
+            frontend.intake().countRejected(options.requestedClass());
             client.reason(Reason.LIMIT);
             client.limited(refused.retryAfterMs());
             return;
         }
         if (!(entry instanceof AdmissionController.Admitted go)) {
-            refuse(slot, entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
-                    ? "the value is larger than its class allows" : options.service() == null
+            rejectCall(slot, entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
+                    ? "the value is larger than its class allows" : options.requestedClass() == null
                     ? "no route names a class for " + target + ", and neither does the call: RIDGE.WITH class NAME DO ..."
-                    : "no class is called " + options.service());
+                    : "no class is called " + options.requestedClass());
             return;
         }
         String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + own;
         if (go.requiresIdempotencyKey(writes) && idempotencyKey == null) {
-            front.intake().withdraw(go, id);
-            refuse(slot, "class " + go.service().name() + " records each key once and none was given: RIDGE.WITH "
+            frontend.intake().withdraw(go, id);
+            rejectCall(slot, "class " + go.service().name() + " records each key once and none was given: RIDGE.WITH "
                     + "idempotency-key KEY DO ...");
             return;
         }
-        calls.add(id);
+        openCallIds.add(id);
         Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null) : Content.EMPTY;
-        double left = Math.min(go.budgetMs(), deadlines.remainingMs(go.service().deadlineMs(), passedMs, front.wayBack()));
-        slot.due(id, front.intake().now() + left);
-        order.due(slot, slot.dueMs());
-        Request request = new Request(id, go.service().name(), session.tenant(), Targets.hash(path), 0, left, writes, options.again());
-        front.intake().submit(go, request, new Command<>(action, target, idempotencyKey, content), client);
+        double left = Math.min(go.budgetMs(), deadlines.remainingMs(go.service().deadlineMs(), passedMs, frontend.returnDelay()));
+        slot.addCall(id, frontend.intake().now() + left);
+        pipelineTimer.shortenDeadline(slot, slot.dueMs());
+        Request request = new Request(id, go.service().name(), session.tenant(), Targets.hash(path), 0, left, writes, options.retry());
+        frontend.intake().submit(go, request, new Command<>(action, target, idempotencyKey, content), client);
     }
 
     /** What an idempotency key came to: how it stands, the call that it is of, and for how many milliseconds; nil for nothing. */
-    private boolean outcome(List<Resp> words) {
+    private boolean queryOutcome(List<Resp> words) {
         if (words.size() != 2) {
-            answer(Replies.arguments("ridge.outcome"));
+            reply(RespErrors.wrongArity("ridge.outcome"));
             return true;
         }
-        if (!session.mayAsk()) {
-            answer(Replies.NOAUTH);
+        if (!session.isAuthorized()) {
+            reply(RespErrors.NOAUTH);
             return true;
         }
-        busy();
-        Slot slot = Slot.awaited(this, session.version());
-        slots.add(slot);
-        order.add(slot, Double.POSITIVE_INFINITY);
-        front.intake().findOutcome(text(words, 1), session.tenant(), known -> {
-            if (!slot.isWhole()) {
-                slot.fill(known == null ? Resp.NULL : Resp.blobs(known.isRunning() ? "running"
+        requestStarted();
+        PendingReply slot = PendingReply.pending(this, session.protocolVersion());
+        pendingReplies.add(slot);
+        pipelineTimer.add(slot, Double.POSITIVE_INFINITY);
+        frontend.intake().findOutcome(text(words, 1), session.tenant(), known -> {
+            if (!slot.isComplete()) {
+                slot.complete(known == null ? Resp.NULL : Resp.blobs(known.isRunning() ? "running"
                         : known.state().name().toLowerCase(Locale.ROOT), known.callId(),
-                        Long.toString(Math.round(front.intake().now() - known.stateSinceMs()))));
-                whole(slot);
+                        Long.toString(Math.round(frontend.intake().now() - known.stateSinceMs()))));
+                commandCompleted(slot);
             }
         });
         return true;
@@ -342,33 +342,33 @@
     }
 
     /** A part makes no sense: the whole command is answered so, though other parts of it may go on. */
-    private void refuse(Slot slot, String why) {
-        if (!slot.isWhole()) {
-            slot.invalid(Replies.error(why + "; nothing of this key ran"));
-            whole(slot);
+    private void rejectCall(PendingReply slot, String why) {
+        if (!slot.isComplete()) {
+            slot.failInvalid(RespErrors.error(why + "; nothing of this key ran"));
+            commandCompleted(slot);
         }
     }
 
-    private void answer(Resp reply) {
-        busy();
-        slots.add(Slot.answered(this, session.version(), reply));
-        order.add(slots.peekLast(), Double.POSITIVE_INFINITY);
-        held += slots.peekLast().held();
+    private void reply(Resp reply) {
+        requestStarted();
+        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), reply));
+        pipelineTimer.add(pendingReplies.peekLast(), Double.POSITIVE_INFINITY);
+        bufferedBytes += pendingReplies.peekLast().size();
         write();
     }
 
-    boolean tellsWhy() {
-        return front.tellsWhy();
+    boolean sendsReasons() {
+        return frontend.sendsReasons();
     }
 
     /** A call has its final answer. */
-    void settled(String id) {
-        calls.remove(id);
+    void callEnded(String id) {
+        openCallIds.remove(id);
     }
 
     /** A command has its reply. */
-    void whole(Slot slot) {
-        held += slot.held();
+    void commandCompleted(PendingReply slot) {
+        bufferedBytes += slot.size();
         write();
     }
 
@@ -378,12 +378,12 @@
             return;
         }
         boolean any = false;
-        while (!slots.isEmpty() && slots.peek().isWhole()) {
-            Slot done = slots.poll();
-            order.left();
-            held -= done.held();
+        while (!pendingReplies.isEmpty() && pendingReplies.peek().isComplete()) {
+            PendingReply done = pendingReplies.poll();
+            pipelineTimer.removeFirst();
+            bufferedBytes -= done.size();
             ChannelFuture written = channel().write(done.take());
-            writing(written);
+            trackWrite(written);
             any = true;
         }
         if (any && !flushing) {
@@ -395,56 +395,56 @@
 
     private void flush() {
         flushing = false;
-        if (slots.isEmpty() && (last || (mustEnd() || inputEnded) && backlog.isEmpty())) {
-            enter(Phase.CLOSING);
+        if (pendingReplies.isEmpty() && (closing || (mustCloseIdle() || inputEnded) && backlog.isEmpty())) {
+            enterPhase(Phase.CLOSING);
             channel().writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel().flush();
-        front.wayBack().record((System.nanoTime() - writtenNanos) / 1e6);
-        if (slots.isEmpty() && phase() == Phase.BUSY) {
-            enter(decoder.isWithin() && backlog.isEmpty() ? Phase.READING : Phase.IDLE);
-            used();
+        frontend.returnDelay().record((System.nanoTime() - writtenNanos) / 1e6);
+        if (pendingReplies.isEmpty() && phase() == Phase.BUSY) {
+            enterPhase(decoder.isWithin() && backlog.isEmpty() ? Phase.READING : Phase.IDLE);
+            markUsed();
         }
-        pump();
+        processBacklog();
     }
 
     /** The last that the client is told; what it sends further is not read. */
-    private void end(Resp.Err why) {
-        last = true;
-        slots.add(Slot.answered(this, session.version(), why));
-        order.add(slots.peekLast(), Double.POSITIVE_INFINITY);
+    private void replyAndClose(Resp.Err why) {
+        closing = true;
+        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), why));
+        pipelineTimer.add(pendingReplies.peekLast(), Double.POSITIVE_INFINITY);
         drop(backlog);
         write();
     }
 
-    private static void drop(Queue<Waiting> commands) {
+    private static void drop(Queue<QueuedCommand> commands) {
         commands.forEach(w -> w.command().release());
         commands.clear();
     }
 
     @Override
-    protected void tooSlow() {
-        end(Replies.error("Protocol error: the command has not come in time"));
+    protected void requestTimedOut() {
+        replyAndClose(RespErrors.error("Protocol error: the command has not come in time"));
     }
 
     @Override
-    protected void left() {
+    protected void disconnected() {
         drop(backlog);
-        order.close();
-        List<String> open = List.copyOf(calls);
-        calls.clear();
-        slots.forEach(Slot::drop);
-        slots.clear();
-        open.forEach(front.intake()::clientGone);
+        pipelineTimer.cancel();
+        List<String> open = List.copyOf(openCallIds);
+        openCallIds.clear();
+        pendingReplies.forEach(PendingReply::drop);
+        pendingReplies.clear();
+        open.forEach(frontend.intake()::clientGone);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (cause instanceof RespException && phase() != Phase.CLOSING && !last) {
+        if (cause instanceof RespException && phase() != Phase.CLOSING && !closing) {
             // Commands before it have their replies first; this one is the last.
-            busy();
-            end(Replies.error("Protocol error: " + cause.getMessage()));
+            requestStarted();
+            replyAndClose(RespErrors.error("Protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof RespException)) {
             if (!(cause instanceof IOException)) {
                 Log.error("a client's connection failed", cause);
@@ -458,7 +458,7 @@
     }
 
     /** A command's own word, which is the same in capitals and not. */
-    private static String word(List<Resp> words, int at) {
+    private static String upperCaseWord(List<Resp> words, int at) {
         ByteBuf bytes = ((Resp.Blob) words.get(at)).bytes();
         StringBuilder word = new StringBuilder(bytes.readableBytes());
         String text = bytes.toString(StandardCharsets.ISO_8859_1);
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/Replies.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespErrors.java
@@ -8,7 +8,7 @@
  * Errors as clients get them. The first word tells what may be done: {@code TRYAGAIN}, which clients know from Redis as
  * harmless to send again, stands for refusals alone; {@code FAILED} promises nothing.
  */
-final class Replies {
+final class RespErrors {
 
     /** Who it is has not been shown, where that is asked for; the words are Redis's. */
     static final Resp.Err NOAUTH = new Resp.Err("NOAUTH Authentication required.");
@@ -16,10 +16,10 @@
     /** Nothing of it ran. */
     static final Resp.Err CONFLICT = new Resp.Err("CONFLICT the idempotency key was given with another request; nothing ran");
 
-    private Replies() { }
+    private RespErrors() { }
 
     /** Why a command was refused. */
-    enum Why {
+    enum RefusalReason {
         /** A limit was reached before any node was asked. */
         LIMIT("a limit turned it away and nothing ran"),
         /** No attempt ran. */
@@ -29,12 +29,12 @@
 
         private final String text;
 
-        Why(String text) {
+        RefusalReason(String text) {
             this.text = text;
         }
     }
 
-    static Resp.Err refused(Why why, double retryAfterMs) {
+    static Resp.Err refused(RefusalReason why, double retryAfterMs) {
         return new Resp.Err("TRYAGAIN " + why.text + (retryAfterMs > 0
                 ? String.format(Locale.ROOT, "; come back after %.3f s", Math.ceil(retryAfterMs) / 1000) : ""));
     }
@@ -58,7 +58,7 @@
         return new Resp.Err("ERR " + what);
     }
 
-    static Resp.Err arguments(String command) {
+    static Resp.Err wrongArity(String command) {
         return error("wrong number of arguments for '" + command.toLowerCase(Locale.ROOT) + "' command");
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespFront.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespFrontend.java
@@ -17,27 +17,27 @@
 import ridgemill.gateway.net.resp.RespParser;
 
 /** Takes clients' commands in over RESP2 and RESP3 and their replies out, in order. */
-public final class RespFront {
+public final class RespFrontend {
 
     private final Intake<Content> intake;
     private final ClientTable table;
     private final Listeners listeners;
-    private final ReturnDelay wayBack;
+    private final ReturnDelay returnDelay;
     private Map<String, String> passwords = Map.of();
-    private boolean halfCloseStays;
-    private boolean tellsWhy;
-    private long connections;
+    private boolean allowsHalfClose;
+    private boolean sendsReasons;
+    private long connectionCount;
 
     /** A front whose connections go into a table that it may share with others. */
-    public RespFront(EventLoop loop, Intake<Content> intake, ClientTable table) {
+    public RespFrontend(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
         this.table = table;
-        this.wayBack = intake.deadlines().returnDelay("resp");
+        this.returnDelay = intake.deadlines().returnDelay("resp");
         this.listeners = new Listeners(loop, table, new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 RespDecoder decoder = new RespDecoder(RespParser.commands(RespLimits.COMMAND));
-                RespClientConnection connection = new RespClientConnection(channel, RespFront.this, decoder, ++connections);
+                RespClientConnection connection = new RespClientConnection(channel, RespFrontend.this, decoder, ++connectionCount);
                 channel.pipeline().addLast(decoder, connection);
                 table.add(connection);
             }
@@ -50,8 +50,8 @@
     }
 
     /** No new connections at an address; those that it has stay. */
-    public void unlisten(SocketAddress address) {
-        listeners.unlisten(address);
+    public void stopListening(SocketAddress address) {
+        listeners.stopListening(address);
     }
 
     /** Where its connections come in. */
@@ -60,7 +60,7 @@
     }
 
     /** No new connections. */
-    public void stop() {
+    public void stopListening() {
         listeners.close();
     }
 
@@ -74,26 +74,26 @@
     }
 
     /** Whether a client that ends its sending may still read its replies, on connections that come; else it has left. */
-    public void halfCloseStays(boolean stays) {
-        halfCloseStays = stays;
+    public void allowsHalfClose(boolean stays) {
+        allowsHalfClose = stays;
     }
 
     /** Whether refusals and failures say why, by the reason's stable name. */
-    public void tellsWhy(boolean tells) {
-        tellsWhy = tells;
+    public void sendsReasons(boolean tells) {
+        sendsReasons = tells;
     }
 
-    boolean tellsWhy() {
-        return tellsWhy;
+    boolean sendsReasons() {
+        return sendsReasons;
     }
 
-    boolean halfCloseStays() {
-        return halfCloseStays;
+    boolean allowsHalfClose() {
+        return allowsHalfClose;
     }
 
     /** The way of replies to clients. */
-    ReturnDelay wayBack() {
-        return wayBack;
+    ReturnDelay returnDelay() {
+        return returnDelay;
     }
 
     Intake<Content> intake() {
--- a/gateway/src/main/java/ridgemill/gateway/operator/DeadlineSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/DeadlineSettings.java
@@ -1,7 +1,7 @@
 package ridgemill.gateway.operator;
 
 import ridgemill.deadline.DeadlinePolicy;
-import ridgemill.gateway.front.http.HttpTerms;
+import ridgemill.gateway.front.http.HttpClientPolicy;
 
 /**
  * What a file says of deadlines.
@@ -9,4 +9,4 @@
  * @param policy what is made of them
  * @param terms how clients over HTTP may say them, and what becomes of their connections
  */
-public record DeadlineSettings(DeadlinePolicy policy, HttpTerms terms) { }
+public record DeadlineSettings(DeadlinePolicy policy, HttpClientPolicy terms) { }
--- a/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.ClientTimeout.Format;
-import ridgemill.gateway.front.http.HttpTerms;
+import ridgemill.gateway.front.http.HttpClientPolicy;
 
 /** {@code [deadlines]}: how clients say how long they wait, and what is made of it. */
 final class DeadlinesSection {
@@ -25,13 +25,13 @@
             DeadlinePolicy policy = new DeadlinePolicy(s.flag("drop").orElse(true), s.flag("unread").orElse(true),
                     s.flag("weigh-cancels").orElse(false), s.number("most-reserve", 0, MOST_RESERVE).orElse(0.1));
             boolean required = s.flag("required").orElse(true);
-            HttpTerms terms = new HttpTerms(forms(s), !required, s.word("half-close", HALF_CLOSE).orElse("leaves").equals("stays"),
+            HttpClientPolicy terms = new HttpClientPolicy(forms(s), !required, s.word("half-close", HALF_CLOSE).orElse("leaves").equals("stays"),
                     s.count("side-by-side", 1, MOST_SIDE_BY_SIDE).orElse(SIDE_BY_SIDE), tellsWhy);
             s.done();
             return new DeadlineSettings(policy, terms);
         }).orElseGet(() -> {
-            HttpTerms t = HttpTerms.PLATFORM;
-            return new DeadlineSettings(DeadlinePolicy.DEFAULT, new HttpTerms(t.forms(), t.unsaid(), t.halfCloseStays(), t.sideBySide(), tellsWhy));
+            HttpClientPolicy t = HttpClientPolicy.PLATFORM;
+            return new DeadlineSettings(DeadlinePolicy.DEFAULT, new HttpClientPolicy(t.timeoutFormats(), t.timeoutOptional(), t.allowsHalfClose(), t.maxConcurrentRequests(), tellsWhy));
         });
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -22,7 +22,7 @@
 import ridgemill.gateway.Service;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.control.ControlServer;
-import ridgemill.gateway.front.resp.RespFront;
+import ridgemill.gateway.front.resp.RespFrontend;
 import ridgemill.gateway.datacenter.DatacenterForwarder;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.lease.LeaseSettings;
@@ -91,7 +91,7 @@
         final Service service;
         final OperatorGate gate;
         NodeGroups groups;
-        RespFront resp;
+        RespFrontend resp;
         IdempotencyRecords outcomes;
 
         Seat(Service service, OperatorGate gate) {
@@ -109,8 +109,8 @@
             service.intake().deadlines().setPolicy(next.policy());
             service.terms(next.terms());
             if (resp != null) {
-                resp.halfCloseStays(next.terms().halfCloseStays());
-                resp.tellsWhy(next.terms().tellsWhy());
+                resp.allowsHalfClose(next.terms().allowsHalfClose());
+                resp.sendsReasons(next.terms().sendsReasons());
             }
         }
 
@@ -206,7 +206,7 @@
                 seat.groups = new NodeGroups(seat.service, config.settings(), config.seed(), clock, leases);
                 seat.groups.take(holds.groups(), holds.eureka());
                 seat.service.intake().updateClasses(seat.gate.classes());
-                seat.service.clients().keepIdle(holds.process().idleMs());
+                seat.service.clients().setIdleTimeoutMs(holds.process().idleMs());
                 seat.deadlines(holds.deadlines());
                 seat.outcomes(holds.outcomes());
             });
@@ -303,7 +303,7 @@
                 config.peers().stream().map(LeaseSettings::memberId).toList(), config.settings().proxyIndex(), rolled);
         rollout.setInEffect(RolledFile.stamp(holds, shared), shared);
         seats.get(0).gate.aside(rollout::isOutOfService);
-        service.clients().aside(rollout::isOutOfService);
+        service.clients().outOfServiceWhile(rollout::isOutOfService);
         service.mutes(audit::isOutOfService);
         leases.ignoreLeaseMessagesFrom(audit::isOutOfService);
         service.moreFigures(rollout::metrics);
@@ -397,10 +397,10 @@
         for (Seat seat : seats) {
             seat.between(() -> {
                 if (seat.resp == null) {
-                    seat.resp = new RespFront(seat.service.loop(), seat.service.intake(), seat.service.clients());
-                    seat.service.onStop(seat.resp::stop);
-                    seat.resp.halfCloseStays(config.deadlines().terms().halfCloseStays());
-                    seat.resp.tellsWhy(config.deadlines().terms().tellsWhy());
+                    seat.resp = new RespFrontend(seat.service.loop(), seat.service.intake(), seat.service.clients());
+                    seat.service.onStop(seat.resp::stopListening);
+                    seat.resp.allowsHalfClose(config.deadlines().terms().allowsHalfClose());
+                    seat.resp.sendsReasons(config.deadlines().terms().sendsReasons());
                     seat.passwords(config);
                 }
             });
@@ -422,7 +422,7 @@
         } else if (l.protocol().equals("http")) {
             service().unlisten(l.address());
         } else {
-            loop().execute(() -> seats.get(0).resp.unlisten(l.address()));
+            loop().execute(() -> seats.get(0).resp.stopListening(l.address()));
         }
     }
 
@@ -601,7 +601,7 @@
         seat.service.intake().rejectQueuedIf(seat.gate::isOutdated);
         seat.groups.drop(next.groups());
         seat.passwords(next);
-        seat.service.clients().keepIdle(next.process().idleMs());
+        seat.service.clients().setIdleTimeoutMs(next.process().idleMs());
         seat.deadlines(next.deadlines());
         seat.outcomes(next.outcomes());
         if (halls != null && halls.hasSameFixedSettings(next.halls())) {
--- a/gateway/src/test/java/ridgemill/cli/CommandsTest.java
+++ b/gateway/src/test/java/ridgemill/cli/CommandsTest.java
@@ -119,7 +119,7 @@
         assertTrue(loaded.stream().anyMatch(l -> l.contains("ridgemill.gateway.Service ")), "the log tells of ours");
         assertEquals(List.of(), loaded.stream().filter(l -> l.contains(".operator.") || l.contains(".control.")
                 || l.contains(".resp.") || l.contains(".datacenter.") || l.contains(".http2.") || l.contains("ridgemill.route.RouteTable") || l.contains("ridgemill.limit.")
-                || l.contains("ridgemill.cli.") || l.contains("ridgemill.idempotency.") || l.contains("core.WriteDeduplicator") || l.contains("OutcomeText")
+                || l.contains("ridgemill.cli.") || l.contains("ridgemill.idempotency.") || l.contains("core.WriteDeduplicator") || l.contains("OutcomeJson")
                 || l.contains("ridgemill.lease.") || l.contains("ridgemill.version.") || l.contains("ridgemill.rollout.") || l.contains(".gateway.lease.")
                 || l.contains(".gateway.audit.") || l.contains(".gateway.rollout.") || l.contains("Fingerprint") || l.contains("CancellationCost")).toList());
     }
--- a/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import ridgemill.deadline.ClientTimeout.Format;
-import ridgemill.gateway.front.http.HttpTerms;
+import ridgemill.gateway.front.http.HttpClientPolicy;
 import ridgemill.idempotency.InMemoryIdempotencyStore;
 import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.Reason;
@@ -27,7 +27,7 @@
     private Site site;
     private Peer.Wire client;
 
-    private void start(HttpTerms terms) throws Exception {
+    private void start(HttpClientPolicy terms) throws Exception {
         site = new Site();
         site.maxOpen = 64;
         site.start("automatic", "60000", "");
@@ -35,8 +35,8 @@
         client = site.client();
     }
 
-    private static HttpTerms sideBySide(boolean halfCloseStays) {
-        return new HttpTerms(Set.of(Format.SECONDS, Format.GRPC), false, halfCloseStays, 4);
+    private static HttpClientPolicy sideBySide(boolean halfCloseStays) {
+        return new HttpClientPolicy(Set.of(Format.SECONDS, Format.GRPC), false, halfCloseStays, 4);
     }
 
     @AfterEach
@@ -140,7 +140,7 @@
 
     @Test
     void whereTheFileSaysNothingOneThatClosesItsHalfHasLeft() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         site.router.onGone = (end, out) -> out.cancel(end.request(), 0);
         client.write(site.get(Site.LONG_S));
         site.node.next();
@@ -152,7 +152,7 @@
     /** Its request is over before the connection to the node has come up: nothing is written there. */
     @Test
     void whatIsOverWhenItsConnectionComesUpIsNotWritten() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         site.router.onRequest = (request, out) -> {
             out.send(request.id(), "c0", 0);
             out.fail(request.id());
@@ -173,7 +173,7 @@
     /** The proxy itself stands still for 3 s: what was asked meanwhile may be as old, and has no time left. */
     @Test
     void whatCameDuringAStallIsNotSentOn() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         client.write(site.get(Site.LONG_S));
         site.node.next().wire().answer(200, "v");
         client.read();
@@ -260,7 +260,7 @@
 
     @Test
     void anAnswerSaysWhyWhereTheFileSaysSo() throws Exception {
-        start(new HttpTerms(Set.of(Format.SECONDS), false, false, 1, true));
+        start(new HttpClientPolicy(Set.of(Format.SECONDS), false, false, 1, true));
         site.router.onRequest = (request, out) -> {
             out.reportReason(request.id(), Reason.CROWDED);
             out.refuse(request.id(), 0);
@@ -268,7 +268,7 @@
         client.write(site.get(Site.LONG_S));
         assertTrue(client.read().contains("x-reason: crowded"));
         assertEquals(1L, site.service.status().reasons().get("read").get("crowded"));
-        site.service.between(() -> site.service.terms(HttpTerms.PLATFORM));
+        site.service.between(() -> site.service.terms(HttpClientPolicy.PLATFORM));
         client.write(site.get(Site.LONG_S));
         assertTrue(!client.read().contains("x-reason"), "the platform's clients are told what they were told before");
     }
--- a/lab/src/test/java/ridgemill/lab/LoopsTest.java
+++ b/lab/src/test/java/ridgemill/lab/LoopsTest.java
@@ -366,7 +366,7 @@
             play("[process]\nloops = 1\n" + idle, LoadProfile.USUAL.rate(10, 1), OURS, (b, operated, load) -> {
                 load.get(60, TimeUnit.SECONDS);
                 List<Socket> open = new ArrayList<>();
-                int many = operated.service().clients().most() / 3;
+                int many = operated.service().clients().maxConnections() / 3;
                 for (int i = 0; i < many; i++) {
                     Socket s = connect(operated.listening());
                     open.add(s);
