--- a/gateway/src/main/java/ridgemill/cli/Commands.java
+++ b/gateway/src/main/java/ridgemill/cli/Commands.java
@@ -264,7 +264,7 @@
         private int ask() {
             JsonObject answer;
             try {
-                String text = ControlClient.ask(socket, command());
+                String text = ControlClient.send(socket, command());
                 if (json) {
                     System.out.print(text);
                 }
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -30,9 +30,9 @@
 import ridgemill.deadline.DeadlinePolicy;
 import ridgemill.deadline.Deadlines;
 import ridgemill.deadline.LoopStallDetector;
-import ridgemill.gateway.back.NodeBack;
-import ridgemill.gateway.back.NodePool;
-import ridgemill.gateway.back.Sockets;
+import ridgemill.gateway.back.NodeBackend;
+import ridgemill.gateway.back.NodeConnectionPool;
+import ridgemill.gateway.back.ConnectionLimit;
 import ridgemill.gateway.back.http.HttpNodeConnection;
 import ridgemill.gateway.console.Console;
 import ridgemill.gateway.front.ClientTable;
@@ -85,8 +85,8 @@
     private final LoopTimers timers;
     private final Deadlines deadlines;
     private final Intake<Content> intake;
-    private final Sockets nodeSockets;
-    private final NodePool pool;
+    private final ConnectionLimit nodeSockets;
+    private final NodeConnectionPool pool;
     private final Upstream platform;
     private final ClientTable clients;
     private final List<Runnable> stops = new ArrayList<>();
@@ -118,8 +118,8 @@
         timers = new LoopTimers(loop, new Clock());
         deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
         intake = new Intake<>(timers, gate, deadlines);
-        nodeSockets = new Sockets(Math.max(1, sockets - clientSockets));
-        pool = new NodePool(loop, Transport.TCP, HttpNodeConnection::new,
+        nodeSockets = new ConnectionLimit(Math.max(1, sockets - clientSockets));
+        pool = new NodeConnectionPool(loop, Transport.TCP, HttpNodeConnection::new,
                 settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeSockets);
         platform = upstream(Intake.PLATFORM_GROUP, settings, router, pool, faults(outside));
         intake.addGroup(Intake.PLATFORM_GROUP, platform.dispatcher());
@@ -144,7 +144,7 @@
     private void callForRoom(Consumer<byte[]> tell) {
         ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
         if (config.settings().limits().peerMessagesAllowed()) {
-            pool.onNoPlace(node -> {
+            pool.onConnectionRejected(node -> {
                 byte[] call = calls.connectionRejected(node, timers.now());
                 if (call != null) {
                     tell.accept(call);
@@ -153,7 +153,7 @@
         }
     }
 
-    private Upstream upstream(String name, Settings settings, Router router, NodeBack back, FaultReporter faults) {
+    private Upstream upstream(String name, Settings settings, Router router, NodeBackend back, FaultReporter faults) {
         return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::requestFinished,
                 config.maxOpen(), deadlines.group(name)));
     }
@@ -245,7 +245,7 @@
             return;
         }
         if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
-            pool.makeRoom(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
+            pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
         } else if (contents.length % Integer.BYTES == LEASE_REST) {
             // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
             onFleet.forEach(to -> to.accept(from, contents));
@@ -272,7 +272,7 @@
     }
 
     /** Takes in another group of nodes, under decisions of its own; to be called on the loop. */
-    public Group group(String name, Settings settings, Router router, NodeBack back) {
+    public Group group(String name, Settings settings, Router router, NodeBackend back) {
         Group group = new Group(name, upstream(name, settings, router, back, new LogFaults()));
         group.upstream.dispatcher().start();
         intake.addGroup(name, group.upstream.dispatcher());
@@ -323,7 +323,7 @@
         public void drop(long version) {
             intake.removeGroup(name);
             nodes(new HostList(version, true, List.of()));
-            nodeSockets.leave(upstream.back());
+            nodeSockets.unregister(upstream.back());
         }
     }
 
@@ -363,7 +363,7 @@
     }
 
     /** The descriptors that connections to nodes share. */
-    public Sockets nodeSockets() {
+    public ConnectionLimit nodeSockets() {
         return nodeSockets;
     }
 
@@ -720,7 +720,7 @@
     }
 
     Counts counts() {
-        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeSockets.open());
+        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeSockets.openConnections());
     }
 
     private void tellStart() {
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -1,18 +1,18 @@
 package ridgemill.gateway;
 
 import ridgemill.core.Dispatcher;
-import ridgemill.gateway.back.NodeBack;
+import ridgemill.gateway.back.NodeBackend;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router;
 
 /** One group of nodes: the decisions about it, and the connections to it. */
-record Upstream(Router router, NodeBack back, Dispatcher<Content> dispatcher) {
+record Upstream(Router router, NodeBackend back, Dispatcher<Content> dispatcher) {
 
     /** The back first: it must know a node before the module may choose it. */
     void hosts(ListUpdateKind kind, HostList list) {
-        back.list(list);
+        back.applyHostList(list);
         dispatcher.updateNodes(kind, list.version(), list.nodes());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -33,8 +33,8 @@
 import ridgemill.core.Dispatcher;
 import ridgemill.core.Intake;
 import ridgemill.core.PlatformAdmissionController;
-import ridgemill.gateway.back.NodePool;
-import ridgemill.gateway.back.Sockets;
+import ridgemill.gateway.back.NodeConnectionPool;
+import ridgemill.gateway.back.ConnectionLimit;
 import ridgemill.gateway.back.http.HttpNodeConnection;
 import ridgemill.gateway.front.ClientTable;
 import ridgemill.gateway.front.http.HttpFrontend;
@@ -122,8 +122,8 @@
     }
 
     private void start() throws InterruptedException {
-        NodePool pool = new NodePool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
-                settings.connectionCosts().idleTimeoutMs(), new Sockets(NODES * AT_ONCE));
+        NodeConnectionPool pool = new NodeConnectionPool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
+                settings.connectionCosts().idleTimeoutMs(), new ConnectionLimit(NODES * AT_ONCE));
         LoopTimers timers = new LoopTimers(loop, new Clock());
         Intake<Content> intake = new Intake<>(timers, new PlatformAdmissionController(settings));
         Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
@@ -140,7 +140,7 @@
         loop.submit(() -> {
             HostList list = new HostList(1, true, hosts);
             dispatcher.start();
-            pool.list(list);
+            pool.applyHostList(list);
             dispatcher.updateNodes(ListUpdateKind.FULL, list.version(), list.nodes());
         }).sync();
         SocketAddress front = clients.listen(transport, place()).sync().channel().localAddress();
--- a/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
@@ -14,25 +14,25 @@
 public final class Dialer {
 
     private final Bootstrap bootstrap;
-    private final Sockets sockets;
+    private final ConnectionLimit connectionLimit;
 
     /** {@code connectTimeoutMs} is how long a connection may take to come up. */
-    public Dialer(EventLoop loop, Transport transport, double connectTimeoutMs, Sockets sockets) {
+    public Dialer(EventLoop loop, Transport transport, double connectTimeoutMs, ConnectionLimit sockets) {
         this.bootstrap = transport.client(loop)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, (int) connectTimeoutMs));
-        this.sockets = sockets;
+        this.connectionLimit = sockets;
     }
 
     /** Opens one to a node; {@code install} adds what speaks on it. Its channel is there at once. */
     public ChannelFuture connect(NodeTargets.Target target, Consumer<ChannelPipeline> install) {
-        sockets.taken();
+        connectionLimit.connectionOpening();
         ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 install.accept(channel.pipeline());
             }
-        }).connect(target.dial());
-        connecting.channel().closeFuture().addListener(f -> sockets.given());
+        }).connect(target.address());
+        connecting.channel().closeFuture().addListener(f -> connectionLimit.connectionClosed());
         return connecting;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
@@ -14,18 +14,18 @@
  */
 public abstract class NodeConnection extends ChannelInboundHandlerAdapter {
 
-    private NodePool pool;
-    NodePool.Target target;
+    private NodeConnectionPool pool;
+    NodeConnectionPool.Target target;
     private ChannelHandlerContext context;
     private NodeExchange current;
-    long idleSince;
+    long idleSinceNanos;
     private boolean used;
 
     /** Adds the protocol's codec and this handler, the last, to a new connection. */
     protected abstract void install(ChannelPipeline pipeline);
 
     /** The message to write for an exchange; called when the connection is there to write it to. */
-    protected abstract Object message(NodeExchange exchange);
+    protected abstract Object buildMessage(NodeExchange exchange);
 
     /** Writes a message; the future tells when the last byte of it is with the system. */
     protected ChannelFuture send(Object message) {
@@ -33,12 +33,12 @@
     }
 
     /** What was kept of the last exchange is of no use any more. */
-    protected void begin() { }
+    protected void resetExchangeState() { }
 
     /** The connection has ended; a whole answer that waits may still be given by {@link #finish}. */
-    protected abstract void ended();
+    protected abstract void connectionClosed();
 
-    void join(NodePool pool, NodePool.Target target) {
+    void attach(NodeConnectionPool pool, NodeConnectionPool.Target target) {
         this.pool = pool;
         this.target = target;
     }
@@ -56,13 +56,13 @@
     protected final void finish(Outcome outcome, NodeResponse<Content> answer, boolean clean) {
         NodeExchange exchange = current;
         current = null;
-        exchange.leftEnded();
-        boolean noPlace = outcome == Outcome.REJECTED && exchange.isFirst();
+        exchange.cancelDetachedTimeout();
+        boolean noPlace = outcome == Outcome.REJECTED && exchange.isOnNewConnection();
         if (noPlace) {
-            pool.noPlace(target);
+            pool.connectionRejected(target);
         }
         if (clean && target.isCurrent()) {
-            pool.rest(this);
+            pool.startCooldown(this);
         } else {
             context.close();
         }
@@ -70,44 +70,44 @@
     }
 
     /** Ends the exchange, if there is one, as the connection's own end. */
-    protected final void broken() {
+    protected final void connectionLost() {
         if (current != null) {
-            current.broken();
+            current.connectionLost();
         }
     }
 
     /** What came makes no sense: the request may have run, and the connection is of no further use. */
-    protected final void spoilt() {
+    protected final void protocolError() {
         if (current != null && current.isWritten()) {
             current.end(Outcome.ERROR, null);
         } else {
-            broken();
+            connectionLost();
         }
         context.close();
     }
 
     final void write(NodeExchange exchange) {
         current = exchange;
-        begin();
-        exchange.idleMs = used ? idleMs(pool.nanos()) : 0;
+        resetExchangeState();
+        exchange.connectionIdleMs = used ? idleMs(pool.nowNanos()) : 0;
         if (exchange.attempt() != null) {
             exchange.attempt().writeStarted(!used);
         }
         used = true;
         exchange.channel = context.channel();
         // The promise covers the whole message: it fails if the connection breaks before the last byte is written.
-        send(message(exchange)).addListener(f -> {
+        send(buildMessage(exchange)).addListener(f -> {
             if (f.isSuccess()) {
-                exchange.wrote();
+                exchange.markWritten();
             } else {
                 context.close();
-                exchange.broken();
+                exchange.connectionLost();
             }
         });
     }
 
     final double idleMs(long nowNanos) {
-        return Math.max(1, nowNanos - idleSince) / 1e6;
+        return Math.max(1, nowNanos - idleSinceNanos) / 1e6;
     }
 
     final boolean isActive() {
@@ -125,10 +125,10 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        pool.forget(this);
+        pool.remove(this);
         if (current != null) {
-            current.leftEnded();
+            current.cancelDetachedTimeout();
         }
-        ended();
+        connectionClosed();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodePool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
@@ -22,32 +22,32 @@
  * first, so that the rest age and close. Nothing is ever sent a second time from here: every exchange ends once, with
  * the outcome that its own connection showed.
  */
-public final class NodePool implements NodeBack {
+public final class NodeConnectionPool implements NodeBackend {
 
     /** Idle connections close at this part of the node's own limit: one that it closes first loses a request. */
-    private static final double IDLE_PART = 0.75;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
     /**
      * How long a connection rests between two exchanges: a second copy of the answer that comes a moment late would be
      * taken for the next one's. Counted by timers, which run after all that has arrived was read, also after a pause.
      */
-    private static final long REST_MS = 4;
+    private static final long COOLDOWN_MS = 4;
     /** Idle connections are looked through so often in the time that they may stand, and at least each second. */
-    private static final double IDLE_SWEEPS = 10;
-    private static final double SWEEP_MS = 1000;
+    private static final double IDLE_CHECKS_PER_TIMEOUT = 10;
+    private static final double MAX_IDLE_CHECK_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
     private final Dialer dialer;
-    private final Supplier<NodeConnection> protocol;
-    private final double idleMs;
-    private final Sockets sockets;
+    private final Supplier<NodeConnection> connectionFactory;
+    private final double idleTimeoutMs;
+    private final ConnectionLimit connectionLimit;
     private final NodeTargets<Target> targets = new NodeTargets<>(Target::new);
-    private final Deque<NodeConnection> resting = new ArrayDeque<>();
-    private final IdleAges ages = new IdleAges();
-    private final LongSupplier nanos;
-    private Consumer<String> onNoPlace = node -> { };
-    private boolean restsWatched;
-    private boolean idleWatched;
-    private int connections;
+    private final Deque<NodeConnection> coolingDown = new ArrayDeque<>();
+    private final IdleAges idleAges = new IdleAges();
+    private final LongSupplier nanoClock;
+    private Consumer<String> onConnectionRejected = node -> { };
+    private boolean cooldownCheckScheduled;
+    private boolean idleCheckScheduled;
+    private int openConnections;
 
     /**
      * A pool without connections.
@@ -57,26 +57,26 @@
      * @param idleMs after how long nodes close idle connections, in milliseconds; may be infinite
      * @param sockets of which each connection that is open or opening takes one
      */
-    public NodePool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, Sockets sockets) {
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
+                    double idleMs, ConnectionLimit sockets) {
         this(loop, transport, protocol, connectTimeoutMs, idleMs, sockets, System::nanoTime);
     }
 
     /** {@code nanos} is the clock that idle times are read from. */
-    public NodePool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, Sockets sockets, LongSupplier nanos) {
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
+                    double idleMs, ConnectionLimit sockets, LongSupplier nanos) {
         this.loop = loop;
-        this.protocol = protocol;
-        this.nanos = nanos;
-        this.idleMs = idleMs * IDLE_PART;
-        this.sockets = sockets;
-        sockets.join(this);
+        this.connectionFactory = protocol;
+        this.nanoClock = nanos;
+        this.idleTimeoutMs = idleMs * IDLE_TIMEOUT_FRACTION;
+        this.connectionLimit = sockets;
+        sockets.register(this);
         this.dialer = new Dialer(loop, transport, connectTimeoutMs, sockets);
     }
 
     @Override
-    public void list(HostList list) {
-        targets.list(list);
+    public void applyHostList(HostList list) {
+        targets.applyHostList(list);
     }
 
     @Override
@@ -85,32 +85,32 @@
     }
 
     /** Tells {@code then} from now on which node turned an attempt away on a connection that was opened for it. */
-    public void onNoPlace(Consumer<String> then) {
-        onNoPlace = then;
+    public void onConnectionRejected(Consumer<String> then) {
+        onConnectionRejected = then;
     }
 
-    void noPlace(Target target) {
-        onNoPlace.accept(target.name());
+    void connectionRejected(Target target) {
+        onConnectionRejected.accept(target.name());
     }
 
     /** Closes the connections to the nodes of those names that have been idle for longer than {@code olderMs}. */
-    public void makeRoom(Predicate<String> nodes, double olderMs) {
-        long now = nanos.getAsLong();
+    public void closeIdleLongerThan(Predicate<String> nodes, double olderMs) {
+        long now = nanoClock.getAsLong();
         for (Target target : targets.all()) {
             if (nodes.test(target.name())) {
-                closeOlder(target, now, olderMs);
+                closeIdleAtLeast(target, now, olderMs);
             }
         }
     }
 
     /** Connections that are open or opening. */
-    public int connections() {
-        return connections;
+    public int openConnections() {
+        return openConnections;
     }
 
     /** Whether no connection is in the pause that follows an answer. */
-    public boolean isRested() {
-        return resting.isEmpty();
+    public boolean isCooldownOver() {
+        return coolingDown.isEmpty();
     }
 
     /**
@@ -120,7 +120,7 @@
     @Override
     public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
         NodeExchange exchange = new NodeExchange(this, attempt, done);
-        exchange.timer = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
+        exchange.timeout = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         Target target = targets.get(node);
         if (target == null) {
             exchange.end(Outcome.CONNECT_FAILED, null);
@@ -130,7 +130,7 @@
         NodeConnection idle = attempt != null && attempt.hasStreamingBody() ? null : newestIdle(target);
         if (idle != null) {
             idle.write(exchange);
-        } else if (sockets.makeRoom()) {
+        } else if (connectionLimit.ensureCapacity()) {
             connect(target, exchange);
         } else {
             // Out of descriptors: opening one more could leave none for a client that is being accepted. The node is
@@ -146,8 +146,8 @@
     }
 
     private NodeConnection newestIdle(Target target) {
-        long now = nanos.getAsLong();
-        double limit = Math.min(idleMs, ages.limitMs(now));
+        long now = nanoClock.getAsLong();
+        double limit = Math.min(idleTimeoutMs, idleAges.limitMs(now));
         for (NodeConnection c = target.idle.pollFirst(); c != null; c = target.idle.pollFirst()) {
             if (c.idleMs(now) >= limit) {
                 c.close();
@@ -159,29 +159,29 @@
     }
 
     /** Closes what has been idle for too long; runs as long as something is idle. */
-    private void watchIdle() {
-        if (!idleWatched && idleMs < Long.MAX_VALUE / 1e6) {
-            idleWatched = true;
-            loop.schedule(this::closeAged, (long) (Math.min(idleMs / IDLE_SWEEPS, SWEEP_MS) * 1e6), TimeUnit.NANOSECONDS);
+    private void scheduleIdleCheck() {
+        if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
+            idleCheckScheduled = true;
+            loop.schedule(this::closeExpired, (long) (Math.min(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, MAX_IDLE_CHECK_INTERVAL_MS) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
-    private void closeAged() {
-        long now = nanos.getAsLong();
-        double limit = Math.min(idleMs, ages.limitMs(now));
+    private void closeExpired() {
+        long now = nanoClock.getAsLong();
+        double limit = Math.min(idleTimeoutMs, idleAges.limitMs(now));
         boolean left = false;
         for (Target target : targets.all()) {
-            closeOlder(target, now, limit);
+            closeIdleAtLeast(target, now, limit);
             left |= !target.idle.isEmpty();
         }
-        idleWatched = false;
+        idleCheckScheduled = false;
         if (left) {
-            watchIdle();
+            scheduleIdleCheck();
         }
     }
 
     /** The newest are first, so that the others age. */
-    private static void closeOlder(Target target, long now, double limitMs) {
+    private static void closeIdleAtLeast(Target target, long now, double limitMs) {
         for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs; c = target.idle.peekLast()) {
             target.idle.removeLast();
             c.close();
@@ -189,35 +189,35 @@
     }
 
     private void connect(Target target, NodeExchange exchange) {
-        NodeConnection connection = protocol.get();
-        connection.join(this, target);
-        connections++;
+        NodeConnection connection = connectionFactory.get();
+        connection.attach(this, target);
+        openConnections++;
         ChannelFuture connecting = dialer.connect(target, connection::install);
         exchange.channel = connecting.channel();
-        long began = nanos.getAsLong();
-        connecting.channel().closeFuture().addListener(f -> connections--);
+        long began = nanoClock.getAsLong();
+        connecting.channel().closeFuture().addListener(f -> openConnections--);
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
                 connecting.channel().close();
                 exchange.end(Outcome.CONNECT_FAILED, null);
-            } else if (exchange.isOver()) {
+            } else if (exchange.isEnded()) {
                 connecting.channel().close();
-            } else if (exchange.reached((nanos.getAsLong() - began) / 1e6)) {
+            } else if (exchange.connected((nanoClock.getAsLong() - began) / 1e6)) {
                 connection.write(exchange);
             } else {
                 // Too late for any answer: the connection is whole, and the next exchange's.
-                connection.idleSince = nanos.getAsLong();
-                rested(connection);
+                connection.idleSinceNanos = nanoClock.getAsLong();
+                makeAvailable(connection);
                 exchange.end(Outcome.NEVER_SENT, null);
             }
         });
     }
 
     private NodeConnection oldestIdle() {
-        NodeConnection oldest = resting.peekFirst();
+        NodeConnection oldest = coolingDown.peekFirst();
         for (Target target : targets.all()) {
             NodeConnection candidate = target.idle.peekLast();
-            if (candidate != null && (oldest == null || candidate.idleSince - oldest.idleSince < 0)) {
+            if (candidate != null && (oldest == null || candidate.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = candidate;
             }
         }
@@ -225,15 +225,15 @@
     }
 
     @Override
-    public long idleNanos() {
+    public long longestIdleNanos() {
         NodeConnection oldest = oldestIdle();
-        return oldest == null ? -1 : nanos.getAsLong() - oldest.idleSince;
+        return oldest == null ? -1 : nanoClock.getAsLong() - oldest.idleSinceNanos;
     }
 
     @Override
-    public void closeOldestIdle() {
+    public void closeLongestIdle() {
         NodeConnection oldest = oldestIdle();
-        forget(oldest);
+        remove(oldest);
         oldest.close();
     }
 
@@ -249,59 +249,59 @@
         protected void closeIdle() {
             List<NodeConnection> all = new ArrayList<>(idle);
             idle.clear();
-            resting.stream().filter(c -> c.target == this).forEach(all::add);
-            resting.removeAll(all);
+            coolingDown.stream().filter(c -> c.target == this).forEach(all::add);
+            coolingDown.removeAll(all);
             all.forEach(NodeConnection::close);
         }
     }
 
-    long nanos() {
-        return nanos.getAsLong();
+    long nowNanos() {
+        return nanoClock.getAsLong();
     }
 
     /** Takes note of how an exchange on a connection of that idle age ended; {@code answering} if bytes came back. */
-    void used(double idle, Outcome outcome, boolean answering) {
+    void recordUse(double idle, Outcome outcome, boolean answering) {
         boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
-            ages.used(idle, broke && !answering, nanos.getAsLong());
+            idleAges.used(idle, broke && !answering, nanoClock.getAsLong());
         }
     }
 
     /** Takes a connection back whose exchange ended well. */
-    void rest(NodeConnection connection) {
-        connection.idleSince = nanos.getAsLong();
-        resting.addLast(connection);
-        watchRests();
+    void startCooldown(NodeConnection connection) {
+        connection.idleSinceNanos = nanoClock.getAsLong();
+        coolingDown.addLast(connection);
+        scheduleCooldownCheck();
     }
 
-    void forget(NodeConnection connection) {
+    void remove(NodeConnection connection) {
         connection.target.idle.remove(connection);
-        resting.remove(connection);
+        coolingDown.remove(connection);
     }
 
-    private void rested(NodeConnection connection) {
+    private void makeAvailable(NodeConnection connection) {
         if (!connection.isActive() || !connection.target.isCurrent()) {
             connection.close();
         } else {
             connection.target.idle.addFirst(connection);
-            watchIdle();
+            scheduleIdleCheck();
         }
     }
 
     /** Hands connections back whose rest is over; runs as long as some are left. */
-    private void endRests() {
-        long now = nanos.getAsLong();
-        while (!resting.isEmpty() && now - resting.peekFirst().idleSince >= TimeUnit.MILLISECONDS.toNanos(REST_MS)) {
-            rested(resting.removeFirst());
+    private void endCooldowns() {
+        long now = nanoClock.getAsLong();
+        while (!coolingDown.isEmpty() && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
+            makeAvailable(coolingDown.removeFirst());
         }
-        restsWatched = false;
-        watchRests();
+        cooldownCheckScheduled = false;
+        scheduleCooldownCheck();
     }
 
-    private void watchRests() {
-        if (!restsWatched && !resting.isEmpty()) {
-            restsWatched = true;
-            loop.schedule(this::endRests, REST_MS, TimeUnit.MILLISECONDS);
+    private void scheduleCooldownCheck() {
+        if (!cooldownCheckScheduled && !coolingDown.isEmpty()) {
+            cooldownCheckScheduled = true;
+            loop.schedule(this::endCooldowns, COOLDOWN_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
@@ -13,23 +13,23 @@
 public final class NodeExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Backend.Listener<Content> done;
-    private final NodePool pool;
+    private final Backend.Listener<Content> listener;
+    private final NodeConnectionPool pool;
     Channel channel;
-    Future<?> timer;
+    Future<?> timeout;
     boolean written;
-    private boolean over;
-    private boolean left;
-    private boolean begun;
-    private Future<?> timeUp;
+    private boolean ended;
+    private boolean detached;
+    private boolean streaming;
+    private Future<?> detachedTimeout;
     /** How long its connection had been idle, 0 for a new one; and whether bytes of an answer have come. */
-    double idleMs;
-    private boolean answering;
+    double connectionIdleMs;
+    private boolean responseStarted;
 
-    NodeExchange(NodePool pool, Attempt<Content> attempt, Backend.Listener<Content> done) {
+    NodeExchange(NodeConnectionPool pool, Attempt<Content> attempt, Backend.Listener<Content> done) {
         this.pool = pool;
         this.attempt = attempt;
-        this.done = done;
+        this.listener = done;
     }
 
     /** The attempt to write; null for a probe. */
@@ -38,8 +38,8 @@
     }
 
     /** Whether it has its outcome. */
-    public boolean isOver() {
-        return over;
+    public boolean isEnded() {
+        return ended;
     }
 
     /** Whether its last byte is written, from when on the node may run it. */
@@ -47,7 +47,7 @@
         return written;
     }
 
-    void wrote() {
+    void markWritten() {
         written = true;
         if (attempt != null) {
             attempt.written();
@@ -55,17 +55,17 @@
     }
 
     /** Whether its connection had carried none before it. */
-    boolean isFirst() {
-        return idleMs <= 0;
+    boolean isOnNewConnection() {
+        return connectionIdleMs <= 0;
     }
 
     /** The first bytes of an answer have come: a break from here on is not one of an old connection. */
-    public void answering() {
-        answering = true;
+    public void markResponseStarted() {
+        responseStarted = true;
     }
 
     /** A connection was opened for it, which took so long; whether it may still be written there. */
-    boolean reached(double ms) {
+    boolean connected(double ms) {
         if (attempt == null) {
             return true;
         }
@@ -76,40 +76,40 @@
     /**
      * A good answer has begun that goes on by parts: its time was the time to here. Returns whether anybody takes it.
      */
-    public boolean begin(NodeResponse<Content> answer) {
-        if (over || attempt == null || !attempt.supportsStreaming()) {
+    public boolean startStreaming(NodeResponse<Content> answer) {
+        if (ended || attempt == null || !attempt.supportsStreaming()) {
             return false;
         }
-        timer.cancel(false);
-        begun = true;
-        return done.responseStarted(answer);
+        timeout.cancel(false);
+        streaming = true;
+        return listener.responseStarted(answer);
     }
 
     /** Whether nobody waits for it any more, but its connection waits for its answer. */
-    public boolean isLeft() {
-        return left;
+    public boolean isDetached() {
+        return detached;
     }
 
     /** Its answer may still come, and is dropped then; where it does not come in its time the connection goes. */
     @Override
     public void detach() {
         double leftMs = attempt == null ? 0 : attempt.remainingMs();
-        if (over || begun || !written || channel == null || leftMs <= 0) {
+        if (ended || streaming || !written || channel == null || leftMs <= 0) {
             cancel();
             return;
         }
-        left = true;
+        detached = true;
         Channel waits = channel;
-        timeUp = waits.eventLoop().schedule(() -> {
+        detachedTimeout = waits.eventLoop().schedule(() -> {
             waits.close();
         }, (long) (leftMs * 1e6), TimeUnit.NANOSECONDS);
         end(Outcome.CANCELLED, null);
     }
 
     /** The answer that it was left for has come, or its connection has ended. */
-    void leftEnded() {
-        if (timeUp != null) {
-            timeUp.cancel(false);
+    void cancelDetachedTimeout() {
+        if (detachedTimeout != null) {
+            detachedTimeout.cancel(false);
         }
     }
 
@@ -124,12 +124,12 @@
         abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    void broken() {
+    void connectionLost() {
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
     private void abandon(Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             end(outcome, null);
             if (channel != null) {
                 channel.close();
@@ -138,11 +138,11 @@
     }
 
     void end(Outcome outcome, NodeResponse<Content> answer) {
-        if (!over) {
-            over = true;
-            timer.cancel(false);
-            pool.used(idleMs, outcome, answering);
-            done.ended(outcome, answer);
+        if (!ended) {
+            ended = true;
+            timeout.cancel(false);
+            pool.recordUse(connectionIdleMs, outcome, responseStarted);
+            listener.ended(outcome, answer);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
@@ -22,24 +22,24 @@
     /** A node and its connections, which the back's own class holds. */
     public abstract static class Target {
         private final String name;
-        private final SocketAddress dial;
-        private final double bornMs;
+        private final SocketAddress address;
+        private final double startedAtMs;
         private boolean current = true;
         private boolean draining;
 
         /** The node that a list's entry names. */
         protected Target(HostList.Host host) {
             this.name = host.node().id();
-            this.dial = host.dial();
-            this.bornMs = host.node().startedAtMs();
+            this.address = host.dial();
+            this.startedAtMs = host.node().startedAtMs();
         }
 
         public final String name() {
             return name;
         }
 
-        public final SocketAddress dial() {
-            return dial;
+        public final SocketAddress address() {
+            return address;
         }
 
         /** False once the list has moved on: connections that come free then must not wait for a use. */
@@ -57,11 +57,11 @@
     }
 
     private final Map<String, T> byName = new HashMap<>();
-    private final Function<HostList.Host, T> make;
+    private final Function<HostList.Host, T> factory;
 
     /** {@code make} begins to keep a node. */
     public NodeTargets(Function<HostList.Host, T> make) {
-        this.make = make;
+        this.factory = make;
     }
 
     /** The node of this name; null where the list has none. */
@@ -75,23 +75,23 @@
     }
 
     /** Takes in the list. Idle connections to a host that drains, left, moved or started anew are of no use. */
-    public void list(HostList list) {
+    public void applyHostList(HostList list) {
         if (list.whole()) {
             Set<String> named = list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
             List<String> gone = new ArrayList<>(byName.keySet());
             gone.removeAll(named);
-            gone.forEach(this::forget);
+            gone.forEach(this::remove);
         }
         for (HostList.Host host : list.hosts()) {
             String id = host.node().id();
             if (host.node().availability() == Availability.GONE) {
-                forget(id);
+                remove(id);
                 continue;
             }
             T known = byName.get(id);
-            if (known == null || !known.dial().equals(host.dial()) || ((Target) known).bornMs != host.node().startedAtMs()) {
-                forget(id);
-                known = make.apply(host);
+            if (known == null || !known.address().equals(host.dial()) || ((Target) known).startedAtMs != host.node().startedAtMs()) {
+                remove(id);
+                known = factory.apply(host);
                 byName.put(id, known);
             }
             Target target = known;
@@ -102,7 +102,7 @@
         }
     }
 
-    private void forget(String node) {
+    private void remove(String node) {
         Target target = byName.remove(node);
         if (target != null) {
             target.current = false;
--- a/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
@@ -93,13 +93,13 @@
     }
 
     @Override
-    protected void begin() {
+    protected void resetExchangeState() {
         upload = null;
         begun = 0;
     }
 
     @Override
-    protected Object message(NodeExchange exchange) {
+    protected Object buildMessage(NodeExchange exchange) {
         Attempt<Content> attempt = exchange.attempt();
         if (attempt == null) {
             return ByteBufUtil.writeAscii(context().alloc(), "GET /alive HTTP/1.1\r\n\r\n");
@@ -264,7 +264,7 @@
     /** Whether bytes that have come can belong to the answer that is awaited. */
     private boolean expected(ByteBuf in) {
         NodeExchange current = current();
-        if (current == null || current.isOver() && !current.isLeft() || !current.isWritten() && upload == null) {
+        if (current == null || current.isEnded() && !current.isDetached() || !current.isWritten() && upload == null) {
             return false;
         }
         for (int i = in.readerIndex(); begun < START.length && i < in.writerIndex(); i++, begun++) {
@@ -272,7 +272,7 @@
                 return false;
             }
         }
-        current.answering();
+        current.markResponseStarted();
         return true;
     }
 
@@ -298,7 +298,7 @@
         } else {
             long length = HttpUtil.getContentLength(begins, -1L);
             if (length > Content.MOST_BYTES) {
-                spoilt();
+                protocolError();
                 return;
             }
             head = begins;
@@ -324,7 +324,7 @@
         } else {
             stream.feed(part.content().retain());
             if (last && mayBeCut()) {
-                broken();
+                connectionLost();
                 dropPieces();
             } else if (last) {
                 endStream();
@@ -336,7 +336,7 @@
     private void hold(ByteBuf part, boolean last) {
         body = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context().alloc(), body, part.retain());
         if (last && mayBeCut()) {
-            broken();
+            connectionLost();
         } else if (last) {
             HttpHeaders headers = head.headers();
             answer = new Reply(head.status().code(), "1".equals(headers.get("X-Rejected")), headers.get("X-Hit", ""),
@@ -347,7 +347,7 @@
             if (head.status().equals(HttpResponseStatus.OK)) {
                 stream(-1);
             } else {
-                spoilt();
+                protocolError();
             }
         }
     }
@@ -379,13 +379,13 @@
         try {
             NodeResponse<Content> begins = new NodeResponse<>(new Content(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), stream),
                     note(head.headers().get("X-Hit", "")));
-            taken = exchange.begin(begins);
+            taken = exchange.startStreaming(begins);
         } finally {
             first.release();
         }
         if (!taken) {
             stream = null;
-            spoilt();
+            protocolError();
         }
     }
 
@@ -446,7 +446,7 @@
                 pace.progress(now());
             }
             if (pace.isStalled(now(), stream != null)) {
-                spoilt();
+                protocolError();
             } else {
                 watch(watched);
             }
@@ -469,11 +469,11 @@
     }
 
     @Override
-    protected void ended() {
+    protected void connectionClosed() {
         if (answer != null) {
             finish();
         } else {
-            broken();
+            connectionLost();
         }
         dropPieces();
         if (upload != null) {
@@ -495,11 +495,11 @@
             finish();
             context().close();
         } else if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
-            broken();
+            connectionLost();
             dropPieces();
             context().close();
         } else {
-            spoilt();
+            protocolError();
         }
     }
 
@@ -563,7 +563,7 @@
                 ReferenceCountUtil.release(message);
             } else if (message instanceof ByteBuf in && !expected(in)) {
                 in.release();
-                spoilt();
+                protocolError();
             } else if (plain && first && message instanceof ByteBuf in && isRead(in)) {
                 in.release();
             } else {
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/Copies.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/CacheFillTracker.java
@@ -15,60 +15,60 @@
  * gateway has written the key since the read missed, as the store's answer may be older than the write; another gateway's
  * write is not known here, which is why a copy has an end.
  */
-final class Copies {
+final class CacheFillTracker {
 
     /** Reads that missed and keys that were written, of which so many are remembered. */
-    private static final int MOST = 4096;
+    private static final int MAX_ENTRIES = 4096;
 
-    private record Missed(String node, long write) { }
+    private record MissRecord(String node, long writesSeen) { }
 
     private static final class Bounded<V> extends LinkedHashMap<String, V> {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, V> eldest) {
-            return size() > MOST;
+            return size() > MAX_ENTRIES;
         }
     }
 
     private final long ttlMs;
-    private final Map<String, Missed> missed = new Bounded<>();
-    private final Map<String, Long> writes = new Bounded<>();
-    private long counted;
+    private final Map<String, MissRecord> misses = new Bounded<>();
+    private final Map<String, Long> lastWriteByKey = new Bounded<>();
+    private long writeCount;
     /** Writes up to this one may have been forgotten: a read that missed before it leaves no copy. */
-    private long forgotten;
+    private long lastEvictedWrite;
 
-    Copies(double ttlMs) {
+    CacheFillTracker(double ttlMs) {
         this.ttlMs = Math.max(1, Math.round(ttlMs));
     }
 
-    void missed(String request, String node, String key) {
-        missed.put(request, new Missed(node, counted));
+    void recordMiss(String request, String node, String key) {
+        misses.put(request, new MissRecord(node, writeCount));
     }
 
     /** A write of this key has ended; {@code mayHaveRun} says whether it can have changed anything. */
-    void written(String key, boolean mayHaveRun) {
+    void recordWrite(String key, boolean mayHaveRun) {
         if (mayHaveRun) {
-            if (writes.size() == MOST && !writes.containsKey(key)) {
-                forgotten = Math.max(forgotten, writes.values().iterator().next());
+            if (lastWriteByKey.size() == MAX_ENTRIES && !lastWriteByKey.containsKey(key)) {
+                lastEvictedWrite = Math.max(lastEvictedWrite, lastWriteByKey.values().iterator().next());
             }
-            writes.remove(key);
-            writes.put(key, ++counted);
+            lastWriteByKey.remove(key);
+            lastWriteByKey.put(key, ++writeCount);
         }
     }
 
     /** The node where the read's copy belongs; null where it is to leave none. */
-    String placeOf(String request, String key) {
-        Missed m = missed.remove(request);
-        return m == null || m.write() < forgotten || writes.getOrDefault(key, 0L) > m.write() ? null : m.node();
+    String takeFillNode(String request, String key) {
+        MissRecord m = misses.remove(request);
+        return m == null || m.writesSeen() < lastEvictedWrite || lastWriteByKey.getOrDefault(key, 0L) > m.writesSeen() ? null : m.node();
     }
 
-    Resp keep(String target, ByteBuf value) {
+    Resp storeCommand(String target, ByteBuf value) {
         return new Resp.Array(List.of(Resp.blob("SET"), new Resp.Blob(Unpooled.wrappedBuffer(Targets.key(target))),
                 new Resp.Blob(Unpooled.copiedBuffer(value)), Resp.blob("PX"), Resp.blob(Long.toString(ttlMs))));
     }
 
-    Resp drop(String target) {
+    Resp deleteCommand(String target) {
         return new Resp.Array(List.of(new Resp.Blob(Unpooled.copiedBuffer("DEL", StandardCharsets.US_ASCII)),
                 new Resp.Blob(Unpooled.wrappedBuffer(Targets.key(target)))));
     }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespBack.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespBackend.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 import ridgemill.core.Attempt;
 import ridgemill.gateway.back.Dialer;
-import ridgemill.gateway.back.NodeBack;
+import ridgemill.gateway.back.NodeBackend;
 import ridgemill.gateway.back.NodeTargets;
-import ridgemill.gateway.back.Sockets;
+import ridgemill.gateway.back.ConnectionLimit;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Transport;
@@ -21,29 +21,29 @@
  * Connections to nodes that speak RESP, a few to each, with many commands on one. Nothing is ever sent a second time from
  * here: every exchange ends once, with the outcome that its own connection showed.
  */
-public final class RespBack implements NodeBack {
+public final class RespBackend implements NodeBackend {
 
     /** Connections to one node; more would only share its one thread. */
-    static final int MOST_CONNECTIONS = 8;
+    static final int MAX_CONNECTIONS_PER_NODE = 8;
     /** Commands on one connection while another may be opened: each waits for those before it. */
-    static final int FEW = 4;
+    static final int NEW_CONNECTION_THRESHOLD = 4;
     /** Commands on one connection in any case. */
-    static final int MOST = 32;
+    static final int MAX_PENDING_PER_CONNECTION = 32;
     /** How long the reply of a command that was given up may stay away while others wait behind it. */
-    private static final long ORPHAN_MS = 500;
-    private static final double IDLE_PART = 0.75;
-    private static final long SWEEP_MS = 1000;
+    private static final long ABANDONED_REPLY_TIMEOUT_MS = 500;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.75;
+    private static final long IDLE_CHECK_INTERVAL_MS = 1000;
 
     private final EventLoop loop;
     private final Dialer dialer;
-    private final RespNodes nodes;
-    private final Sockets sockets;
-    private final double idleMs;
-    private final Consumer<String> drains;
+    private final RespNodeConfig nodeConfig;
+    private final ConnectionLimit connectionLimit;
+    private final double idleTimeoutMs;
+    private final Consumer<String> drainListener;
     private final NodeTargets<Target> targets = new NodeTargets<>(Target::new);
     private final List<RespConnection> connections = new ArrayList<>();
-    private final Copies copies;
-    private boolean sweeping;
+    private final CacheFillTracker cacheFills;
+    private boolean idleCheckScheduled;
 
     /**
      * A back without connections.
@@ -53,25 +53,25 @@
      * @param sockets of which each connection that is open or opening takes one
      * @param drains is told of each node that says itself that it takes no new work
      */
-    public RespBack(EventLoop loop, Transport transport, RespNodes nodes, double connectTimeoutMs, double idleMs,
-                    Sockets sockets, Consumer<String> drains) {
+    public RespBackend(EventLoop loop, Transport transport, RespNodeConfig nodes, double connectTimeoutMs, double idleMs,
+                    ConnectionLimit sockets, Consumer<String> drains) {
         this.loop = loop;
-        this.nodes = nodes;
-        this.sockets = sockets;
-        this.idleMs = idleMs * IDLE_PART;
-        this.drains = drains;
-        this.copies = nodes.dialect() == RespNodes.Dialect.PLAIN && nodes.fillMs() > 0 ? new Copies(nodes.fillMs()) : null;
+        this.nodeConfig = nodes;
+        this.connectionLimit = sockets;
+        this.idleTimeoutMs = idleMs * IDLE_TIMEOUT_FRACTION;
+        this.drainListener = drains;
+        this.cacheFills = nodes.dialect() == RespNodeConfig.Dialect.PLAIN && nodes.copyTtlMs() > 0 ? new CacheFillTracker(nodes.copyTtlMs()) : null;
         this.dialer = new Dialer(loop, transport, connectTimeoutMs, sockets);
-        sockets.join(this);
+        sockets.register(this);
     }
 
-    RespNodes nodes() {
-        return nodes;
+    RespNodeConfig nodeConfig() {
+        return nodeConfig;
     }
 
     @Override
-    public void list(HostList list) {
-        targets.list(list);
+    public void applyHostList(HostList list) {
+        targets.applyHostList(list);
     }
 
     @Override
@@ -82,11 +82,11 @@
     @Override
     public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
         RespExchange exchange = new RespExchange(attempt, done);
-        if (copies != null && attempt != null && attempt.command().write()) {
+        if (cacheFills != null && attempt != null && attempt.command().write()) {
             // From here on it may run at any time, also when its answer never comes.
-            copies.written(attempt.command().target(), true);
+            cacheFills.recordWrite(attempt.command().target(), true);
         }
-        exchange.timer = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
+        exchange.timeout = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         Target target = targets.get(node);
         if (target == null) {
             exchange.end(Outcome.CONNECT_FAILED, null);
@@ -94,15 +94,15 @@
         }
         RespConnection best = null;
         for (RespConnection c : target.connections) {
-            if (c.isUsable() && (best == null || c.load() < best.load())) {
+            if (c.isUsable() && (best == null || c.pendingCommands() < best.pendingCommands())) {
                 best = c;
             }
         }
-        if (best != null && best.load() < FEW) {
+        if (best != null && best.pendingCommands() < NEW_CONNECTION_THRESHOLD) {
             best.send(exchange);
-        } else if (target.connections.size() < MOST_CONNECTIONS && sockets.makeRoom()) {
+        } else if (target.connections.size() < MAX_CONNECTIONS_PER_NODE && connectionLimit.ensureCapacity()) {
             connect(target).send(exchange);
-        } else if (best != null && best.load() < MOST) {
+        } else if (best != null && best.pendingCommands() < MAX_PENDING_PER_CONNECTION) {
             best.send(exchange);
         } else {
             // All are as full as they may be. The node is not to blame, so this must not look like a failure of its own.
@@ -124,13 +124,13 @@
         ChannelFuture connecting = dialer.connect(target, connection::install);
         connecting.addListener(f -> {
             if (f.isSuccess()) {
-                connection.opened((System.nanoTime() - began) / 1e6);
+                connection.connected((System.nanoTime() - began) / 1e6);
             } else {
                 connecting.channel().close();
-                connection.refused();
+                connection.connectFailed();
             }
         });
-        sweepLater();
+        scheduleIdleCheck();
         return connection;
     }
 
@@ -138,59 +138,59 @@
      * An attempt has its answer: at plain nodes it is the gateway that stores a copy where a read missed, and drops copies
      * of what was written. Both as far as there is a connection with leisure: nobody waits for either.
      */
-    void answered(Target target, Attempt<Content> attempt, Outcomes.Ended ended) {
-        if (copies == null) {
+    void responseReceived(Target target, Attempt<Content> attempt, ReplyClassifier.Result ended) {
+        if (cacheFills == null) {
             return;
         }
         String key = attempt.command().target();
-        boolean store = target.name().equals(nodes.store());
+        boolean store = target.name().equals(nodeConfig.originNode());
         if (attempt.command().write()) {
-            copies.written(key, ended.outcome() != Outcome.REJECTED);
+            cacheFills.recordWrite(key, ended.outcome() != Outcome.REJECTED);
             if (ended.outcome() != Outcome.REJECTED) {
-                targets.all().stream().filter(t -> !t.name().equals(nodes.store())).forEach(t -> say(t, copies.drop(key)));
+                targets.all().stream().filter(t -> !t.name().equals(nodeConfig.originNode())).forEach(t -> sendInternal(t, cacheFills.deleteCommand(key)));
             }
         } else if (!store && ended.outcome() == Outcome.MISS) {
-            copies.missed(attempt.requestId(), target.name(), key);
+            cacheFills.recordMiss(attempt.requestId(), target.name(), key);
         } else if (store && ended.outcome() == Outcome.OK) {
-            String at = copies.placeOf(attempt.requestId(), key);
+            String at = cacheFills.takeFillNode(attempt.requestId(), key);
             Target missing = at == null ? null : targets.get(at);
             if (missing != null && !missing.isDraining()) {
-                say(missing, copies.keep(key, ended.answer().content().bytes()));
+                sendInternal(missing, cacheFills.storeCommand(key, ended.response().content().bytes()));
             }
         }
     }
 
-    private void say(Target target, Resp what) {
+    private void sendInternal(Target target, Resp what) {
         for (RespConnection c : target.connections) {
-            if (c.hasLeisure()) {
-                RespExchange own = RespExchange.ofOwn(what);
-                own.timer = loop.schedule(own::timedOut, ORPHAN_MS, TimeUnit.MILLISECONDS);
+            if (c.canSendInternal()) {
+                RespExchange own = RespExchange.internal(what);
+                own.timeout = loop.schedule(own::timedOut, ABANDONED_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 c.send(own);
                 return;
             }
         }
     }
 
-    void closed(RespConnection connection) {
+    void connectionClosed(RespConnection connection) {
         connection.target.connections.remove(connection);
         connections.remove(connection);
     }
 
     /** Runs a check when a reply that nobody waits for has stayed away for long enough. */
-    void later(Runnable check) {
-        loop.schedule(check, ORPHAN_MS, TimeUnit.MILLISECONDS);
+    void scheduleAbandonedReplyCheck(Runnable check) {
+        loop.schedule(check, ABANDONED_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    void drains(Target target) {
+    void nodeDraining(Target target) {
         if (!target.isDraining() && target.isCurrent()) {
-            drains.accept(target.name());
+            drainListener.accept(target.name());
         }
     }
 
     private RespConnection oldestIdle() {
         RespConnection oldest = null;
         for (RespConnection c : connections) {
-            if (c.isIdle() && (oldest == null || c.idleSince - oldest.idleSince < 0)) {
+            if (c.isIdle() && (oldest == null || c.idleSinceNanos - oldest.idleSinceNanos < 0)) {
                 oldest = c;
             }
         }
@@ -198,31 +198,31 @@
     }
 
     @Override
-    public long idleNanos() {
+    public long longestIdleNanos() {
         RespConnection oldest = oldestIdle();
-        return oldest == null ? -1 : System.nanoTime() - oldest.idleSince;
+        return oldest == null ? -1 : System.nanoTime() - oldest.idleSinceNanos;
     }
 
     @Override
-    public void closeOldestIdle() {
+    public void closeLongestIdle() {
         oldestIdle().close();
     }
 
     /** Closes what has been idle for too long; runs as long as there are connections. */
-    private void sweepLater() {
-        if (!sweeping && idleMs < Long.MAX_VALUE / 1e6) {
-            sweeping = true;
-            loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+    private void scheduleIdleCheck() {
+        if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
+            idleCheckScheduled = true;
+            loop.schedule(this::closeExpired, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void sweep() {
+    private void closeExpired() {
         long now = System.nanoTime();
-        List.copyOf(connections).stream().filter(c -> c.isIdle() && (now - c.idleSince) / 1e6 >= idleMs)
+        List.copyOf(connections).stream().filter(c -> c.isIdle() && (now - c.idleSinceNanos) / 1e6 >= idleTimeoutMs)
                 .forEach(RespConnection::close);
-        sweeping = false;
+        idleCheckScheduled = false;
         if (!connections.isEmpty()) {
-            sweepLater();
+            scheduleIdleCheck();
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
@@ -30,27 +30,27 @@
 final class RespConnection extends ChannelInboundHandlerAdapter {
 
     /** What the key of a write begins with under which the store remembers it. */
-    private static final String GUARD = "ridge:once:";
+    private static final String DEDUPLICATION_KEY_PREFIX = "ridge:once:";
 
     private enum State { OPENING, HELLO, AUTH, READY, CLOSED }
 
-    private final RespBack back;
-    final RespBack.Target target;
-    private final Deque<RespExchange> waiting = new ArrayDeque<>();
-    private final Deque<RespExchange> out = new ArrayDeque<>();
+    private final RespBackend backend;
+    final RespBackend.Target target;
+    private final Deque<RespExchange> awaitingHandshake = new ArrayDeque<>();
+    private final Deque<RespExchange> awaitingReply = new ArrayDeque<>();
     private ChannelHandlerContext context;
     private State state = State.OPENING;
-    private boolean flushing;
+    private boolean flushScheduled;
     /** Commands that were given up and whose replies have not come. */
-    private int orphans;
+    private int abandonedReplies;
     /** One of those timed out: what is sent behind it would wait for it too. */
-    private boolean held;
+    private boolean blocked;
     /** Its rights are gone: it closes when all that is out has its reply. */
-    private boolean leaving;
-    long idleSince;
+    private boolean closing;
+    long idleSinceNanos;
 
-    RespConnection(RespBack back, RespBack.Target target) {
-        this.back = back;
+    RespConnection(RespBackend back, RespBackend.Target target) {
+        this.backend = back;
         this.target = target;
     }
 
@@ -64,22 +64,22 @@
     }
 
     /** Commands on it, those that were given up too. */
-    int load() {
-        return waiting.size() + out.size();
+    int pendingCommands() {
+        return awaitingHandshake.size() + awaitingReply.size();
     }
 
     /** Whether something that nobody waits for may go out on it. */
-    boolean hasLeisure() {
-        return state == State.READY && isUsable() && load() < RespBack.FEW;
+    boolean canSendInternal() {
+        return state == State.READY && isUsable() && pendingCommands() < RespBackend.NEW_CONNECTION_THRESHOLD;
     }
 
     /** Whether more may be sent on it: none that is silent holds it up. */
     boolean isUsable() {
-        return state != State.CLOSED && !held && !leaving;
+        return state != State.CLOSED && !blocked && !closing;
     }
 
     boolean isIdle() {
-        return state == State.READY && load() == 0;
+        return state == State.READY && pendingCommands() == 0;
     }
 
     void send(RespExchange exchange) {
@@ -87,15 +87,15 @@
         if (state == State.READY) {
             write(exchange);
         } else {
-            waiting.add(exchange);
+            awaitingHandshake.add(exchange);
         }
     }
 
     /** The connection is there: shows who we are and asks for the newer version before anything else. */
-    void opened(double tookMs) {
-        waiting.stream().filter(e -> e.attempt() != null).limit(1).forEach(e -> e.attempt().connected(tookMs));
+    void connected(double tookMs) {
+        awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1).forEach(e -> e.attempt().connected(tookMs));
         state = State.HELLO;
-        RespNodes nodes = back.nodes();
+        RespNodeConfig nodes = backend.nodeConfig();
         ByteBuf hello = context.alloc().buffer();
         if (nodes.password() == null) {
             RespWriter.write(hello, Resp.blobs("HELLO", "3"), RespWriter.V3);
@@ -107,50 +107,50 @@
     }
 
     /** It never came up. */
-    void refused() {
+    void connectFailed() {
         if (state != State.CLOSED) {
-            ended();
+            markClosed();
         }
     }
 
     private void write(RespExchange exchange) {
-        out.add(exchange);
-        exchange.handed = true;
-        context.write(message(exchange)).addListener(f -> {
+        awaitingReply.add(exchange);
+        exchange.queuedForWrite = true;
+        context.write(buildMessage(exchange)).addListener(f -> {
             if (f.isSuccess()) {
                 exchange.written = true;
-                if (exchange.attempt() != null && !needsGuard(exchange)) {
+                if (exchange.attempt() != null && !needsKeyClaim(exchange)) {
                     exchange.attempt().written();
                 }
             } else {
                 close();
             }
         });
-        flush();
+        scheduleFlush();
     }
 
     /** Flushed once for all that is written in one turn of the loop. */
-    private void flush() {
-        if (!flushing) {
-            flushing = true;
+    private void scheduleFlush() {
+        if (!flushScheduled) {
+            flushScheduled = true;
             context.executor().execute(() -> {
-                flushing = false;
+                flushScheduled = false;
                 context.flush();
             });
         }
     }
 
     /** A keyed write at a store that drops no repeats by itself, whose key the store has not taken yet. */
-    private boolean needsGuard(RespExchange exchange) {
-        return exchange.attempt() != null && !exchange.guarded && back.nodes().guardMs() > 0
+    private boolean needsKeyClaim(RespExchange exchange) {
+        return exchange.attempt() != null && !exchange.keyClaimed && backend.nodeConfig().deduplicationWindowMs() > 0
                 && exchange.attempt().command().write() && exchange.attempt().command().idempotencyKey() != null;
     }
 
-    private ByteBuf message(RespExchange exchange) {
+    private ByteBuf buildMessage(RespExchange exchange) {
         ByteBuf bytes = context.alloc().buffer();
         Attempt<Content> attempt = exchange.attempt();
-        if (exchange.note() != null) {
-            RespWriter.write(bytes, exchange.note(), RespWriter.V2);
+        if (exchange.internalCommand() != null) {
+            RespWriter.write(bytes, exchange.internalCommand(), RespWriter.V2);
             return bytes;
         }
         if (attempt == null) {
@@ -159,14 +159,14 @@
             return bytes;
         }
         Command<Content> command = attempt.command();
-        if (needsGuard(exchange)) {
+        if (needsKeyClaim(exchange)) {
             // Not the write itself: the store is asked whether it has seen the key.
-            RespWriter.write(bytes, Resp.blobs("SET", GUARD + command.idempotencyKey(), attempt.requestId(), "NX", "PX",
-                    Long.toString(Math.round(back.nodes().guardMs()))), RespWriter.V2);
+            RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(), attempt.requestId(), "NX", "PX",
+                    Long.toString(Math.round(backend.nodeConfig().deduplicationWindowMs()))), RespWriter.V2);
             return bytes;
         }
         int words = command.action() == Command.Action.WRITE ? 3 : 2;
-        if (back.nodes().dialect() == RespNodes.Dialect.FLEET) {
+        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET) {
             RespWriter.arrayHead(bytes, words + 6 + (command.idempotencyKey() == null ? 0 : 2));
             RespWriter.blob(bytes, "RIDGE.WITH");
             RespWriter.blob(bytes, "id");
@@ -197,25 +197,25 @@
 
     /** One was given up. Its place stays until its reply has come; alone on its connection it takes that along. */
     void abandoned(RespExchange exchange, boolean silent) {
-        if (waiting.remove(exchange)) {
+        if (awaitingHandshake.remove(exchange)) {
             return;
         }
-        boolean told = back.nodes().cancels() && exchange.attempt() != null && state == State.READY;
+        boolean told = backend.nodeConfig().supportsCancel() && exchange.attempt() != null && state == State.READY;
         if (told) {
             // Its reply comes in its place, so the connection stays whole and others on it are not held up for long.
             ByteBuf bytes = context.alloc().buffer();
             RespWriter.write(bytes, Resp.blobs("RIDGE.CANCEL", exchange.attempt().requestId()), RespWriter.V2);
             context.write(bytes);
-            flush();
-        } else if (out.stream().allMatch(RespExchange::isOver)) {
+            scheduleFlush();
+        } else if (awaitingReply.stream().allMatch(RespExchange::isEnded)) {
             close();
             return;
         }
-        orphans++;
-        held |= silent;
+        abandonedReplies++;
+        blocked |= silent;
         // Others may have their replies yet; one that stays away for too long holds all behind it up for good.
-        back.later(() -> {
-            if (out.contains(exchange)) {
+        backend.scheduleAbandonedReplyCheck(() -> {
+            if (awaitingReply.contains(exchange)) {
                 close();
             }
         });
@@ -226,55 +226,55 @@
         Resp reply = (Resp) message;
         try {
             if (reply instanceof Resp.Push push) {
-                pushed(push);
+                pushReceived(push);
             } else if (state == State.READY) {
-                replied(reply);
+                replyReceived(reply);
             } else {
-                greeted(reply);
+                handshakeReplyReceived(reply);
             }
         } finally {
             reply.release();
         }
     }
 
-    private void pushed(Resp.Push push) {
-        String kind = push.items().isEmpty() ? "" : Outcomes.word(push.items().get(0));
+    private void pushReceived(Resp.Push push) {
+        String kind = push.items().isEmpty() ? "" : ReplyClassifier.textOf(push.items().get(0));
         if (kind.equals("ridge.drain")) {
-            back.drains(target);
+            backend.nodeDraining(target);
         }
         // All others, such as invalidations, are of no use to one that keeps no values.
     }
 
-    private void greeted(Resp reply) {
+    private void handshakeReplyReceived(Resp reply) {
         if (reply instanceof Resp.Err error) {
             boolean older = state == State.HELLO && (error.code().equals("ERR") || error.code().equals("NOPROTO"));
             if (!older) {
                 Log.info("node " + target.name() + " takes no connection: " + error.text());
-                Outcome outcome = Outcomes.neverRan(error) ? Outcome.REJECTED : Outcome.CONNECT_FAILED;
-                drain(waiting).forEach(e -> e.end(outcome, null));
+                Outcome outcome = ReplyClassifier.isNotExecuted(error) ? Outcome.REJECTED : Outcome.CONNECT_FAILED;
+                drain(awaitingHandshake).forEach(e -> e.end(outcome, null));
                 close();
-            } else if (back.nodes().password() != null) {
+            } else if (backend.nodeConfig().password() != null) {
                 state = State.AUTH;
                 ByteBuf auth = context.alloc().buffer();
-                RespNodes nodes = back.nodes();
+                RespNodeConfig nodes = backend.nodeConfig();
                 RespWriter.write(auth, nodes.user() == null ? Resp.blobs("AUTH", nodes.password())
                         : Resp.blobs("AUTH", nodes.user(), nodes.password()), RespWriter.V2);
                 context.writeAndFlush(auth);
             } else {
-                ready();
+                handshakeCompleted();
             }
         } else {
-            ready();
+            handshakeCompleted();
         }
     }
 
-    private void ready() {
+    private void handshakeCompleted() {
         state = State.READY;
-        idleSince = System.nanoTime();
-        drain(waiting).forEach(e -> {
-            if (!e.isOver() && e.attempt() != null && !e.attempt().mayBeWritten()) {
+        idleSinceNanos = System.nanoTime();
+        drain(awaitingHandshake).forEach(e -> {
+            if (!e.isEnded() && e.attempt() != null && !e.attempt().mayBeWritten()) {
                 e.end(Outcome.NEVER_SENT, null);
-            } else if (!e.isOver()) {
+            } else if (!e.isEnded()) {
                 write(e);
             }
         });
@@ -286,60 +286,60 @@
         return all;
     }
 
-    private void replied(Resp reply) {
-        RespExchange exchange = out.poll();
+    private void replyReceived(Resp reply) {
+        RespExchange exchange = awaitingReply.poll();
         if (exchange == null || !exchange.written) {
             // Nothing was asked, or not yet: it can't be told whose this is, nor whose the next will be.
             if (exchange != null) {
-                out.addFirst(exchange);
+                awaitingReply.addFirst(exchange);
             }
-            spoilt("a reply to nothing");
+            protocolError("a reply to nothing");
             return;
         }
-        if (back.nodes().dialect() == RespNodes.Dialect.FLEET && exchange.attempt() != null && reply instanceof Resp.Attributed a
-                && !Outcomes.isOf(a, exchange.attempt().requestId())) {
-            out.addFirst(exchange);
-            spoilt("a reply to another call");
+        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET && exchange.attempt() != null && reply instanceof Resp.Attributed a
+                && !ReplyClassifier.matchesRequest(a, exchange.attempt().requestId())) {
+            awaitingReply.addFirst(exchange);
+            protocolError("a reply to another call");
             return;
         }
-        if (exchange.isOver()) {
-            orphans--;
-            held &= orphans > 0;
+        if (exchange.isEnded()) {
+            abandonedReplies--;
+            blocked &= abandonedReplies > 0;
         } else {
             Resp bare = reply instanceof Resp.Attributed a ? a.value() : reply;
-            if (needsGuard(exchange) && bare instanceof Resp.Simple) {
-                exchange.guarded = true;
+            if (needsKeyClaim(exchange) && bare instanceof Resp.Simple) {
+                exchange.keyClaimed = true;
                 exchange.written = false;
                 write(exchange);
-            } else if (needsGuard(exchange) && bare instanceof Resp.Null) {
+            } else if (needsKeyClaim(exchange) && bare instanceof Resp.Null) {
                 // Another has this key: whether its write ran is not known here, and a second one must not.
                 exchange.end(Outcome.ERROR, null);
             } else if (exchange.attempt() == null) {
                 exchange.end(bare instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
             } else {
-                Outcomes.Ended ended = Outcomes.of(reply, exchange.attempt().command().action(), back.nodes().missIsAnswer());
-                back.answered(target, exchange.attempt(), ended);
-                exchange.end(ended.outcome(), ended.answer());
+                ReplyClassifier.Result ended = ReplyClassifier.classify(reply, exchange.attempt().command().action(), backend.nodeConfig().missIsFinal());
+                backend.responseReceived(target, exchange.attempt(), ended);
+                exchange.end(ended.outcome(), ended.response());
             }
-            if (Outcomes.drains(bare)) {
-                back.drains(target);
+            if (ReplyClassifier.isDraining(bare)) {
+                backend.nodeDraining(target);
             }
-            leaving |= bare instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
+            closing |= bare instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
         }
-        if (out.isEmpty()) {
-            idleSince = System.nanoTime();
-            if (leaving || !target.isCurrent() || target.isDraining()) {
+        if (awaitingReply.isEmpty()) {
+            idleSinceNanos = System.nanoTime();
+            if (closing || !target.isCurrent() || target.isDraining()) {
                 close();
             }
         }
     }
 
     /** What came makes no sense. The first that waits may be what it was for; all may have run. */
-    private void spoilt(String why) {
+    private void protocolError(String why) {
         Log.info("connection to node " + target.name() + " closed: " + why);
         // What follows from the end of the first must not be sent on this one.
-        leaving = true;
-        RespExchange first = out.peek();
+        closing = true;
+        RespExchange first = awaitingReply.peek();
         if (first != null && first.written) {
             first.end(Outcome.ERROR, null);
         }
@@ -349,29 +349,29 @@
     /** Closes it: no more is sent on it from now on, and what is out on it ends as the connection's own end. */
     void close() {
         if (state != State.CLOSED) {
-            ended();
+            markClosed();
             context.close();
         }
     }
 
-    private void ended() {
+    private void markClosed() {
         state = State.CLOSED;
-        back.closed(this);
-        drain(out).forEach(RespExchange::broken);
-        drain(waiting).forEach(RespExchange::broken);
+        backend.connectionClosed(this);
+        drain(awaitingReply).forEach(RespExchange::connectionLost);
+        drain(awaitingHandshake).forEach(RespExchange::connectionLost);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (state != State.CLOSED) {
-            ended();
+            markClosed();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof RespException) {
-            spoilt(cause.getMessage());
+            protocolError(cause.getMessage());
         } else {
             if (!(cause instanceof IOException)) {
                 Log.error("a node's connection failed", cause);
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
@@ -12,21 +12,21 @@
 final class RespExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Backend.Listener<Content> done;
+    private final Backend.Listener<Content> listener;
     RespConnection connection;
-    Future<?> timer;
+    Future<?> timeout;
     /** Its bytes are with the connection, from when on nobody can hold them back. */
-    boolean handed;
+    boolean queuedForWrite;
     /** Its last byte is with the network, from when on the node may run it. */
     boolean written;
     /** The store has taken its key: the write itself may go out. */
-    boolean guarded;
+    boolean keyClaimed;
     /** What is to be written where there is no attempt: a copy that is stored or dropped. */
-    private final Resp note;
-    private boolean over;
+    private final Resp internalCommand;
+    private boolean ended;
 
     /** Something of the gateway's own, whose answer nobody needs. */
-    static RespExchange ofOwn(Resp note) {
+    static RespExchange internal(Resp note) {
         return new RespExchange(null, (outcome, answer) -> { }, note);
     }
 
@@ -36,13 +36,13 @@
 
     private RespExchange(Attempt<Content> attempt, Backend.Listener<Content> done, Resp note) {
         this.attempt = attempt;
-        this.done = done;
-        this.note = note;
+        this.listener = done;
+        this.internalCommand = note;
     }
 
     /** What is to be written where there is no attempt; null for a probe. */
-    Resp note() {
-        return note;
+    Resp internalCommand() {
+        return internalCommand;
     }
 
     /** The attempt to write; null for a probe. */
@@ -50,8 +50,8 @@
         return attempt;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
     @Override
@@ -61,33 +61,33 @@
 
     void timedOut() {
         // What is with the connection may still go out, so only one that is not has certainly not run.
-        abandon(handed ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+        abandon(queuedForWrite ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
     /** The connection first: what follows from the end must not be sent on one that this one holds up. */
     private void abandon(Outcome outcome) {
-        if (!over) {
-            over = true;
-            timer.cancel(false);
+        if (!ended) {
+            ended = true;
+            timeout.cancel(false);
             if (connection != null) {
                 connection.abandoned(this, outcome == Outcome.TIMEOUT);
             }
-            done.ended(outcome, null);
+            listener.ended(outcome, null);
         }
     }
 
     /** The connection ended under it: a command of which not every byte went out can't be read by the node. */
-    void broken() {
+    void connectionLost() {
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
     void end(Outcome outcome, NodeResponse<Content> answer) {
-        if (!over) {
-            over = true;
-            if (timer != null) {
-                timer.cancel(false);
+        if (!ended) {
+            ended = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            done.ended(outcome, answer);
+            listener.ended(outcome, answer);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespNodes.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespNodeConfig.java
@@ -6,20 +6,20 @@
  * @param dialect what they understand
  * @param user by which the gateway shows who it is; null with a password alone
  * @param password null where none is asked for
- * @param missIsAnswer whether a node that has no value has given the answer: there is no store to ask
- * @param store the node that is the store, by name; null where there is none
- * @param fillMs for how long a copy stays that the gateway stores at a plain node after a miss, in milliseconds; 0 for
+ * @param missIsFinal whether a node that has no value has given the answer: there is no store to ask
+ * @param originNode the node that is the store, by name; null where there is none
+ * @param copyTtlMs for how long a copy stays that the gateway stores at a plain node after a miss, in milliseconds; 0 for
  *     no copies
- * @param guardMs for how long the store remembers a keyed write's key on the gateway's behalf, in milliseconds; 0 where it
+ * @param deduplicationWindowMs for how long the store remembers a keyed write's key on the gateway's behalf, in milliseconds; 0 where it
  *     is not asked to
- * @param cancels whether nodes understand {@code RIDGE.CANCEL id}, which has no reply: they stop that call if they can, and
+ * @param supportsCancel whether nodes understand {@code RIDGE.CANCEL id}, which has no reply: they stop that call if they can, and
  *     answer it in its place
  */
-public record RespNodes(Dialect dialect, String user, String password, boolean missIsAnswer, String store, double fillMs,
-                        double guardMs, boolean cancels) {
+public record RespNodeConfig(Dialect dialect, String user, String password, boolean missIsFinal, String originNode, double copyTtlMs,
+                        double deduplicationWindowMs, boolean supportsCancel) {
 
     /** Nodes that understand no cancel. */
-    public RespNodes(Dialect dialect, String user, String password, boolean missIsAnswer, String store, double fillMs,
+    public RespNodeConfig(Dialect dialect, String user, String password, boolean missIsAnswer, String store, double fillMs,
                      double guardMs) {
         this(dialect, user, password, missIsAnswer, store, fillMs, guardMs, false);
     }
--- a/gateway/src/main/java/ridgemill/gateway/console/Console.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/Console.java
@@ -18,18 +18,18 @@
 public final class Console {
 
     /** Callers that may be there at a time; their descriptors are among those that clients can't take. */
-    public static final int PLACES = 16;
+    public static final int MAX_CALLERS = 16;
 
     private final EventLoop loop;
-    private final BoundedConnections<Channel> callers = new BoundedConnections<>(PLACES);
+    private final BoundedConnections<Channel> callers = new BoundedConnections<>(MAX_CALLERS);
     private final Supplier<Readiness> readiness;
-    private final Supplier<ProxyMetrics> figures;
+    private final Supplier<ProxyMetrics> metrics;
 
     /** A console that reads what it tells when it is asked. */
     public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> figures) {
         this.loop = loop;
         this.readiness = readiness;
-        this.figures = figures;
+        this.metrics = figures;
     }
 
     /** Starts to listen; the future fails where the address can't be had. From any thread. */
@@ -37,13 +37,13 @@
         return Transport.TCP.server(loop).childHandler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                take(channel);
+                accept(channel);
             }
         }).bind(address);
     }
 
-    private void take(Channel channel) {
-        ConsoleCall.install(channel, this);
+    private void accept(Channel channel) {
+        ConsoleRequestHandler.install(channel, this);
         Channel goes = callers.add(channel);
         channel.closeFuture().addListener(f -> callers.remove(channel));
         if (goes != null) {
@@ -55,7 +55,7 @@
         return readiness.get();
     }
 
-    ProxyMetrics figures() {
-        return figures.get();
+    ProxyMetrics metrics() {
+        return metrics.get();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/console/ConsoleCall.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/ConsoleRequestHandler.java
@@ -25,27 +25,27 @@
 import ridgemill.monitoring.Readiness;
 
 /** One call of an operator. The first head that is whole is answered, and the connection's end follows. */
-final class ConsoleCall extends SimpleChannelInboundHandler<HttpObject> {
+final class ConsoleRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-    static final String STATUS = "/status";
-    static final String METRICS = "/status/metrics";
-    private static final String TEXT = "text/plain";
-    private static final String JSON = "application/json";
+    static final String STATUS_PATH = "/status";
+    static final String METRICS_PATH = "/status/metrics";
+    private static final String TEXT_TYPE = "text/plain";
+    private static final String JSON_TYPE = "application/json";
     /** How long a caller may stay in all: longer than any that means to say something. */
-    private static final long STAYS_MS = 5000;
+    private static final long MAX_CONNECTION_MS = 5000;
     /** How long what a caller still sends is read: closing on unread input would take the answer from it. */
     private static final long LINGER_MS = 1000;
 
     private final Console console;
-    private boolean answered;
+    private boolean responded;
 
-    private ConsoleCall(Console console) {
+    private ConsoleRequestHandler(Console console) {
         this.console = console;
     }
 
     static void install(Channel channel, Console console) {
-        channel.pipeline().addLast(new StrictHttp.Requests(), new HttpResponseEncoder(), new ConsoleCall(console));
-        closeAfter(channel, STAYS_MS);
+        channel.pipeline().addLast(new StrictHttp.Requests(), new HttpResponseEncoder(), new ConsoleRequestHandler(console));
+        closeAfter(channel, MAX_CONNECTION_MS);
     }
 
     private static void closeAfter(Channel channel, long ms) {
@@ -57,37 +57,37 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        if (answered || !(message instanceof HttpRequest request)) {
+        if (responded || !(message instanceof HttpRequest request)) {
             return;
         }
         if (request.decoderResult().isFailure()) {
             boolean tooLong = request.decoderResult().cause() instanceof TooLongFrameException;
-            answer(ctx, tooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, TEXT,
+            respond(ctx, tooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, TEXT_TYPE,
                     tooLong ? "the head is too long" : "this is no request");
             return;
         }
         String path = Targets.path(request.uri());
-        if (!path.equals(STATUS) && !path.equals(METRICS)) {
-            answer(ctx, HttpResponseStatus.NOT_FOUND, TEXT, "there are " + STATUS + " and " + METRICS);
+        if (!path.equals(STATUS_PATH) && !path.equals(METRICS_PATH)) {
+            respond(ctx, HttpResponseStatus.NOT_FOUND, TEXT_TYPE, "there are " + STATUS_PATH + " and " + METRICS_PATH);
         } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
-            answer(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, TEXT, "only GET is answered here");
-        } else if (path.equals(METRICS)) {
-            answer(ctx, HttpResponseStatus.OK, JSON, FigureText.json(console.figures()));
+            respond(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, TEXT_TYPE, "only GET is answered here");
+        } else if (path.equals(METRICS_PATH)) {
+            respond(ctx, HttpResponseStatus.OK, JSON_TYPE, MetricsJson.format(console.metrics()));
         } else {
             Readiness now = console.readiness();
-            answer(ctx, now.serves() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, JSON, status(now));
+            respond(ctx, now.serves() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, JSON_TYPE, statusJson(now));
         }
     }
 
-    private static String status(Readiness now) {
+    private static String statusJson(Readiness now) {
         JsonObject o = new JsonObject();
         o.addProperty("ready", now.serves());
         o.addProperty("state", now.description());
         return o.toString();
     }
 
-    private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String type, String line) {
-        answered = true;
+    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String type, String line) {
+        responded = true;
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), line + "\n");
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type).setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
--- a/gateway/src/main/java/ridgemill/gateway/console/FigureText.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/MetricsJson.java
@@ -5,11 +5,11 @@
 import ridgemill.monitoring.ProxyMetrics;
 
 /** Figures as the operators' page names them. */
-final class FigureText {
+final class MetricsJson {
 
-    private FigureText() { }
+    private MetricsJson() { }
 
-    static String json(ProxyMetrics figures) {
+    static String format(ProxyMetrics figures) {
         JsonObject o = new JsonObject();
         o.add("passed", byClass(figures.served()));
         o.add("dropped", byClass(figures.refused()));
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
@@ -15,7 +15,7 @@
     private ControlClient() { }
 
     /** Sends a command and returns the whole answer; throws where no proxy answers at the socket. */
-    public static String ask(Path socket, String command) throws IOException {
+    public static String send(Path socket, String command) throws IOException {
         try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             ByteBuffer line = ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.UTF_8));
             while (line.hasRemaining()) {
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
@@ -33,9 +33,9 @@
  */
 public final class ControlServer {
 
-    private static final int MOST_LINE = 256;
-    private static final int MOST_CLIENTS = 8;
-    private static final long READ_S = 5;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int MAX_CLIENTS = 8;
+    private static final long TIMEOUT_SECONDS = 5;
 
     private final Path path;
     private final Channel listener;
@@ -48,15 +48,15 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (clients >= MOST_CLIENTS) {
+                        if (clients >= MAX_CLIENTS) {
                             channel.close();
                             return;
                         }
                         clients++;
                         channel.closeFuture().addListener(f -> clients--);
-                        channel.pipeline().addLast(new ReadTimeoutHandler(READ_S, TimeUnit.SECONDS),
-                                new LineBasedFrameDecoder(MOST_LINE), new StringDecoder(StandardCharsets.UTF_8),
-                                new Command(commands));
+                        channel.pipeline().addLast(new ReadTimeoutHandler(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                                new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringDecoder(StandardCharsets.UTF_8),
+                                new CommandHandler(commands));
                     }
                 }).bind(SocketKind.of(loop).localAddress(path)).await();
         if (!bound.isSuccess()) {
@@ -78,7 +78,7 @@
             if (!Files.readAttributes(path, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS).isOther()) {
                 throw new IOException("cannot listen on " + path + ": it is there and is no socket");
             }
-            if (isAnswered(path)) {
+            if (acceptsConnections(path)) {
                 throw new IOException("cannot listen on " + path + ": another proxy does");
             }
             Files.delete(path);
@@ -86,7 +86,7 @@
         return new ControlServer(path, loop, commands);
     }
 
-    private static boolean isAnswered(Path path) {
+    private static boolean acceptsConnections(Path path) {
         try (SocketChannel there = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
             return there.isConnected();
         } catch (IOException e) {
@@ -96,7 +96,7 @@
 
     /** Listens no more, and takes the socket away. */
     public void close() {
-        listener.close().awaitUninterruptibly(READ_S, TimeUnit.SECONDS);
+        listener.close().awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
@@ -105,20 +105,20 @@
     }
 
     /** One connection's one command. */
-    private static final class Command extends SimpleChannelInboundHandler<String> {
+    private static final class CommandHandler extends SimpleChannelInboundHandler<String> {
         private final Function<String, CompletionStage<String>> commands;
-        private boolean taken;
+        private boolean received;
 
-        Command(Function<String, CompletionStage<String>> commands) {
+        CommandHandler(Function<String, CompletionStage<String>> commands) {
             this.commands = commands;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            if (taken) {
+            if (received) {
                 return;
             }
-            taken = true;
+            received = true;
             ctx.pipeline().remove(ReadTimeoutHandler.class);
             commands.apply(line.trim()).exceptionally(e -> {
                 Log.error("a control command failed", e);
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ridgemill.gateway.Service;
-import ridgemill.gateway.back.NodeBack;
-import ridgemill.gateway.back.NodePool;
+import ridgemill.gateway.back.NodeBackend;
+import ridgemill.gateway.back.NodeConnectionPool;
 import ridgemill.gateway.back.http.HttpNodeConnection;
-import ridgemill.gateway.back.resp.RespBack;
-import ridgemill.gateway.back.resp.RespNodes;
+import ridgemill.gateway.back.resp.RespBackend;
+import ridgemill.gateway.back.resp.RespNodeConfig;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.lease.SharedRegistryReader;
 import ridgemill.gateway.membership.HostList;
@@ -252,16 +252,16 @@
         return lines;
     }
 
-    private NodeBack back(NodeGroup g) {
+    private NodeBackend back(NodeGroup g) {
         double connectMs = settings.limits().connectTimeoutMs();
         double idleMs = settings.connectionCosts().idleTimeoutMs();
         boolean missIsAnswer = g.store() == null;
         if (g.resp() == null) {
-            return new NodePool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
+            return new NodeConnectionPool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
                     service.nodeSockets());
         }
-        return new RespBack(service.loop(), Transport.TCP, new RespNodes(g.resp().plain() ? RespNodes.Dialect.PLAIN
-                : RespNodes.Dialect.FLEET, g.resp().user(), g.resp().password(), missIsAnswer, g.store() == null ? null : STORE,
+        return new RespBackend(service.loop(), Transport.TCP, new RespNodeConfig(g.resp().plain() ? RespNodeConfig.Dialect.PLAIN
+                : RespNodeConfig.Dialect.FLEET, g.resp().user(), g.resp().password(), missIsAnswer, g.store() == null ? null : STORE,
                 g.resp().fillMs(), g.resp().guardMs(), g.resp().cancels()), connectMs, idleMs, service.nodeSockets(),
                 node -> drains(g.name(), node));
     }
--- a/gateway/src/test/java/ridgemill/gateway/ConsoleTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/ConsoleTest.java
@@ -130,7 +130,7 @@
     @Test
     void callersThatStayKeepNobodyOut() throws Exception {
         List<Peer.Wire> stay = new ArrayList<>();
-        for (int i = 0; i < 3 * Console.PLACES; i++) {
+        for (int i = 0; i < 3 * Console.MAX_CALLERS; i++) {
             stay.add(Peer.connect(site.service.consoleListening()));
             stay.get(i).write(i % 2 == 0 ? "" : "GET /status/met");
             if (i % 5 == 0) {
--- a/gateway/src/test/java/ridgemill/gateway/IdleAgesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/IdleAgesTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.core.Attempt;
 import ridgemill.core.Command;
-import ridgemill.gateway.back.NodePool;
-import ridgemill.gateway.back.Sockets;
+import ridgemill.gateway.back.NodeConnectionPool;
+import ridgemill.gateway.back.ConnectionLimit;
 import ridgemill.gateway.back.http.HttpNodeConnection;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Content;
@@ -42,16 +42,16 @@
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final Set<Integer> known = new HashSet<>();
     private Peer node;
-    private NodePool pool;
+    private NodeConnectionPool pool;
     private EventLoop loop;
 
     @BeforeEach
     void start() throws Exception {
         node = new Peer();
         loop = group.next();
-        pool = new NodePool(loop, Transport.TCP, HttpNodeConnection::new, 5000, 60_000, new Sockets(100), nanos::get);
+        pool = new NodeConnectionPool(loop, Transport.TCP, HttpNodeConnection::new, 5000, 60_000, new ConnectionLimit(100), nanos::get);
         Node named = new Node("c0", "std", "a", 0, 1, 0, Availability.UP);
-        loop.submit(() -> pool.list(new HostList(1, true, List.of(new HostList.Host(named, node.address()))))).get();
+        loop.submit(() -> pool.applyHostList(new HostList(1, true, List.of(new HostList.Host(named, node.address()))))).get();
     }
 
     @AfterEach
@@ -104,7 +104,7 @@
     /** Waits until the connection's rest is over, which its clock and a timer of the loop end. */
     private void rested() throws Exception {
         nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(5));
-        while (!loop.submit(pool::isRested).get()) {
+        while (!loop.submit(pool::isCooldownOver).get()) {
             loop.schedule(() -> { }, 1, TimeUnit.MILLISECONDS).get();
         }
     }
--- a/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
@@ -116,7 +116,7 @@
     }
 
     private JsonObject command(String command) throws IOException {
-        return JsonParser.parseString(ControlClient.ask(socket(), command)).getAsJsonObject();
+        return JsonParser.parseString(ControlClient.send(socket(), command)).getAsJsonObject();
     }
 
     @AfterEach
@@ -165,7 +165,7 @@
         assertNotNull(command("status"));
         operated.closeControl();
         assertFalse(Files.exists(socket()));
-        assertThrows(IOException.class, () -> ControlClient.ask(socket(), "status"));
+        assertThrows(IOException.class, () -> ControlClient.send(socket(), "status"));
     }
 
     @Test
--- a/lab/src/main/java/ridgemill/lab/ControlAnswer.java
+++ b/lab/src/main/java/ridgemill/lab/ControlAnswer.java
@@ -13,6 +13,6 @@
 
     /** Asks; throws where nobody answers there. */
     public static JsonObject of(Path socket, String command) throws IOException {
-        return JsonParser.parseString(ControlClient.ask(socket, command)).getAsJsonObject();
+        return JsonParser.parseString(ControlClient.send(socket, command)).getAsJsonObject();
     }
 }
