--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -33,11 +33,11 @@
 import ridgemill.core.Dispatcher;
 import ridgemill.core.Intake;
 import ridgemill.core.PlatformAdmissionController;
-import ridgemill.gateway.back.NodePool;
-import ridgemill.gateway.back.Sockets;
+import ridgemill.gateway.back.NodeConnectionPool;
+import ridgemill.gateway.back.ConnectionLimit;
 import ridgemill.gateway.back.http.HttpNodeConnection;
 import ridgemill.gateway.front.ClientTable;
-import ridgemill.gateway.front.http.HttpFront;
+import ridgemill.gateway.front.http.HttpFrontend;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.Content;
@@ -122,14 +122,14 @@
     }
 
     private void start() throws InterruptedException {
-        NodePool pool = new NodePool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
-                settings.connectionCosts().idleTimeoutMs(), new Sockets(NODES * AT_ONCE));
+        NodeConnectionPool pool = new NodeConnectionPool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
+                settings.connectionCosts().idleTimeoutMs(), new ConnectionLimit(NODES * AT_ONCE));
         LoopTimers timers = new LoopTimers(loop, new Clock());
         Intake<Content> intake = new Intake<>(timers, new PlatformAdmissionController(settings));
         Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
                 intake::requestFinished, AT_ONCE + 1);
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        HttpFront clients = new HttpFront(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
+        HttpFrontend clients = new HttpFrontend(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = 0; i <= NODES; i++) {
             boolean origin = i == NODES && settings.originModel() != null;
@@ -140,7 +140,7 @@
         loop.submit(() -> {
             HostList list = new HostList(1, true, hosts);
             dispatcher.start();
-            pool.list(list);
+            pool.applyHostList(list);
             dispatcher.updateNodes(ListUpdateKind.FULL, list.version(), list.nodes());
         }).sync();
         SocketAddress front = clients.listen(transport, place()).sync().channel().localAddress();
