--- a/cdn/src/main/java/ridgemill/cdn/app/ClassArchiveTraining.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/ClassArchiveTraining.java
@@ -9,8 +9,9 @@
 import java.util.stream.Stream;
 
 /**
- * Starts all three programs in one process on loopback, serves some requests with them and ends. The build runs it to
- * archive the classes that a start loads; what it leaves out, each start has to read from the jar and check.
+ * Starts all programs in one process on loopback, serves some requests with them and ends. The build runs it (command
+ * {@code rehearse}) to create the class archive. Each start has to load and verify classes that are missing in the
+ * archive from the jar.
  */
 final class ClassArchiveTraining {
 
@@ -26,7 +27,7 @@
         this.system = system;
     }
 
-    /** Runs it; the process ends with it. */
+    /** Runs the training. The process ends afterwards. */
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("ridgemill-rehearsal");
         try (LoopbackInstance instance = new LoopbackInstance(LOOPBACK)) {
@@ -77,7 +78,7 @@
             }
             Thread.sleep(PAUSE_MS);
         }
-        throw new IOException("the rehearsal's call was never answered with " + OK);
+        throw new IOException("a request of the training run never got status " + OK);
     }
 
     private static void delete(Path folder) {
--- a/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The whole system on this machine's loopback, with commands to try: three core machines, an edge proxy, two instances. */
+/**
+ * Runs the whole system on loopback addresses, for trying it out by hand: three core machines, an edge proxy, a shared
+ * cache and two instances.
+ */
 final class Demonstration {
 
     private static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
@@ -26,7 +29,7 @@
         this.system = system;
     }
 
-    /** Runs until its input ends or the process is ended. */
+    /** Runs until standard input ends or the process is stopped. */
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("ridgemill-demonstration");
         LoopbackSystem system = new LoopbackSystem(folder, HOSTS);
--- a/cdn/src/main/java/ridgemill/cdn/app/LoopbackInstance.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/LoopbackInstance.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in for an instance of a service: answers each request with a text that counts its runs. */
+/** A stub instance of a service. Responds to each request with a text that contains the number of requests so far. */
 final class LoopbackInstance implements AutoCloseable {
 
     private static final String ID_HEADER = "x-attempt-id: ";
@@ -19,13 +19,13 @@
     private final ServerSocket listener;
     private final AtomicInteger runs = new AtomicInteger();
 
-    /** Listens at a free port of an address. */
+    /** Starts listening at a free port of an address. */
     LoopbackInstance(String host) throws IOException {
         listener = new ServerSocket(0, BACKLOG, InetAddress.getByName(host));
         start("instance", this::accept);
     }
 
-    /** Where it takes requests, as {@code IP:port}. */
+    /** Returns the address of the instance, as {@code IP:port}. */
     String address() {
         return listener.getInetAddress().getHostAddress() + ':' + listener.getLocalPort();
     }
@@ -43,7 +43,7 @@
                 start("instance-connection", () -> serve(socket));
             }
         } catch (IOException closed) {
-            // The listener is closed: nothing is to be served any more.
+            // The listener was closed.
         }
     }
 
@@ -54,7 +54,7 @@
             int read = in.read(buffer);
             while (read > 0) {
                 String head = new String(buffer, 0, read, StandardCharsets.ISO_8859_1);
-                socket.getOutputStream().write(answer(head).getBytes(StandardCharsets.ISO_8859_1));
+                socket.getOutputStream().write(responseTo(head).getBytes(StandardCharsets.ISO_8859_1));
                 read = in.read(buffer);
             }
         } catch (IOException ended) {
@@ -62,7 +62,7 @@
         }
     }
 
-    private String answer(String head) {
+    private String responseTo(String head) {
         int at = head.toLowerCase(Locale.ROOT).indexOf(ID_HEADER);
         if (at < 0) {
             return "HTTP/1.1 400 Bad Request\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
--- a/cdn/src/main/java/ridgemill/cdn/app/LoopbackSystem.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/LoopbackSystem.java
@@ -24,15 +24,18 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
-/** The programs on loopback addresses in one process: any number of core machines, one edge proxy, one shared cache. */
+/**
+ * Runs the programs on loopback addresses in one process: any number of core machines, one edge proxy, one shared
+ * cache.
+ */
 final class LoopbackSystem {
 
-    /** The host that the example configuration has a service for. */
+    /** The host name of the routes in the example configuration. */
     static final String HOST = "a.example";
 
-    private static final int LOWEST_PORT = 12_000;
-    private static final int HIGHEST_PORT = 32_000;
-    /** Ports from the first one on: front, readiness, control, registry, store, shared cache. */
+    private static final int MIN_PORT = 12_000;
+    private static final int MAX_PORT = 32_000;
+    /** The number of consecutive ports: clients, readiness, control, registry, store, shared cache. */
     private static final int PORT_COUNT = 6;
 
     private final Path folder;
@@ -46,9 +49,9 @@
     private record CoreMachine(StoreProgram store, RegistryProgram registry) {}
 
     /**
-     * A system that is not started.
+     * Creates a system that is not started.
      *
-     * @param folder where the core machines keep their state
+     * @param folder the parent of the data folders of the core machines
      * @param hosts the loopback addresses of the core machines; the edge proxy is at the first one
      */
     LoopbackSystem(Path folder, List<String> hosts) {
@@ -59,7 +62,7 @@
 
     private int freePorts() {
         while (true) {
-            int first = ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT);
+            int first = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
             if (areFree(first)) {
                 return first;
             }
@@ -71,7 +74,7 @@
             for (int port = first; port < first + PORT_COUNT; port++) {
                 try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName(host))) {
                     socket.getLocalPort();
-                } catch (IOException taken) {
+                } catch (IOException inUse) {
                     return false;
                 }
             }
@@ -101,7 +104,7 @@
         new CacheProgram(settings(0, true), loop(), sockets, clock, metrics).start();
     }
 
-    /** The edge proxy's figures as text. */
+    /** Returns the metrics as text. */
     String metricsText() {
         return metrics.scrape();
     }
@@ -116,7 +119,7 @@
         core.set(machine, new CoreMachine(store, registry));
     }
 
-    /** Ends the programs of a core machine. */
+    /** Stops the programs of a core machine. */
     void stopCore(int machine) {
         core.get(machine).registry().stop();
         core.get(machine).store().stop();
@@ -172,7 +175,10 @@
         return SettingsReader.parse(text, "loopback").get();
     }
 
-    /** An example: one route that may be cached and one for keyed operations, both to the service {@code s}. */
+    /**
+     * Returns an example configuration: one cacheable route and one for keyed operations, both to the service {@code
+     * s}.
+     */
     static String configuration() {
         return """
                 {"upsert":{"routeTable":{
@@ -188,7 +194,7 @@
                 """;
     }
 
-    /** A heartbeat of an instance of the service {@code s}. */
+    /** Returns a heartbeat of an instance of the service {@code s}. */
     static String heartbeat(String address, long sequence) {
         return """
                 {"address":"%s","information":{"service":"s","version":"v1","zone":"a","slotCount":32},
@@ -197,9 +203,9 @@
     }
 
     /**
-     * An answer to a request.
+     * A response to a request.
      *
-     * @param status the status, or 0 if there was no answer
+     * @param status the status, or 0 if there was no response
      * @param body the body
      */
     record HttpResult(int status, String body) {
@@ -208,20 +214,20 @@
         private static final int STATUS_END = STATUS_AT + 3;
         private static final String HEAD_END = "\r\n\r\n";
 
-        private static HttpResult parse(String answer) {
-            int headEnd = answer.indexOf(HEAD_END);
+        private static HttpResult parse(String response) {
+            int headEnd = response.indexOf(HEAD_END);
             return headEnd < STATUS_END
                     ? new HttpResult(0, "")
                     : new HttpResult(
-                            Integer.parseInt(answer.substring(STATUS_AT, STATUS_END)),
-                            answer.substring(headEnd + HEAD_END.length()));
+                            Integer.parseInt(response.substring(STATUS_AT, STATUS_END)),
+                            response.substring(headEnd + HEAD_END.length()));
         }
     }
 
     /**
-     * Sends one request on a connection of its own and waits for the answer.
+     * Sends one request on a new connection and waits for the response.
      *
-     * @param headers further header lines, each with its end
+     * @param headers further header lines, each with its line end
      */
     HttpResult exchange(int machine, int port, String method, String path, String headers, String body) {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
@@ -237,7 +243,7 @@
         }
     }
 
-    /** The status of the answer to a request, see {@link #exchange}. */
+    /** Returns the status of the response to a request, see {@link #exchange}. */
     int call(int machine, int port, String method, String path, String headers, String body) {
         return exchange(machine, port, method, path, headers, body).status();
     }
--- a/cdn/src/main/java/ridgemill/cdn/app/Main.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Main.java
@@ -13,7 +13,7 @@
 import ridgemill.cdn.settings.SettingsError;
 import ridgemill.cdn.settings.SettingsReader;
 
-/** The command line of the system's programs. Bad input is one line on standard error and exit code 2. */
+/** The command line of the CDN programs. Invalid input causes one line on standard error and exit code 2. */
 public final class Main {
 
     private static final String SETTINGS_VARIABLE = "RIDGEMILL_CONFIG";
@@ -29,10 +29,10 @@
 
     private Main() {}
 
-    /** Runs the program that the command line names. */
+    /** Runs the command that is given on the command line. */
     public static void main(String[] arguments) throws Exception {
-        // The usual command line of a deployment is one word: reading it by hand spares each start the parser's
-        // classes.
+        // The usual command lines of a deployment are handled without the parser, which saves loading its classes at
+        // each start.
         if (arguments.length == 1 && !arguments[0].startsWith("-")) {
             run(arguments[0], settingsPath(), Option.none());
             return;
@@ -64,7 +64,7 @@
             return;
         }
         if (line.getArgs().length != 1) {
-            fail("one command is needed: " + USAGE);
+            fail("exactly one command is required: " + USAGE);
         }
         run(
                 line.getArgs()[0],
@@ -82,8 +82,8 @@
     }
 
     private static Path settingsPath() {
-        String named = System.getenv(SETTINGS_VARIABLE);
-        return Path.of(named == null || named.isEmpty() ? DEFAULT_SETTINGS : named);
+        String configuredPath = System.getenv(SETTINGS_VARIABLE);
+        return Path.of(configuredPath == null || configuredPath.isEmpty() ? DEFAULT_SETTINGS : configuredPath);
     }
 
     private static void run(String command, Path settingsPath, Option<MetricsEndpoint> metrics) throws Exception {
@@ -104,11 +104,11 @@
     }
 
     private static Option<MetricsEndpoint> metrics(String text) {
-        Option<MetricsEndpoint> place = MetricsEndpoint.parse(text);
-        if (place.isEmpty()) {
+        Option<MetricsEndpoint> endpoint = MetricsEndpoint.parse(text);
+        if (endpoint.isEmpty()) {
             fail("--" + METRICS + " takes PORT/PATH, not " + text);
         }
-        return place;
+        return endpoint;
     }
 
     private static String version() {
--- a/cdn/src/main/java/ridgemill/cdn/app/Process.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Process.java
@@ -19,7 +19,7 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
-/** One of the programs as a process of its own: its event loop, its signals, its end. */
+/** Runs one of the programs as a process, with its event loop, signal handling and shutdown. */
 final class Process {
 
     private static final System.Logger LOG = System.getLogger(Process.class.getName());
@@ -72,33 +72,38 @@
         }));
     }
 
-    /** Starts a program. An address that is taken is the operator's fault and ends the process with one line. */
+    /**
+     * Starts a program. An address that cannot be bound is an operator error, which ends the process with one line of
+     * text.
+     */
     private void started(Runnable start) {
         try {
             start.run();
             metricsEndpoint.forEach(this::serveMetrics);
         } catch (RuntimeException failed) {
-            boolean taken = failed instanceof ChannelException
+            boolean bindFailed = failed instanceof ChannelException
                     || failed.getCause() instanceof ChannelException
                     || failed.getCause() instanceof IOException;
-            if (taken) {
+            if (bindFailed) {
                 Main.fail("can't listen: " + failed.getMessage());
             }
             throw failed;
         }
     }
 
-    private void serveMetrics(MetricsEndpoint place) {
-        InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), place.port());
-        MetricsServer.listen(loop, sockets, address, place.path(), metrics);
+    private void serveMetrics(MetricsEndpoint endpoint) {
+        InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), endpoint.port());
+        MetricsServer.listen(loop, sockets, address, endpoint.path(), metrics);
     }
 
-    private void onSignals(Runnable termination) {
-        Signals.onTermination(termination);
+    private void onSignals(Runnable onTermination) {
+        Signals.onTermination(onTermination);
         Signals.onHangup(this::checkSettings);
     }
 
-    /** Reads the settings file again and logs whether it is good; the process goes on with those it started with. */
+    /**
+     * Reads the settings file again and logs whether it is valid. The process keeps the settings that it started with.
+     */
     private void checkSettings() {
         SettingsReader.read(settingsPath)
                 .peek(read -> LOG.log(System.Logger.Level.INFO, "event=settings_read machine=" + read.nodeName()))
--- a/cdn/src/main/java/ridgemill/cdn/app/Signals.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Signals.java
@@ -5,20 +5,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Runs tasks when the process gets a signal. The Java machine's interface to signals is supported but not standard. The
- * compiler warns of each use by name, and that can't be switched off, so it is looked up by reflection.
+ * Runs tasks when the process receives a signal. The signal API of the JVM ({@code sun.misc.Signal}) is supported but
+ * not standard. The compiler warns about each direct use, and the warning cannot be suppressed, so the API is used
+ * through reflection.
  */
 final class Signals {
 
     private Signals() {}
 
-    /** Runs a task, in a thread of its own, each time the process is asked to end. */
+    /** Runs a task on a separate thread at each termination signal (SIGTERM or SIGINT). */
     static void onTermination(Runnable task) {
         on("TERM", task);
         on("INT", task);
     }
 
-    /** Runs a task, in a thread of its own, at each hangup signal. */
+    /** Runs a task on a separate thread at each hangup signal (SIGHUP). */
     static void onHangup(Runnable task) {
         on("HUP", task);
     }
@@ -32,11 +33,11 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), handling);
         } catch (ReflectiveOperationException missing) {
-            throw new IllegalStateException("the signal " + name + " can't be handled here", missing);
+            throw new IllegalStateException("cannot install a handler for signal " + name, missing);
         }
     }
 
-    /** What a handler of signals does: the task, and what each object has to answer. */
+    /** Implements the signal handler: the task, and the methods of each object. */
     private record TaskHandler(Runnable task) implements InvocationHandler {
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeReader.java
@@ -21,7 +21,7 @@
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
 
-/** Reads changes of the configuration from JSON and checks their form against the schema. */
+/** Parses changes of the configuration from JSON and validates them against the schema. */
 public final class ChangeReader {
 
     private static final String SCHEMA = "configuration.schema.json";
@@ -29,7 +29,7 @@
     private static final String SERVICES = "serviceTable";
     private static final String LIMITS = "limits";
 
-    /** Numbers keep the digits they were sent with, trailing zeros included. */
+    /** Numbers keep the digits that they were sent with, including trailing zeros. */
     private final ObjectMapper json = new ObjectMapper()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
@@ -38,7 +38,7 @@
 
     private final JsonSchema schema;
 
-    /** A reader with the schema that this build brings. */
+    /** Creates a reader with the bundled schema. */
     public ChangeReader() {
         try (InputStream in = ChangeReader.class.getResourceAsStream(SCHEMA)) {
             schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Reads a change. */
+    /** Parses a change. Returns the first error if the body is not a valid change. */
     public Either<InvalidChange, ConfigurationChange> read(byte[] body) {
         JsonNode root;
         try {
@@ -59,9 +59,9 @@
         if (root == null || !root.isObject()) {
             return Either.left(new InvalidChange("", "the body is no JSON object"));
         }
-        Set<ValidationMessage> faults = schema.validate(root);
-        if (!faults.isEmpty()) {
-            ValidationMessage first = faults.iterator().next();
+        Set<ValidationMessage> errors = schema.validate(root);
+        if (!errors.isEmpty()) {
+            ValidationMessage first = errors.iterator().next();
             return Either.left(new InvalidChange(first.getInstanceLocation().toString(), first.getMessage()));
         }
         return Either.right(new ConfigurationChange(items(root)));
@@ -96,13 +96,13 @@
     }
 
     private static void addTombstones(JsonNode list, ItemKind kind, List<Item> items) {
-        for (JsonNode drop : list) {
-            ItemName name = new ItemName(kind, drop.path("name").asText());
-            items.add(new Item(name, drop.path("version").asLong(), null));
+        for (JsonNode removal : list) {
+            ItemName name = new ItemName(kind, removal.path("name").asText());
+            items.add(new Item(name, removal.path("version").asLong(), null));
         }
     }
 
-    /** All items that stand, as JSON laid out as a change's {@code upsert}. */
+    /** Returns all items that are not tombstones as JSON, in the form of the {@code upsert} of a change. */
     public byte[] write(Iterable<Item> items) {
         ObjectNode root = json.createObjectNode();
         ObjectNode routes = root.putObject(ROUTES);
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ChangeValidator.java
@@ -7,18 +7,18 @@
 import ridgemill.cdn.config.Route;
 
 /**
- * Checks what a schema can't say of single items. Whether the configuration that a change leads to holds together is
- * checked where it is decided, see {@link ConfigurationRules}.
+ * Checks rules of single items that the schema cannot express. Rules across items are checked where a change is
+ * decided, see {@link ConfigurationRules}.
  */
 public final class ChangeValidator {
 
-    /** The longest time a route may hold a request, in milliseconds. */
+    /** The maximum timeout of a route, in milliseconds. */
     private static final long MAX_TIMEOUT_MS = 600_000;
 
     /**
-     * Checks each item of a change by itself.
+     * Checks each item of a change on its own.
      *
-     * @return why the change is refused, or nothing if it may be ordered
+     * @return why the change is rejected, or none if it is valid
      */
     public Option<InvalidChange> check(ConfigurationChange change) {
         for (Item item : change.items()) {
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationChange.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationChange.java
@@ -4,9 +4,9 @@
 import ridgemill.cdn.config.Item;
 
 /**
- * A change of the configuration as an operator sent it, in a form that fits the schema.
+ * A change of the configuration as sent by an operator, valid against the schema.
  *
- * @param items the versions that set and drop items, in the order of the call
+ * @param items the versions that set and remove items, in the order of the request
  */
 public record ConfigurationChange(List<Item> items) {
 
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
@@ -14,8 +14,9 @@
 import ridgemill.cdn.config.Route;
 
 /**
- * Whether a configuration holds together: each route names services that are there, and no two routes have the same host
- * and prefix. Keeps an index of routes by place and by service, so that a change costs what it touches.
+ * The consistency rules of a configuration: each route refers to existing services, and no two routes have the same
+ * host and path prefix. Keeps an index of routes by host and prefix and by service, so that the cost of checking a
+ * change depends only on the size of the change.
  */
 public final class ConfigurationRules implements ChangeRules {
 
@@ -82,12 +83,12 @@
         return change.routeFault().or(change::serviceFault);
     }
 
-    /** A change on top of the index. */
+    /** A change to be checked against the index. */
     private final class Change {
 
-        /** The routes that change; empty for those that are dropped. */
+        /** The changed routes; empty for removed routes. */
         private final Map<ItemName, Optional<Route>> changedRoutes = new HashMap<>();
-        /** Whether the services that change are there afterwards. */
+        /** The changed services, with whether they exist after the change. */
         private final Map<String, Boolean> changedServices = new HashMap<>();
 
         Change(Collection<Item> items) {
@@ -101,7 +102,7 @@
         }
 
         Optional<String> routeFault() {
-            Map<String, ItemName> places = new HashMap<>();
+            Map<String, ItemName> changedByMatch = new HashMap<>();
             for (Map.Entry<ItemName, Optional<Route>> entry : changedRoutes.entrySet()) {
                 Route route = entry.getValue().orElse(null);
                 if (route == null) {
@@ -113,7 +114,7 @@
                         return Optional.of(describe(name) + ": names the unknown service " + destination.service());
                     }
                 }
-                ItemName other = places.put(matchKey(route), name);
+                ItemName other = changedByMatch.put(matchKey(route), name);
                 other = other == null ? unchangedRouteAt(matchKey(route)) : other;
                 if (other != null) {
                     return Optional.of(describe(name) + ": has the same host and prefix as " + other.name());
@@ -122,9 +123,9 @@
             return Optional.empty();
         }
 
-        /** A route at a place that the change leaves as it is; null if there is none. */
-        private ItemName unchangedRouteAt(String place) {
-            for (ItemName name : routesByMatch.getOrDefault(place, Set.of())) {
+        /** Returns a route with this host and prefix that the change does not affect; null if there is none. */
+        private ItemName unchangedRouteAt(String key) {
+            for (ItemName name : routesByMatch.getOrDefault(key, Set.of())) {
                 if (!changedRoutes.containsKey(name)) {
                     return name;
                 }
@@ -136,7 +137,7 @@
             return changedServices.getOrDefault(service, services.contains(service));
         }
 
-        /** A service must not go while a route that stays names it. */
+        /** Checks that no removed service is used by a route that remains. */
         Optional<String> serviceFault() {
             for (Map.Entry<String, Boolean> entry : changedServices.entrySet()) {
                 for (ItemName name : routesByService.getOrDefault(entry.getKey(), Set.of())) {
--- a/cdn/src/main/java/ridgemill/cdn/configuration/InvalidChange.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/InvalidChange.java
@@ -1,14 +1,14 @@
 package ridgemill.cdn.configuration;
 
 /**
- * Why a change of the configuration is refused.
+ * The reason why a change of the configuration is rejected.
  *
- * @param location the item or field at fault
- * @param reason what is wrong there
+ * @param location the invalid item or field; may be empty
+ * @param reason what is wrong with it
  */
 public record InvalidChange(String location, String reason) {
 
-    /** The error as one line of text. */
+    /** Returns the error as one line of text. */
     public String describe() {
         return location.isEmpty() ? reason : location + ": " + reason;
     }
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ItemParser.java
@@ -15,14 +15,14 @@
 import ridgemill.cdn.json.TreeReader;
 import ridgemill.cdn.settings.Durations;
 
-/** Turns stored items, which are JSON text, into their typed form. */
+/** Parses stored items, which are JSON text, into typed values. */
 public final class ItemParser {
 
     private ItemParser() {}
 
     /**
-     * The typed view of a set of items. Items were checked before they were stored; one that can't be read all the same,
-     * as a newer build may have written it, is left out.
+     * Parses a set of items. Items are validated before they are stored, but one that was written by a newer build may
+     * still be unreadable. Unreadable items are logged and skipped.
      */
     public static RoutingTable routingTable(Collection<Item> items) {
         List<Route> routes = new ArrayList<>();
@@ -47,7 +47,7 @@
         return new RoutingTable(routes, services, limits);
     }
 
-    /** The typed form of an item that sets a route; null if it drops one or can't be read. */
+    /** Parses a route item. Returns null if it is a tombstone or cannot be parsed. */
     static Route route(Item item) {
         if (item.isTombstone()) {
             return null;
@@ -59,7 +59,11 @@
         }
     }
 
-    /** The typed form of a route. Fails with an IllegalArgumentException if a field can't be read. */
+    /**
+     * Parses a route.
+     *
+     * @throws IllegalArgumentException if a field is invalid
+     */
     public static Route route(String name, JsonNode content) {
         RouteKind kind = RouteKind.ofWireName(content.path("routeKind").asText());
         if (kind == null) {
@@ -80,15 +84,15 @@
                 content.path("version").asLong());
     }
 
-    private static long duration(JsonNode content, String field, String otherwise) {
-        return Durations.parseMillis(content.path(field).asText(otherwise));
+    private static long duration(JsonNode content, String field, String defaultValue) {
+        return Durations.parseMillis(content.path(field).asText(defaultValue));
     }
 
     private static List<Destination> destinations(JsonNode content) {
         List<Destination> destinations = new ArrayList<>();
-        for (JsonNode part : content.path("trafficSplit")) {
+        for (JsonNode entry : content.path("trafficSplit")) {
             destinations.add(new Destination(
-                    part.path("service").asText(), part.path("weight").asDouble(1)));
+                    entry.path("service").asText(), entry.path("weight").asDouble(1)));
         }
         if (destinations.isEmpty()) {
             destinations.add(new Destination(content.path("service").asText(), 1));
@@ -96,7 +100,7 @@
         return destinations;
     }
 
-    /** The typed form of a service. */
+    /** Parses a service. */
     public static Service service(String name, JsonNode content) {
         return new Service(
                 name,
--- a/cdn/src/main/java/ridgemill/cdn/configuration/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/package-info.java
@@ -1,9 +1,10 @@
 /**
  * The operator's configuration as JSON.
  *
- * <p>{@code ChangeReader} reads a call as a {@code ConfigurationChange} and checks its form against the schema;
- * {@code ChangeValidator} checks that what it leads to holds together. Either may find an {@code InvalidChange},
- * which says where and why. {@code ItemParser} makes the typed view of {@link ridgemill.cdn.config} of stored items.
- * Stores keep and merge items without reading them.
+ * <p>{@code ChangeReader} parses a request body as a {@code ConfigurationChange} and validates it against the schema;
+ * {@code ChangeValidator} checks rules of single items that the schema cannot express. Both report an {@code
+ * InvalidChange} with the location and the reason. {@code ConfigurationRules} checks the consistency of the resulting
+ * configuration when the stores decide a change. {@code ItemParser} converts stored items to the types of {@link
+ * ridgemill.cdn.config}. Apart from these checks, stores keep and merge items without parsing them.
  */
 package ridgemill.cdn.configuration;
--- a/cdn/src/main/java/ridgemill/cdn/http/SimpleHttpServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/http/SimpleHttpServer.java
@@ -23,10 +23,10 @@
 import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.gateway.net.SocketKind;
 
-/** The HTTP/1.1 server at which a process answers calls from outside the data path; one request at a time a connection. */
+/** An HTTP/1.1 server for requests outside the data path. Processes one request at a time on each connection. */
 public final class SimpleHttpServer {
 
-    /** The longest body of a call, in bytes. */
+    /** The maximum length of a request body. */
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
 
     private static final int BACKLOG = 512;
@@ -38,41 +38,41 @@
     }
 
     /**
-     * A call that waits for its answer.
+     * A request that waits for its response.
      *
      * @param method the HTTP method
      * @param path the path without its query
-     * @param body the whole body
-     * @param responder takes the answer; called once, on the event loop
+     * @param body the complete body
+     * @param responder sends the response; called exactly once, on the event loop
      */
     public record Request(String method, String path, byte[] body, Consumer<Response> responder) {}
 
     /**
-     * An answer to a call.
+     * A response to a request.
      *
      * @param status the HTTP status
      * @param body the body; may be empty
-     * @param contentType what the body is
+     * @param contentType the media type of the body
      */
     public record Response(int status, byte[] body, String contentType) {
 
         private static final String JSON = "application/json";
 
-        /** An answer whose body is JSON. */
+        /** Creates a response with a JSON body. */
         public Response(int status, byte[] body) {
             this(status, body, JSON);
         }
 
-        /** An answer without a body. */
+        /** Creates a response without a body. */
         public static Response empty(int status) {
             return new Response(status, new byte[0]);
         }
     }
 
     /**
-     * Listens at an address and passes each call to the handler on the event loop.
+     * Listens at an address and passes each request to the handler on the event loop.
      *
-     * @throws io.netty.channel.ChannelException if the address can't be had
+     * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static SimpleHttpServer listen(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, Consumer<Request> handler) {
@@ -87,7 +87,7 @@
                 bootstrap.bind(address).syncUninterruptibly().channel());
     }
 
-    /** The address that is listened at. */
+    /** Returns the address of the listening socket. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -109,13 +109,16 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             boolean keepAlive = HttpUtil.isKeepAlive(request);
             if (!request.decoderResult().isSuccess()) {
-                answer(context, Response.empty(HttpResponseStatus.BAD_REQUEST.code()), false);
+                respond(context, Response.empty(HttpResponseStatus.BAD_REQUEST.code()), false);
                 return;
             }
             context.channel().config().setAutoRead(false);
             byte[] body = ByteBufUtil.getBytes(request.content());
             handler.accept(new Request(
-                    request.method().name(), path(request.uri()), body, answer -> answer(context, answer, keepAlive)));
+                    request.method().name(),
+                    path(request.uri()),
+                    body,
+                    response -> respond(context, response, keepAlive)));
         }
 
         private static String path(String uri) {
@@ -123,22 +126,22 @@
             return query < 0 ? uri : uri.substring(0, query);
         }
 
-        private static void answer(ChannelHandlerContext context, Response answer, boolean keepAlive) {
-            FullHttpResponse response = new DefaultFullHttpResponse(
+        private static void respond(ChannelHandlerContext context, Response response, boolean keepAlive) {
+            FullHttpResponse httpResponse = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(answer.status()),
-                    Unpooled.wrappedBuffer(answer.body()));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.body().length);
-            if (answer.body().length > 0) {
-                response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+                    HttpResponseStatus.valueOf(response.status()),
+                    Unpooled.wrappedBuffer(response.body()));
+            httpResponse.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+            if (response.body().length > 0) {
+                httpResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, response.contentType());
             }
             if (keepAlive) {
-                context.writeAndFlush(response);
+                context.writeAndFlush(httpResponse);
                 context.channel().config().setAutoRead(true);
                 context.read();
             } else {
-                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+                httpResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                context.writeAndFlush(httpResponse).addListener(ChannelFutureListener.CLOSE);
             }
         }
 
--- a/cdn/src/main/java/ridgemill/cdn/http/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP beside the data path: {@code SimpleHttpServer} takes whole calls, one at a time a connection, of instances,
- * operators and whoever asks for readiness. Clients' requests are read by {@link ridgemill.cdn.proxy.http}, which is
- * strict.
+ * HTTP outside the data path: {@code SimpleHttpServer} reads complete requests, one at a time on each connection, of
+ * instances, operators and readiness checks. Requests of clients are read by the strict parser in {@link
+ * ridgemill.cdn.proxy.http}.
  */
 package ridgemill.cdn.http;
--- a/cdn/src/main/java/ridgemill/cdn/json/TreeReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/json/TreeReader.java
@@ -11,8 +11,8 @@
 import java.io.IOException;
 
 /**
- * Reads texts as trees without Jackson's object mapper, whose making takes a process that starts on part of a core longer
- * than all it has to read.
+ * Parses text as trees without Jackson's object mapper. In a process that starts on a fraction of a CPU core, creating
+ * the object mapper takes longer than parsing all the text that the process reads.
  */
 public final class TreeReader {
 
@@ -22,9 +22,9 @@
     private TreeReader() {}
 
     /**
-     * Reads JSON text.
+     * Parses JSON text.
      *
-     * @throws IOException if the text is no JSON value, or goes on behind it
+     * @throws IOException if the text is not exactly one JSON value
      */
     public static JsonNode parseJson(String text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Reads JSON from bytes.
+     * Parses JSON from bytes.
      *
-     * @throws IOException if they are no JSON value, or go on behind it
+     * @throws IOException if the bytes are not exactly one JSON value
      */
     public static JsonNode parseJson(byte[] bytes) throws IOException {
         try (JsonParser parser = JSON.createParser(bytes)) {
@@ -44,17 +44,17 @@
     }
 
     /**
-     * Reads all that a parser brings as one value.
+     * Reads the complete input of a parser as one value.
      *
-     * @throws IOException if it brings none, or more
+     * @throws IOException if the input is empty, malformed or has further content
      */
     public static JsonNode readSingleValue(JsonParser parser) throws IOException {
         if (parser.nextToken() == null) {
-            throw new JsonParseException(parser, "there is no value");
+            throw new JsonParseException(parser, "the input is empty");
         }
         JsonNode value = value(parser);
         if (parser.nextToken() != null) {
-            throw new JsonParseException(parser, "there is more behind the value");
+            throw new JsonParseException(parser, "unexpected content after the value");
         }
         return value;
     }
--- a/cdn/src/main/java/ridgemill/cdn/json/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reading of JSON and TOML as trees. */
+/** Parsing of JSON and TOML as trees. */
 package ridgemill.cdn.json;
--- a/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
+++ b/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Brings a {@link System.Logger} that writes each event as one line of key=value pairs to standard error. The JDK's own
- * takes far longer to start. Debug events are written if the system property {@code ridgemill.log} is {@code debug}.
+ * Provides a {@link System.Logger} that writes each event as one line of key=value pairs to standard error. The logger
+ * of the JDK takes much longer to start. Debug events are written if the system property {@code ridgemill.log} is
+ * {@code debug}.
  */
 public final class LineLoggerFinder extends System.LoggerFinder {
 
@@ -20,7 +21,7 @@
         return loggers.computeIfAbsent(name, LineLogger::new);
     }
 
-    /** Writes lines for one class. */
+    /** A logger of one class. */
     private record LineLogger(String name) implements System.Logger {
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/metrics/MetricsServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/metrics/MetricsServer.java
@@ -8,25 +8,25 @@
 import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.gateway.net.SocketKind;
 
-/** Serves the figures of a process in the text format of Prometheus, version 0.0.4, at one path. */
+/** Serves the metrics of a process at one path, in the Prometheus text format, version 0.0.4. */
 public final class MetricsServer {
 
-    private static final String TEXT = "text/plain; version=0.0.4; charset=utf-8";
+    private static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
 
     private MetricsServer() {}
 
-    /** A registry of meters that {@link #listen} can serve. */
+    /** Creates a meter registry that {@link #listen} can serve. */
     public static PrometheusMeterRegistry registry() {
         return new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     }
 
     /**
-     * Serves a registry's meters, read on the event loop.
+     * Serves the meters of a registry, which are read on the event loop.
      *
-     * @param path the path with its first slash
-     * @throws io.netty.channel.ChannelException if the address can't be had
+     * @param path the path, with its leading slash
+     * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static SimpleHttpServer listen(
             EventLoop loop,
@@ -40,7 +40,7 @@
                     .accept(
                             known
                                     ? new SimpleHttpServer.Response(
-                                            OK, registry.scrape().getBytes(StandardCharsets.UTF_8), TEXT)
+                                            OK, registry.scrape().getBytes(StandardCharsets.UTF_8), CONTENT_TYPE)
                                     : SimpleHttpServer.Response.empty(NOT_FOUND));
         });
     }
--- a/cdn/src/main/java/ridgemill/cdn/metrics/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What a process tells of its own figures, as text, to whoever asks. */
+/** Serves the metrics of a process as text over HTTP. */
 package ridgemill.cdn.metrics;
--- a/cdn/src/main/java/ridgemill/cdn/net/ServerBootstraps.java
+++ b/cdn/src/main/java/ridgemill/cdn/net/ServerBootstraps.java
@@ -8,16 +8,16 @@
 import java.util.function.Consumer;
 import ridgemill.gateway.net.SocketKind;
 
-/** How all programs listen. */
+/** Creates the server bootstraps of all programs. */
 public final class ServerBootstraps {
 
     private ServerBootstraps() {}
 
     /**
-     * A bootstrap that is still to be bound to an address.
+     * Creates a bootstrap that is not yet bound to an address.
      *
      * @param backlog how many connections may wait to be accepted
-     * @param accepted given each accepted connection, to put its handlers in place
+     * @param accepted receives each accepted connection, to add its handlers
      */
     public static ServerBootstrap create(
             EventLoopGroup loop, SocketKind sockets, int backlog, Consumer<Channel> accepted) {
--- a/cdn/src/main/java/ridgemill/cdn/net/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/net/package-info.java
@@ -1,2 +1,2 @@
-/** What the programs share of sockets. */
+/** Socket code that the programs share. */
 package ridgemill.cdn.net;
--- a/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
@@ -10,35 +10,39 @@
 import ridgemill.cdn.membership.ClusterMembers;
 
 /**
- * Waits until everybody that can be reached has a change of an instance's state, for a bounded time. The change is
- * confirmed if the registries on a majority of the voting machines have it by then, whatever the proxies say: they may be out of reach.
+ * Waits for a bounded time until all reachable proxies and registries have a change of an instance's state. The change
+ * is confirmed if the registries on a majority of the voting machines have it by then. Proxies do not affect the
+ * result, because they may be unreachable.
  */
 final class Confirmation {
 
-    /** How long a change of an instance's state may take to reach everybody before its call is answered. */
+    /** The maximum delay of the response to a change of an instance's state, in milliseconds. */
     static final long TIMEOUT_MS = 600;
 
     private final PeerRegistries peers;
     private final ProxyUpdates proxyUpdates;
     private final ClusterMembers members;
     private final Consumer<Boolean> callback;
-    /** The machines whose registries have the change. */
+    /** The addresses of the machines whose registries have the change. */
     private final Set<String> confirmedRegistries = new HashSet<>();
 
     private int pendingReplies;
     private boolean proxiesAcknowledged;
     private boolean done;
 
-    /** A confirmation that waits from {@link #begin} on. The callback is told once whether the change is confirmed. */
-    Confirmation(PeerRegistries peers, ProxyUpdates news, ClusterMembers members, Consumer<Boolean> callback) {
+    /**
+     * Creates a confirmation that is started by {@link #begin}. The callback receives once whether the change is
+     * confirmed.
+     */
+    Confirmation(PeerRegistries peers, ProxyUpdates proxyUpdates, ClusterMembers members, Consumer<Boolean> callback) {
         this.peers = peers;
         confirmedRegistries.add(peers.ownAddress());
-        this.proxyUpdates = news;
+        this.proxyUpdates = proxyUpdates;
         this.members = members;
         this.callback = callback;
     }
 
-    /** Tells the other registries of the change; the news of it to the proxies are pushed already. */
+    /** Sends the change to the other registries. The update to the proxies has already been sent. */
     void begin(List<Instance> change, EventLoop loop) {
         pendingReplies = peers.count();
         peers.confirm(change, this::onPeerReply);
--- a/cdn/src/main/java/ridgemill/cdn/registry/ControlRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ControlRouter.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import ridgemill.cdn.http.SimpleHttpServer;
 
-/** Passes each call from outside to what answers it, by its method and path; see {@code api/control.openapi.yaml}. */
+/** Dispatches requests of instances and operators by method and path; see {@code api/control.openapi.yaml}. */
 final class ControlRouter implements Consumer<SimpleHttpServer.Request> {
 
     private static final String INSTANCES = "/ridgemill/instances/";
--- a/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
@@ -11,7 +11,7 @@
 import ridgemill.cdn.wire.RegistryMessages;
 import ridgemill.gateway.net.Clock;
 
-/** Takes the messages that proxies and other registries send over links that they opened. */
+/** Handles the messages that proxies, shared caches and other registries send over links that they opened. */
 final class IncomingLinks implements LinkListener {
 
     private final ClusterMembers members;
@@ -24,13 +24,13 @@
     IncomingLinks(
             ClusterMembers members,
             InstanceTable instances,
-            ProxyUpdates news,
+            ProxyUpdates proxyUpdates,
             PeerRegistries peers,
             VotingStores stores,
             Clock clock) {
         this.members = members;
         this.instances = instances;
-        this.proxyUpdates = news;
+        this.proxyUpdates = proxyUpdates;
         this.peers = peers;
         this.stores = stores;
         this.clock = clock;
@@ -61,7 +61,10 @@
         }
     }
 
-    /** Takes what another registry knows; what is new in it goes on to the proxies, the other registries tell themselves. */
+    /**
+     * Merges an update of another registry. New instance states are sent to the proxies. Forwarding to other registries
+     * is not needed, because the sender updates them itself.
+     */
     private void merge(RegistryMessages.PeerUpdate update) {
         peers.addKnownHosts(update.registries());
         stores.updateVoters(update.voters());
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
@@ -11,7 +11,7 @@
 import ridgemill.cdn.settings.Durations;
 import ridgemill.gateway.net.Clock;
 
-/** Answers the heartbeats of instances and their leaving. */
+/** Handles heartbeats and departures of instances. */
 final class InstanceCalls {
 
     private static final int OK = 200;
@@ -31,7 +31,7 @@
         this.clock = clock;
     }
 
-    /** Answers a call about the instance with this identifier. */
+    /** Handles a request about the instance with this identifier. */
     void accept(String id, SimpleHttpServer.Request call) {
         Instance instance = switch (call.method()) {
             case "PUT" -> heartbeat(id, call.body());
@@ -49,7 +49,7 @@
                         call.responder().accept(confirmed ? ACCEPTED : SimpleHttpServer.Response.empty(UNAVAILABLE)));
     }
 
-    /** What a heartbeat says of its instance, or null if it can't be read. */
+    /** Parses a heartbeat. Returns null if it is malformed. */
     private Instance heartbeat(String id, byte[] body) {
         try {
             JsonNode root = TreeReader.parseJson(body);
@@ -76,7 +76,10 @@
         }
     }
 
-    /** An instance that leaves before it was ever heard is noted too: a heartbeat that comes late doesn't bring it back. */
+    /**
+     * Creates the state of an instance that leaves. An unknown instance is recorded as gone too, so that a late
+     * heartbeat does not bring it back.
+     */
     private Instance departure(String id) {
         Instance known = instances.get(id);
         return known == null ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, 0) : known.asGone();
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
@@ -13,14 +13,14 @@
 import ridgemill.gateway.net.Clock;
 
 /**
- * Takes what instances say in calls to this registry, and keeps what the other registries are still to be told of it: new
- * heartbeats once, changes again for a while, as a registry may have missed them.
+ * Accepts the reports of instances to this registry and tracks what has to be sent to the other registries. New
+ * heartbeats are sent once. Changes are resent for a while, because a registry may have missed them.
  */
 final class InstanceReports {
 
     private static final System.Logger LOG = System.getLogger(InstanceReports.class.getName());
 
-    /** For how long a changed instance is told again to the other registries, in milliseconds. */
+    /** How long a changed instance is resent to the other registries, in milliseconds. */
     private static final double RESEND_WINDOW_MS = 3_000;
 
     private final InstanceTable instances;
@@ -36,26 +36,27 @@
             InstanceTable instances,
             ClusterMembers members,
             PeerRegistries peers,
-            ProxyUpdates news,
+            ProxyUpdates proxyUpdates,
             EventLoop loop,
             Clock clock) {
         this.instances = instances;
         this.members = members;
         this.peers = peers;
-        this.proxyUpdates = news;
+        this.proxyUpdates = proxyUpdates;
         this.loop = loop;
         this.clock = clock;
     }
 
     /**
-     * Takes what an instance said. The callback is told whether the call may be acknowledged: at once for a heartbeat that
-     * changes nothing, else once the connected proxies and a majority of the registries have the change.
+     * Accepts a report of an instance. The callback receives whether the request may be acknowledged: at once for a
+     * heartbeat that changes nothing, otherwise once the connected proxies and a majority of the registries have the
+     * change.
      */
     void accept(Instance instance, Consumer<Boolean> callback) {
         newHeartbeats.merge(instance.id(), instance.sequence(), Math::max);
         List<Instance> changed = instances.merge(instance, clock.now());
-        boolean changedLately = changedAtMs.containsKey(instance.id());
-        if (changed.isEmpty() && !changedLately) {
+        boolean changedRecently = changedAtMs.containsKey(instance.id());
+        if (changed.isEmpty() && !changedRecently) {
             callback.accept(true);
             return;
         }
@@ -79,7 +80,7 @@
         proxyUpdates.push(changed);
     }
 
-    /** The instances whose changes are to be told again. */
+    /** Returns the instances whose changes are to be resent. */
     List<Instance> recentChanges() {
         double now = clock.now();
         changedAtMs.values().removeIf(changedAt -> now - changedAt > RESEND_WINDOW_MS);
@@ -93,7 +94,7 @@
         return changed;
     }
 
-    /** The newest heartbeat of each instance that was heard since the last call of this method. */
+    /** Returns and clears the newest heartbeat of each instance that was received since the previous call. */
     List<RegistryMessages.Heartbeat> drainNewHeartbeats() {
         List<RegistryMessages.Heartbeat> beats = new ArrayList<>();
         newHeartbeats.forEach((id, sequence) -> beats.add(new RegistryMessages.Heartbeat(id, sequence)));
--- a/cdn/src/main/java/ridgemill/cdn/registry/LinkOpener.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/LinkOpener.java
@@ -10,9 +10,9 @@
 /**
  * Opens the registry's links to other processes.
  *
- * @param loop the event loop that all of the registry runs on
+ * @param loop the event loop of the registry
  * @param sockets the kind of sockets to use
- * @param hello what the registry says of itself
+ * @param hello the message by which the registry identifies itself
  */
 record LinkOpener(EventLoop loop, SocketKind sockets, LinkMessages.Hello hello) {
 
--- a/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
@@ -16,7 +16,7 @@
 import ridgemill.cdn.json.TreeReader;
 import ridgemill.cdn.purge.Purge;
 
-/** Answers the operators' calls: changes and reads of the configuration, purges. */
+/** Handles the requests of operators: changes and reads of the configuration, and purges. */
 final class OperatorCalls {
 
     private static final System.Logger LOG = System.getLogger(OperatorCalls.class.getName());
@@ -33,7 +33,10 @@
         this.stores = stores;
     }
 
-    /** Made with the first call: the schema takes a start on part of a core longer than all else together. */
+    /**
+     * Creates the reader on first use. On a fraction of a CPU core, loading the schema takes longer than the rest of
+     * the start.
+     */
     private ChangeReader reader() {
         if (reader == null) {
             reader = new ChangeReader();
@@ -41,7 +44,7 @@
         return reader;
     }
 
-    /** Answers with what a quorum of the stores holds. */
+    /** Responds with the configuration that a quorum of the stores holds. */
     void readConfiguration(SimpleHttpServer.Request call) {
         stores.read(items -> call.responder()
                 .accept(
@@ -50,7 +53,9 @@
                                 : new SimpleHttpServer.Response(OK, reader().write(items))));
     }
 
-    /** Each item of a change is checked here by itself; the rest is decided by the stores together. */
+    /**
+     * Changes the configuration. Each item is checked here on its own; rules across items are checked by the stores.
+     */
     void changeConfiguration(SimpleHttpServer.Request call) {
         Either<InvalidChange, ConfigurationChange> change = reader().read(call.body());
         if (change.isLeft()) {
@@ -82,7 +87,7 @@
                 .accept(new SimpleHttpServer.Response(status, body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Orders a purge; the call is acknowledged once a majority of the stores has passed it on. */
+    /** Requests a purge. The request is acknowledged once a majority of the stores has forwarded it. */
     void purge(SimpleHttpServer.Request call) {
         Purge purge = readPurge(call.body());
         if (purge == null) {
@@ -91,10 +96,10 @@
         }
         stores.purge(
                 purge,
-                passedOn -> call.responder().accept(SimpleHttpServer.Response.empty(passedOn ? OK : UNAVAILABLE)));
+                forwarded -> call.responder().accept(SimpleHttpServer.Response.empty(forwarded ? OK : UNAVAILABLE)));
     }
 
-    /** The purge of a call, or null if it can't be read. */
+    /** Parses the purge of a request. Returns null if it is malformed. */
     private Purge readPurge(byte[] body) {
         try {
             JsonNode root = TreeReader.parseJson(body);
--- a/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
@@ -13,7 +13,7 @@
 import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.RegistryMessages;
 
-/** The links to the registries on the other core machines, and what they are told over them. */
+/** The links to the registries on the other core machines, and the updates that are sent over them. */
 final class PeerRegistries implements LinkListener {
 
     private final String ownAddress;
@@ -25,9 +25,9 @@
     private final Map<String, ReconnectingLink> links = new HashMap<>();
 
     /**
-     * Without links until {@link #connect}.
+     * Creates an object that has no links until {@link #connect} is called.
      *
-     * @param port the port at which each registry takes links
+     * @param port the port at which each registry accepts links
      */
     PeerRegistries(
             String ownAddress,
@@ -35,16 +35,16 @@
             LinkOpener opener,
             ClusterMembers members,
             InstanceTable instances,
-            ProxyUpdates news) {
+            ProxyUpdates proxyUpdates) {
         this.ownAddress = ownAddress;
         this.port = port;
         this.opener = opener;
         this.members = members;
         this.instances = instances;
-        this.proxyUpdates = news;
+        this.proxyUpdates = proxyUpdates;
     }
 
-    /** Opens the links that are missing to known core machines. */
+    /** Opens missing links to known core machines. */
     void connect() {
         for (String host : members.coreHosts()) {
             if (!host.equals(ownAddress) && !links.containsKey(host)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Core machines were heard of: connects to new ones and tells the proxies of them. */
+    /** Adds core machines. Connects to new ones and announces them to the proxies. */
     void addKnownHosts(List<String> hosts) {
         if (members.addCoreHosts(hosts)) {
             connect();
@@ -61,12 +61,12 @@
         }
     }
 
-    /** How many other registries are known, whether they can be reached or not. */
+    /** Returns the number of known other registries, reachable or not. */
     int count() {
         return links.size();
     }
 
-    /** Tells all others of instances and heartbeats, without waiting for their answers. */
+    /** Sends instances and heartbeats to all other registries, without waiting for their replies. */
     void broadcast(List<Instance> changed, List<RegistryMessages.Heartbeat> beats) {
         for (ReconnectingLink link : links.values()) {
             link.call(callId -> update(callId, changed), Confirmation.TIMEOUT_MS, ignored -> {});
@@ -76,7 +76,9 @@
         }
     }
 
-    /** Tells all others of instances; the callback is told of each of their machines once whether it has merged them. */
+    /**
+     * Sends instances to all other registries. The callback receives once for each machine whether it has merged them.
+     */
     void confirm(List<Instance> changed, BiConsumer<String, Boolean> callback) {
         Map.copyOf(links)
                 .forEach((host, link) -> link.call(
@@ -85,7 +87,7 @@
                         result -> callback.accept(host, result.isRight())));
     }
 
-    /** The IP address of this registry's machine. */
+    /** Returns the IP address of this registry's machine. */
     String ownAddress() {
         return ownAddress;
     }
@@ -95,7 +97,7 @@
                 callId, members.coreHosts(), members.voters(), proxyUpdates.proxyNames(), changed);
     }
 
-    /** A registry that could not be reached may have missed anything: it is told all. */
+    /** Sends all instances, because a registry that was unreachable may have missed any change. */
     @Override
     public void opened(Link link) {
         List<Instance> all = List.copyOf(instances.all());
--- a/cdn/src/main/java/ridgemill/cdn/registry/ProxyUpdates.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ProxyUpdates.java
@@ -17,19 +17,20 @@
 import ridgemill.gateway.net.Clock;
 
 /**
- * What edge proxies and shared caches are told: a snapshot when they subscribe, then numbered news of instances that changed. Each news also
- * holds the core machines, the voters, who shares the services' bounds and the instances that are silent, as they are then.
+ * Sends the cluster state to edge proxies and shared caches: a snapshot when they subscribe, then numbered updates with
+ * the changed instances. Each update also contains the current core machines, the voters, the processes that share the
+ * bounds of services, and the unresponsive instances.
  */
 final class ProxyUpdates {
 
-    /** Heartbeat intervals without a heartbeat after which an instance counts as silent. */
+    /** An instance is unresponsive after this many heartbeat intervals without a heartbeat. */
     private static final double UNRESPONSIVE_AFTER_INTERVALS = 3.4;
-    /** Heartbeat intervals after its start in which a registry has heard each instance that lives. */
+    /** A registry has received a heartbeat of each live instance after this many heartbeat intervals from its start. */
     private static final double COMPLETE_AFTER_INTERVALS = 2.0;
 
-    /** The program whose processes share the bounds of services as edge proxies. */
+    /** The program name of edge proxies, which share the bounds of services. */
     private static final String PROXY = "proxy";
-    /** Silence of a shared cache's link after which nobody is sent there, in milliseconds. */
+    /** A shared cache whose link was idle for longer is no longer listed, in milliseconds. */
     private static final long CACHE_IDLE_LIMIT_MS = 3_000;
 
     private final ClusterMembers members;
@@ -46,27 +47,34 @@
     private final Map<Link, CacheNode> caches = new HashMap<>();
 
     /**
-     * News without subscribers.
+     * Creates an object without subscribers.
      *
-     * @param lifeId names this life of the registry, in which the numbers of news count
+     * @param incarnationId identifies this incarnation of the registry; update numbers are valid within it
      * @param heartbeatIntervalMs how often instances send heartbeats, in milliseconds
      */
     ProxyUpdates(
-            String lifeId, ClusterMembers members, InstanceTable instances, Clock clock, long heartbeatIntervalMs) {
+            String incarnationId,
+            ClusterMembers members,
+            InstanceTable instances,
+            Clock clock,
+            long heartbeatIntervalMs) {
         this.members = members;
         this.instances = instances;
-        this.subscribers = new Subscribers(lifeId);
+        this.subscribers = new Subscribers(incarnationId);
         this.clock = clock;
         this.unresponsiveAfterMs = UNRESPONSIVE_AFTER_INTERVALS * heartbeatIntervalMs;
         this.completeAfterMs = COMPLETE_AFTER_INTERVALS * heartbeatIntervalMs;
     }
 
-    /** The registry takes heartbeats from now on: how long it has done so decides what it can know. */
+    /**
+     * Records that the registry accepts heartbeats from now on. The time since then determines which instances it can
+     * know.
+     */
     void markStarted() {
         startedAtMs = clock.now();
     }
 
-    /** The names of the connected proxies. */
+    /** Returns the names of the connected proxies. */
     List<String> proxyNames() {
         return subscribers.links().stream()
                 .filter(link -> link.peer().program().equals(PROXY))
@@ -74,7 +82,7 @@
                 .toList();
     }
 
-    /** Sends a proxy all that is known, and news from now on. */
+    /** Sends a snapshot to the link and all later updates. */
     void subscribe(Link link) {
         if (link.peer().program().equals(PROXY)) {
             members.recordProxy(link.peer().nodeName(), clock.now());
@@ -82,18 +90,18 @@
         subscribers.add(link, snapshot(link));
     }
 
-    /** A shared cache may be read from as long as its link is held and heard. */
+    /** Adds a shared cache. It is listed as long as its link is open and not idle. */
     void announceCache(Link link, CacheNode cache) {
         caches.put(link, cache);
         refresh();
     }
 
-    /** A proxy has carried out the news up to a number. */
+    /** Records that a subscriber has applied the updates up to a number. */
     void acknowledged(Link link, long number) {
         subscribers.acknowledged(link, number);
     }
 
-    /** Forgets a link that has ended; it may be of no proxy. */
+    /** Removes a closed link, which may not be a subscriber. */
     void closed(Link link) {
         subscribers.remove(link);
         if (caches.remove(link) != null) {
@@ -101,12 +109,12 @@
         }
     }
 
-    /** Runs a task once all connected proxies have carried out all news so far. */
+    /** Runs a task once all connected subscribers have applied all updates sent so far. */
     void whenAcknowledged(Runnable task) {
         subscribers.whenAcknowledged(task);
     }
 
-    /** Tells all connected proxies of instances that changed; with none, of what else has changed. */
+    /** Sends an update to all subscribers. The list of changed instances is empty if only other state has changed. */
     void push(List<Instance> changed) {
         long number = subscribers.nextNumber();
         List<String> proxies = members.proxies(clock.now());
@@ -121,14 +129,19 @@
     }
 
     private RegistryMessages.Overview overview(
-            Link link, List<String> proxies, List<CacheNode> cachesNow, List<Instance> told) {
+            Link link, List<String> proxies, List<CacheNode> cachesNow, List<Instance> listedInstances) {
         int rank = Math.max(0, Collections.binarySearch(proxies, link.peer().nodeName()));
         FleetPosition position = new FleetPosition(Math.max(1, proxies.size()), rank);
         return new RegistryMessages.Overview(
-                complete, members.coreHosts(), members.voters(), new Fleet(position, cachesNow), told, unresponsive);
+                complete,
+                members.coreHosts(),
+                members.voters(),
+                new Fleet(position, cachesNow),
+                listedInstances,
+                unresponsive);
     }
 
-    /** The shared caches whose links are not silent: one that stands still is not to be read from. */
+    /** Returns the shared caches whose links are not idle. A paused cache must not be read from. */
     private List<CacheNode> liveCaches() {
         List<CacheNode> live = new ArrayList<>();
         caches.forEach((link, cache) -> {
@@ -140,20 +153,25 @@
         return live;
     }
 
-    /** Sees who is silent, how many proxies there are and whether all instances are known; tells it if it has changed. */
+    /**
+     * Determines the unresponsive instances, the proxies, the shared caches and whether all instances are known. Sends
+     * an update if any of this has changed.
+     */
     void refresh() {
         double now = clock.now();
         double runningMs = now - startedAtMs;
-        boolean settledNow = complete || runningMs > completeAfterMs;
-        // An instance that was heard in an earlier life only is not silent before this life could have heard it.
-        List<String> silentNow =
+        boolean completeNow = complete || runningMs > completeAfterMs;
+        // An instance known only from an earlier incarnation is not unresponsive before this incarnation could have
+        // received its
+        // heartbeat.
+        List<String> unresponsiveNow =
                 runningMs > unresponsiveAfterMs ? instances.unresponsive(unresponsiveAfterMs, now) : List.of();
         List<String> proxies = members.proxies(now);
         List<CacheNode> cachesNow = liveCaches();
         boolean sameFleet = proxies.equals(lastProxies) && cachesNow.equals(lastCaches);
-        if (!silentNow.equals(unresponsive) || !sameFleet || settledNow != complete) {
-            complete = settledNow;
-            unresponsive = silentNow;
+        if (!unresponsiveNow.equals(unresponsive) || !sameFleet || completeNow != complete) {
+            complete = completeNow;
+            unresponsive = unresponsiveNow;
             lastProxies = proxies;
             lastCaches = cachesNow;
             push(List.of());
--- a/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
@@ -16,15 +16,15 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The registry: takes the calls of instances and operators, keeps the list of instances in memory, shares it with the
- * registries on the other core machines and pushes it to edge proxies. One runs on each core machine. Everything runs on
- * one event loop.
+ * The registry: accepts requests of instances and operators, keeps the list of instances in memory, shares it with the
+ * registries on the other core machines and sends it to edge proxies. One registry runs on each core machine.
+ * Everything runs on one event loop.
  */
 public final class RegistryProgram {
 
-    /** How often what other registries may have missed is told again, in milliseconds. */
+    /** How often heartbeats and recent changes are sent to the other registries, in milliseconds. */
     private static final long GOSSIP_INTERVAL_MS = 500;
-    /** How long a call to the stores takes at most, in milliseconds: callers go on to another registry after a second. */
+    /** The timeout of a call to the stores, in milliseconds. Clients move on to another registry after one second. */
     private static final long STORE_TIMEOUT_MS = 900;
 
     private final Settings settings;
@@ -41,18 +41,18 @@
     private SimpleHttpServer controlServer;
     private LinkServer linkServer;
 
-    /** A registry that is started by {@link #start}. */
+    /** Creates a registry that is started by {@link #start}. */
     public RegistryProgram(Settings settings, EventLoop loop, SocketKind sockets, Clock clock) {
         this.settings = settings;
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
-        String lifeId = UUID.randomUUID().toString();
+        String incarnationId = UUID.randomUUID().toString();
         LinkMessages.Hello hello = new LinkMessages.Hello(
-                LinkMessages.Hello.PROTOCOL, "registry", settings.nodeName(), settings.ipAddress(), lifeId);
+                LinkMessages.Hello.PROTOCOL, "registry", settings.nodeName(), settings.ipAddress(), incarnationId);
         LinkOpener opener = new LinkOpener(loop, sockets, hello);
         storeClient = new StoreClient(loop, STORE_TIMEOUT_MS);
-        proxyUpdates = new ProxyUpdates(lifeId, members, instances, clock, settings.heartbeatIntervalMs());
+        proxyUpdates = new ProxyUpdates(incarnationId, members, instances, clock, settings.heartbeatIntervalMs());
         peers = new PeerRegistries(
                 settings.ipAddress(), settings.registryPort(), opener, members, instances, proxyUpdates);
         stores = new VotingStores(settings.storePort(), opener, members, proxyUpdates, storeClient);
@@ -62,7 +62,7 @@
     /**
      * Listens and connects to the other core machines.
      *
-     * @throws io.netty.channel.ChannelException if an address can't be had
+     * @throws io.netty.channel.ChannelException if an address cannot be bound
      */
     public void start() {
         proxyUpdates.markStarted();
@@ -78,7 +78,7 @@
         loop.execute(this::join);
     }
 
-    /** Stops taking calls. */
+    /** Stops accepting requests and links. */
     public void stop() {
         controlServer.close();
         linkServer.close();
@@ -93,7 +93,7 @@
         loop.scheduleWithFixedDelay(this::gossip, GOSSIP_INTERVAL_MS, GOSSIP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells the other registries of heartbeats and, again, of recent changes, and the proxies of silent instances. */
+    /** Sends heartbeats and recent changes to the other registries, and unresponsive instances to the proxies. */
     private void gossip() {
         double now = clock.now();
         for (String proxy : proxyUpdates.proxyNames()) {
--- a/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
@@ -23,20 +23,21 @@
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Asks the voting configuration stores. Changes and reads go to the store that leads; where it can't be reached, another
- * one is asked to lead. An order may be sent to several: it is decided once. Purges go to all voters.
+ * A client of the voting configuration stores. Changes and reads go to the leader. If the leader is unreachable,
+ * another store is asked to lead. A change may be sent to several stores; it is decided only once. Purges go to all
+ * voters.
  */
 public final class StoreClient {
 
-    /** How long one store is waited for before the next one is asked, in milliseconds. */
+    /** The timeout of an attempt at one store, after which the next store is asked, in milliseconds. */
     private static final long ATTEMPT_TIMEOUT_MS = 450;
-    /** A store is not asked if less time than this is left, in milliseconds. */
+    /** No attempt is started if less time than this remains, in milliseconds. */
     private static final long MIN_ATTEMPT_MS = 100;
-    /** How much longer a change may take for each of its items, in milliseconds. */
+    /** The additional time that a change may take for each of its items, in milliseconds. */
     private static final long EXTRA_MS_PER_ITEM = 2;
-    /** How long a call waits where nobody leads, in milliseconds. */
+    /** The delay before a call is retried when there is no reachable leader, in milliseconds. */
     private static final long NO_LEADER_RETRY_DELAY_MS = 80;
-    /** How long a purge waits before it is sent again in a newer epoch, in milliseconds. */
+    /** The delay before a purge is sent again, with the newest epoch, in milliseconds. */
     private static final long PURGE_RETRY_DELAY_MS = 60;
 
     private final EventLoop loop;
@@ -46,9 +47,9 @@
     private String leader = "";
 
     /**
-     * A client without voters, whose calls fail until {@link #setVoters} is called.
+     * Creates a client without voters. Calls fail until {@link #setVoters} is called.
      *
-     * @param budgetMs how long a call takes at most, in milliseconds
+     * @param budgetMs the timeout of a call, in milliseconds
      */
     public StoreClient(EventLoop loop, long budgetMs) {
         this.loop = loop;
@@ -62,15 +63,16 @@
         links.putAll(newestLinks);
     }
 
-    /** Orders a change. The callback is told what became of it. */
+    /** Requests a change. The callback receives its result. */
     public void change(List<Item> items, Consumer<ChangeResult> callback) {
-        long patienceMs = EXTRA_MS_PER_ITEM * items.size();
+        long extraMs = EXTRA_MS_PER_ITEM * items.size();
         new Attempts<ChangeResult>(
-                        patienceMs,
-                        (callId, insist, leftMs) -> new StoreMessages.ChangeItems(callId, insist, leftMs, items),
+                        extraMs,
+                        (callId, forceLeader, leftMs) ->
+                                new StoreMessages.ChangeItems(callId, forceLeader, leftMs, items),
                         StoreClient::resultOf,
                         result -> result,
-                        answer -> callback.accept(answer == null ? ChangeResult.UNKNOWN : answer))
+                        response -> callback.accept(response == null ? ChangeResult.UNKNOWN : response))
                 .tryNext();
     }
 
@@ -78,7 +80,7 @@
         return reply instanceof StoreMessages.ItemsChanged changed ? changed.result() : ChangeResult.UNKNOWN;
     }
 
-    /** Reads the newest decided items. The callback is told null if no majority confirmed them in time. */
+    /** Reads the newest decided items. The callback receives null if no majority confirmed them in time. */
     public void read(Consumer<Collection<Item>> callback) {
         new Attempts<StoreMessages.ItemsRead>(
                         0,
@@ -89,13 +91,15 @@
                 .tryNext();
     }
 
-    /** Makes a call from its number, whether the store is to insist on leading, and how long the caller waits. */
+    /**
+     * Creates a call from its number, whether the store is to take over the leadership, and how long the caller waits.
+     */
     private interface CallMaker {
 
-        Message.Call make(long callId, boolean insist, long leftMs);
+        Message.Call make(long callId, boolean forceLeader, long leftMs);
     }
 
-    /** One call, tried at one store after another until one of them knows the answer. */
+    /** One call, tried at one store after another until one of them gives a definite result. */
     private final class Attempts<R> {
 
         private final long endNanos;
@@ -104,17 +108,17 @@
         private final Function<Message.Reply, R> reader;
         private final Function<R, ChangeResult> result;
         private final Consumer<R> callback;
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> attemptedHosts = new HashSet<>();
         private boolean forceLeader;
 
         Attempts(
-                long patienceMs,
+                long extraMs,
                 CallMaker maker,
                 Function<Message.Reply, R> reader,
                 Function<R, ChangeResult> result,
                 Consumer<R> callback) {
-            this.extraMs = patienceMs;
-            this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + patienceMs);
+            this.extraMs = extraMs;
+            this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + extraMs);
             this.maker = maker;
             this.reader = reader;
             this.result = result;
@@ -123,50 +127,50 @@
 
         void tryNext() {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
-            String host = leftMs < MIN_ATTEMPT_MS ? null : nextHost();
+            String host = leftMs < MIN_ATTEMPT_MS ? null : selectHost();
             if (host == null) {
                 callback.accept(null);
                 return;
             }
-            asked.add(host);
+            attemptedHosts.add(host);
             long timeoutMs = Math.min(leftMs, ATTEMPT_TIMEOUT_MS + extraMs);
-            boolean insists = forceLeader;
+            boolean force = forceLeader;
             links.get(host)
-                    .call(callId -> maker.make(callId, insists, timeoutMs), timeoutMs, reply -> onReply(host, reply));
+                    .call(callId -> maker.make(callId, force, timeoutMs), timeoutMs, reply -> onReply(host, reply));
         }
 
-        /** The store that leads, else a voter that can be reached; null if all were asked. */
-        private String nextHost() {
-            if (isOpen(leader) && !asked.contains(leader)) {
+        /** Returns the leader, else a reachable voter; null if all were asked. */
+        private String selectHost() {
+            if (isOpen(leader) && !attemptedHosts.contains(leader)) {
                 return leader;
             }
             for (Voter voter : voters.members()) {
-                if (isOpen(voter.address()) && !asked.contains(voter.address())) {
+                if (isOpen(voter.address()) && !attemptedHosts.contains(voter.address())) {
                     return voter.address();
                 }
             }
             return null;
         }
 
-        /** Nobody who leads can be reached at present: all may be asked again. */
+        /** Starts over with all stores, because no leader is reachable. */
         private void restart() {
-            asked.clear();
+            attemptedHosts.clear();
             leader = "";
             forceLeader = true;
             tryNext();
         }
 
         private void onReply(String host, Either<CallFailure, Message.Reply> reply) {
-            R answer = reply.isRight() ? reader.apply(reply.get()) : null;
-            ChangeResult told = answer == null ? ChangeResult.UNKNOWN : result.apply(answer);
-            switch (told.outcome()) {
+            R response = reply.isRight() ? reader.apply(reply.get()) : null;
+            ChangeResult changeResult = response == null ? ChangeResult.UNKNOWN : result.apply(response);
+            switch (changeResult.outcome()) {
                 case CONFIRMED, CONFLICT, INVALID -> {
                     leader = host;
-                    callback.accept(answer);
+                    callback.accept(response);
                 }
                 case NOT_LEADER -> {
-                    leader = told.detail();
-                    if (isOpen(leader) && !asked.contains(leader)) {
+                    leader = changeResult.detail();
+                    if (isOpen(leader) && !attemptedHosts.contains(leader)) {
                         tryNext();
                     } else {
                         loop.schedule(this::restart, NO_LEADER_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
@@ -185,24 +189,24 @@
         return link != null && link.isOpen();
     }
 
-    /** Orders a purge. The callback is told whether a majority of the voters has passed it on. */
+    /** Requests a purge. The callback receives whether a majority of the voters has forwarded it. */
     public void purge(Purge purge, Consumer<Boolean> callback) {
         purge(purge, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs), callback);
     }
 
     private void purge(Purge purge, long endNanos, Consumer<Boolean> callback) {
-        VoterSet asked = voters;
+        VoterSet targetVoters = voters;
         long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
-        LongFunction<Message.Call> call = callId -> new StoreMessages.WritePurge(callId, asked.epoch(), purge);
-        MajorityCount count = new MajorityCount(asked, passedOn -> {
-            boolean again = !passedOn && leftMs > MIN_ATTEMPT_MS + PURGE_RETRY_DELAY_MS;
-            if (again) {
+        LongFunction<Message.Call> call = callId -> new StoreMessages.WritePurge(callId, targetVoters.epoch(), purge);
+        MajorityCount count = new MajorityCount(targetVoters, forwarded -> {
+            boolean retry = !forwarded && leftMs > MIN_ATTEMPT_MS + PURGE_RETRY_DELAY_MS;
+            if (retry) {
                 loop.schedule(() -> purge(purge, endNanos, callback), PURGE_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             } else {
-                callback.accept(passedOn);
+                callback.accept(forwarded);
             }
         });
-        for (String address : asked.addresses()) {
+        for (String address : targetVoters.addresses()) {
             ReconnectingLink link = links.get(address);
             if (link == null) {
                 count.failed(address);
@@ -213,7 +217,7 @@
         count.failIfNoVoters();
     }
 
-    /** Counts the voters that have written something and tells once whether they are a majority. */
+    /** Counts the voters that have completed a write and reports once whether they are a majority. */
     private static final class MajorityCount {
 
         private final VoterSet voters;
--- a/cdn/src/main/java/ridgemill/cdn/registry/Subscribers.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Subscribers.java
@@ -10,7 +10,7 @@
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.RegistryMessages;
 
-/** The edge proxies and shared caches that are connected: pushes numbered news to them and counts what they acknowledge. */
+/** The connected edge proxies and shared caches. Sends numbered updates to them and tracks their acknowledgements. */
 final class Subscribers {
 
     private final String incarnationId;
@@ -20,68 +20,71 @@
 
     private record Waiter(long number, Runnable done) {}
 
-    Subscribers(String lifeId) {
-        this.incarnationId = lifeId;
+    Subscribers(String incarnationId) {
+        this.incarnationId = incarnationId;
     }
 
-    /** The number of the last news. */
+    /** Returns the number of the last update. */
     long lastNumber() {
         return lastNumber;
     }
 
-    /** This life, in which the numbers count. */
+    /** Returns the incarnation of the registry, within which the numbers are valid. */
     String incarnationId() {
         return incarnationId;
     }
 
-    /** Adds a proxy and sends it all that is known. */
+    /** Adds a subscriber and sends it a snapshot. */
     void add(Link link, RegistryMessages.Snapshot snapshot) {
         acknowledged.put(link, lastNumber - 1);
         link.send(snapshot);
     }
 
-    /** Forgets a link; those who wait for it wait no longer. */
+    /** Removes a link. Waiting tasks no longer wait for its acknowledgement. */
     void remove(Link link) {
         if (acknowledged.remove(link) != null) {
             runReadyWaiters();
         }
     }
 
-    /** The links of all that are connected. */
+    /** Returns the links of all subscribers. */
     Collection<Link> links() {
         return List.copyOf(acknowledged.keySet());
     }
 
-    /** Numbers the next news. */
+    /** Returns the number of the next update. */
     long nextNumber() {
         return ++lastNumber;
     }
 
-    /** Sends each its news. */
-    void push(Function<Link, RegistryMessages.Update> news) {
+    /** Sends an update to each subscriber. */
+    void push(Function<Link, RegistryMessages.Update> update) {
         for (Link link : acknowledged.keySet()) {
-            link.send(news.apply(link));
+            link.send(update.apply(link));
         }
     }
 
-    /** A proxy has carried out the news up to a number. */
-    void acknowledged(Link link, long upTo) {
-        acknowledged.computeIfPresent(link, (key, before) -> Math.max(before, upTo));
+    /** Records that a subscriber has applied the updates up to a number. */
+    void acknowledged(Link link, long acknowledgedNumber) {
+        acknowledged.computeIfPresent(link, (key, previous) -> Math.max(previous, acknowledgedNumber));
         runReadyWaiters();
     }
 
-    /** Runs a task once all connected proxies have acknowledged all news so far; those that disconnect don't count. */
+    /**
+     * Runs a task once all subscribers have acknowledged all updates sent so far. Subscribers that disconnect do not
+     * count.
+     */
     void whenAcknowledged(Runnable task) {
         waiters.add(new Waiter(lastNumber, task));
         runReadyWaiters();
     }
 
     private void runReadyWaiters() {
-        long least = Long.MAX_VALUE;
-        for (long upTo : acknowledged.values()) {
-            least = Math.min(least, upTo);
+        long lowest = Long.MAX_VALUE;
+        for (long acknowledgedNumber : acknowledged.values()) {
+            lowest = Math.min(lowest, acknowledgedNumber);
         }
-        while (!waiters.isEmpty() && waiters.peek().number() <= least) {
+        while (!waiters.isEmpty() && waiters.peek().number() <= lowest) {
             waiters.poll().done().run();
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
@@ -12,8 +12,8 @@
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Follows which configuration stores vote and keeps links to them. Each store that is linked says it, as do other
- * registries; the newest epoch counts.
+ * Tracks which configuration stores vote and keeps links to them. Linked stores and other registries report the voters;
+ * the newest epoch is used.
  */
 final class VotingStores implements LinkListener {
 
@@ -27,27 +27,27 @@
     private final Map<String, ReconnectingLink> links = new HashMap<>();
 
     /**
-     * Without links until {@link #connect} or {@link #updateVoters}.
+     * Creates an object that has no links until {@link #connect} or {@link #updateVoters} is called.
      *
-     * @param port the port at which each store takes links
-     * @param client given the links to the voters once they are known
+     * @param port the port at which each store accepts links
+     * @param client receives the links to the voters once they are known
      */
-    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyUpdates news, StoreClient client) {
+    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyUpdates proxyUpdates, StoreClient client) {
         this.port = port;
         this.opener = opener;
         this.members = members;
-        this.proxyUpdates = news;
+        this.proxyUpdates = proxyUpdates;
         this.client = client;
     }
 
-    /** Opens a link to a store unless there is one. */
+    /** Opens a link to a store unless one exists. */
     void connect(String host) {
         if (!links.containsKey(host)) {
             links.put(host, opener.open(host, port, this));
         }
     }
 
-    /** Takes the voters if they are newer than those that are known. */
+    /** Updates the voters if they are newer than the known ones. */
     void updateVoters(VoterSet voters) {
         if (!members.updateVoters(voters)) {
             return;
--- a/cdn/src/main/java/ridgemill/cdn/settings/Bounds.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/Bounds.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * The figures of the rules, by their names in the settings file. Durations are in milliseconds.
+ * The bounds that the system has to keep, by their names in the settings file. Durations are in milliseconds.
  *
- * @param values the texts as they were given
+ * @param values the unparsed values by name
  */
 public record Bounds(Map<String, String> values) {
 
@@ -19,7 +19,7 @@
     private static final double DEFAULT_RETRY_RATIO = 0.2;
     private static final double DEFAULT_RETRY_SLACK = 20;
 
-    /** After how long a machine that acknowledged a drain may no longer see requests sent there. */
+    /** The time after the acknowledgement of a drain from which no more requests may be sent there. */
     public long drainDeadlineMs() {
         return duration("drainDeadline", DEFAULT_DRAIN_DEADLINE_MS);
     }
@@ -29,7 +29,7 @@
         return duration("gracePeriod", DEFAULT_GRACE_PERIOD_MS);
     }
 
-    /** For how long the operations of one key run once. */
+    /** The time for which an operation key is guaranteed to run at most once. */
     public long keyWindowMs() {
         return duration("keyWindow", DEFAULT_KEY_WINDOW_MS);
     }
@@ -39,17 +39,17 @@
         return duration("retryWindow", DEFAULT_RETRY_WINDOW_MS);
     }
 
-    /** How long a machine is out of touch after a trouble. */
+    /** The time for which a machine counts as out of contact after a disturbance. */
     public long contactMs() {
         return duration("contact", DEFAULT_CONTACT_MS);
     }
 
-    /** The share of a service's requests that may be sent again. */
+    /** The fraction of a service's requests that may be retried. */
     public double retryBudgetRatio() {
         return number("retryBudgetRatio", DEFAULT_RETRY_RATIO);
     }
 
-    /** How many requests may be sent again beyond the share, in one window, by all proxies together. */
+    /** The number of retries beyond that fraction that all proxies together may send in one window. */
     public double retryBudgetSlack() {
         return number("retryBudgetSlack", DEFAULT_RETRY_SLACK);
     }
@@ -64,13 +64,13 @@
         return number("originCeilingOverage", DEFAULT_ORIGIN_OVERAGE);
     }
 
-    private long duration(String name, long otherwise) {
+    private long duration(String name, long defaultValue) {
         String value = values.get(name);
-        return value == null ? otherwise : Durations.parseMillis(value);
+        return value == null ? defaultValue : Durations.parseMillis(value);
     }
 
-    private double number(String name, double otherwise) {
+    private double number(String name, double defaultValue) {
         String value = values.get(name);
-        return value == null ? otherwise : Double.parseDouble(value);
+        return value == null ? defaultValue : Double.parseDouble(value);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/settings/Durations.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/Durations.java
@@ -1,6 +1,6 @@
 package ridgemill.cdn.settings;
 
-/** Reads durations as texts with a unit, such as {@code 1500ms} or {@code 2.5s}. */
+/** Parses durations with a unit, such as {@code 1500ms} or {@code 2.5s}. */
 public final class Durations {
 
     private static final double MS_PER_SECOND = 1000;
@@ -8,9 +8,9 @@
     private Durations() {}
 
     /**
-     * The duration in milliseconds.
+     * Returns the duration in milliseconds.
      *
-     * @throws IllegalArgumentException if the text is no number with the unit {@code ms} or {@code s}
+     * @throws IllegalArgumentException if the text is not a number with the unit {@code ms} or {@code s}
      */
     public static long parseMillis(String text) {
         try {
@@ -27,6 +27,6 @@
     }
 
     private static IllegalArgumentException malformed(String text) {
-        return new IllegalArgumentException("\"" + text + "\" is no duration such as 1500ms or 2.5s");
+        return new IllegalArgumentException("\"" + text + "\" is not a duration such as 1500ms or 2.5s");
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/settings/Settings.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/Settings.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 
 /**
- * What a process is told by its settings file.
+ * The contents of the settings file of a process.
  *
  * @param nodeName the machine's name
  * @param ipAddress the machine's address
- * @param zone the zone that the machine is in
+ * @param zone the zone of the machine
  * @param zoneRegions the region of each zone
  * @param firstInternalPort the first of the ports for traffic between processes of the system
- * @param lastInternalPort the last of them
- * @param seedAddresses where control may be found, as {@code IP:port}
- * @param firstStart whether this is the very first start of the whole system
- * @param dataDirectory the folder on the disk; null where there is no disk
- * @param frontAddress where clients are served, as {@code IP:port}; null where none are
- * @param readyAddress where readiness is told; null where it is not
- * @param controlAddress where instances and operators are served; null where they are not
+ * @param lastInternalPort the last of these ports
+ * @param seedAddresses control addresses of core machines, as {@code IP:port}
+ * @param firstStart whether this is the first start of the whole system
+ * @param dataDirectory the data folder; null if the process has no disk
+ * @param frontAddress where clients are served, as {@code IP:port}; null if they are not
+ * @param readyAddress where readiness is reported, as {@code IP:port}; null if it is not
+ * @param controlAddress where instances and operators are served, as {@code IP:port}; null if they are not
  * @param heartbeatIntervalMs how often instances send heartbeats, in milliseconds
- * @param bounds the figures of the rules
- * @param fileDescriptors how many descriptors the process may have open
- * @param toleratedMachines how many counted machines may be lost at once
- * @param lossCounted whether this machine is one of those
+ * @param bounds the bounds that the system has to keep
+ * @param fileDescriptors the maximum number of open file descriptors of the process
+ * @param toleratedMachines how many machines with {@code lossCounted} may be lost at once
+ * @param lossCounted whether this machine counts towards {@code toleratedMachines}
  */
 public record Settings(
         String nodeName,
@@ -44,27 +44,27 @@
         int toleratedMachines,
         boolean lossCounted) {
 
-    /** The port on each core machine at which its registry takes links. */
+    /** Returns the port at which the registry of each core machine accepts links. */
     public int registryPort() {
         return firstInternalPort;
     }
 
-    /** The port on each core machine at which its configuration store takes links. */
+    /** Returns the port at which the configuration store of each core machine accepts links. */
     public int storePort() {
         return firstInternalPort + 1;
     }
 
-    /** The port on the machine of a shared cache at which it takes reads. */
+    /** Returns the port at which a shared cache accepts reads. */
     public int cachePort() {
         return firstInternalPort + 2;
     }
 
-    /** The region of a zone; the zone's own name if it is not known. */
-    public String regionOf(String ofZone) {
-        return zoneRegions.getOrDefault(ofZone, ofZone);
+    /** Returns the region of a zone; the name of the zone if its region is unknown. */
+    public String regionOf(String zoneName) {
+        return zoneRegions.getOrDefault(zoneName, zoneName);
     }
 
-    /** The IP addresses of the seeds, in their order. */
+    /** Returns the IP addresses of the seeds, in order. */
     public List<String> seedHosts() {
         return seedAddresses.stream()
                 .map(address -> address.substring(0, address.lastIndexOf(':')))
--- a/cdn/src/main/java/ridgemill/cdn/settings/SettingsError.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/SettingsError.java
@@ -1,14 +1,14 @@
 package ridgemill.cdn.settings;
 
 /**
- * Why settings can't be used.
+ * The reason why settings are invalid.
  *
- * @param location the file, and the field where one is at fault
- * @param reason what is wrong there
+ * @param location the file, and the invalid field if there is one
+ * @param reason what is wrong with it
  */
 public record SettingsError(String location, String reason) {
 
-    /** The error as one line of text. */
+    /** Returns the error as one line of text. */
     public String describe() {
         return location + ": " + reason;
     }
--- a/cdn/src/main/java/ridgemill/cdn/settings/SettingsReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/SettingsReader.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import ridgemill.cdn.json.TreeReader;
 
-/** Reads a settings file (TOML) and checks it. Fields that are not known are passed over, as files may gain new ones. */
+/** Reads and validates a settings file (TOML). Unknown fields are ignored, because files may gain new ones. */
 public final class SettingsReader {
 
     private static final int MAX_PORT = 65_535;
@@ -23,12 +23,12 @@
     private final JsonNode root;
     private final String location;
 
-    private SettingsReader(JsonNode root, String place) {
+    private SettingsReader(JsonNode root, String location) {
         this.root = root;
-        this.location = place;
+        this.location = location;
     }
 
-    /** Reads the file at a path. */
+    /** Reads a settings file. */
     public static Either<SettingsError, Settings> read(Path path) {
         String text;
         try {
@@ -40,17 +40,17 @@
     }
 
     /**
-     * Reads settings from text.
+     * Parses settings.
      *
-     * @param place how errors name the text
+     * @param location the name of the text in errors
      */
-    public static Either<SettingsError, Settings> parse(String text, String place) {
+    public static Either<SettingsError, Settings> parse(String text, String location) {
         try {
-            return Either.right(new SettingsReader(tree(text), place).settings());
+            return Either.right(new SettingsReader(tree(text), location).settings());
         } catch (IOException malformed) {
-            return Either.left(new SettingsError(place, "is no TOML: " + firstLine(malformed.getMessage())));
-        } catch (FieldException wrong) {
-            return Either.left(new SettingsError(place + ": " + wrong.field, wrong.getMessage()));
+            return Either.left(new SettingsError(location, "is no TOML: " + firstLine(malformed.getMessage())));
+        } catch (FieldException invalid) {
+            return Either.left(new SettingsError(location + ": " + invalid.field, invalid.getMessage()));
         }
     }
 
@@ -65,7 +65,7 @@
         return end < 0 ? text : text.substring(0, end);
     }
 
-    /** A field whose value can't be used. */
+    /** Thrown for a field with an invalid value. */
     private static final class FieldException extends RuntimeException {
 
         private static final long serialVersionUID = 1;
@@ -104,7 +104,7 @@
     private String requiredText(String field) {
         JsonNode value = root.path(field);
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            throw new FieldException(field, "a text is needed");
+            throw new FieldException(field, "must be a non-empty string");
         }
         return value.textValue();
     }
@@ -120,7 +120,7 @@
 
     private static int port(JsonNode value, String field) {
         if (!value.canConvertToInt() || value.intValue() < 1 || value.intValue() > MAX_PORT) {
-            throw new FieldException(field, "two ports from 1 to " + MAX_PORT + " are needed");
+            throw new FieldException(field, "must be two ports from 1 to " + MAX_PORT);
         }
         return value.intValue();
     }
@@ -131,7 +131,7 @@
             seeds.add(checkedAddress(seed.asText(), "seedAddresses"));
         }
         if (seeds.isEmpty()) {
-            throw new FieldException("seedAddresses", "at least one address is needed");
+            throw new FieldException("seedAddresses", "must contain at least one address");
         }
         return List.copyOf(seeds);
     }
@@ -154,14 +154,14 @@
                 return text;
             }
         } catch (NumberFormatException notAPort) {
-            throw new FieldException(field, "\"" + text + "\" is no address such as 10.0.0.1:8080");
+            throw new FieldException(field, "\"" + text + "\" is not an address such as 10.0.0.1:8080");
         }
-        throw new FieldException(field, "\"" + text + "\" is no address such as 10.0.0.1:8080");
+        throw new FieldException(field, "\"" + text + "\" is not an address such as 10.0.0.1:8080");
     }
 
-    private long duration(String field, String otherwise) {
+    private long duration(String field, String defaultValue) {
         try {
-            return Durations.parseMillis(root.path(field).asText(otherwise));
+            return Durations.parseMillis(root.path(field).asText(defaultValue));
         } catch (IllegalArgumentException malformed) {
             throw new FieldException(field, malformed.getMessage());
         }
--- a/cdn/src/main/java/ridgemill/cdn/settings/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings file of a process: reading and checking. */
+/** Reads and validates the settings file of a process. */
 package ridgemill.cdn.settings;
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskBatch.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskBatch.java
@@ -5,16 +5,16 @@
 import ridgemill.cdn.keys.KeyRecord;
 
 /**
- * Changes that reach the disk together or not at all.
+ * A set of changes that is written to the disk atomically.
  *
- * @param diskId the name that the disk gets; null if it does not change
- * @param accepted what the store promised and accepted; null if it does not change
+ * @param diskId the new identifier of the disk; null if it does not change
+ * @param accepted the new acceptor record (promised and accepted state); null if it does not change
  * @param records key records that replace those on disk
- * @param removedKeys keys whose records are dropped
+ * @param removedKeys keys whose records are removed
  */
 record DiskBatch(String diskId, AcceptorRecord accepted, List<KeyRecord> records, List<String> removedKeys) {
 
-    /** No change: done once all earlier changes are on disk. */
+    /** An empty batch, which completes once all earlier batches are on disk. */
     static final DiskBatch NONE = new DiskBatch(null, null, List.of(), List.of());
 
     static DiskBatch ofDiskId(String diskId) {
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskCorruptException.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskCorruptException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** What is on the disk is no readable store. */
+/** The data on the disk is not a readable store. */
 final class DiskCorruptException extends IOException {
 
     private static final long serialVersionUID = 1;
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskFile.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskFile.java
@@ -7,17 +7,17 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The calls on one file that the journal needs; tests put files in its place that refuse. */
+/** The file operations that the journal needs. Tests substitute files that fail. */
 interface DiskFile extends Closeable {
 
     /** Opens files. */
     interface Opener {
 
-        /** Opens a file for reading and writing; makes it if it is not there. */
+        /** Opens a file for reading and writing; creates it if it does not exist. */
         DiskFile open(Path path) throws IOException;
     }
 
-    /** The length in bytes. */
+    /** Returns the length in bytes. */
     long size() throws IOException;
 
     /** Reads at a position until the buffer is full or the file ends. */
@@ -26,13 +26,13 @@
     /** Writes all bytes at a position. */
     void write(ByteBuffer bytes, long position) throws IOException;
 
-    /** Cuts the file. */
+    /** Truncates the file to the given length in bytes. */
     void truncate(long size) throws IOException;
 
-    /** Returns once all that was written survives a loss of power. */
+    /** Syncs the file: returns once all written data would survive a power loss. */
     void force() throws IOException;
 
-    /** A file of the file system. */
+    /** Opens a file of the file system. */
     static DiskFile of(Path path) throws IOException {
         return new ChannelFile(
                 FileChannel.open(path, StandardOpenOption.READ, StandardOpenOption.WRITE, StandardOpenOption.CREATE));
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
@@ -10,14 +10,15 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that uses the disk. Batches that wait are written together with one sync. What could not be written is
- * kept and written first with the next attempt, so a batch is reported as written only if all before it are.
+ * Runs all disk operations on one thread. Queued batches are written together with one sync. Changes that could not be
+ * written are kept and written first with the next attempt, so a batch is reported as written only if all batches
+ * before it are.
  */
 final class DiskQueue {
 
     private static final System.Logger LOG = System.getLogger(DiskQueue.class.getName());
     private static final int MAX_QUEUED_BATCHES = 20_000;
-    /** The least time between attempts on a disk that refuses. */
+    /** The delay between attempts on a disk that fails, in milliseconds. */
     private static final long RETRY_DELAY_MS = 250;
 
     private static final long STOP_TIMEOUT_MS = 3_000;
@@ -35,7 +36,7 @@
     private record Submission(DiskBatch batch, Consumer<Boolean> done) {}
 
     /**
-     * A queue that is started by {@link #start}.
+     * Creates a queue that is started by {@link #start}.
      *
      * @param loop runs the callbacks
      */
@@ -46,17 +47,21 @@
     }
 
     /**
-     * Opens the disk and reports what it holds; repeated until the disk lets itself be opened.
+     * Opens the disk and reports its contents. Opening is retried until it succeeds.
      *
-     * @param whenLost called if the disk became unreadable later and was begun anew: all has to be written again
+     * @param dataLostCallback called if the disk became unreadable later and was reset: all data has to be written
+     *     again
      */
-    void start(Consumer<StoredState> whenOpened, Runnable whenLost) {
-        onOpened = whenOpened;
-        onDataLost = whenLost;
+    void start(Consumer<StoredState> openedCallback, Runnable dataLostCallback) {
+        onOpened = openedCallback;
+        onDataLost = dataLostCallback;
         thread.start();
     }
 
-    /** Queues a batch; the callback is told whether it is on disk. */
+    /**
+     * Queues a batch. The callback receives whether the batch is on disk; false at once if the queue is full or
+     * stopped.
+     */
     void submit(DiskBatch batch, Consumer<Boolean> done) {
         synchronized (queue) {
             if (!stopped && queue.size() < MAX_QUEUED_BATCHES) {
@@ -68,7 +73,7 @@
         done.accept(false);
     }
 
-    /** Writes what waits, closes the disk and waits for that, but not for ever if the disk hangs. */
+    /** Writes the queued batches, closes the disk and waits for both, for a bounded time in case the disk hangs. */
     void stop() {
         synchronized (queue) {
             stopped = true;
@@ -95,7 +100,7 @@
         }
     }
 
-    /** Null if the queue was stopped before. */
+    /** Returns the contents of the disk, or null if the queue was stopped before it could be opened. */
     private StoredState openDisk() throws InterruptedException {
         boolean lost = false;
         while (!isStopped()) {
@@ -105,8 +110,8 @@
             } catch (DiskCorruptException corrupt) {
                 LOG.log(Level.ERROR, "event=disk_unreadable cause=\"" + corrupt.getMessage() + "\"");
                 lost |= moveAside();
-            } catch (IOException refused) {
-                LOG.log(Level.WARNING, "event=disk_not_opened cause=\"" + refused.getMessage() + "\"");
+            } catch (IOException failure) {
+                LOG.log(Level.WARNING, "event=disk_not_opened cause=\"" + failure.getMessage() + "\"");
             }
             pause();
         }
@@ -117,29 +122,29 @@
         try {
             disk.moveAside();
             return true;
-        } catch (IOException refused) {
-            LOG.log(Level.WARNING, "event=disk_not_moved_aside cause=\"" + refused.getMessage() + "\"");
+        } catch (IOException failure) {
+            LOG.log(Level.WARNING, "event=disk_not_moved_aside cause=\"" + failure.getMessage() + "\"");
             return false;
         }
     }
 
     private void writeUntilStopped() throws InterruptedException {
-        List<Submission> taken = take();
-        while (taken != null) {
-            taken.forEach(submission -> unwritten.add(submission.batch()));
+        List<Submission> submissions = take();
+        while (submissions != null) {
+            submissions.forEach(submission -> unwritten.add(submission.batch()));
             boolean written = write();
-            report(taken, written);
+            report(submissions, written);
             if (!written) {
                 if (isStopped()) {
                     return;
                 }
                 pause();
             }
-            taken = take();
+            submissions = take();
         }
     }
 
-    /** Null once the queue was stopped and nothing waits. */
+    /** Returns the queued batches, or null once the queue is stopped and empty. */
     private List<Submission> take() throws InterruptedException {
         synchronized (queue) {
             while (queue.isEmpty() && !stopped && unwritten.isEmpty()) {
@@ -148,9 +153,9 @@
             if (queue.isEmpty() && stopped) {
                 return null;
             }
-            List<Submission> taken = new ArrayList<>(queue);
+            List<Submission> submissions = new ArrayList<>(queue);
             queue.clear();
-            return taken;
+            return submissions;
         }
     }
 
@@ -166,9 +171,9 @@
                 loop.execute(onDataLost);
             }
             return false;
-        } catch (IOException refused) {
+        } catch (IOException failure) {
             if (!failing) {
-                LOG.log(Level.ERROR, "event=disk_refuses cause=\"" + refused.getMessage() + "\"");
+                LOG.log(Level.ERROR, "event=disk_refuses cause=\"" + failure.getMessage() + "\"");
             }
             failing = true;
             return false;
@@ -181,9 +186,10 @@
         return true;
     }
 
-    private void report(List<Submission> taken, boolean written) {
-        if (!taken.isEmpty()) {
-            loop.execute(() -> taken.forEach(submission -> submission.done().accept(written)));
+    private void report(List<Submission> submissions, boolean written) {
+        if (!submissions.isEmpty()) {
+            loop.execute(
+                    () -> submissions.forEach(submission -> submission.done().accept(written)));
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/store/JournalDisk.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/JournalDisk.java
@@ -22,17 +22,17 @@
 import ridgemill.cdn.wire.ValueCodec;
 
 /**
- * Keeps the store's state in one journal file: its first frame holds the whole state, each later one a batch of changes.
- * When the journal has grown, or the disk refused a write, a new file with the whole state takes its place. Files carry
- * the number of their generation; the newest one whose first frame is whole holds the state, as the one before it is
- * removed only after that frame is on disk.
+ * Keeps the store's state in one journal file. The first frame holds the complete state, each later frame a batch of
+ * changes. When the journal has grown too much, or a write failed, a new file with the complete state replaces it. File
+ * names contain the generation number. The newest file whose first frame is intact holds the state, because the
+ * previous file is removed only after that frame is on disk.
  */
 final class JournalDisk implements StoreDisk {
 
     private static final System.Logger LOG = System.getLogger(JournalDisk.class.getName());
     private static final long FORMAT_VERSION = 2;
     private static final String FILE_PREFIX = "journal-";
-    /** A journal begins anew once it is this much longer than its first frame, in bytes. */
+    /** The journal is rewritten once it exceeds its first frame by this many bytes. */
     private static final long MAX_GROWTH_BYTES = 16L << 20;
 
     private final Path folder;
@@ -45,7 +45,7 @@
     private long generation;
     private long firstFrameBytes;
 
-    /** A disk at a folder, which is made when it is opened. */
+    /** Creates a disk in a folder. The folder is created when the disk is opened. */
     JournalDisk(Path folder) {
         this(folder, DiskFile::of);
     }
@@ -67,14 +67,14 @@
             }
         }
         if (!generations.isEmpty() && generations.get(0) > 1) {
-            throw new DiskCorruptException("no journal is whole", null);
+            throw new DiskCorruptException("no journal has an intact first frame", null);
         }
-        // Nothing was acknowledged before the first generation was whole.
+        // No write is acknowledged before the first generation is complete, so nothing is lost by starting over.
         startGeneration(1);
         return state();
     }
 
-    /** The generations that have a file, newest first. */
+    /** Lists the generations that have a file, newest first. */
     private List<Long> generations() throws IOException {
         List<Long> generations = new ArrayList<>();
         try (Stream<Path> paths = Files.list(folder)) {
@@ -84,8 +84,8 @@
                     generations.add(Long.parseLong(name.substring(FILE_PREFIX.length())));
                 }
             }
-        } catch (NumberFormatException foreign) {
-            throw new DiskCorruptException("a file has a foreign name", foreign);
+        } catch (NumberFormatException notAGeneration) {
+            throw new DiskCorruptException("unexpected file name in the data folder", notAGeneration);
         }
         generations.sort(Comparator.reverseOrder());
         return generations;
@@ -95,7 +95,7 @@
         return folder.resolve(FILE_PREFIX + number);
     }
 
-    /** Whether the generation's first frame is whole; then its state is taken. */
+    /** Loads a generation. Returns false if its first frame is not intact. */
     private boolean loadGeneration(long number) throws IOException {
         JournalFile.Opened opened = JournalFile.open(opener.open(pathOf(number)), Long.hashCode(number));
         if (opened.frames().isEmpty()) {
@@ -111,7 +111,7 @@
                 apply(ValueCodec.fromBytes(frame, JournalDisk::readBatch));
             } catch (IOException unreadable) {
                 opened.journal().close();
-                throw new DiskCorruptException("a frame can't be read: " + unreadable.getMessage(), unreadable);
+                throw new DiskCorruptException("malformed frame: " + unreadable.getMessage(), unreadable);
             }
         }
         journal = opened.journal();
@@ -124,13 +124,13 @@
         return new StoredState(diskId, fullAcceptorRecord(), List.copyOf(records.values()), false);
     }
 
-    /** What was promised and accepted, with all items. */
+    /** Returns the acceptor record with all items. */
     private AcceptorRecord fullAcceptorRecord() {
         return new AcceptorRecord(
                 accepted.promised(), accepted.accepted(), accepted.voters(), List.copyOf(items.values()), true);
     }
 
-    /** Takes a batch into the state in memory. */
+    /** Applies a batch to the state in memory. */
     private void apply(DiskBatch batch) {
         if (batch.accepted() != null) {
             AcceptorRecord next = batch.accepted();
@@ -159,10 +159,11 @@
         }
         try {
             journal.append(ValueCodec.toBytes(batch, JournalDisk::writeBatch));
-        } catch (IOException refused) {
-            // The file's end is not known any more, and a sync that failed once may report success the next time.
+        } catch (IOException failure) {
+            // The end of the file is unknown after a failure, and a sync that failed once may report success the next
+            // time.
             close();
-            throw refused;
+            throw failure;
         }
         apply(batch);
         if (journal.length() - firstFrameBytes > MAX_GROWTH_BYTES) {
@@ -171,29 +172,29 @@
         }
     }
 
-    /** Writes a batch as part of the whole state, where the journal can't be appended to any more. */
+    /** Writes a batch as part of the complete state, for when the journal can no longer be appended to. */
     private void rewrite(DiskBatch batch) throws IOException {
         apply(batch);
         startGeneration(generation + 1);
         removeOthers(generation);
     }
 
-    /** Begins a new generation with the whole state. */
+    /** Starts a new generation with the complete state. */
     private void startGeneration(long number) throws IOException {
         close();
         Files.deleteIfExists(pathOf(number));
         JournalFile next = JournalFile.open(opener.open(pathOf(number)), Long.hashCode(number))
                 .journal();
-        DiskBatch whole = new DiskBatch(diskId, fullAcceptorRecord(), List.copyOf(records.values()), List.of());
+        DiskBatch completeState = new DiskBatch(diskId, fullAcceptorRecord(), List.copyOf(records.values()), List.of());
         try {
-            byte[] frame = ValueCodec.toBytes(whole, JournalDisk::writeBatch);
+            byte[] frame = ValueCodec.toBytes(completeState, JournalDisk::writeBatch);
             next.append(frame);
             syncFolder();
             firstFrameBytes = frame.length;
-        } catch (IOException refused) {
+        } catch (IOException failure) {
             next.close();
             Files.deleteIfExists(pathOf(number));
-            throw refused;
+            throw failure;
         }
         journal = next;
         generation = number;
@@ -211,7 +212,7 @@
         }
     }
 
-    /** Returns once the names of files that were made and removed survive a loss of power. */
+    /** Syncs the folder: returns once created and removed file names would survive a power loss. */
     private void syncFolder() throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
@@ -234,7 +235,7 @@
     private static DiskBatch readBatch(FieldReader in) throws IOException {
         long format = in.number();
         if (format != FORMAT_VERSION) {
-            throw new IOException("format " + format + " is not known");
+            throw new IOException("unknown format version " + format);
         }
         String name = in.text();
         AcceptorRecord next = null;
@@ -256,15 +257,15 @@
         records.clear();
         diskId = null;
         accepted = AcceptorRecord.EMPTY;
-        Path aside = folder.resolveSibling(folder.getFileName() + ".unreadable");
-        if (Files.exists(aside)) {
-            try (Stream<Path> inside = Files.walk(aside)) {
-                for (Path path : inside.sorted(Comparator.reverseOrder()).toList()) {
+        Path movedFolder = folder.resolveSibling(folder.getFileName() + ".unreadable");
+        if (Files.exists(movedFolder)) {
+            try (Stream<Path> paths = Files.walk(movedFolder)) {
+                for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                     Files.delete(path);
                 }
             }
         }
-        Files.move(folder, aside);
+        Files.move(folder, movedFolder);
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
@@ -7,9 +7,9 @@
 import java.util.zip.CRC32;
 
 /**
- * A file of frames that is only ever appended to. A frame is the length of its contents and their checksum, 32 bits each
- * in network order, then the contents. Each checksum also covers the one before it, so that a frame left over from
- * before a loss of power is not taken for the next one. Used by one thread.
+ * An append-only file of frames. A frame is the length of its contents and a CRC-32 checksum, 32 bits each in network
+ * byte order, followed by the contents. Each checksum also covers the previous checksum, so that a stale frame left
+ * over from before a power loss is not taken for the next one. Not thread-safe.
  */
 final class JournalFile {
 
@@ -25,17 +25,17 @@
     }
 
     /**
-     * What a file held.
+     * The result of opening a file.
      *
-     * @param journal the file, to be appended to
-     * @param frames the contents of its whole frames, in order
+     * @param journal the file, ready for appending
+     * @param frames the contents of its intact frames, in order
      */
     record Opened(JournalFile journal, List<byte[]> frames) {}
 
     /**
-     * Reads a file up to the first frame that is not whole, and cuts it there.
+     * Reads a file up to the first frame that is not intact, and truncates it there.
      *
-     * @param seed takes the place of the checksum before the first frame
+     * @param seed the initial value of the checksum chain, used as the checksum before the first frame
      */
     static Opened open(DiskFile file, int seed) throws IOException {
         JournalFile journal = new JournalFile(file, seed);
@@ -51,12 +51,14 @@
         if (file.size() != journal.length) {
             file.truncate(journal.length);
         }
-        // A killed process may leave frames that no sync covered; what was read is acted on, so it has to last.
+        // A killed process may leave frames that were never synced. The store acts on the frames read here, so they
+        // have to be
+        // durable.
         file.force();
         return new Opened(journal, frames);
     }
 
-    /** Takes the next frame into the chain, or null if it is not whole. */
+    /** Reads the next frame and adds it to the checksum chain. Returns null if the frame is not intact. */
     private byte[] nextFrame(ByteBuffer contents) {
         if (contents.remaining() < FRAME_HEADER_BYTES) {
             return null;
@@ -87,9 +89,9 @@
     }
 
     /**
-     * Appends a frame and returns once it survives a loss of power.
+     * Appends a frame and returns once it would survive a power loss.
      *
-     * @throws IOException if it may not be there; the file must not be appended to again
+     * @throws IOException if the frame may not be on disk; the file must not be appended to again
      */
     void append(byte[] frame) throws IOException {
         int checksum = checksumOf(frame);
@@ -104,7 +106,7 @@
         length += FRAME_HEADER_BYTES + frame.length;
     }
 
-    /** The file's length in bytes. */
+    /** Returns the length of the intact frames in bytes. */
     long length() {
         return length;
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
@@ -15,9 +15,9 @@
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Fetches the operation keys for a store that is to become a voter: from a majority of the voters that it joins, each of
- * which grants nothing in the epoch before any more. A key that was granted by a majority is then on one of them. On the
- * event loop.
+ * Fetches the operation keys for a store that is about to become a voter, from a majority of the voters that it joins.
+ * Each of them no longer grants keys in the previous epoch. A key that was granted by a majority is therefore held by
+ * at least one of them. Runs on the event loop.
  */
 final class KeyTransfer {
 
@@ -35,14 +35,14 @@
         this.peers = peers;
     }
 
-    /** Goes on with what can be done now; called again and again. */
+    /** Starts the requests that are possible now. Called periodically. */
     void step() {
-        VoterSet wanted = replica.agreement().voterChangeAwaitingKeys();
-        if (wanted == null) {
+        VoterSet pendingChange = replica.agreement().voterChangeAwaitingKeys();
+        if (pendingChange == null) {
             return;
         }
-        if (!wanted.equals(change)) {
-            change = wanted;
+        if (!pendingChange.equals(change)) {
+            change = pendingChange;
             recordsByVoter.clear();
             pendingVoters.clear();
             merging = false;
@@ -54,23 +54,23 @@
         }
     }
 
-    private void requestPage(VoterSet forChange, Voter voter, String afterKey, List<KeyRecord> records) {
+    private void requestPage(VoterSet requestedChange, Voter voter, String afterKey, List<KeyRecord> records) {
         peers.linkTo(voter.address())
                 .call(
                         callId -> new StoreMessages.PullKeys(callId, afterKey),
                         CALL_TIMEOUT_MS,
-                        reply -> onPage(forChange, voter, records, reply));
+                        reply -> onPage(requestedChange, voter, records, reply));
     }
 
     private void onPage(
-            VoterSet forChange, Voter voter, List<KeyRecord> records, Either<CallFailure, Message.Reply> reply) {
-        if (!forChange.equals(change)) {
+            VoterSet requestedChange, Voter voter, List<KeyRecord> records, Either<CallFailure, Message.Reply> reply) {
+        if (!requestedChange.equals(change)) {
             return;
         }
         boolean usable = reply.isRight()
-                && reply.get() instanceof StoreMessages.KeysPage answer
-                && answer.store().equals(voter)
-                && answer.epoch() == forChange.epoch();
+                && reply.get() instanceof StoreMessages.KeysPage keysPage
+                && keysPage.store().equals(voter)
+                && keysPage.epoch() == requestedChange.epoch();
         if (!usable) {
             pendingVoters.remove(voter);
             return;
@@ -82,7 +82,7 @@
             recordsByVoter.put(voter, records);
             mergeIfQuorum();
         } else {
-            requestPage(forChange, voter, records.get(records.size() - 1).key(), records);
+            requestPage(requestedChange, voter, records.get(records.size() - 1).key(), records);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/store/PendingChanges.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/PendingChanges.java
@@ -9,18 +9,18 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.keys.KeyRecord;
 
-/** Joins batches in their order to one: of several changes of one item or key the last one stays. */
+/** Merges consecutive batches into one. Of several changes to one item or key the last one is kept. */
 final class PendingChanges {
 
     private final Map<ItemName, VersionedItem> items = new LinkedHashMap<>();
-    /** Null stands for a key whose record is dropped. */
+    /** A null value marks a key whose record is removed. */
     private final Map<String, KeyRecord> records = new LinkedHashMap<>();
 
     private String diskId;
     private AcceptorRecord accepted;
     private boolean replaces;
 
-    /** Adds a batch that comes after all added before. */
+    /** Adds a batch that follows all batches added before. */
     void add(DiskBatch batch) {
         batch.removedKeys().forEach(key -> records.put(key, null));
         batch.records().forEach(keyRecord -> records.put(keyRecord.key(), keyRecord));
@@ -41,7 +41,7 @@
         return accepted == null && records.isEmpty() && diskId == null;
     }
 
-    /** Forgets all: it is on disk. */
+    /** Discards all changes, once they are on disk. */
     void clear() {
         items.clear();
         records.clear();
@@ -50,18 +50,18 @@
         replaces = false;
     }
 
-    /** All that was added, as one batch. */
+    /** Returns all added changes as one batch. */
     DiskBatch toBatch() {
-        List<KeyRecord> kept = new ArrayList<>();
-        List<String> removed = new ArrayList<>();
+        List<KeyRecord> keptRecords = new ArrayList<>();
+        List<String> removedKeys = new ArrayList<>();
         records.forEach((key, keyRecord) -> {
             if (keyRecord == null) {
-                removed.add(key);
+                removedKeys.add(key);
             } else {
-                kept.add(keyRecord);
+                keptRecords.add(keyRecord);
             }
         });
-        AcceptorRecord joined = accepted == null
+        AcceptorRecord mergedRecord = accepted == null
                 ? null
                 : new AcceptorRecord(
                         accepted.promised(),
@@ -69,6 +69,6 @@
                         accepted.voters(),
                         List.copyOf(items.values()),
                         replaces);
-        return new DiskBatch(diskId, joined, kept, removed);
+        return new DiskBatch(diskId, mergedRecord, keptRecords, removedKeys);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreDisk.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreDisk.java
@@ -2,24 +2,24 @@
 
 import java.io.IOException;
 
-/** The disk of a store. All methods are called by one thread, which waits for the disk. */
+/** The disk of a store. All methods block and are called by one thread. */
 interface StoreDisk {
 
     /**
      * Opens the disk and reads it. May be called again after a failure.
      *
-     * @throws DiskCorruptException if what is there is no readable store
-     * @throws IOException if the disk refuses; it may work later
+     * @throws DiskCorruptException if the data is not a readable store
+     * @throws IOException if the disk fails; a later attempt may succeed
      */
     StoredState open() throws IOException;
 
-    /** Sets what can't be read aside, so that {@link #open} finds an empty disk. */
+    /** Moves unreadable data to another folder, so that {@link #open} finds an empty disk. */
     void moveAside() throws IOException;
 
     /**
-     * Writes all changes of a batch, or none, and returns once they survive a loss of power.
+     * Writes a batch atomically and returns once it would survive a power loss.
      *
-     * @throws IOException if they may not be there; they are to be written again
+     * @throws IOException if the batch may not be on disk; it has to be written again
      */
     void write(DiskBatch batch) throws IOException;
 
--- a/cdn/src/main/java/ridgemill/cdn/store/StorePeers.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StorePeers.java
@@ -12,7 +12,7 @@
 import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.SocketKind;
 
-/** The links to other stores, opened when they are first asked for and kept. On the event loop. */
+/** The links to other stores. A link is opened on first use and kept open. Used on the event loop. */
 final class StorePeers implements LinkListener {
 
     private final EventLoop loop;
@@ -29,12 +29,12 @@
         this.port = port;
     }
 
-    /** Sets what is told the IP address of each store to which a link opens. */
-    void setOnConnected(Consumer<String> told) {
-        onConnected = told;
+    /** Sets the callback that receives the IP address of each store whose link opens. */
+    void setOnConnected(Consumer<String> callback) {
+        onConnected = callback;
     }
 
-    /** The link to the store on the machine with this IP address. */
+    /** Returns the link to the store on the machine with this IP address. */
     ReconnectingLink linkTo(String address) {
         return links.computeIfAbsent(address, host -> {
             ReconnectingLink link = new ReconnectingLink(loop, sockets, new InetSocketAddress(host, port), hello, this);
@@ -43,7 +43,7 @@
         });
     }
 
-    /** Ends all links. */
+    /** Closes all links. */
     void close() {
         links.values().forEach(ReconnectingLink::close);
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
@@ -22,21 +22,21 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The configuration store of one core machine: a replica of the configuration and, on a voter, of the register of
- * operation keys. All of it runs on one event loop, and the disk on one thread beside it.
+ * The configuration store of one core machine: a replica of the configuration and, on a voter, of the operation keys.
+ * Everything runs on one event loop, except for the disk, which has its own thread.
  */
 public final class StoreProgram {
 
     private static final System.Logger LOG = System.getLogger(StoreProgram.class.getName());
     private static final String DATA_FOLDER = "store";
     private static final long KEY_TRANSFER_INTERVAL_MS = 100;
-    /** The part of the grace period in which a store that ends waits for another one to vote in its place. */
+    /** The fraction of the grace period for which a stopping store waits until another store votes in its place. */
     private static final double LEAVE_GRACE_FRACTION = 0.5;
 
     private static final long UPKEEP_INTERVAL_MS = 1_000;
-    /** After how long a disk that refused its name is tried again, in milliseconds. */
+    /** The delay before writing the disk identifier is retried, in milliseconds. */
     private static final long DISK_ID_RETRY_DELAY_MS = 100;
-    /** The share of the heap that key records may fill. */
+    /** Key records may fill the maximum heap size divided by this number. */
     private static final int KEY_HEAP_DIVISOR = 4;
 
     private final Settings settings;
@@ -52,7 +52,7 @@
     private LinkServer server;
     private boolean stopped;
 
-    /** A store that is started by {@link #start}. */
+    /** Creates a store that is started by {@link #start}. */
     public StoreProgram(Settings settings, EventLoopGroup loops, SocketKind sockets, Clock clock) {
         this(
                 settings,
@@ -66,39 +66,42 @@
         this.settings = settings;
         this.loop = loops.next();
         this.sockets = sockets;
-        String lifeId = settings.nodeName()
+        String incarnationId = settings.nodeName()
                 + '-'
                 + (long) clock.now()
                 + '-'
                 + Long.toHexString(ThreadLocalRandom.current().nextLong());
-        this.incarnationId = lifeId;
+        this.incarnationId = incarnationId;
         this.disk = new DiskQueue(storeDisk, loop);
         KeyLimits limits = KeyLimits.forWindow(
                 settings.bounds().keyWindowMs(), Runtime.getRuntime().maxMemory() / KEY_HEAP_DIVISOR);
         LinkMessages.Hello hello = new LinkMessages.Hello(
-                LinkMessages.Hello.PROTOCOL, "store", settings.nodeName(), settings.ipAddress(), lifeId);
+                LinkMessages.Hello.PROTOCOL, "store", settings.nodeName(), settings.ipAddress(), incarnationId);
         this.peers = new StorePeers(loop, sockets, hello, settings.storePort());
-        this.replica = new StoreReplica(lifeId, limits, clock, disk, peers);
+        this.replica = new StoreReplica(incarnationId, limits, clock, disk, peers);
         this.service = new StoreService(replica);
     }
 
     /**
      * Opens the disk, then listens.
      *
-     * @return done once this store answers calls, though perhaps not yet as a voter; failed if its address is taken
+     * @return completes once this store answers calls, though possibly not yet as a voter; fails if its address is in
+     *     use
      */
     public CompletableFuture<Void> start() {
         disk.start(this::onDiskOpened, replica::writeAll);
         return listening;
     }
 
-    /** Ends all links, writes what waits and closes the disk. Waits for the disk, so not to be called on the loop. */
+    /**
+     * Closes all links, writes queued batches and closes the disk. Blocks, so it must not be called on the event loop.
+     */
     public void stop() {
         loop.submit(this::closeLinks).syncUninterruptibly();
         disk.stop();
     }
 
-    /** The disk has a name before this store says anything to others. */
+    /** Ensures that the disk has an identifier before this store sends anything to others. */
     private void onDiskOpened(StoredState state) {
         if (stopped) {
             return;
@@ -155,28 +158,28 @@
     }
 
     /**
-     * Lets another store vote in this one's place, if there is one, then runs the task; at the latest at half of the grace
-     * period.
+     * Leaves the voter set, so that another store can vote in place of this one, then runs the task: once it is
+     * replaced, at the latest after half of the grace period.
      */
-    public void leave(Runnable ended) {
+    public void leave(Runnable task) {
         loop.execute(() -> {
             if (server == null) {
-                ended.run();
+                task.run();
                 return;
             }
             double nowMs = replica.steadyMs();
             LOG.log(Level.INFO, "event=leaving voter=" + replica.agreement().isVoter());
             replica.agreement().leave(nowMs);
-            runOnceReplaced(nowMs + LEAVE_GRACE_FRACTION * settings.bounds().gracePeriodMs(), ended);
+            runOnceReplaced(nowMs + LEAVE_GRACE_FRACTION * settings.bounds().gracePeriodMs(), task);
         });
     }
 
-    private void runOnceReplaced(double latestMs, Runnable ended) {
+    private void runOnceReplaced(double latestMs, Runnable task) {
         double nowMs = replica.steadyMs();
         if (nowMs >= latestMs || replica.agreement().canStop(nowMs)) {
-            ended.run();
+            task.run();
         } else {
-            loop.schedule(() -> runOnceReplaced(latestMs, ended), AgreementNode.TICK_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> runOnceReplaced(latestMs, task), AgreementNode.TICK_MS, TimeUnit.MILLISECONDS);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
@@ -22,8 +22,8 @@
 import ridgemill.gateway.net.Clock;
 
 /**
- * What this store holds in memory, and how it gets to the disk and to the subscribers: its part in the agreement on the
- * configuration, and its register of operation keys. On the event loop.
+ * The in-memory state of this store: its participant in the agreement on the configuration and its operation keys.
+ * Passes changes to the disk and to the subscribers. Runs on the event loop.
  */
 final class StoreReplica implements AgreementEnvironment {
 
@@ -39,26 +39,26 @@
     private AgreementNode agreement;
     private Voter self;
 
-    StoreReplica(String lifeId, KeyLimits limits, Clock clock, DiskQueue disk, StorePeers peers) {
-        this.incarnationId = lifeId;
+    StoreReplica(String incarnationId, KeyLimits limits, Clock clock, DiskQueue disk, StorePeers peers) {
+        this.incarnationId = incarnationId;
         this.clock = clock;
         this.disk = disk;
         this.peers = peers;
         this.keys = new KeyReplica(limits);
-        this.updates = new UpdatePublisher(lifeId, this::snapshot);
+        this.updates = new UpdatePublisher(incarnationId, this::snapshot);
     }
 
-    /** Unix milliseconds. */
+    /** Returns the current time in Unix milliseconds. */
     long nowMs() {
         return (long) clock.now();
     }
 
-    /** Milliseconds of a clock that never steps back. */
+    /** Returns the time of a monotonic clock in milliseconds. */
     double steadyMs() {
         return System.nanoTime() / (double) TimeUnit.MILLISECONDS.toNanos(1);
     }
 
-    /** Takes over what the disk held and begins to speak with the other stores. */
+    /** Restores the state that was read from the disk and starts to communicate with the other stores. */
     void start(StoredState state, NodeSettings settings, ChangeRules rules) {
         self = settings.self();
         keys.restore(state.records());
@@ -71,7 +71,7 @@
         return agreement;
     }
 
-    /** This store. */
+    /** Returns the identity of this store as a voter. */
     Voter self() {
         return self;
     }
@@ -84,7 +84,7 @@
         return updates;
     }
 
-    /** The epoch in which this store grants keys and takes purges. */
+    /** Returns the epoch in which this store grants keys and accepts purges. */
     long epoch() {
         return agreement.voters().epoch();
     }
@@ -118,10 +118,10 @@
         return ThreadLocalRandom.current().nextDouble();
     }
 
-    /** Takes over the keys that other voters hold; this store votes on keys once all of them are on disk. */
-    void mergeTransferredKeys(List<KeyRecord> pulled, long epoch) {
-        List<KeyRecord> joined = keys.merge(pulled);
-        disk.submit(DiskBatch.ofRecords(joined), written -> {
+    /** Merges keys fetched from other voters. This store votes on keys once all of them are on disk. */
+    void mergeTransferredKeys(List<KeyRecord> transferred, long epoch) {
+        List<KeyRecord> merged = keys.merge(transferred);
+        disk.submit(DiskBatch.ofRecords(merged), written -> {
             LOG.log(Level.INFO, "event=keys_complete epoch=" + epoch + " keys=" + keys.size() + " durable=" + written);
             if (written) {
                 agreement.onKeysComplete(epoch, steadyMs());
@@ -129,17 +129,17 @@
         });
     }
 
-    /** Writes all that is in memory to a disk that was begun anew. */
+    /** Writes the complete in-memory state to a disk that was reset. */
     void writeAll() {
         disk.submit(new DiskBatch(self.diskId(), agreement.record(), keys.all(), List.of()), written -> {});
     }
 
-    /** Writes a key record; null waits for what was written before. */
+    /** Writes a key record. With null, only waits until all earlier writes are done. */
     void writeRecord(KeyRecord record, Consumer<Boolean> done) {
         disk.submit(record == null ? DiskBatch.NONE : DiskBatch.ofRecord(record), done);
     }
 
-    /** Forgets key records whose time is over. */
+    /** Removes expired key records. */
     void expireKeys() {
         List<String> expired = keys.expire(nowMs(), MAX_EXPIRED_PER_PASS);
         if (!expired.isEmpty()) {
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
@@ -14,7 +14,7 @@
 import ridgemill.cdn.wire.Message;
 import ridgemill.cdn.wire.StoreMessages;
 
-/** Answers the messages that come over links to this store. On the event loop. */
+/** Handles the messages that arrive over links to this store. Runs on the event loop. */
 final class StoreService implements LinkListener {
 
     private static final System.Logger LOG = System.getLogger(StoreService.class.getName());
@@ -33,7 +33,7 @@
         links.add(link);
     }
 
-    /** Ends all links. */
+    /** Closes all links. */
     void closeLinks() {
         new ArrayList<>(links).forEach(Link::close);
     }
@@ -101,7 +101,7 @@
                                 read.callId(), ChangeResult.Outcome.NOT_LEADER, leader, List.of())));
     }
 
-    /** Passes a purge on. It counts only if its caller asked the voters of this store's epoch. */
+    /** Publishes a purge. The result counts only if the caller addressed the voters of this store's epoch. */
     private void purge(Link link, StoreMessages.WritePurge write) {
         replica.updates().publishPurge(write.purge(), replica.nowMs());
         boolean counts = replica.agreement().isVoter() && write.epoch() == replica.epoch();
@@ -113,7 +113,7 @@
         link.send(new StoreMessages.WriteResult(call.callId(), replica.self(), counts));
     }
 
-    /** Grants a key, or says who has it; a grant is sent once it is on disk. */
+    /** Grants a key, or replies with its current holder. A grant is sent only once it is on disk. */
     private void claim(Link link, StoreMessages.ClaimKey claim) {
         if (claim.epoch() != replica.epoch()) {
             link.send(notVoting(claim, StoreMessages.KeyStatus.Availability.OTHER_EPOCH));
@@ -148,11 +148,11 @@
     }
 
     private static StoreMessages.KeyStatus notVoting(
-            StoreMessages.ClaimKey claim, StoreMessages.KeyStatus.Availability why) {
-        return new StoreMessages.KeyStatus(claim.callId(), why, KeyState.RELEASED, "", null);
+            StoreMessages.ClaimKey claim, StoreMessages.KeyStatus.Availability availability) {
+        return new StoreMessages.KeyStatus(claim.callId(), availability, KeyState.RELEASED, "", null);
     }
 
-    /** Records the answer of an operation. A second answer for a key is a fault of the system, which is logged. */
+    /** Records the response of an operation. A second response for a key is a system fault and is logged. */
     private void finish(Link link, StoreMessages.FinishKey finish) {
         KeyRecord held = replica.keys().finish(finish.key(), finish.claimId(), finish.answer(), replica.nowMs());
         if (!held.claimId().equals(finish.claimId())) {
@@ -169,7 +169,7 @@
         replica.writeRecord(changed, written -> sendWriteResult(link, release, written));
     }
 
-    /** A page of the operation keys that this store holds. */
+    /** Returns a page of the operation keys of this store. */
     private StoreMessages.KeysPage page(StoreMessages.PullKeys pull) {
         List<KeyRecord> records = replica.keys().page(pull.afterKey(), MAX_PAGE_RECORDS, MAX_PAGE_BYTES);
         boolean last = records.isEmpty()
--- a/cdn/src/main/java/ridgemill/cdn/store/StoredState.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoredState.java
@@ -5,16 +5,16 @@
 import ridgemill.cdn.keys.KeyRecord;
 
 /**
- * What a disk held when it was opened.
+ * The contents of a disk when it was opened.
  *
- * @param diskId the name that the disk got when it was first used; null if it is new
- * @param accepted what the store promised and accepted, with all items
+ * @param diskId the identifier that was given to the disk at its first use; null if it is new
+ * @param accepted the acceptor record (promised and accepted state), with all items
  * @param records all key records
- * @param lost whether the disk held something that could not be read and was moved aside
+ * @param lost whether the disk held unreadable data that was moved to another folder
  */
 record StoredState(String diskId, AcceptorRecord accepted, List<KeyRecord> records, boolean lost) {
 
-    /** An empty disk. */
+    /** Returns the state of an empty disk. */
     static StoredState empty(boolean lost) {
         return new StoredState(null, AcceptorRecord.EMPTY, List.of(), lost);
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/UpdatePublisher.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/UpdatePublisher.java
@@ -17,8 +17,9 @@
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Numbers the decided changes of items and voters and the purges of this life and passes them to the subscribers. Changes
- * of late are kept, so that a subscriber that comes back goes on without a gap. Nothing is told before it is decided.
+ * Numbers the decided changes of items and voters and the purges of this incarnation of the store, and sends them to
+ * the subscribers. Recent updates are retained, so that a subscriber that reconnects continues without a gap. Undecided
+ * changes are never sent.
  */
 final class UpdatePublisher {
 
@@ -26,9 +27,9 @@
     private static final int MAX_RETAINED_UPDATES = 20_000;
     private static final int MAX_RETAINED_CHARACTERS = 4 << 20;
     private static final int MAX_KNOWN_PURGES = 20_000;
-    /** A subscriber that lets more bytes wait is dropped; it comes back for a snapshot. */
+    /** A subscriber with more unsent bytes is disconnected. It reconnects and receives a snapshot. */
     private static final long MAX_PENDING_BYTES = 8L << 20;
-    /** How long a subscriber may take before it is logged. */
+    /** How long a subscriber may lag before it is logged, in milliseconds. */
     private static final long LAG_LOG_THRESHOLD_MS = 2_000;
 
     private final String incarnationId;
@@ -37,7 +38,7 @@
     private final Set<String> purgeIds = new LinkedHashSet<>();
     private final Map<Link, Subscriber> subscribers = new LinkedHashMap<>();
     private final Set<Link> voterWatchers = new LinkedHashSet<>();
-    /** Those who asked before anything was known to be decided. */
+    /** Links that subscribed before any state was known to be decided. */
     private final Set<Link> waitingForDecision = new LinkedHashSet<>();
 
     private VoterSet voters = VoterSet.UNKNOWN;
@@ -52,28 +53,30 @@
     }
 
     /**
-     * A hub without subscribers.
+     * Creates a publisher without subscribers.
      *
-     * @param lifeId names this life of the store
-     * @param snapshot makes a message with all items as they are now, see {@link #lastNumber}
+     * @param incarnationId identifies this incarnation of the store
+     * @param snapshot creates a message with all current items, see {@link #lastNumber}
      */
-    UpdatePublisher(String lifeId, Supplier<StoreMessages.Snapshot> snapshot) {
-        this.incarnationId = lifeId;
+    UpdatePublisher(String incarnationId, Supplier<StoreMessages.Snapshot> snapshot) {
+        this.incarnationId = incarnationId;
         this.snapshot = snapshot;
     }
 
-    /** The number of the last change. */
+    /** Returns the number of the last update. */
     long lastNumber() {
         return lastNumber;
     }
 
-    /** The name of this life. */
+    /** Returns the identifier of this incarnation. */
     String incarnationId() {
         return incarnationId;
     }
 
-    /** Sends what the link has missed, or everything, and each change from now on. */
-    void subscribe(Link link, String heardLife, long heardNumber, long nowMs) {
+    /**
+     * Sends the updates that the link has missed, or a snapshot if they are no longer retained, and each later update.
+     */
+    void subscribe(Link link, String seenIncarnationId, long seenNumber, long nowMs) {
         if (!voters.isKnown()) {
             waitingForDecision.add(link);
             return;
@@ -81,12 +84,12 @@
         Subscriber subscriber = new Subscriber();
         subscriber.behindSinceMs = nowMs;
         subscribers.put(link, subscriber);
-        long firstKept = lastNumber - retained.size() + 1;
-        if (incarnationId.equals(heardLife) && heardNumber <= lastNumber && heardNumber >= firstKept - 1) {
-            subscriber.acknowledged = heardNumber;
-            for (StoreMessages.Update news : retained) {
-                if (news.number() > heardNumber) {
-                    link.send(news);
+        long firstRetained = lastNumber - retained.size() + 1;
+        if (incarnationId.equals(seenIncarnationId) && seenNumber <= lastNumber && seenNumber >= firstRetained - 1) {
+            subscriber.acknowledged = seenNumber;
+            for (StoreMessages.Update update : retained) {
+                if (update.number() > seenNumber) {
+                    link.send(update);
                 }
             }
         } else {
@@ -94,7 +97,7 @@
         }
     }
 
-    /** Tells a link who votes, now if that is known and with each change. */
+    /** Sends the voters to a link: now if they are known, and again with each change. */
     void watchVoters(Link link) {
         voterWatchers.add(link);
         if (voters.isKnown()) {
@@ -102,39 +105,39 @@
         }
     }
 
-    /** Takes note of how far a subscriber is. */
-    void acknowledged(Link link, long upTo, long nowMs) {
+    /** Records the last update that a subscriber has applied. */
+    void acknowledged(Link link, long number, long nowMs) {
         Subscriber subscriber = subscribers.get(link);
-        if (subscriber != null && upTo > subscriber.acknowledged) {
-            subscriber.acknowledged = upTo;
+        if (subscriber != null && number > subscriber.acknowledged) {
+            subscriber.acknowledged = number;
             subscriber.behindSinceMs = nowMs;
             subscriber.logged = false;
         }
     }
 
-    /** Forgets a link that has ended. */
+    /** Removes a closed link. */
     void closed(Link link) {
         subscribers.remove(link);
         voterWatchers.remove(link);
         waitingForDecision.remove(link);
     }
 
-    /** Passes on what was decided: items that changed, and who votes. */
+    /** Publishes decided changes of items and voters. */
     void publishDecided(List<Item> changed, VoterSet newest, long nowMs) {
-        boolean moved = newest.isNewerThan(voters);
-        voters = moved ? newest : voters;
-        if (moved || !changed.isEmpty()) {
+        boolean votersChanged = newest.isNewerThan(voters);
+        voters = votersChanged ? newest : voters;
+        if (votersChanged || !changed.isEmpty()) {
             publish(new StoreMessages.Update(lastNumber + 1, voters, List.copyOf(changed), List.of()), nowMs);
         }
-        if (moved) {
+        if (votersChanged) {
             voterWatchers.forEach(link -> link.send(new StoreMessages.CurrentVoters(voters)));
         }
-        List<Link> waiting = List.copyOf(waitingForDecision);
+        List<Link> links = List.copyOf(waitingForDecision);
         waitingForDecision.clear();
-        waiting.forEach(link -> subscribe(link, "", 0, nowMs));
+        links.forEach(link -> subscribe(link, "", 0, nowMs));
     }
 
-    /** Passes a purge on, unless it was before. */
+    /** Publishes a purge, unless it was published before. */
     void publishPurge(Purge purge, long nowMs) {
         if (purgeIds.add(purge.id())) {
             trimPurges();
@@ -142,7 +145,7 @@
         }
     }
 
-    /** Logs subscribers that have not carried out changes for long. */
+    /** Logs subscribers that have not acknowledged updates for too long. */
     void logLaggards(long nowMs) {
         subscribers.forEach((link, subscriber) -> {
             if (subscriber.acknowledged < lastNumber
@@ -157,19 +160,19 @@
         });
     }
 
-    private void publish(StoreMessages.Update news, long nowMs) {
-        retain(news);
+    private void publish(StoreMessages.Update update, long nowMs) {
+        retain(update);
         for (Map.Entry<Link, Subscriber> entry : new ArrayList<>(subscribers.entrySet())) {
             Subscriber subscriber = entry.getValue();
             if (subscriber.acknowledged >= lastNumber) {
                 subscriber.behindSinceMs = nowMs;
             }
-            send(entry.getKey(), news);
+            send(entry.getKey(), update);
         }
-        lastNumber = news.number();
+        lastNumber = update.number();
     }
 
-    private void send(Link link, StoreMessages.Update news) {
+    private void send(Link link, StoreMessages.Update update) {
         if (link.pendingBytes() > MAX_PENDING_BYTES) {
             LOG.log(
                     Level.WARNING,
@@ -178,21 +181,21 @@
             subscribers.remove(link);
             link.close();
         } else {
-            link.send(news);
+            link.send(update);
         }
     }
 
-    private void retain(StoreMessages.Update news) {
-        retained.add(news);
-        retainedCharacters += charactersOf(news);
+    private void retain(StoreMessages.Update update) {
+        retained.add(update);
+        retainedCharacters += charactersOf(update);
         while (retained.size() > MAX_RETAINED_UPDATES || retainedCharacters > MAX_RETAINED_CHARACTERS) {
             retainedCharacters -= charactersOf(retained.poll());
         }
     }
 
-    private static long charactersOf(StoreMessages.Update news) {
+    private static long charactersOf(StoreMessages.Update update) {
         long characters = 0;
-        for (Item item : news.items()) {
+        for (Item item : update.items()) {
             characters += item.name().name().length()
                     + (item.isTombstone() ? 0 : item.content().length());
         }
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -10,10 +10,13 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** How the messages between stores, and the values in them, are written. The disk uses the same form for the values. */
+/**
+ * Encodes and decodes the agreement messages between stores and the values in them. The disk uses the same encoding for
+ * the values.
+ */
 public final class AgreementCodec {
 
-    /** The number of a message's type; one keeps its number for ever. */
+    /** The types of messages. The ordinal is the number on the wire, so the order must never change. */
     private enum Type {
         STATUS,
         PREPARE,
@@ -154,14 +157,14 @@
         return new Voter(in.text(), in.text());
     }
 
-    /** Writes the voters of an epoch. */
+    /** Writes a voter set. */
     public static void writeVoterSet(VoterSet voters, FieldWriter out) throws IOException {
         out.number(voters.epoch())
                 .list(voters.voters(), AgreementCodec::writeVoter)
                 .list(voters.previous(), AgreementCodec::writeVoter);
     }
 
-    /** Reads the voters of an epoch. */
+    /** Reads a voter set. */
     public static VoterSet readVoterSet(FieldReader in) throws IOException {
         return new VoterSet(in.number(), in.list(AgreementCodec::readVoter), in.list(AgreementCodec::readVoter));
     }
@@ -176,22 +179,22 @@
         return new Ballot(in.number(), in.text());
     }
 
-    /** Writes the stamp of a state. */
-    public static void writeStateId(StateId stamp, FieldWriter out) throws IOException {
-        writeBallot(stamp.ballot(), out);
-        out.number(stamp.revision());
+    /** Writes a state identifier. */
+    public static void writeStateId(StateId stateId, FieldWriter out) throws IOException {
+        writeBallot(stateId.ballot(), out);
+        out.number(stateId.revision());
     }
 
-    /** Reads the stamp of a state. */
+    /** Reads a state identifier. */
     public static StateId readStateId(FieldReader in) throws IOException {
         return new StateId(readBallot(in), in.number());
     }
 
-    private static void writeDelta(StateDelta step, FieldWriter out) throws IOException {
-        writeStateId(step.base(), out);
-        writeStateId(step.stateId(), out);
-        writeVoterSet(step.voters(), out);
-        out.list(step.items(), AgreementCodec::writeVersionedItem);
+    private static void writeDelta(StateDelta delta, FieldWriter out) throws IOException {
+        writeStateId(delta.base(), out);
+        writeStateId(delta.stateId(), out);
+        writeVoterSet(delta.voters(), out);
+        out.list(delta.items(), AgreementCodec::writeVersionedItem);
     }
 
     private static StateDelta readDelta(FieldReader in) throws IOException {
@@ -199,13 +202,13 @@
                 readStateId(in), readStateId(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
     }
 
-    /** Writes an item with its history. */
+    /** Writes an item with its past versions. */
     public static void writeVersionedItem(VersionedItem entry, FieldWriter out) throws IOException {
         ValueCodec.writeItem(entry.item(), out);
-        out.list(entry.past(), (past, to) -> to.number(past.version()).number(past.contentDigest()));
+        out.list(entry.past(), (past, target) -> target.number(past.version()).number(past.contentDigest()));
     }
 
-    /** Reads an item with its history. */
+    /** Reads an item with its past versions. */
     public static VersionedItem readVersionedItem(FieldReader in) throws IOException {
         return new VersionedItem(
                 ValueCodec.readItem(in), in.list(from -> new PastVersion(from.number(), from.number())));
--- a/cdn/src/main/java/ridgemill/cdn/wire/CallFailure.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/CallFailure.java
@@ -1,13 +1,13 @@
 package ridgemill.cdn.wire;
 
-/** Why a call has no answer, which says whether the other side may have carried it out. */
+/** The reason why a call has no reply. It tells whether the other side may have executed the call. */
 public enum CallFailure {
-    /** The call was never written: it has not been carried out. */
+    /** The call was never written, so it has not been executed. */
     NOT_SENT,
-    /** The connection ended or the time ran out after the call was written: it may have been carried out. */
+    /** The connection closed or the call timed out after the call was written, so it may have been executed. */
     UNKNOWN;
 
-    /** Whether the other side may have carried the call out. */
+    /** Returns whether the other side may have executed the call. */
     public boolean mayHaveRun() {
         return this == UNKNOWN;
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/FieldReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/FieldReader.java
@@ -5,10 +5,12 @@
 import java.util.List;
 import org.msgpack.core.MessageUnpacker;
 
-/** Reads the fields of a message. What does not fit its type throws an exception, which ends the connection. */
+/**
+ * Reads the fields of a message. A value that does not fit its type causes an exception, which closes the connection.
+ */
 public final class FieldReader {
 
-    /** No list in a message is longer. */
+    /** The largest number of elements of a list. */
     private static final int MAX_ELEMENTS = 1_000_000;
 
     private final MessageUnpacker unpacker;
@@ -24,17 +26,17 @@
         T read(FieldReader in) throws IOException;
     }
 
-    /** Reads a text, which may be null. */
+    /** Reads a string, which may be null. */
     public String text() throws IOException {
         return unpacker.tryUnpackNil() ? null : unpacker.unpackString();
     }
 
-    /** Reads an integer. */
+    /** Reads a 64-bit integer. */
     public long number() throws IOException {
         return unpacker.unpackLong();
     }
 
-    /** Reads an integer that fits 32 bits. */
+    /** Reads a 32-bit integer. */
     public int intNumber() throws IOException {
         return unpacker.unpackInt();
     }
@@ -44,12 +46,12 @@
         return unpacker.unpackDouble();
     }
 
-    /** Reads a truth value. */
+    /** Reads a boolean. */
     public boolean flag() throws IOException {
         return unpacker.unpackBoolean();
     }
 
-    /** Reads bytes, which may be null. */
+    /** Reads a byte array, which may be null. */
     public byte[] bytes() throws IOException {
         return unpacker.tryUnpackNil() ? null : unpacker.readPayload(unpacker.unpackBinaryHeader());
     }
@@ -58,7 +60,7 @@
     public <T> List<T> list(ElementReader<T> element) throws IOException {
         int size = unpacker.unpackArrayHeader();
         if (size > MAX_ELEMENTS) {
-            throw new IOException("a list of " + size + " elements is too long");
+            throw new IOException("list of " + size + " elements is too long");
         }
         List<T> values = new ArrayList<>(Math.min(size, 1024));
         for (int i = 0; i < size; i++) {
@@ -67,16 +69,16 @@
         return values;
     }
 
-    /** Reads a list of texts. */
+    /** Reads a list of strings. */
     public List<String> texts() throws IOException {
         return list(FieldReader::text);
     }
 
-    /** Reads one of an enumeration's values by its number. */
+    /** Reads an enum constant by its ordinal. */
     public <E extends Enum<E>> E enumValue(E[] values) throws IOException {
         int number = intNumber();
         if (number < 0 || number >= values.length) {
-            throw new IOException("no value has the number " + number);
+            throw new IOException("unknown enum ordinal " + number);
         }
         return values[number];
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/FieldWriter.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/FieldWriter.java
@@ -20,7 +20,7 @@
         void write(T element, FieldWriter out) throws IOException;
     }
 
-    /** Writes a text, which may be null. */
+    /** Writes a string, which may be null. */
     public FieldWriter text(String value) throws IOException {
         if (value == null) {
             packer.packNil();
@@ -42,13 +42,13 @@
         return this;
     }
 
-    /** Writes a truth value. */
+    /** Writes a boolean. */
     public FieldWriter flag(boolean value) throws IOException {
         packer.packBoolean(value);
         return this;
     }
 
-    /** Writes bytes, which may be null. */
+    /** Writes a byte array, which may be null. */
     public FieldWriter bytes(byte[] value) throws IOException {
         if (value == null) {
             packer.packNil();
@@ -59,7 +59,7 @@
         return this;
     }
 
-    /** Writes a value of several fields. */
+    /** Writes a composite value. */
     public <T> FieldWriter value(T value, ElementWriter<T> element) throws IOException {
         element.write(value, this);
         return this;
@@ -74,7 +74,7 @@
         return this;
     }
 
-    /** Writes a list of texts. */
+    /** Writes a list of strings. */
     public FieldWriter texts(Collection<String> values) throws IOException {
         return list(values, (value, out) -> out.text(value));
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/Link.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/Link.java
@@ -16,8 +16,8 @@
 import java.util.function.LongFunction;
 
 /**
- * One connection to another process of the system: sends messages, matches answers to calls, answers pings. All methods
- * are called on the connection's event loop.
+ * One connection to another process of the system: sends messages, matches replies to calls and answers pings. All
+ * methods are called on the connection's event loop.
  */
 public final class Link extends SimpleChannelInboundHandler<Message> {
 
@@ -33,42 +33,42 @@
     private record PendingCall(Consumer<Either<CallFailure, Message.Reply>> callback, Future<?> timeout) {}
 
     /**
-     * A link that is not connected yet.
+     * Creates a link that is not connected yet.
      *
-     * @param ownHello sent as the first message by the side that connects; null on the side that accepts
+     * @param ownHello the first message, sent by the connecting side; null on the accepting side
      */
     Link(LinkListener listener, LinkMessages.Hello ownHello) {
         this.listener = listener;
         this.ownHello = ownHello;
     }
 
-    /** What the side that connected said of itself; null on that side. */
+    /** Returns the hello message of the connecting side; null on that side itself. */
     public LinkMessages.Hello peer() {
         return peer;
     }
 
-    /** The IP address of the other side. */
+    /** Returns the IP address of the other side. */
     public String remoteAddress() {
         return ((InetSocketAddress) channel.remoteAddress()).getAddress().getHostAddress();
     }
 
-    /** Whether messages can be sent. */
+    /** Returns whether messages can be sent. */
     public boolean isOpen() {
         return open && channel.isActive();
     }
 
-    /** Whether the other side takes messages as fast as they are sent. */
+    /** Returns whether the send buffer has space, that is, the other side keeps up. */
     public boolean isWritable() {
         return isOpen() && channel.isWritable();
     }
 
-    /** How many bytes wait to be written to the other side; 0 if the link has ended. */
+    /** Returns the number of bytes that wait to be written; 0 if the link is closed. */
     public long pendingBytes() {
         ChannelOutboundBuffer waiting = isOpen() ? channel.unsafe().outboundBuffer() : null;
         return waiting == null ? 0 : waiting.totalPendingWriteBytes();
     }
 
-    /** Sends a message; it is dropped if the link has ended. */
+    /** Sends a message. The message is dropped if the link is closed. */
     public void send(Message message) {
         if (isOpen()) {
             channel.writeAndFlush(message);
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Sends a call and passes its answer, or why there is none, to the callback exactly once.
+     * Sends a call and passes its reply, or the reason for its failure, to the callback exactly once.
      *
-     * @param message makes the call from its number
-     * @param timeoutMs how long to wait for the answer, in milliseconds
+     * @param message creates the call from its number
+     * @param timeoutMs how long to wait for the reply, in milliseconds
      */
     public void call(
             LongFunction<? extends Message.Call> message,
@@ -95,14 +95,14 @@
         channel.writeAndFlush(message.apply(callId));
     }
 
-    /** Ends the link. */
+    /** Closes the link. */
     public void close() {
         if (channel != null) {
             channel.close();
         }
     }
 
-    /** How long nothing has been received, in milliseconds. */
+    /** Returns the time since the last received message, in milliseconds. */
     public long idleMs() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastReceivedNanos);
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
@@ -2,24 +2,24 @@
 
 import java.io.IOException;
 
-/** Messages that open a held connection and keep it alive. */
+/** Messages that open a connection and keep it alive. */
 public final class LinkMessages {
 
     private LinkMessages() {}
 
     /**
-     * The first message of the side that opened the connection.
+     * The first message of the connecting side.
      *
      * @param protocol the version of this protocol
-     * @param program the program that calls: proxy, cache, registry or store
+     * @param program the connecting program: proxy, cache, registry or store
      * @param nodeName the name of its machine
      * @param address the IP address of its machine
-     * @param incarnationId a random text that is new in each life of the process
+     * @param incarnationId a random identifier that is new at each start of the process
      */
     public record Hello(int protocol, String program, String nodeName, String address, String incarnationId)
             implements Message {
 
-        /** The version of the protocol that this build speaks. */
+        /** The protocol version of this build. */
         public static final int PROTOCOL = 3;
 
         @Override
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Asks whether the other side still answers. */
+    /** Checks whether the other side still responds. */
     public record Ping() implements Message {
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Listens at an address and reports each link to the listener. Waits, so not to be called on the loop.
+     * Listens at an address and reports each link to the listener. Blocks, so it must not be called on the event loop.
      *
-     * @throws io.netty.channel.ChannelException if the address can't be had
+     * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static LinkServer listen(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
@@ -31,7 +31,10 @@
                 bind(loop, sockets, address, listener).syncUninterruptibly().channel());
     }
 
-    /** As {@link #listen}, without waiting: may be called on the loop. Fails if the address can't be had. */
+    /**
+     * Like {@link #listen}, without blocking, so it may be called on the event loop. The future fails if the address
+     * cannot be bound.
+     */
     public static CompletableFuture<LinkServer> listenAsync(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
         CompletableFuture<LinkServer> opened = new CompletableFuture<>();
@@ -55,7 +58,7 @@
                 .bind(address);
     }
 
-    /** The address that is listened at. */
+    /** Returns the address of the listening socket. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/MessageCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/MessageCodec.java
@@ -10,17 +10,17 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Turns messages into frames and back. A frame is its length in bytes as a 32-bit number in network order, then the
- * number of the message's kind and its fields as MessagePack values.
+ * Encodes messages as frames and decodes them. A frame is the length of its contents in bytes, as a 32-bit integer in
+ * network byte order, followed by the number of the message kind and the fields as MessagePack values.
  */
 public final class MessageCodec extends ByteToMessageCodec<Message> {
 
-    /** No frame is longer; a longer one ends the connection. */
+    /** The maximum length of a frame. A longer frame closes the connection. */
     public static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = Integer.BYTES;
 
-    /** The frame's contents for a message. */
+    /** Encodes a message as the contents of a frame. */
     public static byte[] encode(Message message) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             packer.packInt(message.kind().number());
@@ -29,17 +29,17 @@
         }
     }
 
-    /** The message of a frame's contents. */
+    /** Decodes the contents of a frame. */
     public static Message decode(byte[] contents) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(contents)) {
             MessageKind kind = MessageKind.ofNumber(unpacker.unpackInt());
             Message message = kind.read(new FieldReader(unpacker));
             if (unpacker.hasNext()) {
-                throw new IOException("bytes follow a message of the kind " + kind);
+                throw new IOException("trailing bytes after a message of kind " + kind);
             }
             return message;
         } catch (RuntimeException malformed) {
-            throw new IOException("a frame can't be read: " + malformed, malformed);
+            throw new IOException("malformed frame: " + malformed, malformed);
         }
     }
 
@@ -47,7 +47,7 @@
     protected void encode(ChannelHandlerContext context, Message message, ByteBuf out) throws IOException {
         byte[] contents = encode(message);
         if (contents.length > MAX_FRAME_BYTES) {
-            throw new IOException("a message of " + contents.length + " bytes is too long");
+            throw new IOException("message of " + contents.length + " bytes exceeds the maximum frame length");
         }
         out.writeInt(contents.length);
         out.writeBytes(contents);
@@ -60,7 +60,7 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length < 0 || length > MAX_FRAME_BYTES) {
-            throw new IOException("a frame of " + length + " bytes is too long");
+            throw new IOException("frame of " + length + " bytes exceeds the maximum frame length");
         }
         if (in.readableBytes() < LENGTH_BYTES + length) {
             return;
--- a/cdn/src/main/java/ridgemill/cdn/wire/MessageKind.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/MessageKind.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The kinds of messages. A kind keeps its number for ever; numbers of kinds that are gone are not used again. */
+/** The kinds of messages. The number of a kind never changes, and numbers of removed kinds are never reused. */
 public enum MessageKind {
     HELLO(1, LinkMessages.Hello::read),
     PING(2, LinkMessages.Ping::read),
@@ -51,7 +51,7 @@
         this.reader = reader;
     }
 
-    /** The number that stands for this kind on the wire. */
+    /** Returns the number of this kind on the wire. */
     public int number() {
         return number;
     }
@@ -61,11 +61,11 @@
         return reader.read(in);
     }
 
-    /** The kind with this number. Fails if there is none. */
+    /** Returns the kind with this number, or throws an IOException if there is none. */
     static MessageKind ofNumber(int number) throws IOException {
         MessageKind kind = number < 0 || number >= BY_NUMBER.length ? null : BY_NUMBER[number];
         if (kind == null) {
-            throw new IOException("no message has the kind " + number);
+            throw new IOException("unknown message kind " + number);
         }
         return kind;
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/ReconnectingLink.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/ReconnectingLink.java
@@ -14,21 +14,21 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * Keeps a link to one process open: connects, connects again after it ended, and ends a link over which nothing has come
- * for too long. All methods are called on the event loop.
+ * Keeps a link to one process open: connects, reconnects after the link has closed, and closes a link over which
+ * nothing has been received for too long. All methods are called on the event loop.
  */
 public final class ReconnectingLink implements LinkListener {
 
     private static final int CONNECT_TIMEOUT_MS = 1_000;
-    /** The pause before the first attempt to connect again, and the longest one; each is longer than the one before. */
+    /** The delays before reconnect attempts grow from the first to the second value. */
     private static final long INITIAL_RECONNECT_DELAY_MS = 40;
 
     private static final long MAX_RECONNECT_DELAY_MS = 160;
     private static final double RECONNECT_DELAY_FACTOR = 1.5;
     private static final long CHECK_INTERVAL_MS = 500;
-    /** Silence after which the other side is asked whether it still answers. */
+    /** A ping is sent after this time without a received message. */
     private static final long PING_IDLE_MS = 900;
-    /** Silence after which the link is given up. */
+    /** The link is closed after this time without a received message. */
     private static final long IDLE_TIMEOUT_MS = 2_000;
 
     private final EventLoop loop;
@@ -42,11 +42,11 @@
     private double reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
 
     /**
-     * A link that is opened by {@link #start}.
+     * Creates a link that is opened by {@link #start}.
      *
      * @param address the process to connect to
-     * @param hello what this process says of itself
-     * @param listener told of each link that is opened, of its messages and of its end
+     * @param hello the message by which this process identifies itself
+     * @param listener notified of each opened link, of its messages and of its end
      */
     public ReconnectingLink(
             EventLoop loop,
@@ -61,17 +61,20 @@
         this.listener = listener;
     }
 
-    /** The address of the other process. */
+    /** Returns the address of the other process. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Whether the link is open and something came over it lately: a process that stood still has to hear again first. */
+    /**
+     * Returns whether the link is open and a message was received recently. A process that was paused first has to
+     * receive a message again.
+     */
     public boolean isLive() {
         return isOpen() && link.idleMs() <= IDLE_TIMEOUT_MS;
     }
 
-    /** Whether the link is open now. */
+    /** Returns whether the link is open. */
     public boolean isOpen() {
         return link != null && link.isOpen();
     }
@@ -83,7 +86,7 @@
         connect();
     }
 
-    /** Ends the link for good. */
+    /** Closes the link permanently. */
     public void close() {
         closed = true;
         if (idleCheckTimer != null) {
@@ -117,7 +120,7 @@
         if (closed) {
             return;
         }
-        Link next = new Link(this, hello);
+        Link newLink = new Link(this, hello);
         new Bootstrap()
                 .group(loop)
                 .channel(sockets.client())
@@ -126,7 +129,7 @@
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        channel.pipeline().addLast(new MessageCodec(), next);
+                        channel.pipeline().addLast(new MessageCodec(), newLink);
                     }
                 })
                 .connect(address)
@@ -148,10 +151,10 @@
         if (link == null) {
             return;
         }
-        long silentMs = link.idleMs();
-        if (silentMs > IDLE_TIMEOUT_MS) {
+        long idleMs = link.idleMs();
+        if (idleMs > IDLE_TIMEOUT_MS) {
             link.close();
-        } else if (silentMs > PING_IDLE_MS) {
+        } else if (idleMs > PING_IDLE_MS) {
             link.send(new LinkMessages.Ping());
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
@@ -14,10 +14,10 @@
     private RegistryMessages() {}
 
     /**
-     * That an instance was heard.
+     * A heartbeat of an instance.
      *
      * @param instanceId the instance
-     * @param sequence the number of its heartbeat
+     * @param sequence the sequence number of the heartbeat
      */
     public record Heartbeat(String instanceId, long sequence) {
 
@@ -31,10 +31,10 @@
     }
 
     /**
-     * An edge proxy asks for instances, core members and the number of proxies, now and from now on.
+     * Subscribes the sender to instances, core machines and the number of proxies: a snapshot and all later updates.
      *
-     * @param incarnationId the life of the registry that was heard last; empty if none was
-     * @param number the last number that was taken in that life
+     * @param incarnationId the last known incarnation of the registry; empty if there was none
+     * @param number the last update number that was received from that incarnation
      */
     public record Subscribe(String incarnationId, long number) implements Message {
 
@@ -54,7 +54,7 @@
     }
 
     /**
-     * The sender is a shared cache, which edge proxies may read from while the connection is held.
+     * Announces the sender as a shared cache. Edge proxies may read from it as long as the connection is open.
      *
      * @param cache the sender
      */
@@ -93,20 +93,20 @@
         int size = in.intNumber();
         int rank = in.intNumber();
         if (size < 1 || rank < 0 || rank >= size) {
-            throw new IOException("no place " + rank + " among " + size);
+            throw new IOException("invalid position " + rank + " of " + size);
         }
         return new Fleet(new FleetPosition(size, rank), in.list(RegistryMessages::readCache));
     }
 
     /**
-     * What a registry tells edge proxies and shared caches.
+     * The state of the cluster that a registry sends to edge proxies and shared caches.
      *
      * @param complete whether the registry has run for long enough to know all instances
      * @param registries the IP addresses of all known core machines
-     * @param voters the voting stores; none while unknown
-     * @param fleet who shares the bounds of services, as seen from the subscriber
-     * @param instances all known instances, those that left included, or those that changed
-     * @param unresponsive identifiers of all instances that have not been heard for too long
+     * @param voters the voting stores; empty while unknown
+     * @param fleet the processes that share the bounds of services, as seen from the subscriber
+     * @param instances all known instances, including those that left, or only those that changed
+     * @param unresponsive identifiers of all instances without a heartbeat for too long
      */
     public record Overview(
             boolean complete,
@@ -137,11 +137,11 @@
     }
 
     /**
-     * All that a registry knows; the numbered changes after it continue from its number.
+     * The complete state of a registry. Later updates continue from its number.
      *
-     * @param incarnationId the life of the registry
-     * @param number the number of the last change that the snapshot holds
-     * @param overview what it knows, with all instances
+     * @param incarnationId the incarnation of the registry
+     * @param number the number of the last update that the snapshot contains
+     * @param overview the state, with all instances
      */
     public record Snapshot(String incarnationId, long number, Overview overview) implements Message {
 
@@ -161,10 +161,10 @@
     }
 
     /**
-     * A numbered change; numbers follow one another without a gap.
+     * A numbered update. Numbers are consecutive.
      *
-     * @param number the number of this change
-     * @param overview what the registry knows, with the instances that changed
+     * @param number the number of this update
+     * @param overview the state, with only the instances that changed
      */
     public record Update(long number, Overview overview) implements Message {
 
@@ -184,9 +184,9 @@
     }
 
     /**
-     * The subscriber has carried out all changes up to a number.
+     * Reports that the subscriber has applied all updates up to a number.
      *
-     * @param number the last number that was carried out
+     * @param number the number of the last applied update
      */
     public record UpdateAcknowledged(long number) implements Message {
 
@@ -206,13 +206,13 @@
     }
 
     /**
-     * A registry tells another of instances that changed and of machines that it knows; answered by {@link PeerUpdateMerged}.
+     * Sends changed instances and known machines from one registry to another. The reply is {@link PeerUpdateMerged}.
      *
      * @param callId the number of the call
      * @param registries the IP addresses of all known core machines
-     * @param voters the voting stores; none while unknown
+     * @param voters the voting stores; empty while unknown
      * @param proxies names of the edge proxies that are connected to the sender
-     * @param instances instances that changed, or all of them
+     * @param instances the changed instances, or all instances
      */
     public record PeerUpdate(
             long callId, List<String> registries, VoterSet voters, List<String> proxies, List<Instance> instances)
@@ -243,7 +243,7 @@
     }
 
     /**
-     * Answers {@link PeerUpdate} once the update is merged.
+     * The reply to {@link PeerUpdate}, sent once the update is merged.
      *
      * @param callId the number of the call
      */
@@ -265,7 +265,7 @@
     }
 
     /**
-     * The newest heartbeats that a registry has taken itself since it last told.
+     * The newest heartbeats that the sender has received from instances since the previous message of this kind.
      *
      * @param heartbeats the heartbeats
      */
