--- a/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
@@ -17,10 +17,11 @@
     private StoreMessages() {}
 
     /**
-     * Asks for the configuration and purges, now and from now on.
+     * Subscribes the sender to the configuration and to purges: a snapshot or the missed updates, and all later
+     * updates.
      *
-     * @param incarnationId the life of the store that was heard last; empty if none was
-     * @param number the last number that was taken in that life
+     * @param incarnationId the last known incarnation of the store; empty if there was none
+     * @param number the last update number that was received from that incarnation
      */
     public record Subscribe(String incarnationId, long number) implements Message {
 
@@ -40,13 +41,13 @@
     }
 
     /**
-     * All items; the numbered changes after it continue from its number. Purges before it are not told.
+     * All items. Later updates continue from its number. Earlier purges are not included.
      *
-     * @param incarnationId the life of the store
-     * @param number the number of the last change that the snapshot holds
-     * @param store the store that speaks
+     * @param incarnationId the incarnation of the store
+     * @param number the number of the last update that the snapshot contains
+     * @param store the sending store
      * @param voters the voters of the newest decided state
-     * @param items all decided items, drops included
+     * @param items all decided items, including tombstones
      */
     public record Snapshot(String incarnationId, long number, Voter store, VoterSet voters, List<Item> items)
             implements Message {
@@ -75,12 +76,12 @@
     }
 
     /**
-     * A numbered change; numbers follow one another without a gap.
+     * A numbered update. Numbers are consecutive.
      *
-     * @param number the number of this change
+     * @param number the number of this update
      * @param voters the voters of the newest decided state
      * @param items decided items that are newer than before
-     * @param purges purges to carry out
+     * @param purges purges to apply
      */
     public record Update(long number, VoterSet voters, List<Item> items, List<Purge> purges) implements Message {
 
@@ -106,9 +107,9 @@
     }
 
     /**
-     * The subscriber has carried out all changes up to a number.
+     * Reports that the subscriber has applied all updates up to a number.
      *
-     * @param number the last number that was carried out
+     * @param number the number of the last applied update
      */
     public record UpdateAcknowledged(long number) implements Message {
 
@@ -127,7 +128,7 @@
         }
     }
 
-    /** Asks to be told who votes, now and from now on; answered by {@link CurrentVoters}, again with each change. */
+    /** Subscribes the sender to the voter set: {@link CurrentVoters} is sent now and again with each change. */
     public record WatchVoters() implements Message {
 
         @Override
@@ -144,7 +145,7 @@
     }
 
     /**
-     * Who votes.
+     * The current voters.
      *
      * @param voters the voters of the newest decided state
      */
@@ -168,7 +169,7 @@
     /**
      * A message of the agreement between stores.
      *
-     * @param content what it says
+     * @param content the message
      */
     public record Agreement(AgreementMessage content) implements Message {
 
@@ -188,12 +189,13 @@
     }
 
     /**
-     * Orders a change of the configuration; answered by {@link ItemsChanged}.
+     * Requests a change of the configuration. The reply is {@link ItemsChanged}.
      *
      * @param callId the number of the call
-     * @param forceLeader whether the store is to lead although another one does, as that one could not be reached
-     * @param budgetMs how long the caller waits, in milliseconds
-     * @param items the versions to set or drop, all or none
+     * @param forceLeader whether the store is to become the leader although another store leads, because the caller
+     *     could not reach that store
+     * @param budgetMs how long the caller waits for the reply, in milliseconds
+     * @param items the item versions to set or remove, applied atomically
      */
     public record ChangeItems(long callId, boolean forceLeader, long budgetMs, List<Item> items)
             implements Message.Call {
@@ -214,10 +216,10 @@
     }
 
     /**
-     * Answers {@link ChangeItems}.
+     * The reply to {@link ChangeItems}.
      *
      * @param callId the number of the call
-     * @param result what became of the order
+     * @param result the result of the change
      */
     public record ItemsChanged(long callId, ChangeResult result) implements Message.Reply {
 
@@ -238,11 +240,11 @@
     }
 
     /**
-     * Answers a write.
+     * The reply to a write.
      *
      * @param callId the number of the call
-     * @param store the store that answers
-     * @param durable whether what was sent is on disk; if not, it may be later
+     * @param store the replying store
+     * @param durable whether the write is on disk; if false, it may still reach the disk later
      */
     public record WriteResult(long callId, Voter store, boolean durable) implements Message.Reply {
 
@@ -264,11 +266,11 @@
     }
 
     /**
-     * Asks for the newest decided items; answered by {@link ItemsRead}.
+     * Requests the newest decided items. The reply is {@link ItemsRead}.
      *
      * @param callId the number of the call
-     * @param forceLeader as with {@link ChangeItems}
-     * @param budgetMs how long the caller waits, in milliseconds
+     * @param forceLeader see {@link ChangeItems}
+     * @param budgetMs how long the caller waits for the reply, in milliseconds
      */
     public record ReadItems(long callId, boolean forceLeader, long budgetMs) implements Message.Call {
 
@@ -288,12 +290,12 @@
     }
 
     /**
-     * Answers {@link ReadItems}.
+     * The reply to {@link ReadItems}.
      *
      * @param callId the number of the call
-     * @param outcome confirmed if a majority confirmed the items after the call came
-     * @param leaderAddress the IP address of the store that leads if another one does; else empty
-     * @param items all items, drops included
+     * @param outcome confirmed if a majority confirmed the items after the call was received
+     * @param leaderAddress the IP address of the leader if it is another store; else empty
+     * @param items all items, including tombstones
      */
     public record ItemsRead(long callId, ChangeResult.Outcome outcome, String leaderAddress, List<Item> items)
             implements Message.Reply {
@@ -315,10 +317,11 @@
     }
 
     /**
-     * Orders a purge; answered by {@link WriteResult} once it has been passed on to all subscribers.
+     * Requests a purge. The reply is {@link WriteResult}, sent once the purge has been sent to all subscribers.
      *
      * @param callId the number of the call
-     * @param epoch the epoch of the voters that the caller asks; one that is in another epoch does not count
+     * @param epoch the epoch of the voters that the caller addresses; the reply of a store in another epoch does not
+     *     count
      * @param purge the purge
      */
     public record WritePurge(long callId, long epoch, Purge purge) implements Message.Call {
@@ -340,10 +343,10 @@
     }
 
     /**
-     * Asks for a vote to run an operation; answered by {@link KeyStatus}.
+     * Requests a vote to run an operation. The reply is {@link KeyStatus}.
      *
      * @param callId the number of the call
-     * @param epoch the epoch of the voters that the claim asks; in another epoch nothing is granted
+     * @param epoch the epoch of the voters that the claim addresses; a store in another epoch grants nothing
      * @param key the operation key, scoped by its host
      * @param claimId the random identifier of this claim
      */
@@ -365,24 +368,24 @@
     }
 
     /**
-     * Answers {@link ClaimKey}. A vote is granted if the state is HELD by the claim that asked.
+     * The reply to {@link ClaimKey}. The vote is granted if the state is HELD by the claim of the request.
      *
      * @param callId the number of the call
-     * @param availability whether this voter may vote; if not, the fields after it mean nothing
-     * @param state how far the operation is
-     * @param claimId the claim that the state is about
-     * @param answer the recorded answer of a finished operation, else null
+     * @param availability whether this voter may vote; if not, the following fields have no meaning
+     * @param state the state of the operation
+     * @param claimId the claim that the state refers to
+     * @param answer the recorded response of a finished operation, else null
      */
     public record KeyStatus(long callId, Availability availability, KeyState state, String claimId, byte[] answer)
             implements Message.Reply {
 
         /** Whether a voter may vote. */
         public enum Availability {
-            /** It votes. */
+            /** The store votes. */
             VOTES,
-            /** It does not vote at present. */
+            /** The store currently does not vote. */
             UNAVAILABLE,
-            /** It is in another epoch than the claim. */
+            /** The store is in another epoch than the claim. */
             OTHER_EPOCH
         }
 
@@ -411,12 +414,12 @@
     }
 
     /**
-     * Records the answer of an operation; answered by {@link WriteResult}.
+     * Records the response of an operation. The reply is {@link WriteResult}.
      *
      * @param callId the number of the call
      * @param key the operation key
      * @param claimId the claim under which it ran
-     * @param answer the answer
+     * @param answer the response
      */
     public record FinishKey(long callId, String key, String claimId, byte[] answer) implements Message.Call {
 
@@ -436,11 +439,11 @@
     }
 
     /**
-     * Gives a claim back under which nothing ran; answered by {@link WriteResult}.
+     * Releases a claim under which nothing ran. The reply is {@link WriteResult}.
      *
      * @param callId the number of the call
      * @param key the operation key
-     * @param claimId the claim that is given back
+     * @param claimId the released claim
      */
     public record ReleaseKey(long callId, String key, String claimId) implements Message.Call {
 
@@ -460,10 +463,11 @@
     }
 
     /**
-     * A store that is to vote asks for the operation keys of one that votes, page by page; answered by {@link KeysPage}.
+     * Requests a page of the operation keys of a voter, for a store that is about to become a voter. The reply is
+     * {@link KeysPage}.
      *
      * @param callId the number of the call
-     * @param afterKey the last key of the page before; empty for the first page
+     * @param afterKey the last key of the previous page; empty for the first page
      */
     public record PullKeys(long callId, String afterKey) implements Message.Call {
 
@@ -483,11 +487,12 @@
     }
 
     /**
-     * Answers {@link PullKeys}.
+     * The reply to {@link PullKeys}.
      *
      * @param callId the number of the call
-     * @param store the store that answers
-     * @param epoch the epoch of the newest voters that it knows to be decided; it grants nothing in earlier ones any more
+     * @param store the replying store
+     * @param epoch the epoch of the newest voter set that the store knows to be decided; it no longer grants keys in
+     *     earlier epochs
      * @param records a page of key records in order of their keys
      * @param lastPage whether no more key records follow
      */
--- a/cdn/src/main/java/ridgemill/cdn/wire/ValueCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/ValueCodec.java
@@ -13,12 +13,12 @@
 import ridgemill.cdn.keys.KeyState;
 import ridgemill.cdn.purge.Purge;
 
-/** How values that several messages hold are written; the disk of the store uses the same form. */
+/** Encodes and decodes the values that several messages contain. The disk of the store uses the same encoding. */
 public final class ValueCodec {
 
     private ValueCodec() {}
 
-    /** The bytes of one value, for the disk. */
+    /** Encodes one value, for the disk. */
     public static <T> byte[] toBytes(T value, FieldWriter.ElementWriter<T> writer) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             writer.write(value, new FieldWriter(packer));
@@ -27,15 +27,15 @@
     }
 
     /**
-     * The value that {@link #toBytes} wrote.
+     * Decodes a value that was encoded by {@link #toBytes}.
      *
-     * @throws IOException if the bytes are no such value
+     * @throws IOException if the bytes are not a valid encoding
      */
     public static <T> T fromBytes(byte[] bytes, FieldReader.ElementReader<T> reader) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(new FieldReader(unpacker));
         } catch (RuntimeException malformed) {
-            throw new IOException("a stored value can't be read: " + malformed.getMessage(), malformed);
+            throw new IOException("malformed stored value: " + malformed.getMessage(), malformed);
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/wire/package-info.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/package-info.java
@@ -1,18 +1,19 @@
 /**
- * The protocol between the processes of the system: typed messages in MessagePack over held TCP connections.
+ * The protocol between the processes of the system: typed MessagePack messages over long-lived TCP connections.
  *
  * <ul>
  *   <li>Messages: each {@code Message} is a record in {@code LinkMessages}, {@code RegistryMessages} or {@code
- *       StoreMessages}, by who takes it; it writes its own fields. A {@code Call} asks for a {@code Reply}. {@code
- *       MessageKind} numbers them for ever and reads them: a new message is a record and a line there.
- *   <li>Bytes: {@code MessageCodec} frames messages. {@code FieldWriter} and {@code FieldReader} know the types of
- *       fields, {@code ValueCodec} the values that several messages hold, which the store's disk keeps in the same form.
- *   <li>Connections: a {@code Link} is one connection; it matches replies to calls and tells its {@code LinkListener}
- *       of the rest. {@code ReconnectingLink} opens one and opens it again whenever it ends, {@code LinkServer} takes those
- *       of others. A call without an answer ends in a {@code CallFailure}, which says whether it may have been
- *       carried out.
+ *       StoreMessages}, depending on its receiver, and writes its own fields. A {@code Call} requests a {@code Reply}.
+ *       {@code MessageKind} assigns the permanent numbers of the kinds and reads messages: a new message needs a record
+ *       and a line there.
+ *   <li>Encoding: {@code MessageCodec} frames messages. {@code FieldWriter} and {@code FieldReader} handle the types of
+ *       fields, {@code ValueCodec} the values that several messages contain. The store's disk uses the same encoding.
+ *   <li>Connections: a {@code Link} is one connection. It matches replies to calls and passes other messages to its
+ *       {@code LinkListener}. {@code ReconnectingLink} opens a connection and reopens it whenever it closes, {@code
+ *       LinkServer} accepts connections. A call without a reply ends in a {@code CallFailure}, which tells whether the
+ *       call may have been executed.
  * </ul>
  *
- * <p>All of it is called on the event loop of its connection.
+ * <p>All methods are called on the event loop of the connection.
  */
 package ridgemill.cdn.wire;
