--- a/cdn/src/main/java/ridgemill/cdn/store/UpdatePublisher.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/UpdatePublisher.java
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Sends the voters to a link: now if they are known, and again with each change. */
+    /** Sends the voters to a link: immediately if they are known, and again with each change. */
     void watchVoters(Link link) {
         voterWatchers.add(link);
         if (voters.isKnown()) {
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Reads what {@link #write} wrote. */
+    /** Reads a message that {@link #write} wrote. */
     static AgreementMessage read(FieldReader in) throws IOException {
         Type type = in.enumValue(Type.values());
         Voter from = readVoter(in);
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkMessages.java
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Answers a {@link Ping}. */
+    /** The reply to a {@link Ping}. */
     public record Pong() implements Message {
 
         @Override
--- a/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/StoreMessages.java
@@ -128,7 +128,7 @@
         }
     }
 
-    /** Subscribes the sender to the voter set: {@link CurrentVoters} is sent now and again with each change. */
+    /** Subscribes the sender to the voter set: {@link CurrentVoters} is sent immediately and again with each change. */
     public record WatchVoters() implements Message {
 
         @Override
--- a/cdn/src/test/java/ridgemill/cdn/LayersTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/LayersTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The programs meet in the messages between them and in what they share, not in each other's classes. */
+/** Checks that the programs share only messages and common packages and do not depend on each other's classes. */
 class LayersTest {
 
     private static final String[] PROGRAMS = {
--- a/cdn/src/test/java/ridgemill/cdn/app/DeployFileTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/app/DeployFileTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import ridgemill.cdn.json.TreeReader;
 
-/** The deploy file names programs that there are, on classes of machines that there are. */
+/** Checks that the deploy file refers to existing programs and machine classes. */
 class DeployFileTest {
 
     private static final Set<String> MACHINE_CLASSES = Set.of("edge", "shield", "store");
--- a/cdn/src/test/java/ridgemill/cdn/app/WholeSystemTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/app/WholeSystemTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Three core machines, an edge proxy and an instance over sockets: what was acknowledged holds while one machine is gone. */
+/**
+ * Tests three core machines, an edge proxy and an instance over sockets: acknowledged data must survive while one core
+ * machine is down.
+ */
 class WholeSystemTest {
 
     private static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
@@ -127,12 +130,14 @@
         assertThat(writeUntilAvailable("k1").body()).isEqualTo(first.body());
     }
 
-    /** Sends an order as operators and instances do: again while it is not acknowledged, as links open one by one. */
+    /**
+     * Repeats a request until it is acknowledged, like operators and instances, because links open one after another.
+     */
     private static void callUntilOk(Supplier<LoopbackSystem.HttpResult> call) {
         until(() -> call.get().status() == OK);
     }
 
-    /** What is read of an object once its copy is kept, which needs links to two stores. */
+    /** Returns the response for an object once it is cached, which requires links to two stores. */
     private String cachedCopy() {
         String[] copy = new String[1];
         until(() -> {
@@ -147,7 +152,7 @@
                 0, system.frontPort(), "POST", "/write/1", request() + "X-Operation-Key: " + key + "\r\n", "pay");
     }
 
-    /** Repeats an operation as a client does: while it is refused, as a voter that was started is not connected yet. */
+    /** Repeats an operation while it is refused, like a client, because a restarted voter is not connected at once. */
     private LoopbackSystem.HttpResult writeUntilAvailable(String key) {
         LoopbackSystem.HttpResult[] last = new LoopbackSystem.HttpResult[1];
         until(() -> {
@@ -157,7 +162,10 @@
         return last[0];
     }
 
-    /** Reads the configuration as operators do: again while no majority can be reached, as links open one by one. */
+    /**
+     * Reads the configuration, like operators: repeatedly while no majority is reachable, because links open one after
+     * another.
+     */
     private LoopbackSystem.HttpResult readConfiguration(int machine) {
         LoopbackSystem.HttpResult[] last = new LoopbackSystem.HttpResult[1];
         until(() -> {
@@ -189,7 +197,7 @@
         return control(machine, "PUT", "/ridgemill/instances/" + id, heartbeat);
     }
 
-    /** Asks again until it holds; each question waits for an answer over a socket. */
+    /** Evaluates a condition until it holds. Each evaluation waits for a response over a socket. */
     private static void until(BooleanSupplier condition) {
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
--- a/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
@@ -34,7 +34,7 @@
                                 .getOrElse(() -> crossItemFault(read, current)));
     }
 
-    /** As the stores judge a change: by the versions that are newer than what is held. */
+    /** Validates a change like the stores: only the versions that are newer than the current ones. */
     private static String crossItemFault(ConfigurationChange change, ItemSet current) {
         ConfigurationRules rules = new ConfigurationRules();
         rules.reset(current.all());
@@ -59,7 +59,7 @@
                 .isEqualTo(after(VALID).digest());
     }
 
-    /** One thing is wrong at a time; each text replaces a part of the good change. */
+    /** Each case replaces one part of the valid change by an invalid one. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
                     "service":"t" | "service":"unknown" | unknown service
@@ -75,9 +75,9 @@
                     """)
     void anInvalidChangeIsRefusedWithTheLocationOfTheFault(String part, String replacement, String reason) {
         String one = VALID.replace("\n", "");
-        String spoilt = one.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(one);
-        assertThat(fault(spoilt, new ItemSet())).contains(reason);
+        String invalid = one.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(one);
+        assertThat(fault(invalid, new ItemSet())).contains(reason);
     }
 
     @Test
--- a/cdn/src/test/java/ridgemill/cdn/registry/RegistryCluster.java
+++ b/cdn/src/test/java/ridgemill/cdn/registry/RegistryCluster.java
@@ -32,19 +32,21 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
-/** Three registries on loopback addresses, calls to them, and stand-ins of proxies that follow them. */
+/** Runs three registries on loopback addresses, with requests to them and stub proxies that subscribe to them. */
 final class RegistryCluster implements AutoCloseable {
 
     static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
     static final long HEARTBEAT_INTERVAL_MS = 400;
-    /** What the stand-ins of the stores say. */
+    /** The voters that the stub stores report. */
     static final VoterSet VOTERS =
             new VoterSet(3, HOSTS.stream().map(host -> new Voter(host, "disk")).toList(), List.of());
 
     private static final int WAIT_MS = 10_000;
-    private static final int LOWEST_PORT = 12_000;
-    private static final int HIGHEST_PORT = 32_000;
-    /** From a machine's registry to where it takes calls; the port between them is the store's. */
+    private static final int MIN_PORT = 12_000;
+    private static final int MAX_PORT = 32_000;
+    /**
+     * The offset from the link port of a registry to its control port. The port between them is the port of the store.
+     */
     private static final int CONTROL_PORT_OFFSET = 2;
 
     private final int port = freePort();
@@ -54,10 +56,13 @@
     private final List<ReconnectingLink> links = new ArrayList<>();
     private final List<LinkServer> stores = new ArrayList<>();
 
-    /** A port that, with the one for calls, is free on all addresses, below those that connections get. */
+    /**
+     * Returns a port below the ephemeral ports that, together with the store port and the control port, is free on all
+     * addresses.
+     */
     private static int freePort() {
         while (true) {
-            int candidate = ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT);
+            int candidate = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
             if (HOSTS.stream()
                     .allMatch(host -> isFree(host, candidate)
                             && isFree(host, candidate + 1)
@@ -71,12 +76,12 @@
         try (ServerSocket socket = new ServerSocket()) {
             socket.bind(new InetSocketAddress(host, port));
             return true;
-        } catch (IOException taken) {
+        } catch (IOException inUse) {
             return false;
         }
     }
 
-    /** Starts a registry, and with it, if the voters are known there, a stand-in of the store that says who votes. */
+    /** Starts a registry, and if the voters are known there, a stub store that reports them. */
     void start(int index, boolean votersKnown) {
         if (votersKnown) {
             stores.add(LinkServer.listen(
@@ -119,7 +124,7 @@
                 true);
     }
 
-    /** Says who votes to all that ask. */
+    /** Reports the voters to all subscribers. */
     private static final class StubStore implements LinkListener {
 
         @Override
@@ -136,7 +141,7 @@
         public void closed(Link link) {}
     }
 
-    /** The status of an instance's heartbeat at a registry. */
+    /** Sends a heartbeat of an instance to a registry and returns the response status. */
     int heartbeat(int index, String id, String state, long sequence) throws IOException, InterruptedException {
         String body = """
                 {"address":"127.0.0.9:%d","information":{"service":"s","version":"v","zone":"z","slotCount":4},
@@ -145,7 +150,7 @@
         return call(index, "PUT", id, body);
     }
 
-    /** The status of an instance's leaving at a registry. */
+    /** Sends the departure of an instance to a registry and returns the response status. */
     int leave(int index, String id) throws IOException, InterruptedException {
         return call(index, "DELETE", id, "");
     }
@@ -158,7 +163,7 @@
         return http.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
     }
 
-    /** A proxy that follows a registry. */
+    /** Creates a stub proxy that subscribes to a registry. */
     Proxy proxy(int index, String name, boolean acknowledging) {
         EventLoop loop = loops.next();
         Proxy proxy = new Proxy(acknowledging);
@@ -179,7 +184,7 @@
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** A stand-in of a proxy: takes what the registry pushes. */
+    /** A stub proxy that queues the messages of the registry. */
     static final class Proxy implements LinkListener {
 
         private final boolean acknowledging;
@@ -189,30 +194,30 @@
             this.acknowledging = acknowledging;
         }
 
-        /** The snapshot that a subscription begins with. */
+        /** Returns the snapshot that starts the subscription. */
         RegistryMessages.Snapshot snapshot() throws InterruptedException {
             return (RegistryMessages.Snapshot) received.poll(WAIT_MS, TimeUnit.MILLISECONDS);
         }
 
-        /** The first news from now on that are as asked for. */
+        /** Waits for the first update that satisfies a condition. */
         RegistryMessages.Update awaitUpdate(Predicate<RegistryMessages.Update> wanted) throws InterruptedException {
             long endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
             Message last = null;
             while (System.nanoTime() < endNanos) {
                 Message message = received.poll(WAIT_MS, TimeUnit.MILLISECONDS);
-                if (message instanceof RegistryMessages.Update news && wanted.test(news)) {
-                    return news;
+                if (message instanceof RegistryMessages.Update update && wanted.test(update)) {
+                    return update;
                 }
                 last = message == null ? last : message;
             }
-            throw new AssertionError("no such news; the last message was " + last);
+            throw new AssertionError("no such update; the last message was " + last);
         }
 
-        /** Everything that came and was not looked at. */
+        /** Returns and removes all queued updates. */
         List<RegistryMessages.Update> drainUpdates() {
-            List<Message> rest = new ArrayList<>();
-            received.drainTo(rest);
-            return rest.stream().map(RegistryMessages.Update.class::cast).toList();
+            List<Message> remaining = new ArrayList<>();
+            received.drainTo(remaining);
+            return remaining.stream().map(RegistryMessages.Update.class::cast).toList();
         }
 
         @Override
@@ -223,8 +228,8 @@
         @Override
         public void received(Link link, Message message) {
             received.add(message);
-            if (acknowledging && message instanceof RegistryMessages.Update news) {
-                link.send(new RegistryMessages.UpdateAcknowledged(news.number()));
+            if (acknowledging && message instanceof RegistryMessages.Update update) {
+                link.send(new RegistryMessages.UpdateAcknowledged(update.number()));
             } else if (acknowledging && message instanceof RegistryMessages.Snapshot snapshot) {
                 link.send(new RegistryMessages.UpdateAcknowledged(snapshot.number()));
             }
--- a/cdn/src/test/java/ridgemill/cdn/registry/RegistryProgramTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/registry/RegistryProgramTest.java
@@ -30,13 +30,13 @@
         RegistryMessages.Snapshot snapshot = proxy.snapshot();
         assertThat(snapshot.overview().registries()).isEqualTo(RegistryCluster.HOSTS);
         if (!snapshot.overview().voters().isKnown()) {
-            proxy.awaitUpdate(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
+            proxy.awaitUpdate(update -> update.overview().voters().equals(RegistryCluster.VOTERS));
         } else {
             assertThat(snapshot.overview().voters()).isEqualTo(RegistryCluster.VOTERS);
         }
         assertThat(snapshot.overview().fleet().proxies().size()).isEqualTo(1);
         if (!snapshot.overview().complete()) {
-            assertThat(proxy.awaitUpdate(news -> news.overview().complete()).number())
+            assertThat(proxy.awaitUpdate(update -> update.overview().complete()).number())
                     .isGreaterThan(snapshot.number());
         }
     }
@@ -46,31 +46,31 @@
         cluster.startAll();
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         cluster.proxy(1, "q", true);
-        proxy.awaitUpdate(news -> news.overview().fleet().proxies().size() == 2);
+        proxy.awaitUpdate(update -> update.overview().fleet().proxies().size() == 2);
     }
 
     @Test
     void aNewInstanceIsSentToProxiesOfAllRegistries() throws Exception {
         cluster.startAll();
-        RegistryCluster.Proxy here = cluster.proxy(0, "p", true);
-        RegistryCluster.Proxy there = cluster.proxy(1, "q", true);
-        here.snapshot();
-        there.snapshot();
+        RegistryCluster.Proxy localProxy = cluster.proxy(0, "p", true);
+        RegistryCluster.Proxy remoteProxy = cluster.proxy(1, "q", true);
+        localProxy.snapshot();
+        remoteProxy.snapshot();
         awaitLinks();
         assertThat(cluster.heartbeat(0, "i", "ready", 1)).isEqualTo(OK);
-        for (RegistryCluster.Proxy proxy : List.of(here, there)) {
-            Instance told = findInstance(proxy.awaitUpdate(news -> findInstance(news) != null));
-            assertThat(told.state()).isEqualTo(InstanceState.READY);
-            assertThat(told.slots()).isEqualTo(4);
+        for (RegistryCluster.Proxy proxy : List.of(localProxy, remoteProxy)) {
+            Instance instance = findInstance(proxy.awaitUpdate(update -> findInstance(update) != null));
+            assertThat(instance.state()).isEqualTo(InstanceState.READY);
+            assertThat(instance.slots()).isEqualTo(4);
         }
         assertThat(cluster.proxy(2, "r", true).snapshot().overview().instances())
                 .extracting(Instance::id)
                 .contains("i");
     }
 
-    /** What news tell of the instance that the tests are about, or null. */
-    private static Instance findInstance(RegistryMessages.Update news) {
-        return news.overview().instances().stream()
+    /** Returns the instance with the identifier "i" from an update, or null. */
+    private static Instance findInstance(RegistryMessages.Update update) {
+        return update.overview().instances().stream()
                 .filter(instance -> instance.id().equals("i"))
                 .findFirst()
                 .orElse(null);
@@ -82,14 +82,14 @@
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         awaitLinks();
         cluster.heartbeat(0, "i", "ready", 1);
-        proxy.awaitUpdate(news -> findInstance(news) != null);
+        proxy.awaitUpdate(update -> findInstance(update) != null);
         cluster.heartbeat(0, "i", "ready", 2);
         cluster.heartbeat(0, "i", "draining", 3);
-        assertThat(findInstance(proxy.awaitUpdate(news -> findInstance(news) != null))
+        assertThat(findInstance(proxy.awaitUpdate(update -> findInstance(update) != null))
                         .state())
                 .isEqualTo(InstanceState.DRAINING);
         assertThat(cluster.leave(0, "i")).isEqualTo(OK);
-        assertThat(findInstance(proxy.awaitUpdate(news -> findInstance(news) != null))
+        assertThat(findInstance(proxy.awaitUpdate(update -> findInstance(update) != null))
                         .state())
                 .isEqualTo(InstanceState.GONE);
     }
@@ -131,9 +131,9 @@
         RegistryCluster.Proxy proxy = cluster.proxy(0, "p", true);
         awaitLinks();
         cluster.heartbeat(0, "i", "ready", 1);
-        proxy.awaitUpdate(news -> news.overview().unresponsive().contains("i"));
+        proxy.awaitUpdate(update -> update.overview().unresponsive().contains("i"));
         cluster.heartbeat(0, "i", "ready", 2);
-        proxy.awaitUpdate(news -> !news.overview().unresponsive().contains("i"));
+        proxy.awaitUpdate(update -> !update.overview().unresponsive().contains("i"));
     }
 
     @Test
@@ -148,8 +148,8 @@
         proxy.snapshot();
         assertThat(proxy.drainUpdates())
                 .isNotEmpty()
-                .noneMatch(news -> news.overview().unresponsive().contains("i"));
-        proxy.awaitUpdate(news -> news.overview().unresponsive().contains("i"));
+                .noneMatch(update -> update.overview().unresponsive().contains("i"));
+        proxy.awaitUpdate(update -> update.overview().unresponsive().contains("i"));
     }
 
     @Test
@@ -158,10 +158,10 @@
         RegistryCluster.Proxy proxy = cluster.proxy(2, "p", true);
         assertThat(proxy.snapshot().overview().voters().isKnown()).isFalse();
         cluster.start(0, true);
-        proxy.awaitUpdate(news -> news.overview().voters().equals(RegistryCluster.VOTERS));
+        proxy.awaitUpdate(update -> update.overview().voters().equals(RegistryCluster.VOTERS));
     }
 
-    /** Waits until each registry has links to the others, as it only then can pass on what it takes. */
+    /** Waits until each registry has links to the others, because it can only then forward changes. */
     private void awaitLinks() throws Exception {
         for (int index = 0; index < RegistryCluster.HOSTS.size(); index++) {
             String id = "link-" + index;
--- a/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
@@ -47,7 +47,7 @@
                 .isEqualTo(3000);
     }
 
-    /** One line is spoilt at a time. */
+    /** Each case makes one line invalid. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
                     nodeName = "edge-a-1" | nodeName = 3 | f: nodeName
@@ -60,9 +60,9 @@
                     zone = "a" | zone = | f: is no TOML
                     """)
     void anErrorIsOneLineThatNamesItsField(String part, String replacement, String place) {
-        String spoilt = VALID.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(VALID);
-        String error = SettingsReader.parse(spoilt, "f").getLeft().describe();
+        String invalid = VALID.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(VALID);
+        String error = SettingsReader.parse(invalid, "f").getLeft().describe();
         assertThat(error).startsWith(place).doesNotContain("\n");
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
@@ -16,7 +16,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 
-/** One run: a whole system of processes under seeded troubles, then calm, then what it broke. */
+/**
+ * One run: the whole system as processes under seeded faults, then a phase without faults, then the check for
+ * violations.
+ */
 public final class Soak {
 
     private static final double ORIGIN_RATE = 60;
@@ -28,11 +31,11 @@
     private static final int FAULT_COUNT = 9;
 
     /**
-     * What a run came to.
+     * The result of a run.
      *
-     * @param violations the rules and invariants that it broke
-     * @param served requests that were served after the troubles
-     * @param faults what was done
+     * @param violations the violated rules and invariants
+     * @param served the number of requests that were served after the faults
+     * @param faults descriptions of the injected faults
      */
     record Result(long seed, List<String> violations, int served, List<String> faults, Path folder) {}
 
@@ -61,7 +64,7 @@
         return thread;
     }
 
-    /** Plays it. */
+    /** Executes the run. */
     Result run() throws IOException {
         SoakFleet fleet = new SoakFleet(folder, (int) Math.floorMod(seed, 200L), new Random(seed), proxies);
         Map<String, AtomicInteger> versions = SoakInstance.versions();
@@ -71,8 +74,8 @@
         }
         SoakOperator operator = new SoakOperator(fleet, audit, versions, seed, timer);
         List<SoakClient> running = new ArrayList<>();
-        SoakFaults troubles = null;
-        // A run that is ended from outside takes its processes along.
+        SoakFaults faults = null;
+        // Kills the processes of the run if it is terminated from outside.
         Thread cleanUp = new Thread(fleet::kill);
         Runtime.getRuntime().addShutdownHook(cleanUp);
         try {
@@ -91,9 +94,9 @@
             }
             List<SoakInstance> all = new ArrayList<>(objects);
             all.addAll(orders);
-            troubles = new SoakFaults(fleet, audit, operator, all, seed, timer);
-            troubles.plan(FAULT_COUNT, spanMs);
-            sleep(troubles.lastEndMs() + 1_000);
+            faults = new SoakFaults(fleet, audit, operator, all, seed, timer);
+            faults.plan(FAULT_COUNT, spanMs);
+            sleep(faults.lastEndMs() + 1_000);
             until(
                     "all proxies are ready again",
                     RECOVERY_TIMEOUT_MS,
@@ -112,11 +115,11 @@
             fleet.kill();
             Runtime.getRuntime().removeShutdownHook(cleanUp);
         }
-        List<String> broken = audit.violations(ORIGIN_RATE);
-        if (broken.isEmpty()) {
+        List<String> violations = audit.violations(ORIGIN_RATE);
+        if (violations.isEmpty()) {
             delete(folder);
         }
-        return new Result(seed, broken, audit.served(), troubles == null ? List.of() : troubles.planned(), folder);
+        return new Result(seed, violations, audit.served(), faults == null ? List.of() : faults.planned(), folder);
     }
 
     private void heartbeats(SoakOperator operator) {
@@ -124,7 +127,7 @@
         orders.forEach(instance -> operator.heartbeat(instance, "orders"));
     }
 
-    /** Every process that runs counts breaks of its invariants itself. */
+    /** Checks the invariant violations that each running process counts itself. */
     private void checkInvariants(SoakFleet fleet) {
         for (SoakFleet.Machine machine : fleet.machines()) {
             for (int i = 0; i < machine.processes().size(); i++) {
@@ -141,11 +144,11 @@
         java.util.concurrent.locks.LockSupport.parkNanos(ms * 1_000_000);
     }
 
-    private void until(String what, long mostMs, BooleanSupplier holds) {
-        double endMs = audit.now() + mostMs;
-        while (!holds.getAsBoolean()) {
+    private void until(String description, long timeoutMs, BooleanSupplier condition) {
+        double endMs = audit.now() + timeoutMs;
+        while (!condition.getAsBoolean()) {
             if (audit.now() > endMs) {
-                throw new IllegalStateException("not after " + mostMs + " ms: " + what);
+                throw new IllegalStateException("not after " + timeoutMs + " ms: " + description);
             }
             sleep(50);
         }
@@ -159,28 +162,29 @@
     }
 
     /**
-     * Plays seeds by hand: first seed, how many, proxies, and optionally how many clients. The exit code is 1 if any broke a
-     * rule; the folder of such a run, with the logs of its processes, is kept.
+     * Runs seeds from the command line. The arguments are the first seed, the number of seeds, the number of proxies,
+     * and optionally the number of clients. The exit code is 1 if any run failed. The folder of a failed run, with the
+     * logs of its processes, is kept.
      */
     public static void main(String[] arguments) throws IOException {
         long first = Long.parseLong(arguments[0]);
         int count = Integer.parseInt(arguments[1]);
         int proxies = Integer.parseInt(arguments[2]);
         int clients = arguments.length > 3 ? Integer.parseInt(arguments[3]) : 12;
-        int red = 0;
+        int failures = 0;
         for (long seed = first; seed < first + count; seed++) {
             Result result = new Soak(seed, proxies, clients, 10_000).run();
-            boolean good = result.violations().isEmpty() && result.served() > 0;
-            red += good ? 0 : 1;
-            System.out.println((good ? "held" : "BROKE") + " seed=" + seed + " proxies=" + proxies + " served_calm="
+            boolean held = result.violations().isEmpty() && result.served() > 0;
+            failures += held ? 0 : 1;
+            System.out.println((held ? "held" : "BROKE") + " seed=" + seed + " proxies=" + proxies + " served_calm="
                     + result.served());
-            if (!good) {
-                result.faults().forEach(trouble -> System.out.println("  trouble " + trouble));
-                result.violations().forEach(broken -> System.out.println("  " + broken));
+            if (!held) {
+                result.faults().forEach(fault -> System.out.println("  trouble " + fault));
+                result.violations().forEach(violation -> System.out.println("  " + violation));
                 System.out.println("  logs in " + result.folder());
             }
         }
-        System.out.println(count + " seeds, " + red + " broke something");
-        System.exit(red == 0 ? 0 : 1);
+        System.out.println(count + " seeds, " + failures + " broke something");
+        System.exit(failures == 0 ? 0 : 1);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
@@ -8,7 +8,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What clients, instances and operators saw in a run, and which rules it breaks. Times are in milliseconds of one clock. */
+/**
+ * Records the observations of clients, instances and operators in a run and checks them against the rules. Times are in
+ * milliseconds since the start of the run.
+ */
 final class SoakAudit {
 
     private static final double CONTACT_MS = 3_000;
@@ -42,33 +45,36 @@
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    void recordViolation(String rule, String what) {
-        violations.add(rule + " at " + Math.round(now()) + " ms: " + what);
+    void recordViolation(String rule, String description) {
+        violations.add(rule + " at " + Math.round(now()) + " ms: " + description);
     }
 
-    /** A machine is in trouble, or a core machine, which unsettles all. */
+    /** Records a fault of a machine. A fault of a core machine affects all machines. */
     void recordFault(String machine, double fromMs, double toMs) {
         faults.add(new Fault(machine, fromMs, toMs));
     }
 
-    /** Whether neither the machine nor the core was in trouble from {@code contact} before a span to its end. */
+    /**
+     * Returns whether neither the machine nor the core had a fault from the {@code contact} time before a span to its
+     * end.
+     */
     boolean isInTouch(String machine, double fromMs, double toMs) {
-        for (Fault trouble : faults) {
+        for (Fault fault : faults) {
             boolean concerns =
-                    trouble.machine().equals(machine) || trouble.machine().startsWith("core");
-            if (concerns && trouble.fromMs() <= toMs && trouble.toMs() >= fromMs - CONTACT_MS) {
+                    fault.machine().equals(machine) || fault.machine().startsWith("core");
+            if (concerns && fault.fromMs() <= toMs && fault.toMs() >= fromMs - CONTACT_MS) {
                 return false;
             }
         }
         return true;
     }
 
-    /** From now on every process runs: what is asked has to be served. */
+    /** Starts the fault-free phase: all processes run, so requests have to be served. */
     void startFaultFreePhase() {
         faultFreeFromMs = now();
     }
 
-    /** A request reached an instance and ran. */
+    /** Records that a request reached an instance and ran. */
     void operationRan(String attemptId, String key) {
         arrivedAttempts.add(attemptId);
         if (key != null
@@ -77,12 +83,12 @@
         }
     }
 
-    /** A request of any kind reached the origin of objects. */
+    /** Records that a request of any kind reached the origin of the objects. */
     void originArrival() {
         originArrivals.add(now());
     }
 
-    /** An object got its next version: the one before was replaced now. */
+    /** Records that a version of an object was replaced by the next one. */
     void replaced(String object, int version) {
         replacedMs.put(object + '/' + version, new double[] {now()});
     }
@@ -91,21 +97,21 @@
         purges.add(new Purge(object, replacedVersion, now()));
     }
 
-    /** A client was promised that its try has not run and never will. */
+    /** Records a status by which a client is promised that its attempt did not run and never will. */
     void recordStatus(String attemptId, int status) {
         if (status == 429 || status == 503 || status == 408 || status == 421) {
             refusedAttempts.add(attemptId);
         }
     }
 
-    /** A request on a kept connection ended without a whole answer at a process that is alive. */
+    /** Records that a request on a reused connection ended without a complete response at a live process. */
     void recordLost(String attemptId, String proxy, double sentMs) {
         if (isInTouch(proxy, sentMs, now())) {
             lostAttempts.add(attemptId);
         }
     }
 
-    /** A read was answered with this version. */
+    /** Records the version in the response to a read. */
     void recordRead(String object, int version, String proxy, double sentMs) {
         if (!isInTouch(proxy, sentMs, now())) {
             return;
@@ -123,7 +129,7 @@
         }
     }
 
-    /** A client has its last word on a request. */
+    /** Records the final result of a request of a client. */
     void requestFinished(double sentMs, boolean served) {
         if (sentMs > faultFreeFromMs) {
             faultFreeRequests.incrementAndGet();
@@ -135,7 +141,7 @@
         return faultFreeServed.get();
     }
 
-    /** All rules that the run broke. */
+    /** Returns all violations of the run. */
     List<String> violations(double originRate) {
         List<String> all = new ArrayList<>(violations);
         for (String attemptId : refusedAttempts) {
@@ -143,10 +149,10 @@
                 all.add("REFUSED: " + attemptId + " was promised not to run and ran");
             }
         }
-        List<String> passedOn =
+        List<String> forwarded =
                 lostAttempts.stream().filter(arrivedAttempts::contains).toList();
-        if (passedOn.size() > ALLOWED_LOST_REQUESTS) {
-            all.add("LOST: requests that were passed on ended without an answer at machines in touch: " + passedOn);
+        if (forwarded.size() > ALLOWED_LOST_REQUESTS) {
+            all.add("LOST: requests that were passed on ended without an answer at machines in touch: " + forwarded);
         }
         checkRateCeiling(originRate, all);
         if (faultFreeRequests.get() > 0 && faultFreeServed.get() < 0.9 * faultFreeRequests.get()) {
@@ -158,18 +164,22 @@
     private void checkRateCeiling(double originRate, List<String> all) {
         List<Double> times = new ArrayList<>(originArrivals);
         times.sort(Double::compare);
-        int most = (int) (originRate * RATE_OVERAGE * RATE_WINDOW_MS / 1_000) + ALLOWED_EXTRA_REQUESTS;
-        for (int first = 0; first + most < times.size(); first++) {
-            double lasted = times.get(first + most) - times.get(first);
-            if (lasted < RATE_WINDOW_MS && !anyFrozen(times.get(first), times.get(first + most))) {
-                all.add("CEILING: " + (most + 1) + " requests in " + lasted + " ms from " + times.get(first));
+        int maxRequests = (int) (originRate * RATE_OVERAGE * RATE_WINDOW_MS / 1_000) + ALLOWED_EXTRA_REQUESTS;
+        for (int first = 0; first + maxRequests < times.size(); first++) {
+            double durationMs = times.get(first + maxRequests) - times.get(first);
+            if (durationMs < RATE_WINDOW_MS && !anyFrozen(times.get(first), times.get(first + maxRequests))) {
+                all.add("CEILING: " + (maxRequests + 1) + " requests in " + durationMs + " ms from "
+                        + times.get(first));
                 return;
             }
         }
     }
 
-    /** What frozen machines sent doesn't count, and can't be told apart here. */
+    /**
+     * Returns whether any machine had a fault near a span. Requests that paused machines sent do not count, but cannot
+     * be distinguished here.
+     */
     private boolean anyFrozen(double fromMs, double toMs) {
-        return faults.stream().anyMatch(trouble -> trouble.fromMs() <= toMs && trouble.toMs() + CONTACT_MS >= fromMs);
+        return faults.stream().anyMatch(fault -> fault.fromMs() <= toMs && fault.toMs() + CONTACT_MS >= fromMs);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A client that keeps its connection and uses it until the process at its other end is gone, then goes to another one. It
- * reads objects, asks what may be repeated, and sends keyed operations, again with their keys where it has no answer.
+ * A client that uses one connection until it fails and then connects to a random proxy. It reads objects, sends
+ * idempotent requests and sends keyed operations. A request that was not served is repeated, with the same key if it
+ * has one.
  */
 final class SoakClient implements Runnable {
 
@@ -54,7 +55,7 @@
     }
 
     private void read() {
-        // A few objects are read most of the time.
+        // A few objects receive most of the reads.
         int object = (int) (OBJECTS * Math.pow(random.nextDouble(), 2));
         request("GET", "/read/" + object, "", null);
     }
@@ -68,22 +69,22 @@
     }
 
     private boolean request(String method, String path, String headers, String key) {
-        double begunMs = audit.now();
+        double startMs = audit.now();
         boolean served = false;
-        for (int attempt = 0; attempt < MAX_ATTEMPTS && !served && audit.now() - begunMs < DEADLINE_MS; attempt++) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !served && audit.now() - startMs < DEADLINE_MS; attempt++) {
             served = tryOnce(method, path, headers, key);
         }
-        audit.requestFinished(begunMs, served);
+        audit.requestFinished(startMs, served);
         return served;
     }
 
     private boolean tryOnce(String method, String path, String headers, String key) {
         String attemptId = "a" + IDS.incrementAndGet();
         double sentMs = audit.now();
-        boolean kept = connection != null && connection.isReusable();
+        boolean reused = connection != null && connection.isReusable();
         boolean sent = false;
         try {
-            if (!kept) {
+            if (!reused) {
                 connect();
             }
             connection.send(
@@ -92,16 +93,16 @@
                     headers + "X-Attempt-Id: " + attemptId + "\r\nX-Deadline-Remaining: " + DEADLINE_MS + "\r\n",
                     "");
             sent = true;
-            SoakHttp.Message answer = connection.read();
-            check(answer, attemptId, path, key, sentMs);
-            if (answer.status() != 200) {
-                pause(answer);
+            SoakHttp.Message response = connection.read();
+            check(response, attemptId, path, key, sentMs);
+            if (response.status() != 200) {
+                pause(response);
                 closeConnection();
             }
-            return answer.status() == 200;
+            return response.status() == 200;
         } catch (IOException failed) {
-            boolean silence = failed instanceof java.net.SocketTimeoutException;
-            if (sent && kept && !silence && proxy.processes().get(0).isAlive()) {
+            boolean timedOut = failed instanceof java.net.SocketTimeoutException;
+            if (sent && reused && !timedOut && proxy.processes().get(0).isAlive()) {
                 audit.recordLost(attemptId, proxy.name(), sentMs);
             }
             closeConnection();
@@ -109,27 +110,27 @@
         }
     }
 
-    private void pause(SoakHttp.Message answer) {
-        String wait = answer.header("Retry-After");
+    private void pause(SoakHttp.Message response) {
+        String wait = response.header("Retry-After");
         double seconds = wait == null ? 0.05 : Math.min(0.5, Double.parseDouble(wait));
         java.util.concurrent.locks.LockSupport.parkNanos((long) (seconds * 1e9));
     }
 
-    private void check(SoakHttp.Message answer, String attemptId, String path, String key, double sentMs) {
-        audit.recordStatus(attemptId, answer.status());
-        if (answer.status() == 404 && audit.isInTouch(proxy.name(), sentMs, audit.now())) {
+    private void check(SoakHttp.Message response, String attemptId, String path, String key, double sentMs) {
+        audit.recordStatus(attemptId, response.status());
+        if (response.status() == 404 && audit.isInTouch(proxy.name(), sentMs, audit.now())) {
             audit.recordViolation("DENIED", path + " at " + proxy.name());
         }
-        if (answer.status() != 200) {
+        if (response.status() != 200) {
             return;
         }
-        String body = answer.text();
-        boolean sealed = Integer.toString(body.hashCode()).equals(answer.header("X-Response-Seal"));
-        boolean own = attemptId.equals(answer.header("X-Attempt-Id")) && body.startsWith(path.substring(0, 6));
+        String body = response.text();
+        boolean sealed = Integer.toString(body.hashCode()).equals(response.header("X-Response-Seal"));
+        boolean own = attemptId.equals(response.header("X-Attempt-Id")) && body.startsWith(path.substring(0, 6));
         boolean ofKey = key == null || body.split(" ")[1].equals(key);
         if (!sealed || !own || !ofKey) {
             audit.recordViolation(
-                    "MIXED", attemptId + " " + path + " got " + answer.head().replace("\r\n", " | "));
+                    "MIXED", attemptId + " " + path + " got " + response.head().replace("\r\n", " | "));
         }
         if (path.startsWith("/read/")) {
             audit.recordRead(path, Integer.parseInt(body.split(" ")[1]), proxy.name(), sentMs);
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakFaults.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFaults.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Draws troubles that overlap and carries them out. Everything that was stopped is started again by the end. */
+/** Chooses overlapping faults at random and injects them. All stopped processes are started again by the end. */
 final class SoakFaults {
 
     private static final double MAX_FAULT_MS = 3_000;
@@ -23,7 +23,7 @@
     private final ScheduledExecutorService timer;
     private final List<String> planned = new ArrayList<>();
     private final AtomicLong lastEndMs = new AtomicLong();
-    /** One core machine may be in trouble at once. */
+    /** Counts the chosen core faults. Only the first one is injected, so that core faults never overlap. */
     private final AtomicInteger coreFaults = new AtomicInteger();
 
     SoakFaults(
@@ -41,13 +41,13 @@
         this.timer = timer;
     }
 
-    /** Plans so many troubles over a span; some of them strike at the same moment. */
+    /** Plans a number of faults over a time span. Some of them start at the same moment. */
     void plan(int count, double spanMs) {
         double atMs = 0;
         for (int i = 0; i < count; i++) {
             atMs = random.nextInt(3) == 0 ? atMs : random.nextDouble() * spanMs;
-            double forMs = 300 + random.nextDouble() * (MAX_FAULT_MS - 300);
-            planFault(atMs, forMs);
+            double durationMs = 300 + random.nextDouble() * (MAX_FAULT_MS - 300);
+            planFault(atMs, durationMs);
         }
     }
 
@@ -55,18 +55,18 @@
         return planned;
     }
 
-    private void planFault(double atMs, double forMs) {
+    private void planFault(double atMs, double durationMs) {
         switch (random.nextInt(10)) {
-            case 0 -> kill(machine(SoakFleet.Role.PROXY), atMs, forMs);
-            case 1 -> kill(machine(SoakFleet.Role.CACHE), atMs, forMs);
-            case 2 -> pause(machine(SoakFleet.Role.PROXY), atMs, forMs);
-            case 3 -> pause(machine(SoakFleet.Role.CACHE), atMs, forMs);
-            case 4 -> core(atMs, forMs);
+            case 0 -> kill(machine(SoakFleet.Role.PROXY), atMs, durationMs);
+            case 1 -> kill(machine(SoakFleet.Role.CACHE), atMs, durationMs);
+            case 2 -> pause(machine(SoakFleet.Role.PROXY), atMs, durationMs);
+            case 3 -> pause(machine(SoakFleet.Role.CACHE), atMs, durationMs);
+            case 4 -> core(atMs, durationMs);
             case 5 -> rollingRestart(SoakFleet.Role.PROXY, atMs);
             case 6 -> rollingRestart(SoakFleet.Role.CACHE, atMs);
             case 7 -> changes(atMs);
             case 8 -> purges(atMs);
-            default -> instance(atMs, forMs);
+            default -> instance(atMs, durationMs);
         }
     }
 
@@ -80,46 +80,48 @@
         timer.schedule(task, (long) ms, TimeUnit.MILLISECONDS);
     }
 
-    private void recordPlan(double atMs, String what) {
-        planned.add(Math.round(atMs) + " ms " + what);
+    private void recordPlan(double atMs, String description) {
+        planned.add(Math.round(atMs) + " ms " + description);
     }
 
-    private void kill(SoakFleet.Machine machine, double atMs, double forMs) {
-        recordPlan(atMs, "kill " + machine.name() + " for " + Math.round(forMs) + " ms");
+    private void kill(SoakFleet.Machine machine, double atMs, double durationMs) {
+        recordPlan(atMs, "kill " + machine.name() + " for " + Math.round(durationMs) + " ms");
         at(atMs, () -> {
-            audit.recordFault(machine.name(), audit.now(), audit.now() + forMs);
+            audit.recordFault(machine.name(), audit.now(), audit.now() + durationMs);
             machine.processes().forEach(SoakProcess::kill);
         });
-        at(atMs + forMs, () -> machine.processes().forEach(SoakProcess::start));
+        at(atMs + durationMs, () -> machine.processes().forEach(SoakProcess::start));
     }
 
-    private void pause(SoakFleet.Machine machine, double atMs, double forMs) {
-        recordPlan(atMs, "pause " + machine.name() + " for " + Math.round(forMs) + " ms");
+    private void pause(SoakFleet.Machine machine, double atMs, double durationMs) {
+        recordPlan(atMs, "pause " + machine.name() + " for " + Math.round(durationMs) + " ms");
         at(atMs, () -> {
-            audit.recordFault(machine.name(), audit.now(), audit.now() + forMs);
+            audit.recordFault(machine.name(), audit.now(), audit.now() + durationMs);
             machine.processes().forEach(SoakProcess::pause);
         });
-        at(atMs + forMs, () -> {
+        at(atMs + durationMs, () -> {
             audit.recordFault(machine.name(), audit.now(), audit.now());
             machine.processes().forEach(SoakProcess::resume);
         });
     }
 
-    private void core(double atMs, double forMs) {
+    private void core(double atMs, double durationMs) {
         if (coreFaults.getAndIncrement() > 0) {
             return;
         }
         if (random.nextBoolean()) {
-            kill(machine(SoakFleet.Role.CORE), atMs, forMs);
+            kill(machine(SoakFleet.Role.CORE), atMs, durationMs);
         } else if (random.nextBoolean()) {
-            pause(machine(SoakFleet.Role.CORE), atMs, forMs);
+            pause(machine(SoakFleet.Role.CORE), atMs, durationMs);
         } else {
-            // All processes of the core at once; their disks stay.
-            fleet.machines(SoakFleet.Role.CORE).forEach(machine -> kill(machine, atMs, Math.min(1_000, forMs)));
+            // Kills all core processes at once. Their disks are kept.
+            fleet.machines(SoakFleet.Role.CORE).forEach(machine -> kill(machine, atMs, Math.min(1_000, durationMs)));
         }
     }
 
-    /** Several machines are asked to end in turn, hung up on before, and started again once they are gone. */
+    /**
+     * Restarts several machines one after another: SIGHUP, then SIGTERM, then a new start once the process has ended.
+     */
     private void rollingRestart(SoakFleet.Role role, double atMs) {
         List<SoakFleet.Machine> all = fleet.machines(role);
         int first = random.nextInt(all.size());
@@ -160,21 +162,23 @@
         }
     }
 
-    private void instance(double atMs, double forMs) {
+    private void instance(double atMs, double durationMs) {
         SoakInstance instance = instances.get(random.nextInt(instances.size()));
         boolean cut = random.nextBoolean();
-        recordPlan(atMs, (cut ? "cut off " : "answers lost by ") + instance.id() + " for " + Math.round(forMs) + " ms");
+        recordPlan(
+                atMs,
+                (cut ? "cut off " : "answers lost by ") + instance.id() + " for " + Math.round(durationMs) + " ms");
         at(atMs, () -> {
             instance.cutOff(cut);
             instance.loseResponses(cut ? 0 : 0.2);
         });
-        at(atMs + forMs, () -> {
+        at(atMs + durationMs, () -> {
             instance.cutOff(false);
             instance.loseResponses(0);
         });
     }
 
-    /** When the last planned act is due, in milliseconds from the plan. */
+    /** Returns when the last planned action is due, in milliseconds from the planning. */
     long lastEndMs() {
         return lastEndMs.get();
     }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import java.util.Random;
 
-/** The machines of a run, each with a loopback address of its own, and the processes on them. */
+/** The machines of a run, each with its own loopback address, and their processes. */
 final class SoakFleet {
 
     private static final int PORT_COUNT = 10;
-    private static final int LOWEST_PORT = 12_000;
-    private static final int HIGHEST_PORT = 30_000;
+    private static final int MIN_PORT = 12_000;
+    private static final int MAX_PORT = 30_000;
 
-    /** What a machine is for. */
+    /** The role of a machine. */
     enum Role {
         CORE,
         CACHE,
@@ -26,7 +26,7 @@
     /**
      * A machine.
      *
-     * @param processes the registry and the store of a core machine, the one process of another
+     * @param processes the registry and the store of a core machine, or the single process of another machine
      */
     record Machine(Role role, String name, InetAddress host, List<SoakProcess> processes) {}
 
@@ -54,12 +54,12 @@
 
     private int freePorts(Random random) throws IOException {
         while (true) {
-            int first = random.nextInt(LOWEST_PORT, HIGHEST_PORT);
+            int first = random.nextInt(MIN_PORT, MAX_PORT);
             int free = 0;
             for (int port = first; port < first + PORT_COUNT; port++) {
                 try (ServerSocket socket = new ServerSocket(port)) {
                     free += socket.getLocalPort() > 0 ? 1 : 0;
-                } catch (IOException taken) {
+                } catch (IOException inUse) {
                     break;
                 }
             }
@@ -140,7 +140,7 @@
         return firstPort + 7;
     }
 
-    /** The port of a machine's metrics, by the index of its process. */
+    /** Returns the metrics port of a process, by its index on the machine. */
     int metricsPort(int index) {
         return firstPort + 8 + index;
     }
@@ -153,12 +153,12 @@
         return machines.stream().filter(machine -> machine.role() == role).toList();
     }
 
-    /** Starts all for the first time; later starts are told that they are not the first. */
+    /** Starts all processes for the first time. */
     void start() throws IOException {
         machines.forEach(machine -> machine.processes().forEach(SoakProcess::start));
     }
 
-    /** From now on no start is the first one of the whole system. */
+    /** Rewrites the settings, so that later starts are not the first start of the whole system. */
     void started() throws IOException {
         try (java.util.stream.Stream<Path> files = Files.list(folder)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
@@ -171,12 +171,12 @@
         machines.forEach(machine -> machine.processes().forEach(SoakProcess::kill));
     }
 
-    /** Whether a proxy says that it is ready. */
+    /** Returns whether a proxy reports that it is ready. */
     boolean isReady(Machine proxy) {
         return call(proxy, readyPort(), "GET", "/ridgemill/readiness", "") == 200;
     }
 
-    /** The status of the answer to a call; 0 if there was none. */
+    /** Returns the response status of a request; 0 if there was no response. */
     int call(Machine machine, int port, String method, String path, String body) {
         try (SoakHttp http = new SoakHttp(machine.host(), port, 1_500)) {
             http.send(method, path, "Content-Type: application/json\r\n", body);
@@ -186,12 +186,12 @@
         }
     }
 
-    /** The body of the answer to a GET; empty if there was none. */
+    /** Returns the body of the response to a GET request; empty if there was no response with status 200. */
     String fetch(Machine machine, int port, String path) {
         try (SoakHttp http = new SoakHttp(machine.host(), port, 1_500)) {
             http.send("GET", path, "", "");
-            SoakHttp.Message answer = http.read();
-            return answer.status() == 200 ? answer.text() : "";
+            SoakHttp.Message response = http.read();
+            return response.status() == 200 ? response.text() : "";
         } catch (IOException failed) {
             return "";
         }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakHttp.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakHttp.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A plain HTTP/1.1 connection that says how far an exchange came when it fails. */
+/** A plain HTTP/1.1 connection. The message of a failure tells how far the exchange came. */
 final class SoakHttp implements AutoCloseable {
 
     private static final int CONNECT_TIMEOUT_MS = 800;
@@ -20,14 +20,14 @@
     private final InputStream in;
     private boolean reusable = true;
 
-    /** A whole message. */
+    /** A complete message. */
     record Message(String first, String head, byte[] body) {
 
         int status() {
             return Integer.parseInt(first.substring(9, 12));
         }
 
-        /** The value of a header; null if it is absent. */
+        /** Returns the value of a header; null if it is absent. */
         String header(String name) {
             for (String line : head.split("\r\n")) {
                 if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
@@ -49,7 +49,7 @@
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Whether another request may be sent on it. */
+    /** Returns whether another request may be sent on the connection. */
     boolean isReusable() {
         return reusable && !socket.isClosed();
     }
@@ -65,18 +65,18 @@
         socket.getOutputStream().flush();
     }
 
-    /** The answer to the request that was sent. */
+    /** Reads the response to the request that was sent. */
     Message read() throws IOException {
-        Message answer = read(in);
-        if (answer == null) {
+        Message response = read(in);
+        if (response == null) {
             throw new IOException("closed without an answer");
         }
-        String connection = answer.header("Connection");
+        String connection = response.header("Connection");
         reusable = connection == null || !connection.toLowerCase(Locale.ROOT).contains("close");
-        return answer;
+        return response;
     }
 
-    /** The next message of a stream; null at its end. */
+    /** Reads the next message of a stream; null at its end. */
     static Message read(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.length() < HEAD_END.length()
@@ -105,7 +105,7 @@
         try {
             socket.close();
         } catch (IOException ignored) {
-            // It is closed either way.
+            // The socket is closed in any case.
         }
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakInstance.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An instance of a service: runs what comes, sometimes loses an answer, and resets connections beyond its cap. */
+/** An instance of a service: runs each request, loses some responses, and resets connections beyond its limit. */
 final class SoakInstance implements AutoCloseable {
 
     private final String id;
@@ -26,7 +26,7 @@
     private volatile double lostResponseRatio;
     private volatile boolean cutOff;
 
-    /** Listens at a free port. The versions are those of all instances of the service. */
+    /** Starts listening at a free port. The versions are shared by all instances of the service. */
     SoakInstance(String id, SoakAudit audit, long seed, int cap, Map<String, AtomicInteger> versions)
             throws IOException {
         this.id = id;
@@ -48,17 +48,17 @@
         thread.start();
     }
 
-    /** From now on this share of the answers is lost, after their requests ran. */
-    void loseResponses(double share) {
-        lostResponseRatio = share;
+    /** Sets the fraction of responses that are lost after their requests ran. */
+    void loseResponses(double ratio) {
+        lostResponseRatio = ratio;
     }
 
-    /** It takes no new connections into work, as behind a cut, while this holds. */
+    /** Sets whether the instance is cut off. While it is, it closes connections without running their requests. */
     void cutOff(boolean cut) {
         cutOff = cut;
     }
 
-    /** Connections that were reset as they were beyond the cap. */
+    /** Returns the number of connections that were reset because they exceeded the limit. */
     int overCap() {
         return overCap.get();
     }
@@ -88,7 +88,7 @@
                 }
             }
         } catch (IOException closed) {
-            // The run is over.
+            // The server socket was closed.
         }
     }
 
@@ -97,18 +97,18 @@
             socket.setTcpNoDelay(true);
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (SoakHttp.Message next = SoakHttp.read(in); next != null; next = SoakHttp.read(in)) {
-                if (cutOff || !answer(next, socket)) {
+                if (cutOff || !respond(next, socket)) {
                     return;
                 }
             }
         } catch (IOException closed) {
-            // The other side has closed it.
+            // The other side closed the connection.
         } finally {
             open.decrementAndGet();
         }
     }
 
-    private boolean answer(SoakHttp.Message request, Socket socket) throws IOException {
+    private boolean respond(SoakHttp.Message request, Socket socket) throws IOException {
         String path = request.first().split(" ")[1];
         String attemptId = request.header("X-Attempt-Id");
         if (!id.equals(request.header("X-Expected-Instance"))) {
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Sends the configuration, changes, purges and heartbeats, each again until it is acknowledged, to any core machine. */
+/**
+ * Sends the configuration, changes, purges and heartbeats to random core machines. Changes and purges are repeated
+ * until they are acknowledged.
+ */
 final class SoakOperator {
 
     private static final long RETRY_DELAY_MS = 150;
@@ -42,7 +45,9 @@
         return fleet.call(core.get(random.nextInt(core.size())), fleet.controlPort(), method, path, body);
     }
 
-    /** Sends an order until it is acknowledged, then runs the task; a refusal of a proper order is a break. */
+    /**
+     * Repeats a request until it is acknowledged, then runs the task. The refusal of a valid request is a violation.
+     */
     private void callUntilAcknowledged(String method, String path, String body, Runnable acknowledgedTask, int tries) {
         timer.execute(() -> {
             int status = call(method, path, body);
@@ -68,7 +73,7 @@
                 + "\"version\":" + version + "}";
     }
 
-    /** The first configuration. */
+    /** Sends the initial configuration. */
     void configure(double originRate, int connectionCap, Runnable done) {
         String service =
                 "\"%s\":{\"healthPath\":\"/health\",\"connectionCap\":%d,\"deduplicates\":false,%s\"version\":1}";
@@ -84,7 +89,7 @@
         callUntilAcknowledged("PATCH", "/ridgemill/configuration", body, done, 0);
     }
 
-    /** Changes a route: of no traffic, or the timeout of the reads. */
+    /** Changes a route: one without traffic, or the timeout of the read route. */
     void change(boolean timeout) {
         long version = nextVersion.incrementAndGet();
         String name = timeout ? "read" : "idle";
@@ -96,7 +101,7 @@
                 "PATCH", "/ridgemill/configuration", body, () -> acknowledged.merge(name, version, Math::max), 0);
     }
 
-    /** Puts the next version of an object in place and purges the one before. */
+    /** Publishes the next version of an object and purges the previous one. */
     void purge(int object) {
         String path = "/read/" + object;
         AtomicInteger version = versions.computeIfAbsent(path, p -> new AtomicInteger(1));
@@ -106,13 +111,16 @@
         callUntilAcknowledged("POST", "/ridgemill/purges", body, () -> audit.purgeAcknowledged(path, replaced), 0);
     }
 
-    /** Tells of an instance. */
+    /** Sends a heartbeat of an instance. */
     boolean heartbeat(SoakInstance instance, String service) {
         String body = instance.heartbeat(service, sequence.incrementAndGet());
         return call("PUT", "/ridgemill/instances/" + instance.id(), body) == 200;
     }
 
-    /** Reads the configuration back: what was acknowledged must stand. Returns whether there was an answer. */
+    /**
+     * Reads the configuration and checks that it contains all acknowledged changes. Returns whether there was a
+     * response.
+     */
     boolean readBack() {
         List<SoakFleet.Machine> core = fleet.machines(SoakFleet.Role.CORE);
         String items =
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One program of the system as a process of its own, which may be signalled, killed and started again. */
+/** One program of the system as a process, which can be signalled, killed and restarted. */
 final class SoakProcess {
 
     private static final List<String> JAVA = List.of(
@@ -39,7 +39,7 @@
         this.log = log;
     }
 
-    /** Starts it, if it does not run. */
+    /** Starts the process if it is not running. */
     synchronized void start() {
         if (isAlive()) {
             return;
@@ -67,7 +67,7 @@
         return paused;
     }
 
-    /** Ends it at once, also while it is paused. */
+    /** Kills the process at once, also while it is paused. */
     synchronized void kill() {
         if (process != null) {
             process.destroyForcibly();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** It stands still until {@link #resume}. */
+    /** Pauses the process (SIGSTOP) until {@link #resume}. */
     synchronized void pause() {
         paused = true;
         signal("STOP");
@@ -94,12 +94,12 @@
         signal("CONT");
     }
 
-    /** Asks it to end in order. */
+    /** Requests an orderly shutdown (SIGTERM). */
     synchronized void terminate() {
         signal("TERM");
     }
 
-    /** Tells it that its settings may have changed. */
+    /** Notifies the process that its settings may have changed (SIGHUP). */
     synchronized void hangUp() {
         signal("HUP");
     }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short soak with fixed seeds; {@code bench/soak} plays many by hand. */
+/** Runs short soaks with fixed seeds. {@code bench/soak} runs many seeds from the command line. */
 class SoakTest {
 
     private static final int PROXIES = 3;
--- a/cdn/src/test/java/ridgemill/cdn/store/FaultyDisk.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/FaultyDisk.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Semaphore;
 
-/** Opens files of a disk that refuses or hangs when it is told to. */
+/** Opens files of a disk whose writes or syncs can be made to fail or to hang. */
 final class FaultyDisk implements DiskFile.Opener {
 
     private final Semaphore working = new Semaphore(1);
--- a/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
@@ -24,7 +24,7 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What the disk holds after a kill at any moment, and after a loss of power with torn files. */
+/** Checks the contents of the disk after a kill at any moment, and after a power loss that leaves torn files. */
 final class JournalDiskTest {
 
     private static final int COMMITS = 150;
@@ -65,7 +65,7 @@
         return DiskBatch.ofRecord(new KeyRecord(key, KeyState.FINISHED, "claim", answer, 1));
     }
 
-    /** All acknowledged records are there, or a newer one that was under way. */
+    /** Checks that an image contains all acknowledged records, or the newer version that was being written. */
     private void check(Path image, Map<String, byte[]> acknowledged) throws IOException {
         JournalDisk disk = new JournalDisk(image);
         StoredState state = disk.open();
@@ -108,14 +108,14 @@
         disk.write(DiskBatch.ofDiskId("a"));
         disk.close();
         byte[] old = PowerLoss.contents(live).get("journal-1");
-        FaultyDisk trouble = new FaultyDisk();
-        JournalDisk again = new JournalDisk(live, trouble);
-        again.open();
-        trouble.setFailing(true, false);
-        assertThatThrownBy(() -> again.write(DiskBatch.ofDiskId("b"))).isInstanceOf(IOException.class);
-        trouble.setFailing(false, false);
-        again.write(DiskBatch.ofDiskId("b"));
-        again.close();
+        FaultyDisk faults = new FaultyDisk();
+        JournalDisk reopened = new JournalDisk(live, faults);
+        reopened.open();
+        faults.setFailing(true, false);
+        assertThatThrownBy(() -> reopened.write(DiskBatch.ofDiskId("b"))).isInstanceOf(IOException.class);
+        faults.setFailing(false, false);
+        reopened.write(DiskBatch.ofDiskId("b"));
+        reopened.close();
         Files.write(live.resolve("journal-1"), old);
         assertThat(new JournalDisk(live).open().diskId()).isEqualTo("b");
     }
--- a/cdn/src/test/java/ridgemill/cdn/store/PowerLoss.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/PowerLoss.java
@@ -10,8 +10,8 @@
 import java.util.stream.Stream;
 
 /**
- * Makes what a disk may hold after a loss of power: all bytes that the last sync covered, and of each sector written
- * after it the new contents, the old ones, zeros or garbage.
+ * Creates possible contents of a disk after a power loss: all bytes that the last sync covered, and for each sector
+ * written after it the new contents, the old contents, zeros or garbage.
  */
 final class PowerLoss {
 
@@ -19,7 +19,7 @@
 
     private PowerLoss() {}
 
-    /** The contents of all files of a folder. */
+    /** Returns the contents of all files of a folder. */
     static Map<String, byte[]> contents(Path folder) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
         try (Stream<Path> paths = Files.list(folder)) {
@@ -30,7 +30,7 @@
         return files;
     }
 
-    /** Writes an image of a folder that was synced at one moment and lost power at a later one. */
+    /** Writes an image of a folder whose last sync was at one moment and that lost power at a later moment. */
     static void writeImage(Map<String, byte[]> synced, Map<String, byte[]> later, Random random, Path folder)
             throws IOException {
         Files.createDirectories(folder);
--- a/cdn/src/test/java/ridgemill/cdn/store/StoreCluster.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/StoreCluster.java
@@ -28,14 +28,14 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
-/** Three stores on loopback addresses, and links to them. */
+/** Runs three stores on loopback addresses, with links to them. */
 final class StoreCluster implements AutoCloseable {
 
     static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
 
     private static final int CALL_TIMEOUT_MS = 10_000;
-    private static final int LOWEST_PORT = 12_000;
-    private static final int HIGHEST_PORT = 32_000;
+    private static final int MIN_PORT = 12_000;
+    private static final int MAX_PORT = 32_000;
 
     private final Path folder;
     private final int port;
@@ -49,12 +49,12 @@
     }
 
     /**
-     * A port that is free on all addresses, below those that the system gives to connections: a store that is stopped and
-     * started again must find its port free.
+     * Returns a port that is free on all addresses. It is below the ephemeral ports, because a store that is restarted
+     * must find its port free.
      */
     private static int freePort() throws IOException {
         while (true) {
-            int candidate = ThreadLocalRandom.current().nextInt(LOWEST_PORT, HIGHEST_PORT);
+            int candidate = ThreadLocalRandom.current().nextInt(MIN_PORT, MAX_PORT);
             try (ServerSocket first = new ServerSocket()) {
                 first.bind(new InetSocketAddress(HOSTS.get(0), candidate));
                 try (ServerSocket second = new ServerSocket();
@@ -63,7 +63,7 @@
                     third.bind(new InetSocketAddress(HOSTS.get(2), candidate));
                     return candidate;
                 }
-            } catch (IOException taken) {
+            } catch (IOException inUse) {
                 continue;
             }
         }
@@ -93,8 +93,8 @@
     }
 
     void wipe(int index) throws IOException {
-        try (var inside = Files.walk(folderOf(index))) {
-            for (Path path : inside.sorted(Comparator.reverseOrder()).toList()) {
+        try (var paths = Files.walk(folderOf(index))) {
+            for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(path);
             }
         }
@@ -126,7 +126,7 @@
                 true);
     }
 
-    /** A link to a store; what it receives beside answers can be taken from it. */
+    /** Opens a link to a store. Received messages other than replies are queued. */
     Caller caller(int index) {
         EventLoop loop = loops.next();
         Caller caller = new Caller(loop);
@@ -151,7 +151,7 @@
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** One link, called from the test's thread. */
+    /** A link that is used from the thread of the test. */
     static final class Caller implements LinkListener {
 
         private final EventLoop loop;
@@ -165,16 +165,16 @@
 
         <R extends Message.Reply> CompletableFuture<R> startCall(
                 LongFunction<? extends Message.Call> message, Class<R> type) {
-            CompletableFuture<R> answer = new CompletableFuture<>();
-            loop.execute(() -> link.call(message, CALL_TIMEOUT_MS, reply -> complete(answer, type, reply)));
-            return answer;
+            CompletableFuture<R> result = new CompletableFuture<>();
+            loop.execute(() -> link.call(message, CALL_TIMEOUT_MS, reply -> complete(result, type, reply)));
+            return result;
         }
 
-        private static <R> void complete(CompletableFuture<R> answer, Class<R> type, Either<?, Message.Reply> reply) {
+        private static <R> void complete(CompletableFuture<R> result, Class<R> type, Either<?, Message.Reply> reply) {
             if (reply.isRight()) {
-                answer.complete(type.cast(reply.get()));
+                result.complete(type.cast(reply.get()));
             } else {
-                answer.completeExceptionally(new IOException(String.valueOf(reply.getLeft())));
+                result.completeExceptionally(new IOException(String.valueOf(reply.getLeft())));
             }
         }
 
--- a/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/StoreProgramTest.java
@@ -21,7 +21,7 @@
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.StoreMessages;
 
-/** Three stores over their sockets. */
+/** Tests three stores over sockets. */
 @Timeout(60)
 final class StoreProgramTest {
 
@@ -68,10 +68,10 @@
         assertThat(snapshot.store().address()).isEqualTo(StoreCluster.HOSTS.get(1));
         Item item = item("r1", 1);
         changeUntilConfirmed(cluster.caller(0), item);
-        StoreMessages.Update news = subscriber.take(StoreMessages.Update.class);
-        assertThat(news.number()).isEqualTo(snapshot.number() + 1);
-        assertThat(news.items()).containsExactly(item);
-        assertThat(news.voters()).isEqualTo(snapshot.voters());
+        StoreMessages.Update update = subscriber.take(StoreMessages.Update.class);
+        assertThat(update.number()).isEqualTo(snapshot.number() + 1);
+        assertThat(update.items()).containsExactly(item);
+        assertThat(update.voters()).isEqualTo(snapshot.voters());
     }
 
     @Test
@@ -79,7 +79,7 @@
         StoreCluster.Caller first = cluster.caller(0);
         first.send(new StoreMessages.Subscribe("", 0));
         StoreMessages.Snapshot before = first.take(StoreMessages.Snapshot.class);
-        String life = before.incarnationId();
+        String incarnationId = before.incarnationId();
         long number = before.number();
         Purge purge = Purge.ofTag("p1", "tag");
         purge(first, purge);
@@ -88,11 +88,11 @@
         assertThat(first.take(StoreMessages.Update.class).purges()).containsExactly(purge);
         assertThat(first.take(StoreMessages.Update.class).number()).isEqualTo(number + 2);
         StoreCluster.Caller again = cluster.caller(0);
-        again.send(new StoreMessages.Subscribe(life, number + 1));
+        again.send(new StoreMessages.Subscribe(incarnationId, number + 1));
         assertThat(again.take(StoreMessages.Update.class).purges()).containsExactly(Purge.ofTag("p2", "tag"));
-        StoreCluster.Caller otherLife = cluster.caller(0);
-        otherLife.send(new StoreMessages.Subscribe("other", 1));
-        assertThat(otherLife.take(StoreMessages.Snapshot.class).number()).isEqualTo(number + 2);
+        StoreCluster.Caller otherIncarnation = cluster.caller(0);
+        otherIncarnation.send(new StoreMessages.Subscribe("other", 1));
+        assertThat(otherIncarnation.take(StoreMessages.Snapshot.class).number()).isEqualTo(number + 2);
     }
 
     @Test
@@ -158,16 +158,16 @@
     @ParameterizedTest
     @CsvSource({"true,false", "false,true"})
     void aFailingDiskIsReportedAndUsedAgainOnceItWorks(boolean writes, boolean syncs) {
-        FaultyDisk trouble = new FaultyDisk();
-        restartOn(trouble);
+        FaultyDisk faults = new FaultyDisk();
+        restartOn(faults);
         StoreCluster.Caller caller = cluster.caller(0);
         Item item = item("r1", 1);
         awaitVote(caller, "c1");
-        trouble.setFailing(writes, syncs);
+        faults.setFailing(writes, syncs);
         assertThat(finish(caller, "c1").durable()).isFalse();
         assertThat(claim(caller, "c2").state()).isEqualTo(KeyState.FINISHED);
         changeUntilConfirmed(cluster.caller(1), item);
-        trouble.setFailing(false, false);
+        faults.setFailing(false, false);
         while (!finish(caller, "c1").durable()) {
             continue;
         }
@@ -180,40 +180,40 @@
 
     @Test
     void aHangingDiskDelaysOnlyVotesThatNeedIt() throws Exception {
-        FaultyDisk trouble = new FaultyDisk();
-        restartOn(trouble);
+        FaultyDisk faults = new FaultyDisk();
+        restartOn(faults);
         StoreCluster.Caller caller = cluster.caller(0);
         caller.send(new StoreMessages.Subscribe("", 0));
         caller.take(StoreMessages.Snapshot.class);
         awaitVote(caller, "c0");
-        trouble.hang();
+        faults.hang();
         long epoch = voters(cluster.caller(0)).epoch();
         var granted = caller.startCall(
                 id -> new StoreMessages.ClaimKey(id, epoch, "other", "c1"), StoreMessages.KeyStatus.class);
         changeUntilConfirmed(cluster.caller(1), item("r1", 1));
-        StoreMessages.Update news = caller.take(StoreMessages.Update.class);
-        assertThat(news.items()).as("decided by the others").containsExactly(item("r1", 1));
+        StoreMessages.Update update = caller.take(StoreMessages.Update.class);
+        assertThat(update.items()).as("decided by the others").containsExactly(item("r1", 1));
         assertThat(claim(caller, "c2").claimId()).as("a claim that is denied").isEqualTo("c0");
         assertThat(granted).isNotDone();
-        trouble.resume();
+        faults.resume();
         assertThat(granted.join().claimId()).isEqualTo("c1");
     }
 
-    private void restartOn(FaultyDisk trouble) {
+    private void restartOn(FaultyDisk faults) {
         cluster.stop(0);
-        cluster.start(0, false, new JournalDisk(cluster.folderOf(0).resolve("store"), trouble));
+        cluster.start(0, false, new JournalDisk(cluster.folderOf(0).resolve("store"), faults));
     }
 
     private static Item item(String name, long version) {
         return new Item(new ItemName(ItemKind.ROUTE, name), version, "{\"version\":" + version + "}");
     }
 
-    /** Orders an item until it is confirmed, as an operator does that gets no clear answer. */
+    /** Sends a change until it is confirmed, like an operator who receives no definite result. */
     private void changeUntilConfirmed(StoreCluster.Caller caller, Item item) {
         assertThat(changeUntilClear(caller, item).outcome()).isEqualTo(ChangeResult.Outcome.CONFIRMED);
     }
 
-    /** Goes on to the store that leads, or to another one, as a registry does. */
+    /** Sends a change to the leader or to another store until the result is definite, like a registry. */
     private ChangeResult changeUntilClear(StoreCluster.Caller caller, Item item) {
         StoreCluster.Caller asked = caller;
         ChangeResult result = change(asked, false, item);
@@ -251,7 +251,7 @@
         throw new AssertionError("no read was confirmed");
     }
 
-    /** The voters that a store knows to be decided. */
+    /** Returns the voters that a store knows to be decided. */
     private static VoterSet voters(StoreCluster.Caller caller) throws InterruptedException {
         caller.send(new StoreMessages.WatchVoters());
         return caller.take(StoreMessages.CurrentVoters.class).voters();
@@ -269,7 +269,7 @@
         return status;
     }
 
-    /** Claims in each epoch in turn until the store is in it, or in none of them. */
+    /** Claims the key in each epoch in turn, until the store is in that epoch or all epochs were tried. */
     private static StoreMessages.KeyStatus claim(StoreCluster.Caller caller, String claimId) {
         StoreMessages.KeyStatus status = null;
         for (long epoch = 1; epoch < MAX_EPOCHS; epoch++) {
--- a/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/wire/MessageCodecTest.java
@@ -29,7 +29,8 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** Each message survives the way through its bytes, and each of its bytes may be spoilt without harm to the reader. */
+/** Checks that each message survives encoding and decoding, and that a corrupt byte causes no failure other than an
+ * IOException. */
 class MessageCodecTest {
 
     private static final List<Item> ITEMS =
@@ -111,10 +112,10 @@
         byte[] whole = MessageCodec.encode(message);
         for (int at = 0; at < whole.length; at++) {
             for (int flip = 1; flip < 256; flip <<= 1) {
-                byte[] spoilt = whole.clone();
-                spoilt[at] ^= (byte) flip;
+                byte[] corrupt = whole.clone();
+                corrupt[at] ^= (byte) flip;
                 try {
-                    assertThat(MessageCodec.decode(spoilt)).isNotNull();
+                    assertThat(MessageCodec.decode(corrupt)).isNotNull();
                 } catch (IOException refused) {
                     assertThat(refused.getMessage()).isNotBlank();
                 }
