--- a/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
@@ -42,7 +42,7 @@
                     () -> demonstration.sendHeartbeats(one, two), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             demonstration.configure();
             demonstration.printUsage();
-            demonstration.takeCommands();
+            demonstration.readCommands();
         } finally {
             timer.shutdownNow();
         }
@@ -81,7 +81,7 @@
         System.out.println("Type 'stop N' or 'start N' for core machine N of 1 to 3; Ctrl-D ends it.");
     }
 
-    private void takeCommands() throws IOException {
+    private void readCommands() throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String[] words = line.trim().split(" ");
--- a/cdn/src/main/java/ridgemill/cdn/app/Process.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Process.java
@@ -33,40 +33,40 @@
     private final Option<MetricsEndpoint> metricsEndpoint;
     private final PrometheusMeterRegistry metrics = MetricsServer.registry();
 
-    Process(Settings settings, Path settingsPath, Option<MetricsEndpoint> metricsPlace) {
+    Process(Settings settings, Path settingsPath, Option<MetricsEndpoint> metricsEndpoint) {
         this.settings = settings;
-        this.metricsEndpoint = metricsPlace;
+        this.metricsEndpoint = metricsEndpoint;
         this.settingsPath = settingsPath;
     }
 
     void runProxy() {
         ProxyProgram proxy = new ProxyProgram(settings, loop, sockets, clock, metrics);
-        started(proxy::start);
-        onSignals(() -> proxy.drain(Process::end));
+        startProgram(proxy::start);
+        onSignals(() -> proxy.drain(Process::exit));
     }
 
     void runCache() {
         CacheProgram cache = new CacheProgram(settings, loop, sockets, clock, metrics);
-        started(cache::start);
-        onSignals(() -> cache.drain(Process::end));
+        startProgram(cache::start);
+        onSignals(() -> cache.drain(Process::exit));
     }
 
     void runRegistry() {
         RegistryProgram registry = new RegistryProgram(settings, loop, sockets, clock);
-        started(registry::start);
+        startProgram(registry::start);
         onSignals(() -> {
             registry.stop();
-            end();
+            exit();
         });
     }
 
     void runStore() {
         StoreProgram store = new StoreProgram(settings, loop, sockets, clock);
-        started(() -> store.start().join());
+        startProgram(() -> store.start().join());
         onSignals(() -> store.leave(() -> {
             Thread ending = new Thread(() -> {
                 store.stop();
-                end();
+                exit();
             });
             ending.start();
         }));
@@ -76,7 +76,7 @@
      * Starts a program. An address that cannot be bound is an operator error, which ends the process with one line of
      * text.
      */
-    private void started(Runnable start) {
+    private void startProgram(Runnable start) {
         try {
             start.run();
             metricsEndpoint.forEach(this::serveMetrics);
@@ -110,7 +110,7 @@
                 .peekLeft(error -> LOG.log(System.Logger.Level.WARNING, "event=settings_bad " + error.describe()));
     }
 
-    private static void end() {
+    private static void exit() {
         LOG.log(System.Logger.Level.INFO, "event=ended");
         Runtime.getRuntime().halt(0);
     }
--- a/cdn/src/main/java/ridgemill/cdn/app/Signals.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Signals.java
@@ -15,16 +15,16 @@
 
     /** Runs a task on a separate thread at each termination signal (SIGTERM or SIGINT). */
     static void onTermination(Runnable task) {
-        on("TERM", task);
-        on("INT", task);
+        handle("TERM", task);
+        handle("INT", task);
     }
 
     /** Runs a task on a separate thread at each hangup signal (SIGHUP). */
     static void onHangup(Runnable task) {
-        on("HUP", task);
+        handle("HUP", task);
     }
 
-    private static void on(String name, Runnable task) {
+    private static void handle(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/cdn/src/main/java/ridgemill/cdn/registry/ControlRouter.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ControlRouter.java
@@ -21,19 +21,19 @@
     }
 
     @Override
-    public void accept(SimpleHttpServer.Request call) {
-        String path = call.path();
+    public void accept(SimpleHttpServer.Request request) {
+        String path = request.path();
         if (path.startsWith(INSTANCES) && path.length() > INSTANCES.length()) {
-            instances.accept(path.substring(INSTANCES.length()), call);
-        } else if (path.equals(CONFIGURATION) && call.method().equals("GET")) {
-            operators.readConfiguration(call);
-        } else if (path.equals(CONFIGURATION) && call.method().equals("PATCH")) {
-            operators.changeConfiguration(call);
-        } else if (path.equals(PURGES) && call.method().equals("POST")) {
-            operators.purge(call);
+            instances.accept(path.substring(INSTANCES.length()), request);
+        } else if (path.equals(CONFIGURATION) && request.method().equals("GET")) {
+            operators.readConfiguration(request);
+        } else if (path.equals(CONFIGURATION) && request.method().equals("PATCH")) {
+            operators.changeConfiguration(request);
+        } else if (path.equals(PURGES) && request.method().equals("POST")) {
+            operators.purge(request);
         } else {
             boolean known = path.equals(CONFIGURATION) || path.equals(PURGES);
-            call.responder().accept(SimpleHttpServer.Response.empty(known ? METHOD_NOT_ALLOWED : NOT_FOUND));
+            request.responder().accept(SimpleHttpServer.Response.empty(known ? METHOD_NOT_ALLOWED : NOT_FOUND));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/IncomingLinks.java
@@ -54,9 +54,9 @@
         } else if (message instanceof RegistryMessages.PeerUpdate update) {
             merge(update);
             link.send(new RegistryMessages.PeerUpdateMerged(update.callId()));
-        } else if (message instanceof RegistryMessages.PeerHeartbeats beats) {
-            for (RegistryMessages.Heartbeat beat : beats.heartbeats()) {
-                instances.recordHeartbeat(beat.instanceId(), beat.sequence(), clock.now());
+        } else if (message instanceof RegistryMessages.PeerHeartbeats peerHeartbeats) {
+            for (RegistryMessages.Heartbeat heartbeat : peerHeartbeats.heartbeats()) {
+                instances.recordHeartbeat(heartbeat.instanceId(), heartbeat.sequence(), clock.now());
             }
         }
     }
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
@@ -32,21 +32,21 @@
     }
 
     /** Handles a request about the instance with this identifier. */
-    void accept(String id, SimpleHttpServer.Request call) {
-        Instance instance = switch (call.method()) {
-            case "PUT" -> heartbeat(id, call.body());
+    void accept(String id, SimpleHttpServer.Request request) {
+        Instance instance = switch (request.method()) {
+            case "PUT" -> heartbeat(id, request.body());
             case "DELETE" -> departure(id);
             default -> null;
         };
         if (instance == null) {
-            boolean known = call.method().equals("PUT") || call.method().equals("DELETE");
-            call.responder().accept(SimpleHttpServer.Response.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
+            boolean known = request.method().equals("PUT") || request.method().equals("DELETE");
+            request.responder().accept(SimpleHttpServer.Response.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
             return;
         }
         reports.accept(
                 instance,
-                confirmed ->
-                        call.responder().accept(confirmed ? ACCEPTED : SimpleHttpServer.Response.empty(UNAVAILABLE)));
+                confirmed -> request.responder()
+                        .accept(confirmed ? ACCEPTED : SimpleHttpServer.Response.empty(UNAVAILABLE)));
     }
 
     /** Parses a heartbeat. Returns null if it is malformed. */
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceReports.java
@@ -96,9 +96,9 @@
 
     /** Returns and clears the newest heartbeat of each instance that was received since the previous call. */
     List<RegistryMessages.Heartbeat> drainNewHeartbeats() {
-        List<RegistryMessages.Heartbeat> beats = new ArrayList<>();
-        newHeartbeats.forEach((id, sequence) -> beats.add(new RegistryMessages.Heartbeat(id, sequence)));
+        List<RegistryMessages.Heartbeat> heartbeats = new ArrayList<>();
+        newHeartbeats.forEach((id, sequence) -> heartbeats.add(new RegistryMessages.Heartbeat(id, sequence)));
         newHeartbeats.clear();
-        return beats;
+        return heartbeats;
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
@@ -45,8 +45,8 @@
     }
 
     /** Responds with the configuration that a quorum of the stores holds. */
-    void readConfiguration(SimpleHttpServer.Request call) {
-        stores.read(items -> call.responder()
+    void readConfiguration(SimpleHttpServer.Request request) {
+        stores.read(items -> request.responder()
                 .accept(
                         items == null
                                 ? SimpleHttpServer.Response.empty(UNAVAILABLE)
@@ -56,15 +56,15 @@
     /**
      * Changes the configuration. Each item is checked here on its own; rules across items are checked by the stores.
      */
-    void changeConfiguration(SimpleHttpServer.Request call) {
-        Either<InvalidChange, ConfigurationChange> change = reader().read(call.body());
+    void changeConfiguration(SimpleHttpServer.Request request) {
+        Either<InvalidChange, ConfigurationChange> change = reader().read(request.body());
         if (change.isLeft()) {
-            refuse(call, BAD_REQUEST, change.getLeft().describe());
+            refuse(request, BAD_REQUEST, change.getLeft().describe());
             return;
         }
         Option<InvalidChange> fault = validator.check(change.get());
         if (fault.isDefined()) {
-            refuse(call, BAD_REQUEST, fault.get().describe());
+            refuse(request, BAD_REQUEST, fault.get().describe());
             return;
         }
         stores.change(change.get().items(), result -> {
@@ -72,31 +72,31 @@
                     System.Logger.Level.INFO,
                     "event=configuration items=" + change.get().items().size() + " outcome=" + result.outcome());
             switch (result.outcome()) {
-                case CONFIRMED -> call.responder().accept(SimpleHttpServer.Response.empty(OK));
-                case CONFLICT -> refuse(call, CONFLICT, result.detail());
-                case INVALID -> refuse(call, BAD_REQUEST, result.detail());
-                default -> call.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
+                case CONFIRMED -> request.responder().accept(SimpleHttpServer.Response.empty(OK));
+                case CONFLICT -> refuse(request, CONFLICT, result.detail());
+                case INVALID -> refuse(request, BAD_REQUEST, result.detail());
+                default -> request.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
             }
         });
     }
 
-    private void refuse(SimpleHttpServer.Request call, int status, String reason) {
+    private void refuse(SimpleHttpServer.Request request, int status, String reason) {
         LOG.log(System.Logger.Level.INFO, "event=order_refused status=" + status + " reason=\"" + reason + "\"");
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("errorMessage", reason);
-        call.responder()
+        request.responder()
                 .accept(new SimpleHttpServer.Response(status, body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Requests a purge. The request is acknowledged once a majority of the stores has forwarded it. */
-    void purge(SimpleHttpServer.Request call) {
-        Purge purge = readPurge(call.body());
+    void purge(SimpleHttpServer.Request request) {
+        Purge purge = readPurge(request.body());
         if (purge == null) {
-            refuse(call, BAD_REQUEST, "a purge needs hostname and path, or tag");
+            refuse(request, BAD_REQUEST, "a purge needs hostname and path, or tag");
             return;
         }
         stores.purge(
                 purge,
-                forwarded -> call.responder().accept(SimpleHttpServer.Response.empty(forwarded ? OK : UNAVAILABLE)));
+                forwarded -> request.responder().accept(SimpleHttpServer.Response.empty(forwarded ? OK : UNAVAILABLE)));
     }
 
     /** Parses the purge of a request. Returns null if it is malformed. */
--- a/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/PeerRegistries.java
@@ -67,11 +67,11 @@
     }
 
     /** Sends instances and heartbeats to all other registries, without waiting for their replies. */
-    void broadcast(List<Instance> changed, List<RegistryMessages.Heartbeat> beats) {
+    void broadcast(List<Instance> changed, List<RegistryMessages.Heartbeat> heartbeats) {
         for (ReconnectingLink link : links.values()) {
-            link.call(callId -> update(callId, changed), Confirmation.TIMEOUT_MS, ignored -> {});
-            if (!beats.isEmpty()) {
-                link.send(new RegistryMessages.PeerHeartbeats(beats));
+            link.call(callId -> buildUpdate(callId, changed), Confirmation.TIMEOUT_MS, ignored -> {});
+            if (!heartbeats.isEmpty()) {
+                link.send(new RegistryMessages.PeerHeartbeats(heartbeats));
             }
         }
     }
@@ -82,7 +82,7 @@
     void confirm(List<Instance> changed, BiConsumer<String, Boolean> callback) {
         Map.copyOf(links)
                 .forEach((host, link) -> link.call(
-                        callId -> update(callId, changed),
+                        callId -> buildUpdate(callId, changed),
                         Confirmation.TIMEOUT_MS,
                         result -> callback.accept(host, result.isRight())));
     }
@@ -92,7 +92,7 @@
         return ownAddress;
     }
 
-    private RegistryMessages.PeerUpdate update(long callId, List<Instance> changed) {
+    private RegistryMessages.PeerUpdate buildUpdate(long callId, List<Instance> changed) {
         return new RegistryMessages.PeerUpdate(
                 callId, members.coreHosts(), members.voters(), proxyUpdates.proxyNames(), changed);
     }
@@ -101,7 +101,7 @@
     @Override
     public void opened(Link link) {
         List<Instance> all = List.copyOf(instances.all());
-        link.call(callId -> update(callId, all), Confirmation.TIMEOUT_MS, ignored -> {});
+        link.call(callId -> buildUpdate(callId, all), Confirmation.TIMEOUT_MS, ignored -> {});
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/registry/ProxyUpdates.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/ProxyUpdates.java
@@ -161,9 +161,8 @@
         double now = clock.now();
         double runningMs = now - startedAtMs;
         boolean completeNow = complete || runningMs > completeAfterMs;
-        // An instance known only from an earlier incarnation is not unresponsive before this incarnation could have
-        // received its
-        // heartbeat.
+        // An instance known only from an earlier incarnation of the registry is not reported before this one could have
+        // received its heartbeat.
         List<String> unresponsiveNow =
                 runningMs > unresponsiveAfterMs ? instances.unresponsive(unresponsiveAfterMs, now) : List.of();
         List<String> proxies = members.proxies(now);
--- a/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
@@ -75,7 +75,7 @@
                 new InetSocketAddress(settings.ipAddress(), settings.registryPort()),
                 new IncomingLinks(members, instances, proxyUpdates, peers, stores, clock));
         controlServer = SimpleHttpServer.listen(loop, sockets, control, calls);
-        loop.execute(this::join);
+        loop.execute(this::joinCluster);
     }
 
     /** Stops accepting requests and links. */
@@ -84,7 +84,7 @@
         linkServer.close();
     }
 
-    private void join() {
+    private void joinCluster() {
         members.addCoreHosts(List.of(settings.ipAddress()));
         members.addCoreHosts(settings.seedHosts());
         peers.connect();
--- a/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/JournalFile.java
@@ -51,9 +51,8 @@
         if (file.size() != journal.length) {
             file.truncate(journal.length);
         }
-        // A killed process may leave frames that were never synced. The store acts on the frames read here, so they
-        // have to be
-        // durable.
+        // A killed process may leave frames that were never synced. They have to be durable before the store acts on
+        // them.
         file.force();
         return new Opened(journal, frames);
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
@@ -36,7 +36,7 @@
     }
 
     /** Starts the requests that are possible now. Called periodically. */
-    void step() {
+    void requestMissingPages() {
         VoterSet pendingChange = replica.agreement().voterChangeAwaitingKeys();
         if (pendingChange == null) {
             return;
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreProgram.java
@@ -33,7 +33,7 @@
     /** The fraction of the grace period for which a stopping store waits until another store votes in its place. */
     private static final double LEAVE_GRACE_FRACTION = 0.5;
 
-    private static final long UPKEEP_INTERVAL_MS = 1_000;
+    private static final long MAINTENANCE_INTERVAL_MS = 1_000;
     /** The delay before writing the disk identifier is retried, in milliseconds. */
     private static final long DISK_ID_RETRY_DELAY_MS = 100;
     /** Key records may fill the maximum heap size divided by this number. */
@@ -152,9 +152,9 @@
 
     private void startTimers() {
         KeyTransfer transfer = new KeyTransfer(replica, peers);
-        schedule(AgreementNode.TICK_MS, () -> replica.agreement().tick(replica.steadyMs()));
-        schedule(KEY_TRANSFER_INTERVAL_MS, transfer::step);
-        schedule(UPKEEP_INTERVAL_MS, this::runMaintenance);
+        schedule(AgreementNode.TICK_MS, () -> replica.agreement().tick(replica.monotonicMs()));
+        schedule(KEY_TRANSFER_INTERVAL_MS, transfer::requestMissingPages);
+        schedule(MAINTENANCE_INTERVAL_MS, this::runMaintenance);
     }
 
     /**
@@ -167,7 +167,7 @@
                 task.run();
                 return;
             }
-            double nowMs = replica.steadyMs();
+            double nowMs = replica.monotonicMs();
             LOG.log(Level.INFO, "event=leaving voter=" + replica.agreement().isVoter());
             replica.agreement().leave(nowMs);
             runOnceReplaced(nowMs + LEAVE_GRACE_FRACTION * settings.bounds().gracePeriodMs(), task);
@@ -175,7 +175,7 @@
     }
 
     private void runOnceReplaced(double latestMs, Runnable task) {
-        double nowMs = replica.steadyMs();
+        double nowMs = replica.monotonicMs();
         if (nowMs >= latestMs || replica.agreement().canStop(nowMs)) {
             task.run();
         } else {
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreReplica.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns the time of a monotonic clock in milliseconds. */
-    double steadyMs() {
+    double monotonicMs() {
         return System.nanoTime() / (double) TimeUnit.MILLISECONDS.toNanos(1);
     }
 
@@ -63,8 +63,8 @@
         self = settings.self();
         keys.restore(state.records());
         agreement = new AgreementNode(settings, this, rules);
-        agreement.start(state.accepted(), steadyMs());
-        peers.setOnConnected(address -> agreement.onConnected(address, steadyMs()));
+        agreement.start(state.accepted(), monotonicMs());
+        peers.setOnConnected(address -> agreement.onConnected(address, monotonicMs()));
     }
 
     AgreementNode agreement() {
@@ -99,7 +99,7 @@
         disk.submit(DiskBatch.ofAccepted(record), written -> {
             if (written) {
                 durable.run();
-                agreement.onPersisted(steadyMs());
+                agreement.onPersisted(monotonicMs());
             }
         });
     }
@@ -124,7 +124,7 @@
         disk.submit(DiskBatch.ofRecords(merged), written -> {
             LOG.log(Level.INFO, "event=keys_complete epoch=" + epoch + " keys=" + keys.size() + " durable=" + written);
             if (written) {
-                agreement.onKeysComplete(epoch, steadyMs());
+                agreement.onKeysComplete(epoch, monotonicMs());
             }
         });
     }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
@@ -47,7 +47,7 @@
     @Override
     public void received(Link link, Message message) {
         if (message instanceof StoreMessages.Agreement agreement) {
-            replica.agreement().receive(agreement.content(), replica.steadyMs());
+            replica.agreement().receive(agreement.content(), replica.monotonicMs());
         } else if (message instanceof StoreMessages.ClaimKey claim) {
             claim(link, claim);
         } else if (message instanceof StoreMessages.FinishKey finish) {
@@ -75,7 +75,7 @@
     }
 
     private void change(Link link, StoreMessages.ChangeItems change) {
-        double nowMs = replica.steadyMs();
+        double nowMs = replica.monotonicMs();
         replica.agreement()
                 .submit(
                         change.items(),
@@ -86,7 +86,7 @@
     }
 
     private void read(Link link, StoreMessages.ReadItems read) {
-        double nowMs = replica.steadyMs();
+        double nowMs = replica.monotonicMs();
         replica.agreement()
                 .read(
                         read.forceLeader(),
--- a/cdn/src/main/java/ridgemill/cdn/wire/Link.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/Link.java
@@ -90,7 +90,7 @@
             return;
         }
         long callId = nextCallId++;
-        Future<?> timeout = channel.eventLoop().schedule(() -> fail(callId), timeoutMs, TimeUnit.MILLISECONDS);
+        Future<?> timeout = channel.eventLoop().schedule(() -> onTimeout(callId), timeoutMs, TimeUnit.MILLISECONDS);
         pending.put(callId, new PendingCall(callback, timeout));
         channel.writeAndFlush(message.apply(callId));
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    private void fail(long callId) {
+    private void onTimeout(long callId) {
         PendingCall call = pending.remove(callId);
         if (call != null) {
             call.callback().accept(Either.left(CallFailure.UNKNOWN));
--- a/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
@@ -86,7 +86,7 @@
                     "all proxies are ready",
                     START_TIMEOUT_MS,
                     () -> fleet.machines(SoakFleet.Role.PROXY).stream().allMatch(fleet::isReady));
-            fleet.started();
+            fleet.markStarted();
             for (int i = 0; i < clients; i++) {
                 SoakClient client = new SoakClient(fleet, audit, seed * 1_000 + i, 25.0 * clients / 12);
                 running.add(client);
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakAudit.java
@@ -58,7 +58,7 @@
      * Returns whether neither the machine nor the core had a fault from the {@code contact} time before a span to its
      * end.
      */
-    boolean isInTouch(String machine, double fromMs, double toMs) {
+    boolean isInContact(String machine, double fromMs, double toMs) {
         for (Fault fault : faults) {
             boolean concerns =
                     fault.machine().equals(machine) || fault.machine().startsWith("core");
@@ -106,14 +106,14 @@
 
     /** Records that a request on a reused connection ended without a complete response at a live process. */
     void recordLost(String attemptId, String proxy, double sentMs) {
-        if (isInTouch(proxy, sentMs, now())) {
+        if (isInContact(proxy, sentMs, now())) {
             lostAttempts.add(attemptId);
         }
     }
 
     /** Records the version in the response to a read. */
     void recordRead(String object, int version, String proxy, double sentMs) {
-        if (!isInTouch(proxy, sentMs, now())) {
+        if (!isInContact(proxy, sentMs, now())) {
             return;
         }
         for (Purge purge : purges) {
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakClient.java
@@ -118,7 +118,7 @@
 
     private void check(SoakHttp.Message response, String attemptId, String path, String key, double sentMs) {
         audit.recordStatus(attemptId, response.status());
-        if (response.status() == 404 && audit.isInTouch(proxy.name(), sentMs, audit.now())) {
+        if (response.status() == 404 && audit.isInContact(proxy.name(), sentMs, audit.now())) {
             audit.recordViolation("DENIED", path + " at " + proxy.name());
         }
         if (response.status() != 200) {
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFleet.java
@@ -159,7 +159,7 @@
     }
 
     /** Rewrites the settings, so that later starts are not the first start of the whole system. */
-    void started() throws IOException {
+    void markStarted() throws IOException {
         try (java.util.stream.Stream<Path> files = Files.list(folder)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".toml")).toList()) {
                 Files.writeString(file, Files.readString(file).replace("firstStart = true", "firstStart = false"));
