--- a/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
@@ -10,7 +10,7 @@
 
 class ConfigurationChangeTest {
 
-    private static final String VALID = """
+    private static final String GOOD = """
             {"upsert":{"routeTable":{
             "r-1":{"hostname":"a.example","pathPrefix":"/x/","routeKind":"cacheable","timeout":"1200ms",
             "targetLatency":"100ms","priorityLevel":2,"trafficSplit":[{"service":"s","weight":90},
@@ -50,13 +50,13 @@
 
     @Test
     void aValidChangeRoundTrips() {
-        assertThat(fault(VALID, new ItemSet())).isNull();
-        String written = new String(reader.write(after(VALID).all()), StandardCharsets.UTF_8);
+        assertThat(fault(GOOD, new ItemSet())).isNull();
+        String written = new String(reader.write(after(GOOD).all()), StandardCharsets.UTF_8);
         assertThat(written)
                 .contains("\"ratePerS\":590.0")
                 .contains("\"trafficSplit\":[{\"service\":\"s\",\"weight\":90}");
         assertThat(after("{\"upsert\":" + written + "}").digest())
-                .isEqualTo(after(VALID).digest());
+                .isEqualTo(after(GOOD).digest());
     }
 
     /** Each case replaces one part of the valid change by an invalid one. */
@@ -74,7 +74,7 @@
                     {"upsert" | {"upsert | no JSON
                     """)
     void anInvalidChangeIsRefusedWithTheLocationOfTheFault(String part, String replacement, String reason) {
-        String one = VALID.replace("\n", "");
+        String one = GOOD.replace("\n", "");
         String invalid = one.replace(part, replacement);
         assertThat(invalid).isNotEqualTo(one);
         assertThat(fault(invalid, new ItemSet())).contains(reason);
@@ -82,8 +82,8 @@
 
     @Test
     void aTruncatedChangeIsRefused() {
-        for (int length = 0; length < VALID.stripTrailing().length(); length += 7) {
-            assertThat(fault(VALID.substring(0, length), new ItemSet()))
+        for (int length = 0; length < GOOD.stripTrailing().length(); length += 7) {
+            assertThat(fault(GOOD.substring(0, length), new ItemSet()))
                     .as("%d bytes", length)
                     .isNotNull();
         }
@@ -95,24 +95,24 @@
                 {"upsert":{"routeTable":{"r-2":{"hostname":"a.example","pathPrefix":"/x/","routeKind":"idempotent",
                 "service":"s","version":8}}},"remove":{"routeTable":[%s]}}
                 """;
-        assertThat(fault(second.formatted(""), after(VALID))).contains("same host and prefix");
-        assertThat(fault(second.formatted("{\"name\":\"r-1\",\"version\":9}"), after(VALID)))
+        assertThat(fault(second.formatted(""), after(GOOD))).contains("same host and prefix");
+        assertThat(fault(second.formatted("{\"name\":\"r-1\",\"version\":9}"), after(GOOD)))
                 .isNull();
     }
 
     @Test
     void aServiceInUseCannotBeRemoved() {
         String drop = "{\"remove\":{\"serviceTable\":[{\"name\":\"s\",\"version\":9}]}}";
-        assertThat(fault(drop, after(VALID))).contains("unknown service s");
+        assertThat(fault(drop, after(GOOD))).contains("unknown service s");
     }
 
     @Test
     void anOlderChangeIsValidAndHasNoEffect() {
-        ItemSet current = after(VALID.replace("\"version\":7", "\"version\":9"));
+        ItemSet current = after(GOOD.replace("\"version\":7", "\"version\":9"));
         long before = current.digest();
-        assertThat(fault(VALID, current)).isNull();
+        assertThat(fault(GOOD, current)).isNull();
         current.mergeAll(
-                reader.read(VALID.getBytes(StandardCharsets.UTF_8)).get().items());
+                reader.read(GOOD.getBytes(StandardCharsets.UTF_8)).get().items());
         assertThat(current.digest()).isEqualTo(before);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 
 class SettingsReaderTest {
 
-    private static final String VALID = """
+    private static final String GOOD = """
             nodeName = "edge-a-1"
             ipAddress = "10.1.0.35"
             zone = "a"
@@ -30,7 +30,7 @@
 
     @Test
     void unknownFieldsAreIgnored() {
-        Settings settings = SettingsReader.parse(VALID, "f").get();
+        Settings settings = SettingsReader.parse(GOOD, "f").get();
         assertThat(settings.seedHosts()).containsExactly("10.1.0.39", "10.2.0.31");
         assertThat(settings.storePort()).isEqualTo(7661);
         assertThat(settings.bounds().drainDeadlineMs()).isEqualTo(2500);
@@ -42,7 +42,7 @@
 
     @Test
     void boundsMayBeOneString() {
-        String line = VALID.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
+        String line = GOOD.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
         assertThat(SettingsReader.parse(line, "f").get().bounds().drainDeadlineMs())
                 .isEqualTo(3000);
     }
@@ -60,8 +60,8 @@
                     zone = "a" | zone = | f: is no TOML
                     """)
     void anErrorIsOneLineThatNamesItsField(String part, String replacement, String place) {
-        String invalid = VALID.replace(part, replacement);
-        assertThat(invalid).isNotEqualTo(VALID);
+        String invalid = GOOD.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(GOOD);
         String error = SettingsReader.parse(invalid, "f").getLeft().describe();
         assertThat(error).startsWith(place).doesNotContain("\n");
     }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakFaults.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakFaults.java
@@ -12,8 +12,8 @@
 final class SoakFaults {
 
     private static final double MAX_FAULT_MS = 3_000;
-    private static final int PURGES_PER_SERIES = 20;
-    private static final int CHANGES_PER_SERIES = 6;
+    private static final int PURGES = 20;
+    private static final int CHANGES = 6;
 
     private final SoakFleet fleet;
     private final SoakAudit audit;
@@ -148,7 +148,7 @@
 
     private void changes(double atMs) {
         recordPlan(atMs, "series of changes");
-        for (int i = 0; i < CHANGES_PER_SERIES; i++) {
+        for (int i = 0; i < CHANGES; i++) {
             boolean timeout = random.nextBoolean();
             at(atMs + 120 * i, () -> operator.change(timeout));
         }
@@ -156,7 +156,7 @@
 
     private void purges(double atMs) {
         recordPlan(atMs, "series of purges");
-        for (int i = 0; i < PURGES_PER_SERIES; i++) {
+        for (int i = 0; i < PURGES; i++) {
             int object = random.nextInt(20);
             at(atMs + 50 * i, () -> operator.purge(object));
         }
