--- a/cdn/src/main/java/ridgemill/cdn/app/Process.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Process.java
@@ -19,7 +19,7 @@
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
-/** One of the programs as a process of its own: its event loop, its signals, its end. */
+/** Runs one of the programs as a process, with its event loop, signal handling and shutdown. */
 final class Process {
 
     private static final System.Logger LOG = System.getLogger(Process.class.getName());
@@ -33,79 +33,84 @@
     private final Option<MetricsEndpoint> metricsEndpoint;
     private final PrometheusMeterRegistry metrics = MetricsServer.registry();
 
-    Process(Settings settings, Path settingsPath, Option<MetricsEndpoint> metricsPlace) {
+    Process(Settings settings, Path settingsPath, Option<MetricsEndpoint> metricsEndpoint) {
         this.settings = settings;
-        this.metricsEndpoint = metricsPlace;
+        this.metricsEndpoint = metricsEndpoint;
         this.settingsPath = settingsPath;
     }
 
     void runProxy() {
         ProxyProgram proxy = new ProxyProgram(settings, loop, sockets, clock, metrics);
-        started(proxy::start);
-        onSignals(() -> proxy.drain(Process::end));
+        startProgram(proxy::start);
+        onSignals(() -> proxy.drain(Process::exit));
     }
 
     void runCache() {
         CacheProgram cache = new CacheProgram(settings, loop, sockets, clock, metrics);
-        started(cache::start);
-        onSignals(() -> cache.drain(Process::end));
+        startProgram(cache::start);
+        onSignals(() -> cache.drain(Process::exit));
     }
 
     void runRegistry() {
         RegistryProgram registry = new RegistryProgram(settings, loop, sockets, clock);
-        started(registry::start);
+        startProgram(registry::start);
         onSignals(() -> {
             registry.stop();
-            end();
+            exit();
         });
     }
 
     void runStore() {
         StoreProgram store = new StoreProgram(settings, loop, sockets, clock);
-        started(() -> store.start().join());
+        startProgram(() -> store.start().join());
         onSignals(() -> store.leave(() -> {
             Thread ending = new Thread(() -> {
                 store.stop();
-                end();
+                exit();
             });
             ending.start();
         }));
     }
 
-    /** Starts a program. An address that is taken is the operator's fault and ends the process with one line. */
-    private void started(Runnable start) {
+    /**
+     * Starts a program. An address that cannot be bound is an operator error, which ends the process with one line of
+     * text.
+     */
+    private void startProgram(Runnable start) {
         try {
             start.run();
             metricsEndpoint.forEach(this::serveMetrics);
         } catch (RuntimeException failed) {
-            boolean taken = failed instanceof ChannelException
+            boolean bindFailed = failed instanceof ChannelException
                     || failed.getCause() instanceof ChannelException
                     || failed.getCause() instanceof IOException;
-            if (taken) {
+            if (bindFailed) {
                 Main.fail("can't listen: " + failed.getMessage());
             }
             throw failed;
         }
     }
 
-    private void serveMetrics(MetricsEndpoint place) {
-        InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), place.port());
-        MetricsServer.listen(loop, sockets, address, place.path(), metrics);
+    private void serveMetrics(MetricsEndpoint endpoint) {
+        InetSocketAddress address = new InetSocketAddress(settings.ipAddress(), endpoint.port());
+        MetricsServer.listen(loop, sockets, address, endpoint.path(), metrics);
     }
 
-    private void onSignals(Runnable termination) {
-        Signals.onTermination(termination);
+    private void onSignals(Runnable onTermination) {
+        Signals.onTermination(onTermination);
         Signals.onHangup(this::checkSettings);
     }
 
-    /** Reads the settings file again and logs whether it is good; the process goes on with those it started with. */
+    /**
+     * Reads the settings file again and logs whether it is valid. The process keeps the settings that it started with.
+     */
     private void checkSettings() {
         SettingsReader.read(settingsPath)
                 .peek(read -> LOG.log(System.Logger.Level.INFO, "event=settings_read machine=" + read.nodeName()))
                 .peekLeft(error -> LOG.log(System.Logger.Level.WARNING, "event=settings_bad " + error.describe()));
     }
 
-    private static void end() {
+    private static void exit() {
         LOG.log(System.Logger.Level.INFO, "event=ended");
         Runtime.getRuntime().halt(0);
     }
--- a/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
@@ -16,7 +16,7 @@
 import ridgemill.cdn.json.TreeReader;
 import ridgemill.cdn.purge.Purge;
 
-/** Answers the operators' calls: changes and reads of the configuration, purges. */
+/** Handles the requests of operators: changes and reads of the configuration, and purges. */
 final class OperatorCalls {
 
     private static final System.Logger LOG = System.getLogger(OperatorCalls.class.getName());
@@ -33,7 +33,10 @@
         this.stores = stores;
     }
 
-    /** Made with the first call: the schema takes a start on part of a core longer than all else together. */
+    /**
+     * Creates the reader on first use. On a fraction of a CPU core, loading the schema takes longer than the rest of
+     * the start.
+     */
     private ChangeReader reader() {
         if (reader == null) {
             reader = new ChangeReader();
@@ -41,25 +44,27 @@
         return reader;
     }
 
-    /** Answers with what a quorum of the stores holds. */
-    void readConfiguration(SimpleHttpServer.Request call) {
-        stores.read(items -> call.responder()
+    /** Responds with the configuration that a quorum of the stores holds. */
+    void readConfiguration(SimpleHttpServer.Request request) {
+        stores.read(items -> request.responder()
                 .accept(
                         items == null
                                 ? SimpleHttpServer.Response.empty(UNAVAILABLE)
                                 : new SimpleHttpServer.Response(OK, reader().write(items))));
     }
 
-    /** Each item of a change is checked here by itself; the rest is decided by the stores together. */
-    void changeConfiguration(SimpleHttpServer.Request call) {
-        Either<InvalidChange, ConfigurationChange> change = reader().read(call.body());
+    /**
+     * Changes the configuration. Each item is checked here on its own; rules across items are checked by the stores.
+     */
+    void changeConfiguration(SimpleHttpServer.Request request) {
+        Either<InvalidChange, ConfigurationChange> change = reader().read(request.body());
         if (change.isLeft()) {
-            refuse(call, BAD_REQUEST, change.getLeft().describe());
+            refuse(request, BAD_REQUEST, change.getLeft().describe());
             return;
         }
         Option<InvalidChange> fault = validator.check(change.get());
         if (fault.isDefined()) {
-            refuse(call, BAD_REQUEST, fault.get().describe());
+            refuse(request, BAD_REQUEST, fault.get().describe());
             return;
         }
         stores.change(change.get().items(), result -> {
@@ -67,34 +72,34 @@
                     System.Logger.Level.INFO,
                     "event=configuration items=" + change.get().items().size() + " outcome=" + result.outcome());
             switch (result.outcome()) {
-                case CONFIRMED -> call.responder().accept(SimpleHttpServer.Response.empty(OK));
-                case CONFLICT -> refuse(call, CONFLICT, result.detail());
-                case INVALID -> refuse(call, BAD_REQUEST, result.detail());
-                default -> call.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
+                case CONFIRMED -> request.responder().accept(SimpleHttpServer.Response.empty(OK));
+                case CONFLICT -> refuse(request, CONFLICT, result.detail());
+                case INVALID -> refuse(request, BAD_REQUEST, result.detail());
+                default -> request.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
             }
         });
     }
 
-    private void refuse(SimpleHttpServer.Request call, int status, String reason) {
+    private void refuse(SimpleHttpServer.Request request, int status, String reason) {
         LOG.log(System.Logger.Level.INFO, "event=order_refused status=" + status + " reason=\"" + reason + "\"");
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("errorMessage", reason);
-        call.responder()
+        request.responder()
                 .accept(new SimpleHttpServer.Response(status, body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Orders a purge; the call is acknowledged once a majority of the stores has passed it on. */
-    void purge(SimpleHttpServer.Request call) {
-        Purge purge = readPurge(call.body());
+    /** Requests a purge. The request is acknowledged once a majority of the stores has forwarded it. */
+    void purge(SimpleHttpServer.Request request) {
+        Purge purge = readPurge(request.body());
         if (purge == null) {
-            refuse(call, BAD_REQUEST, "a purge needs hostname and path, or tag");
+            refuse(request, BAD_REQUEST, "a purge needs hostname and path, or tag");
             return;
         }
         stores.purge(
                 purge,
-                passedOn -> call.responder().accept(SimpleHttpServer.Response.empty(passedOn ? OK : UNAVAILABLE)));
+                forwarded -> request.responder().accept(SimpleHttpServer.Response.empty(forwarded ? OK : UNAVAILABLE)));
     }
 
-    /** The purge of a call, or null if it can't be read. */
+    /** Parses the purge of a request. Returns null if it is malformed. */
     private Purge readPurge(byte[] body) {
         try {
             JsonNode root = TreeReader.parseJson(body);
--- a/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
@@ -8,7 +8,7 @@
 
 class SettingsReaderTest {
 
-    private static final String VALID = """
+    private static final String GOOD = """
             nodeName = "edge-a-1"
             ipAddress = "10.1.0.35"
             zone = "a"
@@ -30,7 +30,7 @@
 
     @Test
     void unknownFieldsAreIgnored() {
-        Settings settings = SettingsReader.parse(VALID, "f").get();
+        Settings settings = SettingsReader.parse(GOOD, "f").get();
         assertThat(settings.seedHosts()).containsExactly("10.1.0.39", "10.2.0.31");
         assertThat(settings.storePort()).isEqualTo(7661);
         assertThat(settings.bounds().drainDeadlineMs()).isEqualTo(2500);
@@ -42,12 +42,12 @@
 
     @Test
     void boundsMayBeOneString() {
-        String line = VALID.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
+        String line = GOOD.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
         assertThat(SettingsReader.parse(line, "f").get().bounds().drainDeadlineMs())
                 .isEqualTo(3000);
     }
 
-    /** One line is spoilt at a time. */
+    /** Each case makes one line invalid. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
                     nodeName = "edge-a-1" | nodeName = 3 | f: nodeName
@@ -60,9 +60,9 @@
                     zone = "a" | zone = | f: is no TOML
                     """)
     void anErrorIsOneLineThatNamesItsField(String part, String replacement, String place) {
-        String spoilt = VALID.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(VALID);
-        String error = SettingsReader.parse(spoilt, "f").getLeft().describe();
+        String invalid = GOOD.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(GOOD);
+        String error = SettingsReader.parse(invalid, "f").getLeft().describe();
         assertThat(error).startsWith(place).doesNotContain("\n");
     }
 }
