--- a/gateway/src/main/java/ridgemill/gateway/front/ClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ClientConnection.java
@@ -9,25 +9,25 @@
 import ridgemill.connections.ConnectionEviction;
 import ridgemill.flow.MinRequestRate;
 
-/** One client's connection and what it is doing: what all protocols have in common, which is their limits in time. */
+/** One client's connection with its current phase. Holds the timeouts that all protocols have in common. */
 public abstract class ClientConnection extends ChannelInboundHandlerAdapter implements ConnectionEviction.Candidate {
 
-    /** What a connection is doing; the limits in time go by it. */
+    /** The state of a connection, which selects the timeout that applies. {@code SILENT}: no request has begun yet. */
     protected enum Phase { SILENT, READING, BUSY, IDLE, CLOSING }
 
-    /** How long a connection may say nothing at first, or leave its answer unread. */
+    /** Limits for a new connection that sends nothing, and for a response that the client does not read. */
     private static final long FIRST_BYTE_TIMEOUT_MS = 2500;
     private static final long UNREAD_RESPONSE_TIMEOUT_MS = 3000;
-    /** How long one that was served is kept for its next request: some clients ask once and stay for good. */
+    /** How long an idle connection is kept for its next request: some clients send one request and never disconnect. */
     private static final long IDLE_TIMEOUT_MS = 4000;
     private static final long MANY_IDLE_TIMEOUT_MS = 2000;
     private static final long LONG_LIVED_IDLE_TIMEOUT_MS = 300_000;
-    /** How long input is read on after an error: unread input would reset the error away. */
+    /** How long input is read after an error response: closing with unread input resets the connection and loses it. */
     private static final long LINGER_MS = 1000;
     private static final long FIRST_READ_DELAY_MS = 2;
     /**
-     * When a client that has too many connections may come back on another: by then one of its own may have had its
-     * answer, and one that says nothing more is closed for the next.
+     * When a client with too many connections may retry on a new one. By then one of its connections may have got its
+     * response, and one that sends nothing more is closed for the next.
      */
     protected static final double OVER_LIMIT_RETRY_AFTER_MS = 250;
 
@@ -37,7 +37,7 @@
     private long phaseStartNanos = System.nanoTime();
     private ChannelFuture lastWrite;
     private long lastWriteNanos;
-    /** When bytes came last, and how many since the phase began. */
+    /** When bytes last arrived, and how many arrived since the phase began. */
     private long lastReceivedNanos = phaseStartNanos;
     private long receivedBytes;
     private boolean read;
@@ -46,9 +46,9 @@
     protected ClientConnection(Channel channel, ClientTable table) {
         this.channel = channel;
         this.table = table;
-        // Two turns of the loop on: what was there when it was accepted has been read by then.
-        channel.eventLoop().schedule(() -> channel.eventLoop().schedule(this::markRead, 0, TimeUnit.MILLISECONDS), FIRST_READ_DELAY_MS,
-                TimeUnit.MILLISECONDS);
+        // After two turns of the loop, bytes that were there when the connection was accepted have been read.
+        channel.eventLoop().schedule(() -> channel.eventLoop().schedule(this::markRead, 0, TimeUnit.MILLISECONDS),
+                FIRST_READ_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void markRead() {
@@ -56,13 +56,13 @@
         table.retryEviction();
     }
 
-    /** Whether the loop has come round to read it since it was accepted. */
+    /** Returns whether the loop has had the time to read the connection since it was accepted. */
     @Override
     public final boolean wasRead() {
         return read;
     }
 
-    /** Its client has as many connections as it may already: its first request is turned away, and it closes. */
+    /** Marks the client as over its connection limit: the first request is rejected and the connection closes. */
     final void markOverLimit() {
         overLimit = true;
     }
@@ -71,28 +71,31 @@
         return overLimit;
     }
 
-    /** Whose connection it is: the address without the port; null where the transport has none. */
+    /** Returns the client's address without the port; null if the transport has none. */
     final Object clientAddress() {
         return channel.remoteAddress() instanceof InetSocketAddress a ? a.getAddress() : null;
     }
 
-    /** The client has taken too long over a request: it is owed an error. */
+    /** Called when the client has sent its request too slowly. The subclass responds with an error. */
     protected abstract void requestTimedOut();
 
-    /** The connection has ended. */
+    /** Called when the connection has ended. */
     protected abstract void disconnected();
 
-    /** Whether clients of this protocol keep connections for long without a request, and are not told of a last answer. */
+    /**
+     * Returns whether clients of this protocol keep connections open without requests for long, and responses do not
+     * announce that the connection closes.
+     */
     protected boolean isLongLived() {
         return false;
     }
 
-    /** Whether the request in hand is still coming, and is read. */
+    /** Returns whether the body of the current request is still being received and read. */
     protected boolean isUploading() {
         return false;
     }
 
-    /** Whether a connection without a request is to close now: the proxy goes down. */
+    /** Returns whether connections without a request are to close because the proxy shuts down. */
     protected final boolean mustCloseIdle() {
         return table.isClosingIdle();
     }
@@ -114,12 +117,12 @@
         receivedBytes = 0;
     }
 
-    /** A request was taken: this is a client that asks for something. */
+    /** Enters the phase of a connection with a request in progress. */
     protected final void requestStarted() {
         enterPhase(Phase.BUSY);
     }
 
-    /** The last bytes that the client is to read are on their way. */
+    /** Tracks the write of the last bytes for the client, to detect a client that does not read them. */
     protected final void trackWrite(ChannelFuture last) {
         if (lastWrite == null || lastWrite.isDone()) {
             lastWriteNanos = System.nanoTime();
@@ -127,12 +130,12 @@
         lastWrite = last;
     }
 
-    /** Whether the answer that comes now must be the connection's last. */
+    /** Returns whether the next response must be the last on its connection. */
     protected final boolean mustCloseAfterResponse() {
         return table.disablesKeepAlive();
     }
 
-    /** Moves the connection behind all that were used before it. */
+    /** Marks this connection as the most recently used. */
     protected final void markUsed() {
         table.markUsed(this);
     }
@@ -157,16 +160,16 @@
         return Math.max(phaseStartNanos, lastReceivedNanos) / 1e6;
     }
 
-    /** The pace of what comes counts from now. */
+    /** Measures the rate of the request's bytes from now on. */
     protected final void restartRequestRate() {
         phaseStartNanos = System.nanoTime();
         receivedBytes = 0;
     }
 
-    /** So many bytes have come. */
-    protected final void bytesReceived(int more) {
+    /** Records that bytes were received. */
+    protected final void bytesReceived(int count) {
         lastReceivedNanos = System.nanoTime();
-        receivedBytes += more;
+        receivedBytes += count;
     }
 
     final void close() {
@@ -179,26 +182,30 @@
         }
     }
 
-    /** A client that sends no end, reads no answer or just stays would hold its descriptor for good. */
-    final void checkTimeouts(long now) {
-        long ms = TimeUnit.NANOSECONDS.toMillis(now - phaseStartNanos);
+    /**
+     * Enforces the timeout of the current phase. A client that does not finish its request, does not read its response
+     * or stays idle would hold its file descriptor forever.
+     */
+    final void checkTimeouts(long nowNanos) {
+        long phaseMs = TimeUnit.NANOSECONDS.toMillis(nowNanos - phaseStartNanos);
         boolean unread = lastWrite != null && !lastWrite.isDone();
         switch (phase) {
-            case SILENT -> closeAfter(ms, FIRST_BYTE_TIMEOUT_MS);
-            case IDLE -> closeAfter(ms, unread ? UNREAD_RESPONSE_TIMEOUT_MS : idleTimeoutMs());
-            case CLOSING -> closeAfter(ms, unread ? UNREAD_RESPONSE_TIMEOUT_MS : LINGER_MS);
+            case SILENT -> closeAfter(phaseMs, FIRST_BYTE_TIMEOUT_MS);
+            case IDLE -> closeAfter(phaseMs, unread ? UNREAD_RESPONSE_TIMEOUT_MS : idleTimeoutMs());
+            case CLOSING -> closeAfter(phaseMs, unread ? UNREAD_RESPONSE_TIMEOUT_MS : LINGER_MS);
             case READING -> {
-                if (MinRequestRate.isTooSlow(ms, receivedBytes)) {
+                if (MinRequestRate.isTooSlow(phaseMs, receivedBytes)) {
                     requestTimedOut();
                 }
             }
             case BUSY -> {
-                if (isUploading() && MinRequestRate.isTooSlow(ms, receivedBytes)) {
+                if (isUploading() && MinRequestRate.isTooSlow(phaseMs, receivedBytes)) {
                     requestTimedOut();
                     return;
                 }
-                // Requests behind one another may go on while none of their answers is read.
-                if (isLongLived() && unread && TimeUnit.NANOSECONDS.toMillis(now - lastWriteNanos) >= UNREAD_RESPONSE_TIMEOUT_MS) {
+                // Pipelined requests may continue to arrive although the client reads none of their responses.
+                if (isLongLived() && unread
+                        && TimeUnit.NANOSECONDS.toMillis(nowNanos - lastWriteNanos) >= UNREAD_RESPONSE_TIMEOUT_MS) {
                     channel.close();
                 }
             }
@@ -209,11 +216,12 @@
         if (table.idleTimeoutMs() > 0) {
             return (long) table.idleTimeoutMs();
         }
-        return isLongLived() ? LONG_LIVED_IDLE_TIMEOUT_MS : table.hasManyIdle() ? MANY_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+        return isLongLived() ? LONG_LIVED_IDLE_TIMEOUT_MS
+                : table.hasManyIdle() ? MANY_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
     }
 
-    private void closeAfter(long ms, long limit) {
-        if (ms >= limit) {
+    private void closeAfter(long elapsedMs, long limitMs) {
+        if (elapsedMs >= limitMs) {
             channel.close();
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ClientTable.java
@@ -12,15 +12,16 @@
 import ridgemill.connections.ConnectionEviction;
 
 /**
- * The clients' connections of one front, held below the descriptors that are theirs. It says which one goes when
- * another comes, and when none may be kept for a next request.
+ * The open client connections of one event loop's frontends, at most as many as there are file descriptors for them.
+ * Selects the connection to close when another arrives, and decides when connections may not be kept alive.
  */
 public final class ClientTable {
 
     /**
-     * Part of the connections that may be kept for a next request. Past it each answer is its connection's last and idle
-     * ones go sooner: clients that ask once and stay would else use up the connections that clients may hold, and all
-     * others would find none. Could do harm where that many clients do ask again: each request then opens a connection.
+     * One in this many connections may be idle. Beyond that, each response closes its connection and idle connections
+     * time out sooner: clients that send one request and stay connected would otherwise use up all connections, and
+     * other clients could not connect. The drawback: where that many clients do send further requests, each of these
+     * requests opens a new connection.
      */
     private static final int IDLE_DIVISOR = 4;
     private static final long TIMEOUT_CHECK_INTERVAL_MS = 250;
@@ -37,127 +38,140 @@
     private boolean closingIdle;
     int idleCount;
 
-    /** A table for so many connections, of which one client's address may have so many. */
-    public ClientTable(int maxConnections, IntSupplier perClient) {
+    /**
+     * @param maxConnections limit of open connections
+     * @param maxPerClient limit of open connections from one client address
+     */
+    public ClientTable(int maxConnections, IntSupplier maxPerClient) {
         this.maxConnections = maxConnections;
-        this.maxPerClient = perClient;
+        this.maxPerClient = maxPerClient;
     }
 
-    /** Names what makes a front's listeners accept or stop accepting. */
-    public void onAcceptingChanged(Consumer<Boolean> accepts) {
-        acceptingListeners.add(accepts);
+    /** Registers a callback that makes a frontend's listeners start (true) or stop (false) accepting. */
+    public void onAcceptingChanged(Consumer<Boolean> callback) {
+        acceptingListeners.add(callback);
     }
 
-    private void setAccepting(boolean accepts) {
-        acceptingListeners.forEach(a -> a.accept(accepts));
+    private void setAccepting(boolean accepting) {
+        acceptingListeners.forEach(a -> a.accept(accepting));
     }
 
-    /** Makes room for a connection and takes it in. */
+    /** Adds a connection and closes another one if the table is full. */
     public void add(ClientConnection connection) {
         makeRoom();
-        int most = maxPerClient.getAsInt();
-        if (most < maxConnections) {
-            enforceClientLimit(connection, most);
+        int limit = maxPerClient.getAsInt();
+        if (limit < maxConnections) {
+            enforceClientLimit(connection, limit);
         }
         connections.add(connection);
     }
 
-    /** Past a client's share its own idle connection goes; if it has none, the new one is one too many. */
-    private void enforceClientLimit(ClientConnection connection, int most) {
+    /**
+     * Closes an idle connection of a client that is at its limit. If it has none, marks the new one as over the limit.
+     */
+    private void enforceClientLimit(ClientConnection connection, int limit) {
         Object client = connection.clientAddress();
         List<ClientConnection> own = client == null ? List.of()
                 : connections.stream().filter(c -> client.equals(c.clientAddress())).toList();
-        if (own.size() >= most) {
+        if (own.size() >= limit) {
             own.stream().filter(c -> !c.isBusy() && c.wasRead()).findFirst()
                     .ifPresentOrElse(this::evict, connection::markOverLimit);
         }
     }
 
-    /** Connections that may be open. */
+    /** Returns the limit of open connections. */
     public int maxConnections() {
         return maxConnections;
     }
 
-    /** Connections that are open. */
+    /** Returns the number of open connections. */
     public int size() {
         return connections.size();
     }
 
-    /** From now on each answer is its connection's last. */
+    /** Makes each response from now on the last on its connection. */
     public void drain() {
         draining = true;
     }
 
-    /** Requests that come must have their answers within so many milliseconds from now; infinite for no such bound. */
+    /** Limits the time of new requests: they must be answered within {@code ms} from now; infinite for no limit. */
     public void limitResponseTime(double ms) {
         responseDeadlineMs = nowMs() + ms;
     }
 
-    /** What a request that comes now has until then, in milliseconds. */
+    /** Returns the time until that limit in milliseconds, at least 0. */
     public double remainingMs() {
         return Math.max(0, responseDeadlineMs - nowMs());
     }
 
-    /** While a proxy has stepped aside each answer is its connection's last, as while it drains; it may come back. */
-    public void outOfServiceWhile(BooleanSupplier isAside) {
-        outOfService = isAside;
+    /**
+     * Sets the condition of being out of service. While it holds, each response is the last on its connection, as while
+     * draining; the proxy may return to service.
+     */
+    public void outOfServiceWhile(BooleanSupplier condition) {
+        outOfService = condition;
     }
 
-    /** Whether the proxy has stepped aside. */
+    /** Returns whether the proxy is out of service. */
     public boolean isOutOfService() {
         return outOfService.getAsBoolean();
     }
 
-    /** Whether each answer is its connection's last because the proxy goes down. */
+    /** Returns whether each response is the last on its connection because the proxy shuts down. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** None is kept any more that has no request. */
+    /** Closes connections without a request, now and from now on. */
     public void closeIdleConnections() {
         closingIdle = true;
         List.copyOf(connections).forEach(ClientConnection::closeIfIdle);
     }
 
-    /** Whether a connection without a request is to close. */
+    /** Returns whether connections without a request are to close. */
     boolean isClosingIdle() {
         return closingIdle;
     }
 
-    /** Looks at the limits in time from now on: one timer for all, as most connections never reach one. */
+    /** Starts checking timeouts, with one timer for all connections, as most never reach a timeout. */
     public void startTimeoutChecks(EventLoop loop) {
-        loop.scheduleAtFixedRate(() -> checkTimeouts(System.nanoTime()), TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(() -> checkTimeouts(System.nanoTime()), TIMEOUT_CHECK_INTERVAL_MS,
+                TIMEOUT_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Holds each connection to the limits in time. */
+    /** Enforces the timeouts of all connections, then retries an eviction. */
     private void checkTimeouts(long nowNanos) {
         List.copyOf(connections).forEach(c -> c.checkTimeouts(nowNanos));
         retryEviction();
     }
 
-    /** Whether no connection may be kept: while clients wait to be accepted, one that is kept keeps one of them out. */
+    /**
+     * Returns whether no connection may be kept alive. While clients wait to be accepted, each connection that is kept
+     * alive keeps one of them waiting.
+     */
     boolean disablesKeepAlive() {
         return draining || full || hasManyIdle() || isOutOfService();
     }
 
+    /** Returns whether so many connections are idle that idle ones are closed sooner. */
     boolean hasManyIdle() {
         return idleTimeoutMs == 0 && idleCount >= Math.max(1, maxConnections / IDLE_DIVISOR);
     }
 
     /**
-     * Keeps connections for so long without a request, in milliseconds, as many as there are; 0 for this table's own
-     * measure. To be called on the loop.
+     * Sets how long connections are kept without a request, however many there are, in milliseconds; 0 for the default
+     * timeouts, which depend on the number of idle connections. Called on the loop.
      */
     public void setIdleTimeoutMs(double ms) {
         idleTimeoutMs = ms;
     }
 
-    /** For how long a connection without a request is kept where that was set; 0 where it was not. */
+    /** Returns the configured idle timeout in milliseconds; 0 if none was set. */
     double idleTimeoutMs() {
         return idleTimeoutMs;
     }
 
-    /** To the end of those that may be closed for room: it was the last to be used. */
+    /** Moves a connection to the end of the eviction order, as the most recently used. */
     void markUsed(ClientConnection connection) {
         if (connections.remove(connection)) {
             connections.add(connection);
@@ -173,27 +187,28 @@
     }
 
     /**
-     * Closes one for the next that comes. If each has a request in hand, or goes on sending one, the next clients wait in the
-     * listener's backlog until one has its answer: accepting past the limit would fail for all.
+     * Closes a connection so that the next client can connect. If each has a request in progress or is still sending
+     * one, further clients wait in the listener's backlog until one has its response: accepting beyond the limit would
+     * fail for all.
      */
     private void makeRoom() {
         if (connections.size() + 1 < maxConnections) {
             return;
         }
-        ClientConnection goes = ConnectionEviction.selectVictim(connections, nowMs());
-        if (goes != null) {
-            evict(goes);
+        ClientConnection victim = ConnectionEviction.selectVictim(connections, nowMs());
+        if (victim != null) {
+            evict(victim);
         } else {
             full = true;
             setAccepting(false);
         }
     }
 
-    /** While others wait for a place: one may have been read by now, or have stopped. */
+    /** Tries again to evict a connection while clients wait: one may have been read by now, or have stopped sending. */
     void retryEviction() {
-        ClientConnection goes = full ? ConnectionEviction.selectVictim(connections, nowMs()) : null;
-        if (goes != null) {
-            evict(goes);
+        ClientConnection victim = full ? ConnectionEviction.selectVictim(connections, nowMs()) : null;
+        if (victim != null) {
+            evict(victim);
         }
     }
 
@@ -202,8 +217,9 @@
     }
 
     /**
-     * Out of the table at once: its end is told of only after the next few have been accepted, which would all choose it
-     * again, and a crowd that says nothing would fill the table until its own time is up.
+     * Removes a connection from the table at once. Its close event comes only after the next few connections are
+     * accepted, which would all select the same victim, so that many clients that send nothing would fill the table
+     * until they time out.
      */
     private void evict(ClientConnection connection) {
         remove(connection);
--- a/gateway/src/main/java/ridgemill/gateway/front/ConnectionAcceptor.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ConnectionAcceptor.java
@@ -16,14 +16,14 @@
 import ridgemill.loops.ConnectionDistributor;
 
 /**
- * Takes connections in on a loop of its own, the door, and deals them out to fronts on other loops. With one listener a
- * connection that nobody has accepted yet belongs to no loop: none is lost with a loop that is stuck, as those in the
- * backlog of its own listener would be where each loop listens (SO_REUSEPORT). Used on the door's loop alone, but for
- * {@link #listen}.
+ * Accepts connections on a loop of its own, the acceptor loop, and distributes them to frontends on other loops. With
+ * one listener, a connection that is not accepted yet belongs to no loop, so a stalled loop loses none. If each loop
+ * listened itself (SO_REUSEPORT), the connections in a stalled loop's backlog would be lost. Used on the acceptor loop
+ * only, except for {@link #listen}.
  */
 public final class ConnectionAcceptor {
 
-    /** How long a loop may be silent before it is told of in the log. */
+    /** A loop that sends no report for this time is logged as stalled. */
     private static final double STALL_THRESHOLD_MS = 2000;
 
     private final EventLoop acceptorLoop;
@@ -32,78 +32,82 @@
     private final OpenListeners openListeners;
     private final boolean[] stalled;
 
-    /** Deals to as many loops as {@code dealing} knows. */
-    public ConnectionAcceptor(EventLoop door, Clock clock, ConnectionDistributor dealing) {
-        this.acceptorLoop = door;
+    /** Distributes connections to the loops of {@code distributor}. */
+    public ConnectionAcceptor(EventLoop acceptorLoop, Clock clock, ConnectionDistributor distributor) {
+        this.acceptorLoop = acceptorLoop;
         this.clock = clock;
-        this.distributor = dealing;
-        this.openListeners = new OpenListeners(door);
-        this.stalled = new boolean[dealing.loopCount()];
+        this.distributor = distributor;
+        this.openListeners = new OpenListeners(acceptorLoop);
+        this.stalled = new boolean[distributor.loopCount()];
     }
 
     /**
-     * Starts to listen at one more address; the future fails where it can't be had. May be called from any thread.
+     * Starts listening on an additional address. The future fails if the address cannot be bound. May be called from
+     * any thread.
      *
-     * @param fronts what takes connections on each loop, in the loops' order
+     * @param listenersByLoop the frontend's listeners on each loop, in the order of the loops
      */
-    public ChannelFuture listen(Transport transport, SocketAddress address, List<Listeners> fronts) {
-        return openListeners.add(address, transport.server(acceptorLoop).handler(new DistributionHandler(List.copyOf(fronts)))
+    public ChannelFuture listen(Transport transport, SocketAddress address, List<Listeners> listenersByLoop) {
+        return openListeners.add(address, transport.server(acceptorLoop)
+                .handler(new DistributionHandler(List.copyOf(listenersByLoop)))
                 .childHandler(new ChannelInboundHandlerAdapter()).bind(address));
     }
 
-    /** No new connections at an address; those that it has stay. */
+    /** Stops accepting connections on an address. Connections accepted there stay open. */
     public void stopListening(SocketAddress address) {
         openListeners.close(address);
     }
 
-    /** No new connections. */
+    /** Stops accepting connections on all addresses. */
     public void close() {
         openListeners.closeAll();
     }
 
-    /** A loop tells how late it ran. */
+    /** Records a loop's report of how late its periodic task ran, in milliseconds. */
     public void reportDelay(int loop, double lateMs) {
         distributor.reportDelay(loop, clock.now(), lateMs);
         if (stalled[loop]) {
             stalled[loop] = false;
-            Log.info("loop " + loop + " answers again");
+            Log.info("loop " + loop + " is responsive again");
         }
     }
 
-    /** Looks for loops that have not told anything; to be called at intervals. */
+    /** Logs loops that have stopped reporting. Called periodically. */
     public void checkLoops() {
         for (int i = 0; i < stalled.length; i++) {
-            double silent = distributor.sinceLastReportMs(i, clock.now());
-            if (!stalled[i] && silent > STALL_THRESHOLD_MS) {
+            double silentMs = distributor.sinceLastReportMs(i, clock.now());
+            if (!stalled[i] && silentMs > STALL_THRESHOLD_MS) {
                 stalled[i] = true;
-                Log.info("loop " + i + " has not answered for " + Math.round(silent) + " ms; new connections go to others");
+                Log.info("loop " + i + " has not reported for " + Math.round(silentMs)
+                        + " ms; new connections go to other loops");
             }
         }
     }
 
-    /** A loop gets no more connections. */
+    /** Excludes a loop from further connections. */
     public void retire(int loop) {
         distributor.retire(loop);
     }
 
-    /** What is known of each loop, a line each. */
+    /** Describes each loop's state in one line, for operators. */
     public List<String> describeLoops() {
         List<String> lines = new ArrayList<>();
         double now = clock.now();
         for (int i = 0; i < distributor.loopCount(); i++) {
-            lines.add("loop " + i + ": " + distributor.openConnections(i) + " connections, " + (distributor.isRetired(i) ? "retired after an error"
-                    : distributor.isKeepingUp(i, now) ? "keeps up" : "late, last heard of " + Math.round(distributor.sinceLastReportMs(i, now))
-                    + " ms ago"));
+            lines.add("loop " + i + ": " + distributor.openConnections(i) + " connections, "
+                    + (distributor.isRetired(i) ? "retired after an error"
+                    : distributor.isKeepingUp(i, now) ? "keeps up"
+                    : "late, last heard of " + Math.round(distributor.sinceLastReportMs(i, now)) + " ms ago"));
         }
         return lines;
     }
 
-    /** Stands before the acceptor of a listener's own loop, and leaves nothing to it. */
+    /** Runs before Netty's own acceptor handler and consumes every accepted channel, so that handler gets none. */
     private final class DistributionHandler extends ChannelInboundHandlerAdapter {
         private final List<Listeners> listenersByLoop;
 
-        DistributionHandler(List<Listeners> fronts) {
-            this.listenersByLoop = fronts;
+        DistributionHandler(List<Listeners> listenersByLoop) {
+            this.listenersByLoop = listenersByLoop;
         }
 
         @Override
@@ -111,12 +115,12 @@
             Channel client = (Channel) message;
             int loop = distributor.nextLoop(clock.now());
             if (loop == ConnectionDistributor.NONE || openListeners.isClosed()) {
-                // Accepted in the same go as the last one that had a place.
+                // Accepted in the same read as the connection that took the last free capacity.
                 client.unsafe().closeForcibly();
                 return;
             }
             distributor.connectionOpened(loop);
-            // Past this the system's backlog keeps them, as any that is accepted must be served.
+            // At capacity, further connections wait in the system's backlog, as each accepted one must be served.
             openListeners.setAccepting(distributor.nextLoop(clock.now()) != ConnectionDistributor.NONE);
             client.config().setOption(ChannelOption.TCP_NODELAY, true);
             client.pipeline().addLast(listenersByLoop.get(loop).channelInitializer());
--- a/gateway/src/main/java/ridgemill/gateway/front/Listeners.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/Listeners.java
@@ -6,42 +6,42 @@
 import java.net.SocketAddress;
 import ridgemill.gateway.net.Transport;
 
-/** The addresses where one front takes connections; they accept while the table of clients has room. */
+/** Listening sockets of one frontend. They accept connections while the client table has free capacity. */
 public final class Listeners {
 
     private final EventLoop loop;
     private final ChannelHandler channelInitializer;
     private final OpenListeners openListeners;
 
-    /** {@code accepted} sets up each connection and takes it into the table. */
-    public Listeners(EventLoop loop, ClientTable table, ChannelHandler accepted) {
+    /** {@code channelInitializer} sets up each accepted connection and adds it to the table. */
+    public Listeners(EventLoop loop, ClientTable table, ChannelHandler channelInitializer) {
         this.loop = loop;
-        this.channelInitializer = accepted;
+        this.channelInitializer = channelInitializer;
         this.openListeners = new OpenListeners(loop);
         table.onAcceptingChanged(openListeners::setAccepting);
     }
 
-    /** What sets up a connection, for whoever takes it in elsewhere. */
+    /** Returns the handler that sets up a connection, for an acceptor on another loop. */
     ChannelHandler channelInitializer() {
         return channelInitializer;
     }
 
-    /** The loop that its connections belong to. */
+    /** Returns the event loop of this frontend's connections. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Starts to listen at one more address; the future fails where it can't be had. */
+    /** Starts listening on an additional address. The future fails if the address cannot be bound. */
     public ChannelFuture listen(Transport transport, SocketAddress address) {
         return openListeners.add(address, transport.server(loop).childHandler(channelInitializer).bind(address));
     }
 
-    /** No new connections at an address; those that it has stay. */
+    /** Stops accepting connections on an address. Connections accepted there stay open. */
     public void stopListening(SocketAddress address) {
         openListeners.close(address);
     }
 
-    /** No new connections. */
+    /** Stops accepting connections on all addresses. */
     public void close() {
         openListeners.closeAll();
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/OpenListeners.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/OpenListeners.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import ridgemill.gateway.net.SocketKind;
 
-/** The listeners that a loop has open, which accept or stop accepting together. Used on that loop, but for {@link #add}. */
+/**
+ * The open listening sockets of one event loop, which start and stop accepting together. Used on that loop only, except
+ * for {@link #add}.
+ */
 final class OpenListeners {
 
     private final EventLoop loop;
@@ -21,10 +24,10 @@
         this.loop = loop;
     }
 
-    /** Takes in a listener that is being bound to an address; from any thread. */
+    /** Adds a listener that is being bound to an address. May be called from any thread. */
     ChannelFuture add(SocketAddress address, ChannelFuture bound) {
         Channel listener = bound.channel();
-        // On the loop, to which the others belong.
+        // The other fields are accessed on the loop only.
         loop.execute(() -> {
             if (closed) {
                 listener.close();
@@ -37,7 +40,7 @@
         return bound;
     }
 
-    /** No new connections at an address; those that it has stay. */
+    /** Closes the listener of an address. Connections accepted there stay open. */
     void close(SocketAddress address) {
         Channel listener = listenersByAddress.remove(address);
         if (listener != null) {
@@ -45,17 +48,17 @@
         }
     }
 
-    /** No new connections, now and from whatever is bound later. */
+    /** Closes all listeners, and those that are bound later. */
     void closeAll() {
         closed = true;
         for (Channel listener : List.copyOf(listenersByAddress.values())) {
-            // In one step: what comes between the two is reset.
+            // One right after the other: the system resets connections that arrive between the two calls.
             SocketKind.of(loop).takeWaiting(listener);
             listener.close();
         }
     }
 
-    /** Whether new connections are taken; those that are not wait with the system. */
+    /** Starts or stops accepting. Connections that are not accepted wait in the system's backlog. */
     void setAccepting(boolean accept) {
         if (accepting != accept) {
             accepting = accept;
--- a/gateway/src/main/java/ridgemill/gateway/front/PipelineTimer.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/PipelineTimer.java
@@ -8,16 +8,16 @@
 import ridgemill.deadline.PipelineDeadlines;
 
 /**
- * Keeps the times of one connection's requests whose answers leave in their order, and wakes when one is due that another holds
- * up. Used on the loop alone.
+ * Tracks the response deadlines of one connection's pipelined requests, whose responses are sent in request order.
+ * Fires when a response is due that an earlier request blocks. Used on the event loop only.
  *
- * @param <T> what stands for a request
+ * @param <T> the type that represents a request
  */
 public final class PipelineTimer<T> {
 
-    /** Answers that are due in less than this are due now: what gives them up has to be written yet. */
+    /** Fires this long before a deadline, as the blocking request's response has to be written first. */
     private static final double DEADLINE_MARGIN_MS = 8;
-    /** Where one that was given up still has no answer, it is looked at again so much later. */
+    /** Interval of further checks while a reported request still has no response. */
     private static final double RECHECK_MS = 20;
 
     private final EventLoop loop;
@@ -27,41 +27,45 @@
     private Future<?> wakeUp;
     private double wakeUpMs = Double.POSITIVE_INFINITY;
 
-    /** {@code now} is the time in milliseconds; {@code givesUp} is told each request that needs its final answer now. */
-    public PipelineTimer(EventLoop loop, DoubleSupplier now, Consumer<T> givesUp) {
+    /**
+     * @param clockMs the current time in milliseconds
+     * @param onOverdue called with each request that needs its final response now
+     */
+    public PipelineTimer(EventLoop loop, DoubleSupplier clockMs, Consumer<T> onOverdue) {
         this.loop = loop;
-        this.clockMs = now;
-        this.onOverdue = givesUp;
+        this.clockMs = clockMs;
+        this.onOverdue = onOverdue;
     }
 
-    /** One more, behind all others, whose answer must leave by then; infinite where nothing says so yet. */
-    public void add(T request, double dueMs) {
-        deadlines.add(request, dueMs);
+    /** Appends a request whose response is due at {@code deadlineMs}; infinite if it has no deadline yet. */
+    public void add(T request, double deadlineMs) {
+        deadlines.add(request, deadlineMs);
     }
 
-    /** The answer of one that is in it must leave by then, or earlier. */
-    public void shortenDeadline(T request, double dueMs) {
-        deadlines.shorten(request, dueMs);
+    /** Moves a request's deadline forward to {@code deadlineMs}; no effect if it is earlier already. */
+    public void shortenDeadline(T request, double deadlineMs) {
+        deadlines.shorten(request, deadlineMs);
     }
 
-    /** The first has left. */
+    /** Removes the first request, whose response was sent. */
     public void removeFirst() {
         deadlines.removeFirst();
     }
 
-    /** Requests were added: wakes in time for them. */
+    /** Schedules the timer for requests that were added. */
     public void schedule() {
         schedule(0);
     }
 
-    private void schedule(double leastMs) {
-        double at = deadlines.nextDeadlineMs();
-        if (at >= wakeUpMs || at == Double.POSITIVE_INFINITY) {
+    private void schedule(double minDelayMs) {
+        double deadlineMs = deadlines.nextDeadlineMs();
+        if (deadlineMs >= wakeUpMs || deadlineMs == Double.POSITIVE_INFINITY) {
             return;
         }
         cancel();
-        wakeUpMs = at;
-        wakeUp = loop.schedule(this::reportOverdue, (long) (1e6 * Math.max(leastMs, at - DEADLINE_MARGIN_MS - clockMs.getAsDouble())), TimeUnit.NANOSECONDS);
+        wakeUpMs = deadlineMs;
+        wakeUp = loop.schedule(this::reportOverdue, (long) (1e6 * Math.max(minDelayMs,
+                deadlineMs - DEADLINE_MARGIN_MS - clockMs.getAsDouble())), TimeUnit.NANOSECONDS);
     }
 
     private void reportOverdue() {
@@ -73,7 +77,7 @@
         schedule(RECHECK_MS);
     }
 
-    /** Wakes no more. */
+    /** Cancels the timer. */
     public void cancel() {
         if (wakeUp != null) {
             wakeUp.cancel(false);
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientPolicy.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientPolicy.java
@@ -4,34 +4,40 @@
 import ridgemill.deadline.ClientTimeout.Format;
 
 /**
- * What holds for clients over HTTP beside what the protocol says.
+ * How clients are served over HTTP where the protocol leaves a choice.
  *
- * @param timeoutFormats in which a request may say how long its client waits
- * @param timeoutOptional whether one that says nothing has its class's time; else it is no request
- * @param allowsHalfClose whether a client that ends its sending may still read its answers; else it has left
- * @param maxConcurrentRequests how many requests of one connection are carried out at a time, at least 1; answers keep their order
- * @param sendsReasons whether refusals and failures carry their reason, by its stable name, in {@code X-Reason}
+ * @param timeoutFormats the formats in which a request may state how long its client waits
+ * @param timeoutOptional whether a request without a timeout gets the timeout of its class; otherwise it is invalid
+ * @param allowsHalfClose whether a client that closes its sending side still gets its responses; otherwise it counts as
+ *     disconnected
+ * @param maxConcurrentRequests how many requests of one connection are processed at a time, at least 1; responses keep
+ *     the order of the requests
+ * @param sendsReasons whether rejections and failures carry their reason code in {@code X-Reason}
  */
-public record HttpClientPolicy(Set<Format> timeoutFormats, boolean timeoutOptional, boolean allowsHalfClose, int maxConcurrentRequests, boolean sendsReasons) {
+public record HttpClientPolicy(Set<Format> timeoutFormats, boolean timeoutOptional, boolean allowsHalfClose,
+                               int maxConcurrentRequests, boolean sendsReasons) {
 
-    /** Terms under which nobody is told why. */
+    /** A policy under which responses carry no reason codes. */
     public HttpClientPolicy(Set<Format> forms, boolean unsaid, boolean halfCloseStays, int sideBySide) {
         this(forms, unsaid, halfCloseStays, sideBySide, false);
     }
 
-    /** The platform's: seconds are said by all, a client that closes has left, and each request waits for those before it. */
+    /**
+     * The platform's policy: each request states its timeout in seconds, a client that closes its sending side counts
+     * as disconnected, and each request waits for the one before it.
+     */
     public static final HttpClientPolicy PLATFORM = new HttpClientPolicy(Set.of(Format.SECONDS), false, false, 1);
 
     public HttpClientPolicy {
         timeoutFormats = Set.copyOf(timeoutFormats);
         if (maxConcurrentRequests < 1 || timeoutFormats.isEmpty()) {
-            throw new IllegalArgumentException("no way to say a time, or no room for a request");
+            throw new IllegalArgumentException("at least one timeout format and one concurrent request are required");
         }
     }
 
-    /** The header in which a form is said. */
-    public static String timeoutHeader(Format form) {
-        return switch (form) {
+    /** Returns the header that carries a timeout in the given format. */
+    public static String timeoutHeader(Format format) {
+        return switch (format) {
             case SECONDS -> "X-Budget";
             case GRPC -> "grpc-timeout";
             case UNIX_MS -> "X-Deadline";
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpFrontend.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpFrontend.java
@@ -12,7 +12,10 @@
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Transport;
 
-/** Takes clients' requests in over HTTP/1.1 and their answers out. What no node could make sense of is answered here. */
+/**
+ * Receives clients' requests over HTTP/1.1 and sends their responses. Invalid requests are answered here, without a
+ * node.
+ */
 public final class HttpFrontend {
 
     private final Intake<Content> intake;
@@ -24,7 +27,7 @@
     private boolean ready;
     private boolean hasSuccessor;
 
-    /** A front whose connections go into a table that it may share with others. */
+    /** Creates a frontend whose connections are added to a table that other frontends may share. */
     public HttpFrontend(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
         this.requests = new HttpRequestReader(intake::admit, intake::withdraw);
@@ -40,43 +43,46 @@
         });
     }
 
-    /** Starts to listen at one more address; the future fails where it can't be had. */
+    /** Starts listening on an additional address. The future fails if the address cannot be bound. */
     public ChannelFuture listen(Transport transport, SocketAddress address) {
         return listeners.listen(transport, address);
     }
 
-    /** No new connections at an address; those that it has stay. */
+    /** Stops accepting connections on an address. Connections accepted there stay open. */
     public void stopListening(SocketAddress address) {
         listeners.stopListening(address);
     }
 
-    /** From now on {@code GET /up} answers that this proxy may be used. */
+    /** Makes {@code GET /up} report from now on that this proxy is ready. */
     public void markReady() {
         ready = true;
     }
 
-    /** Another process of this proxy serves at its address: whoever asks here too is told that the proxy may be used. */
+    /**
+     * Records that another process of this proxy serves on its address, so that {@code GET /up} here reports it as
+     * ready too.
+     */
     public void markSucceeded() {
         hasSuccessor = true;
     }
 
-    /** Where its connections come in. */
+    /** Returns the listeners that accept its connections. */
     public Listeners listeners() {
         return listeners;
     }
 
-    /** No new connections. */
+    /** Stops accepting connections on all addresses. */
     public void stopListening() {
         listeners.close();
     }
 
-    /** Other terms hold for requests that come, and for connections, from now on. */
-    public void policy(HttpClientPolicy next) {
-        policy = next;
-        requests.policy(next);
+    /** Sets the policy for requests and connections that arrive from now on. */
+    public void policy(HttpClientPolicy newPolicy) {
+        policy = newPolicy;
+        requests.policy(newPolicy);
     }
 
-    /** What idempotency keys came to may be asked for from now on, at {@code /outcome/KEY}. */
+    /** Serves the outcomes of idempotency keys from now on, at {@code /outcome/KEY}. */
     public void enableOutcomeQueries() {
         requests.enableOutcomeQueries();
     }
@@ -85,12 +91,12 @@
         return policy;
     }
 
-    /** The way of answers to clients. */
+    /** Returns the measured time that responses take to reach clients. */
     ReturnDelay returnDelay() {
         return returnDelay;
     }
 
-    /** Whether clients are told that this proxy may be used. */
+    /** Returns whether {@code GET /up} reports this proxy as ready. */
     public boolean isUp() {
         return ready && (hasSuccessor || !table.isDraining()) && !table.isOutOfService();
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
@@ -27,7 +27,7 @@
 import ridgemill.policy.Router.Request;
 import ridgemill.route.RouteQuery;
 
-/** Reads what an HTTP request asks for: a call, a look at whether the proxy is up, or nothing that can be made sense of. */
+/** Classifies HTTP requests: a call, a query of readiness or of an outcome, or an invalid request. */
 final class HttpRequestReader {
 
     private static final String READINESS_PATH = "/up";
@@ -36,36 +36,37 @@
     private static final String PUT = "PUT";
     private static final String SECONDS_HEADER = HttpClientPolicy.timeoutHeader(Format.SECONDS);
     private static final int MAX_ID_LENGTH = 64;
-    /** As many digits as a whole number of this type surely holds. */
+    /** A whole number of up to this many digits is exact as {@code double}. */
     private static final int MAX_EXACT_DIGITS = 15;
     private static final int MAX_KEY_LENGTH = 512;
 
-    /** A message's header lines. */
+    /** Access to a message's header fields. */
     interface HeaderFields {
 
-        /** The first line of a name; null where it has none. */
+        /** Returns the first value of a field; null if the message does not have it. */
         String get(String name);
 
-        /** Whether it has more than one. */
+        /** Returns whether the message has the field more than once. */
         boolean repeats(String name);
     }
 
-    /** What a request turned out to be. */
+    /** The result of reading a request. */
     sealed interface ParsedRequest { }
 
-    /** A request for the decision module, and how the gate let it on. */
-    record Call(AdmissionController.Admitted admitted, Request request, Command<Content> command) implements ParsedRequest { }
+    /** A call for the routing policy, with its admission. */
+    record Call(AdmissionController.Admitted admitted, Request request, Command<Content> command)
+            implements ParsedRequest { }
 
-    /** A request that a limit turns away, the class that it names, and when its client may come back. */
+    /** A request that a limit rejects, with the class that it names and the time after which its client may retry. */
     record Rejected(String requestedClass, double retryAfterMs) implements ParsedRequest { }
 
-    /** A look at whether the proxy is up. */
+    /** A query whether the proxy is ready. */
     record ReadinessQuery() implements ParsedRequest { }
 
-    /** A question what an idempotency key came to, and whose it is. */
+    /** A query for the outcome of a tenant's idempotency key. */
     record OutcomeQuery(String key, String tenant) implements ParsedRequest { }
 
-    /** Something that is answered with an error. */
+    /** A request that is answered with an error status. */
     record InvalidRequest(HttpResponseStatus status) implements ParsedRequest { }
 
     private final Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> admission;
@@ -73,38 +74,43 @@
     private HttpClientPolicy policy = HttpClientPolicy.PLATFORM;
     private boolean outcomeQueriesEnabled;
 
-    /** {@code gate} says what becomes of a call; {@code leave} takes back one that it let on, by its id. */
-    HttpRequestReader(Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> gate, BiConsumer<AdmissionController.Admitted, String> leave) {
-        this.admission = gate;
-        this.withdrawal = leave;
+    /**
+     * @param admission decides on the admission of a call
+     * @param withdrawal withdraws an admitted call, by its id
+     */
+    HttpRequestReader(Function<AdmissionController.AdmissionRequest, AdmissionController.Decision> admission,
+                      BiConsumer<AdmissionController.Admitted, String> withdrawal) {
+        this.admission = admission;
+        this.withdrawal = withdrawal;
     }
 
-    /** How clients may say their time from now on. */
-    void policy(HttpClientPolicy next) {
-        policy = next;
+    /** Sets the policy that says how clients may state their timeouts, from now on. */
+    void policy(HttpClientPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     /**
      * Reads a request.
      *
-     * @param left what its client's time, in milliseconds, comes to here
-     * @param isOpen knows the ids that are in use
+     * @param remainingMs maps the client's timeout to the time that remains of it here, both in milliseconds
+     * @param isOpen tells whether an id is in use
      */
-    ParsedRequest read(FullHttpRequest in, DoubleUnaryOperator left, Predicate<String> isOpen) {
-        return read(in, in.content(), null, left, isOpen, go -> true);
+    ParsedRequest read(FullHttpRequest in, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
+        return read(in, in.content(), null, remainingMs, isOpen, go -> true);
     }
 
     /**
-     * The same of one whose body is still coming.
+     * Reads a request whose body is still being received.
      *
-     * @param takesOpen whether one that the gate lets on may go on before it is whole
+     * @param acceptsStreaming tells whether an admitted request may be processed before its body is complete
      */
-    ParsedRequest read(RequestAggregator.StreamingRequest in, DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
-        return read(in.head(), in.firstPart(), in.rest(), left, isOpen, takesOpen);
+    ParsedRequest read(RequestAggregator.StreamingRequest in, DoubleUnaryOperator remainingMs, Predicate<String> isOpen,
+                       Predicate<AdmissionController.Admitted> acceptsStreaming) {
+        return read(in.head(), in.firstPart(), in.rest(), remainingMs, isOpen, acceptsStreaming);
     }
 
-    private ParsedRequest read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator left, Predicate<String> isOpen,
-                      Predicate<AdmissionController.Admitted> takesOpen) {
+    private ParsedRequest read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator remainingMs,
+                               Predicate<String> isOpen, Predicate<AdmissionController.Admitted> acceptsStreaming) {
         if (head.decoderResult().isFailure() || StrictHttp.oddCoding(head)) {
             return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
@@ -118,11 +124,11 @@
             public boolean repeats(String name) {
                 return head.headers().getAll(name).size() > 1;
             }
-        }, body, rest, left, isOpen, takesOpen);
+        }, body, rest, remainingMs, isOpen, acceptsStreaming);
     }
 
-    /** The same of one that was read as it came; {@code body} stays its holder's. */
-    ParsedRequest read(LeanHttp in, ByteBuf body, DoubleUnaryOperator left, Predicate<String> isOpen) {
+    /** Reads a request of the fast path. The caller keeps ownership of {@code body}. */
+    ParsedRequest read(LeanHttp in, ByteBuf body, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
         return read(in.isPut() ? PUT : GET, in.target(), new HeaderFields() {
             @Override
             public String get(String name) {
@@ -133,12 +139,13 @@
             public boolean repeats(String name) {
                 return in.repeats(name);
             }
-        }, body, null, left, isOpen, go -> true);
+        }, body, null, remainingMs, isOpen, go -> true);
     }
 
-    private ParsedRequest read(String method, String asked, HeaderFields headers, ByteBuf body, BodyStream rest, DoubleUnaryOperator left,
-                      Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
-        String target = Targets.origin(asked);
+    private ParsedRequest read(String method, String requestTarget, HeaderFields headers, ByteBuf body, BodyStream rest,
+                               DoubleUnaryOperator remainingMs, Predicate<String> isOpen,
+                               Predicate<AdmissionController.Admitted> acceptsStreaming) {
+        String target = Targets.origin(requestTarget);
         String path = Targets.path(target);
         if (path.startsWith(OUTCOME_PATH_PREFIX) && outcomeQueriesEnabled) {
             return method.equals(GET) ? outcome(path.substring(OUTCOME_PATH_PREFIX.length()), headers.get("X-Caller"))
@@ -151,10 +158,11 @@
         if (!method.equals(GET) && !(api && method.equals(PUT))) {
             return new InvalidRequest(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
-        return api ? call(method, target, path, headers, body, rest, left, isOpen, takesOpen) : new ReadinessQuery();
+        return api ? call(method, target, path, headers, body, rest, remainingMs, isOpen, acceptsStreaming)
+                : new ReadinessQuery();
     }
 
-    /** Outcomes of idempotency keys may be asked for from now on. */
+    /** Serves queries for outcomes of idempotency keys from now on. */
     void enableOutcomeQueries() {
         outcomeQueriesEnabled = true;
     }
@@ -162,78 +170,87 @@
     private static ParsedRequest outcome(String text, String tenant) {
         try {
             String key = URLDecoder.decode(text, StandardCharsets.UTF_8);
-            return key.isEmpty() || key.length() > MAX_KEY_LENGTH ? new InvalidRequest(HttpResponseStatus.NOT_FOUND) : new OutcomeQuery(key, tenant);
+            return key.isEmpty() || key.length() > MAX_KEY_LENGTH ? new InvalidRequest(HttpResponseStatus.NOT_FOUND)
+                    : new OutcomeQuery(key, tenant);
         } catch (IllegalArgumentException e) {
             return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
     }
 
-    /** How long the client waits, in milliseconds; infinite where its class alone tells, not a number for nonsense. */
+    /**
+     * Returns how long the client waits, in milliseconds; infinite if only the class defines it, NaN if the headers are
+     * invalid.
+     */
     private double clientTimeoutMs(HeaderFields headers) {
         String seconds = policy.timeoutFormats().contains(Format.SECONDS) ? headers.get(SECONDS_HEADER) : null;
         if (seconds != null && policy.timeoutFormats().size() == 1 && !headers.repeats(SECONDS_HEADER)) {
-            // As nearly all come: one plain number.
+            // Fast path for nearly all requests: one plain number.
             double plain = plainNumber(seconds);
             if (plain * 1000 <= ClientTimeout.MAX_MS) {
                 return plain * 1000;
             }
         }
-        List<ClientTimeout.RawValue> claims = new ArrayList<>();
-        for (Format form : policy.timeoutFormats()) {
-            String name = HttpClientPolicy.timeoutHeader(form);
+        List<ClientTimeout.RawValue> values = new ArrayList<>();
+        for (Format format : policy.timeoutFormats()) {
+            String name = HttpClientPolicy.timeoutHeader(format);
             String text = headers.get(name);
             if (text != null) {
-                claims.add(new ClientTimeout.RawValue(form, text));
+                values.add(new ClientTimeout.RawValue(format, text));
                 if (headers.repeats(name)) {
-                    claims.add(new ClientTimeout.RawValue(form, text));
+                    values.add(new ClientTimeout.RawValue(format, text));
                 }
             }
         }
-        ClientTimeout.Parsed reading = ClientTimeout.parse(claims, System.currentTimeMillis());
-        return reading instanceof ClientTimeout.Remaining l ? l.ms()
-                : reading instanceof ClientTimeout.Absent && policy.timeoutOptional() ? Double.POSITIVE_INFINITY : Double.NaN;
+        ClientTimeout.Parsed parsed = ClientTimeout.parse(values, System.currentTimeMillis());
+        return parsed instanceof ClientTimeout.Remaining remaining ? remaining.ms()
+                : parsed instanceof ClientTimeout.Absent && policy.timeoutOptional() ? Double.POSITIVE_INFINITY
+                : Double.NaN;
     }
 
-    private ParsedRequest call(String method, String target, String path, HeaderFields headers, ByteBuf body, BodyStream rest,
-                      DoubleUnaryOperator left, Predicate<String> isOpen, Predicate<AdmissionController.Admitted> takesOpen) {
+    private ParsedRequest call(String method, String target, String path, HeaderFields headers, ByteBuf body,
+                               BodyStream rest, DoubleUnaryOperator remainingMs, Predicate<String> isOpen,
+                               Predicate<AdmissionController.Admitted> acceptsStreaming) {
         String id = headers.get("X-Call-Id");
-        double saidMs = clientTimeoutMs(headers);
-        if (!isValidId(id) || isOpen.test(id) || Double.isNaN(saidMs)) {
+        double clientTimeoutMs = clientTimeoutMs(headers);
+        if (!isValidId(id) || isOpen.test(id) || Double.isNaN(clientTimeoutMs)) {
             return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
         boolean write = method.equals(PUT);
         boolean retry = "1".equals(headers.get("X-Again"));
         String tenant = headers.get("X-Caller");
-        AdmissionController.Decision entry = admission.apply(new AdmissionController.AdmissionRequest(id, new RouteQuery(method, path, tenant, headers::get),
+        AdmissionController.Decision decision = admission.apply(new AdmissionController.AdmissionRequest(id,
+                new RouteQuery(method, path, tenant, headers::get),
                 headers.get("X-Call-Class"), retry, contentLength(body, rest),
-                Double.isInfinite(saidMs) ? Double.MAX_VALUE : left.applyAsDouble(saidMs)));
-        if (entry instanceof AdmissionController.Rejected refuse) {
-            return new Rejected(headers.get("X-Call-Class"), refuse.retryAfterMs());
+                Double.isInfinite(clientTimeoutMs) ? Double.MAX_VALUE : remainingMs.applyAsDouble(clientTimeoutMs)));
+        if (decision instanceof AdmissionController.Rejected rejected) {
+            return new Rejected(headers.get("X-Call-Class"), rejected.retryAfterMs());
         }
-        if (!(entry instanceof AdmissionController.Admitted go)) {
-            return new InvalidRequest(entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
+        if (!(decision instanceof AdmissionController.Admitted admitted)) {
+            return new InvalidRequest(decision instanceof AdmissionController.Invalid invalid
+                    && invalid.reason() == AdmissionController.InvalidReason.TOO_LARGE
                     ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST);
         }
-        if (rest != null && !takesOpen.test(go)) {
-            withdrawal.accept(go, id);
+        if (rest != null && !acceptsStreaming.test(admitted)) {
+            withdrawal.accept(admitted, id);
             return new InvalidRequest(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
         String key = headers.get("Idempotency-Key");
-        if (go.requiresIdempotencyKey(write) && (key == null || key.isEmpty())) {
-            withdrawal.accept(go, id);
+        if (admitted.requiresIdempotencyKey(write) && (key == null || key.isEmpty())) {
+            withdrawal.accept(admitted, id);
             return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
-        double budgetMs = Double.isInfinite(saidMs) ? left.applyAsDouble(Math.min(go.budgetMs(), go.service().deadlineMs()))
-                : go.budgetMs();
-        Request request = new Request(id, go.service().name(), tenant, Targets.hash(path),
+        double budgetMs = Double.isInfinite(clientTimeoutMs)
+                ? remainingMs.applyAsDouble(Math.min(admitted.budgetMs(), admitted.service().deadlineMs()))
+                : admitted.budgetMs();
+        Request request = new Request(id, admitted.service().name(), tenant, Targets.hash(path),
                 Math.max(0, number(headers.get("X-Call-Cost"), 0)) / 1000, budgetMs, write, retry, rest != null);
         String mediaType = headers.get("Content-Type");
         Content content = !body.isReadable() && mediaType == null && rest == null ? Content.EMPTY
                 : new Content(Unpooled.wrappedBuffer(ByteBufUtil.getBytes(body)), mediaType, rest);
-        return new Call(go, request, new Command<>(write, target, key, content));
+        return new Call(admitted, request, new Command<>(write, target, key, content));
     }
 
-    /** Of a body in all; the greatest number where only its end tells. */
+    /** Returns the length of the whole body; {@code Long.MAX_VALUE} if it is not known before the end. */
     private static long contentLength(ByteBuf body, BodyStream rest) {
         return rest == null ? body.readableBytes() : rest.length() < 0 ? Long.MAX_VALUE : rest.length();
     }
@@ -266,7 +283,7 @@
         }
     }
 
-    /** Digits with at most one point between them, as nearly every number comes; not a number for anything else. */
+    /** Parses digits with at most one point between them, the format of nearly every number; NaN for anything else. */
     private static double plainNumber(String text) {
         long digits = 0;
         long scale = 0;
@@ -284,7 +301,7 @@
                 return Double.NaN;
             }
         }
-        // Both are exact, so this is the nearest to the quotient, as it would be by way of decimals.
+        // Both operands are exact, so the result is the nearest double to the quotient, the same as BigDecimal gives.
         return scale == 0 ? digits : (double) digits / scale;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/OutcomeJson.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/OutcomeJson.java
@@ -7,19 +7,20 @@
 import ridgemill.gateway.net.Content;
 import ridgemill.idempotency.IdempotencyRecord;
 
-/** What a key came to, as JSON. Not loaded unless somebody asks. */
+/** Writes the outcome of an idempotency key as JSON. Not loaded until the first query. */
 final class OutcomeJson {
 
     private OutcomeJson() { }
 
-    /** The text for what is known; for null, that nothing is. */
-    static Content of(IdempotencyRecord known, double nowMs) {
-        JsonObject o = new JsonObject();
-        o.addProperty("outcome", known == null ? "none" : known.isRunning() ? "running" : known.state().name().toLowerCase(Locale.ROOT));
-        if (known != null) {
-            o.addProperty("call", known.callId());
-            o.addProperty("since-ms", Math.round(nowMs - known.stateSinceMs()));
+    /** Returns the JSON text of a record; null stands for a key without a record. */
+    static Content of(IdempotencyRecord record, double nowMs) {
+        JsonObject json = new JsonObject();
+        json.addProperty("outcome", record == null ? "none" : record.isRunning() ? "running"
+                : record.state().name().toLowerCase(Locale.ROOT));
+        if (record != null) {
+            json.addProperty("call", record.callId());
+            json.addProperty("since-ms", Math.round(nowMs - record.stateSinceMs()));
         }
-        return new Content(Unpooled.copiedBuffer(o.toString(), StandardCharsets.UTF_8), "application/json");
+        return new Content(Unpooled.copiedBuffer(json.toString(), StandardCharsets.UTF_8), "application/json");
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/RequestAggregator.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/RequestAggregator.java
@@ -22,12 +22,16 @@
 import ridgemill.gateway.net.Content;
 
 /**
- * Puts requests together. One whose body is no larger than what is held whole goes on as a {@link FullHttpRequest}; of a larger
- * one an {@link StreamingRequest} goes on as soon as that is known, and the rest of its body follows by its stream.
+ * Assembles requests from their parts. A request whose body is within the buffer limit is passed on as a {@link
+ * FullHttpRequest}. For a larger body, a {@link StreamingRequest} is passed on as soon as the size is known to exceed
+ * the limit, and the rest of the body follows through its stream.
  */
 final class RequestAggregator extends ChannelInboundHandlerAdapter {
 
-    /** A request whose body is still coming; {@code first} is what there is of it and belongs to whoever takes this. */
+    /**
+     * A request whose body is still being received. {@code firstPart} is the body received so far; the receiver of this
+     * record releases it.
+     */
     record StreamingRequest(HttpRequest head, ByteBuf firstPart, BodyStream rest) { }
 
     private HttpRequest head;
@@ -37,8 +41,8 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (message instanceof HttpRequest begins) {
-                begin(ctx, begins);
+            if (message instanceof HttpRequest request) {
+                begin(ctx, request);
             }
             if (message instanceof HttpContent part) {
                 readContent(ctx, part);
@@ -48,19 +52,19 @@
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpRequest begins) {
+    private void begin(ChannelHandlerContext ctx, HttpRequest request) {
         reset();
-        if (begins.decoderResult().isFailure()) {
-            fireFullRequest(ctx, begins, Unpooled.EMPTY_BUFFER, begins.decoderResult());
+        if (request.decoderResult().isFailure()) {
+            fireFullRequest(ctx, request, Unpooled.EMPTY_BUFFER, request.decoderResult());
             return;
         }
-        head = begins;
-        long length = HttpUtil.getContentLength(begins, -1L);
+        head = request;
+        long length = HttpUtil.getContentLength(request, -1L);
         if (length > Content.MOST_BYTES) {
             head = null;
             ctx.fireExceptionCaught(new TooLongHttpContentException("body over " + Content.MOST_BYTES + " bytes"));
         } else {
-            if (HttpUtil.is100ContinueExpected(begins)) {
+            if (HttpUtil.is100ContinueExpected(request)) {
                 ctx.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
             }
             if (length > Content.MAX_BYTES) {
@@ -74,11 +78,11 @@
             return;
         }
         if (part.decoderResult().isFailure()) {
-            HttpRequest spoilt = head;
-            boolean begun = stream != null;
+            HttpRequest corrupt = head;
+            boolean streaming = stream != null;
             reset();
-            if (!begun) {
-                fireFullRequest(ctx, spoilt, Unpooled.EMPTY_BUFFER, part.decoderResult());
+            if (!streaming) {
+                fireFullRequest(ctx, corrupt, Unpooled.EMPTY_BUFFER, part.decoderResult());
             }
             return;
         }
@@ -109,14 +113,14 @@
     private void end(ChannelHandlerContext ctx) {
         HttpRequest request = head;
         ByteBuf body = buffered;
-        BodyStream goesOn = stream;
+        BodyStream open = stream;
         head = null;
         buffered = Unpooled.EMPTY_BUFFER;
         stream = null;
-        if (goesOn == null) {
+        if (open == null) {
             fireFullRequest(ctx, request, body, DecoderResult.SUCCESS);
         } else {
-            goesOn.end();
+            open.end();
         }
     }
 
@@ -127,9 +131,10 @@
         ctx.fireChannelRead(new StreamingRequest(head, first, stream));
     }
 
-    private static void fireFullRequest(ChannelHandlerContext ctx, HttpRequest head, ByteBuf body, DecoderResult result) {
-        FullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(), body, head.headers(),
-                new DefaultHttpHeaders());
+    private static void fireFullRequest(ChannelHandlerContext ctx, HttpRequest head, ByteBuf body,
+                                        DecoderResult result) {
+        FullHttpRequest request = new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(), body,
+                head.headers(), new DefaultHttpHeaders());
         request.setDecoderResult(result);
         ctx.fireChannelRead(request);
     }
