--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -44,16 +44,20 @@
 import ridgemill.policy.Reason;
 
 /**
- * One client's HTTP/1.1 connection. Its requests are answered in their order (RFC 9112, section 9.3.2); as many as the front's
- * terms allow are carried out side by side, as long as all of them are reads. One that is due holds nobody up, and is held up by
- * nobody: what is ahead of it then has its final answer too.
+ * One client's HTTP/1.1 connection. Pipelined requests are answered in order (RFC 9112, section 9.3.2). As many as the
+ * frontend's policy allows are processed concurrently, as long as all of them are reads. When a request's deadline is
+ * reached, the requests before it get their final responses too, so none of them delays its response.
  */
 final class HttpClientConnection extends ClientConnection {
 
+    /** Limit of queued requests, beyond which the connection is not read. */
     private static final int MAX_QUEUED_REQUESTS = 16;
-    /** Bytes of answers that wait for an earlier one, beyond which no further request is begun. */
+    /** Limit of buffered response bytes that wait for an earlier response, beyond which no further request is begun. */
     private static final int MAX_BUFFERED_BYTES = 256 * 1024;
-    /** For how many bytes input is read on after an error: unread input would reset the error away. */
+    /**
+     * How much input is read and dropped after an error response: closing with unread input resets the connection and
+     * loses the response.
+     */
     private static final long LINGER_BYTES = 1 << 20;
 
     private final HttpFrontend frontend;
@@ -63,23 +67,25 @@
     private final PipelineTimer<Exchange> pipelineTimer;
     private int bufferedBytes;
     private boolean beginning;
-    /** The rest of the request that is being read; with its end the connection goes where its answer was the last. */
+    /**
+     * The body of the request that is being received. If its response was the last one, its end closes the connection.
+     */
     private BodyStream upload;
-    /** One that waits for the answers of those before it. */
+    /** A streaming request that waits for the responses of the requests before it. */
     private RequestAggregator.StreamingRequest queuedStreamingRequest;
     private boolean closesAfterUpload;
-    /** The rest of the answer that is being written. */
+    /** The body of the response that is being written. */
     private BodyStream responseStream;
-    /** No further request is begun; with the answer of the last the connection closes. */
+    /** Set if no further request is begun. The connection closes after the last response. */
     private boolean lastRequestBegun;
-    /** The client sends nothing more, and reads on. */
+    /** Set if the client has closed its sending side and still reads. */
     private boolean inputEnded;
 
-    HttpClientConnection(Channel channel, HttpFrontend front) {
-        super(channel, front.table());
-        this.frontend = front;
-        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), front.intake()::now, Exchange::answerNow);
-        if (front.policy().allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
+    HttpClientConnection(Channel channel, HttpFrontend frontend) {
+        super(channel, frontend.table());
+        this.frontend = frontend;
+        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), frontend.intake()::now, Exchange::answerNow);
+        if (frontend.policy().allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
             config.setAllowHalfClosure(true);
         }
     }
@@ -90,8 +96,8 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (message instanceof RequestAggregator.StreamingRequest open) {
-            beginOrQueue(open);
+        if (message instanceof RequestAggregator.StreamingRequest streaming) {
+            beginOrQueue(streaming);
             return;
         }
         FullHttpRequest request = (FullHttpRequest) message;
@@ -105,7 +111,7 @@
             }
             queue.add(new QueuedRequest(request.retain(), System.nanoTime(), loopStallMs()));
             if (queue.size() >= MAX_QUEUED_REQUESTS) {
-                // What it sends further waits on its side of the connection.
+                // Further input stays in the socket buffers and slows the client down.
                 channel().config().setAutoRead(false);
             }
             beginNext();
@@ -114,39 +120,42 @@
         }
     }
 
-    /** A request whose body is still coming; nothing behind it is read before its end. */
-    private void beginOrQueue(RequestAggregator.StreamingRequest open) {
+    /**
+     * Begins or queues a request whose body is still being received. No later request is read before the body's end.
+     */
+    private void beginOrQueue(RequestAggregator.StreamingRequest request) {
         if (phase() == Phase.CLOSING || lastRequestBegun) {
-            open.firstPart().release();
-            open.rest().drop();
+            request.firstPart().release();
+            request.rest().drop();
         } else if (exchanges.isEmpty() && queue.isEmpty()) {
-            begin(open);
+            begin(request);
         } else {
-            queuedStreamingRequest = open;
+            queuedStreamingRequest = request;
         }
     }
 
-    private void begin(RequestAggregator.StreamingRequest open) {
-        upload = open.rest();
+    private void begin(RequestAggregator.StreamingRequest request) {
+        upload = request.rest();
         try {
-            Exchange exchange = new Exchange(HttpUtil.isKeepAlive(open.head()), false, true);
-            if (!rejectIfOverLimit(exchange, open.head().headers().get("X-Call-Class"))) {
-                handle(exchange, frontend.requests().read(open, said -> remainingMs(said, 0), frontend.intake()::isOpen, frontend.intake()::acceptsStreamingBody));
+            Exchange exchange = new Exchange(HttpUtil.isKeepAlive(request.head()), false, true);
+            if (!rejectIfOverLimit(exchange, request.head().headers().get("X-Call-Class"))) {
+                handle(exchange, frontend.requests().read(request, timeoutMs -> remainingMs(timeoutMs, 0),
+                        frontend.intake()::isOpen, frontend.intake()::acceptsStreamingBody));
             }
-            exchange.upload(open.rest());
+            exchange.upload(request.rest());
         } finally {
-            open.firstPart().release();
+            request.firstPart().release();
         }
     }
 
-    /** The body of the request in hand is whole, or will never be. */
-    private void uploadEnded(Exchange exchange, boolean whole) {
+    /** Called when the body of a streaming request is complete or was aborted. */
+    private void uploadEnded(Exchange exchange, boolean complete) {
         upload = null;
-        if (whole && exchange.id != null) {
+        if (complete && exchange.id != null) {
             frontend.intake().bodyReceived(exchange.id);
         }
-        if (!whole && phase() != Phase.CLOSING) {
-            // Nothing that follows could be told from the rest of it.
+        if (!complete && phase() != Phase.CLOSING) {
+            // A following request could not be told apart from the missing rest of the body.
             channel().close();
         } else if (closesAfterUpload) {
             channel().close();
@@ -161,7 +170,7 @@
         if (event instanceof ChannelInputShutdownEvent) {
             inputEnded = true;
             if (exchanges.isEmpty() && queue.isEmpty() && phase() != Phase.CLOSING) {
-                // Behind what is still being written.
+                // Close after the pending writes.
                 enterPhase(Phase.CLOSING);
                 codec.closeAfterWrites();
             }
@@ -169,33 +178,37 @@
         super.userEventTriggered(ctx, event);
     }
 
-    /** How old what is read now may be, as the loop did not turn for a while. */
+    /** Returns how long the current input may have waited because the event loop was stalled, in milliseconds. */
     private double loopStallMs() {
         return frontend.intake().deadlines().loopStalls().maxAgeMs(frontend.intake().now());
     }
 
-    /** What a client's time comes to here, of which so much has passed already. */
-    private double remainingMs(double saidMs, double passedMs) {
-        return Math.min(frontend.intake().deadlines().remainingMs(saidMs, passedMs, frontend.returnDelay()), frontend.table().remainingMs());
+    /** Returns what remains of a client's timeout of which {@code passedMs} has passed already, in milliseconds. */
+    private double remainingMs(double timeoutMs, double passedMs) {
+        return Math.min(frontend.intake().deadlines().remainingMs(timeoutMs, passedMs, frontend.returnDelay()),
+                frontend.table().remainingMs());
     }
 
-    /** Begins what may be begun beside what is open: reads beside reads. */
+    /** Begins the queued requests that may run beside the open ones: reads beside reads only. */
     private void beginNext() {
         if (beginning) {
             return;
         }
         beginning = true;
         try {
-            if (queue.isEmpty() && exchanges.isEmpty() && queuedStreamingRequest != null && phase() != Phase.CLOSING && !lastRequestBegun) {
+            if (queue.isEmpty() && exchanges.isEmpty() && queuedStreamingRequest != null && phase() != Phase.CLOSING
+                    && !lastRequestBegun) {
                 RequestAggregator.StreamingRequest next = queuedStreamingRequest;
                 queuedStreamingRequest = null;
                 begin(next);
             }
-            while (!queue.isEmpty() && phase() != Phase.CLOSING && !lastRequestBegun && canBegin(queue.peek().request())) {
+            while (!queue.isEmpty() && phase() != Phase.CLOSING && !lastRequestBegun
+                    && canBegin(queue.peek().request())) {
                 QueuedRequest next = queue.poll();
                 channel().config().setAutoRead(true);
                 try {
-                    begin(next.request(), TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - next.arrivedNanos()) / 1e3 + next.stalledMs());
+                    begin(next.request(), TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - next.arrivedNanos()) / 1e3
+                            + next.stalledMs());
                 } finally {
                     next.request().release();
                 }
@@ -206,40 +219,43 @@
     }
 
     private boolean canBegin(FullHttpRequest next) {
-        return exchanges.isEmpty() || exchanges.size() < frontend.policy().maxConcurrentRequests() && bufferedBytes < MAX_BUFFERED_BYTES && isRead(next)
-                && exchanges.stream().allMatch(e -> e.read);
+        return exchanges.isEmpty() || exchanges.size() < frontend.policy().maxConcurrentRequests()
+                && bufferedBytes < MAX_BUFFERED_BYTES && isRead(next) && exchanges.stream().allMatch(e -> e.read);
     }
 
     private static boolean isRead(FullHttpRequest request) {
         return request.method().equals(HttpMethod.GET);
     }
 
-    private void begin(FullHttpRequest in, double passedMs) {
-        Exchange exchange = new Exchange(HttpUtil.isKeepAlive(in), isRead(in), in.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
-        if (!rejectIfOverLimit(exchange, in.headers().get("X-Call-Class"))) {
-            handle(exchange, frontend.requests().read(in, said -> remainingMs(said, passedMs), frontend.intake()::isOpen));
+    private void begin(FullHttpRequest request, double passedMs) {
+        Exchange exchange = new Exchange(HttpUtil.isKeepAlive(request), isRead(request),
+                request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) >= 0);
+        if (!rejectIfOverLimit(exchange, request.headers().get("X-Call-Class"))) {
+            handle(exchange, frontend.requests().read(request, timeoutMs -> remainingMs(timeoutMs, passedMs),
+                    frontend.intake()::isOpen));
         }
     }
 
-    private void begin(LeanHttp in, ByteBuf all) {
-        Exchange exchange = new Exchange(in.isKeepAlive(), !in.isPut(), true);
-        if (rejectIfOverLimit(exchange, in.get("X-Call-Class"))) {
+    private void begin(LeanHttp request, ByteBuf input) {
+        Exchange exchange = new Exchange(request.isKeepAlive(), !request.isPut(), true);
+        if (rejectIfOverLimit(exchange, request.get("X-Call-Class"))) {
             return;
         }
-        ByteBuf body = in.body(all);
+        ByteBuf body = request.body(input);
         try {
             double passedMs = loopStallMs();
-            handle(exchange, frontend.requests().read(in, body, said -> remainingMs(said, passedMs), frontend.intake()::isOpen));
+            handle(exchange, frontend.requests().read(request, body, timeoutMs -> remainingMs(timeoutMs, passedMs),
+                    frontend.intake()::isOpen));
         } finally {
             body.release();
         }
     }
 
-    private boolean rejectIfOverLimit(Exchange exchange, String service) {
+    private boolean rejectIfOverLimit(Exchange exchange, String requestedClass) {
         if (!isOverLimit()) {
             return false;
         }
-        frontend.intake().countRejected(service);
+        frontend.intake().countRejected(requestedClass);
         requestStarted();
         lastRequestBegun = true;
         addExchange(exchange, Double.POSITIVE_INFINITY);
@@ -247,67 +263,68 @@
         return true;
     }
 
-    private void addExchange(Exchange exchange, double dueMs) {
+    private void addExchange(Exchange exchange, double deadlineMs) {
         exchanges.addLast(exchange);
-        pipelineTimer.add(exchange, dueMs);
+        pipelineTimer.add(exchange, deadlineMs);
         lastRequestBegun |= !exchange.keepAlive;
     }
 
-    private void handle(Exchange exchange, HttpRequestReader.ParsedRequest read) {
-        if (read instanceof HttpRequestReader.Call call) {
+    private void handle(Exchange exchange, HttpRequestReader.ParsedRequest request) {
+        if (request instanceof HttpRequestReader.Call call) {
             requestStarted();
             exchange.id = call.request().id();
             addExchange(exchange, frontend.intake().now() + call.request().budgetMs());
             frontend.intake().submit(call.admitted(), call.request(), call.command(), exchange);
             pipelineTimer.schedule();
-        } else if (read instanceof HttpRequestReader.Rejected refused) {
-            frontend.intake().countRejected(refused.requestedClass());
+        } else if (request instanceof HttpRequestReader.Rejected rejected) {
+            frontend.intake().countRejected(rejected.requestedClass());
             requestStarted();
             addExchange(exchange, Double.POSITIVE_INFINITY);
             exchange.reason(Reason.LIMIT);
-            exchange.limited(refused.retryAfterMs());
-        } else if (read instanceof HttpRequestReader.OutcomeQuery asked) {
+            exchange.limited(rejected.retryAfterMs());
+        } else if (request instanceof HttpRequestReader.OutcomeQuery query) {
             requestStarted();
             addExchange(exchange, Double.POSITIVE_INFINITY);
-            frontend.intake().findOutcome(asked.key(), asked.tenant(), known ->
-                    exchange.respond(known == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK, 0,
-                            OutcomeJson.of(known, frontend.intake().now()), null));
-        } else if (read instanceof HttpRequestReader.InvalidRequest bad && exchanges.isEmpty()) {
-            reject(bad.status());
-        } else if (read instanceof HttpRequestReader.InvalidRequest bad) {
-            // Those before it have their answers first.
+            frontend.intake().findOutcome(query.key(), query.tenant(), record ->
+                    exchange.respond(record == null ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK, 0,
+                            OutcomeJson.of(record, frontend.intake().now()), null));
+        } else if (request instanceof HttpRequestReader.InvalidRequest invalid && exchanges.isEmpty()) {
+            reject(invalid.status());
+        } else if (request instanceof HttpRequestReader.InvalidRequest invalid) {
+            // The responses to earlier requests are sent first.
             addExchange(exchange, Double.POSITIVE_INFINITY);
             lastRequestBegun = true;
-            exchange.rejection = bad.status();
-            exchange.respond(bad.status(), 0);
+            exchange.rejection = invalid.status();
+            exchange.respond(invalid.status(), 0);
         } else {
             addExchange(exchange, Double.POSITIVE_INFINITY);
             exchange.respond(frontend.isUp() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, 0);
         }
     }
 
-    /** Writes the answers that no earlier one holds up. */
+    /** Writes the responses that are complete and not blocked by an earlier request. */
     private void writeReady() {
         while (!exchanges.isEmpty() && exchanges.peek().done && phase() != Phase.CLOSING) {
             if (exchanges.peek().content.rest() != null) {
                 stream(exchanges.peek());
                 return;
             }
-            Exchange e = exchanges.poll();
+            Exchange exchange = exchanges.poll();
             pipelineTimer.removeFirst();
-            if (e.rejection != null) {
-                reject(e.rejection);
+            if (exchange.rejection != null) {
+                reject(exchange.rejection);
                 return;
             }
-            write(e);
+            write(exchange);
         }
         if (phase() != Phase.CLOSING) {
             beginNext();
         }
     }
 
-    private void write(Exchange e) {
-        boolean closes = exchanges.isEmpty() && (lastRequestBegun || mustCloseAfterResponse() || inputEnded && queue.isEmpty());
+    private void write(Exchange exchange) {
+        boolean closes = exchanges.isEmpty()
+                && (lastRequestBegun || mustCloseAfterResponse() || inputEnded && queue.isEmpty());
         boolean uploading = upload != null && upload.isOpen();
         if (uploading) {
             upload.drop();
@@ -317,19 +334,21 @@
         } else if (exchanges.isEmpty()) {
             enterPhase(Phase.IDLE);
         }
-        long began = System.nanoTime();
-        Content content = e.content;
+        long startNanos = System.nanoTime();
+        Content content = exchange.content;
         ChannelFuture written = content.mediaType() == null || LeanHttp.isPlain(content.mediaType(), true)
-                ? codec.write(e.status, e.retryAfterMs, content, e.extraHeaders, closes) : writeEncoded(e.status, content, closes);
-        e.release();
+                ? codec.write(exchange.status, exchange.retryAfterMs, content, exchange.extraHeaders, closes)
+                : writeEncoded(exchange.status, content, closes);
+        exchange.release();
         trackWrite(written);
         if (written.isDone()) {
-            frontend.returnDelay().record((System.nanoTime() - began) / 1e6);
+            frontend.returnDelay().record((System.nanoTime() - startNanos) / 1e6);
         } else {
-            written.addListener(f -> frontend.returnDelay().record((System.nanoTime() - began) / 1e6));
+            written.addListener(f -> frontend.returnDelay().record((System.nanoTime() - startNanos) / 1e6));
         }
         if (uploading) {
-            // Its answer is out before its rest has come: that is read to its end, as cutting it off would take the answer along.
+            // The response is sent before the request body is complete. The body is read to its end, as closing the
+            // connection earlier would reset it and lose the response.
             closesAfterUpload = closes;
         } else if (closes) {
             written.addListener(ChannelFutureListener.CLOSE);
@@ -338,18 +357,21 @@
         }
     }
 
-    /** Writes what there is of an answer; the rest follows as it comes, and until then nothing else is written. */
-    private void stream(Exchange e) {
+    /**
+     * Writes the available part of a response. The rest follows as it arrives; nothing else is written before its end.
+     */
+    private void stream(Exchange exchange) {
         if (responseStream != null) {
             return;
         }
-        BodyStream rest = e.content.rest();
-        boolean closes = lastRequestBegun || mustCloseAfterResponse() || inputEnded || rest.length() < 0 && !e.supportsChunked;
+        BodyStream rest = exchange.content.rest();
+        boolean closes = lastRequestBegun || mustCloseAfterResponse() || inputEnded
+                || rest.length() < 0 && !exchange.supportsChunked;
         lastRequestBegun |= closes;
-        BodyWriter writer = new BodyWriter(codec.context, rest.length() < 0 && e.supportsChunked);
+        BodyWriter writer = new BodyWriter(codec.context, rest.length() < 0 && exchange.supportsChunked);
         responseStream = rest;
-        trackWrite(codec.beginStream(e.content, writer, closes));
-        e.release();
+        trackWrite(codec.beginStream(exchange.content, writer, closes));
+        exchange.release();
         rest.drain(new BodyStream.Sink() {
             @Override
             public void part(ByteBuf part) {
@@ -362,12 +384,13 @@
                 responseStream = null;
                 ChannelFuture written = writer.end(channel().newPromise());
                 trackWrite(written);
-                endStream(e, written);
+                endStream(exchange, written);
             }
 
             @Override
             public void broken() {
-                // What is missing shows in the length, or the last chunk; without either a reset has to.
+                // Clients detect a truncated body by its Content-Length or the missing last chunk. Without either, only
+                // a connection reset shows it.
                 if (rest.length() < 0 && !writer.isChunked()) {
                     channel().config().setOption(ChannelOption.SO_LINGER, 0);
                 }
@@ -377,8 +400,8 @@
         });
     }
 
-    private void endStream(Exchange e, ChannelFuture written) {
-        if (exchanges.peek() != e) {
+    private void endStream(Exchange exchange, ChannelFuture written) {
+        if (exchanges.peek() != exchange) {
             return;
         }
         exchanges.poll();
@@ -401,16 +424,16 @@
         super.channelWritabilityChanged(ctx);
     }
 
-    /** By way of Netty's encoder, which knows what becomes of a media type that is no plain text. */
+    /** Writes a response with Netty's encoder, which handles media types that are not plain ASCII text. */
     private ChannelFuture writeEncoded(HttpResponseStatus status, Content content, boolean closes) {
-        FullHttpResponse answer = response(status, content.bytes().retain());
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, content.mediaType());
-        HttpUtil.setContentLength(answer, content.bytes().readableBytes());
+        FullHttpResponse response = response(status, content.bytes().retain());
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, content.mediaType());
+        HttpUtil.setContentLength(response, content.bytes().readableBytes());
         if (closes) {
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         codec.installNettyCodec();
-        return channel().writeAndFlush(answer);
+        return channel().writeAndFlush(response);
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, ByteBuf body) {
@@ -418,18 +441,18 @@
     }
 
     /**
-     * Answers what makes no sense and closes. Only our half at first: closing on input that is still coming would
-     * reset the connection before the client has read why.
+     * Responds to an invalid request and closes the connection. Closes only the sending side at first: closing fully
+     * while input is still arriving would reset the connection before the client has read the status.
      */
     private void reject(HttpResponseStatus status) {
-        FullHttpResponse answer = response(status, Unpooled.EMPTY_BUFFER);
-        HttpUtil.setContentLength(answer, 0);
-        answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        FullHttpResponse response = response(status, Unpooled.EMPTY_BUFFER);
+        HttpUtil.setContentLength(response, 0);
+        response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         enterPhase(Phase.CLOSING);
         dropQueue();
         channel().config().setAutoRead(true);
         codec.installNettyCodec();
-        ChannelFuture written = channel().writeAndFlush(answer);
+        ChannelFuture written = channel().writeAndFlush(response);
         trackWrite(written);
         written.addListener(f -> {
             if (channel() instanceof DuplexChannel halves) {
@@ -451,7 +474,7 @@
     @Override
     protected boolean isUploading() {
         if (upload != null && upload.isOpen() && !upload.isFlowing()) {
-            // It is the node that is slow: the client's pace counts from when it is read again.
+            // The node is slow, not the client. The client's rate is measured from when it is read again.
             restartRequestRate();
             return false;
         }
@@ -479,23 +502,23 @@
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof TooLongHttpContentException)) {
             if (!(cause instanceof IOException) && !(cause instanceof CodecException)) {
-                // A fault of ours, which would else cost a connection without a word.
+                // A defect of this program, which would otherwise close a connection without a log entry.
                 Log.error("a client's connection failed", cause);
             }
             ctx.close();
         } else if (phase() != Phase.BUSY && phase() != Phase.CLOSING) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         } else {
-            // Behind requests that are open: those have their answers first, and the last of them is the connection's.
+            // Open requests are answered first. The connection closes after the last of these responses.
             lastRequestBegun = true;
         }
     }
 
-    /** One request from when it is begun until its answer is written; exactly one answer is taken. */
+    /** One request, from its start until its response is written. Accepts exactly one response. */
     private final class Exchange implements ResponseHandler<Content> {
         private final boolean keepAlive;
         private final boolean read;
-        /** Whether its client knows chunks, which came with version 1.1. */
+        /** Whether the client supports chunked transfer coding, which HTTP/1.1 introduced. */
         private final boolean supportsChunked;
         private String id;
         private boolean done;
@@ -507,40 +530,41 @@
         private String extraHeaders;
         private String reasonHeader;
 
-        Exchange(boolean keepAlive, boolean read, boolean chunks) {
+        Exchange(boolean keepAlive, boolean read, boolean supportsChunked) {
             this.keepAlive = keepAlive;
             this.read = read;
-            this.supportsChunked = chunks;
+            this.supportsChunked = supportsChunked;
         }
 
-        /** The rest of its body: told of its end where nobody else drains it, or behind whoever does. */
+        /** Attaches the rest of the request body. Its end is reported here, after its consumer if it has one. */
         private void upload(BodyStream rest) {
-            rest.onEnd(whole -> uploadEnded(this, whole));
+            rest.onEnd(complete -> uploadEnded(this, complete));
             if (done || id == null) {
                 rest.drop();
             }
         }
 
-        private void respond(HttpResponseStatus how, double backMs) {
-            respond(how, backMs, Content.EMPTY, null);
+        private void respond(HttpResponseStatus responseStatus, double retryMs) {
+            respond(responseStatus, retryMs, Content.EMPTY, null);
         }
 
-        private void respond(HttpResponseStatus how, double backMs, Content what, String toldBeside) {
+        private void respond(HttpResponseStatus responseStatus, double retryMs, Content responseContent,
+                             String headerLines) {
             if (done) {
                 return;
             }
             done = true;
-            status = how;
-            retryAfterMs = backMs;
-            content = what;
-            extraHeaders = toldBeside;
+            status = responseStatus;
+            retryAfterMs = retryMs;
+            content = responseContent;
+            extraHeaders = headerLines;
             if (exchanges.peek() == this) {
                 writeReady();
             } else {
-                // Its bytes hold until this returns alone, and others are ahead of it.
-                what.bytes().retain();
+                // The bytes are valid only until this method returns, and earlier responses have to be sent first.
+                responseContent.bytes().retain();
                 retainsContent = true;
-                bufferedBytes += what.bytes().readableBytes();
+                bufferedBytes += responseContent.bytes().readableBytes();
             }
         }
 
@@ -552,14 +576,14 @@
             }
         }
 
-        /** Its final answer is needed now. */
+        /** Requests the final response now. */
         private void answerNow() {
             if (!done && id != null) {
                 frontend.intake().answerNow(id);
             }
         }
 
-        /** Its client has left. */
+        /** Drops the exchange because its client has disconnected. */
         private void drop() {
             release();
             if (content != null && content.rest() != null) {
@@ -580,17 +604,17 @@
         }
 
         @Override
-        public void served(NodeResponse<Content> answer) {
-            if (answer.content().isAbsent()) {
+        public void served(NodeResponse<Content> response) {
+            if (response.content().isAbsent()) {
                 respond(HttpResponseStatus.NOT_FOUND, 0);
             } else {
-                respond(HttpResponseStatus.OK, 0, answer.content(), null);
+                respond(HttpResponseStatus.OK, 0, response.content(), null);
             }
         }
 
         @Override
-        public void recorded(String call) {
-            respond(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-call: " + call);
+        public void recorded(String callId) {
+            respond(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-callId: " + callId);
         }
 
         @Override
@@ -619,15 +643,21 @@
         }
     }
 
-    /** A request that came while another was open on its connection, when, and how old it may have been by then. */
+    /**
+     * A request that arrived while another was open on its connection.
+     *
+     * @param arrivedNanos when it was read
+     * @param stalledMs how long it may have waited before that because the event loop was stalled
+     */
     private record QueuedRequest(FullHttpRequest request, long arrivedNanos, double stalledMs) { }
 
     /**
-     * Sees bytes first: the clock for a request runs from its first. One that is plain is read here; from the first one on
-     * that is not, Netty's decoder reads all that this connection brings, as it may hold the beginning of the next.
+     * Receives all bytes first, as a request's timeout starts with its first byte. Simple requests are parsed here.
+     * From the first other request on, Netty's decoder reads all input of this connection, as it may have buffered the
+     * start of the next request.
      */
     final class FastPathCodec extends ChannelInboundHandlerAdapter {
-        /** Bodies up to this are copied behind their head: one piece costs less than two that are gathered. */
+        /** Bodies up to this size are copied behind their head: one buffer costs less than a gathering write of two. */
         private static final int MAX_COPIED_BYTES = 2048;
         private static final int HEAD_CAPACITY_BYTES = 256;
         private static final byte[] OK = ascii("HTTP/1.1 200 OK\r\ncontent-length: ");
@@ -656,27 +686,27 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (phase() == Phase.CLOSING) {
-                droppedBytes += message instanceof ByteBuf in ? in.readableBytes() : 0;
+                droppedBytes += message instanceof ByteBuf input ? input.readableBytes() : 0;
                 ReferenceCountUtil.release(message);
                 if (droppedBytes > LINGER_BYTES) {
                     channel().config().setAutoRead(false);
                 }
                 return;
             }
-            boolean next = phase() == Phase.SILENT || phase() == Phase.IDLE;
-            if (next) {
+            boolean startsRequest = phase() == Phase.SILENT || phase() == Phase.IDLE;
+            if (startsRequest) {
                 enterPhase(Phase.READING);
             }
-            if (message instanceof ByteBuf in) {
-                bytesReceived(in.readableBytes());
+            if (message instanceof ByteBuf input) {
+                bytesReceived(input.readableBytes());
             }
-            if (fastPath && next && message instanceof ByteBuf in) {
-                LeanHttp request = LeanHttp.request(in);
+            if (fastPath && startsRequest && message instanceof ByteBuf input) {
+                LeanHttp request = LeanHttp.request(input);
                 if (request != null) {
                     try {
-                        begin(request, in);
+                        begin(request, input);
                     } finally {
-                        in.release();
+                        input.release();
                     }
                     return;
                 }
@@ -685,7 +715,7 @@
             ctx.fireChannelRead(message);
         }
 
-        /** Writes the head of an answer whose body follows, and what there is of that. */
+        /** Writes the head of a response whose body follows, and the available part of the body. */
         ChannelFuture beginStream(Content content, BodyWriter writer, boolean last) {
             ByteBuf out = context.alloc().ioBuffer(HEAD_CAPACITY_BYTES);
             long length = content.rest().length();
@@ -706,23 +736,29 @@
             return content.bytes().isReadable() ? writer.part(content.bytes().retainedDuplicate()) : head;
         }
 
-        /** Closes when all that was written is out. */
+        /** Closes the connection after all pending writes. */
         void closeAfterWrites() {
             context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** From now on Netty's codec has what comes. */
+        /** Hands all further input to Netty's codec. */
         void installNettyCodec() {
             if (fastPath) {
                 fastPath = false;
-                // Each right behind this one: the last to be added is the first.
-                context.pipeline().addAfter(context.name(), null, new RequestAggregator()).addAfter(context.name(), null,
-                        new HttpResponseEncoder()).addAfter(context.name(), null, new StrictHttp.Requests());
+                // Each is added right after this handler, so the last one added comes first.
+                context.pipeline().addAfter(context.name(), null, new RequestAggregator())
+                        .addAfter(context.name(), null, new HttpResponseEncoder())
+                        .addAfter(context.name(), null, new StrictHttp.Requests());
             }
         }
 
-        /** Writes an answer in one piece, past any encoder; {@code note} is further header lines, or null. */
-        ChannelFuture write(HttpResponseStatus status, double retryAfterMs, Content content, String note, boolean last) {
+        /**
+         * Writes a response without an encoder.
+         *
+         * @param extraHeaders further header lines, each with CR LF in front of it; null for none
+         */
+        ChannelFuture write(HttpResponseStatus status, double retryAfterMs, Content content, String extraHeaders,
+                            boolean last) {
             ByteBuf body = content.bytes();
             int length = body.readableBytes();
             boolean copied = length <= MAX_COPIED_BYTES;
@@ -743,8 +779,8 @@
                 out.writeBytes(RETRY);
                 LeanHttp.writeSeconds(out, (long) Math.ceil(retryAfterMs));
             }
-            if (note != null) {
-                out.writeCharSequence(note, StandardCharsets.US_ASCII);
+            if (extraHeaders != null) {
+                out.writeCharSequence(extraHeaders, StandardCharsets.US_ASCII);
             }
             if (last) {
                 out.writeBytes(CLOSE);
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
@@ -95,8 +95,8 @@
      * @param remainingMs maps the client's timeout to the time that remains of it here, both in milliseconds
      * @param isOpen tells whether an id is in use
      */
-    ParsedRequest read(FullHttpRequest in, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
-        return read(in, in.content(), null, remainingMs, isOpen, go -> true);
+    ParsedRequest read(FullHttpRequest request, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
+        return read(request, request.content(), null, remainingMs, isOpen, admitted -> true);
     }
 
     /**
@@ -104,9 +104,9 @@
      *
      * @param acceptsStreaming tells whether an admitted request may be processed before its body is complete
      */
-    ParsedRequest read(RequestAggregator.StreamingRequest in, DoubleUnaryOperator remainingMs, Predicate<String> isOpen,
-                       Predicate<AdmissionController.Admitted> acceptsStreaming) {
-        return read(in.head(), in.firstPart(), in.rest(), remainingMs, isOpen, acceptsStreaming);
+    ParsedRequest read(RequestAggregator.StreamingRequest request, DoubleUnaryOperator remainingMs,
+                       Predicate<String> isOpen, Predicate<AdmissionController.Admitted> acceptsStreaming) {
+        return read(request.head(), request.firstPart(), request.rest(), remainingMs, isOpen, acceptsStreaming);
     }
 
     private ParsedRequest read(HttpRequest head, ByteBuf body, BodyStream rest, DoubleUnaryOperator remainingMs,
@@ -128,18 +128,18 @@
     }
 
     /** Reads a request of the fast path. The caller keeps ownership of {@code body}. */
-    ParsedRequest read(LeanHttp in, ByteBuf body, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
-        return read(in.isPut() ? PUT : GET, in.target(), new HeaderFields() {
+    ParsedRequest read(LeanHttp request, ByteBuf body, DoubleUnaryOperator remainingMs, Predicate<String> isOpen) {
+        return read(request.isPut() ? PUT : GET, request.target(), new HeaderFields() {
             @Override
             public String get(String name) {
-                return in.get(name);
+                return request.get(name);
             }
 
             @Override
             public boolean repeats(String name) {
-                return in.repeats(name);
+                return request.repeats(name);
             }
-        }, body, null, remainingMs, isOpen, go -> true);
+        }, body, null, remainingMs, isOpen, admitted -> true);
     }
 
     private ParsedRequest read(String method, String requestTarget, HeaderFields headers, ByteBuf body, BodyStream rest,
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/PendingReply.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/PendingReply.java
@@ -167,8 +167,8 @@
             }
 
             @Override
-            public void reason(Reason reason) {
-                reason = reason;
+            public void reason(Reason newReason) {
+                reason = newReason;
             }
 
             @Override
