--- a/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
@@ -5,14 +5,14 @@
 import ridgemill.deadline.ClientTimeout;
 
 /**
- * What a client says of its calls beside the command itself: for a connection by its name ({@code CLIENT SETNAME},
- * {@code HELLO ... SETNAME}), for one command by {@code RIDGE.WITH}. What is not said is null or 0.
+ * Options that a client sets for its calls: for a connection by its name ({@code CLIENT SETNAME},
+ * {@code HELLO ... SETNAME}), for one command by {@code RIDGE.WITH}. Options that are not set are null or 0.
  *
  * @param requestedClass the class that the call names
- * @param timeoutMs how long its client waits, in milliseconds; 0 for as long as the class says
- * @param id the call's own id; not for a connection
- * @param idempotencyKey by which nodes drop its repeats; not for a connection
- * @param retry whether it is a client's retry; not for a connection
+ * @param timeoutMs how long the client waits, in milliseconds; 0 for the deadline of the class
+ * @param id the id of the call; not valid for a connection
+ * @param idempotencyKey the key by which nodes drop duplicates of the call; not valid for a connection
+ * @param retry whether the call is a retry of the client; not valid for a connection
  */
 record CallOptions(String requestedClass, double timeoutMs, String id, String idempotencyKey, boolean retry) {
 
@@ -20,44 +20,52 @@
     private static final int MAX_ID_LENGTH = 64;
     private static final int MAX_KEY_LENGTH = 128;
 
-    /** The options with one more said; throws where it makes no sense, with a message for the client. */
-    CallOptions with(String field, String value, boolean ofOneCall) {
+    /**
+     * Returns these options with one more set.
+     *
+     * @param singleCall whether the options are for one call rather than for a connection
+     * @throws IllegalArgumentException if the option is invalid, with a message for the client
+     */
+    CallOptions with(String field, String value, boolean singleCall) {
         return switch (field.toLowerCase(Locale.ROOT)) {
             case "class" -> new CallOptions(value, timeoutMs, id, idempotencyKey, retry);
             case "deadline" -> new CallOptions(requestedClass, parseTimeoutMs(value), id, idempotencyKey, retry);
-            case "id" -> new CallOptions(requestedClass, timeoutMs, requireSingleCall(ofOneCall, field, requirePrintable(field, value, MAX_ID_LENGTH)),
-                    idempotencyKey, retry);
-            case "idempotency-key" -> new CallOptions(requestedClass, timeoutMs, id, requireSingleCall(ofOneCall, field, requirePrintable(field, value,
-                    MAX_KEY_LENGTH)), retry);
+            case "id" -> new CallOptions(requestedClass, timeoutMs, requireSingleCall(singleCall, field,
+                    requirePrintable(field, value, MAX_ID_LENGTH)), idempotencyKey, retry);
+            case "idempotency-key" -> new CallOptions(requestedClass, timeoutMs, id, requireSingleCall(singleCall,
+                    field, requirePrintable(field, value, MAX_KEY_LENGTH)), retry);
             case "again" -> new CallOptions(requestedClass, timeoutMs, id, idempotencyKey,
-                    requireSingleCall(ofOneCall, field, value).equals("1"));
+                    requireSingleCall(singleCall, field, value).equals("1"));
             default -> throw new IllegalArgumentException("no such option: " + field
                     + "; class, deadline, id, idempotency-key and again are");
         };
     }
 
-    private static String requireSingleCall(boolean ofOneCall, String field, String value) {
-        if (!ofOneCall) {
+    private static String requireSingleCall(boolean singleCall, String field, String value) {
+        if (!singleCall) {
             throw new IllegalArgumentException(field + " is of one call alone: say it by RIDGE.WITH");
         }
         return value;
     }
 
-    /** Texts that go into other protocols' headers: what could end a line there is refused here. */
-    private static String requirePrintable(String field, String value, int most) {
-        if (value.isEmpty() || value.length() > most || !value.chars().allMatch(c -> c > ' ' && c <= '~')) {
-            throw new IllegalArgumentException(field + " is 1 to " + most + " printable characters without blanks");
+    /**
+     * Checks a text that is sent in headers of other protocols. Characters that could end a line there are rejected.
+     */
+    private static String requirePrintable(String field, String value, int maxLength) {
+        if (value.isEmpty() || value.length() > maxLength || !value.chars().allMatch(c -> c > ' ' && c <= '~')) {
+            throw new IllegalArgumentException(
+                    field + " is 1 to " + maxLength + " printable characters without blanks");
         }
         return value;
     }
 
     private static double parseTimeoutMs(String value) {
         boolean millis = value.endsWith("ms");
-        int unit = millis ? 2 : value.endsWith("s") ? 1 : 0;
-        if (unit > 0 && ClientTimeout.parse(List.of(new ClientTimeout.RawValue(ClientTimeout.Format.SECONDS, value.substring(0, value.length() - unit))), 0)
-                instanceof ClientTimeout.Remaining said) {
-            // Read as seconds, a number of milliseconds has an hour as its bound too.
-            double ms = millis ? said.ms() / 1000 : said.ms();
+        int unitLength = millis ? 2 : value.endsWith("s") ? 1 : 0;
+        if (unitLength > 0 && ClientTimeout.parse(List.of(new ClientTimeout.RawValue(ClientTimeout.Format.SECONDS,
+                value.substring(0, value.length() - unitLength))), 0) instanceof ClientTimeout.Remaining parsed) {
+            // Both units are parsed as seconds, so a number of milliseconds is limited to 3600 too.
+            double ms = millis ? parsed.ms() / 1000 : parsed.ms();
             if (ms > 0) {
                 return ms;
             }
@@ -65,7 +73,11 @@
         throw new IllegalArgumentException("deadline is a time such as 250ms or 2s");
     }
 
-    /** Reads a connection's name: one that holds {@code =} says options, such as {@code class=balance;deadline=1s}. */
+    /**
+     * Parses a connection's name. A name that contains {@code =} sets options, as in {@code class=balance;deadline=1s}.
+     *
+     * @throws IllegalArgumentException if the options are invalid, with a message for the client
+     */
     static CallOptions fromConnectionName(String name) {
         CallOptions options = NONE;
         if (name.indexOf('=') < 0) {
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/PendingReply.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/PendingReply.java
@@ -17,15 +17,15 @@
 import ridgemill.policy.Reason;
 
 /**
- * A command's place in its connection's order: its reply is written when those of all before it are. It is made of as many
- * calls as the command has keys, and is whole when each has its final answer.
+ * The pending reply of a command. Replies are written in the order of the commands. A command on keys consists of one
+ * call per key, and its reply is complete when each call has its final response.
  */
 final class PendingReply {
 
-    /** What a command's parts are put together to. */
+    /** How the results of a command's calls are combined into its reply. */
     enum ReplyKind { VALUE, VALUES, STORED, COUNT, PRESENT }
 
-    /** How a part ended, worst last. */
+    /** The state of a call; results are in order of severity, the worst last. */
     private enum CallState { OPEN, DONE, LIMITED, REFUSED, UNPROVEN, FAILED }
 
     private final RespClientConnection connection;
@@ -37,59 +37,60 @@
     private final ByteBuf[] values;
     private final boolean[] absent;
     private final Set<String> openCallIds = new LinkedHashSet<>();
-    private double dueMs = Double.POSITIVE_INFINITY;
+    private double deadlineMs = Double.POSITIVE_INFINITY;
     private double retryAfterMs;
     private boolean conflict;
     private Reason reason;
     private int openCallCount;
     private ByteBuf reply;
 
-    /** A command with so many keys, each of which is a call. */
-    PendingReply(RespClientConnection connection, int version, ReplyKind shape, Command.Action action, List<String> keys) {
+    /** Creates the pending reply of a command on these keys, each of which is one call. */
+    PendingReply(RespClientConnection connection, int version, ReplyKind kind, Command.Action action,
+                 List<String> keys) {
         this.connection = connection;
         this.version = version;
-        this.kind = shape;
+        this.kind = kind;
         this.action = action;
         this.keys = Set.copyOf(keys);
-        int parts = keys.size();
-        this.openCallCount = parts;
-        this.callStates = new CallState[parts];
-        this.values = new ByteBuf[parts];
-        this.absent = new boolean[parts];
+        int callCount = keys.size();
+        this.openCallCount = callCount;
+        this.callStates = new CallState[callCount];
+        this.values = new ByteBuf[callCount];
+        this.absent = new boolean[callCount];
         Arrays.fill(callStates, CallState.OPEN);
     }
 
-    /** A command that was answered at once. */
+    /** Returns the complete reply of a command that was answered immediately. */
     static PendingReply answered(RespClientConnection connection, int version, Resp reply) {
-        PendingReply slot = new PendingReply(connection, version, ReplyKind.VALUE, Command.Action.READ, List.of());
-        slot.write(reply);
+        PendingReply pending = new PendingReply(connection, version, ReplyKind.VALUE, Command.Action.READ, List.of());
+        pending.write(reply);
         reply.release();
-        return slot;
+        return pending;
     }
 
-    /** A question that is answered later, by {@link #complete}. */
+    /** Returns the pending reply of a query that is answered later, by {@link #complete}. */
     static PendingReply pending(RespClientConnection connection, int version) {
         return new PendingReply(connection, version, ReplyKind.VALUE, Command.Action.READ, List.of());
     }
 
-    /** The answer has come. */
+    /** Sets the reply of a query. */
     void complete(Resp value) {
         write(value);
         value.release();
     }
 
-    /** A part of it is a call that must be answered by then. */
-    void addCall(String call, double atMs) {
-        openCallIds.add(call);
-        dueMs = Math.min(dueMs, atMs);
+    /** Adds an open call and the time in milliseconds by which it must be answered. */
+    void addCall(String callId, double callDeadlineMs) {
+        openCallIds.add(callId);
+        deadlineMs = Math.min(deadlineMs, callDeadlineMs);
     }
 
-    /** When its reply must leave. */
-    double dueMs() {
-        return dueMs;
+    /** Returns the time by which the reply must be sent, in milliseconds; infinite if there is no limit. */
+    double deadlineMs() {
+        return deadlineMs;
     }
 
-    /** The calls of it that have no final answer yet. */
+    /** Returns the ids of the calls that have no final response yet. */
     List<String> openCallIds() {
         return List.copyOf(openCallIds);
     }
@@ -98,24 +99,28 @@
         return reply != null;
     }
 
-    /** Bytes that it holds. */
+    /** Returns the size of the reply in bytes; 0 if it is not complete. */
     int size() {
         return reply == null ? 0 : reply.readableBytes();
     }
 
-    /** Whether a command on these keys must wait for this one, as it would for Redis: either changes what both name. */
-    boolean blocks(boolean writes, List<String> others) {
-        return openCallCount > 0 && (writes || action != Command.Action.READ) && others.stream().anyMatch(keys::contains);
+    /**
+     * Returns whether a command on the given keys must wait for this one to keep the order that Redis guarantees: both
+     * name a key, and at least one of them changes it.
+     */
+    boolean blocks(boolean writes, List<String> otherKeys) {
+        return openCallCount > 0 && (writes || action != Command.Action.READ)
+                && otherKeys.stream().anyMatch(keys::contains);
     }
 
-    /** Its reply, which is the taker's from now on. */
+    /** Returns the reply and transfers its ownership to the caller. */
     ByteBuf take() {
         ByteBuf taken = reply;
         reply = Unpooled.EMPTY_BUFFER;
         return taken;
     }
 
-    /** Gives back what it holds; answers that still come are dropped. */
+    /** Releases all buffers. Responses that still arrive are dropped. */
     void drop() {
         openCallCount = 0;
         releaseValues();
@@ -134,14 +139,14 @@
         }
     }
 
-    /** Who waits for the answer of one part, which is the call with this id. */
+    /** Returns the handler for the response to one call of this command. */
     ResponseHandler<Content> responseHandler(int index, String id) {
         return new ResponseHandler<>() {
             @Override
-            public void served(NodeResponse<Content> answer) {
+            public void served(NodeResponse<Content> response) {
                 if (openCallCount > 0) {
-                    absent[index] = answer.content().isAbsent();
-                    values[index] = answer.content().bytes().retain();
+                    absent[index] = response.content().isAbsent();
+                    values[index] = response.content().bytes().retain();
                 }
                 ended(CallState.DONE, 0);
             }
@@ -172,7 +177,7 @@
             }
 
             @Override
-            public void recorded(String call) {
+            public void recorded(String callId) {
                 if (openCallCount > 0) {
                     values[index] = Unpooled.EMPTY_BUFFER;
                 }
@@ -185,11 +190,11 @@
                 ended(CallState.FAILED, 0);
             }
 
-            private void ended(CallState how, double retryAfter) {
+            private void ended(CallState state, double retryAfter) {
                 openCallIds.remove(id);
                 connection.callEnded(id);
                 if (openCallCount > 0 && callStates[index] == CallState.OPEN) {
-                    callStates[index] = how;
+                    callStates[index] = state;
                     retryAfterMs = Math.max(retryAfterMs, retryAfter);
                     if (--openCallCount == 0) {
                         finish();
@@ -200,24 +205,25 @@
         };
     }
 
-    /** It makes no sense as a whole; parts that are out already are answered to nobody. */
-    void failInvalid(Resp.Err why) {
+    /** Fails the whole command as invalid. Responses to calls that are already submitted are dropped. */
+    void failInvalid(Resp.Err error) {
         drop();
         reply = null;
-        write(why);
+        write(error);
     }
 
-    private int count(CallState how) {
+    private int count(CallState state) {
         int n = 0;
-        for (CallState e : callStates) {
-            n += e == how ? 1 : 0;
+        for (CallState s : callStates) {
+            n += s == state ? 1 : 0;
         }
         return n;
     }
 
-    /** An error, with the reason behind it where clients are told. */
+    /** Writes an error, with the reason code appended if clients receive reasons. */
     private void writeError(Resp.Err error) {
-        write(reason == null || !connection.sendsReasons() ? error : new Resp.Err(error.text() + " [" + reason.code() + "]"));
+        write(reason == null || !connection.sendsReasons() ? error
+                : new Resp.Err(error.text() + " [" + reason.code() + "]"));
     }
 
     private void finish() {
@@ -227,12 +233,14 @@
         } else if (done == callStates.length) {
             write(result());
         } else if (action == Command.Action.READ && count(CallState.FAILED) == 0) {
-            writeError(RespErrors.refused(count(CallState.UNPROVEN) > 0 ? RespErrors.RefusalReason.HARMLESS : count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT
+            writeError(RespErrors.refused(count(CallState.UNPROVEN) > 0 ? RespErrors.RefusalReason.HARMLESS
+                    : count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT
                     : RespErrors.RefusalReason.NOTHING_RAN, retryAfterMs));
         } else if (count(CallState.LIMITED) + count(CallState.REFUSED) == callStates.length) {
-            writeError(RespErrors.refused(count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT : RespErrors.RefusalReason.NOTHING_RAN, retryAfterMs));
+            writeError(RespErrors.refused(count(CallState.LIMITED) > 0 ? RespErrors.RefusalReason.LIMIT
+                    : RespErrors.RefusalReason.NOTHING_RAN, retryAfterMs));
         } else {
-            // A write of which any part may have run never reads as refused.
+            // A write of which any call may have run is never reported as refused.
             writeError(RespErrors.failed(action, done, callStates.length, count(CallState.FAILED) == 0));
         }
         releaseValues();
@@ -264,7 +272,7 @@
         return absent[i] ? Resp.NULL : new Resp.Blob(values[i]);
     }
 
-    /** Nodes tell how many went; one that tells nothing had the one. */
+    /** Sums the number of deleted keys that nodes return. A response without a number counts as one. */
     private long sum() {
         long n = 0;
         for (ByteBuf v : values) {
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -39,27 +39,34 @@
 import ridgemill.route.RouteQuery;
 
 /**
- * One client's RESP connection. Commands are carried out side by side and answered in their order; one that names a key
- * which an earlier one changes, or changes one that an earlier one reads, waits for it, as it would for Redis.
+ * One client's RESP connection. Commands are processed concurrently and answered in order. A command that names a key
+ * which an earlier command changes, or changes a key that an earlier command reads, waits for that command, so that
+ * results are those of Redis.
  *
- * <p>Bounded: so many commands, and so many bytes of replies that wait for an earlier one. Past either, or while the client
- * reads none of what it was sent, nothing more is read from it.
+ * <p>The number of open commands and the bytes of replies that wait for an earlier reply are limited. At either limit,
+ * or while
+ * the client does not read its replies, nothing more is read from the connection.
  */
 final class RespClientConnection extends ClientConnection {
 
-    /** Commands without a reply on one connection. */
+    /** Limit of commands without a reply on one connection. */
     static final int MAX_OPEN_COMMANDS = 64;
-    /** Bytes of replies that wait for an earlier one; those of commands that are out already may come on top. */
+    /** Limit of reply bytes that wait for an earlier reply. Replies of commands that already run may exceed it. */
     static final int MAX_BUFFERED_BYTES = 256 * 1024;
-    /** Keys of one command. */
+    /** Limit of keys in one command. */
     static final int MAX_KEYS = 128;
     private static final int MAX_KEY_BYTES = 512;
     private static final int REPLY_BUFFER_BYTES = 64;
 
-    /** A command, when it came, and how old it may have been by then. */
+    /**
+     * A command that has not started.
+     *
+     * @param arrivedNanos when it was read
+     * @param stalledMs how long it may have waited before that because the event loop was stalled
+     */
     private record QueuedCommand(Resp.Array command, long arrivedNanos, double stalledMs) {
 
-        /** How long it has been here, with what may have passed before that. */
+        /** Returns the time since the command arrived, including the time before it was read, in milliseconds. */
         double passedMs() {
             return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedNanos) / 1e3 + stalledMs;
         }
@@ -78,23 +85,26 @@
     private boolean processing;
     private boolean flushing;
     private long writtenNanos;
+    /** Set if no further command is started. The connection closes after the last reply. */
     private boolean closing;
+    /** Set if the client has closed its sending side and still reads. */
     private boolean inputEnded;
 
-    RespClientConnection(Channel channel, RespFrontend front, RespDecoder decoder, long number) {
-        super(channel, front.table());
-        this.frontend = front;
+    RespClientConnection(Channel channel, RespFrontend frontend, RespDecoder decoder, long connectionId) {
+        super(channel, frontend.table());
+        this.frontend = frontend;
         this.decoder = decoder;
-        this.session = new Session(front, number);
-        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), front.intake()::now, slot -> {
-            if (!slot.isComplete()) {
-                slot.openCallIds().forEach(front.intake()::answerNow);
+        this.session = new Session(frontend, connectionId);
+        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), frontend.intake()::now, pending -> {
+            if (!pending.isComplete()) {
+                pending.openCallIds().forEach(frontend.intake()::answerNow);
             }
         });
-        if (front.allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
+        if (frontend.allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
             config.setAllowHalfClosure(true);
         }
-        this.idPrefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + number + "-";
+        this.idPrefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + connectionId
+                + "-";
     }
 
     @Override
@@ -120,14 +130,16 @@
             return;
         }
         Intake<Content> intake = frontend.intake();
-        backlog.add(new QueuedCommand((Resp.Array) message, System.nanoTime(), intake.deadlines().loopStalls().maxAgeMs(intake.now())));
+        backlog.add(new QueuedCommand((Resp.Array) message, System.nanoTime(),
+                intake.deadlines().loopStalls().maxAgeMs(intake.now())));
         processBacklog();
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof ChannelInputShutdownEvent) {
-            // It sends nothing more, and reads on: its replies come first.
+            // The client has closed its sending side and still reads: its replies are sent before the connection
+            // closes.
             inputEnded = true;
             if (pendingReplies.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
                 flush();
@@ -150,7 +162,7 @@
         ctx.fireChannelWritabilityChanged();
     }
 
-    /** Starts what may be started, and reads on where all was. */
+    /** Starts the commands that can start, and reads further input if all have started. */
     private void processBacklog() {
         if (processing || phase() == Phase.CLOSING) {
             return;
@@ -167,69 +179,78 @@
     }
 
     private boolean hasCapacity() {
-        return pendingReplies.size() < MAX_OPEN_COMMANDS && bufferedBytes < MAX_BUFFERED_BYTES && channel().isWritable();
+        return pendingReplies.size() < MAX_OPEN_COMMANDS && bufferedBytes < MAX_BUFFERED_BYTES
+                && channel().isWritable();
     }
 
-    /** Carries a command out; false where it must wait for an earlier one. */
-    private boolean start(QueuedCommand waiting) {
-        List<Resp> words = waiting.command().items();
+    /** Starts a command. Returns false if it must wait for an earlier one. */
+    private boolean start(QueuedCommand queued) {
+        List<Resp> words = queued.command().items();
         CallOptions options = session.options();
         String name = upperCaseWord(words, 0);
         int from = 0;
         try {
             if (name.equals("RIDGE.WITH")) {
                 int at = 1;
-                Set<String> said = new HashSet<>();
+                Set<String> optionNames = new HashSet<>();
                 for (; at + 1 < words.size() && !upperCaseWord(words, at).equals("DO"); at += 2) {
-                    if (!said.add(upperCaseWord(words, at))) {
+                    if (!optionNames.add(upperCaseWord(words, at))) {
                         throw new IllegalArgumentException(text(words, at) + " is said twice");
                     }
                     options = options.with(text(words, at), text(words, at + 1), true);
                 }
                 from = at + 1;
                 if (from >= words.size()) {
-                    throw new IllegalArgumentException("RIDGE.WITH says options by name and value, then DO and a command");
+                    throw new IllegalArgumentException(
+                            "RIDGE.WITH says options by name and value, then DO and a command");
                 }
                 name = upperCaseWord(words, from);
             }
-            return execute(name, words.subList(from, words.size()), options, waiting);
+            return execute(name, words.subList(from, words.size()), options, queued);
         } catch (IllegalArgumentException e) {
             reply(RespErrors.error(e.getMessage()));
             return true;
         }
     }
 
-    private boolean execute(String name, List<Resp> words, CallOptions options, QueuedCommand waiting) {
+    private boolean execute(String name, List<Resp> words, CallOptions options, QueuedCommand queued) {
         return switch (name) {
-            case "GET" -> executeOnKeys(words, 2, 2, 1, PendingReply.ReplyKind.VALUE, Command.Action.READ, options, waiting);
-            case "MGET" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.VALUES, Command.Action.READ, options, waiting);
-            case "EXISTS" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.PRESENT, Command.Action.READ, options, waiting);
-            case "DEL", "UNLINK" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.COUNT, Command.Action.DELETE, options, waiting);
-            case "SET" -> set(words, options, waiting);
-            case "MSET" -> executeOnKeys(words, 3, 1 + 2 * MAX_KEYS, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, waiting);
+            case "GET" -> executeOnKeys(words, 2, 2, 1, PendingReply.ReplyKind.VALUE, Command.Action.READ, options,
+                    queued);
+            case "MGET" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.VALUES, Command.Action.READ,
+                    options, queued);
+            case "EXISTS" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.PRESENT,
+                    Command.Action.READ, options, queued);
+            case "DEL", "UNLINK" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.COUNT,
+                    Command.Action.DELETE, options, queued);
+            case "SET" -> set(words, options, queued);
+            case "MSET" -> executeOnKeys(words, 3, 1 + 2 * MAX_KEYS, 2, PendingReply.ReplyKind.STORED,
+                    Command.Action.WRITE, options, queued);
             case "RIDGE.OUTCOME" -> queryOutcome(words);
             default -> {
-                Session.CommandReply said = session.execute(name, words);
-                reply(said.reply());
-                closing = said.last();
+                Session.CommandReply result = session.execute(name, words);
+                reply(result.reply());
+                closing = result.last();
                 yield true;
             }
         };
     }
 
-    private boolean set(List<Resp> words, CallOptions options, QueuedCommand waiting) {
+    private boolean set(List<Resp> words, CallOptions options, QueuedCommand queued) {
         if (words.size() > 3) {
-            throw new IllegalArgumentException("SET with " + upperCaseWord(words, 3) + " is not kept here: values belong to the store, "
+            throw new IllegalArgumentException("SET with " + upperCaseWord(words, 3)
+                    + " is not kept here: values belong to the store, "
                     + "which knows no conditions and no expiry; nothing ran");
         }
-        return executeOnKeys(words, 3, 3, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, waiting);
+        return executeOnKeys(words, 3, 3, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, queued);
     }
 
-    /** A command on keys, each with {@code step - 1} values behind it. */
-    private boolean executeOnKeys(List<Resp> words, int least, int most, int step, PendingReply.ReplyKind shape, Command.Action action,
-                          CallOptions options, QueuedCommand waiting) {
-        if (words.size() < least || words.size() > most || (words.size() - 1) % step != 0) {
-            reply(words.size() > most && most > 3 ? RespErrors.error("over " + MAX_KEYS + " keys in one command")
+    /** Executes a command on keys, each followed by {@code step - 1} values. Returns false if it must wait. */
+    private boolean executeOnKeys(List<Resp> words, int minWords, int maxWords, int step, PendingReply.ReplyKind kind,
+                                  Command.Action action, CallOptions options, QueuedCommand queued) {
+        if (words.size() < minWords || words.size() > maxWords || (words.size() - 1) % step != 0) {
+            reply(words.size() > maxWords && maxWords > 3
+                    ? RespErrors.error("over " + MAX_KEYS + " keys in one command")
                     : RespErrors.wrongArity(text(words, 0)));
             return true;
         }
@@ -250,63 +271,74 @@
             return false;
         }
         requestStarted();
-        PendingReply slot = new PendingReply(this, session.protocolVersion(), shape, action, targets);
-        pendingReplies.add(slot);
-        pipelineTimer.add(slot, Double.POSITIVE_INFINITY);
-        double passedMs = waiting.passedMs();
+        PendingReply pending = new PendingReply(this, session.protocolVersion(), kind, action, targets);
+        pendingReplies.add(pending);
+        pipelineTimer.add(pending, Double.POSITIVE_INFINITY);
+        double passedMs = queued.passedMs();
         for (int i = 0; i < targets.size(); i++) {
             ByteBuf value = step == 1 ? Unpooled.EMPTY_BUFFER : ((Resp.Blob) words.get(2 + i * step)).bytes();
-            submitCall(slot, i, targets.size(), targets.get(i), value, action, options, passedMs);
+            submitCall(pending, i, targets.size(), targets.get(i), value, action, options, passedMs);
         }
         pipelineTimer.schedule();
         return true;
     }
 
-    private void submitCall(PendingReply slot, int index, int parts, String target, ByteBuf value, Command.Action action,
-                      CallOptions options, double passedMs) {
-        String own = parts > 1 ? "-" + index : "";
-        String id = options.id() == null ? idPrefix + nextId++ : options.id() + own;
-        ResponseHandler<Content> client = slot.responseHandler(index, id);
+    private void submitCall(PendingReply pending, int index, int callCount, String target, ByteBuf value,
+                            Command.Action action, CallOptions options, double passedMs) {
+        String suffix = callCount > 1 ? "-" + index : "";
+        String id = options.id() == null ? idPrefix + nextId++ : options.id() + suffix;
+        ResponseHandler<Content> handler = pending.responseHandler(index, id);
         if (frontend.intake().isOpen(id)) {
-            rejectCall(slot, "the id " + id + " is in use");
+            rejectCall(pending, "the id " + id + " is in use");
             return;
         }
         boolean writes = action != Command.Action.READ;
         Deadlines deadlines = frontend.intake().deadlines();
-        double budget = options.timeoutMs() > 0 ? deadlines.remainingMs(options.timeoutMs(), passedMs, frontend.returnDelay()) : Double.MAX_VALUE;
+        double budgetMs = options.timeoutMs() > 0
+                ? deadlines.remainingMs(options.timeoutMs(), passedMs, frontend.returnDelay()) : Double.MAX_VALUE;
         String path = Targets.path(target);
-        AdmissionController.Decision entry = frontend.intake().admit(new AdmissionController.AdmissionRequest(id, new RouteQuery(method(action), path, session.tenant(),
-                NO_HEADERS), options.requestedClass(), options.retry(), value.readableBytes(), budget));
-        if (entry instanceof AdmissionController.Rejected refused) {
+        AdmissionController.Decision decision = frontend.intake().admit(new AdmissionController.AdmissionRequest(id,
+                new RouteQuery(method(action), path, session.tenant(), NO_HEADERS), options.requestedClass(),
+                options.retry(), value.readableBytes(), budgetMs));
+        if (decision instanceof AdmissionController.Rejected rejected) {
             frontend.intake().countRejected(options.requestedClass());
-            client.reason(Reason.LIMIT);
-            client.limited(refused.retryAfterMs());
+            handler.reason(Reason.LIMIT);
+            handler.limited(rejected.retryAfterMs());
             return;
         }
-        if (!(entry instanceof AdmissionController.Admitted go)) {
-            rejectCall(slot, entry instanceof AdmissionController.Invalid unfit && unfit.reason() == AdmissionController.InvalidReason.TOO_LARGE
+        if (!(decision instanceof AdmissionController.Admitted admitted)) {
+            rejectCall(pending, decision instanceof AdmissionController.Invalid invalid
+                    && invalid.reason() == AdmissionController.InvalidReason.TOO_LARGE
                     ? "the value is larger than its class allows" : options.requestedClass() == null
-                    ? "no route names a class for " + target + ", and neither does the call: RIDGE.WITH class NAME DO ..."
+                    ? "no route names a class for " + target
+                    + ", and neither does the call: RIDGE.WITH class NAME DO ..."
                     : "no class is called " + options.requestedClass());
             return;
         }
-        String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + own;
-        if (go.requiresIdempotencyKey(writes) && idempotencyKey == null) {
-            frontend.intake().withdraw(go, id);
-            rejectCall(slot, "class " + go.service().name() + " records each key once and none was given: RIDGE.WITH "
+        String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + suffix;
+        if (admitted.requiresIdempotencyKey(writes) && idempotencyKey == null) {
+            frontend.intake().withdraw(admitted, id);
+            rejectCall(pending, "class " + admitted.service().name()
+                    + " records each key once and none was given: RIDGE.WITH "
                     + "idempotency-key KEY DO ...");
             return;
         }
         openCallIds.add(id);
-        Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null) : Content.EMPTY;
-        double left = Math.min(go.budgetMs(), deadlines.remainingMs(go.service().deadlineMs(), passedMs, frontend.returnDelay()));
-        slot.addCall(id, frontend.intake().now() + left);
-        pipelineTimer.shortenDeadline(slot, slot.dueMs());
-        Request request = new Request(id, go.service().name(), session.tenant(), Targets.hash(path), 0, left, writes, options.retry());
-        frontend.intake().submit(go, request, new Command<>(action, target, idempotencyKey, content), client);
+        Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null)
+                : Content.EMPTY;
+        double remainingMs = Math.min(admitted.budgetMs(),
+                deadlines.remainingMs(admitted.service().deadlineMs(), passedMs, frontend.returnDelay()));
+        pending.addCall(id, frontend.intake().now() + remainingMs);
+        pipelineTimer.shortenDeadline(pending, pending.deadlineMs());
+        Request request = new Request(id, admitted.service().name(), session.tenant(), Targets.hash(path), 0,
+                remainingMs, writes, options.retry());
+        frontend.intake().submit(admitted, request, new Command<>(action, target, idempotencyKey, content), handler);
     }
 
-    /** What an idempotency key came to: how it stands, the call that it is of, and for how many milliseconds; nil for nothing. */
+    /**
+     * Replies with the outcome of an idempotency key: its state, the id of its call, and since how many milliseconds it
+     * has this state; nil for a key without a record.
+     */
     private boolean queryOutcome(List<Resp> words) {
         if (words.size() != 2) {
             reply(RespErrors.wrongArity("ridge.outcome"));
@@ -317,15 +349,15 @@
             return true;
         }
         requestStarted();
-        PendingReply slot = PendingReply.pending(this, session.protocolVersion());
-        pendingReplies.add(slot);
-        pipelineTimer.add(slot, Double.POSITIVE_INFINITY);
-        frontend.intake().findOutcome(text(words, 1), session.tenant(), known -> {
-            if (!slot.isComplete()) {
-                slot.complete(known == null ? Resp.NULL : Resp.blobs(known.isRunning() ? "running"
-                        : known.state().name().toLowerCase(Locale.ROOT), known.callId(),
-                        Long.toString(Math.round(frontend.intake().now() - known.stateSinceMs()))));
-                commandCompleted(slot);
+        PendingReply pending = PendingReply.pending(this, session.protocolVersion());
+        pendingReplies.add(pending);
+        pipelineTimer.add(pending, Double.POSITIVE_INFINITY);
+        frontend.intake().findOutcome(text(words, 1), session.tenant(), record -> {
+            if (!pending.isComplete()) {
+                pending.complete(record == null ? Resp.NULL : Resp.blobs(record.isRunning() ? "running"
+                        : record.state().name().toLowerCase(Locale.ROOT), record.callId(),
+                        Long.toString(Math.round(frontend.intake().now() - record.stateSinceMs()))));
+                commandCompleted(pending);
             }
         });
         return true;
@@ -341,11 +373,11 @@
         };
     }
 
-    /** A part makes no sense: the whole command is answered so, though other parts of it may go on. */
-    private void rejectCall(PendingReply slot, String why) {
-        if (!slot.isComplete()) {
-            slot.failInvalid(RespErrors.error(why + "; nothing of this key ran"));
-            commandCompleted(slot);
+    /** Replies to the whole command with an error because one call is invalid. Its other calls may still run. */
+    private void rejectCall(PendingReply pending, String message) {
+        if (!pending.isComplete()) {
+            pending.failInvalid(RespErrors.error(message + "; nothing of this key ran"));
+            commandCompleted(pending);
         }
     }
 
@@ -361,32 +393,32 @@
         return frontend.sendsReasons();
     }
 
-    /** A call has its final answer. */
+    /** Called when a call has its final response. */
     void callEnded(String id) {
         openCallIds.remove(id);
     }
 
-    /** A command has its reply. */
-    void commandCompleted(PendingReply slot) {
-        bufferedBytes += slot.size();
+    /** Called when the reply of a command is complete. */
+    void commandCompleted(PendingReply pending) {
+        bufferedBytes += pending.size();
         write();
     }
 
-    /** Writes the replies that no earlier one holds up; flushed once for all that ends within one turn of the loop. */
+    /** Writes the complete replies that no earlier one blocks. Flushes once for all replies of one turn of the loop. */
     private void write() {
         if (phase() == Phase.CLOSING) {
             return;
         }
-        boolean any = false;
+        boolean anyWritten = false;
         while (!pendingReplies.isEmpty() && pendingReplies.peek().isComplete()) {
             PendingReply done = pendingReplies.poll();
             pipelineTimer.removeFirst();
             bufferedBytes -= done.size();
             ChannelFuture written = channel().write(done.take());
             trackWrite(written);
-            any = true;
+            anyWritten = true;
         }
-        if (any && !flushing) {
+        if (anyWritten && !flushing) {
             flushing = true;
             writtenNanos = System.nanoTime();
             channel().eventLoop().execute(this::flush);
@@ -409,17 +441,17 @@
         processBacklog();
     }
 
-    /** The last that the client is told; what it sends further is not read. */
-    private void replyAndClose(Resp.Err why) {
+    /** Sends the connection's last reply. Further input is not processed. */
+    private void replyAndClose(Resp.Err error) {
         closing = true;
-        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), why));
+        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), error));
         pipelineTimer.add(pendingReplies.peekLast(), Double.POSITIVE_INFINITY);
         drop(backlog);
         write();
     }
 
     private static void drop(Queue<QueuedCommand> commands) {
-        commands.forEach(w -> w.command().release());
+        commands.forEach(c -> c.command().release());
         commands.clear();
     }
 
@@ -442,7 +474,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (cause instanceof RespException && phase() != Phase.CLOSING && !closing) {
-            // Commands before it have their replies first; this one is the last.
+            // The replies to earlier commands are sent first; this error is the last reply.
             requestStarted();
             replyAndClose(RespErrors.error("Protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof RespException)) {
@@ -457,7 +489,7 @@
         return ((Resp.Blob) words.get(at)).text();
     }
 
-    /** A command's own word, which is the same in capitals and not. */
+    /** Returns a word of a command in upper case (ASCII letters only), as commands and options are case-insensitive. */
     private static String upperCaseWord(List<Resp> words, int at) {
         ByteBuf bytes = ((Resp.Blob) words.get(at)).bytes();
         StringBuilder word = new StringBuilder(bytes.readableBytes());
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespErrors.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespErrors.java
@@ -5,16 +5,17 @@
 import ridgemill.gateway.net.resp.Resp;
 
 /**
- * Errors as clients get them. The first word tells what may be done: {@code TRYAGAIN}, which clients know from Redis as
- * harmless to send again, stands for refusals alone; {@code FAILED} promises nothing.
+ * Error replies to clients. The first word is the error code. {@code TRYAGAIN}, which Redis clients treat as safe to
+ * retry, is used for refusals only. {@code FAILED} does not say whether the command took effect.
  */
 final class RespErrors {
 
-    /** Who it is has not been shown, where that is asked for; the words are Redis's. */
+    /** The client has not authenticated, although passwords are set. The text is that of Redis. */
     static final Resp.Err NOAUTH = new Resp.Err("NOAUTH Authentication required.");
 
-    /** Nothing of it ran. */
-    static final Resp.Err CONFLICT = new Resp.Err("CONFLICT the idempotency key was given with another request; nothing ran");
+    /** The idempotency key belongs to another request. Nothing of the command ran. */
+    static final Resp.Err CONFLICT =
+            new Resp.Err("CONFLICT the idempotency key was given with another request; nothing ran");
 
     private RespErrors() { }
 
@@ -24,7 +25,7 @@
         LIMIT("a limit turned it away and nothing ran"),
         /** No attempt ran. */
         NOTHING_RAN("refused and nothing ran"),
-        /** It may have run, and may be repeated freely. */
+        /** An attempt may have run; the command is safe to retry. */
         HARMLESS("refused; it is safe to repeat");
 
         private final String text;
@@ -34,28 +35,30 @@
         }
     }
 
-    static Resp.Err refused(RefusalReason why, double retryAfterMs) {
-        return new Resp.Err("TRYAGAIN " + why.text + (retryAfterMs > 0
+    /** Returns the error for a refused command, with the time after which to retry if it is greater than 0. */
+    static Resp.Err refused(RefusalReason reason, double retryAfterMs) {
+        return new Resp.Err("TRYAGAIN " + reason.text + (retryAfterMs > 0
                 ? String.format(Locale.ROOT, "; come back after %.3f s", Math.ceil(retryAfterMs) / 1000) : ""));
     }
 
     /**
-     * What is not known to have its effect, nor to have none.
+     * Returns the error for a command of which it is unknown whether it took effect.
      *
-     * @param done of {@code parts} keys have their answer
-     * @param byKey whether the same again, with the same idempotency key and in time, takes effect once
+     * @param done how many of the {@code total} keys have their response
+     * @param idempotent whether a retry in time with the same idempotency key takes effect only once
      */
-    static Resp.Err failed(Command.Action action, int done, int parts, boolean byKey) {
+    static Resp.Err failed(Command.Action action, int done, int total, boolean idempotent) {
         if (action == Command.Action.READ) {
-            return new Resp.Err("FAILED no answer in time" + (parts > 1 ? " for " + (parts - done) + " of " + parts + " keys" : ""));
+            return new Resp.Err("FAILED no answer in time"
+                    + (total > 1 ? " for " + (total - done) + " of " + total + " keys" : ""));
         }
-        return new Resp.Err("FAILED it may have run or not" + (parts > 1 ? ": " + done + " of " + parts
-                + " keys are recorded for certain" : "") + (byKey ? "; with the same idempotency key and in time it takes effect "
-                + "once" : ""));
+        return new Resp.Err("FAILED it may have run or not" + (total > 1 ? ": " + done + " of " + total
+                + " keys are recorded for certain" : "")
+                + (idempotent ? "; with the same idempotency key and in time it takes effect " + "once" : ""));
     }
 
-    static Resp.Err error(String what) {
-        return new Resp.Err("ERR " + what);
+    static Resp.Err error(String message) {
+        return new Resp.Err("ERR " + message);
     }
 
     static Resp.Err wrongArity(String command) {
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespFrontend.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespFrontend.java
@@ -16,7 +16,7 @@
 import ridgemill.gateway.net.resp.RespLimits;
 import ridgemill.gateway.net.resp.RespParser;
 
-/** Takes clients' commands in over RESP2 and RESP3 and their replies out, in order. */
+/** Receives clients' commands over RESP2 and RESP3 and sends the replies in order. */
 public final class RespFrontend {
 
     private final Intake<Content> intake;
@@ -28,7 +28,7 @@
     private boolean sendsReasons;
     private long connectionCount;
 
-    /** A front whose connections go into a table that it may share with others. */
+    /** Creates a frontend whose connections are added to a table that other frontends may share. */
     public RespFrontend(EventLoop loop, Intake<Content> intake, ClientTable table) {
         this.intake = intake;
         this.table = table;
@@ -37,34 +37,35 @@
             @Override
             protected void initChannel(Channel channel) {
                 RespDecoder decoder = new RespDecoder(RespParser.commands(RespLimits.COMMAND));
-                RespClientConnection connection = new RespClientConnection(channel, RespFrontend.this, decoder, ++connectionCount);
+                RespClientConnection connection = new RespClientConnection(channel, RespFrontend.this, decoder,
+                        ++connectionCount);
                 channel.pipeline().addLast(decoder, connection);
                 table.add(connection);
             }
         });
     }
 
-    /** Starts to listen at one more address; the future fails where it can't be had. */
+    /** Starts listening on an additional address. The future fails if the address cannot be bound. */
     public ChannelFuture listen(Transport transport, SocketAddress address) {
         return listeners.listen(transport, address);
     }
 
-    /** No new connections at an address; those that it has stay. */
+    /** Stops accepting connections on an address. Connections accepted there stay open. */
     public void stopListening(SocketAddress address) {
         listeners.stopListening(address);
     }
 
-    /** Where its connections come in. */
+    /** Returns the listeners that accept its connections. */
     public Listeners listeners() {
         return listeners;
     }
 
-    /** No new connections. */
+    /** Stops accepting connections on all addresses. */
     public void stopListening() {
         listeners.close();
     }
 
-    /** The password of each tenant that may ask, by name; empty where any may, who names itself. */
+    /** Sets the passwords by tenant. If the map is empty, every client is accepted and chooses its tenant itself. */
     public void passwords(Map<String, String> byTenant) {
         passwords = Map.copyOf(byTenant);
     }
@@ -73,14 +74,17 @@
         return passwords;
     }
 
-    /** Whether a client that ends its sending may still read its replies, on connections that come; else it has left. */
-    public void allowsHalfClose(boolean stays) {
-        allowsHalfClose = stays;
+    /**
+     * Sets whether a client on a new connection that closes its sending side still gets its replies. Otherwise it
+     * counts as disconnected.
+     */
+    public void allowsHalfClose(boolean allowed) {
+        allowsHalfClose = allowed;
     }
 
-    /** Whether refusals and failures say why, by the reason's stable name. */
-    public void sendsReasons(boolean tells) {
-        sendsReasons = tells;
+    /** Sets whether errors of refusals and failures carry their reason code. */
+    public void sendsReasons(boolean sends) {
+        sendsReasons = sends;
     }
 
     boolean sendsReasons() {
@@ -91,7 +95,7 @@
         return allowsHalfClose;
     }
 
-    /** The way of replies to clients. */
+    /** Returns the measured time that replies take to reach clients. */
     ReturnDelay returnDelay() {
         return returnDelay;
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/package-info.java
@@ -1,2 +1,5 @@
-/** Clients that speak RESP2 or RESP3. Loaded only where an operator file has a listener of that protocol. */
+/**
+ * The frontend for clients of the Redis protocol, RESP2 and RESP3. Loaded only if the operator file has a RESP
+ * listener.
+ */
 package ridgemill.gateway.front.resp;
