--- a/gateway/src/main/java/ridgemill/gateway/front/ConnectionAcceptor.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/ConnectionAcceptor.java
@@ -68,7 +68,7 @@
         distributor.reportDelay(loop, clock.now(), lateMs);
         if (stalled[loop]) {
             stalled[loop] = false;
-            Log.info("loop " + loop + " is responsive again");
+            Log.info("loop " + loop + " answers again");
         }
     }
 
@@ -78,8 +78,8 @@
             double silentMs = distributor.sinceLastReportMs(i, clock.now());
             if (!stalled[i] && silentMs > STALL_THRESHOLD_MS) {
                 stalled[i] = true;
-                Log.info("loop " + i + " has not reported for " + Math.round(silentMs)
-                        + " ms; new connections go to other loops");
+                Log.info("loop " + i + " has not answered for " + Math.round(silentMs)
+                        + " ms; new connections go to others");
             }
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -483,9 +483,9 @@
 
     @Override
     protected void requestTimedOut() {
-        List<Exchange> open = List.copyOf(exchanges);
+        List<Exchange> dropped = List.copyOf(exchanges);
         exchanges.clear();
-        open.forEach(Exchange::drop);
+        dropped.forEach(Exchange::drop);
         reject(HttpResponseStatus.REQUEST_TIMEOUT);
     }
 
@@ -493,9 +493,9 @@
     protected void disconnected() {
         dropQueue();
         pipelineTimer.cancel();
-        List<Exchange> open = List.copyOf(exchanges);
+        List<Exchange> dropped = List.copyOf(exchanges);
         exchanges.clear();
-        open.forEach(Exchange::drop);
+        dropped.forEach(Exchange::drop);
     }
 
     @Override
@@ -583,7 +583,7 @@
             }
         }
 
-        /** Drops the exchange because its client has disconnected. */
+        /** Drops the exchange without a response, as its client has disconnected or was too slow. */
         private void drop() {
             release();
             if (content != null && content.rest() != null) {
@@ -614,7 +614,7 @@
 
         @Override
         public void recorded(String callId) {
-            respond(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-callId: " + callId);
+            respond(HttpResponseStatus.OK, 0, Content.EMPTY, "\r\nx-outcome: recorded\r\nx-outcome-call: " + callId);
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientPolicy.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientPolicy.java
@@ -18,8 +18,9 @@
                                int maxConcurrentRequests, boolean sendsReasons) {
 
     /** A policy under which responses carry no reason codes. */
-    public HttpClientPolicy(Set<Format> forms, boolean unsaid, boolean halfCloseStays, int sideBySide) {
-        this(forms, unsaid, halfCloseStays, sideBySide, false);
+    public HttpClientPolicy(Set<Format> timeoutFormats, boolean timeoutOptional, boolean allowsHalfClose,
+                            int maxConcurrentRequests) {
+        this(timeoutFormats, timeoutOptional, allowsHalfClose, maxConcurrentRequests, false);
     }
 
     /**
@@ -31,7 +32,7 @@
     public HttpClientPolicy {
         timeoutFormats = Set.copyOf(timeoutFormats);
         if (maxConcurrentRequests < 1 || timeoutFormats.isEmpty()) {
-            throw new IllegalArgumentException("at least one timeout format and one concurrent request are required");
+            throw new IllegalArgumentException("no way to say a time, or no room for a request");
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
@@ -30,11 +30,13 @@
 /** Classifies HTTP requests: a call, a query of readiness or of an outcome, or an invalid request. */
 final class HttpRequestReader {
 
-    private static final String READINESS_PATH = "/up";
+    /** Path of readiness queries. */
+    private static final String UP = "/up";
     private static final String OUTCOME_PATH_PREFIX = "/outcome/";
     private static final String GET = "GET";
     private static final String PUT = "PUT";
-    private static final String SECONDS_HEADER = HttpClientPolicy.timeoutHeader(Format.SECONDS);
+    /** Header with the timeout in seconds. */
+    private static final String SECONDS = HttpClientPolicy.timeoutHeader(Format.SECONDS);
     private static final int MAX_ID_LENGTH = 64;
     /** A whole number of up to this many digits is exact as {@code double}. */
     private static final int MAX_EXACT_DIGITS = 15;
@@ -152,7 +154,7 @@
                     : new InvalidRequest(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
         boolean api = path.startsWith(Targets.API) && path.length() > Targets.API.length();
-        if (!api && !path.equals(READINESS_PATH)) {
+        if (!api && !path.equals(UP)) {
             return new InvalidRequest(HttpResponseStatus.NOT_FOUND);
         }
         if (!method.equals(GET) && !(api && method.equals(PUT))) {
@@ -182,8 +184,8 @@
      * invalid.
      */
     private double clientTimeoutMs(HeaderFields headers) {
-        String seconds = policy.timeoutFormats().contains(Format.SECONDS) ? headers.get(SECONDS_HEADER) : null;
-        if (seconds != null && policy.timeoutFormats().size() == 1 && !headers.repeats(SECONDS_HEADER)) {
+        String seconds = policy.timeoutFormats().contains(Format.SECONDS) ? headers.get(SECONDS) : null;
+        if (seconds != null && policy.timeoutFormats().size() == 1 && !headers.repeats(SECONDS)) {
             // Fast path for nearly all requests: one plain number.
             double plain = plainNumber(seconds);
             if (plain * 1000 <= ClientTimeout.MAX_MS) {
--- a/gateway/src/main/java/ridgemill/gateway/front/http/RequestAggregator.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/RequestAggregator.java
@@ -22,9 +22,9 @@
 import ridgemill.gateway.net.Content;
 
 /**
- * Assembles requests from their parts. A request whose body is within the buffer limit is passed on as a {@link
- * FullHttpRequest}. For a larger body, a {@link StreamingRequest} is passed on as soon as the size is known to exceed
- * the limit, and the rest of the body follows through its stream.
+ * Assembles requests from their parts. A request whose body is within the buffer limit is passed on as a
+ * {@link FullHttpRequest}. For a larger body, a {@link StreamingRequest} is passed on as soon as the size is known to
+ * exceed the limit, and the rest of the body follows through its stream.
  */
 final class RequestAggregator extends ChannelInboundHandlerAdapter {
 
@@ -113,14 +113,14 @@
     private void end(ChannelHandlerContext ctx) {
         HttpRequest request = head;
         ByteBuf body = buffered;
-        BodyStream open = stream;
+        BodyStream streaming = stream;
         head = null;
         buffered = Unpooled.EMPTY_BUFFER;
         stream = null;
-        if (open == null) {
+        if (streaming == null) {
             fireFullRequest(ctx, request, body, DecoderResult.SUCCESS);
         } else {
-            open.end();
+            streaming.end();
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -44,8 +44,7 @@
  * results are those of Redis.
  *
  * <p>The number of open commands and the bytes of replies that wait for an earlier reply are limited. At either limit,
- * or while
- * the client does not read its replies, nothing more is read from the connection.
+ * or while the client does not read its replies, nothing more is read from the connection.
  */
 final class RespClientConnection extends ClientConnection {
 
@@ -138,8 +137,7 @@
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof ChannelInputShutdownEvent) {
-            // The client has closed its sending side and still reads: its replies are sent before the connection
-            // closes.
+            // The client has closed its sending side and still reads. Its replies are sent before closing.
             inputEnded = true;
             if (pendingReplies.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
                 flush();
@@ -188,25 +186,25 @@
         List<Resp> words = queued.command().items();
         CallOptions options = session.options();
         String name = upperCaseWord(words, 0);
-        int from = 0;
+        int commandIndex = 0;
         try {
             if (name.equals("RIDGE.WITH")) {
-                int at = 1;
+                int index = 1;
                 Set<String> optionNames = new HashSet<>();
-                for (; at + 1 < words.size() && !upperCaseWord(words, at).equals("DO"); at += 2) {
-                    if (!optionNames.add(upperCaseWord(words, at))) {
-                        throw new IllegalArgumentException(text(words, at) + " is said twice");
+                for (; index + 1 < words.size() && !upperCaseWord(words, index).equals("DO"); index += 2) {
+                    if (!optionNames.add(upperCaseWord(words, index))) {
+                        throw new IllegalArgumentException(text(words, index) + " is said twice");
                     }
-                    options = options.with(text(words, at), text(words, at + 1), true);
+                    options = options.with(text(words, index), text(words, index + 1), true);
                 }
-                from = at + 1;
-                if (from >= words.size()) {
+                commandIndex = index + 1;
+                if (commandIndex >= words.size()) {
                     throw new IllegalArgumentException(
                             "RIDGE.WITH says options by name and value, then DO and a command");
                 }
-                name = upperCaseWord(words, from);
+                name = upperCaseWord(words, commandIndex);
             }
-            return execute(name, words.subList(from, words.size()), options, queued);
+            return execute(name, words.subList(commandIndex, words.size()), options, queued);
         } catch (IllegalArgumentException e) {
             reply(RespErrors.error(e.getMessage()));
             return true;
