--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditFile.java
@@ -17,13 +17,14 @@
 import ridgemill.gateway.net.Log;
 
 /**
- * Appends whole lines to a file, on a thread of its own: a disk that is slow holds up no request. Each batch is written by one call behind
- * what the file has, so several processes may write to one file; what a process that was killed left of a line is ended first. A file that
- * is full goes aside as {@code NAME.1}, and what was there by that name goes. What can't be written is lost, and counted.
+ * Appends whole lines to a file on a separate thread, so that a slow disk delays no request. Each batch is appended
+ * with one write call, so that several processes may write to the same file. If a killed process left a partial line,
+ * the line is ended first. A full file is renamed to {@code NAME.1}, which replaces an older file of that name. Lines
+ * that cannot be written are dropped and counted.
  */
 final class AuditFile implements AutoCloseable {
 
-    /** More batches than this wait for no disk. */
+    /** Batches that may wait for a slow disk; further ones are dropped. */
     private static final int MAX_QUEUED_BATCHES = 256;
     private static final long CLOSE_TIMEOUT_S = 2;
 
@@ -33,17 +34,18 @@
     private final AtomicLong lostLines = new AtomicLong();
     private boolean failing;
 
-    AuditFile(Path file, long mostBytes) {
+    AuditFile(Path file, long maxBytes) {
         this.file = file;
-        this.maxBytes = mostBytes;
-        this.writer = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new LinkedBlockingQueue<>(MAX_QUEUED_BATCHES), task -> {
+        this.maxBytes = maxBytes;
+        this.writer = new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS,
+                new LinkedBlockingQueue<>(MAX_QUEUED_BATCHES), task -> {
             Thread thread = new Thread(task, "audit-file");
             thread.setDaemon(true);
             return thread;
         });
     }
 
-    /** Has lines written, or lost where too many wait; returns at once. */
+    /** Queues the lines for writing, or drops them if the queue is full; does not block. */
     void append(List<String> lines) {
         try {
             writer.execute(() -> write(lines));
@@ -52,7 +54,7 @@
         }
     }
 
-    /** Lines that could not be written. */
+    /** Returns the number of lines that could not be written. */
     long lostLines() {
         return lostLines.get();
     }
@@ -63,25 +65,26 @@
             if (Files.exists(file) && Files.size(file) + bytes.remaining() > maxBytes) {
                 Files.move(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
             }
-            boolean torn = endsWithPartialLine();
-            // Opened anew each time: another process may have put the file aside.
-            try (FileChannel to = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND)) {
-                if (torn) {
-                    to.write(ByteBuffer.wrap(new byte[] {'\n'}));
+            boolean partialLine = endsWithPartialLine();
+            // Opened for each batch, because another process may have renamed the file.
+            try (FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+                    StandardOpenOption.APPEND)) {
+                if (partialLine) {
+                    channel.write(ByteBuffer.wrap(new byte[] {'\n'}));
                 }
                 while (bytes.hasRemaining()) {
-                    to.write(bytes);
+                    channel.write(bytes);
                 }
-                to.force(false);
+                channel.force(false);
             }
             if (failing) {
-                Log.info("audit: " + file + " can be written again; " + lostLines + " lines are lost");
+                Log.info("audit: " + file + " is writable again; " + lostLines + " lines were lost");
             }
             failing = false;
         } catch (IOException e) {
             lostLines.addAndGet(lines.size());
             if (!failing) {
-                Log.info("audit: " + file + " can't be written: " + e);
+                Log.info("audit: " + file + " cannot be written: " + e);
             }
             failing = true;
         }
@@ -91,18 +94,19 @@
         if (!Files.exists(file) || Files.size(file) == 0) {
             return false;
         }
-        try (FileChannel from = FileChannel.open(file, StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
             ByteBuffer last = ByteBuffer.allocate(1);
-            return from.read(last, from.size() - 1) == 1 && last.get(0) != '\n';
+            return channel.read(last, channel.size() - 1) == 1 && last.get(0) != '\n';
         }
     }
 
-    /** Waits until what was handed over is written, for two seconds at most. */
+    /** Waits until the queued lines are written, for at most two seconds. */
     @Override
     public void close() throws InterruptedException {
         writer.shutdown();
         if (!writer.awaitTermination(CLOSE_TIMEOUT_S, TimeUnit.SECONDS)) {
-            Log.info("audit: " + file + " was not written to its end: its disk is slow");
+            Log.info("audit: " + file
+                    + " is incomplete: the disk is too slow to write the queued lines before the process ends");
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -47,14 +47,15 @@
 import ridgemill.version.VersionPeriod;
 
 /**
- * One process' record of what it acts under, and its view of the fleet: datagrams in and out, and what operators are told. All calls
- * are on the loop.
+ * Records the versions in effect in this process and keeps its view of the fleet: sends and receives the datagrams of
+ * the version gossip, and answers operators. All methods must be called on the event loop, except {@link #buildId()}
+ * and {@link #close()}.
  */
 public final class AuditService {
 
     private static final int DIGEST_CHARS = 8;
     private static final double MS_PER_S = 1000;
-    /** So often counts go to the file: what a process that is killed took since is not in it. */
+    /** Interval for writing the counts to the file; a process that is killed loses the counts since the last write. */
     private static final long COUNTS_INTERVAL_MS = 5000;
 
     private final EventLoop loop;
@@ -76,15 +77,16 @@
     private long datagrams;
 
     /**
-     * Begins a record.
+     * Starts the history of this process with the versions that are in effect now.
      *
-     * @param build as {@link #buildHash} tells it
-     * @param file number of the operator file
-     * @param digest of its text
-     * @param tells whether nodes are told with each attempt
-     * @param send sends a datagram to a peer by its place
+     * @param build the build as {@link #buildId} returns it
+     * @param file version number of the operator file
+     * @param digest digest of its text
+     * @param sendsVersion whether the version is sent to nodes with each attempt
+     * @param send sends a datagram to the peer with this index
      */
-    public AuditService(EventLoop loop, Timers timers, Config config, String build, long file, String digest, boolean tells, BiConsumer<Integer, byte[]> send) {
+    public AuditService(EventLoop loop, Timers timers, Config config, String build, long file, String digest,
+            boolean sendsVersion, BiConsumer<Integer, byte[]> send) {
         this.loop = loop;
         this.timers = timers;
         this.peers = config.peerListen() == null ? List.of() : config.peers();
@@ -92,9 +94,11 @@
         this.send = send;
         double now = timers.now();
         this.startedMs = (long) now;
-        String platformDigest = AuditEntry.hash(config.settings().classes() + "|" + config.settings().tenants() + "|" + config.settings().rules() + "|"
+        String platformDigest = AuditEntry.hash(config.settings().classes() + "|" + config.settings().tenants() + "|"
+                + config.settings().rules() + "|"
                 + config.settings().limits()).substring(0, DIGEST_CHARS);
-        this.history = new VersionHistory(config.name(), Incarnation.of(now), now, new EffectiveVersion(build, platformDigest, file, digest), tells);
+        this.history = new VersionHistory(config.name(), Incarnation.of(now), now,
+                new EffectiveVersion(build, platformDigest, file, digest), sendsVersion);
         this.buildHash = (int) leadingBits(AuditEntry.hash(build), Integer.BYTES);
         this.platformHash = (int) leadingBits(platformDigest, Integer.BYTES);
         this.fleetView = new FleetView(self, Math.max(1, peers.size()), config.seed());
@@ -103,14 +107,15 @@
     }
 
     /**
-     * What the program was built from: its version and the digest of its jar; classes that lie about have none. Reads all of the jar, and
-     * is not to be called on a loop.
+     * Returns the version of the program and the start of its jar's digest, or "classes" instead of the digest if it
+     * runs from a class directory. Reads the whole jar, so it must not be called on an event loop.
      */
     public static String buildId() {
         String version = Main.class.getPackage().getImplementationVersion();
         try {
-            Path from = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            String digest = Files.isRegularFile(from) ? HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(from)))
+            Path codeSource = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+            String digest = Files.isRegularFile(codeSource) ? HexFormat.of()
+                    .formatHex(MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(codeSource)))
                     .substring(0, DIGEST_CHARS) : "classes";
             return (version == null ? "unknown" : version) + "-" + digest;
         } catch (URISyntaxException | NoSuchAlgorithmException e) {
@@ -120,43 +125,46 @@
         }
     }
 
-    /** Where requests are kept. */
+    /** Returns the version history, which also records requests. */
     public VersionHistory history() {
         return history;
     }
 
-    /** Whether this proxy has stepped aside, which others are told. */
-    public void setOutOfService(BooleanSupplier isOut) {
-        outOfService = isOut;
+    /** Sets the source of this proxy's out-of-service state, which is sent to the peers. */
+    public void setOutOfService(BooleanSupplier source) {
+        outOfService = source;
     }
 
-    /** So many of the last requests are kept one by one from now on. */
-    public void keepTraces(int most) {
-        history.keepTraces(most);
+    /** Sets how many of the last requests are kept as individual traces. */
+    public void keepTraces(int maxTraces) {
+        history.keepTraces(maxTraces);
     }
 
-    /** The record is kept in a file of this directory as well, which is named by the proxy. */
-    public void writeTo(Path directory, long mostBytes) {
-        auditFile = new AuditFile(directory.resolve("acts-" + history.name() + ".log"), mostBytes);
-        history.setEntryListener(entry -> auditFile.append(List.of(AuditLineFormat.line(history.name(), history.incarnation(), entry))));
+    /** Also writes the history to a file in this directory; the file's name contains the name of the proxy. */
+    public void writeTo(Path directory, long maxBytes) {
+        auditFile = new AuditFile(directory.resolve("acts-" + history.name() + ".log"), maxBytes);
+        history.setEntryListener(entry -> auditFile.append(List.of(AuditLineFormat.line(history.name(),
+                history.incarnation(), entry))));
         loop.scheduleWithFixedDelay(this::writeCounts, COUNTS_INTERVAL_MS, COUNTS_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Has the counts of all versions that are not written yet written to the file; on the loop. */
+    /** Writes the counts of each version that changed since the last write to the file, if there is one. */
     public void writeCounts() {
         if (auditFile == null) {
             return;
         }
         Map<String, AuditLineFormat.Counts> now = new TreeMap<>();
-        for (VersionPeriod e : history.periods()) {
-            AuditLineFormat.Counts of = new AuditLineFormat.Counts(e.version().text(), timers.now(), e.begun(), e.attempts(), e.count(RequestResult.SERVED), e.count(RequestResult.REFUSED),
-                    e.count(RequestResult.FAILED), e.count(RequestResult.GONE));
-            now.merge(of.version(), of, AuditLineFormat.Counts::plus);
+        for (VersionPeriod period : history.periods()) {
+            AuditLineFormat.Counts current = new AuditLineFormat.Counts(period.version().text(), timers.now(),
+                    period.begun(), period.attempts(), period.count(RequestResult.SERVED),
+                    period.count(RequestResult.REFUSED),
+                    period.count(RequestResult.FAILED), period.count(RequestResult.GONE));
+            now.merge(current.version(), current, AuditLineFormat.Counts::plus);
         }
         List<String> lines = new ArrayList<>();
         now.forEach((version, counts) -> {
-            AuditLineFormat.Counts before = writtenCounts.put(version, counts);
-            if (before == null || !before.hasSameCounts(counts)) {
+            AuditLineFormat.Counts previous = writtenCounts.put(version, counts);
+            if (previous == null || !previous.hasSameCounts(counts)) {
                 lines.add(AuditLineFormat.line(history.name(), history.incarnation(), counts));
             }
         });
@@ -165,84 +173,92 @@
         }
     }
 
-    /** Ends the file, if there is one; not on the loop. */
+    /** Closes the file, if there is one. Blocks, so it must not be called on the event loop. */
     public void close() throws InterruptedException {
         if (auditFile != null) {
             auditFile.close();
         }
     }
 
-    /** A lease's standing here has changed. */
-    public void leaseChanged(String task, String words) {
-        history.recordEvent(timers.now(), "lease " + task + ": " + words);
+    /** Records that the status of a lease has changed in this process. */
+    public void leaseChanged(String task, String status) {
+        history.recordEvent(timers.now(), "lease " + task + ": " + status);
     }
 
-    /** What this process knows of one request, by its id. */
+    /** Returns the trace of the request with this id, or an object with a reason if there is none. */
     public JsonObject requestJson(String id) {
-        JsonObject o = new JsonObject();
-        RequestTrace trail = history.trace(id);
-        if (trail == null) {
-            o.addProperty("reason", "not among the last requests of this process: " + id);
-            return o;
+        JsonObject json = new JsonObject();
+        RequestTrace trace = history.trace(id);
+        if (trace == null) {
+            json.addProperty("reason", "not among the last requests of this process: " + id);
+            return json;
         }
-        o.addProperty("id", trail.id());
-        o.addProperty("under", history.label(trail.period().version()));
-        o.addProperty("class", trail.service());
-        o.addProperty("group", trail.group());
-        o.addProperty("list", trail.hostList());
-        o.addProperty("from_ms", (long) trail.startMs());
-        JsonArray sent = new JsonArray();
-        for (RequestTrace.Attempt s : trail.sent()) {
+        json.addProperty("id", trace.id());
+        json.addProperty("under", history.label(trace.period().version()));
+        json.addProperty("class", trace.service());
+        json.addProperty("group", trace.group());
+        json.addProperty("list", trace.hostList());
+        json.addProperty("from_ms", (long) trace.startMs());
+        JsonArray attempts = new JsonArray();
+        for (RequestTrace.Attempt sentAttempt : trace.sent()) {
             JsonObject attempt = new JsonObject();
-            attempt.addProperty("node", s.node());
-            attempt.addProperty("after_ms", s.sentMs() - trail.startMs());
-            attempt.addProperty("outcome", s.outcome() == null ? null : s.outcome().name());
-            attempt.addProperty("took_ms", s.outcome() == null ? null : s.endMs() - s.sentMs());
-            sent.add(attempt);
+            attempt.addProperty("node", sentAttempt.node());
+            attempt.addProperty("after_ms", sentAttempt.sentMs() - trace.startMs());
+            attempt.addProperty("outcome", sentAttempt.outcome() == null ? null : sentAttempt.outcome().name());
+            attempt.addProperty("took_ms", sentAttempt.outcome() == null ? null
+                    : sentAttempt.endMs() - sentAttempt.sentMs());
+            attempts.add(attempt);
         }
-        o.add("attempts", sent);
-        o.addProperty("end", trail.end() == null ? null : trail.end().name().toLowerCase(Locale.ROOT));
-        o.addProperty("why", trail.reason().code());
-        o.addProperty("took_ms", trail.end() == null ? null : trail.endMs() - trail.startMs());
-        return o;
+        json.add("attempts", attempts);
+        json.addProperty("end", trace.end() == null ? null : trace.end().name().toLowerCase(Locale.ROOT));
+        json.addProperty("why", trace.reason().code());
+        json.addProperty("took_ms", trace.end() == null ? null : trace.endMs() - trace.startMs());
+        return json;
     }
 
-    /** Begins to tell others. */
+    /** Starts the gossip with the peers, if there are any. */
     public void start() {
         if (peers.size() > 1) {
-            loop.scheduleWithFixedDelay(this::gossipRound, 0, (long) FleetView.ROUND_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.scheduleWithFixedDelay(this::gossipRound, 0, (long) FleetView.ROUND_INTERVAL_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Another operator file holds from now on. */
+    /** Records that another operator file is in effect from now on. */
     public void fileChanged(long file, String digest, String cause) {
-        EffectiveVersion acting = history.currentPeriod().version();
+        EffectiveVersion current = history.currentPeriod().version();
         refusedFileNumber = 0;
-        if (!acting.fileDigest().equals(digest) || acting.fileNumber() != file) {
-            history.change(timers.now(), acting.withFile(file, digest), cause);
+        if (!current.fileDigest().equals(digest) || current.fileNumber() != file) {
+            history.change(timers.now(), current.withFile(file, digest), cause);
             Log.info("audit: acts under " + history.label(history.currentPeriod().version()) + ": " + cause);
         }
     }
 
-    /** An operator file was not taken; {@code file} is its number, 0 where it could not be read so far. */
-    public void fileRefused(long file, String why) {
+    /** Records that an operator file was rejected; {@code file} is its version number, or 0 if it could not be read. */
+    public void fileRefused(long file, String reason) {
         refusedFileNumber = file <= 0 ? Integer.MAX_VALUE : file;
-        history.recordRefusal(timers.now(), "file " + (file <= 0 ? "that can't be read" : file) + ": " + why);
+        history.recordRefusal(timers.now(), "file " + (file <= 0 ? "that can't be read" : file) + ": " + reason);
     }
 
     private Summary ownSummary() {
-        EffectiveVersion acting = history.currentPeriod().version();
+        EffectiveVersion current = history.currentPeriod().version();
         long begun = 0;
         long served = 0;
-        for (VersionPeriod e : history.periods()) {
-            if (e.version().equals(acting)) {
-                begun += e.begun();
-                served += e.count(RequestResult.SERVED);
+        for (VersionPeriod period : history.periods()) {
+            if (period.version().equals(current)) {
+                begun += period.begun();
+                served += period.count(RequestResult.SERVED);
             }
         }
-        return new Summary(self, history.incarnation(), ++sequenceNumber, startedMs, buildHash, platformHash, acting.fileNumber(),
-                leadingBits(acting.fileDigest(), Long.BYTES), (long) (timers.now() - history.currentPeriod().startMs()), (int) history.size(), leadingBits(history.digest(), Long.BYTES), begun, served, refusedFileNumber, outOfService.getAsBoolean(),
-                (int) history.hostLists().currentNumber(Intake.PLATFORM_GROUP), (int) Math.min(Summary.MAX_LATE_S, history.hostLists().lateMs(timers.now(), Intake.PLATFORM_GROUP) / MS_PER_S));
+        return new Summary(self, history.incarnation(), ++sequenceNumber, startedMs, buildHash, platformHash,
+                current.fileNumber(),
+                leadingBits(current.fileDigest(), Long.BYTES),
+                (long) (timers.now() - history.currentPeriod().startMs()), (int) history.size(),
+                leadingBits(history.digest(), Long.BYTES), begun, served, refusedFileNumber,
+                outOfService.getAsBoolean(),
+                (int) history.hostLists().currentNumber(Intake.PLATFORM_GROUP),
+                (int) Math.min(Summary.MAX_LATE_S, history.hostLists().lateMs(timers.now(),
+                Intake.PLATFORM_GROUP) / MS_PER_S));
     }
 
     private static long leadingBits(String digest, int bytes) {
@@ -256,7 +272,7 @@
         });
     }
 
-    /** A datagram of a peer, by its place; of whatever kind. */
+    /** Handles a datagram of any kind from the peer with this index; datagrams of other services are ignored. */
     public void datagramReceived(int from, byte[] datagram) {
         boolean hello = SummaryWire.isHello(datagram);
         Optional<Gossip> gossip = SummaryWire.decode(datagram);
@@ -266,110 +282,117 @@
         }
     }
 
-    /** What this process acts under now. */
+    /** Returns the version of the operator file in effect. */
     public FileFingerprint.FileVersion fileInEffect() {
-        EffectiveVersion acting = history.currentPeriod().version();
-        return new FileFingerprint.FileVersion((int) acting.fileNumber(), leadingBits(acting.fileDigest(), Long.BYTES));
+        EffectiveVersion current = history.currentPeriod().version();
+        return new FileFingerprint.FileVersion((int) current.fileNumber(),
+                leadingBits(current.fileDigest(), Long.BYTES));
     }
 
-    /** A digest as others are told of it. */
+    /** Returns the part of a digest that is sent to peers. */
     public static long digestBits(String digest) {
         return leadingBits(digest, Long.BYTES);
     }
 
-    /** How all are, this one as of now. */
+    /** Returns the status of all members; that of this process is updated first. */
     private List<FleetView.MemberStatus> memberStatuses() {
         fleetView.updateOwn(timers.now(), ownSummary());
         return fleetView.statuses(timers.now());
     }
 
-    /** What is known of the other proxies. */
+    /** Returns the known state of the other proxies. */
     public List<Quarantine.Peer> others() {
         List<Quarantine.Peer> others = new ArrayList<>();
-        for (FleetView.MemberStatus s : memberStatuses()) {
-            if (s.summary() != null && s.member() != self) {
-                FileFingerprint.FileVersion acting = s.isCurrent() ? new FileFingerprint.FileVersion((int) s.summary().fileNumber(), s.summary().fileDigest()) : null;
-                others.add(new Quarantine.Peer(s.member(), acting, FleetView.isAlive(s), s.summary().outOfService()));
+        for (FleetView.MemberStatus status : memberStatuses()) {
+            if (status.summary() != null && status.member() != self) {
+                FileFingerprint.FileVersion version = status.isCurrent()
+                        ? new FileFingerprint.FileVersion((int) status.summary().fileNumber(),
+                        status.summary().fileDigest()) : null;
+                others.add(new Quarantine.Peer(status.member(), version, FleetView.isAlive(status),
+                        status.summary().outOfService()));
             }
         }
         return others;
     }
 
-    /** Whether a proxy, by its place, has said that it has stepped aside, and has not been heard to say otherwise. */
+    /** Whether the last report of the proxy with this index says that it is out of service. */
     public boolean isOutOfService(int member) {
         return fleetView.isOutOfService(member);
     }
 
-    /** What this process acted under, with counts and the chain of changes. */
+    /** Returns the versions that were in effect in this process, with counts and the hash chain of changes. */
     public JsonObject auditJson() {
         double now = timers.now();
-        JsonObject o = new JsonObject();
-        o.addProperty("proxy", history.name());
-        o.addProperty("incarnation", Integer.toHexString(history.incarnation()));
-        o.addProperty("acts_under", history.label(history.currentPeriod().version()));
-        o.addProperty("refused", history.lastRefusal());
-        JsonArray eras = new JsonArray();
-        for (VersionPeriod e : history.periods()) {
-            JsonObject era = new JsonObject();
-            era.addProperty("index", e.index());
-            era.addProperty("version", e.version().text());
-            era.addProperty("build", e.version().build());
-            era.addProperty("platform", e.version().platform());
-            era.addProperty("cause", e.cause());
-            era.addProperty("from_ms", (long) e.startMs());
-            era.addProperty("for_s", ((Double.isNaN(e.endMs()) ? now : e.endMs()) - e.startMs()) / MS_PER_S);
-            era.addProperty("begun", e.begun());
-            era.addProperty("open", e.openRequests());
-            era.addProperty("attempts", e.attempts());
+        JsonObject json = new JsonObject();
+        json.addProperty("proxy", history.name());
+        json.addProperty("incarnation", Integer.toHexString(history.incarnation()));
+        json.addProperty("acts_under", history.label(history.currentPeriod().version()));
+        json.addProperty("refused", history.lastRefusal());
+        JsonArray periods = new JsonArray();
+        for (VersionPeriod period : history.periods()) {
+            JsonObject periodJson = new JsonObject();
+            periodJson.addProperty("index", period.index());
+            periodJson.addProperty("version", period.version().text());
+            periodJson.addProperty("build", period.version().build());
+            periodJson.addProperty("platform", period.version().platform());
+            periodJson.addProperty("cause", period.cause());
+            periodJson.addProperty("from_ms", (long) period.startMs());
+            periodJson.addProperty("for_s", ((Double.isNaN(period.endMs()) ? now
+                    : period.endMs()) - period.startMs()) / MS_PER_S);
+            periodJson.addProperty("begun", period.begun());
+            periodJson.addProperty("open", period.openRequests());
+            periodJson.addProperty("attempts", period.attempts());
             JsonObject classes = new JsonObject();
-            for (String service : e.classNames()) {
-                JsonObject ends = new JsonObject();
-                for (RequestResult end : RequestResult.values()) {
-                    ends.addProperty(end.name().toLowerCase(Locale.ROOT), e.count(service, end));
+            for (String service : period.classNames()) {
+                JsonObject results = new JsonObject();
+                for (RequestResult result : RequestResult.values()) {
+                    results.addProperty(result.name().toLowerCase(Locale.ROOT), period.count(service, result));
                 }
-                classes.add(service, ends);
+                classes.add(service, results);
             }
-            era.add("classes", classes);
-            eras.add(era);
+            periodJson.add("classes", classes);
+            periods.add(periodJson);
         }
-        o.add("eras", eras);
-        o.addProperty("gone_requests", history.evictedRequests());
+        json.add("eras", periods);
+        json.addProperty("gone_requests", history.evictedRequests());
         JsonArray entries = new JsonArray();
-        history.entries().forEach(e -> entries.add("%d %.0f %s %s".formatted(e.index(), e.atMs(), e.digest(), e.description())));
-        o.add("entries", entries);
+        history.entries().forEach(e -> entries.add("%d %.0f %s %s".formatted(e.index(), e.atMs(), e.digest(),
+                e.description())));
+        json.add("entries", entries);
         JsonArray lists = new JsonArray();
-        for (HostListHistory.ActiveList held : history.hostLists().current()) {
+        for (HostListHistory.ActiveList active : history.hostLists().current()) {
             JsonObject list = new JsonObject();
-            list.addProperty("group", held.group());
-            list.addProperty("list", held.number());
-            list.addProperty("for_s", (now - held.sinceMs()) / MS_PER_S);
-            list.addProperty("late_s", history.hostLists().lateMs(now, held.group()) / MS_PER_S);
+            list.addProperty("group", active.group());
+            list.addProperty("list", active.number());
+            list.addProperty("for_s", (now - active.sinceMs()) / MS_PER_S);
+            list.addProperty("late_s", history.hostLists().lateMs(now, active.group()) / MS_PER_S);
             lists.add(list);
         }
-        o.add("lists", lists);
-        o.addProperty("list_changes", history.hostLists().changeCount());
+        json.add("lists", lists);
+        json.addProperty("list_changes", history.hostLists().changeCount());
         if (auditFile != null) {
-            o.addProperty("lost_lines", auditFile.lostLines());
+            json.addProperty("lost_lines", auditFile.lostLines());
         }
-        o.addProperty("before", history.digestBefore());
-        o.addProperty("flaw", AuditEntry.findFlaw(history.digestBefore(), history.entries()));
-        return o;
+        json.addProperty("before", history.digestBefore());
+        json.addProperty("flaw", AuditEntry.findFlaw(history.digestBefore(), history.entries()));
+        return json;
     }
 
-    /** How each proxy of the fleet is, as far as this one knows: a line each. */
+    /** Describes the state of each proxy of the fleet as known here, one line each. */
     public List<String> describeFleet() {
         List<String> lines = new ArrayList<>();
-        for (FleetView.MemberStatus s : memberStatuses()) {
-            String who = peers.isEmpty() ? history.name() : Addresses.text(peers.get(s.member()));
-            lines.add(who + (s.member() == self || peers.isEmpty() ? " (this one): " : ": ") + s.reason() + " " + s.describe());
+        for (FleetView.MemberStatus status : memberStatuses()) {
+            String name = peers.isEmpty() ? history.name() : Addresses.text(peers.get(status.member()));
+            lines.add(name + (status.member() == self || peers.isEmpty() ? " (this one): " : ": ") + status.reason()
+                    + " " + status.describe());
         }
         lines.add("highest file number known: " + fleetView.highestFileNumber() + "; " + datagrams + " datagrams sent");
         return lines;
     }
 
-    /** Counts for the console. */
+    /** Returns the metrics for the console by name. */
     public Map<String, Long> metrics() {
-        long lag = fleetView.statuses(timers.now()).stream().filter(s -> s.behind() > 0).count();
-        return Map.of("file_version", history.currentPeriod().version().fileNumber(), "proxies_behind", lag);
+        long behind = fleetView.statuses(timers.now()).stream().filter(s -> s.behind() > 0).count();
+        return Map.of("file_version", history.currentPeriod().version().fileNumber(), "proxies_behind", behind);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/audit/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/package-info.java
@@ -1,2 +1,4 @@
-/** Which process acted under which version, and what it knows of the others: wired to the loop, the peers and operators' commands. */
+/**
+ * The audit log of a process, its view of the versions in effect in the fleet, and the reports on both for operators.
+ */
 package ridgemill.gateway.audit;
--- a/gateway/src/test/java/ridgemill/gateway/audit/AuditFileTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/audit/AuditFileTest.java
@@ -20,17 +20,17 @@
     private Path directory;
 
     @Test
-    void whatAKilledProcessLeftOfALineIsEnded() throws Exception {
+    void partialLineOfAKilledProcessIsEnded() throws Exception {
         Path file = Files.writeString(directory.resolve("acts.log"), "whole\nhalf a li");
-        try (AuditFile acts = new AuditFile(file, PLENTY)) {
-            acts.append(List.of("one", "two"));
-            acts.append(List.of("three"));
+        try (AuditFile auditFile = new AuditFile(file, PLENTY)) {
+            auditFile.append(List.of("one", "two"));
+            auditFile.append(List.of("three"));
         }
         assertEquals(List.of("whole", "half a li", "one", "two", "three"), Files.readAllLines(file));
     }
 
     @Test
-    void twoProcessesMayWriteToOneFileAndNoLineOfTheirsIsMixed() throws Exception {
+    void twoProcessesCanWriteToOneFileWithoutMixingLines() throws Exception {
         Path file = directory.resolve("acts.log");
         List<String> all = new ArrayList<>();
         try (AuditFile first = new AuditFile(file, PLENTY); AuditFile second = new AuditFile(file, PLENTY)) {
@@ -42,30 +42,33 @@
                 all.add("second " + i);
             }
         }
-        // Two that look at the end of the file at one moment may both end what the other has just begun.
-        assertEquals(all.stream().filter(l -> !l.isEmpty()).sorted().toList(), Files.readAllLines(file).stream().filter(l -> !l.isEmpty()).sorted().toList());
+        // Two writers that check the end of the file at the same time may both end the line that the other has just
+        // begun.
+        assertEquals(all.stream().filter(l -> !l.isEmpty()).sorted().toList(),
+                Files.readAllLines(file).stream().filter(l -> !l.isEmpty()).sorted().toList());
     }
 
     @Test
-    void oneThatIsFullGoesAside() throws Exception {
+    void fullFileIsRenamed() throws Exception {
         Path file = directory.resolve("acts.log");
-        try (AuditFile acts = new AuditFile(file, 100)) {
-            IntStream.range(0, 9).forEach(i -> acts.append(List.of("line " + i + " of some thirty bytes")));
+        try (AuditFile auditFile = new AuditFile(file, 100)) {
+            IntStream.range(0, 9).forEach(i -> auditFile.append(List.of("line " + i + " of some thirty bytes")));
         }
-        assertEquals(List.of("line 6 of some thirty bytes", "line 7 of some thirty bytes", "line 8 of some thirty bytes"), Files.readAllLines(file));
+        assertEquals(List.of("line 6 of some thirty bytes", "line 7 of some thirty bytes",
+                "line 8 of some thirty bytes"), Files.readAllLines(file));
         assertEquals(3, Files.readAllLines(directory.resolve("acts.log.1")).size());
     }
 
     @Test
-    void whatCanNotBeWrittenIsCountedAndTheNextIsTriedAgain() throws Exception {
+    void linesThatCannotBeWrittenAreCountedAndTheNextBatchIsTried() throws Exception {
         Path file = directory.resolve("missing").resolve("acts.log");
-        try (AuditFile acts = new AuditFile(file, PLENTY)) {
-            acts.append(List.of("one", "two"));
-            while (acts.lostLines() < 2) {
+        try (AuditFile auditFile = new AuditFile(file, PLENTY)) {
+            auditFile.append(List.of("one", "two"));
+            while (auditFile.lostLines() < 2) {
                 Thread.onSpinWait();
             }
             Files.createDirectory(file.getParent());
-            acts.append(List.of("three"));
+            auditFile.append(List.of("three"));
         }
         assertEquals(List.of("three"), Files.readAllLines(file));
     }
@@ -74,33 +77,35 @@
         return Files.isWritable(Path.of("/dev/full"));
     }
 
-    /** Linux has a device on which no space is left. */
+    /** Uses {@code /dev/full}, a Linux device on which each write fails because no space is left. */
     @Test
     @EnabledIf("hasFullDisk")
-    void aFullDiskLosesLinesAndNothingElse() throws Exception {
-        try (AuditFile acts = new AuditFile(Path.of("/dev/full"), PLENTY)) {
+    void fullDiskLosesOnlyLines() throws Exception {
+        try (AuditFile auditFile = new AuditFile(Path.of("/dev/full"), PLENTY)) {
             for (int i = 0; i < 3; i++) {
-                acts.append(List.of("line " + i));
+                auditFile.append(List.of("line " + i));
             }
-            while (acts.lostLines() < 3) {
+            while (auditFile.lostLines() < 3) {
                 Thread.onSpinWait();
             }
         }
     }
 
-    /** A disk that holds up whoever writes holds up nobody else: what too many batches wait for is lost at once. */
+    /**
+     * A disk that blocks the writer thread must not block callers: batches beyond the queue limit are dropped at once.
+     */
     @Test
-    void moreThanSomeWaitForNoDisk() throws Exception {
+    void batchesBeyondTheQueueLimitAreDropped() throws Exception {
         Path pipe = directory.resolve("pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
-        AuditFile acts = new AuditFile(pipe, PLENTY);
+        AuditFile auditFile = new AuditFile(pipe, PLENTY);
         for (int i = 0; i < 1000; i++) {
-            acts.append(List.of("line " + i));
+            auditFile.append(List.of("line " + i));
         }
-        assertTrue(acts.lostLines() >= 700, () -> String.valueOf(acts.lostLines()));
+        assertTrue(auditFile.lostLines() >= 700, () -> String.valueOf(auditFile.lostLines()));
         try (var reader = Files.newInputStream(pipe)) {
             assertEquals('l', reader.read());
-            acts.close();
+            auditFile.close();
         }
     }
 }
