--- a/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/CallClient.java
@@ -24,19 +24,19 @@
 import ridgemill.lease.LeaseManager.Permit;
 
 /**
- * Calls others under a lease, one connection a call: {@code POST} with the task, the holder and the term in its head. Leave is
- * asked for when the connection is there and not before, as opening one takes a time that nobody knows, and the call is written
- * in one piece at once. A call that has taken too long is reset: nothing more of it is sent.
+ * Makes HTTP calls under a lease, with one connection per call: a {@code POST} with the task, the holder and the term
+ * in its headers. The permit is requested only when the connection is open, because opening takes an unknown time; the
+ * request is then written at once as a whole. A call that exceeds its timeout is reset, so that no more of it is sent.
  */
 final class CallClient {
 
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
-    private static final int CONFLICT_STATUS = 409;
+    private static final int CONFLICT = 409;
     private static final int FIRST_FAILURE_STATUS = 300;
 
-    /** What came of a call: {@code term} is the highest that the receiver says it has seen, 0 where it says none. */
+    /** The result of a call; {@code term} is the highest term that the receiver reports, or 0 if it reports none. */
     record CallResult(boolean succeeded, boolean refused, long term) {
-        static final CallResult NO_RESPONSE = new CallResult(false, false, 0);
+        static final CallResult NONE = new CallResult(false, false, 0);
     }
 
     private final EventLoop loop;
@@ -48,26 +48,29 @@
     }
 
     /**
-     * Makes a call; all on the loop.
+     * Makes a call; must be called on the event loop, as are the callbacks.
      *
-     * @param leave gives leave to write now, or null; asked once, if the connection comes up
-     * @param ended is told once, when nothing of the call is on its way any more
+     * @param permitSource returns the permit to send the request now, or null; called once, if the connection opens
+     * @param onEnd called once, when no part of the call is in flight any more
      */
-    void call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<CallResult> ended) {
-        Call call = new Call(to, path, withinMs, leave, ended);
+    void call(InetSocketAddress target, String path, double timeoutMs, Supplier<Permit> permitSource,
+              Consumer<CallResult> onEnd) {
+        Call call = new Call(target, path, timeoutMs, permitSource, onEnd);
         ChannelFuture opening = new Bootstrap().group(loop).channel(SocketKind.of(loop).client())
-                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(withinMs))
+                .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
+                (int) Math.ceil(timeoutMs))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), call);
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                call);
                     }
-                }).connect(to);
+                }).connect(target);
         opening.addListener(f -> {
             if (f.isSuccess()) {
                 call.write(opening.channel());
             } else {
-                call.finish(CallResult.NO_RESPONSE);
+                call.finish(CallResult.NONE);
             }
         });
     }
@@ -80,20 +83,22 @@
         private final Consumer<CallResult> onEnd;
         private boolean finished;
 
-        Call(InetSocketAddress to, String path, double withinMs, Supplier<Permit> leave, Consumer<CallResult> ended) {
-            this.target = to;
+        Call(InetSocketAddress target, String path, double timeoutMs, Supplier<Permit> permitSource,
+             Consumer<CallResult> onEnd) {
+            this.target = target;
             this.path = path;
-            this.timeoutMs = withinMs;
-            this.permitSource = leave;
-            this.onEnd = ended;
+            this.timeoutMs = timeoutMs;
+            this.permitSource = permitSource;
+            this.onEnd = onEnd;
         }
 
         void write(Channel channel) {
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path, Unpooled.EMPTY_BUFFER);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, path,
+                    Unpooled.EMPTY_BUFFER);
             Permit permit = permitSource.get();
             if (permit == null) {
                 channel.close();
-                finish(CallResult.NO_RESPONSE);
+                finish(CallResult.NONE);
                 return;
             }
             request.headers().set("Host", Addresses.text(target)).set("Content-Length", 0).set("Connection", "close")
@@ -102,7 +107,7 @@
             loop.schedule(() -> {
                 if (!finished) {
                     reset(channel);
-                    finish(CallResult.NO_RESPONSE);
+                    finish(CallResult.NONE);
                 }
             }, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         }
@@ -111,10 +116,11 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             int status = response.status().code();
             ctx.close();
-            finish(new CallResult(status < FIRST_FAILURE_STATUS, status == CONFLICT_STATUS, parseTerm(response.headers().get("Lease-Term", "0"))));
+            finish(new CallResult(status < FIRST_FAILURE_STATUS, status == CONFLICT,
+                    parseTerm(response.headers().get("Lease-Term", "0"))));
         }
 
-        /** A receiver that says nonsense says nothing. */
+        /** Parses a term header; an invalid one counts as none. */
         private static long parseTerm(String term) {
             try {
                 return Long.parseLong(term);
@@ -125,19 +131,19 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            finish(CallResult.NO_RESPONSE);
+            finish(CallResult.NONE);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             reset(ctx.channel());
-            finish(CallResult.NO_RESPONSE);
+            finish(CallResult.NONE);
         }
 
-        private void finish(CallResult answer) {
+        private void finish(CallResult result) {
             if (!finished) {
                 finished = true;
-                onEnd.accept(answer);
+                onEnd.accept(result);
             }
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -31,16 +31,17 @@
 import ridgemill.lease.TargetSchedule;
 
 /**
- * One proxy's leases on its loop: datagrams in and out, the timer, and the tasks that are done under them. Nothing is said and no
- * vote given before this process has the {@link VotingLock}. All calls are on the loop.
+ * Runs the leases of one proxy on its event loop: sends and receives datagrams, sets the timer and runs the tasks under
+ * leases. No datagram is sent and no vote is given before this process holds the {@link VotingLock}. All methods must
+ * be called on the event loop.
  */
 public final class LeaseService implements LeaseManager.Callbacks {
 
     private static final long LOCK_POLL_MS = 100;
     private static final double HELLO_INTERVAL_MS = 1000;
-    /** Who has said nothing for so long is taken for one that may not understand any more. */
+    /** A peer that has sent no datagram for this time may no longer run a build that supports leases. */
     private static final double HELLO_TIMEOUT_MS = 10_000;
-    /** A task whose act failed waits so long before it is tried again. */
+    /** Delay before a failed call is retried. */
     private static final double RETRY_DELAY_MS = 200;
     private static final double MS_PER_S = 1000;
 
@@ -71,20 +72,23 @@
     private long datagrams;
     private long bytes;
 
-    /** A task that the program does by itself under a lease, and that tells other proxies. All calls are on the loop. */
+    /**
+     * A task that the program itself runs under a lease, and that sends datagrams to other proxies. Called on the
+     * event loop.
+     */
     public interface LeasedTask {
 
-        /** Whether this proxy wants to be the one that does it. */
+        /** Whether this proxy wants to hold the lease of the task. */
         boolean wantsLease(double now);
 
-        /** Does what is due and returns when something will be; {@code holds} says whether this proxy is the one. */
+        /** Does what is due and returns the next due time; {@code holds} tells whether this proxy holds the lease. */
         double tick(double now, boolean holds);
 
-        /** A datagram of a member that is not of leases; not each is for this duty. */
+        /** Handles a datagram of a member that is not a lease message; it may belong to another task. */
         void datagramReceived(double now, int member, byte[] datagram);
     }
 
-    /** One task that calls. */
+    /** A configured task that makes calls. */
     private final class CallTask {
         private LeaseSettings.Call call;
         private TargetSchedule schedule;
@@ -98,14 +102,17 @@
     }
 
     /**
-     * @param name of the proxy, by which acts name their holder
-     * @param self this proxy's place among {@code peers}
-     * @param seed of waits
-     * @param directory for the lock, shared by the processes of one proxy
-     * @param send sends a datagram to a peer by its place
-     * @throws IOException where the lock's file can't be opened
+     * Creates the service; {@link #start} starts it.
+     *
+     * @param name name of the proxy, which calls send as their holder
+     * @param self index of this proxy among {@code peers}
+     * @param seed seed of random delays
+     * @param directory directory of the lock file, shared by the processes of one proxy
+     * @param send sends a datagram to the peer with this index
+     * @throws IOException if the lock file cannot be opened
      */
-    public LeaseService(EventLoop loop, Timers timers, String name, List<InetSocketAddress> peers, int self, long seed, Path directory,
+    public LeaseService(EventLoop loop, Timers timers, String name, List<InetSocketAddress> peers, int self, long seed,
+            Path directory,
                         LeaseSettings settings, BiConsumer<Integer, byte[]> send) throws IOException {
         this.loop = loop;
         this.timers = timers;
@@ -122,7 +129,7 @@
         }
     }
 
-    /** Takes its part from now on, or as soon as no other process of this proxy does. */
+    /** Starts voting as soon as no other process of this proxy holds the lock. */
     public void start() {
         try {
             if (released) {
@@ -133,56 +140,60 @@
                 return;
             }
         } catch (IOException e) {
-            Log.info("no part in leases: " + e.getMessage());
+            Log.info("leases: disabled, the voting lock is not usable: " + e.getMessage());
             return;
         }
         double now = timers.now();
         settings.calls().values().forEach(c -> callTasks.put(c.name(), new CallTask(c)));
-        leases = new LeaseManager(self, incarnation, settings.policy(), settings.voterSets(peers), settings.calls().keySet().stream().sorted().toList(),
+        leases = new LeaseManager(self, incarnation, settings.policy(), settings.voterSets(peers),
+                settings.calls().keySet().stream().sorted().toList(),
                 seed, now, this);
-        callTasks.values().stream().filter(t -> !t.schedule.wantsLease()).forEach(t -> leases.setWanted(now, t.call.name(), false));
+        callTasks.values().stream().filter(t -> !t.schedule.wantsLease())
+                .forEach(t -> leases.setWanted(now, t.call.name(), false));
         leasedTasks.keySet().forEach(n -> leases.addTask(now, n));
         Log.info("leases: this process votes for its proxy from now on");
         step();
     }
 
-    /** A duty is done under the lease of this name from now on, in place of one of the same name. */
-    public void register(String name, LeasedTask duty) {
-        boolean again = leasedTasks.put(name, duty) == null && Boolean.FALSE.equals(wanted.remove(name));
+    /** Registers a task that runs under the lease of this name; replaces a task of the same name. */
+    public void register(String name, LeasedTask task) {
+        boolean reactivated = leasedTasks.put(name, task) == null && Boolean.FALSE.equals(wanted.remove(name));
         if (leases != null) {
             leases.addTask(timers.now(), name);
-            if (again && leases.voters(name).contains(self)) {
+            if (reactivated && leases.voters(name).contains(self)) {
                 leases.setWanted(timers.now(), name, true);
             }
             step();
         }
     }
 
-    /** This proxy has no more part in a duty, if it is still this one; it votes on. */
-    public void unregister(String name, LeasedTask duty) {
-        if (leasedTasks.remove(name, duty) && leases != null) {
+    /** Unregisters a task if it is still the registered one; this proxy continues to vote on its lease. */
+    public void unregister(String name, LeasedTask task) {
+        if (leasedTasks.remove(name, task) && leases != null) {
             wanted.put(name, false);
             leases.setWanted(timers.now(), name, false);
             step();
         }
     }
 
-    /** Leave for an act of a duty, as {@link LeaseManager#permit}; {@link #permitDone} is owed for it. */
-    public Optional<Permit> permit(String name, double actMs) {
-        return leases == null || released ? Optional.empty() : leases.permit(timers.now(), name, actMs);
+    /**
+     * Requests a permit for an action of a task, see {@link LeaseManager#permit}; {@link #permitDone} must return it.
+     */
+    public Optional<Permit> permit(String name, double durationMs) {
+        return leases == null || released ? Optional.empty() : leases.permit(timers.now(), name, durationMs);
     }
 
-    /** An act of a duty is over. */
+    /** Returns a permit after the action has ended. */
     public void permitDone(Permit permit) {
         leases.done(timers.now(), permit);
     }
 
-    /** Whether this proxy holds a duty's lease, as far as the clock goes. */
+    /** Whether this proxy holds the lease of a task at the current time. */
     public boolean holds(String name) {
         return leases != null && !released && leases.holds(timers.now(), name);
     }
 
-    /** Gives a duty's lease up, to whoever wants it. */
+    /** Releases the lease of a task without a designated successor. */
     public void release(String name) {
         if (leases != null) {
             leases.release(timers.now(), name, -1);
@@ -190,44 +201,51 @@
         }
     }
 
-    /** While this is so the proxy holds no lease and wants none; it goes on to vote. */
-    public void setOutOfService(BooleanSupplier isAside) {
-        outOfService = isAside;
+    /**
+     * Sets the source of the out-of-service state: while it is true, this proxy wants no lease, but it continues to
+     * vote.
+     */
+    public void setOutOfService(BooleanSupplier source) {
+        outOfService = source;
     }
 
-    /** What such peers, by their place, say of leases is not heard; what they say to duties is. */
-    public void ignoreLeaseMessagesFrom(IntPredicate from) {
-        ignoredPeers = from;
+    /** Ignores lease messages of the peers with matching indexes; datagrams for tasks are still handled. */
+    public void ignoreLeaseMessagesFrom(IntPredicate indexes) {
+        ignoredPeers = indexes;
     }
 
-    /** Whether this proxy may hold a duty's lease. */
+    /** Whether this proxy is a voter of the task, and thus may hold its lease. */
     public boolean isVoter(String name) {
         return leases != null && leases.voters(name).contains(self);
     }
 
-    /** Who may, by their peers' addresses. */
+    /** Returns the addresses of the voters of a task as text. */
     public String votersText(String name) {
         return leases == null ? "" : leases.voters(name).stream().map(this::address).collect(Collectors.joining(", "));
     }
 
-    /** Who may hold a duty's lease, but for this proxy. */
+    /** Returns the voters of a task other than this proxy. */
     public List<Integer> otherVoters(String name) {
         return leases == null ? List.of() : leases.voters(name).stream().filter(m -> m != self).toList();
     }
 
-    /** Sends a datagram of a duty to a member, if that has said lately that it understands any. */
+    /** Sends a datagram of a task to a member, unless the member may not support leases. */
     public void sendToMember(int member, byte[] datagram) {
         if (supportsLeases(member)) {
             sendDatagram(member, datagram);
         }
     }
 
-    /** The time by which leases and duties go. */
+    /** Returns the clock time that leases and tasks use, in milliseconds. */
     public double now() {
         return timers.now();
     }
 
-    /** Another file holds from now on; throws, and changes nothing, where its electorates can't follow. */
+    /**
+     * Applies changed settings.
+     *
+     * @throws IllegalArgumentException if the voter sets may not follow the present ones; nothing is changed then
+     */
     public void applySettings(LeaseSettings next) {
         double now = timers.now();
         if (leases != null) {
@@ -251,7 +269,7 @@
         step();
     }
 
-    /** A datagram of a peer, by its place. */
+    /** Handles a datagram of the peer with this index. */
     public void datagramReceived(int from, byte[] datagram) {
         int member = LeaseSettings.memberId(peers.get(from));
         lastReceivedAt.put(member, timers.now());
@@ -264,7 +282,7 @@
             return;
         }
         if (datagram.length == LeaseWire.hello().length && !leases.peers().contains(member)) {
-            // It wants a lease on which this proxy votes, and may not have heard of it before.
+            // The member wants a lease that this proxy votes on, and may not yet have received a hello from here.
             sendDatagram(member, LeaseWire.hello());
         }
         if (!ignoredPeers.test(from)) {
@@ -273,7 +291,7 @@
         step();
     }
 
-    /** Gives all back for good: this process ends. It votes until it does, and says again what it gave back. */
+    /** Releases all leases for good, before this process ends. Until then it votes, and repeats its releases. */
     public void releaseAll() {
         boolean already = released;
         released = true;
@@ -288,19 +306,19 @@
         outbox.computeIfAbsent(to, t -> new ArrayList<>()).add(message);
     }
 
-    /** Each change of a lease's standing here is told there too, by the task's name, in words. */
-    public void setStatusListener(BiConsumer<String, String> to) {
-        statusListener = to;
+    /** Sets a listener for changes of a lease's status in this process: the name of the task and the description. */
+    public void setStatusListener(BiConsumer<String, String> listener) {
+        statusListener = listener;
     }
 
     @Override
-    public void statusChanged(String task, String words) {
+    public void statusChanged(String task, String status) {
         changes++;
-        Log.info("lease " + task + ": " + words);
-        statusListener.accept(task, words);
+        Log.info("lease " + task + ": " + status);
+        statusListener.accept(task, status);
     }
 
-    /** Does what is due, sends what was said, and sets the timer for what comes. */
+    /** Does what is due, sends the queued messages and sets the timer for the next due time. */
     private void step() {
         double now = timers.now();
         double due = leases.tick(now);
@@ -326,17 +344,17 @@
         timer = Double.isInfinite(due) ? null : timers.scheduleAt(Math.max(due, now + 1), this::step);
     }
 
-    private double runTask(double now, String name, LeasedTask duty) {
-        boolean wants = duty.wantsLease(now) && !outOfService.getAsBoolean();
-        // A candidate wants its lease from the first.
+    private double runTask(double now, String name, LeasedTask task) {
+        boolean wants = task.wantsLease(now) && !outOfService.getAsBoolean();
+        // A candidate wants its lease initially.
         if (leases.voters(name).contains(self) && wants != wanted.getOrDefault(name, true)) {
             wanted.put(name, wants);
             leases.setWanted(now, name, wants);
         }
-        return duty.tick(now, leases.holds(now, name));
+        return task.tick(now, leases.holds(now, name));
     }
 
-    /** Begins a task's next act if there is one and it may be done; returns when to look again. */
+    /** Starts the next call of a task if one is due and permitted; returns when to check again. */
     private double startCall(double now, CallTask task) {
         if (task.callInFlight || !leases.holds(now, task.call.name())) {
             return Double.POSITIVE_INFINITY;
@@ -348,26 +366,27 @@
         task.callInFlight = true;
         Permit[] permit = {null};
         client.call(task.call.targets().get(target), task.call.path(), task.call.timeoutMs(), () -> {
-            Optional<Permit> given = leases.permit(timers.now(), task.call.name(), task.call.timeoutMs());
-            permit[0] = given.orElse(null);
+            Optional<Permit> granted = leases.permit(timers.now(), task.call.name(), task.call.timeoutMs());
+            permit[0] = granted.orElse(null);
             return permit[0];
-        }, answer -> callEnded(task, permit[0], answer));
+        }, result -> callEnded(task, permit[0], result));
         return Double.POSITIVE_INFINITY;
     }
 
-    private void callEnded(CallTask task, Permit permit, CallClient.CallResult answer) {
+    private void callEnded(CallTask task, Permit permit, CallClient.CallResult result) {
         double now = timers.now();
         task.callInFlight = false;
         if (permit != null) {
-            if (answer.refused() || answer.term() > permit.term()) {
-                leases.observeTerm(now, task.call.name(), answer.term());
+            if (result.refused() || result.term() > permit.term()) {
+                leases.observeTerm(now, task.call.name(), result.term());
             }
-            task.schedule.recordOutcome(answer.succeeded() ? TargetSchedule.Outcome.DONE : answer.refused() ? TargetSchedule.Outcome.REFUSED : TargetSchedule.Outcome.FAILED);
+            task.schedule.recordOutcome(result.succeeded() ? TargetSchedule.Outcome.DONE : result.refused()
+                    ? TargetSchedule.Outcome.REFUSED : TargetSchedule.Outcome.FAILED);
             leases.done(now, permit);
         } else {
             task.notBefore = now + RETRY_DELAY_MS;
         }
-        if (!answer.succeeded()) {
+        if (!result.succeeded()) {
             task.notBefore = now + RETRY_DELAY_MS;
         }
         if (!task.schedule.wantsLease() && callTasks.get(task.call.name()) == task) {
@@ -385,7 +404,7 @@
         outbox.clear();
     }
 
-    /** One that has not said that it understands may be of a build that takes what it is told for something else. */
+    /** Whether a member has sent a datagram lately. A build without leases might misinterpret lease datagrams. */
     private boolean supportsLeases(int member) {
         return lastReceivedAt.getOrDefault(member, Double.NEGATIVE_INFINITY) > timers.now() - HELLO_TIMEOUT_MS;
     }
@@ -400,19 +419,23 @@
     }
 
     private String release(double now, String name, String to) {
-        int heir = -1;
+        int successor = -1;
         if (to != null) {
-            heir = peers.stream().filter(p -> Addresses.text(p).equals(to)).map(LeaseSettings::memberId).findFirst().orElse(-1);
-            if (heir < 0) {
+            successor = peers.stream().filter(p -> Addresses.text(p).equals(to)).map(LeaseSettings::memberId)
+                    .findFirst().orElse(-1);
+            if (successor < 0) {
                 return "no such peer: " + to;
             }
         }
         boolean held = leases.holds(now, name);
-        leases.release(now, name, heir);
+        leases.release(now, name, successor);
         return !held ? "not held here" : to == null ? "given up" : "given up, and left to " + to;
     }
 
-    /** What operators ask: {@code release NAME [PEER]}, {@code forbid NAME MS}, {@code run NAME}; returns what came of it, in words. */
+    /**
+     * Executes an operator's command and returns a reply: {@code release NAME [PEER]}, {@code forbid NAME MS} or
+     * {@code run NAME}.
+     */
     public String command(List<String> words) {
         if (leases == null) {
             return "another process of this proxy votes";
@@ -420,10 +443,11 @@
         String name = words.size() > 1 ? words.get(1) : "";
         if (!callTasks.containsKey(name) && !leasedTasks.containsKey(name)) {
             return "no such lease: " + name + "; there are "
-                    + Stream.concat(callTasks.keySet().stream(), leasedTasks.keySet().stream()).collect(Collectors.joining(", "));
+                    + Stream.concat(callTasks.keySet().stream(), leasedTasks.keySet().stream())
+                    .collect(Collectors.joining(", "));
         }
         double now = timers.now();
-        String said = switch (words.get(0)) {
+        String reply = switch (words.get(0)) {
             case "release" -> release(now, name, words.size() > 2 ? words.get(2) : null);
             case "forbid" -> {
                 leases.forbid(now, name, Long.parseLong(words.get(2)));
@@ -433,38 +457,41 @@
                 if (!callTasks.containsKey(name)) {
                     yield "it goes on by itself";
                 }
-                boolean began = callTasks.get(name).schedule.start(now);
+                boolean started = callTasks.get(name).schedule.start(now);
                 leases.setWanted(now, name, true);
-                yield began ? "begun: as soon as this proxy holds its lease" : "a run is under way here";
+                yield started ? "begun: as soon as this proxy holds its lease" : "a run is under way here";
             }
             default -> "no such command: " + words.get(0);
         };
         step();
-        return said;
+        return reply;
     }
 
-    /** How all leases are here. */
+    /** Returns the status of all leases in this process. */
     public List<LeaseManager.Status> statuses() {
         return leases == null ? List.of() : leases.statuses(timers.now());
     }
 
-    /** The same in words, a line each, with what the tasks did and what it cost. */
+    /** Describes the status of all leases, one line each, with the results of the tasks and the datagrams sent. */
     public List<String> describe() {
         List<String> lines = new ArrayList<>();
         if (leases == null) {
             return List.of("another process of this proxy votes");
         }
         for (LeaseManager.Status s : statuses()) {
-            String who = s.holds() ? "this proxy" : s.holder() < 0 ? "nobody known" : Objects.requireNonNullElse(address(s.holder()), "?");
+            String holder = s.holds() ? "this proxy" : s.holder() < 0 ? "nobody known"
+                    : Objects.requireNonNullElse(address(s.holder()), "?");
             CallTask task = callTasks.get(s.task());
-            lines.add("%s: %s, term %d, for %.1f s; %d of %d votes; %s%s".formatted(s.task(), who, s.term(), s.forMs() / MS_PER_S, s.votes(),
+            lines.add("%s: %s, term %d, for %.1f s; %d of %d votes; %s%s".formatted(s.task(), holder, s.term(),
+                    s.forMs() / MS_PER_S, s.votes(),
                     s.voters(), s.words(), task == null ? "" : "; " + task.schedule.explain()));
         }
-        lines.add("version " + leases.voterSetsVersion() + " of the electorates; " + datagrams + " datagrams of " + bytes + " bytes sent");
+        lines.add("version " + leases.voterSetsVersion() + " of the electorates; " + datagrams + " datagrams of "
+                + bytes + " bytes sent");
         return lines;
     }
 
-    /** Counts for the console. */
+    /** Returns the metrics for the console by name. */
     public Map<String, Long> metrics() {
         long held = leases == null ? 0 : statuses().stream().filter(LeaseManager.Status::holds).count();
         return Map.of("leases_held", held, "lease_changes", changes, "lease_datagrams", datagrams);
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
@@ -10,24 +10,26 @@
 import ridgemill.lease.VoterSets;
 
 /**
- * What an operator file says of leases.
+ * The settings of an operator file for leases.
  *
- * @param version of the electorates; grows with each change of {@code members}, {@code before} or {@code voters}
- * @param members whose votes count, by the addresses of their peers' sockets; empty for all of the platform's peers
- * @param previousMembers those of the version before; empty where there was none, or nobody goes by it any more
- * @param maxVoters how many vote on a task at most
+ * @param version version of the voter sets; grows with each change of {@code members}, {@code previousMembers} or
+ *     {@code maxVoters}
+ * @param members proxies whose votes count, by the addresses of their peer sockets; empty for all peers of the platform
+ * @param previousMembers members of the version before; empty if there was none, or if no proxy uses it any more
+ * @param maxVoters maximum number of voters of a task
  * @param calls tasks by name
- * @param sharedProbing whether one proxy asks spared nodes for all
+ * @param sharedProbing whether one proxy probes unreachable nodes for all
  */
-public record LeaseSettings(LeasePolicy policy, int version, List<InetSocketAddress> members, List<InetSocketAddress> previousMembers, int maxVoters,
+public record LeaseSettings(LeasePolicy policy, int version, List<InetSocketAddress> members,
+        List<InetSocketAddress> previousMembers, int maxVoters,
                             Map<String, Call> calls, boolean sharedProbing) {
 
     /**
-     * A task that calls others over HTTP.
+     * A task that makes HTTP calls.
      *
-     * @param targets in this order
-     * @param intervalMs from one run to the next; 0 where operators start each
-     * @param timeoutMs how long one call may take
+     * @param targets receivers of the calls, in this order
+     * @param intervalMs time from one run to the next; 0 if operators start each run
+     * @param timeoutMs time limit of one call
      */
     public record Call(String name, List<InetSocketAddress> targets, String path, double intervalMs, double timeoutMs) {
 
@@ -42,19 +44,22 @@
         calls = Map.copyOf(calls);
     }
 
-    /** A proxy's number, the same in every version of a file: its address stands for it. */
+    /**
+     * Returns the number of a proxy in leases. It is derived from the address, so it is the same in all file versions.
+     */
     public static int memberId(InetSocketAddress peer) {
         return LeaseManager.hash(Addresses.text(peer)) & Integer.MAX_VALUE;
     }
 
-    /** The electorates, where the platform names these peers. */
+    /** Returns the voter sets for a platform with these peers. */
     VoterSets voterSets(List<InetSocketAddress> peers) {
-        return new VoterSets(version, memberIds(members.isEmpty() ? peers : members), memberIds(previousMembers), maxVoters);
+        return new VoterSets(version, memberIds(members.isEmpty() ? peers : members), memberIds(previousMembers),
+                maxVoters);
     }
 
     private static List<Integer> memberIds(List<InetSocketAddress> peers) {
-        List<Integer> numbers = new ArrayList<>();
-        peers.forEach(p -> numbers.add(memberId(p)));
-        return numbers;
+        List<Integer> ids = new ArrayList<>();
+        peers.forEach(p -> ids.add(memberId(p)));
+        return ids;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedProber.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedProber.java
@@ -15,24 +15,25 @@
 import ridgemill.probing.ProbeCodec;
 
 /**
- * Has one proxy of the fleet ask the nodes that could not be reached whether they are back. What it decides is {@link ElectedProber}'s,
- * and what a proxy makes of the answers is its decisions'; this has the datagrams and the probes. All calls are on the loop.
+ * Lets one proxy of the fleet probe the unreachable nodes for all. {@link ElectedProber} decides which nodes are
+ * probed and when, and the routing policy of each proxy uses the results; this class transfers the datagrams and runs
+ * the probes. All methods must be called on the event loop.
  */
 public final class SharedProber implements LeaseService.LeasedTask, ElectedProber.Out {
 
-    /** The lease's name. */
+    /** Name of the lease. */
     public static final String LEASE = "probes";
-    /** What telling may take, from the look at the clock to the last datagram. */
+    /** Duration of the permit to send: from reading the clock to the last datagram. */
     private static final double SEND_PERMIT_MS = 50;
 
-    /** A node of a group. */
+    /** A node and its group. */
     private record GroupNode(Service.Group group, String node) { }
 
     private final LeaseService leases;
     private final Supplier<Map<String, Service.Group>> groups;
     private final ElectedProber prober;
 
-    /** {@code groups} tells those that there are now, by name. */
+    /** Registers the task; {@code groups} returns the current node groups by name. */
     public SharedProber(LeaseService leases, Supplier<Map<String, Service.Group>> groups) {
         this.leases = leases;
         this.groups = groups;
@@ -40,7 +41,7 @@
         leases.register(LEASE, this);
     }
 
-    /** Has no more part in it. */
+    /** Unregisters the task. */
     public void close() {
         leases.unregister(LEASE, this);
     }
@@ -52,46 +53,47 @@
 
     @Override
     public double tick(double now, boolean holds) {
-        Set<Integer> spared = new LinkedHashSet<>();
-        groups.get().forEach((name, group) -> group.gone().forEach(node -> spared.add(nodeId(name, node))));
-        return prober.tick(now, holds, leases.otherVoters(LEASE), spared);
+        Set<Integer> unreachable = new LinkedHashSet<>();
+        groups.get().forEach((name, group) -> group.gone().forEach(node -> unreachable.add(nodeId(name, node))));
+        return prober.tick(now, holds, leases.otherVoters(LEASE), unreachable);
     }
 
-    /** What stands for a node among proxies. */
+    /** Returns the number that identifies a node in datagrams. */
     private static int nodeId(String group, String node) {
         return LeaseManager.hash(group + "/" + node);
     }
 
-    /** The node that a number stands for here; empty for one that no group lists, as another proxy's file may. */
+    /** Finds the node with this number; empty if no group lists it, as the files of proxies may differ. */
     private Optional<GroupNode> findNode(int number) {
-        return groups.get().entrySet().stream().flatMap(g -> g.getValue().listed().stream().filter(node -> nodeId(g.getKey(), node) == number)
+        return groups.get().entrySet().stream().flatMap(g -> g.getValue().listed().stream()
+                .filter(node -> nodeId(g.getKey(), node) == number)
                 .map(node -> new GroupNode(g.getValue(), node))).findFirst();
     }
 
     @Override
     public void datagramReceived(double now, int member, byte[] datagram) {
-        ProbeCodec.decode(datagram).ifPresent(said -> {
-            if (said instanceof ProbeCodec.ProbeRequest asks) {
-                prober.requestReceived(now, member, asks);
-            } else if (said instanceof ProbeCodec.ProbeResult tells) {
-                prober.resultReceived(now, member, tells);
+        ProbeCodec.decode(datagram).ifPresent(message -> {
+            if (message instanceof ProbeCodec.ProbeRequest request) {
+                prober.requestReceived(now, member, request);
+            } else if (message instanceof ProbeCodec.ProbeResult result) {
+                prober.resultReceived(now, member, result);
             }
         });
     }
 
     @Override
-    public void sendRequest(int to, ProbeCodec.ProbeRequest asks) {
-        leases.sendToMember(to, ProbeCodec.encode(asks));
+    public void sendRequest(int to, ProbeCodec.ProbeRequest request) {
+        leases.sendToMember(to, ProbeCodec.encode(request));
     }
 
     @Override
-    public void sendResult(int to, ProbeCodec.ProbeResult tells) {
-        leases.sendToMember(to, ProbeCodec.encode(tells));
+    public void sendResult(int to, ProbeCodec.ProbeResult result) {
+        leases.sendToMember(to, ProbeCodec.encode(result));
     }
 
     @Override
     public void startProbe(int node) {
-        // Where another file names it nobody is told that it did not answer.
+        // If only the file of another proxy names the node, the failure is not sent to anybody (term 0).
         findNode(node).ifPresentOrElse(place -> place.group().probe(place.node(), outcome -> {
             Optional<Permit> permit = leases.permit(LEASE, SEND_PERMIT_MS);
             prober.probeEnded(leases.now(), node, outcome == Outcome.OK, permit.map(Permit::term).orElse(0L));
@@ -101,10 +103,11 @@
 
     @Override
     public void nodeProbed(int node, boolean answered, double tookMs) {
-        findNode(node).ifPresent(p -> p.group().probed(p.node(), answered ? Outcome.OK : Outcome.CONNECT_FAILED, tookMs));
+        findNode(node).ifPresent(p -> p.group().probed(p.node(), answered ? Outcome.OK
+                : Outcome.CONNECT_FAILED, tookMs));
     }
 
-    /** How it goes, in words. */
+    /** Describes the state for operators. */
     public Collection<String> explain() {
         return List.of(prober.explain(leases.holds(LEASE)));
     }
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedRegistryReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedRegistryReader.java
@@ -14,14 +14,16 @@
 import ridgemill.registry.RegistryUpdateCodec;
 
 /**
- * Stands between a registry's client and whoever goes by what it says, so that one proxy reads for the fleet. What it decides is
- * {@link ElectedRegistryReader}'s; this has the datagrams, and the lease under which others are told. All calls are on the loop.
+ * Sits between the client of a registry and the listener for its instances, so that one proxy reads the registry for
+ * the whole fleet. {@link ElectedRegistryReader} makes the decisions; this class transfers the datagrams and holds the
+ * lease under which updates are sent to the other proxies. All methods must be called on the event loop.
  */
-public final class SharedRegistryReader implements LeaseService.LeasedTask, EurekaClient.Listener, ElectedRegistryReader.Out {
+public final class SharedRegistryReader implements LeaseService.LeasedTask, EurekaClient.Listener,
+        ElectedRegistryReader.Out {
 
-    /** The lease's name. */
+    /** Name of the lease. */
     public static final String LEASE = "registry";
-    /** What telling may take, from the look at the clock to the last datagram. */
+    /** Duration of the permit to send: from reading the clock to the last datagram. */
     private static final double SEND_PERMIT_MS = 50;
 
     private final LeaseService leases;
@@ -30,20 +32,23 @@
     private final ElectedRegistryReader reader;
 
     /**
-     * @param apps that the registry is asked for
-     * @param to goes by what is read or told
-     * @param readNow has the client ask as soon as it can
+     * Registers the task.
+     *
+     * @param apps applications that are read from the registry
+     * @param listener receives the instances that were read here or sent by another proxy
+     * @param pollTrigger makes the client poll as soon as it can
      */
-    public SharedRegistryReader(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed, EurekaClient.Listener to,
-                         Runnable readNow) {
+    public SharedRegistryReader(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed,
+            EurekaClient.Listener listener,
+                         Runnable pollTrigger) {
         this.leases = leases;
-        this.listener = to;
-        this.pollTrigger = readNow;
+        this.listener = listener;
+        this.pollTrigger = pollTrigger;
         this.reader = new ElectedRegistryReader(policy, apps, seed, leases.now(), this);
         leases.register(LEASE, this);
     }
 
-    /** Has no more part in it. */
+    /** Unregisters the task. */
     public void close() {
         leases.unregister(LEASE, this);
     }
@@ -67,8 +72,8 @@
     }
 
     @Override
-    public void failed(String why) {
-        listener.failed(why);
+    public void failed(String reason) {
+        listener.failed(reason);
         if (reader.pollFailed(leases.now(), leases.holds(LEASE))) {
             leases.release(LEASE);
         }
@@ -97,18 +102,19 @@
 
     @Override
     public void datagramReceived(double now, int member, byte[] datagram) {
-        RegistryUpdateCodec.decodeListen(datagram).ifPresent(mark -> reader.listenReceived(now, member, mark));
-        RegistryUpdateCodec.decode(datagram).ifPresent(news -> reader.updateReceived(now, member, news));
+        RegistryUpdateCodec.decodeListen(datagram).ifPresent(timestamp -> reader.listenReceived(now, member,
+                timestamp));
+        RegistryUpdateCodec.decode(datagram).ifPresent(part -> reader.updateReceived(now, member, part));
     }
 
     @Override
-    public void sendListen(int member, int mark) {
-        leases.sendToMember(member, RegistryUpdateCodec.encodeListen(mark));
+    public void sendListen(int member, int timestamp) {
+        leases.sendToMember(member, RegistryUpdateCodec.encodeListen(timestamp));
     }
 
     @Override
-    public void sendUpdate(int member, RegistryUpdate telling, int mark) {
-        RegistryUpdateCodec.encode(telling, mark).forEach(d -> leases.sendToMember(member, d));
+    public void sendUpdate(int member, RegistryUpdate update, int echoTimestamp) {
+        RegistryUpdateCodec.encode(update, echoTimestamp).forEach(d -> leases.sendToMember(member, d));
     }
 
     @Override
@@ -122,11 +128,11 @@
     }
 
     @Override
-    public void log(String words) {
-        Log.info("registry: " + words);
+    public void log(String message) {
+        Log.info("registry: " + message);
     }
 
-    /** How it goes, in words. */
+    /** Describes the state for operators. */
     public List<String> explain() {
         return reader.explain(leases.now(), leases.holds(LEASE));
     }
--- a/gateway/src/main/java/ridgemill/gateway/lease/VotingLock.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/VotingLock.java
@@ -8,21 +8,23 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Two processes of one proxy, as in an upgrade or by mistake, are one voter and one candidate: the one that has this lock. The
- * system gives it back when a process ends, however it ends, and keeps it for one that is stopped, which may go on to vote.
+ * A file lock that makes one process the voter and candidate of a proxy, when an upgrade or a mistake runs two
+ * processes of the same proxy. The operating system releases the lock however the process ends, and keeps it while the
+ * process is only stopped, because a stopped process may resume voting.
  */
 final class VotingLock implements AutoCloseable {
 
     private final FileChannel file;
     private FileLock lock;
 
-    /** The lock of the proxy whose peers reach it there, in this directory. */
-    VotingLock(Path directory, InetSocketAddress peers) throws IOException {
-        file = FileChannel.open(directory.resolve("ridgemill-" + peers.getAddress().getHostAddress().replace(':', '_') + "-"
-                + peers.getPort() + ".voter"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    /** Opens the lock file in this directory for the proxy that its peers reach at {@code peerAddress}. */
+    VotingLock(Path directory, InetSocketAddress peerAddress) throws IOException {
+        file = FileChannel.open(directory.resolve("ridgemill-" + peerAddress.getAddress().getHostAddress().replace(':',
+                '_') + "-"
+                + peerAddress.getPort() + ".voter"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Whether this process has it now. */
+    /** Tries to acquire the lock; returns whether this process holds it now. */
     boolean tryAcquire() throws IOException {
         if (lock == null) {
             lock = file.tryLock();
