--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseSettings.java
@@ -21,8 +21,8 @@
  * @param sharedProbing whether one proxy probes unreachable nodes for all
  */
 public record LeaseSettings(LeasePolicy policy, int version, List<InetSocketAddress> members,
-        List<InetSocketAddress> previousMembers, int maxVoters,
-                            Map<String, Call> calls, boolean sharedProbing) {
+                            List<InetSocketAddress> previousMembers, int maxVoters, Map<String, Call> calls,
+                            boolean sharedProbing) {
 
     /**
      * A task that makes HTTP calls.
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutService.java
@@ -22,34 +22,35 @@
 import ridgemill.rollout.RolloutWire;
 
 /**
- * One proxy's part in rolls. What it decides is {@link Rollout}'s and {@link Quarantine}'s; this has the datagrams, the lease, and the file,
- * which is looked at and taken elsewhere than on the loop. All calls are on the loop but where it is said.
+ * One proxy's part in rollouts. {@link Rollout} and {@link Quarantine} make the decisions; this class transfers the
+ * datagrams, holds the lease and passes on the file, which is validated and applied outside of the event loop. All
+ * methods must be called on the event loop unless stated otherwise.
  */
 public final class RolloutService implements LeaseService.LeasedTask, Rollout.Callbacks {
 
-    /** The lease's name. */
+    /** Name of the lease. */
     public static final String LEASE = "roll";
-    /** What telling may take, from the look at the clock to the last datagram. */
+    /** Duration of the permit to send: from reading the clock to the last datagram. */
     private static final double SEND_PERMIT_MS = 50;
-    /** Who was answered within so long has its place in a roll. */
+    /** A proxy that received a reply of the coordinator within this time takes part in the rollout. */
     private static final double COORDINATED_WITHIN_MS = 5000;
 
-    /** What becomes of texts; both answer anywhere. */
+    /** Validates and applies operator file texts; the results may complete on any thread. */
     public interface FileHandler {
 
-        /** Looks at a text that came: its number and meaning, or what is wrong with it. */
+        /** Validates a received text; returns its version and digest, or the problem with it. */
         CompletionStage<Validation> validate(String shared);
 
         /**
-         * Has this proxy act under a text that was found good.
+         * Applies a valid text to this proxy.
          *
-         * @param may asked on the loop, in the same turn in which it takes effect; false for too late
-         * @return what was wrong; empty where it acts under it now
+         * @param mayApply called on the event loop in the turn in which the text takes effect; false if it is too late
+         * @return the problem; empty if the text is now in effect
          */
-        CompletionStage<String> apply(String shared, BooleanSupplier may, String cause);
+        CompletionStage<String> apply(String shared, BooleanSupplier mayApply, String cause);
     }
 
-    /** What a text was found to be; {@code problem} is empty for a good one. */
+    /** The result of validating a text; {@code problem} is empty if it is valid. */
     public record Validation(FileVersion version, String problem) { }
 
     private final EventLoop loop;
@@ -64,31 +65,38 @@
     private Quarantine.Reason lastReason = Quarantine.Reason.IN;
     private long changes;
 
-    /** {@code members} are the lease's numbers of all proxies, in the order of the platform's peers; {@code self} is this one's place. */
-    public RolloutService(EventLoop loop, LeaseService leases, AuditService audit, Supplier<RequestCounters> tally, RolloutSettings settings, List<Integer> members,
-                          int self, FileHandler files) {
+    /**
+     * Registers the task with the leases.
+     *
+     * @param members member ids of all proxies in leases, in the order of the platform's peers
+     * @param self index of this proxy among them
+     */
+    public RolloutService(EventLoop loop, LeaseService leases, AuditService audit,
+                          Supplier<RequestCounters> requestCounters, RolloutSettings settings, List<Integer> members,
+                          int self, FileHandler fileHandler) {
         this.loop = loop;
         this.leases = leases;
         this.audit = audit;
-        this.requestCounters = tally;
-        this.fileHandler = files;
+        this.requestCounters = requestCounters;
+        this.fileHandler = fileHandler;
         this.memberIds = List.copyOf(members);
         for (int i = 0; i < members.size(); i++) {
             this.indexByMember.put(members.get(i), i);
         }
-        this.rollout = new Rollout(self, members.size(), audit.history().incarnation(), leases.now(), settings.policy(), this);
+        this.rollout = new Rollout(self, members.size(), audit.history().incarnation(), leases.now(), settings.policy(),
+                this);
         this.quarantine = new Quarantine(self, members.size(), leases.now(), settings.quarantineLimits());
         audit.setOutOfService(this::isOutOfService);
         leases.setOutOfService(this::isOutOfService);
         leases.register(LEASE, this);
     }
 
-    /** This proxy acts under a file whose shared text this is. */
-    public void setInEffect(FileFingerprint stamp, String shared) {
-        rollout.setInEffect(stamp, shared);
+    /** Sets the file that is in effect in this proxy, and the shared part of its text. */
+    public void setInEffect(FileFingerprint fingerprint, String shared) {
+        rollout.setInEffect(fingerprint, shared);
     }
 
-    /** What this proxy acts under, as it goes from proxy to proxy. */
+    /** Returns the shared part of the text that is in effect in this proxy. */
     public String textInEffect() {
         return rollout.textInEffect();
     }
@@ -100,14 +108,14 @@
 
     @Override
     public double tick(double now, boolean holds) {
-        boolean led = rollout.isCoordinated(now, COORDINATED_WITHIN_MS);
-        quarantine.update(now, versionInEffect(), audit.others(), led);
+        boolean coordinated = rollout.isCoordinated(now, COORDINATED_WITHIN_MS);
+        quarantine.update(now, versionInEffect(), audit.others(), coordinated);
         if (quarantine.reason() != lastReason) {
             lastReason = quarantine.reason();
             changes++;
             Log.info("fleet: this proxy is " + (isOutOfService() ? "out" : "in") + ": " + lastReason);
         }
-        return rollout.tick(now, holds, voterIndexes(), quarantine.differsFromFleet() && !led);
+        return rollout.tick(now, holds, voterIndexes(), quarantine.differsFromFleet() && !coordinated);
     }
 
     private boolean isLagging(double now) {
@@ -122,51 +130,54 @@
     public void datagramReceived(double now, int member, byte[] datagram) {
         Integer from = indexByMember.get(member);
         if (from != null) {
-            RolloutWire.decode(datagram).ifPresent(word -> rollout.receive(now, from, word, isLagging(now)));
+            RolloutWire.decode(datagram).ifPresent(message -> rollout.receive(now, from, message, isLagging(now)));
         }
     }
 
     @Override
     public long term() {
-        // Taken and given back at once: what is told is one datagram, whose age its reader checks.
+        // Returned at once: the message is one datagram, whose age the receiver checks.
         Optional<Permit> permit = leases.permit(LEASE, SEND_PERMIT_MS);
         permit.ifPresent(leases::permitDone);
         return permit.map(Permit::term).orElse(0L);
     }
 
     @Override
-    public void sendMessage(int to, RolloutMessage word) {
-        leases.sendToMember(memberIds.get(to), RolloutWire.encode(word));
+    public void sendMessage(int to, RolloutMessage message) {
+        leases.sendToMember(memberIds.get(to), RolloutWire.encode(message));
     }
 
     @Override
-    public void validate(FileFingerprint stamp, String text) {
-        fileHandler.validate(text).whenComplete((found, failed) -> loop.execute(() -> {
-            String problem = failed != null ? "fault: " + failed.getMessage() : !found.problem().isEmpty() ? found.problem()
-                    : stamp.matches(found.version()) ? "" : "says that it is " + found.version().text() + " and not " + stamp.text();
+    public void validate(FileFingerprint fingerprint, String text) {
+        fileHandler.validate(text).whenComplete((validation, failure) -> loop.execute(() -> {
+            String problem = failure != null ? "fault: " + failure.getMessage()
+                    : !validation.problem().isEmpty() ? validation.problem()
+                    : fingerprint.matches(validation.version()) ? ""
+                    : "says that it is " + validation.version().text() + " and not " + fingerprint.text();
             if (!problem.isEmpty()) {
-                audit.fileRefused(stamp.number(), problem);
+                audit.fileRefused(fingerprint.number(), problem);
             }
-            rollout.validated(leases.now(), stamp, problem);
+            rollout.validated(leases.now(), fingerprint, problem);
         }));
     }
 
     @Override
-    public void apply(FileFingerprint stamp, String text, double byMs, long term) {
+    public void apply(FileFingerprint fingerprint, String text, double deadlineMs, long term) {
         boolean[] late = {false};
         fileHandler.apply(text, () -> {
-            late[0] = leases.now() > byMs;
+            late[0] = leases.now() > deadlineMs;
             return !late[0];
-        }, term > 0 ? "roll, term " + term : "brought up by others").whenComplete((said, failed) -> loop.execute(() -> {
-            String problem = failed != null ? "fault: " + failed.getMessage() : said;
+        }, term > 0 ? "roll, term " + term : "brought up by others").whenComplete((reply, failure) ->
+                loop.execute(() -> {
+            String problem = failure != null ? "fault: " + failure.getMessage() : reply;
             changes += problem.isEmpty() ? 1 : 0;
-            rollout.applied(leases.now(), stamp, problem, late[0]);
+            rollout.applied(leases.now(), fingerprint, problem, late[0]);
         }));
     }
 
     @Override
-    public void notifyOperators(String words) {
-        Log.info("roll: " + words);
+    public void notifyOperators(String message) {
+        Log.info("rollout: " + message);
     }
 
     @Override
@@ -181,30 +192,36 @@
 
     @Override
     public Rollout.Counts counts() {
-        RequestCounters t = requestCounters.get();
-        return new Rollout.Counts((int) t.served(), (int) (t.served() + t.refused() + t.failed()));
+        RequestCounters counters = requestCounters.get();
+        return new Rollout.Counts((int) counters.served(),
+                (int) (counters.served() + counters.refused() + counters.failed()));
     }
 
-    /** Begins a roll of a text that was found good, as was the way back; returns what came of it, in words. */
-    public String begin(FileFingerprint target, String targetText, FileFingerprint back, String backText) {
-        return leases.isVoter(LEASE) ? rollout.begin(target, targetText, back, backText)
+    /**
+     * Starts a rollout of a valid text; {@code rollback} is the valid text for a rollback. Returns a reply for the
+     * operator.
+     */
+    public String begin(FileFingerprint target, String targetText, FileFingerprint rollback, String rollbackText) {
+        return leases.isVoter(LEASE) ? rollout.begin(target, targetText, rollback, rollbackText)
                 : "no: this proxy can't hold the lease; ask one of " + leases.votersText(LEASE);
     }
 
-    /** Has the roll that is conducted here go back; returns what came of it, in words. */
+    /** Rolls back the rollout that this proxy coordinates. Returns a reply for the operator. */
     public String rollBack() {
         return rollout.rollBack();
     }
 
-    /** How it goes, in words. */
+    /** Describes the state of the rollout and of this proxy for operators. */
     public List<String> describe() {
         List<String> lines = new ArrayList<>(rollout.explain());
-        lines.add("this proxy acts under " + versionInEffect().text() + " and is " + (isOutOfService() ? "OUT" : "in") + ": " + quarantine.reason());
+        lines.add("this proxy acts under " + versionInEffect().text() + " and is " + (isOutOfService() ? "OUT" : "in")
+                + ": " + quarantine.reason());
         return lines;
     }
 
-    /** Counts for the console. */
+    /** Returns the metrics for the console by name. */
     public Map<String, Long> metrics() {
-        return Map.of("fleet_out", isOutOfService() ? 1L : 0L, "fleet_changes", changes, "roll_open", rollout.isInProgress() ? 1L : 0L);
+        return Map.of("fleet_out", isOutOfService() ? 1L : 0L, "fleet_changes", changes,
+                "roll_open", rollout.isInProgress() ? 1L : 0L);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutSettings.java
@@ -4,9 +4,9 @@
 import ridgemill.rollout.RolloutPolicy;
 
 /**
- * What an operator file says of taking versions through the fleet.
+ * The settings of an operator file for rollouts.
  *
- * @param policy how a roll goes
- * @param quarantineLimits when this proxy steps aside
+ * @param policy how a rollout proceeds
+ * @param quarantineLimits when this proxy goes out of service
  */
 public record RolloutSettings(RolloutPolicy policy, Quarantine.Limits quarantineLimits) { }
--- a/gateway/src/main/java/ridgemill/gateway/rollout/RolloutText.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/RolloutText.java
@@ -5,8 +5,8 @@
 import ridgemill.version.EffectiveVersion;
 
 /**
- * An operator file's text as it goes from proxy to proxy: without the sections that are each proxy's own, which stay where they are.
- * A section begins at its header's line and ends before the next header's.
+ * Splits the text of an operator file into the part that rollouts send to all proxies and the sections that are local
+ * to one proxy. A section starts at the line of its header and ends before the next header.
  */
 public final class RolloutText {
 
@@ -15,46 +15,50 @@
 
     private RolloutText() { }
 
-    /** What is the same for all proxies. */
+    /** Returns the part of the text that is the same for all proxies. */
     public static String sharedPart(String text) {
         return part(text, false);
     }
 
-    /** What is this proxy's own. */
+    /** Returns the sections that are local to this proxy. */
     public static String localPart(String text) {
         return part(text, true);
     }
 
-    private static String part(String text, boolean own) {
+    private static String part(String text, boolean local) {
         StringBuilder part = new StringBuilder();
-        boolean in = false;
+        boolean inLocalSection = false;
         for (String line : text.split("\\R", -1)) {
             Matcher header = HEADER.matcher(line);
             if (header.matches()) {
-                in = EffectiveVersion.LOCAL_SECTIONS.contains(header.group(1));
+                inLocalSection = EffectiveVersion.LOCAL_SECTIONS.contains(header.group(1));
             }
-            if (in == own && !(line.isEmpty() && part.isEmpty())) {
+            if (inLocalSection == local && !(line.isEmpty() && part.isEmpty())) {
                 part.append(line).append('\n');
             }
         }
         return part.toString().stripTrailing() + "\n";
     }
 
-    /** A text that came, with what is this proxy's own. */
-    public static String join(String shared, String own) {
-        return own.isBlank() ? shared : shared + "\n" + own;
+    /** Joins a received shared part and the local sections of this proxy. */
+    public static String join(String shared, String local) {
+        return local.isBlank() ? shared : shared + "\n" + local;
     }
 
-    /** The same under another number; throws where the text has no line {@code version = N} before its first section. */
+    /**
+     * Returns the text with another version number.
+     *
+     * @throws IllegalArgumentException if the text has no line {@code version = N} before its first section
+     */
     public static String withVersion(String shared, int version) {
         StringBuilder text = new StringBuilder();
         boolean found = false;
         boolean inSection = false;
         for (String line : shared.split("\\R", -1)) {
             inSection |= HEADER.matcher(line).matches();
-            boolean here = !found && !inSection && VERSION.matcher(line).matches();
-            found |= here;
-            text.append(here ? "version = " + version : line).append('\n');
+            boolean isVersionLine = !found && !inSection && VERSION.matcher(line).matches();
+            found |= isVersionLine;
+            text.append(isVersionLine ? "version = " + version : line).append('\n');
         }
         if (!found) {
             throw new IllegalArgumentException("has no line \"version = N\" before its first section");
--- a/gateway/src/main/java/ridgemill/gateway/rollout/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/rollout/package-info.java
@@ -1,2 +1,5 @@
-/** Takes versions through the fleet, and steps aside: wired to the loop, the leases, the record of versions and operators' commands. */
+/**
+ * Rolls operator file versions out to the fleet and takes a diverging proxy out of service: connects the decisions to
+ * the event loop, the leases, the version history and the commands of operators.
+ */
 package ridgemill.gateway.rollout;
--- a/gateway/src/main/java/ridgemill/gateway/succession/ServingProcessFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/succession/ServingProcessFile.java
@@ -11,12 +11,13 @@
 import ridgemill.gateway.net.Log;
 
 /**
- * A file that says which process serves at an address: the last one that became ready there. It is put in place whole; one that
- * can't be read or written, or makes no sense, says nothing, and each process then acts as if it were alone.
+ * A state file with the id of the process that serves at an address: the last one that became ready there. The file is
+ * replaced atomically. If it cannot be read or written, or its content is invalid, each process behaves as if it were
+ * the only one.
  */
 public final class ServingProcessFile {
 
-    /** Longer than any process id with its line. */
+    /** Longer than any process id with its line end. */
     private static final int MAX_BYTES = 32;
 
     private final Path file;
@@ -25,32 +26,33 @@
         this.file = file;
     }
 
-    /** The mark of an address, in the process's temporary directory. */
+    /** Returns the file for an address in the shared directory. */
     public static ServingProcessFile of(InetSocketAddress address) {
         return in(sharedDirectory(), address);
     }
 
-    /** The process's temporary directory, which the processes of one proxy share. */
+    /** Returns the temporary directory, which the processes of one proxy share. */
     public static Path sharedDirectory() {
         String directory = System.getenv("TMPDIR");
         return Path.of(directory == null || directory.isEmpty() ? System.getProperty("java.io.tmpdir") : directory);
     }
 
-    /** The mark of an address in a directory. */
+    /** Returns the file for an address in a directory. */
     public static ServingProcessFile in(Path directory, InetSocketAddress address) {
-        return new ServingProcessFile(directory.resolve("ridgemill-" + address.getAddress().getHostAddress().replace(':', '_') + "-"
+        return new ServingProcessFile(directory.resolve("ridgemill-" + address.getAddress().getHostAddress()
+                .replace(':', '_') + "-"
                 + address.getPort() + ".serving"));
     }
 
-    /** This process serves from now on. */
+    /** Records that this process serves from now on. */
     public void recordThisProcess() {
-        Path next = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
+        Path temporary = file.resolveSibling(file.getFileName() + "." + ProcessHandle.current().pid());
         try {
-            Files.writeString(next, ProcessHandle.current().pid() + "\n");
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(temporary, ProcessHandle.current().pid() + "\n");
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            Log.info("no mark of who serves, an upgrade will be taken for a restart: " + e);
-            delete(next);
+            Log.info("cannot write the serving process file, an upgrade will be treated as a restart: " + e);
+            delete(temporary);
         }
     }
 
@@ -62,15 +64,16 @@
         }
     }
 
-    /** Another process that lives and was the last to serve; empty where there is none. */
+    /** Returns the process in the file if it is alive and not this one; empty otherwise. */
     public Optional<ProcessHandle> otherProcess() {
         try (var in = Files.newInputStream(file)) {
             String text = new String(in.readNBytes(MAX_BYTES), StandardCharsets.US_ASCII).trim();
-            return ProcessHandle.of(Long.parseLong(text)).filter(p -> p.pid() != ProcessHandle.current().pid() && p.isAlive());
+            return ProcessHandle.of(Long.parseLong(text)).filter(p -> p.pid() != ProcessHandle.current().pid()
+                    && p.isAlive());
         } catch (NoSuchFileException e) {
             return Optional.empty();
         } catch (IOException | NumberFormatException e) {
-            Log.info("the mark of who serves can't be read: " + e);
+            Log.info("cannot read the serving process file: " + e);
             return Optional.empty();
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/succession/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/succession/package-info.java
@@ -1,2 +1,4 @@
-/** What two processes of one proxy leave each other in the temporary directory. Not loaded without a console. */
+/**
+ * Files in the temporary directory by which the processes of one proxy find each other. Not loaded without a console.
+ */
 package ridgemill.gateway.succession;
--- a/gateway/src/test/java/ridgemill/gateway/rollout/RolloutTextTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/rollout/RolloutTextTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What of a file goes from proxy to proxy, and what stays where it is. */
+/** Splits an operator file into the part for all proxies and the local sections of one proxy. */
 class RolloutTextTest {
 
     private static final String FILE = """
@@ -22,7 +22,7 @@
             """;
 
     @Test
-    void whatIsEachProxysOwnStays() {
+    void localSectionsAreSplitOff() {
         assertEquals("""
                 version = 7 # the seventh
                 [audit]
@@ -40,16 +40,17 @@
     }
 
     @Test
-    void takenApartAndPutTogetherItIsTheSame() {
-        String again = RolloutText.join(RolloutText.sharedPart(FILE), RolloutText.localPart(FILE));
-        assertEquals(RolloutText.sharedPart(FILE), RolloutText.sharedPart(again));
-        assertEquals(RolloutText.localPart(FILE), RolloutText.localPart(again));
+    void splittingAndJoiningKeepsBothParts() {
+        String joined = RolloutText.join(RolloutText.sharedPart(FILE), RolloutText.localPart(FILE));
+        assertEquals(RolloutText.sharedPart(FILE), RolloutText.sharedPart(joined));
+        assertEquals(RolloutText.localPart(FILE), RolloutText.localPart(joined));
         assertEquals("a = 1\n", RolloutText.join("a = 1\n", "\n"));
     }
 
     @Test
-    void theNumberIsTheFilesOwnAndNoSections() {
-        assertEquals("version = 9\n[leases]\nversion = 3\n", RolloutText.withVersion("version = 4\n[leases]\nversion = 3\n", 9));
+    void onlyTheVersionOfTheFileIsReplaced() {
+        assertEquals("version = 9\n[leases]\nversion = 3\n",
+                RolloutText.withVersion("version = 4\n[leases]\nversion = 3\n", 9));
         assertThrows(IllegalArgumentException.class, () -> RolloutText.withVersion("[leases]\nversion = 3\n", 9));
     }
 }
