--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -86,7 +86,7 @@
      * @param send sends a datagram to the peer with this index
      */
     public AuditService(EventLoop loop, Timers timers, Config config, String build, long file, String digest,
-            boolean sendsVersion, BiConsumer<Integer, byte[]> send) {
+                        boolean sendsVersion, BiConsumer<Integer, byte[]> send) {
         this.loop = loop;
         this.timers = timers;
         this.peers = config.peerListen() == null ? List.of() : config.peers();
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterAuthenticator.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterAuthenticator.java
@@ -26,7 +26,7 @@
 import javax.net.ssl.SSLPeerUnverifiedException;
 import javax.net.ssl.SSLSession;
 
-/** What gateways prove to each other, by certificates or by a key that they share. */
+/** Authenticates gateways to each other, by certificates or by a shared key. */
 final class DatacenterAuthenticator {
 
     private static final String MAC_ALGORITHM = "HmacSHA256";
@@ -38,15 +38,17 @@
     private final SslContext serverContext;
     private final SslContext clientContext;
 
-    /** Reads the certificates, where there are any; throws where one can't be used. */
+    /** Reads the certificates, if TLS is used; throws if one is not usable. */
     DatacenterAuthenticator(DatacenterSecurity security) throws IOException {
         this.security = security;
         if (security instanceof DatacenterSecurity.Tls tls) {
             try {
-                serverContext = configure(SslContextBuilder.forServer(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
+                serverContext = configure(SslContextBuilder.forServer(tls.certificate().toFile(),
+                        tls.privateKey().toFile()), tls)
                         .clientAuth(ClientAuth.REQUIRE).build();
-                // Halls are known by their names in the certificate; addresses of gateways are not in it.
-                clientContext = configure(SslContextBuilder.forClient().keyManager(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
+                // The certificate holds the name of the datacenter, not the addresses of its gateways.
+                clientContext = configure(SslContextBuilder.forClient()
+                        .keyManager(tls.certificate().toFile(), tls.privateKey().toFile()), tls)
                         .endpointIdentificationAlgorithm(null).build();
             } catch (IllegalArgumentException e) {
                 throw new IOException("certificates of halls: " + e.getMessage(), e);
@@ -62,52 +64,57 @@
                 .ciphers(Http2SecurityUtil.CIPHERS, SupportedCipherSuiteFilter.INSTANCE)
                 .applicationProtocolConfig(new ApplicationProtocolConfig(ApplicationProtocolConfig.Protocol.ALPN,
                         ApplicationProtocolConfig.SelectorFailureBehavior.NO_ADVERTISE,
-                        ApplicationProtocolConfig.SelectedListenerFailureBehavior.ACCEPT, ApplicationProtocolNames.HTTP_2));
+                        ApplicationProtocolConfig.SelectedListenerFailureBehavior.ACCEPT,
+                        ApplicationProtocolNames.HTTP_2));
     }
 
-    /** For connections that come; null without TLS. */
+    /** Returns the TLS context for incoming connections; null without TLS. */
     SslContext serverContext() {
         return serverContext;
     }
 
-    /** For connections that go; null without TLS. */
+    /** Returns the TLS context for outgoing connections; null without TLS. */
     SslContext clientContext() {
         return clientContext;
     }
 
-    /** Whether each side must prove that it has the key. */
+    /** Whether each side must prove that it has the shared key. */
     boolean usesSharedKey() {
         return security instanceof DatacenterSecurity.SharedKey;
     }
 
-    /** A number that nobody had before. */
+    /** Returns a new random nonce. */
     String nonce() {
         byte[] bytes = new byte[NONCE_BYTES];
         random.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
     }
 
-    /** What only one with the key can say of these; {@code role} keeps an answer from being sent back as a question's. */
-    String proof(String role, String... about) {
+    /**
+     * Returns an authentication code of these texts, or an empty text without a shared key. The {@code role} prevents
+     * that the proof of the answering side is reflected as the proof of the asking side.
+     */
+    String proof(String role, String... texts) {
         if (!(security instanceof DatacenterSecurity.SharedKey shared)) {
             return "";
         }
         try {
             Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(new SecretKeySpec(shared.key(), MAC_ALGORITHM));
-            // No part holds a line's end, so no two lists read alike.
-            return HexFormat.of().formatHex(mac.doFinal((role + "\n" + String.join("\n", about)).getBytes(StandardCharsets.UTF_8)));
+            // No text contains a line end, so different lists never give the same input.
+            return HexFormat.of().formatHex(mac.doFinal((role + "\n" + String.join("\n", texts))
+                    .getBytes(StandardCharsets.UTF_8)));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("this Java machine has no " + MAC_ALGORITHM, e);
+            throw new IllegalStateException("the Java runtime does not support " + MAC_ALGORITHM, e);
         }
     }
 
-    /** Whether a proof is the one expected; takes as long whatever it is. */
+    /** Compares a proof with the expected one in constant time. */
     static boolean constantTimeEquals(String proof, String expected) {
         return MessageDigest.isEqual(proof.getBytes(StandardCharsets.UTF_8), expected.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The names that the other side's certificate has; empty where it has shown none. */
+    /** Returns the common name and DNS names in the certificate of the other side; empty if it presented none. */
     static List<String> certificateNames(SSLSession session) {
         try {
             return certificateNames((X509Certificate) session.getPeerCertificates()[0]);
@@ -116,7 +123,8 @@
         }
     }
 
-    private static List<String> certificateNames(X509Certificate certificate) throws CertificateParsingException, InvalidNameException {
+    private static List<String> certificateNames(X509Certificate certificate) throws CertificateParsingException,
+                                                 InvalidNameException {
         List<String> names = new ArrayList<>();
         for (Rdn rdn : new LdapName(certificate.getSubjectX500Principal().getName()).getRdns()) {
             if (rdn.getType().equalsIgnoreCase("CN")) {
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterConnection.java
@@ -17,28 +17,28 @@
 import io.netty.handler.codec.http2.Http2ResetFrame;
 import io.netty.util.ReferenceCountUtil;
 
-/** What both ends of a connection between gateways do: windows, writes that are gathered, and frames by their kind. */
+/** The common part of both ends of a connection between gateways: flow control, batched writes, dispatch of frames. */
 abstract class DatacenterConnection extends Http2ChannelDuplexHandler {
 
     /**
-     * By how much more than HTTP/2's 64 KiB may be under way on one connection (RFC 9113, section 6.9.2): with a round trip of
-     * 40 ms those alone would hold all answers together to 1.6 MB/s.
+     * Enlarges the connection window beyond the initial 64 KiB of HTTP/2 (RFC 9113, section 6.9.2), which would limit
+     * all responses together to 1.6 MB/s at a round trip of 40 ms.
      */
     private static final int EXTRA_WINDOW_BYTES = 8 * 1024 * 1024;
 
     private ChannelHandlerContext context;
     private boolean flushing;
 
-    /** A message's head. */
+    /** Handles the headers of a message, or its trailers. */
     abstract void headers(Http2HeadersFrame frame);
 
-    /** A part of a body, whose room in the windows is given back already. */
+    /** Handles a part of a body; its bytes were already returned to the flow control window. */
     abstract void data(Http2DataFrame frame);
 
-    /** The other side has ended a stream. */
+    /** Handles the reset of a stream by the other side. */
     abstract void reset(Http2ResetFrame frame);
 
-    /** The other side takes no further streams. */
+    /** Handles the announcement that the other side accepts no further streams. */
     void goAway(Http2GoAwayFrame frame) { }
 
     @Override
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Writes a whole message and releases its body, which may be null; the future is of its last byte. */
+    /** Writes a whole message and releases its body, which may be null; the future completes with its last byte. */
     final ChannelFuture send(Http2FrameStream stream, Http2Headers headers, ByteBuf body) {
         if (body == null || !body.isReadable()) {
             ReferenceCountUtil.release(body);
@@ -80,12 +80,12 @@
         return write(new DefaultHttp2DataFrame(body, true).stream(stream));
     }
 
-    /** Ends a stream for the other side. */
-    final void resetStream(Http2FrameStream stream, Http2Error why) {
-        write(new DefaultHttp2ResetFrame(why).stream(stream));
+    /** Resets a stream. */
+    final void resetStream(Http2FrameStream stream, Http2Error error) {
+        write(new DefaultHttp2ResetFrame(error).stream(stream));
     }
 
-    /** Flushed once for all that is written in one turn of the loop. */
+    /** Writes a frame; all frames written in one turn of the event loop are flushed together. */
     final ChannelFuture write(Object frame) {
         ChannelFuture written = context.write(frame);
         if (!flushing) {
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
@@ -43,14 +43,17 @@
 import ridgemill.policy.Router.ServiceClass;
 
 /**
- * Carries out what {@link DatacenterRouter} decides: hands requests to this hall's nodes or to a link, and gives each its one final
- * answer. All of it runs on the loop.
+ * Carries out the decisions of {@link DatacenterRouter}: passes requests to the nodes of this datacenter or to a link,
+ * and gives each request exactly one final response. All methods must be called on the event loop.
  */
 public final class DatacenterForwarder implements RequestForwarder<Content> {
 
-    /** The least that is kept for the other hall's answer, so that it is under way when its time there is up. */
+    /**
+     * Least time reserved for the way back, so that the other datacenter responds before the time of the request ends
+     * here.
+     */
     private static final double MIN_RESERVE_MS = 2;
-    /** For how long other halls are asked what a key came to. */
+    /** How long other datacenters are queried for the outcome of an idempotency key. */
     private static final double OUTCOME_QUERY_TIMEOUT_MS = 250;
 
     private final EventLoop loop;
@@ -63,24 +66,26 @@
     private final long seed;
     private final Map<String, DatacenterLink> links = new HashMap<>();
     private final Map<String, PendingRequest> openRequests = new HashMap<>();
-    /** Where requests of other halls were, until they come through here. */
+    /** Requests of other datacenters by id, until the intake submits them here. */
     private final Map<String, RemoteRequest> remoteRequests = new HashMap<>();
     private final RequestCounters counters = new RequestCounters();
     private DatacenterSettings settings;
     private int requestsAwayFromHome;
 
-    /** A request of another hall: where it was, and, once it has come through here, what becomes of it. */
+    /** A request of another datacenter: its path so far and, once it is submitted here, its routing state. */
     static final class RemoteRequest {
         DatacenterPath path;
         RoutedRequest routed;
     }
 
     /**
-     * Puts it in the way of all requests; to be called on the loop.
+     * Creates the forwarder and installs it at the intake, so that all requests pass through it.
      *
-     * @param level the decisions' level of throttling, which other halls are told
+     * @param throttlingLevel returns the throttling level of the routing policy, which is sent to other datacenters
+     * @throws IOException if the certificates are not usable
      */
-    public DatacenterForwarder(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterSettings settings, IntSupplier level, long seed)
+    public DatacenterForwarder(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterSettings settings,
+                               IntSupplier throttlingLevel, long seed)
             throws IOException {
         this.loop = loop;
         this.timers = timers;
@@ -90,19 +95,20 @@
         this.seed = seed;
         this.authenticator = new DatacenterAuthenticator(settings.security());
         this.router = new DatacenterRouter(settings.policy(), timers.now());
-        this.server = new DatacenterServer(loop, timers, intake, this, router, authenticator, level);
+        this.server = new DatacenterServer(loop, timers, intake, this, router, authenticator, throttlingLevel);
         intake.setForwarder(this);
         updateLinks();
     }
 
-    /** Starts to listen for other halls; not to be called before it is in the way. Null where none may come. */
+    /** Starts to listen for other datacenters, with this forwarder installed; returns null if none may connect. */
     public ChannelFuture listen() {
         return settings.listen() == null ? null : server.listen(settings.listen());
     }
 
     private void updateLinks() {
         settings.gatewayAddresses().forEach((name, address) -> links.computeIfAbsent(name, n -> {
-            DatacenterLink link = new DatacenterLink(loop, timers, settings.policy().datacenter(), name, settings.policy().datacenterOf(name), address, authenticator,
+            DatacenterLink link = new DatacenterLink(loop, timers, settings.policy().datacenter(), name,
+                    settings.policy().datacenterOf(name), address, authenticator,
                     router, seed);
             link.open();
             return link;
@@ -114,39 +120,40 @@
         }
     }
 
-    /** Other halls or other bounds hold from now on; its own name, address and proofs stay as they were. On the loop. */
+    /** Applies changed settings; the own name, listen address and security stay as they were. */
     public void applySettings(DatacenterSettings next) {
-        settings = new DatacenterSettings(settings.listen(), settings.security(), next.gatewayAddresses(), next.policy());
+        settings = new DatacenterSettings(settings.listen(), settings.security(), next.gatewayAddresses(),
+                next.policy());
         router.changeTo(next.policy(), timers.now());
         updateLinks();
     }
 
-    /** Whether this much of the settings can't change while the proxy runs. */
+    /** Whether other settings agree with the present ones in the parts that cannot change while the proxy runs. */
     public boolean hasSameFixedSettings(DatacenterSettings next) {
         return next != null && next.policy().datacenter().equals(settings.policy().datacenter())
                 && next.security().equals(settings.security()) && Objects.equals(next.listen(), settings.listen());
     }
 
-    /** Other halls are asked to send nothing more; on the loop. */
+    /** Announces to other datacenters that they should send no more requests. */
     public void announceLeaving() {
         server.announceLeaving();
     }
 
-    /** Nothing more is taken from other halls; on the loop. */
+    /** Stops accepting requests of other datacenters. */
     public void stop() {
         server.stop();
     }
 
-    /** How halls, links and classes are, a line each; on the loop. */
+    /** Describes the state of datacenters, links and classes, one line each. */
     public List<String> explain() {
         List<String> lines = new ArrayList<>(router.explain());
-        links.values().forEach(l -> lines.add(l.explain()));
+        links.values().forEach(link -> lines.add(link.explain()));
         lines.add(router.counts() + " expired=" + server.expired() + " out=" + requestsAwayFromHome);
         return lines;
     }
 
-    void addRemoteRequest(String id, RemoteRequest from) {
-        remoteRequests.put(id, from);
+    void addRemoteRequest(String id, RemoteRequest remote) {
+        remoteRequests.put(id, remote);
     }
 
     void removeRemoteRequest(String id) {
@@ -154,15 +161,17 @@
     }
 
     @Override
-    public void submit(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client) {
-        RemoteRequest from = remoteRequests.remove(in.id());
-        PendingRequest passage = new PendingRequest(home, service, in, command, client, from == null ? DatacenterPath.LOCAL : from.path);
-        if (from != null) {
-            from.routed = passage.routed;
+    public void submit(Dispatcher<Content> home, ServiceClass service, Request request, Command<Content> command,
+                       ResponseHandler<Content> client) {
+        RemoteRequest remote = remoteRequests.remove(request.id());
+        PendingRequest pending = new PendingRequest(home, service, request, command, client,
+                remote == null ? DatacenterPath.LOCAL : remote.path);
+        if (remote != null) {
+            remote.routed = pending.routed;
         }
-        openRequests.put(in.id(), passage);
+        openRequests.put(request.id(), pending);
         requestsAwayFromHome++;
-        passage.proceed(() -> router.requestArrived(timers.now(), passage.routed));
+        pending.proceed(() -> router.requestArrived(timers.now(), pending.routed));
     }
 
     @Override
@@ -172,50 +181,50 @@
 
     @Override
     public boolean clientGone(String id) {
-        PendingRequest passage = openRequests.get(id);
-        if (passage == null) {
+        PendingRequest pending = openRequests.get(id);
+        if (pending == null) {
             return false;
         }
-        passage.clientGone();
+        pending.clientGone();
         return true;
     }
 
     @Override
     public boolean mayHaveRun(String id) {
-        PendingRequest passage = openRequests.get(id);
-        return passage != null && passage.mayHaveRun();
+        PendingRequest pending = openRequests.get(id);
+        return pending != null && pending.mayHaveRun();
     }
 
     @Override
     public boolean answerNow(String id) {
-        PendingRequest passage = openRequests.get(id);
-        if (passage == null) {
+        PendingRequest pending = openRequests.get(id);
+        if (pending == null) {
             return false;
         }
-        passage.answerNow();
+        pending.answerNow();
         return true;
     }
 
     @Override
     public void findOutcome(String key, String tenant, Consumer<IdempotencyRecord> found) {
-        List<DatacenterLink> asked = List.copyOf(links.values());
-        if (asked.isEmpty()) {
+        List<DatacenterLink> queried = List.copyOf(links.values());
+        if (queried.isEmpty()) {
             found.accept(null);
             return;
         }
-        Set<DatacenterLink> silent = new HashSet<>(asked);
-        boolean[] told = {false};
-        Consumer<IdempotencyRecord> tell = known -> {
-            if (!told[0]) {
-                told[0] = true;
-                found.accept(known);
+        Set<DatacenterLink> unanswered = new HashSet<>(queried);
+        boolean[] completed = {false};
+        Consumer<IdempotencyRecord> complete = outcome -> {
+            if (!completed[0]) {
+                completed[0] = true;
+                found.accept(outcome);
             }
         };
-        timers.scheduleAt(timers.now() + OUTCOME_QUERY_TIMEOUT_MS, () -> tell.accept(null));
-        asked.forEach(link -> link.queryOutcome(key, tenant, known -> {
-            silent.remove(link);
-            if (known != null || silent.isEmpty()) {
-                tell.accept(known);
+        timers.scheduleAt(timers.now() + OUTCOME_QUERY_TIMEOUT_MS, () -> complete.accept(null));
+        queried.forEach(link -> link.queryOutcome(key, tenant, outcome -> {
+            unanswered.remove(link);
+            if (outcome != null || unanswered.isEmpty()) {
+                complete.accept(outcome);
             }
         }));
     }
@@ -230,7 +239,7 @@
         return counters;
     }
 
-    /** One request on its way. */
+    /** One request without a final response. */
     private final class PendingRequest implements ResponseHandler<Content> {
         private final Dispatcher<Content> homeDispatcher;
         private final Request request;
@@ -239,7 +248,10 @@
         private final RoutedRequest routed;
         private boolean atHome;
         private boolean finished;
-        /** How home counted it, and its answer, which is given if nobody else has one. */
+        /**
+         * The result that the home datacenter counted, and its response, which is used if no other datacenter gives
+         * one.
+         */
         private RequestCounters.RequestResult homeResult;
         private Runnable homeResponse = () -> { };
         private DatacenterLink.OutgoingCall outgoingCall = () -> { };
@@ -250,22 +262,25 @@
         private List<String> queriedGateways;
         private final Map<String, KeyStatus> keyStatuses = new HashMap<>();
 
-        PendingRequest(Dispatcher<Content> home, ServiceClass service, Request in, Command<Content> command, ResponseHandler<Content> client,
-                DatacenterPath trail) {
-            this.homeDispatcher = home;
-            this.request = in;
+        PendingRequest(Dispatcher<Content> homeDispatcher, ServiceClass service, Request request,
+                       Command<Content> command, ResponseHandler<Content> client, DatacenterPath path) {
+            this.homeDispatcher = homeDispatcher;
+            this.request = request;
             this.command = command;
             this.client = client;
-            this.routed = new RoutedRequest(in.id(), service, command.idempotencyKey(), in.retry(), trail,
-                    timers.now() + in.budgetMs());
+            this.routed = new RoutedRequest(request.id(), service, command.idempotencyKey(), request.retry(), path,
+                    timers.now() + request.budgetMs());
         }
 
-        /** Decides and goes on. A fault in a decision must not cost the request its answer, nor others theirs. */
+        /**
+         * Performs the next decision. An exception in it fails only this request, and the request still gets a
+         * response.
+         */
         void proceed(Supplier<Step> decision) {
             try {
                 perform(decision.get());
             } catch (RuntimeException e) {
-                Log.error("a decision between halls failed", e);
+                Log.error("a routing decision between datacenters failed", e);
                 requestsAwayFromHome += atHome ? 1 : 0;
                 atHome = false;
                 finish(RequestCounters.RequestResult.FAILED, client::failed);
@@ -273,14 +288,16 @@
         }
 
         private void perform(Step step) {
-            if (step instanceof DatacenterRouter.TryHome h) {
-                submitHome(h.reserveMs());
-            } else if (step instanceof DatacenterRouter.Forward a) {
-                forward(a);
-            } else if (step instanceof DatacenterRouter.QueryKey a) {
-                queryKey(a);
-            } else if (step instanceof DatacenterRouter.Refuse r) {
-                finish(RequestCounters.RequestResult.REFUSED, r.provenNotRun() ? () -> client.refused(r.retryAfterMs()) : () -> client.refusedMayHaveRun(r.retryAfterMs()));
+            if (step instanceof DatacenterRouter.TryHome tryHome) {
+                submitHome(tryHome.reserveMs());
+            } else if (step instanceof DatacenterRouter.Forward forward) {
+                forward(forward);
+            } else if (step instanceof DatacenterRouter.QueryKey query) {
+                queryKey(query);
+            } else if (step instanceof DatacenterRouter.Refuse refusal) {
+                finish(RequestCounters.RequestResult.REFUSED, refusal.provenNotRun()
+                        ? () -> client.refused(refusal.retryAfterMs())
+                        : () -> client.refusedMayHaveRun(refusal.retryAfterMs()));
             } else if (step instanceof DatacenterRouter.Fail) {
                 finish(RequestCounters.RequestResult.FAILED, client::failed);
             } else {
@@ -295,29 +312,35 @@
             homeDispatcher.submit(request.withBudget(left), command, this);
         }
 
-        private void forward(DatacenterRouter.Forward a) {
+        private void forward(DatacenterRouter.Forward forward) {
             forwarding = true;
-            DatacenterLink link = links.get(a.gateway());
-            double left = link == null ? 0 : a.timeoutMs() - link.minRoundTripMs() - reserveMs(a, link);
-            timings = deadlines.group("hall " + a.datacenter()).forClass(request.serviceClass());
-            if (link == null || timings.checkStage(RequestStage.CROSSING, timers.now(), left) != Verdict.GO || !DatacenterWire.fitsHeaders(command, request.serviceClass(), request.tenant())) {
+            DatacenterLink link = links.get(forward.gateway());
+            double left = link == null ? 0 : forward.timeoutMs() - link.minRoundTripMs() - reserveMs(forward, link);
+            timings = deadlines.group("hall " + forward.datacenter()).forClass(request.serviceClass());
+            if (link == null || timings.checkStage(RequestStage.CROSSING, timers.now(), left) != Verdict.GO
+                    || !DatacenterWire.fitsHeaders(command, request.serviceClass(), request.tenant())) {
                 loop.execute(() -> forwardEnded(Reply.of(ForwardOutcome.UNSENT)));
                 return;
             }
             forwardedAtMs = timers.now();
-            timer = timers.scheduleAt(forwardedAtMs + a.timeoutMs(), () -> {
+            timer = timers.scheduleAt(forwardedAtMs + forward.timeoutMs(), () -> {
                 outgoingCall.cancel();
                 forwardEnded(Reply.of(ForwardOutcome.LOST));
             });
-            outgoingCall = link.call(new DatacenterWire.Call(request.id(), left, request.serviceClass(), request.tenant(), request.retry(), request.workMs(),
+            outgoingCall = link.call(new DatacenterWire.Call(request.id(), left, request.serviceClass(),
+                    request.tenant(), request.retry(), request.workMs(),
                     routed.forwardedPath(settings.policy().datacenter()), command), this::forwardEnded);
         }
 
-        /** What is kept for the other hall's answer: by what round trips of late exceed the least that is taken off already. */
-        private double reserveMs(DatacenterRouter.Forward a, DatacenterLink link) {
-            ReturnDelay back = deadlines.returnDelay("hall " + a.datacenter());
-            back.record(link.excessRoundTripMs());
-            return Math.max(MIN_RESERVE_MS, back.reserveMs(a.timeoutMs(), deadlines.policy().maxReserveFraction()));
+        /**
+         * Returns the time reserved for the way back, from the recent round trips in excess of the minimum; the
+         * minimum itself is subtracted separately.
+         */
+        private double reserveMs(DatacenterRouter.Forward forward, DatacenterLink link) {
+            ReturnDelay returnDelay = deadlines.returnDelay("hall " + forward.datacenter());
+            returnDelay.record(link.excessRoundTripMs());
+            return Math.max(MIN_RESERVE_MS, returnDelay.reserveMs(forward.timeoutMs(),
+                    deadlines.policy().maxReserveFraction()));
         }
 
         private void forwardEnded(Reply reply) {
@@ -334,12 +357,14 @@
                     return;
                 }
                 timings.attemptAnswered(now, now - forwardedAtMs, false, false);
-                finish(RequestCounters.RequestResult.SERVED, () -> client.served(new NodeResponse<>(reply.content(), NodeResponse.NO_CACHE_STATUS)));
+                finish(RequestCounters.RequestResult.SERVED, () ->
+                        client.served(new NodeResponse<>(reply.content(), NodeResponse.NO_CACHE_STATUS)));
             } else if (reply.conflict()) {
                 router.forwardEnded(now, routed, ForwardOutcome.REFUSED, 0, reply.enteredDatacenters());
                 finish(RequestCounters.RequestResult.FAILED, client::conflict);
             } else {
-                proceed(() -> router.forwardEnded(timers.now(), routed, reply.outcome(), reply.retryAfterMs(), reply.enteredDatacenters()));
+                proceed(() -> router.forwardEnded(timers.now(), routed, reply.outcome(), reply.retryAfterMs(),
+                        reply.enteredDatacenters()));
             }
         }
 
@@ -351,13 +376,13 @@
             }
         }
 
-        private void queryKey(DatacenterRouter.QueryKey a) {
-            queriedGateways = a.gateways();
-            timer = timers.scheduleAt(timers.now() + a.timeoutMs(), this::keyQueryEnded);
+        private void queryKey(DatacenterRouter.QueryKey query) {
+            queriedGateways = query.gateways();
+            timer = timers.scheduleAt(timers.now() + query.timeoutMs(), this::keyQueryEnded);
             for (String gateway : queriedGateways) {
-                links.get(gateway).queryKey(routed.idempotencyKey(), routed.service().deduplicationWindowMs(), word -> {
+                links.get(gateway).queryKey(routed.idempotencyKey(), routed.service().deduplicationWindowMs(), status -> {
                     if (queriedGateways != null) {
-                        keyStatuses.put(gateway, word);
+                        keyStatuses.put(gateway, status);
                         if (keyStatuses.size() == queriedGateways.size()) {
                             keyQueryEnded();
                         }
@@ -370,10 +395,10 @@
             if (finished || queriedGateways == null) {
                 return;
             }
-            List<String> asked = queriedGateways;
+            List<String> queried = queriedGateways;
             queriedGateways = null;
             stopWaiting();
-            proceed(() -> router.keyStatusesReceived(timers.now(), routed, asked, keyStatuses));
+            proceed(() -> router.keyStatusesReceived(timers.now(), routed, queried, keyStatuses));
         }
 
         boolean mayHaveRun() {
@@ -382,11 +407,12 @@
         }
 
         void answerNow() {
-            boolean proven = !mayHaveRun();
-            boolean harmless = proven || routed.service().effect() == Effect.SAFE;
+            boolean provenNotRun = !mayHaveRun();
+            boolean safeToRefuse = provenNotRun || routed.service().effect() == Effect.SAFE;
             abandon();
-            finish(harmless ? RequestCounters.RequestResult.REFUSED : RequestCounters.RequestResult.FAILED, proven ? () -> client.refused(0)
-                    : harmless ? () -> client.refusedMayHaveRun(0) : client::failed);
+            finish(safeToRefuse ? RequestCounters.RequestResult.REFUSED : RequestCounters.RequestResult.FAILED,
+                    provenNotRun ? () -> client.refused(0)
+                    : safeToRefuse ? () -> client.refusedMayHaveRun(0) : client::failed);
         }
 
         void clientGone() {
@@ -396,7 +422,7 @@
 
         private void abandon() {
             if (atHome) {
-                // Home counts it and gives its place back.
+                // The home datacenter counts the request and frees its capacity.
                 homeDispatcher.clientGone(request.id());
                 router.homeEnded(timers.now(), routed, HomeOutcome.GONE, false);
                 homeResult = RequestCounters.RequestResult.GONE;
@@ -412,7 +438,7 @@
             }
         }
 
-        private void finish(RequestCounters.RequestResult end, Runnable answer) {
+        private void finish(RequestCounters.RequestResult result, Runnable response) {
             if (finished) {
                 return;
             }
@@ -423,36 +449,36 @@
             router.requestFinished(routed);
             if (homeResult == null) {
                 counters.requestStarted();
-                counters.requestEnded(request.serviceClass(), end);
+                counters.requestEnded(request.serviceClass(), result);
                 onFinished.accept(request.serviceClass());
-            } else if (homeResult != end) {
-                counters.changeResult(request.serviceClass(), homeResult, end);
+            } else if (homeResult != result) {
+                counters.changeResult(request.serviceClass(), homeResult, result);
             }
-            answer.run();
+            response.run();
         }
 
-        // What home says.
+        // Responses of the home datacenter.
 
-        private void homeEnded(HomeOutcome end, RequestCounters.RequestResult counted, Runnable answer) {
+        private void homeEnded(HomeOutcome outcome, RequestCounters.RequestResult result, Runnable response) {
             if (finished || !atHome) {
-                Log.info("halls: home answered " + request.id() + " twice");
+                Log.info("halls: second response of the home datacenter for " + request.id());
                 return;
             }
             atHome = false;
             requestsAwayFromHome++;
-            homeResult = counted;
-            homeResponse = answer;
-            proceed(() -> router.homeEnded(timers.now(), routed, end, !homeDispatcher.isOpen(request.id())));
+            homeResult = result;
+            homeResponse = response;
+            proceed(() -> router.homeEnded(timers.now(), routed, outcome, !homeDispatcher.isOpen(request.id())));
         }
 
         @Override
-        public void reason(Reason why) {
-            client.reason(why);
+        public void reason(Reason reason) {
+            client.reason(reason);
         }
 
         @Override
-        public void served(NodeResponse<Content> answer) {
-            homeEnded(HomeOutcome.SERVED, RequestCounters.RequestResult.SERVED, () -> client.served(answer));
+        public void served(NodeResponse<Content> response) {
+            homeEnded(HomeOutcome.SERVED, RequestCounters.RequestResult.SERVED, () -> client.served(response));
         }
 
         @Override
@@ -472,7 +498,8 @@
 
         @Override
         public void refusedMayHaveRun(double retryAfterMs) {
-            homeEnded(HomeOutcome.UNPROVEN, RequestCounters.RequestResult.REFUSED, () -> client.refusedMayHaveRun(retryAfterMs));
+            homeEnded(HomeOutcome.UNPROVEN, RequestCounters.RequestResult.REFUSED,
+                    () -> client.refusedMayHaveRun(retryAfterMs));
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSecurity.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSecurity.java
@@ -3,20 +3,23 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 
-/** How gateways of different halls know each other. */
+/** How gateways of different datacenters authenticate each other. */
 public sealed interface DatacenterSecurity {
 
     /**
-     * TLS with a certificate on both sides (RFC 8446). A certificate is a hall's if its subject's common name or one of its
-     * DNS names is the hall's name.
+     * Mutual TLS (RFC 8446). A certificate belongs to a datacenter if the common name of its subject or one of its DNS
+     * names is the name of the datacenter.
      *
-     * @param certificate of this hall and of those that vouch for it, in PEM
-     * @param privateKey of the certificate, PKCS #8 in PEM
-     * @param trust certificates that vouch for other halls, in PEM
+     * @param certificate certificate chain of this datacenter, in PEM
+     * @param privateKey private key of the certificate, PKCS #8 in PEM
+     * @param trust certificates of the issuers that are trusted for other datacenters, in PEM
      */
     record Tls(Path certificate, Path privateKey, Path trust) implements DatacenterSecurity { }
 
-    /** A key that all gateways have and prove to each other. What follows is neither hidden nor signed. */
+    /**
+     * A key that all gateways have and prove to each other on connecting. Later traffic is neither encrypted nor
+     * signed.
+     */
     record SharedKey(byte[] key) implements DatacenterSecurity {
 
         @Override
@@ -35,6 +38,6 @@
         }
     }
 
-    /** Nothing is proven: for links that are safe by other means. */
+    /** No authentication, for links that are secured by other means. */
     record Unauthenticated() implements DatacenterSecurity { }
 }
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
@@ -46,9 +46,9 @@
 import ridgemill.route.RouteQuery;
 
 /**
- * Takes other halls' requests in. Each goes the way of any request from here on, through the gate and the decisions, with
- * the time that its client has left; its answer says besides whether it may have run. Work for a gateway that has gone, or
- * that has left it, is stopped.
+ * Takes other halls' requests in. Each goes the way of any request from here on, through the gate and the decisions,
+ * with the time that its client has left; its answer says besides whether it may have run. Work for a gateway that has
+ * gone, or that has left it, is stopped.
  */
 final class DatacenterServer {
 
@@ -56,7 +56,10 @@
     private static final int MAX_STREAMS = 50_000;
     private static final int STREAM_WINDOW_BYTES = 128 * 1024;
     private static final long HANDSHAKE_TIMEOUT_MS = 2000;
-    /** Gateways ask for the state several times a second: one that does not is cut off, and its work goes on for nobody. */
+    /**
+     * Gateways ask for the state several times a second: one that does not is cut off, and its work goes on for
+     * nobody.
+     */
     private static final double IDLE_TIMEOUT_MS = 5000;
     private static final long IDLE_CHECK_INTERVAL_MS = 500;
 
@@ -73,15 +76,16 @@
     private boolean stopped;
     private long expired;
 
-    DatacenterServer(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterForwarder crossings, DatacenterRouter halls, DatacenterAuthenticator keys,
-              IntSupplier level) {
+    DatacenterServer(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterForwarder crossings,
+                     DatacenterRouter halls, DatacenterAuthenticator keys,
+              IntSupplier throttlingLevel) {
         this.loop = loop;
         this.timers = timers;
         this.intake = intake;
         this.forwarder = crossings;
         this.router = halls;
         this.authenticator = keys;
-        this.throttlingLevel = level;
+        this.throttlingLevel = throttlingLevel;
     }
 
     ChannelFuture listen(InetSocketAddress address) {
@@ -92,28 +96,31 @@
                     c.close();
                     return;
                 }
-                ServerConnection door = new ServerConnection(c);
-                connections.add(door);
+                ServerConnection connection = new ServerConnection(c);
+                connections.add(connection);
                 if (authenticator.serverContext() != null) {
                     c.pipeline().addLast(authenticator.serverContext().newHandler(c.alloc()));
                 }
                 c.pipeline().addLast(Http2FrameCodecBuilder.forServer().initialSettings(Http2Settings.defaultSettings()
-                        .maxConcurrentStreams(MAX_STREAMS).initialWindowSize(STREAM_WINDOW_BYTES).maxHeaderListSize(DatacenterWire.MAX_HEADER_LIST_BYTES))
-                        // Gateways are known, and cancel as often as clients leave them.
-                        .decoderEnforceMaxRstFramesPerWindow(0, 0).build(), door);
+                        .maxConcurrentStreams(MAX_STREAMS).initialWindowSize(STREAM_WINDOW_BYTES)
+                        .maxHeaderListSize(DatacenterWire.MAX_HEADER_LIST_BYTES))
+                        // No limit on resets: gateways are authenticated, and cancel a request whenever its client
+                        // disconnects.
+                        .decoderEnforceMaxRstFramesPerWindow(0, 0).build(), connection);
             }
         }).bind(address);
         listener = bound.channel();
-        loop.scheduleAtFixedRate(this::closeIdleConnections, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::closeIdleConnections, IDLE_CHECK_INTERVAL_MS, IDLE_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
         return bound;
     }
 
-    /** Other gateways are asked to send nothing more; what comes nevertheless is still taken. */
+    /** Announces to other gateways that they should send no more requests; requests that still arrive are accepted. */
     void announceLeaving() {
         leaving = true;
     }
 
-    /** Nothing more is taken; what is open is answered. */
+    /** Stops accepting connections and requests; open requests still get their responses. */
     void stop() {
         stopped = true;
         leaving = true;
@@ -123,16 +130,16 @@
         List.copyOf(connections).forEach(ServerConnection::goAway);
     }
 
-    /** Requests that were too old when they came. */
+    /** Returns the number of requests whose time was over when they arrived. */
     long expired() {
         return expired;
     }
 
     private void closeIdleConnections() {
         double now = timers.now();
-        List.copyOf(connections).stream().filter(d -> now - d.lastReadAt > IDLE_TIMEOUT_MS).forEach(d -> {
-            Log.info("halls: " + d.datacenter + " has gone silent");
-            d.channel.close();
+        List.copyOf(connections).stream().filter(c -> now - c.lastReadAt > IDLE_TIMEOUT_MS).forEach(c -> {
+            Log.info("halls: " + c.datacenter + " sends nothing any more; its connection is closed");
+            c.channel.close();
         });
     }
 
@@ -164,11 +171,12 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-            if (event instanceof SslHandshakeCompletionEvent shaken) {
-                if (shaken.isSuccess()) {
-                    certificateNames = DatacenterAuthenticator.certificateNames(ctx.pipeline().get(SslHandler.class).engine().getSession());
+            if (event instanceof SslHandshakeCompletionEvent handshake) {
+                if (handshake.isSuccess()) {
+                    certificateNames = DatacenterAuthenticator.certificateNames(ctx.pipeline().get(SslHandler.class)
+                            .engine().getSession());
                 } else {
-                    Log.info("halls: a gateway was not let in: " + shaken.cause().getMessage());
+                    Log.info("halls: a gateway was not let in: " + handshake.cause().getMessage());
                     ctx.close();
                 }
             }
@@ -182,14 +190,14 @@
         }
 
         @Override
-        void reset(Http2ResetFrame r) {
-            cancelled(r.stream());
+        void reset(Http2ResetFrame frame) {
+            cancelled(frame.stream());
         }
 
         private void cancelled(Http2FrameStream stream) {
-            IncomingRequest in = requests.remove(stream);
-            if (in != null) {
-                in.cancelled();
+            IncomingRequest request = requests.remove(stream);
+            if (request != null) {
+                request.cancelled();
             }
         }
 
@@ -197,17 +205,17 @@
         void headers(Http2HeadersFrame frame) {
             Http2Headers h = frame.headers();
             Http2FrameStream stream = frame.stream();
-            IncomingRequest known = requests.get(stream);
-            if (known != null) {
-                // Trailers.
+            IncomingRequest existing = requests.get(stream);
+            if (existing != null) {
+                // These are trailers.
                 if (frame.isEndStream()) {
-                    known.bodyCompleted();
+                    existing.bodyCompleted();
                 }
                 return;
             }
             String kind = String.valueOf(DatacenterWire.text(h, DatacenterWire.KIND));
-            double stamp = DatacenterWire.sentAt(h);
-            double excess = Double.isNaN(stamp) ? 0 : transitDelay.excessMs(stamp, timers.now());
+            double sentAtMs = DatacenterWire.sentAt(h);
+            double excessMs = Double.isNaN(sentAtMs) ? 0 : transitDelay.excessMs(sentAtMs, timers.now());
             if (datacenter == null) {
                 switch (kind) {
                     case DatacenterWire.HELLO -> hello(stream, h);
@@ -217,14 +225,15 @@
                 return;
             }
             switch (kind) {
-                case DatacenterWire.STATE -> respond(stream, DatacenterWire.gatewayState(router.gatewayState(throttlingLevel.getAsInt(), leaving)), null);
+                case DatacenterWire.STATE -> respond(stream,
+                        DatacenterWire.gatewayState(router.gatewayState(throttlingLevel.getAsInt(), leaving)), null);
                 case DatacenterWire.KEY -> answerKeyQuery(stream, h);
                 case DatacenterWire.OUTCOME -> answerOutcomeQuery(stream, h);
                 case DatacenterWire.CALL -> {
-                    IncomingRequest in = new IncomingRequest(this, stream, h, excess);
-                    requests.put(stream, in);
+                    IncomingRequest request = new IncomingRequest(this, stream, h, excessMs);
+                    requests.put(stream, request);
                     if (frame.isEndStream()) {
-                        in.bodyCompleted();
+                        request.bodyCompleted();
                     }
                 }
                 default -> respond(stream, DatacenterWire.rejected(400, false, false, 0, Set.of()), null);
@@ -238,7 +247,8 @@
                 refusePeer(stream, "it speaks version " + DatacenterWire.text(h, DatacenterWire.VERSION));
             } else if (name == null || nonce == null || !router.policy().gateways().containsKey(name)) {
                 refusePeer(stream, "no such hall: " + name);
-            } else if (authenticator.serverContext() != null && (certificateNames == null || !certificateNames.contains(name))) {
+            } else if (authenticator.serverContext() != null && (certificateNames == null
+                    || !certificateNames.contains(name))) {
                 refusePeer(stream, "its certificate is not of " + name);
             } else if (claimedDatacenter != null) {
                 refusePeer(stream, "it greeted twice");
@@ -249,14 +259,18 @@
                 if (!authenticator.usesSharedKey()) {
                     handshakeCompleted();
                 }
-                respond(stream, DatacenterWire.status(200).set(DatacenterWire.DATACENTER, router.policy().datacenter()).set(DatacenterWire.NONCE, ownNonce)
-                        .set(DatacenterWire.PROOF_VALUE, authenticator.proof("answer", name, router.policy().datacenter(), peerNonce, ownNonce)), null);
+                respond(stream, DatacenterWire.status(200).set(DatacenterWire.DATACENTER, router.policy().datacenter())
+                        .set(DatacenterWire.NONCE, ownNonce)
+                        .set(DatacenterWire.PROOF_VALUE, authenticator.proof("answer", name,
+                        router.policy().datacenter(), peerNonce, ownNonce)), null);
             }
         }
 
         private void proof(Http2FrameStream stream, Http2Headers h) {
-            String expected = claimedDatacenter == null ? "" : authenticator.proof("ask", claimedDatacenter, router.policy().datacenter(), peerNonce, ownNonce);
-            if (expected.isEmpty() || !DatacenterAuthenticator.constantTimeEquals(String.valueOf(DatacenterWire.text(h, DatacenterWire.PROOF_VALUE)), expected)) {
+            String expected = claimedDatacenter == null ? "" : authenticator.proof("ask", claimedDatacenter,
+                    router.policy().datacenter(), peerNonce, ownNonce);
+            if (expected.isEmpty() || !DatacenterAuthenticator.constantTimeEquals(String.valueOf(DatacenterWire.text(h,
+                    DatacenterWire.PROOF_VALUE)), expected)) {
                 refusePeer(stream, "it does not have the key");
                 return;
             }
@@ -269,16 +283,17 @@
             Log.info("halls: a gateway of " + datacenter + " is connected");
         }
 
-        /** One that is not known hears no more than that. */
-        private void refusePeer(Http2FrameStream stream, String why) {
-            Log.info("halls: a gateway was not let in: " + why);
+        /** Rejects a peer that is not authenticated; the reason is only logged and not sent. */
+        private void refusePeer(Http2FrameStream stream, String reason) {
+            Log.info("halls: a gateway was not let in: " + reason);
             respond(stream, DatacenterWire.rejected(403, false, false, 0, Set.of()), null);
             loop.execute(channel::close);
         }
 
         private void answerKeyQuery(Http2FrameStream stream, Http2Headers h) {
             try {
-                respond(stream, DatacenterWire.keyStatus(router.answerKeyQuery(timers.now(), DatacenterWire.queriedKey(h), datacenter, DatacenterWire.queriedWindowMs(h))), null);
+                respond(stream, DatacenterWire.keyStatus(router.answerKeyQuery(timers.now(),
+                        DatacenterWire.queriedKey(h), datacenter, DatacenterWire.queriedWindowMs(h))), null);
             } catch (WireException e) {
                 respond(stream, DatacenterWire.rejected(400, false, false, 0, Set.of()), null);
             }
@@ -286,20 +301,21 @@
 
         private void answerOutcomeQuery(Http2FrameStream stream, Http2Headers h) {
             try {
-                // What this hall's gateway knows by itself: whoever asks asks all.
-                respond(stream, DatacenterWire.idempotencyRecord(intake.findLocalOutcome(DatacenterWire.queriedKey(h), DatacenterWire.queriedTenant(h)), timers.now()), null);
+                // Only this gateway's own records: the asking gateway queries all others itself.
+                respond(stream, DatacenterWire.idempotencyRecord(intake.findLocalOutcome(DatacenterWire.queriedKey(h),
+                        DatacenterWire.queriedTenant(h)), timers.now()), null);
             } catch (WireException e) {
                 respond(stream, DatacenterWire.rejected(400, false, false, 0, Set.of()), null);
             }
         }
 
         @Override
-        void data(Http2DataFrame d) {
-            IncomingRequest in = requests.get(d.stream());
-            if (in != null) {
-                in.data(d.content());
-                if (d.isEndStream()) {
-                    in.bodyCompleted();
+        void data(Http2DataFrame frame) {
+            IncomingRequest request = requests.get(frame.stream());
+            if (request != null) {
+                request.data(frame.content());
+                if (frame.isEndStream()) {
+                    request.bodyCompleted();
                 }
             }
         }
@@ -319,29 +335,29 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
             connections.remove(this);
-            List<IncomingRequest> left = new ArrayList<>(requests.values());
+            List<IncomingRequest> cancelled = new ArrayList<>(requests.values());
             requests.clear();
-            left.forEach(IncomingRequest::cancelled);
+            cancelled.forEach(IncomingRequest::cancelled);
             super.channelInactive(ctx);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof Http2FrameStreamException s) {
-                cancelled(s.stream());
-                resetStream(s.stream(), s.error());
+            if (cause instanceof Http2FrameStreamException e) {
+                cancelled(e.stream());
+                resetStream(e.stream(), e.error());
             } else {
                 ctx.close();
             }
         }
     }
 
-    /** One request of another hall, until its answer. */
+    /** One request of another datacenter, until its response. */
     private final class IncomingRequest implements ResponseHandler<Content> {
         private final ServerConnection connection;
         private final Http2FrameStream stream;
         private final Http2Headers headers;
-        /** How much longer its head was on its way than the quickest of late, and when it was here. */
+        /** How much longer its headers were in transit than the fastest recent message, and when they arrived. */
         private final double excessMs;
         private final double receivedAtMs = timers.now();
         private final MessageBody body = new MessageBody();
@@ -349,9 +365,9 @@
         private String id;
         private boolean finished;
 
-        IncomingRequest(ServerConnection door, Http2FrameStream stream, Http2Headers headers, double excessMs) {
+        IncomingRequest(ServerConnection connection, Http2FrameStream stream, Http2Headers headers, double excessMs) {
             this.excessMs = excessMs;
-            this.connection = door;
+            this.connection = connection;
             this.stream = stream;
             this.headers = headers;
         }
@@ -381,8 +397,8 @@
             if (!call.path().datacenters().get(call.path().datacenters().size() - 1).equals(connection.datacenter)) {
                 throw new WireException("it does not come from where it says");
             }
-            double left = call.remainingMs() - excessMs - (timers.now() - receivedAtMs);
-            if (left <= 0) {
+            double remainingMs = call.remainingMs() - excessMs - (timers.now() - receivedAtMs);
+            if (remainingMs <= 0) {
                 expired++;
                 reject(503, false, 0);
                 return;
@@ -393,28 +409,32 @@
             }
             Command<Content> command = call.command();
             String path = Targets.path(command.target());
-            AdmissionController.Decision entry = intake.admit(new AdmissionController.AdmissionRequest(call.id(), new RouteQuery(headers.method().toString(), path, call.tenant(),
-                    name -> null), call.serviceClass(), call.retry(), command.content().bytes().readableBytes(), left));
-            if (entry instanceof AdmissionController.Rejected refuse) {
+            AdmissionController.Decision decision = intake.admit(new AdmissionController.AdmissionRequest(call.id(),
+                    new RouteQuery(headers.method().toString(), path, call.tenant(),
+                    name -> null), call.serviceClass(), call.retry(), command.content().bytes().readableBytes(),
+                    remainingMs));
+            if (decision instanceof AdmissionController.Rejected rejected) {
                 intake.countRejected(call.serviceClass());
-                reject(429, false, refuse.retryAfterMs());
-            } else if (entry instanceof AdmissionController.Admitted go) {
-                if (go.requiresIdempotencyKey(command.write()) && command.idempotencyKey() == null) {
-                    intake.withdraw(go, call.id());
+                reject(429, false, rejected.retryAfterMs());
+            } else if (decision instanceof AdmissionController.Admitted admitted) {
+                if (admitted.requiresIdempotencyKey(command.write()) && command.idempotencyKey() == null) {
+                    intake.withdraw(admitted, call.id());
                     reject(400, false, 0);
                     return;
                 }
                 id = call.id();
                 remoteRequest.path = call.path();
                 forwarder.addRemoteRequest(id, remoteRequest);
-                intake.submit(go, new Request(id, go.service().name(), call.tenant(), Targets.hash(path), call.workMs(), go.budgetMs(),
+                intake.submit(admitted, new Request(id, admitted.service().name(), call.tenant(), Targets.hash(path),
+                        call.workMs(),
+                        admitted.budgetMs(),
                         command.write(), call.retry()), command, this);
             } else {
                 reject(400, false, 0);
             }
         }
 
-        /** Who sent it has left it, or has gone. */
+        /** The sending gateway has cancelled the request or disconnected. */
         void cancelled() {
             if (!finished) {
                 finished = true;
@@ -439,14 +459,15 @@
         }
 
         private void reject(int status, boolean mayHaveRun, double retryAfterMs) {
-            RoutedRequest passing = remoteRequest.routed;
-            respond(DatacenterWire.rejected(status, mayHaveRun, passing != null && passing.mayBeInProgress(), retryAfterMs,
-                    passing == null ? Set.of() : passing.enteredDatacenters()), null);
+            RoutedRequest routed = remoteRequest.routed;
+            respond(DatacenterWire.rejected(status, mayHaveRun, passing != null
+                    && passing.mayBeInProgress(), retryAfterMs,
+                    routed == null ? Set.of() : routed.enteredDatacenters()), null);
         }
 
         @Override
-        public void served(NodeResponse<Content> answer) {
-            respond(DatacenterWire.served(answer.content()), answer.content().bytes().retain());
+        public void served(NodeResponse<Content> response) {
+            respond(DatacenterWire.served(response.content()), response.content().bytes().retain());
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSettings.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterSettings.java
@@ -5,14 +5,15 @@
 import ridgemill.datacenter.DatacenterPolicy;
 
 /**
- * This gateway's place between the halls.
+ * The settings of this gateway for links between datacenters.
  *
- * @param listen where gateways of other halls connect; null where none may
- * @param security how they know each other
- * @param gatewayAddresses of other halls' gateways, by the names that the policy has for them
- * @param policy what may cross
+ * @param listen address to which gateways of other datacenters connect; null if none may
+ * @param security how gateways authenticate each other
+ * @param gatewayAddresses addresses of the gateways of other datacenters, by their names in the policy
+ * @param policy which requests may be forwarded
  */
-public record DatacenterSettings(InetSocketAddress listen, DatacenterSecurity security, Map<String, InetSocketAddress> gatewayAddresses,
+public record DatacenterSettings(InetSocketAddress listen, DatacenterSecurity security, Map<String,
+                                 InetSocketAddress> gatewayAddresses,
                            DatacenterPolicy policy) {
 
     public DatacenterSettings {
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/MessageBody.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/MessageBody.java
@@ -4,12 +4,12 @@
 import io.netty.buffer.Unpooled;
 import ridgemill.gateway.net.Content;
 
-/** A message's body as its parts come in, up to what a value may have. */
+/** Collects the parts of a message body, up to the maximum size of a value. */
 final class MessageBody {
 
     private ByteBuf bytes = Unpooled.EMPTY_BUFFER;
 
-    /** Takes in a part, which stays its owner's; false where that is too much. */
+    /** Copies a part, whose buffer the caller keeps; returns false if the body would be too large. */
     boolean add(ByteBuf part) {
         if (bytes.readableBytes() + part.readableBytes() > Content.MAX_BYTES) {
             return false;
@@ -21,7 +21,7 @@
         return true;
     }
 
-    /** What has come; no media type is known here. */
+    /** Returns the bytes received so far, without a media type. */
     Content content() {
         return new Content(bytes, null);
     }
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -112,8 +112,7 @@
      * @throws IOException if the lock file cannot be opened
      */
     public LeaseService(EventLoop loop, Timers timers, String name, List<InetSocketAddress> peers, int self, long seed,
-            Path directory,
-                        LeaseSettings settings, BiConsumer<Integer, byte[]> send) throws IOException {
+                        Path directory, LeaseSettings settings, BiConsumer<Integer, byte[]> send) throws IOException {
         this.loop = loop;
         this.timers = timers;
         this.peers = List.copyOf(peers);
