--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
@@ -380,7 +380,8 @@
             queriedGateways = query.gateways();
             timer = timers.scheduleAt(timers.now() + query.timeoutMs(), this::keyQueryEnded);
             for (String gateway : queriedGateways) {
-                links.get(gateway).queryKey(routed.idempotencyKey(), routed.service().deduplicationWindowMs(), status -> {
+                links.get(gateway).queryKey(routed.idempotencyKey(), routed.service().deduplicationWindowMs(),
+                        status -> {
                     if (queriedGateways != null) {
                         keyStatuses.put(gateway, status);
                         if (keyStatuses.size() == queriedGateways.size()) {
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterLink.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterLink.java
@@ -43,21 +43,22 @@
 import ridgemill.idempotency.IdempotencyRecord;
 
 /**
- * One long-lived connection to a gateway of another hall, and what is out on it. It is asked for its state at short
- * intervals, which shows whether it answers; it is made anew, ever later and by chance, when it has gone. One that is silent
- * may be the only one that is (a middlebox has forgotten it), so another is tried beside it, and takes its place if it
- * answers first. What was out on one that has gone is lost, and nothing is sent a second time here.
+ * A long-lived connection to a gateway of another datacenter, and the messages that are in flight on it. The state of
+ * the gateway is requested at short intervals, which shows whether it responds. After the connection is lost it is
+ * opened again, with growing random delays. If only this connection is dead, because a middlebox dropped its entry,
+ * the gateway may still be reachable: a replacement is therefore opened beside a stalled connection, and takes over if
+ * it responds first. Messages in flight on a lost connection are lost; this class never sends a message twice.
  */
 final class DatacenterLink {
 
     private static final int CONNECT_TIMEOUT_MS = 1000;
     private static final double HANDSHAKE_TIMEOUT_MS = 2000;
-    /** For how long one is silent before another is tried. */
+    /** How long a connection is stalled before a replacement is opened. */
     private static final double REPLACEMENT_DELAY_MS = 500;
     private static final double INITIAL_RECONNECT_DELAY_MS = 100;
     private static final double MAX_RECONNECT_DELAY_MS = 2000;
     private static final int STREAM_WINDOW_BYTES = 256 * 1024;
-    /** So much may be waiting to be written before nothing new goes out. */
+    /** Bytes waiting to be written above which no new request is sent. */
     private static final int MAX_UNSENT_BYTES = 4 * 1024 * 1024;
 
     private final EventLoop loop;
@@ -70,7 +71,7 @@
     private final DatacenterRouter router;
     private final SplittableRandom random;
     private Connection current;
-    /** Tried beside the present one, which does not answer; null for none. */
+    /** Opened beside the current connection, which does not respond; null for none. */
     private Connection replacement;
     private double reconnectDelayMs = INITIAL_RECONNECT_DELAY_MS;
     private boolean closed;
@@ -79,23 +80,24 @@
     private long bytesIn;
     private long replacements;
 
-    DatacenterLink(EventLoop loop, Timers timers, String hall, String name, String peerHall, InetSocketAddress address, DatacenterAuthenticator keys,
-             DatacenterRouter halls, long seed) {
+    DatacenterLink(EventLoop loop, Timers timers, String ownDatacenter, String gateway, String peerDatacenter,
+                   InetSocketAddress address, DatacenterAuthenticator authenticator, DatacenterRouter router,
+                   long seed) {
         this.loop = loop;
         this.timers = timers;
-        this.ownDatacenter = hall;
-        this.gateway = name;
-        this.peerDatacenter = peerHall;
+        this.ownDatacenter = ownDatacenter;
+        this.gateway = gateway;
+        this.peerDatacenter = peerDatacenter;
         this.address = address;
-        this.authenticator = keys;
-        this.router = halls;
-        this.random = new SplittableRandom(seed ^ name.hashCode());
+        this.authenticator = authenticator;
+        this.router = router;
+        this.random = new SplittableRandom(seed ^ gateway.hashCode());
     }
 
-    /** A crossing that is out. */
+    /** A request that is in flight. */
     interface OutgoingCall {
 
-        /** The other side is told to stop; nothing more is heard of it. */
+        /** Cancels the request at the other side; its callback is not called any more. */
         void cancel();
     }
 
@@ -107,17 +109,21 @@
 
     private Connection openConnection() {
         Connection next = new Connection();
-        ChannelFuture connecting = Transport.TCP.client(loop).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
-                .option(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
+        ChannelFuture connecting = Transport.TCP.client(loop)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
+                .option(ChannelOption.WRITE_BUFFER_WATER_MARK,
+                        new WriteBufferWaterMark(MAX_UNSENT_BYTES / 2, MAX_UNSENT_BYTES))
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel c) {
                         if (authenticator.clientContext() != null) {
                             c.pipeline().addLast(authenticator.clientContext().newHandler(c.alloc()));
                         }
-                        c.pipeline().addLast(Http2FrameCodecBuilder.forClient().encoderEnforceMaxConcurrentStreams(false)
+                        c.pipeline().addLast(Http2FrameCodecBuilder.forClient()
+                                .encoderEnforceMaxConcurrentStreams(false)
                                 .initialSettings(Http2Settings.defaultSettings().pushEnabled(false)
-                                .maxHeaderListSize(DatacenterWire.MAX_HEADER_LIST_BYTES).initialWindowSize(STREAM_WINDOW_BYTES))
+                                .maxHeaderListSize(DatacenterWire.MAX_HEADER_LIST_BYTES)
+                                .initialWindowSize(STREAM_WINDOW_BYTES))
                                 .build(), next);
                     }
                 }).connect(address);
@@ -143,12 +149,12 @@
         }
     }
 
-    /** How it is, for whoever watches. */
+    /** Describes the link for operators. */
     String explain() {
         return "link " + gateway + " bytes out " + bytesOut + " in " + bytesIn + " replaced " + replacements;
     }
 
-    /** Sends a request; {@code done} is called once, and never before this returns. */
+    /** Sends a request; {@code done} is called once, and never before this method returns. */
     OutgoingCall call(DatacenterWire.Call call, Consumer<Reply> done) {
         Connection c = current;
         if (c == null || !c.ready || !c.channel.isWritable()) {
@@ -156,51 +162,57 @@
             return () -> { };
         }
         ByteBuf body = call.command().content().bytes();
-        return c.startExchange(DatacenterWire.call(call), body.isReadable() ? body.retainedDuplicate() : null, (h, content) ->
+        return c.startExchange(DatacenterWire.call(call), body.isReadable() ? body.retainedDuplicate() : null,
+                (h, content) ->
                 done.accept(DatacenterWire.reply(h, content)), end -> done.accept(Reply.of(end)));
     }
 
-    /** The least time that a message and its answer take, in milliseconds; 0 before there is any. */
+    /** Returns the shortest round trip so far, in milliseconds; 0 before the first one. */
     double minRoundTripMs() {
         return current == null ? 0 : current.health.minRttMs();
     }
 
-    /** Asks where a key may have run; {@code done} is called once, unless the link stays silent. */
+    /** Queries where an idempotency key may have run; {@code done} is called once, unless no response arrives. */
     void queryKey(String key, double windowMs, Consumer<KeyStatus> done) {
         Connection c = current;
         if (c == null || !c.ready) {
             loop.execute(() -> done.accept(new Indeterminate()));
             return;
         }
-        c.startExchange(DatacenterWire.keyQuery(key, windowMs), null, (h, content) -> done.accept(DatacenterWire.keyStatus(h)),
+        c.startExchange(DatacenterWire.keyQuery(key, windowMs), null,
+                (h, content) -> done.accept(DatacenterWire.keyStatus(h)),
                 end -> done.accept(new Indeterminate()));
     }
 
-    /** Asks what a key came to there; {@code done} is called once with it or with null, unless the link stays silent. */
+    /**
+     * Queries the record of an idempotency key; {@code done} is called once with it or null, unless no response
+     * arrives.
+     */
     void queryOutcome(String key, String tenant, Consumer<IdempotencyRecord> done) {
         Connection c = current;
         if (c == null || !c.ready) {
             loop.execute(() -> done.accept(null));
             return;
         }
-        c.startExchange(DatacenterWire.outcomeQuery(key, tenant), null, (h, content) -> done.accept(DatacenterWire.idempotencyRecord(h, tenant, timers.now())),
+        c.startExchange(DatacenterWire.outcomeQuery(key, tenant), null,
+                (h, content) -> done.accept(DatacenterWire.idempotencyRecord(h, tenant, timers.now())),
                 end -> done.accept(null));
     }
 
-    /** By how much the last round trip took longer than the least, in milliseconds. */
+    /** Returns how much longer the last round trip was than the shortest one, in milliseconds. */
     double excessRoundTripMs() {
         return current == null ? 0 : Math.max(0, current.health.rttMs() - current.health.minRttMs());
     }
 
     private void scheduleReconnect() {
         if (!closed) {
-            double wait = reconnectDelayMs * (0.5 + random.nextDouble() / 2);
+            double delayMs = reconnectDelayMs * (0.5 + random.nextDouble() / 2);
             reconnectDelayMs = Math.min(MAX_RECONNECT_DELAY_MS, 2 * reconnectDelayMs);
-            loop.schedule(this::open, (long) (wait * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(this::open, (long) (delayMs * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
-    /** A question on its way. */
+    /** A message and its response. */
     private final class Exchange implements OutgoingCall {
         private final Connection connection;
         private final Http2FrameStream stream;
@@ -211,11 +223,12 @@
         private Http2Headers headers;
         private final MessageBody body = new MessageBody();
 
-        Exchange(Connection on, Http2FrameStream stream, BiConsumer<Http2Headers, Content> answered, Consumer<ForwardOutcome> ended) {
-            this.connection = on;
+        Exchange(Connection connection, Http2FrameStream stream, BiConsumer<Http2Headers, Content> onResponse,
+                 Consumer<ForwardOutcome> onFailure) {
+            this.connection = connection;
             this.stream = stream;
-            this.onResponse = answered;
-            this.onFailure = ended;
+            this.onResponse = onResponse;
+            this.onFailure = onFailure;
         }
 
         @Override
@@ -231,14 +244,17 @@
             connection.exchanges.remove(stream);
         }
 
-        void fail(ForwardOutcome end) {
+        void fail(ForwardOutcome outcome) {
             if (!finished) {
                 remove();
-                onFailure.accept(end);
+                onFailure.accept(outcome);
             }
         }
 
-        /** It broke off: unless its last byte was written the other side can't have begun it. */
+        /**
+         * Ends after an interruption: unless its last byte was written, the other side cannot have started the
+         * request.
+         */
         void interrupted() {
             fail(written ? ForwardOutcome.LOST : ForwardOutcome.UNSENT);
         }
@@ -258,7 +274,7 @@
         }
     }
 
-    /** One connection, from its making to its end. */
+    /** One connection, from opening to its end. */
     private final class Connection extends DatacenterConnection {
         private final Map<Http2FrameStream, Exchange> exchanges = new HashMap<>();
         private final LinkHealth health = new LinkHealth();
@@ -274,7 +290,8 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) throws Exception {
             super.channelActive(ctx);
-            handshakeTimeout = loop.schedule(() -> fail("no greeting in time"), (long) (HANDSHAKE_TIMEOUT_MS * 1e6), TimeUnit.NANOSECONDS);
+            handshakeTimeout = loop.schedule(() -> fail("the handshake timed out"), (long) (HANDSHAKE_TIMEOUT_MS * 1e6),
+                    TimeUnit.NANOSECONDS);
             if (authenticator.clientContext() == null) {
                 hello();
             }
@@ -282,11 +299,12 @@
 
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-            if (event instanceof SslHandshakeCompletionEvent shaken) {
+            if (event instanceof SslHandshakeCompletionEvent handshake) {
                 SslHandler tls = ctx.pipeline().get(SslHandler.class);
-                if (!shaken.isSuccess()) {
-                    fail("TLS: " + shaken.cause().getMessage());
-                } else if (!DatacenterAuthenticator.certificateNames(tls.engine().getSession()).contains(peerDatacenter)) {
+                if (!handshake.isSuccess()) {
+                    fail("TLS: " + handshake.cause().getMessage());
+                } else if (!DatacenterAuthenticator.certificateNames(tls.engine().getSession())
+                        .contains(peerDatacenter)) {
                     fail("its certificate is not of " + peerDatacenter);
                 } else {
                     hello();
@@ -297,21 +315,27 @@
 
         private void hello() {
             String nonce = authenticator.nonce();
-            startExchange(DatacenterWire.request(DatacenterWire.HELLO).set(DatacenterWire.VERSION, DatacenterWire.THIS_VERSION).set(DatacenterWire.DATACENTER, ownDatacenter)
-                    .set(DatacenterWire.NONCE, nonce), null, (h, content) -> helloAnswered(nonce, h), end -> fail("no greeting"));
+            startExchange(DatacenterWire.request(DatacenterWire.HELLO)
+                    .set(DatacenterWire.VERSION, DatacenterWire.THIS_VERSION)
+                    .set(DatacenterWire.DATACENTER, ownDatacenter).set(DatacenterWire.NONCE, nonce), null,
+                    (h, content) -> helloAnswered(nonce, h), end -> fail("no reply to the handshake"));
         }
 
         private void helloAnswered(String nonce, Http2Headers h) {
-            String theirs = DatacenterWire.text(h, DatacenterWire.NONCE);
-            if (!"200".equals(String.valueOf(h.status())) || !peerDatacenter.equals(DatacenterWire.text(h, DatacenterWire.DATACENTER)) || theirs == null) {
-                fail("it is not " + peerDatacenter + ": status " + h.status() + ", " + DatacenterWire.text(h, DatacenterWire.DATACENTER));
+            String peerNonce = DatacenterWire.text(h, DatacenterWire.NONCE);
+            if (!"200".equals(String.valueOf(h.status()))
+                    || !peerDatacenter.equals(DatacenterWire.text(h, DatacenterWire.DATACENTER)) || peerNonce == null) {
+                fail("it is not " + peerDatacenter + ": status " + h.status() + ", "
+                        + DatacenterWire.text(h, DatacenterWire.DATACENTER));
             } else if (!authenticator.usesSharedKey()) {
                 handshakeCompleted();
-            } else if (!DatacenterAuthenticator.constantTimeEquals(String.valueOf(DatacenterWire.text(h, DatacenterWire.PROOF_VALUE)),
-                    authenticator.proof("answer", ownDatacenter, peerDatacenter, nonce, theirs))) {
+            } else if (!DatacenterAuthenticator.constantTimeEquals(
+                    String.valueOf(DatacenterWire.text(h, DatacenterWire.PROOF_VALUE)),
+                    authenticator.proof("answer", ownDatacenter, peerDatacenter, nonce, peerNonce))) {
                 fail("it does not have the key");
             } else {
-                startExchange(DatacenterWire.request(DatacenterWire.PROOF).set(DatacenterWire.PROOF_VALUE, authenticator.proof("ask", ownDatacenter, peerDatacenter, nonce, theirs)), null,
+                startExchange(DatacenterWire.request(DatacenterWire.PROOF).set(DatacenterWire.PROOF_VALUE,
+                        authenticator.proof("ask", ownDatacenter, peerDatacenter, nonce, peerNonce)), null,
                         (answer, content) -> {
                             if ("200".equals(String.valueOf(answer.status()))) {
                                 handshakeCompleted();
@@ -329,15 +353,18 @@
             heartbeat();
         }
 
-        /** It has answered where the present one has not: what that has out may still come, and nothing new goes there. */
+        /**
+         * Replaces the current connection, which did not respond first. Its responses may still arrive; it gets no new
+         * requests.
+         */
         private void takeOver() {
-            Connection before = current;
+            Connection previous = current;
             replacements++;
             replacement = null;
             current = this;
-            if (before != null) {
-                before.leaving = true;
-                before.ready = false;
+            if (previous != null) {
+                previous.leaving = true;
+                previous.ready = false;
             }
         }
 
@@ -356,14 +383,14 @@
                 return;
             }
             if (this != current && this != replacement && exchanges.isEmpty()) {
-                // Another has its place, and all that was out on it has ended.
+                // It was replaced, and all its messages have ended.
                 channel.close();
                 return;
             }
             double now = timers.now();
             LinkHealth.State state = health.state(now);
             if (state == LinkHealth.State.DEAD) {
-                fail("no answer for too long");
+                fail("no response for too long");
                 return;
             }
             reportState(state);
@@ -384,7 +411,7 @@
 
         private void reportState(LinkHealth.State state) {
             if (current == this && ready && !leaving) {
-                // One that has not answered yet is not known to work.
+                // Before the first response the connection is not known to work.
                 LinkHealth.State known = health.rttMs() == 0 ? LinkHealth.State.STALLED : state;
                 if (known == LinkHealth.State.UP && !wasUp) {
                     wasUp = true;
@@ -394,70 +421,71 @@
             }
         }
 
-        Exchange startExchange(Http2Headers headers, ByteBuf body, BiConsumer<Http2Headers, Content> answered, Consumer<ForwardOutcome> ended) {
+        Exchange startExchange(Http2Headers headers, ByteBuf body, BiConsumer<Http2Headers, Content> onResponse,
+                               Consumer<ForwardOutcome> onFailure) {
             Http2FrameStream stream = newStream();
-            Exchange q = new Exchange(this, stream, answered, ended);
-            exchanges.put(stream, q);
-            // Stamped on all, so that the other side knows the usual from the first.
+            Exchange exchange = new Exchange(this, stream, onResponse, onFailure);
+            exchanges.put(stream, exchange);
+            // Every message has a send time, so that the other side knows the usual transit time early.
             DatacenterWire.sentAt(headers, timers.now() - openedAtMs);
             bytesOut += body == null ? 0 : body.readableBytes();
             send(stream, headers, body).addListener(f -> {
                 if (f.isSuccess()) {
-                    q.written = true;
+                    exchange.written = true;
                 } else {
-                    loop.execute(q::interrupted);
+                    loop.execute(exchange::interrupted);
                 }
             });
-            return q;
+            return exchange;
         }
 
         @Override
-        void reset(Http2ResetFrame r) {
-            Exchange q = exchanges.get(r.stream());
-            if (q != null && r.errorCode() == Http2Error.REFUSED_STREAM.code()) {
-                // RFC 9113, section 8.7: it was not processed.
-                q.fail(ForwardOutcome.UNSENT);
-            } else if (q != null) {
-                q.interrupted();
+        void reset(Http2ResetFrame frame) {
+            Exchange exchange = exchanges.get(frame.stream());
+            if (exchange != null && frame.errorCode() == Http2Error.REFUSED_STREAM.code()) {
+                // RFC 9113, section 8.7: the request was not processed.
+                exchange.fail(ForwardOutcome.UNSENT);
+            } else if (exchange != null) {
+                exchange.interrupted();
             }
         }
 
         @Override
-        void headers(Http2HeadersFrame h) {
-            Exchange q = exchanges.get(h.stream());
-            if (q != null) {
-                if (q.headers == null) {
-                    q.headers = h.headers();
+        void headers(Http2HeadersFrame frame) {
+            Exchange exchange = exchanges.get(frame.stream());
+            if (exchange != null) {
+                if (exchange.headers == null) {
+                    exchange.headers = frame.headers();
                 }
-                if (h.isEndStream()) {
-                    q.complete();
+                if (frame.isEndStream()) {
+                    exchange.complete();
                 }
             }
         }
 
         @Override
-        void data(Http2DataFrame d) {
-            bytesIn += d.content().readableBytes();
-            Exchange q = exchanges.get(d.stream());
-            if (q != null) {
-                q.data(d.content());
-                if (d.isEndStream()) {
-                    q.complete();
+        void data(Http2DataFrame frame) {
+            bytesIn += frame.content().readableBytes();
+            Exchange exchange = exchanges.get(frame.stream());
+            if (exchange != null) {
+                exchange.data(frame.content());
+                if (frame.isEndStream()) {
+                    exchange.complete();
                 }
             }
         }
 
         @Override
-        void goAway(Http2GoAwayFrame g) {
+        void goAway(Http2GoAwayFrame frame) {
             leaving = true;
             ready = false;
             if (this == current) {
                 router.linkStateChanged(gateway, LinkHealth.State.STALLED, health.rttMs());
             }
-            // RFC 9113, section 6.8: those above were not processed, and may go elsewhere.
-            for (Exchange q : List.copyOf(exchanges.values())) {
-                if (q.stream.id() > g.lastStreamId()) {
-                    q.fail(ForwardOutcome.UNSENT);
+            // RFC 9113, section 6.8: streams above the last one were not processed, and may be sent elsewhere.
+            for (Exchange exchange : List.copyOf(exchanges.values())) {
+                if (exchange.stream.id() > frame.lastStreamId()) {
+                    exchange.fail(ForwardOutcome.UNSENT);
                 }
             }
         }
@@ -470,22 +498,22 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            if (cause instanceof Http2FrameStreamException s) {
-                Exchange q = exchanges.get(s.stream());
-                if (q != null) {
-                    q.interrupted();
+            if (cause instanceof Http2FrameStreamException e) {
+                Exchange exchange = exchanges.get(e.stream());
+                if (exchange != null) {
+                    exchange.interrupted();
                 }
             } else {
                 fail(String.valueOf(cause.getMessage()));
             }
         }
 
-        private void fail(String why) {
-            connectionEnded(why);
+        private void fail(String reason) {
+            connectionEnded(reason);
             channel.close();
         }
 
-        private void connectionEnded(String why) {
+        private void connectionEnded(String reason) {
             if (ended) {
                 return;
             }
@@ -499,20 +527,20 @@
             if (replacement == this) {
                 replacement = null;
             }
-            boolean present = current == this;
-            if (present) {
+            boolean wasCurrent = current == this;
+            if (wasCurrent) {
                 router.linkStateChanged(gateway, LinkHealth.State.DEAD, health.rttMs());
                 if (wasUp || reconnectDelayMs == INITIAL_RECONNECT_DELAY_MS) {
                     wasUp = false;
-                    Log.info("halls: no link to " + peerDatacenter + " at " + gateway + ": " + why);
+                    Log.info("halls: no link to " + peerDatacenter + " at " + gateway + ": " + reason);
                 }
             }
             new ArrayList<>(exchanges.values()).forEach(Exchange::interrupted);
-            if (present && replacement != null) {
-                // It is under way already.
+            if (wasCurrent && replacement != null) {
+                // The replacement is already being opened.
                 current = replacement;
                 replacement = null;
-            } else if (present) {
+            } else if (wasCurrent) {
                 scheduleReconnect();
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
@@ -46,9 +46,9 @@
 import ridgemill.route.RouteQuery;
 
 /**
- * Takes other halls' requests in. Each goes the way of any request from here on, through the gate and the decisions,
- * with the time that its client has left; its answer says besides whether it may have run. Work for a gateway that has
- * gone, or that has left it, is stopped.
+ * Accepts requests of other datacenters. Each is handled like any other request, through admission and routing, with
+ * the time that its client still waits; its response also tells whether the request may have run. The work for a
+ * gateway that has disconnected, or that has cancelled the request, is stopped.
  */
 final class DatacenterServer {
 
@@ -57,8 +57,8 @@
     private static final int STREAM_WINDOW_BYTES = 128 * 1024;
     private static final long HANDSHAKE_TIMEOUT_MS = 2000;
     /**
-     * Gateways ask for the state several times a second: one that does not is cut off, and its work goes on for
-     * nobody.
+     * Gateways request the state several times a second. A connection without any message for this time is closed,
+     * because nobody waits for its work any more.
      */
     private static final double IDLE_TIMEOUT_MS = 5000;
     private static final long IDLE_CHECK_INTERVAL_MS = 500;
@@ -76,15 +76,14 @@
     private boolean stopped;
     private long expired;
 
-    DatacenterServer(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterForwarder crossings,
-                     DatacenterRouter halls, DatacenterAuthenticator keys,
-              IntSupplier throttlingLevel) {
+    DatacenterServer(EventLoop loop, Timers timers, Intake<Content> intake, DatacenterForwarder forwarder,
+                     DatacenterRouter router, DatacenterAuthenticator authenticator, IntSupplier throttlingLevel) {
         this.loop = loop;
         this.timers = timers;
         this.intake = intake;
-        this.forwarder = crossings;
-        this.router = halls;
-        this.authenticator = keys;
+        this.forwarder = forwarder;
+        this.router = router;
+        this.authenticator = authenticator;
         this.throttlingLevel = throttlingLevel;
     }
 
@@ -247,8 +246,8 @@
                 refusePeer(stream, "it speaks version " + DatacenterWire.text(h, DatacenterWire.VERSION));
             } else if (name == null || nonce == null || !router.policy().gateways().containsKey(name)) {
                 refusePeer(stream, "no such hall: " + name);
-            } else if (authenticator.serverContext() != null && (certificateNames == null
-                    || !certificateNames.contains(name))) {
+            } else if (authenticator.serverContext() != null
+                    && (certificateNames == null || !certificateNames.contains(name))) {
                 refusePeer(stream, "its certificate is not of " + name);
             } else if (claimedDatacenter != null) {
                 refusePeer(stream, "it greeted twice");
@@ -261,16 +260,17 @@
                 }
                 respond(stream, DatacenterWire.status(200).set(DatacenterWire.DATACENTER, router.policy().datacenter())
                         .set(DatacenterWire.NONCE, ownNonce)
-                        .set(DatacenterWire.PROOF_VALUE, authenticator.proof("answer", name,
-                        router.policy().datacenter(), peerNonce, ownNonce)), null);
+                        .set(DatacenterWire.PROOF_VALUE,
+                                authenticator.proof("answer", name, router.policy().datacenter(), peerNonce, ownNonce)),
+                        null);
             }
         }
 
         private void proof(Http2FrameStream stream, Http2Headers h) {
             String expected = claimedDatacenter == null ? "" : authenticator.proof("ask", claimedDatacenter,
                     router.policy().datacenter(), peerNonce, ownNonce);
-            if (expected.isEmpty() || !DatacenterAuthenticator.constantTimeEquals(String.valueOf(DatacenterWire.text(h,
-                    DatacenterWire.PROOF_VALUE)), expected)) {
+            if (expected.isEmpty() || !DatacenterAuthenticator.constantTimeEquals(
+                    String.valueOf(DatacenterWire.text(h, DatacenterWire.PROOF_VALUE)), expected)) {
                 refusePeer(stream, "it does not have the key");
                 return;
             }
@@ -410,9 +410,8 @@
             Command<Content> command = call.command();
             String path = Targets.path(command.target());
             AdmissionController.Decision decision = intake.admit(new AdmissionController.AdmissionRequest(call.id(),
-                    new RouteQuery(headers.method().toString(), path, call.tenant(),
-                    name -> null), call.serviceClass(), call.retry(), command.content().bytes().readableBytes(),
-                    remainingMs));
+                    new RouteQuery(headers.method().toString(), path, call.tenant(), name -> null),
+                    call.serviceClass(), call.retry(), command.content().bytes().readableBytes(), remainingMs));
             if (decision instanceof AdmissionController.Rejected rejected) {
                 intake.countRejected(call.serviceClass());
                 reject(429, false, rejected.retryAfterMs());
@@ -426,8 +425,7 @@
                 remoteRequest.path = call.path();
                 forwarder.addRemoteRequest(id, remoteRequest);
                 intake.submit(admitted, new Request(id, admitted.service().name(), call.tenant(), Targets.hash(path),
-                        call.workMs(),
-                        admitted.budgetMs(),
+                        call.workMs(), admitted.budgetMs(),
                         command.write(), call.retry()), command, this);
             } else {
                 reject(400, false, 0);
@@ -460,8 +458,8 @@
 
         private void reject(int status, boolean mayHaveRun, double retryAfterMs) {
             RoutedRequest routed = remoteRequest.routed;
-            respond(DatacenterWire.rejected(status, mayHaveRun, passing != null
-                    && passing.mayBeInProgress(), retryAfterMs,
+            respond(DatacenterWire.rejected(status, mayHaveRun, routed != null
+                    && routed.mayBeInProgress(), retryAfterMs,
                     routed == null ? Set.of() : routed.enteredDatacenters()), null);
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
@@ -23,8 +23,8 @@
 import ridgemill.idempotency.IdempotencyRecord;
 
 /**
- * What gateways say to each other, as fields of HTTP/2 (RFC 9113, section 8): one stream for each question. Fields that
- * begin with {@code rm-} are taken from gateways alone; no client can reach this listener's protocol without their proofs.
+ * The protocol between gateways, in HTTP/2 header fields (RFC 9113, section 8), with one stream per request. Fields
+ * that start with {@code rm-} are accepted only from gateways; a client cannot use this listener without their proofs.
  */
 final class DatacenterWire {
 
@@ -36,7 +36,7 @@
     static final String CALL = "call";
     static final String OUTCOME = "outcome";
     static final String VERSION = "rm-version";
-    /** Gateways of one version understand each other; another is told so. */
+    /** Only gateways of the same protocol version can connect; others are rejected. */
     static final String THIS_VERSION = "1";
     static final String DATACENTER = "rm-hall";
     static final String NONCE = "rm-nonce";
@@ -57,9 +57,9 @@
     private static final String LEAVING = "rm-leaving";
     private static final String WINDOW = "rm-window";
     private static final String AGE = "rm-ago";
-    /** The id of the call that took effect, in the answer to one that did not run again. */
+    /** The id of the call that took effect, in the response to a duplicate that did not run again. */
     private static final String RECORDED = "rm-recorded";
-    /** The idempotency key was given with another request: nothing of this one ran. */
+    /** The idempotency key was used with a different request; this request did not run. */
     private static final String CONFLICT = "rm-conflict";
     private static final String CONTENT_TYPE = "content-type";
     private static final String NEVER = "never";
@@ -70,44 +70,50 @@
     private static final int MAX_DATACENTERS = 16;
     private static final int MAX_TEXT_CHARS = 1024;
     private static final int MAX_PATH_CHARS = 8192;
-    /** What a head may have in all: four texts, a path, and the small ones. */
+    /** Maximum total size of the headers: four texts, a path, and the small fields. */
     static final int MAX_HEADER_LIST_BYTES = 16 * 1024;
     private static final double MAX_TIME_MS = 3_600_000;
 
     private DatacenterWire() { }
 
-    /** What came makes no sense; nothing of it was done. */
+    /** A message is invalid; nothing of it was executed. */
     static final class WireException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        WireException(String what) {
-            super(what);
+        WireException(String message) {
+            super(message);
         }
     }
 
     /**
-     * A request that crosses.
+     * A request that is forwarded to another datacenter.
      *
-     * @param remainingMs how long its client still waits when it is written, the least time on the way there and back taken off
+     * @param remainingMs how long its client still waits when the request is written, less the shortest round trip and
+     *     the time reserved for the way back
+     * @param serviceClass name of its service class
+     * @param retry whether the client sent it before
+     * @param path the datacenters that it entered so far
      */
-    record Call(String id, double remainingMs, String serviceClass, String tenant, boolean retry, double workMs, DatacenterPath path,
-                Command<Content> command) { }
+    record Call(String id, double remainingMs, String serviceClass, String tenant, boolean retry, double workMs,
+                DatacenterPath path, Command<Content> command) { }
 
     /**
-     * How a crossing ended, as the other hall tells it, and which halls it entered beyond that one.
+     * The result of a forwarded request as the other datacenter reports it, with the datacenters that it entered
+     * beyond that one.
      *
-     * @param recorded the id of the call that took effect before, in whose place this one did not run; null for none
-     * @param conflict whether its idempotency key was given with another request
+     * @param recorded id of an earlier call with the same key that took effect instead of this one; null for none
+     * @param conflict whether its idempotency key was used with a different request
      */
-    record Reply(ForwardOutcome outcome, Content content, double retryAfterMs, Set<String> enteredDatacenters, String recorded, boolean conflict) {
+    record Reply(ForwardOutcome outcome, Content content, double retryAfterMs, Set<String> enteredDatacenters,
+                 String recorded, boolean conflict) {
 
-        Reply(ForwardOutcome end, Content content, double retryAfterMs, Set<String> beyond) {
-            this(end, content, retryAfterMs, beyond, null, false);
+        Reply(ForwardOutcome outcome, Content content, double retryAfterMs, Set<String> enteredDatacenters) {
+            this(outcome, content, retryAfterMs, enteredDatacenters, null, false);
         }
 
-        /** The link has gone, or it never came to it. */
-        static Reply of(ForwardOutcome end) {
-            return new Reply(end, null, 0, Set.of());
+        /** Creates the result of a request whose link failed, or that was never sent. */
+        static Reply of(ForwardOutcome outcome) {
+            return new Reply(outcome, null, 0, Set.of());
         }
     }
 
@@ -115,12 +121,12 @@
         return new DefaultHttp2Headers().method("GET").scheme("http").path("/").authority("hall").set(KIND, kind);
     }
 
-    /** Says when it is written, by a clock of the connection's own. */
+    /** Sets the time at which a message is written, on the sender's clock of the connection. */
     static void sentAt(Http2Headers h, double ms) {
         h.set(SENT_AT, number(ms));
     }
 
-    /** When it was written by the sender's clock; not a number where it does not say. */
+    /** Returns the time at which a message was written, on the sender's clock; NaN if it has none. */
     static double sentAt(Http2Headers h) {
         return number(h, SENT_AT);
     }
@@ -129,7 +135,9 @@
         return new DefaultHttp2Headers().status(String.valueOf(status));
     }
 
-    /** Whether what its client chose is short enough to cross whole; a key that is cut is another key. */
+    /**
+     * Whether the texts chosen by the client are short enough to be sent whole; a truncated key would be another key.
+     */
     static boolean fitsHeaders(Command<Content> command, String service, String tenant) {
         for (String text : new String[] {command.idempotencyKey(), service, tenant, command.content().mediaType()}) {
             if (text != null && encode(text).length() > MAX_TEXT_CHARS) {
@@ -139,35 +147,36 @@
         return command.target().length() <= MAX_PATH_CHARS;
     }
 
-    static Http2Headers call(Call c) {
-        Http2Headers h = new DefaultHttp2Headers().method(switch (c.command().action()) {
+    static Http2Headers call(Call call) {
+        Http2Headers h = new DefaultHttp2Headers().method(switch (call.command().action()) {
             case READ -> "GET";
             case WRITE -> "PUT";
             case DELETE -> "DELETE";
-        }).scheme("http").path(c.command().target()).authority("hall").set(KIND, CALL).set(ID, c.id()).set(REMAINING, number(c.remainingMs()))
-                .set(CLASS, encode(c.serviceClass())).set(DATACENTERS, String.join(",", c.path().datacenters()));
-        if (!c.path().mayHaveRun().isEmpty()) {
-            h.set(RAN, String.join(",", c.path().mayHaveRun()));
+        }).scheme("http").path(call.command().target()).authority("hall").set(KIND, CALL).set(ID, call.id())
+                .set(REMAINING, number(call.remainingMs()))
+                .set(CLASS, encode(call.serviceClass())).set(DATACENTERS, String.join(",", call.path().datacenters()));
+        if (!call.path().mayHaveRun().isEmpty()) {
+            h.set(RAN, String.join(",", call.path().mayHaveRun()));
         }
-        if (c.tenant() != null) {
-            h.set(TENANT, encode(c.tenant()));
+        if (call.tenant() != null) {
+            h.set(TENANT, encode(call.tenant()));
         }
-        if (c.retry()) {
+        if (call.retry()) {
             h.set(RETRY, "1");
         }
-        if (c.workMs() > 0) {
-            h.set(WORK, number(c.workMs()));
+        if (call.workMs() > 0) {
+            h.set(WORK, number(call.workMs()));
         }
-        if (c.command().idempotencyKey() != null) {
-            h.set(IDEMPOTENCY, encode(c.command().idempotencyKey()));
+        if (call.command().idempotencyKey() != null) {
+            h.set(IDEMPOTENCY, encode(call.command().idempotencyKey()));
         }
-        if (c.command().content().mediaType() != null) {
-            h.set(CONTENT_TYPE, encode(c.command().content().mediaType()));
+        if (call.command().content().mediaType() != null) {
+            h.set(CONTENT_TYPE, encode(call.command().content().mediaType()));
         }
         return h;
     }
 
-    /** Reads a call whose body is all here. */
+    /** Decodes a call whose body has arrived completely. */
     static Call call(Http2Headers h, Content content) throws WireException {
         String id = text(h, ID);
         String path = String.valueOf(h.path());
@@ -180,9 +189,10 @@
             case "DELETE" -> Command.Action.DELETE;
             default -> throw new WireException("unknown method");
         };
-        double left = number(h, REMAINING);
-        List<String> halls = datacenters(h, DATACENTERS);
-        if (!(left >= 0 && left <= MAX_TIME_MS) || halls.isEmpty() || halls.size() > MAX_DATACENTERS) {
+        double remainingMs = number(h, REMAINING);
+        List<String> datacenters = datacenters(h, DATACENTERS);
+        if (!(remainingMs >= 0 && remainingMs <= MAX_TIME_MS) || datacenters.isEmpty()
+                || datacenters.size() > MAX_DATACENTERS) {
             throw new WireException("no time, or no hall that it comes from");
         }
         String service = decode(h, CLASS);
@@ -190,8 +200,8 @@
             throw new WireException("no class");
         }
         String key = decode(h, IDEMPOTENCY);
-        return new Call(id, left, service, decode(h, TENANT), "1".equals(text(h, RETRY)),
-                h.contains(WORK) ? number(h, WORK) : 0, new DatacenterPath(halls, Set.copyOf(datacenters(h, RAN))),
+        return new Call(id, remainingMs, service, decode(h, TENANT), "1".equals(text(h, RETRY)),
+                h.contains(WORK) ? number(h, WORK) : 0, new DatacenterPath(datacenters, Set.copyOf(datacenters(h, RAN))),
                 new Command<>(action, path, key, new Content(content.bytes(), decode(h, CONTENT_TYPE))));
     }
 
@@ -200,12 +210,12 @@
         return content.mediaType() == null ? h : h.set(CONTENT_TYPE, encode(content.mediaType()));
     }
 
-    /** It took effect before, by this call. */
-    static Http2Headers recorded(String call) {
-        return status(200).set(RECORDED, encode(call));
+    /** Encodes the response that the request took effect before, by this call. */
+    static Http2Headers recorded(String callId) {
+        return status(200).set(RECORDED, encode(callId));
     }
 
-    /** Its idempotency key was given with another request; nothing ran. */
+    /** Encodes the response that the idempotency key was used with a different request; nothing ran. */
     static Http2Headers conflict() {
         return status(422).set(RAN, NEVER).set(CONFLICT, "1");
     }
@@ -219,50 +229,55 @@
         return decode(h, TENANT);
     }
 
-    /** What is known of a key; null for nothing. */
-    static Http2Headers idempotencyRecord(IdempotencyRecord known, double nowMs) {
-        return known == null ? status(404) : status(200).set(RAN, known.state().name()).set(ID, encode(known.callId()))
-                .set(AGE, number(nowMs - known.stateSinceMs()));
+    /** Encodes the record of a key; null if there is none. */
+    static Http2Headers idempotencyRecord(IdempotencyRecord found, double nowMs) {
+        return found == null ? status(404) : status(200).set(RAN, found.state().name()).set(ID, encode(found.callId()))
+                .set(AGE, number(nowMs - found.stateSinceMs()));
     }
 
-    /** Reads what a gateway knows of a key; null for nothing, and for what makes no sense. */
+    /** Decodes the record of a key; null if there is none, or if the response is invalid. */
     static IdempotencyRecord idempotencyRecord(Http2Headers h, String tenant, double nowMs) {
-        String call = decode(h, ID);
-        double ago = h.contains(AGE) ? number(h, AGE) : Double.NaN;
-        if (!"200".equals(String.valueOf(h.status())) || call == null || Double.isNaN(ago)) {
+        String callId = decode(h, ID);
+        double ageMs = h.contains(AGE) ? number(h, AGE) : Double.NaN;
+        if (!"200".equals(String.valueOf(h.status())) || callId == null || Double.isNaN(ageMs)) {
             return null;
         }
         for (IdempotencyRecord.State state : IdempotencyRecord.State.values()) {
             if (state.name().equals(text(h, RAN))) {
-                return new IdempotencyRecord(state, call, tenant, 0, nowMs - ago, 0, nowMs - ago);
+                return new IdempotencyRecord(state, callId, tenant, 0, nowMs - ageMs, 0, nowMs - ageMs);
             }
         }
         return null;
     }
 
-    /** An answer without a value; whether it may have run, or be running still, is of this hall and those beyond. */
-    static Http2Headers rejected(int status, boolean mayHaveRun, boolean mayBeOut, double retryAfterMs, Set<String> beyond) {
-        Http2Headers h = status(status).set(RAN, mayBeOut ? IN_PROGRESS : mayHaveRun ? MAYBE : NEVER);
-        if (!beyond.isEmpty()) {
-            h.set(DATACENTERS, String.join(",", beyond));
+    /**
+     * Encodes a response without a value. Whether the request may have run, or may still be running, is meant for this
+     * datacenter and all beyond.
+     */
+    static Http2Headers rejected(int status, boolean mayHaveRun, boolean mayBeInProgress, double retryAfterMs,
+                                 Set<String> enteredDatacenters) {
+        Http2Headers h = status(status).set(RAN, mayBeInProgress ? IN_PROGRESS : mayHaveRun ? MAYBE : NEVER);
+        if (!enteredDatacenters.isEmpty()) {
+            h.set(DATACENTERS, String.join(",", enteredDatacenters));
         }
         return retryAfterMs > 0 ? h.set(RETRY_AFTER, number(retryAfterMs)) : h;
     }
 
-    /** Reads the answer to a call, whose body is all here. */
+    /** Decodes the response to a call, whose body has arrived completely. */
     static Reply reply(Http2Headers h, Content content) {
         return switch (String.valueOf(h.status())) {
-            case "200" -> new Reply(ForwardOutcome.SERVED, new Content(content.bytes(), decode(h, CONTENT_TYPE)), 0, Set.of(),
-                    decode(h, RECORDED), false);
+            case "200" -> new Reply(ForwardOutcome.SERVED, new Content(content.bytes(), decode(h, CONTENT_TYPE)), 0,
+                    Set.of(), decode(h, RECORDED), false);
             case "404" -> new Reply(ForwardOutcome.SERVED, Content.ABSENT, 0, Set.of());
             default -> {
-                // Only a word to that effect shows that nothing ran.
-                boolean never = NEVER.equals(text(h, RAN));
-                boolean maybe = MAYBE.equals(text(h, RAN));
-                double back = h.contains(RETRY_AFTER) ? number(h, RETRY_AFTER) : 0;
+                // Only an explicit field proves that nothing ran.
+                boolean neverRan = NEVER.equals(text(h, RAN));
+                boolean mayHaveRun = MAYBE.equals(text(h, RAN));
+                double retryAfterMs = h.contains(RETRY_AFTER) ? number(h, RETRY_AFTER) : 0;
                 try {
-                    yield new Reply(never ? ForwardOutcome.REFUSED : maybe ? ForwardOutcome.FAILED : ForwardOutcome.LOST, null, Double.isNaN(back) ? 0 : back,
-                            Set.copyOf(datacenters(h, DATACENTERS)), null, never && h.contains(CONFLICT));
+                    yield new Reply(neverRan ? ForwardOutcome.REFUSED : mayHaveRun ? ForwardOutcome.FAILED
+                                    : ForwardOutcome.LOST, null, Double.isNaN(retryAfterMs) ? 0 : retryAfterMs,
+                            Set.copyOf(datacenters(h, DATACENTERS)), null, neverRan && h.contains(CONFLICT));
                 } catch (WireException e) {
                     yield Reply.of(ForwardOutcome.LOST);
                 }
@@ -270,14 +285,15 @@
         };
     }
 
-    static Http2Headers gatewayState(GatewayState told) {
-        return status(200).set(LEVEL, String.valueOf(told.level())).set(ACCEPTING, told.accepting() ? "1" : "0")
-                .set(LEAVING, told.leaving() ? "1" : "0");
+    static Http2Headers gatewayState(GatewayState state) {
+        return status(200).set(LEVEL, String.valueOf(state.level())).set(ACCEPTING, state.accepting() ? "1" : "0")
+                .set(LEAVING, state.leaving() ? "1" : "0");
     }
 
     static GatewayState gatewayState(Http2Headers h) {
         double level = h.contains(LEVEL) ? number(h, LEVEL) : 0;
-        return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, ACCEPTING)), "1".equals(text(h, LEAVING)));
+        return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, ACCEPTING)),
+                "1".equals(text(h, LEAVING)));
     }
 
     static Http2Headers keyQuery(String key, double windowMs) {
@@ -293,29 +309,30 @@
     }
 
     static double queriedWindowMs(Http2Headers h) throws WireException {
-        double window = number(h, WINDOW);
-        if (!(window > 0 && window <= MAX_TIME_MS)) {
+        double windowMs = number(h, WINDOW);
+        if (!(windowMs > 0 && windowMs <= MAX_TIME_MS)) {
             throw new WireException("no window");
         }
-        return window;
+        return windowMs;
     }
 
-    static Http2Headers keyStatus(KeyStatus word) {
+    static Http2Headers keyStatus(KeyStatus keyStatus) {
         Http2Headers h = status(200);
-        return word instanceof MayHaveRun ran ? h.set(RAN, ran.datacenter()).set(AGE, number(ran.ageMs()))
-                : h.set(RAN, word instanceof NotSeen ? NEVER : UNKNOWN);
+        return keyStatus instanceof MayHaveRun run ? h.set(RAN, run.datacenter()).set(AGE, number(run.ageMs()))
+                : h.set(RAN, keyStatus instanceof NotSeen ? NEVER : UNKNOWN);
     }
 
     static KeyStatus keyStatus(Http2Headers h) {
         String ran = text(h, RAN);
-        double ago = h.contains(AGE) ? number(h, AGE) : Double.NaN;
+        double ageMs = h.contains(AGE) ? number(h, AGE) : Double.NaN;
         if (ran == null || !"200".equals(String.valueOf(h.status())) || ran.equals(UNKNOWN)) {
             return new Indeterminate();
         }
-        return ran.equals(NEVER) ? new NotSeen() : Double.isNaN(ago) ? new Indeterminate() : new MayHaveRun(ran, ago);
+        return ran.equals(NEVER) ? new NotSeen() : Double.isNaN(ageMs) ? new Indeterminate()
+                : new MayHaveRun(ran, ageMs);
     }
 
-    /** A field as text; null where there is none. */
+    /** Returns a field as text; null if it is missing or too long. */
     static String text(Http2Headers h, String name) {
         CharSequence value = h.get(name);
         return value == null || value.length() > MAX_TEXT_CHARS ? null : value.toString();
@@ -342,7 +359,9 @@
         return names;
     }
 
-    /** What clients chose may hold any character; fields may not (RFC 9113, section 8.2.1). */
+    /**
+     * Encodes texts chosen by clients, as they may contain characters that fields may not (RFC 9113, section 8.2.1).
+     */
     private static String encode(String text) {
         return URLEncoder.encode(text, StandardCharsets.UTF_8);
     }
