--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
@@ -462,7 +462,7 @@
 
         private void homeEnded(HomeOutcome outcome, RequestCounters.RequestResult result, Runnable response) {
             if (finished || !atHome) {
-                Log.info("halls: second response of the home datacenter for " + request.id());
+                Log.info("halls: the home datacenter responded to " + request.id() + " twice");
                 return;
             }
             atHome = false;
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
@@ -388,7 +388,7 @@
             try {
                 submit(DatacenterWire.call(headers, body.content()));
             } catch (WireException e) {
-                Log.info("halls: " + connection.datacenter + " sent what makes no sense: " + e.getMessage());
+                Log.info("halls: " + connection.datacenter + " sent an invalid request: " + e.getMessage());
                 reject(400, false, 0);
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
@@ -64,7 +64,8 @@
     private static final String CONTENT_TYPE = "content-type";
     private static final String NEVER = "never";
     private static final String MAYBE = "maybe";
-    private static final String IN_PROGRESS = "out";
+    /** Value of {@link #RAN} for a request that may still be running. */
+    private static final String OUT = "out";
     private static final String UNKNOWN = "unknown";
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,14}(\\.[0-9]{1,6})?");
     private static final int MAX_DATACENTERS = 16;
@@ -256,7 +257,7 @@
      */
     static Http2Headers rejected(int status, boolean mayHaveRun, boolean mayBeInProgress, double retryAfterMs,
                                  Set<String> enteredDatacenters) {
-        Http2Headers h = status(status).set(RAN, mayBeInProgress ? IN_PROGRESS : mayHaveRun ? MAYBE : NEVER);
+        Http2Headers h = status(status).set(RAN, mayBeInProgress ? OUT : mayHaveRun ? MAYBE : NEVER);
         if (!enteredDatacenters.isEmpty()) {
             h.set(DATACENTERS, String.join(",", enteredDatacenters));
         }
