--- a/bench/src/main/java/ridgemill/bench/EurekaDrain.java
+++ b/bench/src/main/java/ridgemill/bench/EurekaDrain.java
@@ -120,7 +120,7 @@
             double length = CHANGES / (double) AT_ONCE * (WATCH_MS + REST_MS) / 1000 + 8;
             CompletableFuture<Void> load = bed.load(
                             LoadProfile.USUAL.rate(400, length),
-                            Map.of("p0", operated.service().listening()))
+                            Map.of("p0", operated.service().listenAddress()))
                     .start();
             Thread.sleep(4000);
             long before = registry.requests();
--- a/bench/src/main/java/ridgemill/bench/LimitAccuracy.java
+++ b/bench/src/main/java/ridgemill/bench/LimitAccuracy.java
@@ -112,8 +112,8 @@
                     Map.of());
             operated = Operated.start(config, file.toString(), new BalancingRouter(config.settings(), 1));
             // A play of its own before the one that counts: the code is cold at first, and slow clients ask too little.
-            ask(operated.service().listening(), List.of(new Tenant("warm-up", 2, 50)), 2);
-            return ask(operated.service().listening(), tenants, SECONDS);
+            ask(operated.service().listenAddress(), List.of(new Tenant("warm-up", 2, 50)), 2);
+            return ask(operated.service().listenAddress(), tenants, SECONDS);
         } finally {
             if (operated != null) {
                 operated.service().kill();
--- a/gateway/src/main/java/ridgemill/Main.java
+++ b/gateway/src/main/java/ridgemill/Main.java
@@ -6,7 +6,7 @@
 import ridgemill.cli.Commands;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.ConfigException;
-import ridgemill.gateway.Hangup;
+import ridgemill.gateway.SighupHandler;
 import ridgemill.gateway.Service;
 
 /**
@@ -24,19 +24,19 @@
     public static void main(String[] args) throws ConfigException, IOException, InterruptedException {
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> serve();
-            case "rehearse" -> Service.rehearse();
+            case "rehearse" -> Service.runClassArchiveTraining();
             case "benchlink" -> ridgemill.benchlink.Main.main(args);
             default -> System.exit(Commands.run(args));
         }
     }
 
     /** Says in one line on standard error what is wrong. */
-    public static void complain(String what) {
+    public static void printError(String what) {
         System.err.println("ridgemill: " + what);
     }
 
     /** A proxy that runs, what SIGHUP does to it, and what SIGTERM does, which returns when nothing is owed. */
-    public record Started(Running running, Runnable hangup, Runnable drain) { }
+    public record StartedProxy(Running running, Runnable reload, Runnable drain) { }
 
     /** What a process waits for. */
     public interface Running {
@@ -49,7 +49,7 @@
     public interface Starter {
 
         /** Starts one; what it throws ends the process. */
-        Started start(Config config) throws ConfigException, IOException, InterruptedException;
+        StartedProxy start(Config config) throws ConfigException, IOException, InterruptedException;
     }
 
     /** Runs a proxy until it has drained; ends the process with {@link #EXIT_CONFIG} where it can't start. */
@@ -57,23 +57,23 @@
         Map<String, String> environment = System.getenv();
         serve(config -> {
             Service service = Service.start(config);
-            return new Started(service::awaitEnd, () -> service.reload(environment), service::drain);
+            return new StartedProxy(service::awaitEnd, () -> service.reload(environment), service::drain);
         });
     }
 
     /** The same for a proxy that is started in another way. */
     public static void serve(Starter starter) throws InterruptedException {
         // Before the first client can be told that the proxy is ready: without a handler SIGHUP ends the process.
-        CompletableFuture<Started> started = new CompletableFuture<>();
-        Hangup.handle(() -> started.thenAccept(s -> s.hangup().run()));
-        Started running = null;
+        CompletableFuture<StartedProxy> started = new CompletableFuture<>();
+        SighupHandler.register(() -> started.thenAccept(s -> s.reload().run()));
+        StartedProxy running = null;
         try {
             running = starter.start(Config.fromEnvironment(System.getenv()));
         } catch (ConfigException e) {
-            complain("configuration: " + e.getMessage());
+            printError("configuration: " + e.getMessage());
             System.exit(EXIT_CONFIG);
         } catch (IOException e) {
-            complain(e.getMessage());
+            printError(e.getMessage());
             System.exit(EXIT_CONFIG);
         }
         started.complete(running);
--- a/gateway/src/main/java/ridgemill/cli/Commands.java
+++ b/gateway/src/main/java/ridgemill/cli/Commands.java
@@ -54,7 +54,7 @@
         CommandLine line = new CommandLine(new Root());
         line.setParameterExceptionHandler(Commands::misused);
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            String.valueOf(e.getMessage()).lines().forEach(Main::complain);
+            String.valueOf(e.getMessage()).lines().forEach(Main::printError);
             return Main.EXIT_CONFIG;
         });
         return line.execute(args);
@@ -76,7 +76,7 @@
 
     private static int misused(ParameterException e, String[] args) {
         String command = e.getCommandLine().getCommandSpec().qualifiedName(" ");
-        Main.complain(String.valueOf(e.getMessage()).lines().findFirst().orElse("bad command line") + " (see '" + command
+        Main.printError(String.valueOf(e.getMessage()).lines().findFirst().orElse("bad command line") + " (see '" + command
                 + " --help')");
         return Main.EXIT_CONFIG;
     }
@@ -123,12 +123,12 @@
             return 0;
         }
 
-        private Main.Started operated(Config config) throws ConfigException, IOException, InterruptedException {
+        private Main.StartedProxy operated(Config config) throws ConfigException, IOException, InterruptedException {
             try {
                 Service.warmUp(config);
                 Operated operated = Operated.start(config, operatorFile, settings -> new BalancingRouter(settings, config.seed() + settings.proxyIndex()));
                 Runtime.getRuntime().addShutdownHook(new Thread(operated::closeControl, "control"));
-                return new Main.Started(operated::awaitEnd, () -> {
+                return new Main.StartedProxy(operated::awaitEnd, () -> {
                     operated.reloadConfiguration(System.getenv());
                     operated.reload();
                 }, operated::drain);
@@ -163,7 +163,7 @@
             }
             Config config = Config.read(file, Map.of());
             String summary = config.settings().classes().size() + " classes, "
-                    + (config.known() == null ? 0 : config.known().hosts().size()) + " known hosts, listens on "
+                    + (config.knownHosts() == null ? 0 : config.knownHosts().hosts().size()) + " known hosts, listens on "
                     + Addresses.text(config.listen());
             good(summary);
             return 0;
@@ -182,7 +182,7 @@
                     System.out.println(report);
                 } else {
                     e.problems().forEach(p -> System.err.println(p));
-                    Main.complain(file + ": " + e.problems().size() + " problems, nothing of it takes effect");
+                    Main.printError(file + ": " + e.problems().size() + " problems, nothing of it takes effect");
                 }
                 return Main.EXIT_CONFIG;
             }
@@ -270,7 +270,7 @@
                 }
                 answer = JsonParser.parseString(text).getAsJsonObject();
             } catch (IOException | JsonParseException | IllegalStateException e) {
-                Main.complain(String.valueOf(e.getMessage()));
+                Main.printError(String.valueOf(e.getMessage()));
                 return EXIT_UNANSWERED;
             }
             if (!json) {
@@ -300,14 +300,14 @@
             if (reload.taken()) {
                 System.out.println("taken: " + reload.summary());
             } else {
-                Main.complain(reload.problems().size() + " problems; " + reload.summary());
+                Main.printError(reload.problems().size() + " problems; " + reload.summary());
             }
         }
 
         @Override
         int code(JsonObject answer) {
             if (!answer.has("taken")) {
-                Main.complain(answer.toString());
+                Main.printError(answer.toString());
                 return EXIT_UNANSWERED;
             }
             return answer.get("taken").getAsBoolean() ? 0 : Main.EXIT_CONFIG;
--- a/gateway/src/main/java/ridgemill/gateway/Rehearsal.java
+++ b/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
@@ -18,28 +18,28 @@
  * start has to read from the jar and check. So it reads a configuration's text, has its list from a discovery, and serves
  * over sockets; all on loopback, at free ports.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
 
     /** Two steps of the decisions, as the second does what the first has nothing for. */
     private static final long STEPS_MS = 2300;
     private static final int REQUESTS = 400;
     private static final double PATIENCE_MS = 4000;
 
-    private Rehearsal() { }
+    private ClassArchiveTraining() { }
 
     /** Runs it; ends on its own. */
     static void run() throws ConfigException, IOException, InterruptedException {
-        Hangup.handle(() -> { });
+        SighupHandler.register(() -> { });
         try (ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Config config = Config.parse(configuration(discovery.getLocalPort()), Map.of());
             Thread tells = new Thread(() -> tell(discovery), "discovery");
             tells.setDaemon(true);
             tells.start();
             Service service = Service.start(config);
-            Warmup.run(Transport.TCP, config.settings(), null, new WarmupEnd(REQUESTS, PATIENCE_MS, PATIENCE_MS));
-            ask(service.listening());
-            call(service.consoleListening(), "/status");
-            call(service.consoleListening(), "/status/metrics");
+            Warmup.run(Transport.TCP, config.settings(), null, new WarmupStopCondition(REQUESTS, PATIENCE_MS, PATIENCE_MS));
+            ask(service.listenAddress());
+            call(service.consoleListenAddress(), "/status");
+            call(service.consoleListenAddress(), "/status/metrics");
             service.peerMessage(0, new byte[Integer.BYTES]);
             // Nothing tells of a step; and nobody waits for a build's rehearsal to be short.
             TimeUnit.MILLISECONDS.sleep(STEPS_MS);
--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -26,8 +26,8 @@
  * {@code console} is null where operators have no address of their own.
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                     InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-                     HostList known, Settings settings, int maxOpen, InetSocketAddress console) {
+                     InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peerBroadcastAddress,
+                     HostList knownHosts, Settings settings, int maxPendingRequests, InetSocketAddress console) {
 
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int HEX = 16;
@@ -43,7 +43,7 @@
      *
      * @param reserved descriptors that are not divided
      */
-    Config part(int loop, int loops, int reserved) {
+    Config forLoop(int loop, int loops, int reserved) {
         PlatformLimits l = settings.limits();
         PlatformLimits heard = new PlatformLimits(l.maxAttempts(), l.cancelAllowed(), l.probesAllowed(), true, l.retryAfterAllowed(), l.maxRetryAfterMs(),
                 l.hedgingAllowed(), l.connectTimeoutMs());
@@ -52,7 +52,7 @@
                 heard, settings.rules(), settings.mustSubscribe(), settings.weightMode(), settings.originModel(),
                 settings.connectionCosts());
         return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved, peerListen,
-                peers, peersAll, known, part, Math.max(1, maxOpen / loops), console);
+                peers, peerBroadcastAddress, knownHosts, part, Math.max(1, maxPendingRequests / loops), console);
     }
 
     /** Reads the file that BALANCER_CONFIG names; the other variables override what it says. */
--- a/gateway/src/main/java/ridgemill/gateway/Crew.java
+++ b/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
@@ -38,7 +38,7 @@
  *
  * <p>Not loaded where one loop serves.
  */
-public final class Crew {
+public final class MultiLoopService {
 
     /** A loop's own descriptors: what it waits with, what wakes it, its timer. */
     private static final int LOOP_SOCKETS = 3;
@@ -53,23 +53,23 @@
     private final List<Service> members = new ArrayList<>();
     private final ConnectionAcceptor dealer;
     private final Discovery discovery;
-    private final Peers peers;
+    private final PeerMessenger peers;
     private final boolean[] beating;
     private InetSocketAddress listening;
 
-    private Crew(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates) {
+    private MultiLoopService(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates) {
         this.config = config;
-        int reserved = Service.RESERVED_SOCKETS + LOOP_SOCKETS * loops;
+        int reserved = Service.RESERVED_DESCRIPTORS + LOOP_SOCKETS * loops;
         beating = new boolean[loops];
         int[] most = new int[loops];
         for (int i = 0; i < loops; i++) {
-            Config part = config.part(i, loops, reserved);
-            members.add(Service.member(part, routers.apply(part.settings()), gates.apply(i), new Member(i)));
+            Config part = config.forLoop(i, loops, reserved);
+            members.add(Service.createMember(part, routers.apply(part.settings()), gates.apply(i), new Member(i)));
             most[i] = members.get(i).clients().maxConnections();
         }
         dealer = new ConnectionAcceptor(door, clock, new ConnectionDistributor(most, clock.now()));
-        discovery = new Discovery(door, config.discovery(), config.known(), !config.settings().mustSubscribe(), new Told());
-        peers = config.peerListen() == null ? null : new Peers(door, config, this::peerMessage);
+        discovery = new Discovery(door, config.discovery(), config.knownHosts(), !config.settings().mustSubscribe(), new DiscoveryListener());
+        peers = config.peerListen() == null ? null : new PeerMessenger(door, config, this::peerMessage);
     }
 
     /**
@@ -79,12 +79,12 @@
      * @param routers makes the decisions of a loop from its settings
      * @param gates makes the gate of a loop from its number
      */
-    public static Crew start(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates)
+    public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates)
             throws IOException, InterruptedException {
         if (loops < 2) {
             throw new IllegalArgumentException("a crew has at least two loops: " + loops);
         }
-        Crew crew = new Crew(config, loops, routers, gates);
+        MultiLoopService crew = new MultiLoopService(config, loops, routers, gates);
         try {
             crew.open();
         } catch (IOException e) {
@@ -96,17 +96,17 @@
 
     private void open() throws IOException, InterruptedException {
         if (peers != null) {
-            Service.bound(peers.listen(false), config.peerListen());
+            Service.awaitBound(peers.listen(false), config.peerListen());
         }
-        members.forEach(Service::begin);
+        members.forEach(Service::startMember);
         listening = listen(config.listen(), Service::httpListeners);
         Log.info("listening on " + Addresses.text(listening) + " for " + members.size() + " loops");
         door.execute(discovery::start);
-        long patience = config.settings().mustSubscribe() ? 0 : Service.FIRST_NEWS_MS;
+        long patience = config.settings().mustSubscribe() ? 0 : Service.DISCOVERY_WAIT_MS;
         door.schedule(() -> each(Service::ready), patience, TimeUnit.MILLISECONDS);
         door.scheduleAtFixedRate(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
         door.scheduleAtFixedRate(dealer::checkLoops, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        door.scheduleAtFixedRate(this::logTally, Service.TALLY_S, Service.TALLY_S, TimeUnit.SECONDS);
+        door.scheduleAtFixedRate(this::logTally, Service.COUNTERS_LOG_INTERVAL_S, Service.COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     /**
@@ -131,20 +131,20 @@
         }
     }
 
-    /** Listens at an address until {@link #unlisten}, and deals its connections to these fronts; not on a loop. */
+    /** Listens at an address until {@link #stopListeningAt}, and deals its connections to these fronts; not on a loop. */
     public InetSocketAddress listen(InetSocketAddress address, Function<Service, Listeners> fronts)
             throws IOException, InterruptedException {
         List<Listeners> each = members.stream().map(fronts).toList();
-        return (InetSocketAddress) Service.bound(dealer.listen(Transport.TCP, address, each), address).channel().localAddress();
+        return (InetSocketAddress) Service.awaitBound(dealer.listen(Transport.TCP, address, each), address).channel().localAddress();
     }
 
     /** No new connections at an address. */
-    public void unlisten(InetSocketAddress address) {
+    public void stopListeningAt(InetSocketAddress address) {
         toDoor(() -> dealer.stopListening(address));
     }
 
     /** Where clients connect. */
-    public InetSocketAddress listening() {
+    public InetSocketAddress listenAddress() {
         return listening;
     }
 
@@ -154,12 +154,12 @@
     }
 
     /** The loop that has what the process has once. */
-    public EventLoop door() {
+    public EventLoop acceptorLoop() {
         return door;
     }
 
     /** What is known of each loop, a line each. Not to be called on a loop. */
-    public List<String> explain() {
+    public List<String> describeLoops() {
         return door.submit(dealer::describeLoops).syncUninterruptibly().getNow();
     }
 
@@ -193,7 +193,7 @@
 
     /** Reads the configuration again, as {@link Service#reload} does. */
     public void reload(Map<String, String> environment) {
-        toDoor(() -> Service.reread(environment, discovery));
+        toDoor(() -> Service.reloadDiscovery(environment, discovery));
     }
 
     /** What the process says of itself, over all loops; the level is the highest of any. Not to be called on a loop. */
@@ -246,7 +246,7 @@
     }
 
     /** What one loop has of the world. */
-    private final class Member implements Service.Outside {
+    private final class Member implements Service.MemberContext {
         private final int index;
 
         Member(int index) {
@@ -262,7 +262,7 @@
         }
 
         @Override
-        public void tell(byte[] contents) {
+        public void broadcast(byte[] contents) {
             int from = config.settings().proxyIndex() * members.size() + index;
             for (int i = 0; i < members.size(); i++) {
                 if (i != index) {
@@ -271,7 +271,7 @@
                 }
             }
             if (peers != null) {
-                toDoor(() -> peers.tell(contents));
+                toDoor(() -> peers.send(contents));
             }
         }
 
@@ -285,15 +285,15 @@
     }
 
     /** Passes on what discovery tells: the list is immutable, and each loop takes it in when its turn comes. */
-    private final class Told implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
-            each(m -> m.told(kind, list));
+            each(m -> m.applyHostList(kind, list));
         }
 
         @Override
         public void refused() {
-            to(members.get(0), members.get(0)::discoveryRefused);
+            to(members.get(0), members.get(0)::discoveryFailed);
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/PeerEar.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
@@ -13,12 +13,12 @@
  * hearing one during a start tells a restart in a fleet at work from the first start of all. Without peers, or where the
  * address can't be had yet, nothing is heard; the proxy's own attempt to listen reports why.
  */
-final class PeerEar implements Closeable {
+final class PeerDetector implements Closeable {
 
     private final Selector selector;
     private final DatagramChannel channel;
 
-    PeerEar(InetSocketAddress address) throws IOException {
+    PeerDetector(InetSocketAddress address) throws IOException {
         selector = Selector.open();
         channel = DatagramChannel.open();
         if (address != null) {
@@ -36,7 +36,7 @@
     }
 
     /** Whether a message has come, or comes within so long; it is left unread. */
-    boolean heard(long waitMs) throws IOException {
+    boolean hasMessage(long waitMs) throws IOException {
         return (waitMs <= 0 ? selector.selectNow() : selector.select(waitMs)) > 0 || !selector.selectedKeys().isEmpty();
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/Peers.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerMessenger.java
@@ -16,9 +16,9 @@
 import ridgemill.gateway.net.SocketKind;
 
 /** Short messages between proxies, over UDP: late, lost, or from strangers. */
-final class Peers {
+final class PeerMessenger {
 
-    static final int MAX_MESSAGE = 256;
+    static final int MAX_MESSAGE_BYTES = 256;
 
     private final EventLoop loop;
     private final Config config;
@@ -29,7 +29,7 @@
     private boolean left;
 
     /** {@code heard} is told the number of the proxy that speaks, and what it says; on the loop. */
-    Peers(EventLoop loop, Config config, BiConsumer<Integer, byte[]> heard) {
+    PeerMessenger(EventLoop loop, Config config, BiConsumer<Integer, byte[]> heard) {
         this.loop = loop;
         this.config = config;
         this.heard = heard;
@@ -47,7 +47,7 @@
         return bound;
     }
 
-    InetSocketAddress listening() {
+    InetSocketAddress listenAddress() {
         return (InetSocketAddress) channel.localAddress();
     }
 
@@ -58,14 +58,14 @@
     }
 
     /** Sends to every other proxy. */
-    void tell(byte[] contents) {
+    void send(byte[] contents) {
         if (left) {
             return;
         }
-        if (channel == null || contents.length > MAX_MESSAGE) {
+        if (channel == null || contents.length > MAX_MESSAGE_BYTES) {
             log.odd("a message to peers was not sent: " + contents.length + " bytes");
-        } else if (config.peersAll() != null) {
-            send(contents, config.peersAll());
+        } else if (config.peerBroadcastAddress() != null) {
+            send(contents, config.peerBroadcastAddress());
         } else {
             List<InetSocketAddress> peers = config.peers();
             for (int i = 0; i < peers.size(); i++) {
@@ -77,7 +77,7 @@
     }
 
     /** Sends to one other proxy, by its number. */
-    void tell(int to, byte[] contents) {
+    void send(int to, byte[] contents) {
         if (!left && channel != null && to != self) {
             send(contents, config.peers().get(to));
         }
@@ -92,7 +92,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             int from = config.peers().indexOf(packet.sender());
             int length = packet.content().readableBytes();
-            if (from < 0 || length > MAX_MESSAGE) {
+            if (from < 0 || length > MAX_MESSAGE_BYTES) {
                 log.odd("a datagram was dropped: " + length + " bytes from " + packet.sender());
             } else if (from != self) {
                 heard.accept(from, ByteBufUtil.getBytes(packet.content()));
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -68,15 +68,15 @@
 public final class Service {
 
     /** Descriptors for the listener, the watch, peers, the selector and the Java machine's own files. */
-    static final int RESERVED_SOCKETS = 48;
+    static final int RESERVED_DESCRIPTORS = 48;
     /** Part of the other descriptors that is for clients; each of their requests has one attempt out at most. */
-    private static final double CLIENT_PART = 0.5;
-    private static final long DRAIN_POLL_MS = 10;
+    private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
+    private static final long DRAIN_POLL_INTERVAL_MS = 10;
     /** How long readiness waits for discovery: a list from the configuration serves if it says nothing. */
-    static final long FIRST_NEWS_MS = 2000;
-    static final long TALLY_S = 10;
+    static final long DISCOVERY_WAIT_MS = 2000;
+    static final long COUNTERS_LOG_INTERVAL_S = 10;
     /** What the length of a datagram of leases leaves when it is divided by that of a key. */
-    private static final int LEASE_REST = 3;
+    private static final int FLEET_MESSAGE_REMAINDER = 3;
 
     private final LoopGroup group = new LoopGroup(1, SocketKind.chosen().handlers());
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -92,7 +92,7 @@
     private final List<Runnable> stops = new ArrayList<>();
     private final HttpFrontend front;
     private final Discovery discovery;
-    private final Peers peers;
+    private final PeerMessenger peers;
     private final Map<String, HostList.Host> hosts = new LinkedHashMap<>();
     private Runnable onHosts = () -> { };
     private final List<BiConsumer<Integer, byte[]>> onFleet = new ArrayList<>();
@@ -110,11 +110,11 @@
     }
 
     /** One that reaches discovery, peers and new clients through a crew, or by itself where that is null. */
-    private Service(Config config, Router router, AdmissionController gate, Outside outside) {
+    private Service(Config config, Router router, AdmissionController gate, MemberContext outside) {
         this.config = config;
         Settings settings = config.settings();
-        int sockets = Math.max(2, config.sockets() - RESERVED_SOCKETS);
-        int clientSockets = Math.max(1, (int) (sockets * CLIENT_PART));
+        int sockets = Math.max(2, config.sockets() - RESERVED_DESCRIPTORS);
+        int clientSockets = Math.max(1, (int) (sockets * CLIENT_DESCRIPTOR_FRACTION));
         timers = new LoopTimers(loop, new Clock());
         deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
         intake = new Intake<>(timers, gate, deadlines);
@@ -129,13 +129,13 @@
         if (outside != null) {
             discovery = null;
             peers = null;
-            platform.dispatcher().setCallbacks(outside::subscribe, outside::tell);
-            callForRoom(outside::tell);
+            platform.dispatcher().setCallbacks(outside::subscribe, outside::broadcast);
+            callForRoom(outside::broadcast);
             return;
         }
-        discovery = new Discovery(loop, config.discovery(), config.known(), !settings.mustSubscribe(), new Told());
-        peers = config.peerListen() == null ? null : new Peers(loop, config, this::peerMessage);
-        Consumer<byte[]> tell = peers == null ? contents -> { } : peers::tell;
+        discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(), new DiscoveryListener());
+        peers = config.peerListen() == null ? null : new PeerMessenger(loop, config, this::peerMessage);
+        Consumer<byte[]> tell = peers == null ? contents -> { } : peers::send;
         platform.dispatcher().setCallbacks(discovery::subscribe, tell);
         callForRoom(tell);
     }
@@ -155,15 +155,15 @@
 
     private Upstream upstream(String name, Settings settings, Router router, NodeBackend back, FaultReporter faults) {
         return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::requestFinished,
-                config.maxOpen(), deadlines.group(name)));
+                config.maxPendingRequests(), deadlines.group(name)));
     }
 
-    private static FaultReporter faults(Outside outside) {
-        return outside == null ? new LogFaults() : new MemberFaults(new LogFaults(), outside);
+    private static FaultReporter faults(MemberContext outside) {
+        return outside == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), outside);
     }
 
     /** Tells the crew too of what a member does not recover from. */
-    private record MemberFaults(LogFaults log, Outside outside) implements FaultReporter {
+    private record MemberFaultReporter(LogFaults log, MemberContext outside) implements FaultReporter {
         @Override
         public void error(String what, Throwable cause) {
             log.error(what, cause);
@@ -182,38 +182,38 @@
     }
 
     /** What a member of a crew has of the world beyond nodes and its clients; called on the member's loop. */
-    interface Outside {
+    interface MemberContext {
 
         /** Asks discovery to send changes. */
         void subscribe();
 
         /** Tells all other proxies, those of this process too. */
-        void tell(byte[] contents);
+        void broadcast(byte[] contents);
 
         /** The member can't decide any more. */
         void failed();
     }
 
     /** A member of a crew, which waits for what it is told and dealt once it has begun. */
-    static Service member(Config part, Router router, AdmissionController gate, Outside outside) {
+    static Service createMember(Config part, Router router, AdmissionController gate, MemberContext outside) {
         return new Service(part, router, gate, outside);
     }
 
     /** Begins as a member, once all of its crew are there. */
-    void begin() {
-        between(() -> {
+    void startMember() {
+        runOnLoop(() -> {
             tellStart();
             clients.startTimeoutChecks(loop);
         });
     }
 
     /** What holds for clients over HTTP from now on; on the loop. */
-    public void terms(HttpClientPolicy terms) {
+    public void setHttpClientPolicy(HttpClientPolicy terms) {
         front.policy(terms);
     }
 
     /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
-    public void record(IdempotencyRecords outcomes) {
+    public void enableIdempotencyRecords(IdempotencyRecords outcomes) {
         intake.setDeduplicator(new WriteDeduplicator<>(timers, outcomes, Fingerprint::of));
         front.enableOutcomeQueries();
     }
@@ -230,23 +230,23 @@
     }
 
     /** What discovery told a crew; on the loop. */
-    void told(ListUpdateKind kind, HostList list) {
-        new Told().hosts(kind, list);
+    void applyHostList(ListUpdateKind kind, HostList list) {
+        new DiscoveryListener().hosts(kind, list);
     }
 
     /** Discovery failed a crew; on the loop. */
-    void discoveryRefused() {
+    void discoveryFailed() {
         platform.dispatcher().discoveryFailed();
     }
 
     /** A message of another proxy, or of another loop of this process; on the loop. */
     void peerMessage(int from, byte[] contents) {
-        if (mute.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != LEASE_REST)) {
+        if (mute.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
             return;
         }
         if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
             pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
-        } else if (contents.length % Integer.BYTES == LEASE_REST) {
+        } else if (contents.length % Integer.BYTES == FLEET_MESSAGE_REMAINDER) {
             // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
             onFleet.forEach(to -> to.accept(from, contents));
         } else {
@@ -255,24 +255,24 @@
     }
 
     /** What such proxies, by their place among the peers, tell the decisions or ask for is not heard; on the loop. */
-    public void mutes(IntPredicate from) {
+    public void ignorePeers(IntPredicate from) {
         mute = from;
     }
 
     /** Passes on what other proxies say of leases and versions, with their place among the peers; to be called on the loop. */
-    public void onFleet(BiConsumer<Integer, byte[]> heard) {
+    public void onFleetMessage(BiConsumer<Integer, byte[]> heard) {
         onFleet.add(heard);
     }
 
     /** Tells one other proxy something, by its place among the peers; on the loop. */
-    public void tellPeer(int to, byte[] contents) {
+    public void sendToPeer(int to, byte[] contents) {
         if (peers != null) {
-            peers.tell(to, contents);
+            peers.send(to, contents);
         }
     }
 
     /** Takes in another group of nodes, under decisions of its own; to be called on the loop. */
-    public Group group(String name, Settings settings, Router router, NodeBackend back) {
+    public Group addGroup(String name, Settings settings, Router router, NodeBackend back) {
         Group group = new Group(name, upstream(name, settings, router, back, new LogFaults()));
         group.upstream.dispatcher().start();
         intake.addGroup(name, group.upstream.dispatcher());
@@ -295,8 +295,8 @@
         }
 
         /** Its nodes, which the list names all. */
-        public void nodes(HostList list) {
-            upstream.hosts(ListUpdateKind.FULL, list);
+        public void setNodes(HostList list) {
+            upstream.applyHostList(ListUpdateKind.FULL, list);
         }
 
         /** Its nodes that take work, as they are listed. */
@@ -316,14 +316,14 @@
 
         /** Asks one of its nodes whether it takes work; {@code done} is told on the loop. */
         public void probe(String node, Consumer<Outcome> done) {
-            upstream.back().probe(node, config.settings().limits().connectTimeoutMs(), (outcome, answer) -> done.accept(outcome));
+            upstream.backend().probe(node, config.settings().limits().connectTimeoutMs(), (outcome, answer) -> done.accept(outcome));
         }
 
         /** No new request goes to it, and nothing new to its nodes; attempts that are out there end as they end. */
-        public void drop(long version) {
+        public void remove(long version) {
             intake.removeGroup(name);
-            nodes(new HostList(version, true, List.of()));
-            nodeSockets.unregister(upstream.back());
+            setNodes(new HostList(version, true, List.of()));
+            nodeSockets.unregister(upstream.backend());
         }
     }
 
@@ -332,13 +332,13 @@
         return intake;
     }
 
-    /** Listens for HTTP at one more address until {@link #unlisten}; not to be called on the loop. */
+    /** Listens for HTTP at one more address until {@link #stopListeningAt}; not to be called on the loop. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
-        bound(front.listen(Transport.TCP, address), address);
+        awaitBound(front.listen(Transport.TCP, address), address);
     }
 
     /** No new connections at an address that was listened at besides. */
-    public void unlisten(InetSocketAddress address) {
+    public void stopListeningAt(InetSocketAddress address) {
         loop.execute(() -> front.stopListening(address));
     }
 
@@ -348,12 +348,12 @@
     }
 
     /** Runs {@code then} on the loop after each news of the platform's list, in place of what was run before. */
-    public void onHosts(Runnable then) {
+    public void onHostListChange(Runnable then) {
         onHosts = then;
     }
 
     /** The decisions' present level of throttling for the platform's nodes; on the loop. */
-    public int level() {
+    public int throttleLevel() {
         return platform.router().admissionLevel();
     }
 
@@ -363,12 +363,12 @@
     }
 
     /** The descriptors that connections to nodes share. */
-    public ConnectionLimit nodeSockets() {
+    public ConnectionLimit nodeConnectionLimit() {
         return nodeSockets;
     }
 
     /** Another front: {@code stop} is run on the loop when no more connections are to be taken. */
-    public void onStop(Runnable stop) {
+    public void onStopListening(Runnable stop) {
         stops.add(stop);
     }
 
@@ -381,13 +381,13 @@
      * Runs a task on the loop between two requests, as when other settings take effect, and returns when it has run.
      * Not to be called on the loop.
      */
-    public void between(Runnable task) {
+    public void runOnLoop(Runnable task) {
         loop.submit(task).syncUninterruptibly();
     }
 
     /** Runs what a start runs, without a deployment: the build archives the classes that this loads. */
-    public static void rehearse() throws ConfigException, IOException, InterruptedException {
-        Rehearsal.run();
+    public static void runClassArchiveTraining() throws ConfigException, IOException, InterruptedException {
+        ClassArchiveTraining.run();
     }
 
     /** Runs the proxy's own path on requests that stay inside the process, before one is started. */
@@ -406,7 +406,7 @@
 
     /** The same with other decisions and another preparation. */
     static Service start(Config config, Router router, Preparation preparation) throws IOException, InterruptedException {
-        return new Service(config, router, new PlatformAdmissionController(config.settings())).opened(preparation);
+        return new Service(config, router, new PlatformAdmissionController(config.settings())).openOrShutDown(preparation);
     }
 
     /** What a start does between asking discovery and taking clients. */
@@ -427,11 +427,11 @@
     /** The same with something to be done once there is a proxy, before it takes clients; not on its loop. */
     public static Service start(Config config, Router router, AdmissionController gate, Consumer<Service> before) throws IOException, InterruptedException {
         Service service = new Service(config, router, gate);
-        return service.opened(() -> before.accept(service));
+        return service.openOrShutDown(() -> before.accept(service));
     }
 
     /** Opens it, with something to be done before clients are taken. */
-    Service opened(Preparation preparation) throws IOException, InterruptedException {
+    Service openOrShutDown(Preparation preparation) throws IOException, InterruptedException {
         try {
             open(preparation);
         } catch (IOException e) {
@@ -444,8 +444,8 @@
     private void open(Preparation preparation) throws IOException, InterruptedException {
         free(config.listen(), isShared());
         if (config.console() != null) {
-            Console console = new Console(loop, this::readiness, this::figures);
-            consoleListening = (InetSocketAddress) bound(console.listen(config.console()), config.console()).channel().localAddress();
+            Console console = new Console(loop, this::readiness, this::metrics);
+            consoleListening = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console()).channel().localAddress();
         }
         // The module knows its list before the first client can come, and asks for a newer one.
         loop.submit(this::tellStart).sync();
@@ -453,22 +453,22 @@
         loop.execute(() -> reached = reached.advanceTo(Readiness.WARMING_UP));
         preparation.run();
         if (peers != null) {
-            bound(peers.listen(isShared()), config.peerListen());
+            awaitBound(peers.listen(isShared()), config.peerListen());
         }
-        listening = (InetSocketAddress) bound(front.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
+        listening = (InetSocketAddress) awaitBound(front.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
         Log.info("listening on " + Addresses.text(listening));
         loop.execute(() -> {
             reached = reached.advanceTo(Readiness.WAITING_FOR_LIST);
             markServing();
         });
         clients.startTimeoutChecks(loop);
-        long patience = config.settings().mustSubscribe() ? 0 : FIRST_NEWS_MS;
+        long patience = config.settings().mustSubscribe() ? 0 : DISCOVERY_WAIT_MS;
         loop.schedule(this::ready, patience, TimeUnit.MILLISECONDS);
-        loop.scheduleAtFixedRate(this::logTally, TALLY_S, TALLY_S, TimeUnit.SECONDS);
+        loop.scheduleAtFixedRate(this::logTally, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     /** Waits until an address is listened at; throws where it can't be had. */
-    public static ChannelFuture bound(ChannelFuture bound, InetSocketAddress address)
+    public static ChannelFuture awaitBound(ChannelFuture bound, InetSocketAddress address)
             throws IOException, InterruptedException {
         bound.await();
         if (!bound.isSuccess()) {
@@ -495,12 +495,12 @@
     }
 
     /** Where peers' messages arrive. */
-    public InetSocketAddress peerListening() {
-        return peers.listening();
+    public InetSocketAddress peerListenAddress() {
+        return peers.listenAddress();
     }
 
     /** Where operators call; null where they have no address. */
-    public InetSocketAddress consoleListening() {
+    public InetSocketAddress consoleListenAddress() {
         return consoleListening;
     }
 
@@ -533,7 +533,7 @@
     }
 
     /** On the loop. */
-    private ProxyMetrics figures() {
+    private ProxyMetrics metrics() {
         String store = config.settings().originModel();
         List<String> nodes = hosts.values().stream().filter(h -> store == null || !store.equals(h.node().model()))
                 .map(h -> h.node().id()).toList();
@@ -544,12 +544,12 @@
     }
 
     /** Counts that the console shows besides, by name; to be called on the loop, as what tells them is. */
-    public void moreFigures(Supplier<Map<String, Long>> more) {
+    public void addMetrics(Supplier<Map<String, Long>> more) {
         moreFigures.add(more);
     }
 
     /** Where clients connect. */
-    public InetSocketAddress listening() {
+    public InetSocketAddress listenAddress() {
         return listening;
     }
 
@@ -566,11 +566,11 @@
     }
 
     private void reloadNow(Map<String, String> environment) {
-        reread(environment, discovery);
+        reloadDiscovery(environment, discovery);
     }
 
     /** Reads the configuration again for a watch that may move; on the watch's loop. */
-    static void reread(Map<String, String> environment, Discovery discovery) {
+    static void reloadDiscovery(Map<String, String> environment, Discovery discovery) {
         try {
             Config next = Config.reread(environment);
             Log.info("new configuration: discovery at " + next.discovery());
@@ -588,7 +588,7 @@
     /** The same with something to be done when nothing is owed any more, before the loop ends; not on the loop. */
     public void drainThen(Runnable last) {
         beforeEnd = last;
-        leave(ShutdownPlan.of(anotherServes(config, listening), config.settings().classes()));
+        shutDown(ShutdownPlan.of(anotherServes(config, listening), config.settings().classes()));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -597,7 +597,7 @@
     }
 
     /** Leaves by a plan; returns at once. */
-    void leave(ShutdownPlan plan) {
+    void shutDown(ShutdownPlan plan) {
         if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
             loop.execute(() -> {
@@ -662,15 +662,15 @@
         }
 
         static Status of(Counts c, int level) {
-            RequestCounters t = c.tally();
-            return new Status(t.requests(), t.served(), t.refused(), t.failed(), t.gone(), c.owed(), c.clients(), c.nodes(),
+            RequestCounters t = c.counters();
+            return new Status(t.requests(), t.served(), t.refused(), t.failed(), t.gone(), c.pending(), c.clients(), c.nodes(),
                     level, t.reasons());
         }
     }
 
     /** Asks the loop; not to be called on it. */
     public Status status() {
-        return loop.submit(() -> Status.of(counts(), level())).syncUninterruptibly().getNow();
+        return loop.submit(() -> Status.of(counts(), throttleLevel())).syncUninterruptibly().getNow();
     }
 
     /** Ends at once, whatever is owed. */
@@ -681,7 +681,7 @@
     /** Waits for the last answers to be written; a client's connection closes once its own has been. */
     private void finish() {
         if (intake.pendingRequests() > 0 || clients.size() > 0) {
-            loop.schedule(this::finish, DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::finish, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
                 logTally();
@@ -705,17 +705,17 @@
     }
 
     /** What the log tells at intervals; on the loop. */
-    record Counts(RequestCounters tally, int owed, int clients, int nodes) {
+    record Counts(RequestCounters counters, int pending, int clients, int nodes) {
 
         static final Counts NONE = new Counts(new RequestCounters(), 0, 0, 0);
 
         Counts plus(Counts o) {
-            return new Counts(new RequestCounters().add(tally).add(o.tally), owed + o.owed, clients + o.clients, nodes + o.nodes);
+            return new Counts(new RequestCounters().add(counters).add(o.counters), pending + o.pending, clients + o.clients, nodes + o.nodes);
         }
 
         @Override
         public String toString() {
-            return tally + " owed=" + owed + " clients=" + clients + " nodes=" + nodes;
+            return counters + " owed=" + pending + " clients=" + clients + " nodes=" + nodes;
         }
     }
 
@@ -727,9 +727,9 @@
         // With a delay between them, and not at a rate: after a stall one beat tells of it.
         loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0, (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
-        if (config.known() != null) {
-            platform.hosts(ListUpdateKind.REMEMBERED, config.known());
-            know(config.known());
+        if (config.knownHosts() != null) {
+            platform.applyHostList(ListUpdateKind.REMEMBERED, config.knownHosts());
+            know(config.knownHosts());
         }
     }
 
@@ -747,10 +747,10 @@
     }
 
     /** Passes on what discovery tells. */
-    private final class Told implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
-            platform.hosts(kind, list);
+            platform.applyHostList(kind, list);
             know(list);
             onHosts.run();
         }
--- a/gateway/src/main/java/ridgemill/gateway/Hangup.java
+++ b/gateway/src/main/java/ridgemill/gateway/SighupHandler.java
@@ -6,12 +6,12 @@
  * SIGHUP, the usual sign for a new configuration; unhandled it ends a process. The Java machine's interface to signals
  * is supported but not standard, so it is looked up by name: the compiler warns of any other use.
  */
-public final class Hangup {
+public final class SighupHandler {
 
-    private Hangup() { }
+    private SighupHandler() { }
 
     /** Runs {@code reload} at each signal from now on, on a thread of the Java machine's. */
-    public static void handle(Runnable reload) {
+    public static void register(Runnable reload) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -8,11 +8,11 @@
 import ridgemill.policy.Router;
 
 /** One group of nodes: the decisions about it, and the connections to it. */
-record Upstream(Router router, NodeBackend back, Dispatcher<Content> dispatcher) {
+record Upstream(Router router, NodeBackend backend, Dispatcher<Content> dispatcher) {
 
     /** The back first: it must know a node before the module may choose it. */
-    void hosts(ListUpdateKind kind, HostList list) {
-        back.applyHostList(list);
+    void applyHostList(ListUpdateKind kind, HostList list) {
+        backend.applyHostList(list);
         dispatcher.updateNodes(kind, list.version(), list.nodes());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -80,9 +80,9 @@
     private final EventLoop loop;
     private final CountDownLatch done = new CountDownLatch(1);
     private final Settings settings;
-    private final WarmupEnd end;
-    private final PeerEar ear;
-    private final List<Asks> resting = new ArrayList<>();
+    private final WarmupStopCondition end;
+    private final PeerDetector ear;
+    private final List<ClientHandler> resting = new ArrayList<>();
     private long began;
     private int sent;
     private int out;
@@ -90,7 +90,7 @@
     private boolean restEnds;
     private volatile int served;
 
-    private Warmup(Transport transport, Settings settings, WarmupEnd end, PeerEar ear) {
+    private Warmup(Transport transport, Settings settings, WarmupStopCondition end, PeerDetector ear) {
         this.transport = transport;
         this.group = new LoopGroup(1, transport == Transport.IN_PROCESS ? LocalIoHandler.newFactory()
                 : SocketKind.chosen().handlers());
@@ -102,13 +102,13 @@
 
     /** Returns how many requests were answered, when it has run long enough; a fault in it costs its gain alone. */
     static int run(Settings settings, InetSocketAddress peerListen, boolean succeeds) throws IOException, InterruptedException {
-        return run(Transport.IN_PROCESS, settings, peerListen, succeeds ? WarmupEnd.succeeding() : WarmupEnd.usual());
+        return run(Transport.IN_PROCESS, settings, peerListen, succeeds ? WarmupStopCondition.forSuccessor() : WarmupStopCondition.standard());
     }
 
     /** The same over sockets, as a rehearsal wants it, or until another end. */
-    static int run(Transport transport, Settings settings, InetSocketAddress peerListen, WarmupEnd end)
+    static int run(Transport transport, Settings settings, InetSocketAddress peerListen, WarmupStopCondition end)
             throws IOException, InterruptedException {
-        PeerEar ear = new PeerEar(peerListen);
+        PeerDetector ear = new PeerDetector(peerListen);
         Warmup warmup = new Warmup(transport, settings, end, ear);
         try (ear) {
             warmup.start();
@@ -162,7 +162,7 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(Content.MAX_BYTES),
-                                new Answers(origin, whole));
+                                new NodeHandler(origin, whole));
                     }
                 }).bind(place).sync().channel().localAddress();
     }
@@ -178,7 +178,7 @@
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Content.MAX_BYTES),
-                        new Asks());
+                        new ClientHandler());
             }
         }).connect(front);
     }
@@ -188,12 +188,12 @@
      * pieces as Netty writes, where a socket brings it in one; so every other node's are put into one, and both of the
      * ways in which answers are read get warm.
      */
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class NodeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private static final byte[] BODY = new byte[1000];
         private final boolean origin;
         private final boolean whole;
 
-        Answers(boolean origin, boolean whole) {
+        NodeHandler(boolean origin, boolean whole) {
             this.origin = origin;
             this.whole = whole;
         }
@@ -230,27 +230,27 @@
         loop.schedule(() -> {
             restEnds = false;
             double elapsedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - began) / 1000.0;
-            List<Asks> rested = List.copyOf(resting);
-            if (rested.isEmpty() || end.over(sent, elapsedMs, peersServe())) {
+            List<ClientHandler> rested = List.copyOf(resting);
+            if (rested.isEmpty() || end.shouldStop(sent, elapsedMs, peersServe())) {
                 done.countDown();
                 return;
             }
             resting.clear();
             roundEnd = sent + ROUND;
-            rested.forEach(Asks::ask);
+            rested.forEach(ClientHandler::ask);
         }, REST_MS, TimeUnit.MILLISECONDS);
     }
 
     private boolean peersServe() {
         try {
-            return ear.heard(0);
+            return ear.hasMessage(0);
         } catch (IOException | ClosedSelectorException e) {
             return false;
         }
     }
 
     /** A client that asks again as soon as it has its answer, until its round is over. */
-    private final class Asks extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private ChannelHandlerContext context;
         private boolean waits;
 
--- a/gateway/src/main/java/ridgemill/gateway/WarmupEnd.java
+++ b/gateway/src/main/java/ridgemill/gateway/WarmupStopCondition.java
@@ -5,7 +5,7 @@
  * shorter while peers serve, as clients then wait for us: at a rolling restart the next proxy goes down 3 s after this one
  * did, and at a herd's all go down at once. Without I/O or a clock.
  */
-final class WarmupEnd {
+final class WarmupStopCondition {
 
     private static final int REQUESTS = 2000;
     private static final double PATIENCE_MS = 2000;
@@ -25,23 +25,23 @@
     private int flat;
 
     /** Ends after so many requests, or so long while peers serve, or so long at all; milliseconds. */
-    WarmupEnd(int requests, double patienceMs, double aloneMs) {
+    WarmupStopCondition(int requests, double patienceMs, double aloneMs) {
         this.requests = requests;
         this.patienceMs = patienceMs;
         this.aloneMs = aloneMs;
     }
 
-    static WarmupEnd usual() {
-        return new WarmupEnd(REQUESTS, PATIENCE_MS, ALONE_MS);
+    static WarmupStopCondition standard() {
+        return new WarmupStopCondition(REQUESTS, PATIENCE_MS, ALONE_MS);
     }
 
     /** Where another process of this proxy serves meanwhile: it has a core to share with it, and a time in which to be ready. */
-    static WarmupEnd succeeding() {
-        return new WarmupEnd(REQUESTS, PATIENCE_MS, PATIENCE_MS);
+    static WarmupStopCondition forSuccessor() {
+        return new WarmupStopCondition(REQUESTS, PATIENCE_MS, PATIENCE_MS);
     }
 
     /** Whether it is over after so many requests in all, so many milliseconds after its begin; once a round. */
-    boolean over(int sent, double elapsedMs, boolean peersServe) {
+    boolean shouldStop(int sent, double elapsedMs, boolean peersServe) {
         double each = (elapsedMs - lastMs) / Math.max(1, sent - lastRequests);
         lastMs = elapsedMs;
         lastRequests = sent;
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -100,11 +100,11 @@
             Live there = live.get(next.name());
             if (there != null && !alike(there.from, next)) {
                 // Another protocol, or a store where none was: what was learned does not hold.
-                there.group.drop(++version);
+                there.group.remove(++version);
                 there = null;
             }
             if (there == null) {
-                there = new Live(next, service.group(next.name(), settings(next), new BalancingRouter(settings(next), seed), back(next)));
+                there = new Live(next, service.addGroup(next.name(), settings(next), new BalancingRouter(settings(next), seed), back(next)));
                 live.put(next.name(), there);
             }
             if (next.eureka() == null || !next.eureka().equals(there.from.eureka())) {
@@ -122,7 +122,7 @@
             apply(there);
         }
         registry(groups, registry);
-        service.onHosts(groups.values().stream().anyMatch(NodeGroup::platform) ? this::platformTold : () -> { });
+        service.onHostListChange(groups.values().stream().anyMatch(NodeGroup::platform) ? this::platformTold : () -> { });
     }
 
     private void platformTold() {
@@ -218,7 +218,7 @@
         }
         if (l.told == null || !l.told.hosts().equals(hosts)) {
             l.told = new HostList(++version, true, hosts);
-            l.group.nodes(l.told);
+            l.group.setNodes(l.told);
         }
     }
 
@@ -230,7 +230,7 @@
     void drop(Map<String, NodeGroup> groups) {
         for (String name : List.copyOf(live.keySet())) {
             if (!groups.containsKey(name)) {
-                live.remove(name).group.drop(++version);
+                live.remove(name).group.remove(++version);
             }
         }
     }
@@ -258,11 +258,11 @@
         boolean missIsAnswer = g.store() == null;
         if (g.resp() == null) {
             return new NodeConnectionPool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
-                    service.nodeSockets());
+                    service.nodeConnectionLimit());
         }
         return new RespBackend(service.loop(), Transport.TCP, new RespNodeConfig(g.resp().plain() ? RespNodeConfig.Dialect.PLAIN
                 : RespNodeConfig.Dialect.FLEET, g.resp().user(), g.resp().password(), missIsAnswer, g.store() == null ? null : STORE,
-                g.resp().fillMs(), g.resp().guardMs(), g.resp().cancels()), connectMs, idleMs, service.nodeSockets(),
+                g.resp().fillMs(), g.resp().guardMs(), g.resp().cancels()), connectMs, idleMs, service.nodeConnectionLimit(),
                 node -> drains(g.name(), node));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -18,7 +18,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import ridgemill.gateway.Config;
-import ridgemill.gateway.Crew;
+import ridgemill.gateway.MultiLoopService;
 import ridgemill.gateway.Service;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.control.ControlServer;
@@ -73,7 +73,7 @@
         return thread;
     });
     private OperatorConfig holds;
-    private Crew crew;
+    private MultiLoopService crew;
     private SharedLimits shared;
     private ControlServer control;
     private EurekaRegistration registration;
@@ -101,13 +101,13 @@
 
         /** Runs a task between two of the loop's requests; not to be called on it. */
         void between(Runnable task) {
-            service.between(task);
+            service.runOnLoop(task);
         }
 
         /** On the loop, as what follows. */
         void deadlines(DeadlineSettings next) {
             service.intake().deadlines().setPolicy(next.policy());
-            service.terms(next.terms());
+            service.setHttpClientPolicy(next.terms());
             if (resp != null) {
                 resp.allowsHalfClose(next.terms().allowsHalfClose());
                 resp.sendsReasons(next.terms().sendsReasons());
@@ -118,7 +118,7 @@
         void outcomes(OutcomeSettings next) {
             if (next != null && outcomes == null) {
                 outcomes = new IdempotencyRecords(new InMemoryIdempotencyStore(next.most()), next.keepMs());
-                service.record(outcomes);
+                service.enableIdempotencyRecords(outcomes);
             } else if (next != null) {
                 outcomes.setRetentionMs(next.keepMs());
             }
@@ -185,11 +185,11 @@
         for (int i = 0; i < loops; i++) {
             gates.add(new OperatorGate(config.settings(), holds, clock.now(), new LoopShare(i, loops)));
         }
-        crew = Crew.start(config, loops, routers, gates::get);
+        crew = MultiLoopService.start(config, loops, routers, gates::get);
         for (int i = 0; i < loops; i++) {
             seats.add(new Seat(crew.members().get(i), gates.get(i)));
         }
-        shared = new SharedLimits(crew.door(), clock, holds.limits(), seats.stream()
+        shared = new SharedLimits(crew.acceptorLoop(), clock, holds.limits(), seats.stream()
                 .map(s -> new SharedLimits.Loop(s.service, s.gate)).toList());
         shared.start();
     }
@@ -216,9 +216,9 @@
         }
         if (leases != null) {
             String shared = holds.rollout() == null ? null : rolled.shared();
-            service().between(() -> {
-                service().onFleet(leases::datagramReceived);
-                service().moreFigures(leases::metrics);
+            service().runOnLoop(() -> {
+                service().onFleetMessage(leases::datagramReceived);
+                service().addMetrics(leases::metrics);
                 probing(holds.leases());
                 if (shared != null) {
                     beginRollout(shared);
@@ -240,18 +240,18 @@
 
     /** The loop of what the process has once. */
     private EventLoop loop() {
-        return crew == null ? service().loop() : crew.door();
+        return crew == null ? service().loop() : crew.acceptorLoop();
     }
 
     private void beginHalls() throws IOException, InterruptedException {
         // The file's checks let no halls through beside several loops.
         Service service = service();
         IOException[] failed = {null};
-        service.between(() -> {
+        service.runOnLoop(() -> {
             try {
                 halls = new DatacenterForwarder(service.loop(), new LoopTimers(service.loop(), clock), service.intake(), holds.halls(),
-                        service::level, config.seed());
-                service.onStop(halls::stop);
+                        service::throttleLevel, config.seed());
+                service.onStopListening(halls::stop);
             } catch (IOException e) {
                 failed[0] = e;
             }
@@ -261,7 +261,7 @@
         }
         ChannelFuture bound = halls.listen();
         if (bound != null) {
-            Service.bound(bound, holds.halls().listen());
+            Service.awaitBound(bound, holds.halls().listen());
         }
     }
 
@@ -269,16 +269,16 @@
     private void beginAudit() {
         // The file's checks let no record through beside several loops.
         Service service = service();
-        service.between(() -> {
+        service.runOnLoop(() -> {
             audit = new AuditService(service.loop(), new LoopTimers(service.loop(), clock), config, build, holds.version(), holds.digest(),
-                    holds.audit().tellVersion(), service::tellPeer);
+                    holds.audit().tellVersion(), service::sendToPeer);
             audit.keepTraces(holds.audit().requests());
             if (holds.audit().directory() != null) {
                 audit.writeTo(holds.audit().directory(), holds.audit().fileBytes());
             }
             service.intake().setVersionTracker(audit.history());
-            service.onFleet(audit::datagramReceived);
-            service.moreFigures(audit::metrics);
+            service.onFleetMessage(audit::datagramReceived);
+            service.addMetrics(audit::metrics);
         });
     }
 
@@ -290,7 +290,7 @@
         // The file's checks let no leases through beside several loops.
         Service service = service();
         leases = new LeaseService(service.loop(), new LoopTimers(service.loop(), clock), config.name(), config.peers(),
-                config.settings().proxyIndex(), config.seed(), ServingProcessFile.sharedDirectory(), holds.leases(), service::tellPeer);
+                config.settings().proxyIndex(), config.seed(), ServingProcessFile.sharedDirectory(), holds.leases(), service::sendToPeer);
         if (audit != null) {
             leases.setStatusListener(audit::leaseChanged);
         }
@@ -304,9 +304,9 @@
         rollout.setInEffect(RolledFile.stamp(holds, shared), shared);
         seats.get(0).gate.aside(rollout::isOutOfService);
         service.clients().outOfServiceWhile(rollout::isOutOfService);
-        service.mutes(audit::isOutOfService);
+        service.ignorePeers(audit::isOutOfService);
         leases.ignoreLeaseMessagesFrom(audit::isOutOfService);
-        service.moreFigures(rollout::metrics);
+        service.addMetrics(rollout::metrics);
     }
 
     /** Begins to have one proxy ask spared nodes for all, or ends it; on the loop. */
@@ -330,7 +330,7 @@
 
     /** Where clients connect. */
     public InetSocketAddress listening() {
-        return crew == null ? service().listening() : crew.listening();
+        return crew == null ? service().listenAddress() : crew.listenAddress();
     }
 
     /** What the process says of itself, over all loops; not to be called on a loop. */
@@ -354,7 +354,7 @@
 
     /** How each of several loops is, a line each; empty where one serves. Not to be called on a loop. */
     public List<String> loops() {
-        return crew == null ? List.of() : crew.explain();
+        return crew == null ? List.of() : crew.describeLoops();
     }
 
     /** Waits until the proxy has ended. */
@@ -398,7 +398,7 @@
             seat.between(() -> {
                 if (seat.resp == null) {
                     seat.resp = new RespFrontend(seat.service.loop(), seat.service.intake(), seat.service.clients());
-                    seat.service.onStop(seat.resp::stopListening);
+                    seat.service.onStopListening(seat.resp::stopListening);
                     seat.resp.allowsHalfClose(config.deadlines().terms().allowsHalfClose());
                     seat.resp.sendsReasons(config.deadlines().terms().sendsReasons());
                     seat.passwords(config);
@@ -406,7 +406,7 @@
             });
         }
         if (crew == null) {
-            Service.bound(seats.get(0).resp.listen(Transport.TCP, l.address()), l.address());
+            Service.awaitBound(seats.get(0).resp.listen(Transport.TCP, l.address()), l.address());
         } else {
             crew.listen(l.address(), member -> seatOf(member).resp.listeners());
         }
@@ -418,9 +418,9 @@
 
     private void unlisten(Listener l) {
         if (crew != null) {
-            crew.unlisten(l.address());
+            crew.stopListeningAt(l.address());
         } else if (l.protocol().equals("http")) {
-            service().unlisten(l.address());
+            service().stopListeningAt(l.address());
         } else {
             loop().execute(() -> seats.get(0).resp.stopListening(l.address()));
         }
--- a/gateway/src/test/java/ridgemill/gateway/ConsoleTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/ConsoleTest.java
@@ -33,7 +33,7 @@
     }
 
     private String call(String text) throws Exception {
-        try (Peer.Wire caller = Peer.connect(site.service.consoleListening())) {
+        try (Peer.Wire caller = Peer.connect(site.service.consoleListenAddress())) {
             caller.write(text);
             String answer = caller.read();
             assertNull(caller.read(), "one call to a connection");
@@ -65,7 +65,7 @@
     void tellsWhenItServesAndWhenItDrains() throws Exception {
         untilUp();
         site.service.beginDrain();
-        site.service.between(() -> { });
+        site.service.runOnLoop(() -> { });
         String answer = get("/status");
         assertEquals(503, Site.status(answer));
         assertTrue(answer.contains("draining"), answer);
@@ -131,7 +131,7 @@
     void callersThatStayKeepNobodyOut() throws Exception {
         List<Peer.Wire> stay = new ArrayList<>();
         for (int i = 0; i < 3 * Console.MAX_CALLERS; i++) {
-            stay.add(Peer.connect(site.service.consoleListening()));
+            stay.add(Peer.connect(site.service.consoleListenAddress()));
             stay.get(i).write(i % 2 == 0 ? "" : "GET /status/met");
             if (i % 5 == 0) {
                 figures();
--- a/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
@@ -31,7 +31,7 @@
         site = new Site();
         site.maxOpen = 64;
         site.start("automatic", "60000", "");
-        site.service.between(() -> site.service.terms(terms));
+        site.service.runOnLoop(() -> site.service.setHttpClientPolicy(terms));
         client = site.client();
     }
 
@@ -226,7 +226,7 @@
     }
 
     private void record() {
-        site.service.between(() -> site.service.record(new IdempotencyRecords(new InMemoryIdempotencyStore(100), 60_000)));
+        site.service.runOnLoop(() -> site.service.enableIdempotencyRecords(new IdempotencyRecords(new InMemoryIdempotencyStore(100), 60_000)));
     }
 
     private static String outcome(Peer.Wire wire, String key) throws Exception {
@@ -268,7 +268,7 @@
         client.write(site.get(Site.LONG_S));
         assertTrue(client.read().contains("x-reason: crowded"));
         assertEquals(1L, site.service.status().reasons().get("read").get("crowded"));
-        site.service.between(() -> site.service.terms(HttpClientPolicy.PLATFORM));
+        site.service.runOnLoop(() -> site.service.setHttpClientPolicy(HttpClientPolicy.PLATFORM));
         client.write(site.get(Site.LONG_S));
         assertTrue(!client.read().contains("x-reason"), "the platform's clients are told what they were told before");
     }
--- a/gateway/src/test/java/ridgemill/gateway/DescriptorsTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DescriptorsTest.java
@@ -23,7 +23,7 @@
     @BeforeEach
     void start() throws Exception {
         site = new Site();
-        site.sockets = Service.RESERVED_SOCKETS + 2 * CLIENTS;
+        site.sockets = Service.RESERVED_DESCRIPTORS + 2 * CLIENTS;
         site.start("automatic", "60000", "");
     }
 
@@ -71,7 +71,7 @@
     /** They are all accepted in one go, as after a pause, and the end of one that is let go is told of only then. */
     @Test
     void aCrowdThatSendsHalfARequestKeepsNobodyOut() throws Exception {
-        CountDownLatch crowded = startHeld(Service.RESERVED_SOCKETS + CROWD);
+        CountDownLatch crowded = startHeld(Service.RESERVED_DESCRIPTORS + CROWD);
         connect().write(site.get(Site.LONG_S));
         Deque<Peer.Wire> crowd = new ArrayDeque<>();
         for (int i = 0; i < CROWD; i++) {
@@ -91,7 +91,7 @@
     /** A crowd of usual clients that is accepted in one go is no crowd that says nothing. */
     @Test
     void aCrowdWhoseRequestsAreThereIsServed() throws Exception {
-        CountDownLatch crowded = startHeld(Service.RESERVED_SOCKETS + 2 * CROWD);
+        CountDownLatch crowded = startHeld(Service.RESERVED_DESCRIPTORS + 2 * CROWD);
         Deque<Peer.Wire> crowd = new ArrayDeque<>();
         for (int i = 0; i < CROWD / 2; i++) {
             crowd.add(connect());
--- a/gateway/src/test/java/ridgemill/gateway/Fleet.java
+++ b/gateway/src/test/java/ridgemill/gateway/Fleet.java
@@ -67,7 +67,7 @@
                 + "\",\"limits\":{\"sockets\":256},\"known\":" + Site.list(7, true, hosts.toArray(String[]::new))
                 + ",\"settings\":" + SETTINGS.formatted(aimMs) + "}", Map.of());
         service = Service.start(config, new Watched(new BalancingRouter(config.settings(), 7)));
-        client = Peer.connect(service.listening());
+        client = Peer.connect(service.listenAddress());
     }
 
     private String peer(Script script) throws IOException {
--- a/gateway/src/test/java/ridgemill/gateway/HostileClientTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/HostileClientTest.java
@@ -84,7 +84,7 @@
     void aSilentCrowdTakesNoPlaceOfAClientThatWasServed() throws Exception {
         site.close();
         site = new Site();
-        site.sockets = Service.RESERVED_SOCKETS + 2 * 8;
+        site.sockets = Service.RESERVED_DESCRIPTORS + 2 * 8;
         site.start("automatic", "60000", "");
         Deque<Peer.Wire> crowd = new ArrayDeque<>();
         try (Peer.Wire usual = site.client()) {
--- a/gateway/src/test/java/ridgemill/gateway/KeptClientsTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/KeptClientsTest.java
@@ -11,7 +11,7 @@
 class KeptClientsTest {
 
     /** Leaves 32 connections to clients, of which 8 may be kept idle. */
-    private static final int SOCKETS = Service.RESERVED_SOCKETS + 64;
+    private static final int SOCKETS = Service.RESERVED_DESCRIPTORS + 64;
     private static final int KEPT = 8;
 
     @Test
--- a/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
@@ -228,7 +228,7 @@
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         String listener = "[[listener]]\nname = \"tills\"\naddress = \"127.0.0.1:%d\"\n";
         start(READ + control());
-        Files.writeString(file(), READ + control() + listener.formatted(site.service.listening().getPort()));
+        Files.writeString(file(), READ + control() + listener.formatted(site.service.listenAddress().getPort()));
         JsonObject taken = command("reload");
         assertFalse(taken.get("taken").getAsBoolean(), "the address is the platform's");
         assertTrue(taken.toString().contains("address-taken"), taken.toString());
--- a/gateway/src/test/java/ridgemill/gateway/PeerEarTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/PeerDetectorTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.api.Test;
 
 /** A start hears whether peers are at work, and leaves the address free for the proxy. */
-class PeerEarTest {
+class PeerDetectorTest {
 
     @Test
     void aPeersMessageIsHeardAndTheAddressIsFreeAfterwards() throws Exception {
         InetSocketAddress address;
-        try (PeerEar ear = new PeerEar(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        try (PeerDetector ear = new PeerDetector(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
                 DatagramSocket peer = new DatagramSocket()) {
             address = ear.address();
-            assertFalse(ear.heard(0));
+            assertFalse(ear.hasMessage(0));
             peer.send(new DatagramPacket(new byte[] {1}, 1, address));
-            assertTrue(ear.heard(TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S)));
-            assertTrue(ear.heard(0), "what was heard stays heard");
+            assertTrue(ear.hasMessage(TimeUnit.SECONDS.toMillis(Peer.PATIENCE_S)));
+            assertTrue(ear.hasMessage(0), "what was heard stays heard");
         }
-        try (PeerEar next = new PeerEar(address)) {
-            assertFalse(next.heard(0));
+        try (PeerDetector next = new PeerDetector(address)) {
+            assertFalse(next.hasMessage(0));
         }
     }
 
     @Test
     void withoutAnAddressNothingIsHeard() throws Exception {
-        try (PeerEar ear = new PeerEar(null)) {
+        try (PeerDetector ear = new PeerDetector(null)) {
             assertNull(ear.address());
-            assertFalse(ear.heard(0));
+            assertFalse(ear.hasMessage(0));
         }
     }
 }
--- a/gateway/src/test/java/ridgemill/gateway/PeersTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/PeerMessengerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Datagrams between proxies: only peers are heard, and nothing over the limit goes out. */
-class PeersTest {
+class PeerMessengerTest {
 
     private static final int TIMEOUT_MS = (int) (Peer.PATIENCE_S * 1000);
 
@@ -39,10 +39,10 @@
     void peersAreHeardAndStrangersAreNot() throws Exception {
         try (DatagramSocket peer = socket(); DatagramSocket stranger = socket(); Site site = new Site()) {
             startWithPeer(site, peer);
-            int own = site.service.peerListening().getPort();
+            int own = site.service.peerListenAddress().getPort();
             InetAddress loopback = InetAddress.getLoopbackAddress();
             stranger.send(new DatagramPacket(new byte[] {9}, 1, loopback, own));
-            peer.send(new DatagramPacket(new byte[Peers.MAX_MESSAGE + 1], Peers.MAX_MESSAGE + 1, loopback, own));
+            peer.send(new DatagramPacket(new byte[PeerMessenger.MAX_MESSAGE_BYTES + 1], PeerMessenger.MAX_MESSAGE_BYTES + 1, loopback, own));
             peer.send(new DatagramPacket(new byte[] {1, 2}, 2, loopback, own));
             Scripted.Heard heard = Scripted.next(site.router.heard);
             assertEquals(1, heard.from());
@@ -51,7 +51,7 @@
 
             byte[] reused = "old".getBytes(StandardCharsets.US_ASCII);
             site.router.onRequest = (request, out) -> {
-                out.broadcast(new byte[Peers.MAX_MESSAGE + 1]);
+                out.broadcast(new byte[PeerMessenger.MAX_MESSAGE_BYTES + 1]);
                 out.broadcast(reused);
                 reused[0] = 'X';
                 out.refuse(request.id(), 0);
--- a/gateway/src/test/java/ridgemill/gateway/ReloadTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/ReloadTest.java
@@ -96,7 +96,7 @@
     @Test
     void theSignalRunsTheReload() throws Exception {
         CountDownLatch twice = new CountDownLatch(2);
-        Hangup.handle(twice::countDown);
+        SighupHandler.register(twice::countDown);
         Class<?> signal = Class.forName("sun.misc.Signal");
         Object hup = signal.getConstructor(String.class).newInstance("HUP");
         while (twice.getCount() > 0) {
--- a/gateway/src/test/java/ridgemill/gateway/RoomTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/RoomTest.java
@@ -18,23 +18,23 @@
 
     private static Site site(DatagramSocket peer) throws Exception {
         Site site = new Site();
-        PeersTest.startWithPeer(site, peer);
+        PeerMessengerTest.startWithPeer(site, peer);
         return site;
     }
 
     @Test
     void oneThatIsTurnedAwayOnANewConnectionCallsForRoom() throws Exception {
-        try (DatagramSocket peer = PeersTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
+        try (DatagramSocket peer = PeerMessengerTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(503, "", "X-Rejected: 1");
             assertEquals(Outcome.NO_PLACE, Scripted.next(site.router.ends).outcome());
-            assertTrue(ConnectionReleaseRequests.isForNode(PeersTest.receive(peer), "c0"));
+            assertTrue(ConnectionReleaseRequests.isForNode(PeerMessengerTest.receive(peer), "c0"));
         }
     }
 
     @Test
     void anIdleConnectionIsGivenUpForOneWhoCalls() throws Exception {
-        try (DatagramSocket peer = PeersTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
+        try (DatagramSocket peer = PeerMessengerTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(200, "v");
             assertEquals(Outcome.OK, Scripted.next(site.router.ends).outcome());
@@ -44,7 +44,7 @@
                 try {
                     while (!Thread.currentThread().isInterrupted()) {
                         peer.send(new DatagramPacket(call, call.length, InetAddress.getLoopbackAddress(),
-                                site.service.peerListening().getPort()));
+                                site.service.peerListenAddress().getPort()));
                         Thread.sleep(CALL_EACH_MS);
                     }
                 } catch (Exception e) {
--- a/gateway/src/test/java/ridgemill/gateway/Site.java
+++ b/gateway/src/test/java/ridgemill/gateway/Site.java
@@ -54,7 +54,7 @@
     }
 
     Peer.Wire client() throws IOException {
-        return Peer.connect(service.listening());
+        return Peer.connect(service.listenAddress());
     }
 
     /** A read with a new id, for which the client waits so long. */
--- a/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
@@ -31,16 +31,16 @@
     @BeforeEach
     void start() throws Exception {
         old = shared("127.0.0.1:0");
-        next = shared("127.0.0.1:" + old.service.listening().getPort());
+        next = shared("127.0.0.1:" + old.service.listenAddress().getPort());
     }
 
     private static Site shared(String listen) throws Exception {
         Site site = new Site();
         site.maxOpen = 4 * CONNECTIONS;
-        site.sockets = Service.RESERVED_SOCKETS + 8 * CONNECTIONS;
+        site.sockets = Service.RESERVED_DESCRIPTORS + 8 * CONNECTIONS;
         site.listen = listen;
         site.start("automatic", "60000", "\"console\":\"127.0.0.1:0\",");
-        site.service.between(site.service::ready);
+        site.service.runOnLoop(site.service::ready);
         return site;
     }
 
@@ -63,10 +63,10 @@
                 Thread.currentThread().interrupt();
             }
         });
-        old.service.leave(SUCCEEDED);
+        old.service.shutDown(SUCCEEDED);
         List<Peer.Wire> clients = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
-            clients.add(Peer.connect(old.service.listening()));
+            clients.add(Peer.connect(old.service.listenAddress()));
             clients.get(i).write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
         }
         come.countDown();
@@ -90,9 +90,9 @@
                 client.read();
             }
             long began = System.nanoTime();
-            old.service.leave(SUCCEEDED);
+            old.service.shutDown(SUCCEEDED);
             // The plan holds from the loop's next turn on; the request must not overtake it.
-            old.service.between(() -> { });
+            old.service.runOnLoop(() -> { });
             kept.write(old.get(Site.LONG_S));
             Peer.Message message = old.node.next();
             assertTrue(Double.parseDouble(message.header("X-Budget")) <= SUCCEEDED.responseMs() / 1000, "it ends before its client's time");
--- a/gateway/src/test/java/ridgemill/gateway/WarmupTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/WarmupTest.java
@@ -26,31 +26,31 @@
     void theLoopItselfEndsIt() throws Exception {
         try (Site site = new Site()) {
             int served = Warmup.run(Transport.IN_PROCESS, site.config("automatic", "60000", "").settings(), null,
-                    new WarmupEnd(Integer.MAX_VALUE, 1, 1));
+                    new WarmupStopCondition(Integer.MAX_VALUE, 1, 1));
             assertTrue(served <= 2 * ROUND, "served " + served);
         }
     }
 
     @Test
     void peersThatServeCutItShort() {
-        WarmupEnd heard = new WarmupEnd(Integer.MAX_VALUE, 2000, 4000);
-        assertFalse(heard.over(ROUND, 1999, true));
-        assertTrue(heard.over(2 * ROUND, 2000, true));
-        WarmupEnd alone = new WarmupEnd(Integer.MAX_VALUE, 2000, 4000);
-        assertFalse(alone.over(ROUND, 2000, false));
-        assertTrue(alone.over(2 * ROUND, 4000, false));
+        WarmupStopCondition heard = new WarmupStopCondition(Integer.MAX_VALUE, 2000, 4000);
+        assertFalse(heard.shouldStop(ROUND, 1999, true));
+        assertTrue(heard.shouldStop(2 * ROUND, 2000, true));
+        WarmupStopCondition alone = new WarmupStopCondition(Integer.MAX_VALUE, 2000, 4000);
+        assertFalse(alone.shouldStop(ROUND, 2000, false));
+        assertTrue(alone.shouldStop(2 * ROUND, 4000, false));
     }
 
     @Test
     void itEndsWhereRequestsGetNoFaster() {
-        WarmupEnd end = WarmupEnd.usual();
+        WarmupStopCondition end = WarmupStopCondition.standard();
         double[] roundMs = {400, 200, 90, 40, 20, 12, 11, 30, 12, 11};
         double elapsed = 0;
         int rounds = 0;
         for (double ms : roundMs) {
             elapsed += ms;
             rounds++;
-            if (end.over(rounds * ROUND, elapsed, true)) {
+            if (end.shouldStop(rounds * ROUND, elapsed, true)) {
                 break;
             }
         }
--- a/lab/src/main/java/ridgemill/lab/InProcessProxy.java
+++ b/lab/src/main/java/ridgemill/lab/InProcessProxy.java
@@ -34,7 +34,7 @@
     public void start() throws Exception {
         Config read = Config.parse(config.toString(), Map.of());
         service = Service.start(read, new BalancingRouter(read.settings(), read.seed()));
-        address = service.listening();
+        address = service.listenAddress();
     }
 
     @Override
--- a/lab/src/main/java/ridgemill/lab/TwoHalls.java
+++ b/lab/src/main/java/ridgemill/lab/TwoHalls.java
@@ -141,7 +141,7 @@
     private record Inside(Operated operated) implements Gateway {
         @Override
         public InetSocketAddress address() {
-            return operated.service().listening();
+            return operated.service().listenAddress();
         }
 
         @Override
--- a/lab/src/test/java/ridgemill/lab/EurekaMembershipTest.java
+++ b/lab/src/test/java/ridgemill/lab/EurekaMembershipTest.java
@@ -101,7 +101,7 @@
     }
 
     private void load(double perS, double seconds) {
-        load = bed.load(LoadProfile.USUAL.rate(perS, seconds), Map.of("p0", operated.service().listening())).start();
+        load = bed.load(LoadProfile.USUAL.rate(perS, seconds), Map.of("p0", operated.service().listenAddress())).start();
     }
 
     @AfterEach
--- a/lab/src/test/java/ridgemill/lab/LabMainTest.java
+++ b/lab/src/test/java/ridgemill/lab/LabMainTest.java
@@ -26,7 +26,7 @@
         try (Site site = Site.start(3, 2, directory)) {
             for (Path file : site.files()) {
                 Config config = Config.read(file.toString(), Map.of());
-                assertEquals(4, config.known().hosts().size(), "three nodes and the store");
+                assertEquals(4, config.knownHosts().hosts().size(), "three nodes and the store");
                 assertEquals(2, config.peers().size());
             }
         }
--- a/lab/src/test/java/ridgemill/lab/OperatorFileTest.java
+++ b/lab/src/test/java/ridgemill/lab/OperatorFileTest.java
@@ -72,7 +72,7 @@
                     .collect(Collectors.toSet())));
             Operated operated = Operating.start(bed, file(), profile);
             try {
-                CompletableFuture<Void> load = bed.load(profile, Map.of("p0", operated.service().listening())).start();
+                CompletableFuture<Void> load = bed.load(profile, Map.of("p0", operated.service().listenAddress())).start();
                 task.run(bed, operated, load);
                 load.get(60, TimeUnit.SECONDS);
             } finally {
