--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
@@ -108,8 +108,7 @@
     private void updateLinks() {
         settings.gatewayAddresses().forEach((name, address) -> links.computeIfAbsent(name, n -> {
             DatacenterLink link = new DatacenterLink(loop, timers, settings.policy().datacenter(), name,
-                    settings.policy().datacenterOf(name), address, authenticator,
-                    router, seed);
+                    settings.policy().datacenterOf(name), address, authenticator, router, seed);
             link.open();
             return link;
         }));
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterLink.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterLink.java
@@ -336,8 +336,8 @@
             } else {
                 startExchange(DatacenterWire.request(DatacenterWire.PROOF).set(DatacenterWire.PROOF_VALUE,
                         authenticator.proof("ask", ownDatacenter, peerDatacenter, nonce, peerNonce)), null,
-                        (answer, content) -> {
-                            if ("200".equals(String.valueOf(answer.status()))) {
+                        (response, content) -> {
+                            if ("200".equals(String.valueOf(response.status()))) {
                                 handshakeCompleted();
                             } else {
                                 fail("it does not accept our proof");
@@ -354,8 +354,8 @@
         }
 
         /**
-         * Replaces the current connection, which did not respond first. Its responses may still arrive; it gets no new
-         * requests.
+         * Takes the place of the current connection, which stopped responding. Responses may still arrive on that one,
+         * but it gets no new requests.
          */
         private void takeOver() {
             Connection previous = current;
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterWire.java
@@ -118,6 +118,7 @@
         }
     }
 
+    /** Returns the headers of a request of this kind. */
     static Http2Headers request(String kind) {
         return new DefaultHttp2Headers().method("GET").scheme("http").path("/").authority("hall").set(KIND, kind);
     }
@@ -132,6 +133,7 @@
         return number(h, SENT_AT);
     }
 
+    /** Returns the headers of a response with this status. */
     static Http2Headers status(int status) {
         return new DefaultHttp2Headers().status(String.valueOf(status));
     }
@@ -148,6 +150,7 @@
         return command.target().length() <= MAX_PATH_CHARS;
     }
 
+    /** Encodes the headers of a call. */
     static Http2Headers call(Call call) {
         Http2Headers h = new DefaultHttp2Headers().method(switch (call.command().action()) {
             case READ -> "GET";
@@ -202,10 +205,12 @@
         }
         String key = decode(h, IDEMPOTENCY);
         return new Call(id, remainingMs, service, decode(h, TENANT), "1".equals(text(h, RETRY)),
-                h.contains(WORK) ? number(h, WORK) : 0, new DatacenterPath(datacenters, Set.copyOf(datacenters(h, RAN))),
+                h.contains(WORK) ? number(h, WORK) : 0,
+                new DatacenterPath(datacenters, Set.copyOf(datacenters(h, RAN))),
                 new Command<>(action, path, key, new Content(content.bytes(), decode(h, CONTENT_TYPE))));
     }
 
+    /** Encodes the headers of a response with a value, or with status 404 if there is none. */
     static Http2Headers served(Content content) {
         Http2Headers h = status(content.isAbsent() ? 404 : 200);
         return content.mediaType() == null ? h : h.set(CONTENT_TYPE, encode(content.mediaType()));
@@ -221,6 +226,7 @@
         return status(422).set(RAN, NEVER).set(CONFLICT, "1");
     }
 
+    /** Encodes a query for the record of an idempotency key. */
     static Http2Headers outcomeQuery(String key, String tenant) {
         Http2Headers h = request(OUTCOME).set(IDEMPOTENCY, encode(key));
         return tenant == null ? h : h.set(TENANT, encode(tenant));
@@ -286,17 +292,20 @@
         };
     }
 
+    /** Encodes the state of this gateway. */
     static Http2Headers gatewayState(GatewayState state) {
         return status(200).set(LEVEL, String.valueOf(state.level())).set(ACCEPTING, state.accepting() ? "1" : "0")
                 .set(LEAVING, state.leaving() ? "1" : "0");
     }
 
+    /** Decodes the state of a gateway; missing or invalid fields give 0 or false. */
     static GatewayState gatewayState(Http2Headers h) {
         double level = h.contains(LEVEL) ? number(h, LEVEL) : 0;
         return new GatewayState(Double.isNaN(level) ? 0 : (int) level, "1".equals(text(h, ACCEPTING)),
                 "1".equals(text(h, LEAVING)));
     }
 
+    /** Encodes a query for where an idempotency key may have run within a deduplication window. */
     static Http2Headers keyQuery(String key, double windowMs) {
         return request(KEY).set(IDEMPOTENCY, encode(key)).set(WINDOW, number(windowMs));
     }
@@ -317,12 +326,14 @@
         return windowMs;
     }
 
+    /** Encodes the status of an idempotency key. */
     static Http2Headers keyStatus(KeyStatus keyStatus) {
         Http2Headers h = status(200);
         return keyStatus instanceof MayHaveRun run ? h.set(RAN, run.datacenter()).set(AGE, number(run.ageMs()))
                 : h.set(RAN, keyStatus instanceof NotSeen ? NEVER : UNKNOWN);
     }
 
+    /** Decodes the status of an idempotency key; indeterminate if the response is invalid. */
     static KeyStatus keyStatus(Http2Headers h) {
         String ran = text(h, RAN);
         double ageMs = h.contains(AGE) ? number(h, AGE) : Double.NaN;
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -201,8 +201,8 @@
     }
 
     /**
-     * Sets the source of the out-of-service state: while it is true, this proxy wants no lease, but it continues to
-     * vote.
+     * Sets the source of the out-of-service state: while it is true, this proxy wants and holds no lease, but it
+     * continues to vote.
      */
     public void setOutOfService(BooleanSupplier source) {
         outOfService = source;
