--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedRegistryReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedRegistryReader.java
@@ -39,8 +39,7 @@
      * @param pollTrigger makes the client poll as soon as it can
      */
     public SharedRegistryReader(LeaseService leases, RegistryReadPolicy policy, Collection<String> apps, long seed,
-            EurekaClient.Listener listener,
-                         Runnable pollTrigger) {
+                                EurekaClient.Listener listener, Runnable pollTrigger) {
         this.leases = leases;
         this.listener = listener;
         this.pollTrigger = pollTrigger;
