--- a/gateway/src/main/java/ridgemill/gateway/back/ConnectionLimit.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/ConnectionLimit.java
@@ -3,16 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The descriptors that connections to nodes may take, which pools of several groups share. */
+/**
+ * Limits the connections to nodes, and so their file descriptors, over the backends of all groups. Used on one event
+ * loop.
+ */
 public final class ConnectionLimit {
 
-    /** Who has connections. */
+    /** A backend whose connections count against the limit. */
     public interface Owner {
 
-        /** For how long the one that is idle for longest has been, in nanoseconds; negative where none is idle. */
+        /** How long the longest idle connection has been idle, in nanoseconds; negative if none is idle. */
         long longestIdleNanos();
 
-        /** Closes that one. */
+        /** Closes the longest idle connection. Called only if there is one. */
         void closeLongestIdle();
     }
 
@@ -20,27 +23,30 @@
     private final List<Owner> owners = new ArrayList<>();
     private int openConnections;
 
-    /** So many in all, at least 1. */
+    /** Allows {@code maxConnections} in total, at least 1. */
     public ConnectionLimit(int most) {
         this.maxConnections = most;
     }
 
-    /** One more takes of them. */
+    /** Registers a backend whose idle connections may be closed to make room for others. */
     public void register(Owner user) {
         owners.add(user);
     }
 
-    /** The user opens no more; those that it has count until they have closed. */
+    /** Unregisters a backend that opens no more connections; its open ones count until they have closed. */
     public void unregister(Owner user) {
         owners.remove(user);
     }
 
-    /** Connections that are open or opening. */
+    /** The number of connections that are open or connecting. */
     public int openConnections() {
         return openConnections;
     }
 
-    /** Whether one more may be opened; one that is idle for longest may have been closed for it. */
+    /**
+     * Whether one more connection may be opened. At the limit, closes the longest idle connection of all owners to make
+     * room; false if none is idle.
+     */
     public boolean ensureCapacity() {
         if (openConnections < maxConnections) {
             return true;
@@ -57,12 +63,12 @@
         return oldest != null;
     }
 
-    /** One is opening. */
+    /** Counts a connection that is connecting. */
     public void connectionOpening() {
         openConnections++;
     }
 
-    /** One has closed. */
+    /** Stops counting a connection that has closed. */
     public void connectionClosed() {
         openConnections--;
     }
--- a/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
@@ -10,20 +10,29 @@
 import java.util.function.Consumer;
 import ridgemill.gateway.net.Transport;
 
-/** Opens connections to nodes, each of which takes a descriptor of those that all groups share until it has closed. */
+/** Opens connections to nodes. Each counts against the shared connection limit of all groups until it has closed. */
 public final class Dialer {
 
     private final Bootstrap bootstrap;
     private final ConnectionLimit connectionLimit;
 
-    /** {@code connectTimeoutMs} is how long a connection may take to come up. */
+    /**
+     * Creates a dialer.
+     *
+     * @param loop the event loop that runs the connections
+     * @param connectTimeoutMs how long connecting may take, in milliseconds; at least 1 ms is used
+     * @param connectionLimit counts each connection from the start of connecting until it has closed
+     */
     public Dialer(EventLoop loop, Transport transport, double connectTimeoutMs, ConnectionLimit sockets) {
         this.bootstrap = transport.client(loop)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, (int) connectTimeoutMs));
         this.connectionLimit = sockets;
     }
 
-    /** Opens one to a node; {@code install} adds what speaks on it. Its channel is there at once. */
+    /**
+     * Connects to a node. {@code install} adds the protocol handlers to the pipeline. The channel of the returned
+     * future is available immediately.
+     */
     public ChannelFuture connect(NodeTargets.Target target, Consumer<ChannelPipeline> install) {
         connectionLimit.connectionOpening();
         ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
--- a/gateway/src/main/java/ridgemill/gateway/back/IdleAges.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/IdleAges.java
@@ -3,11 +3,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Learns at what idle age kept connections turn out to be dead. Hosts and middleboxes close them long before the time
- * that is stated, and the news of it crosses the next request, which then ends as a reset. An age at which connections
- * break clearly more often than new ones do is too old. Also guards against hosts that restart unseen and address
- * translators that forget. Could do harm where a request and not its connection is what breaks, at one age by chance: it
- * costs handshakes, so ages under a floor are never too old, and what was learned fades.
+ * Estimates the idle time after which keep-alive connections tend to be dead. Hosts and middleboxes may close idle
+ * connections long before the configured timeout; the close then crosses the next request on the wire, and that request
+ * ends as a reset. An idle time at which connections break clearly more often than new connections do is too long. This
+ * also covers hosts that restart unnoticed and NAT devices that drop their mappings. If requests, and not their
+ * connections, cause the breaks and fall on one idle time by chance, the estimate is too short and costs extra
+ * handshakes; therefore idle times below a minimum are always allowed, and old samples decay.
  */
 public final class IdleAges {
 
@@ -22,13 +23,18 @@
     private static final double MARGIN = 0.1;
     private static final double MEMORY_MS = 20_000;
 
-    /** Uses and breaks by age; the first place is for new connections. */
+    /** Uses and breaks by idle time; bucket 0 is for new connections. */
     private final double[] uses = new double[AGES + 1];
     private final double[] breaks = new double[AGES + 1];
     private double limitMs = Double.POSITIVE_INFINITY;
     private long updated;
 
-    /** An exchange on a connection that had been idle for so long, or 0 on a new one, ended. */
+    /**
+     * Records that an exchange has ended.
+     *
+     * @param idleMs how long its connection had been idle before it, in milliseconds; 0 for a new connection
+     * @param broke whether the connection broke before any byte of the response arrived
+     */
     public void used(double idleMs, boolean broke, long nowNanos) {
         fade(nowNanos);
         int age = idleMs <= 0 ? 0 : ageOf(idleMs);
@@ -36,7 +42,7 @@
         breaks[age] += broke ? 1 : 0;
     }
 
-    /** The idle time from which on a connection is not used any more. */
+    /** The idle time, in milliseconds, from which on a connection must not be reused; infinite if there is no limit. */
     public double limitMs(long nowNanos) {
         if (nowNanos - updated > TimeUnit.MILLISECONDS.toNanos(100)) {
             fade(nowNanos);
@@ -67,7 +73,7 @@
         return (int) Math.max(1, Math.min(AGES, 2 + Math.floor(Math.log(idleMs / FIRST_MS) / Math.log(STEP))));
     }
 
-    /** The shortest idle time of an age. */
+    /** The shortest idle time of a bucket, in milliseconds. */
     private static double boundMs(int age) {
         return age == 1 ? 0 : FIRST_MS * Math.pow(STEP, age - 2);
     }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
@@ -9,8 +9,8 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * One connection to a node, which carries one exchange at a time: what all protocols have in common. A protocol's own
- * class reads and writes its messages and tells from here how the exchange ended.
+ * A connection to a node that carries one exchange at a time: the part that does not depend on the protocol. Subclasses
+ * read and write the messages of their protocol and call the methods of this class to end the exchange.
  */
 public abstract class NodeConnection extends ChannelInboundHandlerAdapter {
 
@@ -21,21 +21,24 @@
     long idleSinceNanos;
     private boolean used;
 
-    /** Adds the protocol's codec and this handler, the last, to a new connection. */
+    /** Adds the protocol's codec, and this handler last, to the pipeline of a new connection. */
     protected abstract void install(ChannelPipeline pipeline);
 
-    /** The message to write for an exchange; called when the connection is there to write it to. */
+    /** Builds the message to write for an exchange; called when the connection is ready to write it. */
     protected abstract Object buildMessage(NodeExchange exchange);
 
-    /** Writes a message; the future tells when the last byte of it is with the system. */
+    /** Writes a message; the future completes when its last byte has been passed to the operating system. */
     protected ChannelFuture send(Object message) {
         return context.writeAndFlush(message);
     }
 
-    /** What was kept of the last exchange is of no use any more. */
+    /** Discards the state of the previous exchange. */
     protected void resetExchangeState() { }
 
-    /** The connection has ended; a whole answer that waits may still be given by {@link #finish}. */
+    /**
+     * The connection has closed. A complete response that has not been passed on yet may still end the exchange by
+     * {@link #finish}.
+     */
     protected abstract void connectionClosed();
 
     void attach(NodeConnectionPool pool, NodeConnectionPool.Target target) {
@@ -43,7 +46,7 @@
         this.target = target;
     }
 
-    /** The exchange that waits for its answer; null between two. */
+    /** The exchange that is waiting for its response; null between exchanges. */
     protected final NodeExchange current() {
         return current;
     }
@@ -52,7 +55,7 @@
         return context;
     }
 
-    /** Ends the exchange with an answer; the connection is kept if {@code clean}. */
+    /** Ends the exchange with a response; the connection is kept for reuse if {@code reusable}. */
     protected final void finish(Outcome outcome, NodeResponse<Content> answer, boolean clean) {
         NodeExchange exchange = current;
         current = null;
@@ -69,14 +72,17 @@
         exchange.end(noPlace ? Outcome.NO_PLACE : outcome, answer);
     }
 
-    /** Ends the exchange, if there is one, as the connection's own end. */
+    /** Ends the exchange, if there is one, because the connection was lost. */
     protected final void connectionLost() {
         if (current != null) {
             current.connectionLost();
         }
     }
 
-    /** What came makes no sense: the request may have run, and the connection is of no further use. */
+    /**
+     * Closes the connection after input that violates the protocol. The exchange ends as an error, as the request may
+     * have been executed, or as a lost connection if its request was not fully written.
+     */
     protected final void protocolError() {
         if (current != null && current.isWritten()) {
             current.end(Outcome.ERROR, null);
@@ -95,7 +101,7 @@
         }
         used = true;
         exchange.channel = context.channel();
-        // The promise covers the whole message: it fails if the connection breaks before the last byte is written.
+        // The future covers the whole message: it fails if the connection breaks before the last byte is written.
         send(buildMessage(exchange)).addListener(f -> {
             if (f.isSuccess()) {
                 exchange.markWritten();
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
@@ -18,20 +18,24 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * Connections to the cache nodes and the origin. Each carries one exchange at a time; the newest idle one is used
- * first, so that the rest age and close. Nothing is ever sent a second time from here: every exchange ends once, with
- * the outcome that its own connection showed.
+ * A pool of connections to the cache nodes and the origin. Each connection carries one exchange at a time. The most
+ * recently used idle connection is reused first, so that surplus ones expire. The pool never retries: every exchange
+ * ends once, with the outcome that its own connection showed.
  */
 public final class NodeConnectionPool implements NodeBackend {
 
-    /** Idle connections close at this part of the node's own limit: one that it closes first loses a request. */
+    /**
+     * Idle connections are closed after this fraction of the node's own timeout: if the node closes one first, a
+     * request is lost.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
     /**
-     * How long a connection rests between two exchanges: a second copy of the answer that comes a moment late would be
-     * taken for the next one's. Counted by timers, which run after all that has arrived was read, also after a pause.
+     * How long a connection is not reused after an exchange: a duplicate of the response that arrives slightly later
+     * would be taken for the response of the next exchange. Measured by timers, because they run after all received
+     * data has been read, even if the event loop had paused.
      */
     private static final long COOLDOWN_MS = 4;
-    /** Idle connections are looked through so often in the time that they may stand, and at least each second. */
+    /** How often idle connections are checked within the idle timeout; they are checked at least every second. */
     private static final double IDLE_CHECKS_PER_TIMEOUT = 10;
     private static final double MAX_IDLE_CHECK_INTERVAL_MS = 1000;
 
@@ -50,19 +54,19 @@
     private int openConnections;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param protocol makes the connection to a node in the nodes' protocol
-     * @param connectTimeoutMs how long a connection may take to come up, in milliseconds
-     * @param idleMs after how long nodes close idle connections, in milliseconds; may be infinite
-     * @param sockets of which each connection that is open or opening takes one
+     * @param connectionFactory creates a connection that uses the nodes' protocol
+     * @param connectTimeoutMs how long connecting may take, in milliseconds
+     * @param nodeIdleTimeoutMs the idle timeout of the nodes' side, in milliseconds; may be infinite
+     * @param connectionLimit counts each connection that is open or connecting
      */
     public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
                     double idleMs, ConnectionLimit sockets) {
         this(loop, transport, protocol, connectTimeoutMs, idleMs, sockets, System::nanoTime);
     }
 
-    /** {@code nanos} is the clock that idle times are read from. */
+    /** Creates a pool whose idle times are measured with {@code nanoClock}. */
     public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
                     double idleMs, ConnectionLimit sockets, LongSupplier nanos) {
         this.loop = loop;
@@ -84,7 +88,7 @@
         targets.closeIdle(node);
     }
 
-    /** Tells {@code then} from now on which node turned an attempt away on a connection that was opened for it. */
+    /** Sets the listener for the names of nodes that rejected an attempt on a connection opened for it. */
     public void onConnectionRejected(Consumer<String> then) {
         onConnectionRejected = then;
     }
@@ -93,7 +97,7 @@
         onConnectionRejected.accept(target.name());
     }
 
-    /** Closes the connections to the nodes of those names that have been idle for longer than {@code olderMs}. */
+    /** Closes the connections to the nodes with matching names that have been idle for at least {@code minIdleMs}. */
     public void closeIdleLongerThan(Predicate<String> nodes, double olderMs) {
         long now = nanoClock.getAsLong();
         for (Target target : targets.all()) {
@@ -103,19 +107,19 @@
         }
     }
 
-    /** Connections that are open or opening. */
+    /** The number of connections that are open or connecting. */
     public int openConnections() {
         return openConnections;
     }
 
-    /** Whether no connection is in the pause that follows an answer. */
+    /** Whether no connection is in the cooldown that follows a response. */
     public boolean isCooldownOver() {
         return coolingDown.isEmpty();
     }
 
     /**
-     * Starts an exchange that is given up after {@code timeoutMs}. The message is made when a connection is there to
-     * write it to, so that the time it names is what is left then.
+     * Starts an exchange that times out after {@code timeoutMs}. The message is built when a connection is ready to
+     * write it, so that the remaining time it carries is correct.
      */
     @Override
     public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
@@ -126,15 +130,15 @@
             exchange.end(Outcome.CONNECT_FAILED, null);
             return exchange;
         }
-        // One that can be carried once goes on a connection that no node is about to close.
+        // A streaming body can be sent only once: use a new connection, which the node is not about to close.
         NodeConnection idle = attempt != null && attempt.hasStreamingBody() ? null : newestIdle(target);
         if (idle != null) {
             idle.write(exchange);
         } else if (connectionLimit.ensureCapacity()) {
             connect(target, exchange);
         } else {
-            // Out of descriptors: opening one more could leave none for a client that is being accepted. The node is
-            // not to blame, so this must not look like a failure of its own.
+            // The connection limit is reached: opening one more could leave no descriptor for a client that is being
+            // accepted. This must not count as a failure of the node, as the node did not cause it.
             exchange.end(Outcome.NEVER_SENT, null);
         }
         return exchange;
@@ -158,7 +162,7 @@
         return null;
     }
 
-    /** Closes what has been idle for too long; runs as long as something is idle. */
+    /** Schedules a check that closes expired idle connections; repeated while any connection is idle. */
     private void scheduleIdleCheck() {
         if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
             idleCheckScheduled = true;
@@ -180,7 +184,7 @@
         }
     }
 
-    /** The newest are first, so that the others age. */
+    /** The queue is ordered from the most recently used to the longest idle connection. */
     private static void closeIdleAtLeast(Target target, long now, double limitMs) {
         for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs; c = target.idle.peekLast()) {
             target.idle.removeLast();
@@ -205,7 +209,7 @@
             } else if (exchange.connected((nanoClock.getAsLong() - began) / 1e6)) {
                 connection.write(exchange);
             } else {
-                // Too late for any answer: the connection is whole, and the next exchange's.
+                // Too late for a response: the request is not sent, and the connection is kept for the next exchange.
                 connection.idleSinceNanos = nanoClock.getAsLong();
                 makeAvailable(connection);
                 exchange.end(Outcome.NEVER_SENT, null);
@@ -237,7 +241,7 @@
         oldest.close();
     }
 
-    /** A node and its idle connections, newest first. */
+    /** A node and its idle connections, most recently used first. */
     final class Target extends NodeTargets.Target {
         final Deque<NodeConnection> idle = new ArrayDeque<>();
 
@@ -259,7 +263,12 @@
         return nanoClock.getAsLong();
     }
 
-    /** Takes note of how an exchange on a connection of that idle age ended; {@code answering} if bytes came back. */
+    /**
+     * Records how an exchange ended.
+     *
+     * @param connectionIdleMs how long its connection had been idle before it, in milliseconds
+     * @param responseStarted whether bytes of a response arrived
+     */
     void recordUse(double idle, Outcome outcome, boolean answering) {
         boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
@@ -267,7 +276,7 @@
         }
     }
 
-    /** Takes a connection back whose exchange ended well. */
+    /** Takes back a connection whose exchange ended cleanly; it becomes available after the cooldown. */
     void startCooldown(NodeConnection connection) {
         connection.idleSinceNanos = nanoClock.getAsLong();
         coolingDown.addLast(connection);
@@ -288,7 +297,7 @@
         }
     }
 
-    /** Hands connections back whose rest is over; runs as long as some are left. */
+    /** Makes connections available whose cooldown is over; repeated while any connection is cooling down. */
     private void endCooldowns() {
         long now = nanoClock.getAsLong();
         while (!coolingDown.isEmpty() && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
@@ -9,7 +9,7 @@
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.Outcome;
 
-/** One attempt or probe on its way to a node, and its one outcome. */
+/** One attempt or probe that is sent to a node, and its single outcome. */
 public final class NodeExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
@@ -22,8 +22,9 @@
     private boolean detached;
     private boolean streaming;
     private Future<?> detachedTimeout;
-    /** How long its connection had been idle, 0 for a new one; and whether bytes of an answer have come. */
+    /** How long its connection had been idle before it, in milliseconds; 0 for a new connection. */
     double connectionIdleMs;
+    /** Whether bytes of a response have arrived. */
     private boolean responseStarted;
 
     NodeExchange(NodeConnectionPool pool, Attempt<Content> attempt, Backend.Listener<Content> done) {
@@ -37,12 +38,12 @@
         return attempt;
     }
 
-    /** Whether it has its outcome. */
+    /** Whether the exchange has its outcome. */
     public boolean isEnded() {
         return ended;
     }
 
-    /** Whether its last byte is written, from when on the node may run it. */
+    /** Whether the last byte of the request has been written. From then on the node may execute it. */
     public boolean isWritten() {
         return written;
     }
@@ -54,17 +55,22 @@
         }
     }
 
-    /** Whether its connection had carried none before it. */
+    /** Whether this is the first exchange on its connection. */
     boolean isOnNewConnection() {
         return connectionIdleMs <= 0;
     }
 
-    /** The first bytes of an answer have come: a break from here on is not one of an old connection. */
+    /** Records that the first bytes of a response have arrived: a later break is not due to a stale connection. */
     public void markResponseStarted() {
         responseStarted = true;
     }
 
-    /** A connection was opened for it, which took so long; whether it may still be written there. */
+    /**
+     * A connection was opened for this exchange.
+     *
+     * @param connectMs how long connecting took, in milliseconds
+     * @return whether the request may still be written
+     */
     boolean connected(double ms) {
         if (attempt == null) {
             return true;
@@ -74,7 +80,8 @@
     }
 
     /**
-     * A good answer has begun that goes on by parts: its time was the time to here. Returns whether anybody takes it.
+     * Passes on a successful response whose body follows in parts. The timeout of the exchange covers the time until
+     * here only and is cancelled. Returns whether the listener accepts the response.
      */
     public boolean startStreaming(NodeResponse<Content> answer) {
         if (ended || attempt == null || !attempt.supportsStreaming()) {
@@ -85,12 +92,16 @@
         return listener.responseStarted(answer);
     }
 
-    /** Whether nobody waits for it any more, but its connection waits for its answer. */
+    /** Whether the caller no longer waits for the response while the connection still does. */
     public boolean isDetached() {
         return detached;
     }
 
-    /** Its answer may still come, and is dropped then; where it does not come in its time the connection goes. */
+    /**
+     * Ends the exchange as cancelled but keeps its connection open for the response, which is dropped. If the response
+     * does not arrive in the remaining time of the attempt, the connection is closed. An exchange that is streaming or
+     * not fully written, and a probe, are cancelled instead.
+     */
     @Override
     public void detach() {
         double leftMs = attempt == null ? 0 : attempt.remainingMs();
@@ -106,21 +117,21 @@
         end(Outcome.CANCELLED, null);
     }
 
-    /** The answer that it was left for has come, or its connection has ended. */
+    /** The response of a detached exchange has arrived, or its connection has closed. */
     void cancelDetachedTimeout() {
         if (detachedTimeout != null) {
             detachedTimeout.cancel(false);
         }
     }
 
-    /** Gives it up. The connection goes too: its answer may still come and would be taken for another's. */
+    /** Cancels the exchange and closes its connection: a late response would be taken for that of the next request. */
     @Override
     public void cancel() {
         abandon(Outcome.CANCELLED);
     }
 
     void timedOut() {
-        // Before its last byte was written the node cannot have begun it.
+        // The node cannot have started it before the last byte was written.
         abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
@@ -13,13 +13,14 @@
 import ridgemill.policy.Router.Availability;
 
 /**
- * The nodes of a back as the list has them, with what the back keeps of each. One that moved or started anew is another.
+ * The nodes of a backend according to the current host list, with the state that the backend keeps for each. A node
+ * with a new address or start time is a new target.
  *
- * @param <T> what the back keeps of a node
+ * @param <T> the state that the backend keeps for a node
  */
 public final class NodeTargets<T extends NodeTargets.Target> {
 
-    /** A node and its connections, which the back's own class holds. */
+    /** A node; the backend's subclass holds its connections. */
     public abstract static class Target {
         private final String name;
         private final SocketAddress address;
@@ -27,7 +28,7 @@
         private boolean current = true;
         private boolean draining;
 
-        /** The node that a list's entry names. */
+        /** Creates a target for an entry of the host list. */
         protected Target(HostList.Host host) {
             this.name = host.node().id();
             this.address = host.dial();
@@ -42,39 +43,39 @@
             return address;
         }
 
-        /** False once the list has moved on: connections that come free then must not wait for a use. */
+        /** False once the host list has replaced or removed this target: its connections must not be kept for reuse. */
         public final boolean isCurrent() {
             return current;
         }
 
-        /** Whether the list says that it takes no new work. */
+        /** Whether the host list marks the node as draining, so that it takes no new work. */
         public final boolean isDraining() {
             return draining;
         }
 
-        /** Closes the connections to it that are idle. */
+        /** Closes the idle connections to this node. */
         protected abstract void closeIdle();
     }
 
     private final Map<String, T> byName = new HashMap<>();
     private final Function<HostList.Host, T> factory;
 
-    /** {@code make} begins to keep a node. */
+    /** {@code factory} creates the target of a new node. */
     public NodeTargets(Function<HostList.Host, T> make) {
         this.factory = make;
     }
 
-    /** The node of this name; null where the list has none. */
+    /** The target of the node with this name, or null if it is not in the host list. */
     public T get(String node) {
         return byName.get(node);
     }
 
-    /** All nodes that the list has. */
+    /** The targets of all nodes in the host list. */
     public Collection<T> all() {
         return byName.values();
     }
 
-    /** Takes in the list. Idle connections to a host that drains, left, moved or started anew are of no use. */
+    /** Applies a host list. Closes idle connections to hosts that are draining, removed, moved or restarted. */
     public void applyHostList(HostList list) {
         if (list.whole()) {
             Set<String> named = list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
@@ -110,7 +111,7 @@
         }
     }
 
-    /** Closes the idle connections to a node, if the list has it. */
+    /** Closes the idle connections to a node, if it is in the host list. */
     public void closeIdle(String node) {
         Target target = byName.get(node);
         if (target != null) {
--- a/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
@@ -62,28 +62,29 @@
     private Future<?> paceTimer;
     /** Of an answer that comes in pieces: its head, and what has come of its body while that is held whole. */
     private HttpResponse head;
+    /** The part of its body that has arrived, as long as the body is buffered. */
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
-    /** The rest of the request that is being written. */
+    /** The rest of the request body that is being written; null if there is none. */
     private BodyStream upload;
-    /** The rest of an answer that goes on to its client already. */
+    /** The rest of a response body that is already being streamed to its client; null if there is none. */
     private BodyStream stream;
 
-    /** A connection to a node behind which there is a store. */
+    /** Creates a connection to a node of a group that has an origin. */
     public HttpNodeConnection() {
         this(false);
     }
 
-    /** {@code missIsAnswer} says whether a node that has no value has given the answer: there is no store to ask. */
+    /** {@code missIsFinal} says whether a missing value is the final response, as there is no origin to ask. */
     public HttpNodeConnection(boolean missIsAnswer) {
         this.missIsAnswer = missIsAnswer;
     }
 
     /**
-     * What of an answer is looked at.
+     * The parts of a response that are evaluated.
      *
-     * @param rejected whether the node says that it has not run the request
-     * @param hit what it says of where the value came from; empty where it says nothing
-     * @param bytes the value, which whoever takes the answer releases
+     * @param rejected whether the node reports that it has not executed the request
+     * @param cacheStatus the reported cache status; empty if the node reports none
+     * @param bytes the value; released by the code that handles the response
      */
     private record Reply(int status, boolean rejected, String hit, String mediaType, ByteBuf bytes, boolean keepAlive) { }
 
@@ -114,7 +115,10 @@
         return request(attempt);
     }
 
-    /** What other protocols' clients name may hold anything; Netty's encoder and its headers refuse what breaks a head. */
+    /**
+     * Whether the request can be written without Netty's encoder. Values from clients of other protocols may contain
+     * any bytes; Netty's encoder and headers reject values that would break a request head.
+     */
     private static boolean isPlain(Attempt<Content> attempt) {
         Command<Content> command = attempt.command();
         return LeanHttp.isPlain(attempt.requestId(), false) && command.action() != Command.Action.DELETE && LeanHttp.isPlain(command.target(), false)
@@ -123,6 +127,7 @@
                 && command.content().bytes().readableBytes() <= COPIED;
     }
 
+    /** Encodes a request without Netty's encoder. */
     private ByteBuf plain(Attempt<Content> attempt) {
         Command<Content> command = attempt.command();
         Content content = command.content();
@@ -150,7 +155,7 @@
         return out.writeBytes(body, body.readerIndex(), length);
     }
 
-    /** The head of a request whose body follows as it comes. */
+    /** Encodes the head of a request whose body is streamed. */
     private ByteBuf head(Attempt<Content> attempt) {
         FullHttpRequest request = request(attempt);
         Content content = attempt.command().content();
@@ -169,7 +174,7 @@
         return out;
     }
 
-    /** Writes a body on as it comes; the promise is kept with its last byte. */
+    /** Writes a streamed body as it arrives; the promise completes when its last byte has been written. */
     private final class Upload implements BodyStream.Sink {
         private final BodyStream rest;
         private final ChannelPromise whole;
@@ -261,7 +266,7 @@
         };
     }
 
-    /** Whether bytes that have come can belong to the answer that is awaited. */
+    /** Whether received bytes can belong to the awaited response. */
     private boolean expected(ByteBuf in) {
         NodeExchange current = current();
         if (current == null || current.isEnded() && !current.isDetached() || !current.isWritten() && upload == null) {
@@ -332,7 +337,7 @@
         }
     }
 
-    /** Keeps what has come; a good answer that grows too large for that goes on to its client from here. */
+    /** Buffers a part of a response; a successful response that becomes too large for that is streamed from here on. */
     private void hold(ByteBuf part, boolean last) {
         body = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context().alloc(), body, part.retain());
         if (last && mayBeCut()) {
@@ -352,7 +357,7 @@
         }
     }
 
-    /** Whether an answer's end shows in itself, and not in the connection's. */
+    /** Whether the response itself shows its end, so that it does not end by the close of the connection. */
     private boolean isFramed() {
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
@@ -361,12 +366,15 @@
         return isFramed() && HttpUtil.isKeepAlive(head);
     }
 
-    /** Whether nothing but the connection's end ended it, and it did not say so before: nobody can tell whether it is whole. */
+    /**
+     * Whether the response ended only by the close of the connection without having announced it: it cannot be known
+     * whether it is complete.
+     */
     private boolean mayBeCut() {
         return !isFramed() && HttpUtil.isKeepAlive(head);
     }
 
-    /** Gives on what has come of the answer; the rest follows as the client takes it. */
+    /** Passes on the part of the response that has arrived; the rest follows at the pace of the client. */
     private void stream(long length) {
         NodeExchange exchange = current();
         stream = new BodyStream(length, flows -> {
@@ -400,7 +408,7 @@
         finish(Outcome.OK, null, keepAlive && !decoder.leftOver());
     }
 
-    /** What has come of an answer is of no use any more. */
+    /** Discards the part of a response that has arrived. */
     private void dropPieces() {
         head = null;
         body.release();
@@ -453,7 +461,10 @@
         }, (long) ResponseStallDetector.CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the exchange with its answer. What came behind it would be taken for the next one's. */
+    /**
+     * Ends the exchange with its response. A connection that received extra data is not reused, as the data would be
+     * taken for the next response.
+     */
     private void finish() {
         Reply reply = answer;
         answer = null;
@@ -488,7 +499,7 @@
         fail(cause);
     }
 
-    /** A connection that broke ends its exchange as such, also inside an answer; else the answer makes no sense. */
+    /** Ends the exchange as a lost connection, also within a response, or as a protocol error for other causes. */
     private void fail(Throwable cause) {
         if (answer != null) {
             more = true;
@@ -522,9 +533,10 @@
     }
 
     /**
-     * Sees bytes before they are decoded. Those that come while nothing is awaited, or before the request is out,
-     * belong to an older one, and those that start no answer would only be seen as such at the end of a line. An answer
-     * that is plain is read here; from the first one on that is not, Netty's decoder reads all that the connection brings.
+     * Checks received bytes before they are decoded. Bytes that arrive while no response is awaited, or before the
+     * request has been written, belong to an older exchange. Bytes that do not start a response would otherwise be
+     * detected only at the end of a line. Plain responses are parsed here; from the first one on that is not plain,
+     * Netty's decoder reads everything on this connection.
      */
     private final class Bytes extends ChannelInboundHandlerAdapter {
         private ChannelHandlerContext context;
@@ -535,11 +547,11 @@
             context = ctx;
         }
 
-        /** From now on Netty's codec has what comes and goes. */
+        /** Uses Netty's codec in both directions from now on. */
         void codec() {
             if (plain) {
                 plain = false;
-                // Each right behind this one: the last to be added is the first.
+                // Both are added directly behind this handler, so the one added last comes first.
                 context.pipeline().addAfter(context.name(), null, decoder).addAfter(context.name(), null, new HttpRequestEncoder());
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/CacheFillTracker.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/CacheFillTracker.java
@@ -10,16 +10,17 @@
 import ridgemill.gateway.net.resp.Resp;
 
 /**
- * Which copies the gateway stores at nodes that do not fill themselves. A read that missed at a node and was answered by
- * the store leaves a copy there, for so long at most; a write drops the copies of its key. A copy is not stored if this
- * gateway has written the key since the read missed, as the store's answer may be older than the write; another gateway's
- * write is not known here, which is why a copy has an end.
+ * Tracks which copies the gateway stores at cache nodes that do not fill themselves. After a read that missed at a node
+ * and was answered by the origin, a copy is stored at that node for a limited time; a write deletes the copies of its
+ * key. No copy is stored if this gateway has written the key since the read missed, as the origin's response may be
+ * older than the write. Writes of other gateways are not seen here, which is why copies expire.
  */
 final class CacheFillTracker {
 
-    /** Reads that missed and keys that were written, of which so many are remembered. */
+    /** The maximum number of missed reads, and of written keys, that are remembered. */
     private static final int MAX_ENTRIES = 4096;
 
+    /** A read that missed at {@code node} when {@code writesSeen} writes had been recorded. */
     private record MissRecord(String node, long writesSeen) { }
 
     private static final class Bounded<V> extends LinkedHashMap<String, V> {
@@ -35,18 +36,19 @@
     private final Map<String, MissRecord> misses = new Bounded<>();
     private final Map<String, Long> lastWriteByKey = new Bounded<>();
     private long writeCount;
-    /** Writes up to this one may have been forgotten: a read that missed before it leaves no copy. */
+    /** Writes up to this one may have been evicted: a read that missed before it leaves no copy. */
     private long lastEvictedWrite;
 
     CacheFillTracker(double ttlMs) {
         this.ttlMs = Math.max(1, Math.round(ttlMs));
     }
 
+    /** Records that a read missed at a node. */
     void recordMiss(String request, String node, String key) {
         misses.put(request, new MissRecord(node, writeCount));
     }
 
-    /** A write of this key has ended; {@code mayHaveRun} says whether it can have changed anything. */
+    /** Records a write of this key; {@code mayHaveRun} says whether it can have changed the value. */
     void recordWrite(String key, boolean mayHaveRun) {
         if (mayHaveRun) {
             if (lastWriteByKey.size() == MAX_ENTRIES && !lastWriteByKey.containsKey(key)) {
@@ -57,17 +59,19 @@
         }
     }
 
-    /** The node where the read's copy belongs; null where it is to leave none. */
+    /** Removes the record of a missed read and returns the node to store its copy at; null if none is to be stored. */
     String takeFillNode(String request, String key) {
         MissRecord m = misses.remove(request);
         return m == null || m.writesSeen() < lastEvictedWrite || lastWriteByKey.getOrDefault(key, 0L) > m.writesSeen() ? null : m.node();
     }
 
+    /** The command that stores a copy at a node. */
     Resp storeCommand(String target, ByteBuf value) {
         return new Resp.Array(List.of(Resp.blob("SET"), new Resp.Blob(Unpooled.wrappedBuffer(Targets.key(target))),
                 new Resp.Blob(Unpooled.copiedBuffer(value)), Resp.blob("PX"), Resp.blob(Long.toString(ttlMs))));
     }
 
+    /** The command that deletes the copy at a node. */
     Resp deleteCommand(String target) {
         return new Resp.Array(List.of(new Resp.Blob(Unpooled.copiedBuffer("DEL", StandardCharsets.US_ASCII)),
                 new Resp.Blob(Unpooled.wrappedBuffer(Targets.key(target)))));
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/ReplyClassifier.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/ReplyClassifier.java
@@ -10,32 +10,38 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * What a node's reply says of an attempt. Errors that Redis gives before it carries a command out prove that nothing ran;
- * all others prove nothing.
+ * Derives the outcome of an attempt from a node's reply. Errors that Redis returns before it executes a command prove
+ * that nothing was executed; all other errors prove nothing.
  */
 final class ReplyClassifier {
 
     /**
-     * Loading its data; held by a script; not the owner of the key; a replica; out of memory for a write; too few replicas
-     * or a failed save, which are checked before a write; no rights; part of the cluster is down; draining.
+     * Error codes that are returned before a command is executed: the node is loading its data; is busy with a script;
+     * does not own the key; is a read-only replica; is out of memory for a write; has too few replicas or failed to
+     * save, which are checked before a write; denies access; part of the cluster is down; the node is draining.
      */
     private static final Set<String> NOT_EXECUTED_CODES = Set.of("LOADING", "BUSY", "MOVED", "ASK", "READONLY", "OOM", "NOREPLICAS",
             "MISCONF", "NOAUTH", "NOPERM", "WRONGPASS", "CLUSTERDOWN", "MASTERDOWN", "TRYAGAIN", "DRAINING");
 
-    /** What an attempt came to; the answer's bytes are the reply's own, which is released by whoever had it. */
+    /** The result of an attempt. The response's bytes belong to the reply, which its owner releases. */
     record Result(Outcome outcome, NodeResponse<Content> response) { }
 
     private ReplyClassifier() { }
 
+    /** Whether the error proves that the command was not executed. */
     static boolean isNotExecuted(Resp.Err error) {
         return NOT_EXECUTED_CODES.contains(error.code());
     }
 
-    /** Whether the node says that it takes no new work. */
+    /** Whether the reply reports that the node is draining and takes no new work. */
     static boolean isDraining(Resp reply) {
         return reply instanceof Resp.Err e && e.code().equals("DRAINING");
     }
 
+    /**
+     * Classifies the reply to a command; {@code missIsFinal} says whether a missing value is the final response, as
+     * there is no origin to ask.
+     */
     static Result classify(Resp reply, Command.Action action, boolean missIsAnswer) {
         int note = NodeResponse.NO_CACHE_STATUS;
         Resp value = reply;
@@ -55,7 +61,7 @@
                 : value instanceof Resp.Verbatim v ? new Content(v.bytes(), null)
                 : value instanceof Resp.Num n && action == Command.Action.DELETE ? text(Long.toString(n.value()))
                 : value instanceof Resp.Simple && action != Command.Action.READ ? Content.EMPTY : null;
-        // A reply of another type is none to what was asked.
+        // A reply of any other type does not fit the command.
         return content == null ? new Result(Outcome.ERROR, null) : new Result(Outcome.OK, new NodeResponse<>(content, note));
     }
 
@@ -72,12 +78,13 @@
         };
     }
 
-    /** Whether a reply that names its call names this one; one that names none is taken for it. */
+    /** Whether the reply belongs to the request {@code id}; a reply without an id is assumed to. */
     static boolean matchesRequest(Resp.Attributed reply, String id) {
         String named = attribute(reply.attributes(), "id");
         return named.isEmpty() || named.equals(id);
     }
 
+    /** The value of an attribute; empty if there is none. */
     private static String attribute(Resp.MapOf attributes, String name) {
         for (int i = 0; i + 1 < attributes.pairs().size(); i += 2) {
             if (textOf(attributes.pairs().get(i)).equals(name)) {
@@ -87,6 +94,7 @@
         return "";
     }
 
+    /** The text of a simple or blob string; empty for other types. */
     static String textOf(Resp value) {
         return value instanceof Resp.Simple s ? s.text() : value instanceof Resp.Blob b ? b.text() : "";
     }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespBackend.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespBackend.java
@@ -18,19 +18,20 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * Connections to nodes that speak RESP, a few to each, with many commands on one. Nothing is ever sent a second time from
- * here: every exchange ends once, with the outcome that its own connection showed.
+ * A backend for nodes that use RESP: a few connections to each node, with many pipelined commands on each connection.
+ * It never retries: every exchange ends once, with the outcome that its own connection showed.
  */
 public final class RespBackend implements NodeBackend {
 
-    /** Connections to one node; more would only share its one thread. */
+    /** Maximum connections to one node; more would only share its single thread. */
     static final int MAX_CONNECTIONS_PER_NODE = 8;
-    /** Commands on one connection while another may be opened: each waits for those before it. */
+    /** Pending commands on one connection from which on another one is opened: each waits for those before it. */
     static final int NEW_CONNECTION_THRESHOLD = 4;
-    /** Commands on one connection in any case. */
+    /** Maximum pending commands on one connection. */
     static final int MAX_PENDING_PER_CONNECTION = 32;
-    /** How long the reply of a command that was given up may stay away while others wait behind it. */
+    /** How long the reply to an abandoned command may be missing while other commands wait behind it. */
     private static final long ABANDONED_REPLY_TIMEOUT_MS = 500;
+    /** Idle connections are closed after this fraction of the node's own idle timeout. */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
     private static final long IDLE_CHECK_INTERVAL_MS = 1000;
 
@@ -46,12 +47,13 @@
     private boolean idleCheckScheduled;
 
     /**
-     * A back without connections.
+     * Creates a backend without connections.
      *
-     * @param connectTimeoutMs how long a connection may take to come up, in milliseconds
-     * @param idleMs after how long nodes close idle connections, in milliseconds; may be infinite
-     * @param sockets of which each connection that is open or opening takes one
-     * @param drains is told of each node that says itself that it takes no new work
+     * @param nodeConfig how to communicate with the nodes
+     * @param connectTimeoutMs how long connecting may take, in milliseconds
+     * @param nodeIdleTimeoutMs the idle timeout of the nodes' side, in milliseconds; may be infinite
+     * @param connectionLimit counts each connection that is open or connecting
+     * @param drainListener receives the name of each node that reports that it is draining
      */
     public RespBackend(EventLoop loop, Transport transport, RespNodeConfig nodes, double connectTimeoutMs, double idleMs,
                     ConnectionLimit sockets, Consumer<String> drains) {
@@ -83,7 +85,7 @@
     public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
         RespExchange exchange = new RespExchange(attempt, done);
         if (cacheFills != null && attempt != null && attempt.command().write()) {
-            // From here on it may run at any time, also when its answer never comes.
+            // From here on the write may be executed at any time, even if no response ever arrives.
             cacheFills.recordWrite(attempt.command().target(), true);
         }
         exchange.timeout = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
@@ -105,7 +107,7 @@
         } else if (best != null && best.pendingCommands() < MAX_PENDING_PER_CONNECTION) {
             best.send(exchange);
         } else {
-            // All are as full as they may be. The node is not to blame, so this must not look like a failure of its own.
+            // All connections are full. This must not count as a failure of the node, as the node did not cause it.
             exchange.end(Outcome.NEVER_SENT, null);
         }
         return exchange;
@@ -135,8 +137,9 @@
     }
 
     /**
-     * An attempt has its answer: at plain nodes it is the gateway that stores a copy where a read missed, and drops copies
-     * of what was written. Both as far as there is a connection with leisure: nobody waits for either.
+     * Handles the result of an attempt. At plain nodes the gateway stores a copy where a read missed, and deletes the
+     * copies of a written key. Both are best effort: they are sent only if a connection has few pending commands, as no
+     * client waits for them.
      */
     void responseReceived(Target target, Attempt<Content> attempt, ReplyClassifier.Result ended) {
         if (cacheFills == null) {
@@ -176,11 +179,12 @@
         connections.remove(connection);
     }
 
-    /** Runs a check when a reply that nobody waits for has stayed away for long enough. */
+    /** Runs a check after the time that the reply to an abandoned command may be missing. */
     void scheduleAbandonedReplyCheck(Runnable check) {
         loop.schedule(check, ABANDONED_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
+    /** A node has reported that it is draining. */
     void nodeDraining(Target target) {
         if (!target.isDraining() && target.isCurrent()) {
             drainListener.accept(target.name());
@@ -208,7 +212,7 @@
         oldestIdle().close();
     }
 
-    /** Closes what has been idle for too long; runs as long as there are connections. */
+    /** Schedules a check that closes expired idle connections; repeated while there are connections. */
     private void scheduleIdleCheck() {
         if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
             idleCheckScheduled = true;
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
@@ -23,13 +23,13 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * One connection to a node, with many commands on it. Replies belong to commands by their order alone, so what can't be
- * placed ends the connection, and with it, as what may have run, all that is out on it. A command that was given up keeps
- * its place until its reply has come, which is dropped then.
+ * A connection to a node with many pipelined commands. Replies are matched to commands by order only, so a reply that
+ * cannot be matched closes the connection, and all commands awaiting a reply end as possibly executed. An abandoned
+ * command keeps its place until its reply has arrived, which is then dropped.
  */
 final class RespConnection extends ChannelInboundHandlerAdapter {
 
-    /** What the key of a write begins with under which the store remembers it. */
+    /** Prefix of the keys under which the origin remembers the idempotency keys of writes. */
     private static final String DEDUPLICATION_KEY_PREFIX = "ridge:once:";
 
     private enum State { OPENING, HELLO, AUTH, READY, CLOSED }
@@ -41,11 +41,14 @@
     private ChannelHandlerContext context;
     private State state = State.OPENING;
     private boolean flushScheduled;
-    /** Commands that were given up and whose replies have not come. */
+    /** Abandoned commands whose replies have not arrived. */
     private int abandonedReplies;
-    /** One of those timed out: what is sent behind it would wait for it too. */
+    /** An abandoned command timed out: commands sent behind it would wait for its reply too. */
     private boolean blocked;
-    /** Its rights are gone: it closes when all that is out has its reply. */
+    /**
+     * Set after an authentication or protocol error: no more commands are accepted, and the connection closes when all
+     * sent commands have their replies.
+     */
     private boolean closing;
     long idleSinceNanos;
 
@@ -63,17 +66,17 @@
         context = ctx;
     }
 
-    /** Commands on it, those that were given up too. */
+    /** Commands without a reply, including abandoned ones. */
     int pendingCommands() {
         return awaitingHandshake.size() + awaitingReply.size();
     }
 
-    /** Whether something that nobody waits for may go out on it. */
+    /** Whether an internal command, for which no client waits, may be sent on this connection. */
     boolean canSendInternal() {
         return state == State.READY && isUsable() && pendingCommands() < RespBackend.NEW_CONNECTION_THRESHOLD;
     }
 
-    /** Whether more may be sent on it: none that is silent holds it up. */
+    /** Whether more commands may be sent: no command that timed out blocks the connection. */
     boolean isUsable() {
         return state != State.CLOSED && !blocked && !closing;
     }
@@ -91,7 +94,7 @@
         }
     }
 
-    /** The connection is there: shows who we are and asks for the newer version before anything else. */
+    /** The connection is open: authenticates and requests RESP3 before any command is sent. */
     void connected(double tookMs) {
         awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1).forEach(e -> e.attempt().connected(tookMs));
         state = State.HELLO;
@@ -106,7 +109,7 @@
         context.writeAndFlush(hello);
     }
 
-    /** It never came up. */
+    /** Connecting failed. */
     void connectFailed() {
         if (state != State.CLOSED) {
             markClosed();
@@ -129,7 +132,7 @@
         scheduleFlush();
     }
 
-    /** Flushed once for all that is written in one turn of the loop. */
+    /** Flushes once for all commands that are written in one iteration of the event loop. */
     private void scheduleFlush() {
         if (!flushScheduled) {
             flushScheduled = true;
@@ -140,7 +143,7 @@
         }
     }
 
-    /** A keyed write at a store that drops no repeats by itself, whose key the store has not taken yet. */
+    /** Whether this is a keyed write whose key must first be recorded at an origin that does not deduplicate itself. */
     private boolean needsKeyClaim(RespExchange exchange) {
         return exchange.attempt() != null && !exchange.keyClaimed && backend.nodeConfig().deduplicationWindowMs() > 0
                 && exchange.attempt().command().write() && exchange.attempt().command().idempotencyKey() != null;
@@ -160,7 +163,7 @@
         }
         Command<Content> command = attempt.command();
         if (needsKeyClaim(exchange)) {
-            // Not the write itself: the store is asked whether it has seen the key.
+            // Instead of the write, first asks the origin to record the key unless it has it already.
             RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(), attempt.requestId(), "NX", "PX",
                     Long.toString(Math.round(backend.nodeConfig().deduplicationWindowMs()))), RespWriter.V2);
             return bytes;
@@ -195,14 +198,17 @@
         return bytes;
     }
 
-    /** One was given up. Its place stays until its reply has come; alone on its connection it takes that along. */
+    /**
+     * A command was abandoned. It keeps its place until its reply has arrived. If no other command is waiting on this
+     * connection, the connection is closed, unless the node was asked to cancel the command.
+     */
     void abandoned(RespExchange exchange, boolean silent) {
         if (awaitingHandshake.remove(exchange)) {
             return;
         }
         boolean told = backend.nodeConfig().supportsCancel() && exchange.attempt() != null && state == State.READY;
         if (told) {
-            // Its reply comes in its place, so the connection stays whole and others on it are not held up for long.
+            // The node still replies in order, so the connection stays usable and others are not blocked for long.
             ByteBuf bytes = context.alloc().buffer();
             RespWriter.write(bytes, Resp.blobs("RIDGE.CANCEL", exchange.attempt().requestId()), RespWriter.V2);
             context.write(bytes);
@@ -213,7 +219,7 @@
         }
         abandonedReplies++;
         blocked |= silent;
-        // Others may have their replies yet; one that stays away for too long holds all behind it up for good.
+        // Other commands may still get replies. A reply that is missing for too long blocks all commands behind it.
         backend.scheduleAbandonedReplyCheck(() -> {
             if (awaitingReply.contains(exchange)) {
                 close();
@@ -242,7 +248,7 @@
         if (kind.equals("ridge.drain")) {
             backend.nodeDraining(target);
         }
-        // All others, such as invalidations, are of no use to one that keeps no values.
+        // Other pushes, such as invalidations, are ignored, as the gateway caches no values.
     }
 
     private void handshakeReplyReceived(Resp reply) {
@@ -289,7 +295,7 @@
     private void replyReceived(Resp reply) {
         RespExchange exchange = awaitingReply.poll();
         if (exchange == null || !exchange.written) {
-            // Nothing was asked, or not yet: it can't be told whose this is, nor whose the next will be.
+            // No command has been written for this reply, so neither it nor later ones can be matched to commands.
             if (exchange != null) {
                 awaitingReply.addFirst(exchange);
             }
@@ -312,7 +318,8 @@
                 exchange.written = false;
                 write(exchange);
             } else if (needsKeyClaim(exchange) && bare instanceof Resp.Null) {
-                // Another has this key: whether its write ran is not known here, and a second one must not.
+                // Another request has recorded this key. Whether its write ran is unknown here, and the write must not
+                // run twice.
                 exchange.end(Outcome.ERROR, null);
             } else if (exchange.attempt() == null) {
                 exchange.end(bare instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
@@ -334,10 +341,10 @@
         }
     }
 
-    /** What came makes no sense. The first that waits may be what it was for; all may have run. */
+    /** Handles invalid input. It may have been meant for the first waiting command; all sent commands may have run. */
     private void protocolError(String why) {
         Log.info("connection to node " + target.name() + " closed: " + why);
-        // What follows from the end of the first must not be sent on this one.
+        // Commands that result from ending the first exchange must not be sent on this connection.
         closing = true;
         RespExchange first = awaitingReply.peek();
         if (first != null && first.written) {
@@ -346,7 +353,7 @@
         close();
     }
 
-    /** Closes it: no more is sent on it from now on, and what is out on it ends as the connection's own end. */
+    /** Closes the connection: no more commands are sent, and pending exchanges end as on a lost connection. */
     void close() {
         if (state != State.CLOSED) {
             markClosed();
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
@@ -8,24 +8,24 @@
 import ridgemill.gateway.net.resp.Resp;
 import ridgemill.policy.Router.Outcome;
 
-/** One attempt or probe on a connection that it shares, and its one outcome. */
+/** One attempt or probe on a shared connection, and its single outcome. */
 final class RespExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
     private final Backend.Listener<Content> listener;
     RespConnection connection;
     Future<?> timeout;
-    /** Its bytes are with the connection, from when on nobody can hold them back. */
+    /** The message has been passed to the connection and can no longer be held back. */
     boolean queuedForWrite;
-    /** Its last byte is with the network, from when on the node may run it. */
+    /** The last byte has been written to the network. From then on the node may execute the command. */
     boolean written;
-    /** The store has taken its key: the write itself may go out. */
+    /** The origin has recorded the idempotency key of the write, so the write itself may be sent. */
     boolean keyClaimed;
-    /** What is to be written where there is no attempt: a copy that is stored or dropped. */
+    /** The command to write if there is no attempt: it stores or deletes a copy. Null for an attempt or a probe. */
     private final Resp internalCommand;
     private boolean ended;
 
-    /** Something of the gateway's own, whose answer nobody needs. */
+    /** Creates an exchange for a command of the gateway itself, whose result is ignored. */
     static RespExchange internal(Resp note) {
         return new RespExchange(null, (outcome, answer) -> { }, note);
     }
@@ -40,12 +40,12 @@
         this.internalCommand = note;
     }
 
-    /** What is to be written where there is no attempt; null for a probe. */
+    /** The command to write if there is no attempt; null for an attempt or a probe. */
     Resp internalCommand() {
         return internalCommand;
     }
 
-    /** The attempt to write; null for a probe. */
+    /** The attempt to write; null for a probe or an internal command. */
     Attempt<Content> attempt() {
         return attempt;
     }
@@ -60,11 +60,14 @@
     }
 
     void timedOut() {
-        // What is with the connection may still go out, so only one that is not has certainly not run.
+        // A command that has been passed to the connection may still be sent; before that, it cannot have run.
         abandon(queuedForWrite ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    /** The connection first: what follows from the end must not be sent on one that this one holds up. */
+    /**
+     * Notifies the connection before the listener: attempts that the listener starts must not be sent on a connection
+     * that this exchange blocks.
+     */
     private void abandon(Outcome outcome) {
         if (!ended) {
             ended = true;
@@ -76,7 +79,7 @@
         }
     }
 
-    /** The connection ended under it: a command of which not every byte went out can't be read by the node. */
+    /** The connection was lost. A node cannot execute a command of which it did not receive every byte. */
     void connectionLost() {
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
--- a/gateway/src/main/java/ridgemill/gateway/console/Console.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/Console.java
@@ -12,12 +12,12 @@
 import ridgemill.monitoring.Readiness;
 
 /**
- * The address for operators alone: HTTP/1.1, one call to a connection. It answers from the loop's own state, from before the
- * first list has come until the loop ends. Used on the loop.
+ * The operators' HTTP/1.1 endpoint, with one request per connection. It responds from the state of the event loop, from
+ * before the first host list has arrived until the loop ends. Used on the event loop.
  */
 public final class Console {
 
-    /** Callers that may be there at a time; their descriptors are among those that clients can't take. */
+    /** Maximum concurrent callers. Their file descriptors are reserved: clients cannot use them. */
     public static final int MAX_CALLERS = 16;
 
     private final EventLoop loop;
@@ -25,14 +25,14 @@
     private final Supplier<Readiness> readiness;
     private final Supplier<ProxyMetrics> metrics;
 
-    /** A console that reads what it tells when it is asked. */
+    /** Creates a console that reads the readiness and the metrics anew for each request. */
     public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> figures) {
         this.loop = loop;
         this.readiness = readiness;
         this.metrics = figures;
     }
 
-    /** Starts to listen; the future fails where the address can't be had. From any thread. */
+    /** Starts listening; the future fails if the address cannot be bound. May be called from any thread. */
     public ChannelFuture listen(InetSocketAddress address) {
         return Transport.TCP.server(loop).childHandler(new ChannelInitializer<>() {
             @Override
--- a/gateway/src/main/java/ridgemill/gateway/console/ConsoleRequestHandler.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/ConsoleRequestHandler.java
@@ -24,16 +24,16 @@
 import ridgemill.gateway.net.Targets;
 import ridgemill.monitoring.Readiness;
 
-/** One call of an operator. The first head that is whole is answered, and the connection's end follows. */
+/** Handles one request of an operator: responds to the first complete request head, then closes the connection. */
 final class ConsoleRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
 
     static final String STATUS_PATH = "/status";
     static final String METRICS_PATH = "/status/metrics";
     private static final String TEXT_TYPE = "text/plain";
     private static final String JSON_TYPE = "application/json";
-    /** How long a caller may stay in all: longer than any that means to say something. */
+    /** Maximum lifetime of a connection; longer than any real caller needs to send its request. */
     private static final long MAX_CONNECTION_MS = 5000;
-    /** How long what a caller still sends is read: closing on unread input would take the answer from it. */
+    /** How long further input is read after the response: closing with unread input would discard the response. */
     private static final long LINGER_MS = 1000;
 
     private final Console console;
--- a/gateway/src/main/java/ridgemill/gateway/console/MetricsJson.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/MetricsJson.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import ridgemill.monitoring.ProxyMetrics;
 
-/** Figures as the operators' page names them. */
+/** Formats the metrics as JSON, with the names of the operators' documentation. */
 final class MetricsJson {
 
     private MetricsJson() { }
--- a/gateway/src/main/java/ridgemill/gateway/console/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' own front: whether this process serves, and its figures. Not loaded without its address. */
+/** The operators' HTTP endpoint: readiness and metrics of this process. Not loaded unless its address is configured. */
 package ridgemill.gateway.console;
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
@@ -9,12 +9,16 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** Asks a running proxy on this machine. */
+/** Sends commands to the control socket of a proxy that runs on this machine. */
 public final class ControlClient {
 
     private ControlClient() { }
 
-    /** Sends a command and returns the whole answer; throws where no proxy answers at the socket. */
+    /**
+     * Sends a command and returns the complete response.
+     *
+     * @throws IOException if no proxy responds at the socket
+     */
     public static String send(Path socket, String command) throws IOException {
         try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(socket))) {
             ByteBuffer line = ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.UTF_8));
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
@@ -28,8 +28,9 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * Answers commands at a Unix socket. A client sends one line and reads until the end; only the proxy's own user may
- * connect. It runs on the proxy's loop, and a command that takes time is carried out elsewhere.
+ * Accepts commands on a Unix domain socket. A client sends one line and reads the response until the connection closes.
+ * Only the user that runs the proxy may connect. Runs on the proxy's event loop; long-running commands are executed
+ * elsewhere.
  */
 public final class ControlServer {
 
@@ -67,10 +68,11 @@
     }
 
     /**
-     * Starts to listen. A socket that a proxy left behind which is gone is taken over; one that is answered, and a file
-     * that is no socket, is left alone.
+     * Starts listening. A socket file that a terminated proxy left behind is replaced.
      *
-     * @param commands says what a command's answer is; a stage that fails is told as a fault
+     * @param commands executes a command line and returns its response; if the stage fails, an error response is sent
+     * @throws IOException if another process accepts connections on the socket, if the file is not a socket, or if the
+     *     socket cannot be bound
      */
     public static ControlServer listen(Path path, EventLoop loop, Function<String, CompletionStage<String>> commands)
             throws IOException, InterruptedException {
@@ -94,7 +96,7 @@
         }
     }
 
-    /** Listens no more, and takes the socket away. */
+    /** Stops listening and deletes the socket file. */
     public void close() {
         listener.close().awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         try {
@@ -104,7 +106,7 @@
         }
     }
 
-    /** One connection's one command. */
+    /** Handles the single command of a connection. */
     private static final class CommandHandler extends SimpleChannelInboundHandler<String> {
         private final Function<String, CompletionStage<String>> commands;
         private boolean received;
--- a/gateway/src/main/java/ridgemill/gateway/control/package-info.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How this machine's operators ask a running proxy: one command a connection at a Unix socket, which the file system's
- * rights guard. Loaded only where an operator file names a socket.
+ * The control socket, by which operators of this machine send commands to a running proxy: one command per connection
+ * on a Unix domain socket that is protected by file permissions. Loaded only if an operator file names a socket.
  */
 package ridgemill.gateway.control;
