--- a/gateway/src/main/java/ridgemill/gateway/back/ConnectionLimit.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/ConnectionLimit.java
@@ -24,18 +24,18 @@
     private int openConnections;
 
     /** Allows {@code maxConnections} in total, at least 1. */
-    public ConnectionLimit(int most) {
-        this.maxConnections = most;
+    public ConnectionLimit(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     /** Registers a backend whose idle connections may be closed to make room for others. */
-    public void register(Owner user) {
-        owners.add(user);
+    public void register(Owner owner) {
+        owners.add(owner);
     }
 
     /** Unregisters a backend that opens no more connections; its open ones count until they have closed. */
-    public void unregister(Owner user) {
-        owners.remove(user);
+    public void unregister(Owner owner) {
+        owners.remove(owner);
     }
 
     /** The number of connections that are open or connecting. */
@@ -51,16 +51,17 @@
         if (openConnections < maxConnections) {
             return true;
         }
-        Owner oldest = null;
-        for (Owner user : owners) {
-            if (user.longestIdleNanos() >= 0 && (oldest == null || user.longestIdleNanos() > oldest.longestIdleNanos())) {
-                oldest = user;
+        Owner longestIdle = null;
+        for (Owner owner : owners) {
+            if (owner.longestIdleNanos() >= 0
+                    && (longestIdle == null || owner.longestIdleNanos() > longestIdle.longestIdleNanos())) {
+                longestIdle = owner;
             }
         }
-        if (oldest != null) {
-            oldest.closeLongestIdle();
+        if (longestIdle != null) {
+            longestIdle.closeLongestIdle();
         }
-        return oldest != null;
+        return longestIdle != null;
     }
 
     /** Counts a connection that is connecting. */
--- a/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/Dialer.java
@@ -23,10 +23,10 @@
      * @param connectTimeoutMs how long connecting may take, in milliseconds; at least 1 ms is used
      * @param connectionLimit counts each connection from the start of connecting until it has closed
      */
-    public Dialer(EventLoop loop, Transport transport, double connectTimeoutMs, ConnectionLimit sockets) {
+    public Dialer(EventLoop loop, Transport transport, double connectTimeoutMs, ConnectionLimit connectionLimit) {
         this.bootstrap = transport.client(loop)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, (int) connectTimeoutMs));
-        this.connectionLimit = sockets;
+        this.connectionLimit = connectionLimit;
     }
 
     /**
--- a/gateway/src/main/java/ridgemill/gateway/back/IdleAges.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/IdleAges.java
@@ -12,22 +12,26 @@
  */
 public final class IdleAges {
 
-    private static final double FIRST_MS = 10;
-    private static final double STEP = 1.4;
-    private static final int AGES = 32;
-    /** No younger connection is too old: each handshake costs more than a reset now and then. */
-    private static final double FLOOR_MS = 40;
-    /** Uses that every age is taken to have had and to have gone well, so that one break proves nothing. */
-    private static final double PRIOR = 10;
-    /** By how much a kept connection may break more often than a new one, for the handshake that it saves. */
-    private static final double MARGIN = 0.1;
-    private static final double MEMORY_MS = 20_000;
+    private static final double FIRST_BUCKET_MS = 10;
+    private static final double BUCKET_GROWTH = 1.4;
+    private static final int BUCKETS = 32;
+    /** Lower bound of the limit: below it, the handshakes would cost more than an occasional reset. */
+    private static final double MIN_LIMIT_MS = 40;
+    /** Successful uses that are assumed for each bucket, so that a single break has little weight. */
+    private static final double PRIOR_SUCCESSES = 10;
+    /**
+     * By how much the break rate of reused connections may exceed that of new ones; this is accepted because reuse
+     * saves a handshake.
+     */
+    private static final double BREAK_RATE_MARGIN = 0.1;
+    /** Time constant of the exponential decay of the samples. */
+    private static final double DECAY_TIME_MS = 20_000;
 
     /** Uses and breaks by idle time; bucket 0 is for new connections. */
-    private final double[] uses = new double[AGES + 1];
-    private final double[] breaks = new double[AGES + 1];
+    private final double[] uses = new double[BUCKETS + 1];
+    private final double[] breaks = new double[BUCKETS + 1];
     private double limitMs = Double.POSITIVE_INFINITY;
-    private long updated;
+    private long lastDecayNanos;
 
     /**
      * Records that an exchange has ended.
@@ -36,45 +40,46 @@
      * @param broke whether the connection broke before any byte of the response arrived
      */
     public void used(double idleMs, boolean broke, long nowNanos) {
-        fade(nowNanos);
-        int age = idleMs <= 0 ? 0 : ageOf(idleMs);
-        uses[age]++;
-        breaks[age] += broke ? 1 : 0;
+        decay(nowNanos);
+        int bucket = idleMs <= 0 ? 0 : bucketOf(idleMs);
+        uses[bucket]++;
+        breaks[bucket] += broke ? 1 : 0;
     }
 
     /** The idle time, in milliseconds, from which on a connection must not be reused; infinite if there is no limit. */
     public double limitMs(long nowNanos) {
-        if (nowNanos - updated > TimeUnit.MILLISECONDS.toNanos(100)) {
-            fade(nowNanos);
+        if (nowNanos - lastDecayNanos > TimeUnit.MILLISECONDS.toNanos(100)) {
+            decay(nowNanos);
         }
         return limitMs;
     }
 
-    private void fade(long nowNanos) {
-        double kept = Math.exp(-Math.max(0, nowNanos - updated) / 1e6 / MEMORY_MS);
-        updated = nowNanos;
+    private void decay(long nowNanos) {
+        double factor = Math.exp(-Math.max(0, nowNanos - lastDecayNanos) / 1e6 / DECAY_TIME_MS);
+        lastDecayNanos = nowNanos;
         for (int i = 0; i < uses.length; i++) {
-            uses[i] *= kept;
-            breaks[i] *= kept;
+            uses[i] *= factor;
+            breaks[i] *= factor;
         }
         limitMs = Double.POSITIVE_INFINITY;
-        for (int i = AGES; i > 0 && boundMs(i) >= FLOOR_MS; i--) {
-            if (share(i) > share(0) + MARGIN) {
-                limitMs = boundMs(i);
+        for (int i = BUCKETS; i > 0 && minIdleMs(i) >= MIN_LIMIT_MS; i--) {
+            if (breakRate(i) > breakRate(0) + BREAK_RATE_MARGIN) {
+                limitMs = minIdleMs(i);
             }
         }
     }
 
-    private double share(int age) {
-        return breaks[age] / (uses[age] + PRIOR);
+    private double breakRate(int bucket) {
+        return breaks[bucket] / (uses[bucket] + PRIOR_SUCCESSES);
     }
 
-    private static int ageOf(double idleMs) {
-        return (int) Math.max(1, Math.min(AGES, 2 + Math.floor(Math.log(idleMs / FIRST_MS) / Math.log(STEP))));
+    private static int bucketOf(double idleMs) {
+        return (int) Math.max(1, Math.min(BUCKETS,
+                2 + Math.floor(Math.log(idleMs / FIRST_BUCKET_MS) / Math.log(BUCKET_GROWTH))));
     }
 
     /** The shortest idle time of a bucket, in milliseconds. */
-    private static double boundMs(int age) {
-        return age == 1 ? 0 : FIRST_MS * Math.pow(STEP, age - 2);
+    private static double minIdleMs(int bucket) {
+        return bucket == 1 ? 0 : FIRST_BUCKET_MS * Math.pow(BUCKET_GROWTH, bucket - 2);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
@@ -56,20 +56,20 @@
     }
 
     /** Ends the exchange with a response; the connection is kept for reuse if {@code reusable}. */
-    protected final void finish(Outcome outcome, NodeResponse<Content> answer, boolean clean) {
+    protected final void finish(Outcome outcome, NodeResponse<Content> response, boolean reusable) {
         NodeExchange exchange = current;
         current = null;
         exchange.cancelDetachedTimeout();
-        boolean noPlace = outcome == Outcome.REJECTED && exchange.isOnNewConnection();
-        if (noPlace) {
+        boolean connectionRejected = outcome == Outcome.REJECTED && exchange.isOnNewConnection();
+        if (connectionRejected) {
             pool.connectionRejected(target);
         }
-        if (clean && target.isCurrent()) {
+        if (reusable && target.isCurrent()) {
             pool.startCooldown(this);
         } else {
             context.close();
         }
-        exchange.end(noPlace ? Outcome.NO_PLACE : outcome, answer);
+        exchange.end(connectionRejected ? Outcome.NO_PLACE : outcome, response);
     }
 
     /** Ends the exchange, if there is one, because the connection was lost. */
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
@@ -61,21 +61,23 @@
      * @param nodeIdleTimeoutMs the idle timeout of the nodes' side, in milliseconds; may be infinite
      * @param connectionLimit counts each connection that is open or connecting
      */
-    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, ConnectionLimit sockets) {
-        this(loop, transport, protocol, connectTimeoutMs, idleMs, sockets, System::nanoTime);
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> connectionFactory,
+                    double connectTimeoutMs, double nodeIdleTimeoutMs, ConnectionLimit connectionLimit) {
+        this(loop, transport, connectionFactory, connectTimeoutMs, nodeIdleTimeoutMs, connectionLimit,
+                System::nanoTime);
     }
 
     /** Creates a pool whose idle times are measured with {@code nanoClock}. */
-    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, ConnectionLimit sockets, LongSupplier nanos) {
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> connectionFactory,
+                    double connectTimeoutMs, double nodeIdleTimeoutMs, ConnectionLimit connectionLimit,
+                    LongSupplier nanoClock) {
         this.loop = loop;
-        this.connectionFactory = protocol;
-        this.nanoClock = nanos;
-        this.idleTimeoutMs = idleMs * IDLE_TIMEOUT_FRACTION;
-        this.connectionLimit = sockets;
-        sockets.register(this);
-        this.dialer = new Dialer(loop, transport, connectTimeoutMs, sockets);
+        this.connectionFactory = connectionFactory;
+        this.nanoClock = nanoClock;
+        this.idleTimeoutMs = nodeIdleTimeoutMs * IDLE_TIMEOUT_FRACTION;
+        this.connectionLimit = connectionLimit;
+        connectionLimit.register(this);
+        this.dialer = new Dialer(loop, transport, connectTimeoutMs, connectionLimit);
     }
 
     @Override
@@ -89,8 +91,8 @@
     }
 
     /** Sets the listener for the names of nodes that rejected an attempt on a connection opened for it. */
-    public void onConnectionRejected(Consumer<String> then) {
-        onConnectionRejected = then;
+    public void onConnectionRejected(Consumer<String> listener) {
+        onConnectionRejected = listener;
     }
 
     void connectionRejected(Target target) {
@@ -98,11 +100,11 @@
     }
 
     /** Closes the connections to the nodes with matching names that have been idle for at least {@code minIdleMs}. */
-    public void closeIdleLongerThan(Predicate<String> nodes, double olderMs) {
+    public void closeIdleLongerThan(Predicate<String> nodes, double minIdleMs) {
         long now = nanoClock.getAsLong();
         for (Target target : targets.all()) {
             if (nodes.test(target.name())) {
-                closeIdleAtLeast(target, now, olderMs);
+                closeIdleAtLeast(target, now, minIdleMs);
             }
         }
     }
@@ -122,8 +124,8 @@
      * write it, so that the remaining time it carries is correct.
      */
     @Override
-    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
-        NodeExchange exchange = new NodeExchange(this, attempt, done);
+    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> listener) {
+        NodeExchange exchange = new NodeExchange(this, attempt, listener);
         exchange.timeout = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         Target target = targets.get(node);
         if (target == null) {
@@ -145,8 +147,8 @@
     }
 
     @Override
-    public void probe(String node, double timeoutMs, Listener<Content> done) {
-        send(node, null, timeoutMs, (outcome, answer) -> done.ended(outcome, null));
+    public void probe(String node, double timeoutMs, Listener<Content> listener) {
+        send(node, null, timeoutMs, (outcome, response) -> listener.ended(outcome, null));
     }
 
     private NodeConnection newestIdle(Target target) {
@@ -166,27 +168,29 @@
     private void scheduleIdleCheck() {
         if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
             idleCheckScheduled = true;
-            loop.schedule(this::closeExpired, (long) (Math.min(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, MAX_IDLE_CHECK_INTERVAL_MS) * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(this::closeExpired, (long) (Math.min(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT,
+                    MAX_IDLE_CHECK_INTERVAL_MS) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
     private void closeExpired() {
         long now = nanoClock.getAsLong();
         double limit = Math.min(idleTimeoutMs, idleAges.limitMs(now));
-        boolean left = false;
+        boolean anyIdle = false;
         for (Target target : targets.all()) {
             closeIdleAtLeast(target, now, limit);
-            left |= !target.idle.isEmpty();
+            anyIdle |= !target.idle.isEmpty();
         }
         idleCheckScheduled = false;
-        if (left) {
+        if (anyIdle) {
             scheduleIdleCheck();
         }
     }
 
     /** The queue is ordered from the most recently used to the longest idle connection. */
     private static void closeIdleAtLeast(Target target, long now, double limitMs) {
-        for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs; c = target.idle.peekLast()) {
+        for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs;
+                c = target.idle.peekLast()) {
             target.idle.removeLast();
             c.close();
         }
@@ -198,7 +202,7 @@
         openConnections++;
         ChannelFuture connecting = dialer.connect(target, connection::install);
         exchange.channel = connecting.channel();
-        long began = nanoClock.getAsLong();
+        long startNanos = nanoClock.getAsLong();
         connecting.channel().closeFuture().addListener(f -> openConnections--);
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
@@ -206,7 +210,7 @@
                 exchange.end(Outcome.CONNECT_FAILED, null);
             } else if (exchange.isEnded()) {
                 connecting.channel().close();
-            } else if (exchange.connected((nanoClock.getAsLong() - began) / 1e6)) {
+            } else if (exchange.connected((nanoClock.getAsLong() - startNanos) / 1e6)) {
                 connection.write(exchange);
             } else {
                 // Too late for a response: the request is not sent, and the connection is kept for the next exchange.
@@ -217,28 +221,29 @@
         });
     }
 
-    private NodeConnection oldestIdle() {
-        NodeConnection oldest = coolingDown.peekFirst();
+    private NodeConnection findLongestIdle() {
+        NodeConnection longestIdle = coolingDown.peekFirst();
         for (Target target : targets.all()) {
             NodeConnection candidate = target.idle.peekLast();
-            if (candidate != null && (oldest == null || candidate.idleSinceNanos - oldest.idleSinceNanos < 0)) {
-                oldest = candidate;
+            if (candidate != null && (longestIdle == null
+                    || candidate.idleSinceNanos - longestIdle.idleSinceNanos < 0)) {
+                longestIdle = candidate;
             }
         }
-        return oldest;
+        return longestIdle;
     }
 
     @Override
     public long longestIdleNanos() {
-        NodeConnection oldest = oldestIdle();
-        return oldest == null ? -1 : nanoClock.getAsLong() - oldest.idleSinceNanos;
+        NodeConnection longestIdle = findLongestIdle();
+        return longestIdle == null ? -1 : nanoClock.getAsLong() - longestIdle.idleSinceNanos;
     }
 
     @Override
     public void closeLongestIdle() {
-        NodeConnection oldest = oldestIdle();
-        remove(oldest);
-        oldest.close();
+        NodeConnection longestIdle = findLongestIdle();
+        remove(longestIdle);
+        longestIdle.close();
     }
 
     /** A node and its idle connections, most recently used first. */
@@ -269,10 +274,10 @@
      * @param connectionIdleMs how long its connection had been idle before it, in milliseconds
      * @param responseStarted whether bytes of a response arrived
      */
-    void recordUse(double idle, Outcome outcome, boolean answering) {
+    void recordUse(double connectionIdleMs, Outcome outcome, boolean responseStarted) {
         boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
-            idleAges.used(idle, broke && !answering, nanoClock.getAsLong());
+            idleAges.used(connectionIdleMs, broke && !responseStarted, nanoClock.getAsLong());
         }
     }
 
@@ -300,7 +305,8 @@
     /** Makes connections available whose cooldown is over; repeated while any connection is cooling down. */
     private void endCooldowns() {
         long now = nanoClock.getAsLong();
-        while (!coolingDown.isEmpty() && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
+        while (!coolingDown.isEmpty()
+                && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
             makeAvailable(coolingDown.removeFirst());
         }
         cooldownCheckScheduled = false;
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
@@ -27,10 +27,10 @@
     /** Whether bytes of a response have arrived. */
     private boolean responseStarted;
 
-    NodeExchange(NodeConnectionPool pool, Attempt<Content> attempt, Backend.Listener<Content> done) {
+    NodeExchange(NodeConnectionPool pool, Attempt<Content> attempt, Backend.Listener<Content> listener) {
         this.pool = pool;
         this.attempt = attempt;
-        this.listener = done;
+        this.listener = listener;
     }
 
     /** The attempt to write; null for a probe. */
@@ -71,11 +71,11 @@
      * @param connectMs how long connecting took, in milliseconds
      * @return whether the request may still be written
      */
-    boolean connected(double ms) {
+    boolean connected(double connectMs) {
         if (attempt == null) {
             return true;
         }
-        attempt.connected(ms);
+        attempt.connected(connectMs);
         return attempt.mayBeWritten();
     }
 
@@ -83,13 +83,13 @@
      * Passes on a successful response whose body follows in parts. The timeout of the exchange covers the time until
      * here only and is cancelled. Returns whether the listener accepts the response.
      */
-    public boolean startStreaming(NodeResponse<Content> answer) {
+    public boolean startStreaming(NodeResponse<Content> response) {
         if (ended || attempt == null || !attempt.supportsStreaming()) {
             return false;
         }
         timeout.cancel(false);
         streaming = true;
-        return listener.responseStarted(answer);
+        return listener.responseStarted(response);
     }
 
     /** Whether the caller no longer waits for the response while the connection still does. */
@@ -104,16 +104,16 @@
      */
     @Override
     public void detach() {
-        double leftMs = attempt == null ? 0 : attempt.remainingMs();
-        if (ended || streaming || !written || channel == null || leftMs <= 0) {
+        double remainingMs = attempt == null ? 0 : attempt.remainingMs();
+        if (ended || streaming || !written || channel == null || remainingMs <= 0) {
             cancel();
             return;
         }
         detached = true;
-        Channel waits = channel;
-        detachedTimeout = waits.eventLoop().schedule(() -> {
-            waits.close();
-        }, (long) (leftMs * 1e6), TimeUnit.NANOSECONDS);
+        Channel waitingChannel = channel;
+        detachedTimeout = waitingChannel.eventLoop().schedule(() -> {
+            waitingChannel.close();
+        }, (long) (remainingMs * 1e6), TimeUnit.NANOSECONDS);
         end(Outcome.CANCELLED, null);
     }
 
@@ -148,12 +148,12 @@
         }
     }
 
-    void end(Outcome outcome, NodeResponse<Content> answer) {
+    void end(Outcome outcome, NodeResponse<Content> response) {
         if (!ended) {
             ended = true;
             timeout.cancel(false);
             pool.recordUse(connectionIdleMs, outcome, responseStarted);
-            listener.ended(outcome, answer);
+            listener.ended(outcome, response);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeTargets.java
@@ -61,8 +61,8 @@
     private final Function<HostList.Host, T> factory;
 
     /** {@code factory} creates the target of a new node. */
-    public NodeTargets(Function<HostList.Host, T> make) {
-        this.factory = make;
+    public NodeTargets(Function<HostList.Host, T> factory) {
+        this.factory = factory;
     }
 
     /** The target of the node with this name, or null if it is not in the host list. */
@@ -78,10 +78,10 @@
     /** Applies a host list. Closes idle connections to hosts that are draining, removed, moved or restarted. */
     public void applyHostList(HostList list) {
         if (list.whole()) {
-            Set<String> named = list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
-            List<String> gone = new ArrayList<>(byName.keySet());
-            gone.removeAll(named);
-            gone.forEach(this::remove);
+            Set<String> listed = list.hosts().stream().map(h -> h.node().id()).collect(Collectors.toSet());
+            List<String> removed = new ArrayList<>(byName.keySet());
+            removed.removeAll(listed);
+            removed.forEach(this::remove);
         }
         for (HostList.Host host : list.hosts()) {
             String id = host.node().id();
@@ -90,7 +90,8 @@
                 continue;
             }
             T known = byName.get(id);
-            if (known == null || !known.address().equals(host.dial()) || ((Target) known).startedAtMs != host.node().startedAtMs()) {
+            if (known == null || !known.address().equals(host.dial())
+                    || ((Target) known).startedAtMs != host.node().startedAtMs()) {
                 remove(id);
                 known = factory.apply(host);
                 byName.put(id, known);
--- a/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/http/HttpNodeConnection.java
@@ -46,21 +46,24 @@
 /** An HTTP/1.1 connection to a node (RFC 9112), one request at a time. */
 public final class HttpNodeConnection extends NodeConnection {
 
-    /** Heads that are this long, and bodies up to this behind them, are written in one piece. */
-    private static final int HEAD = 512;
-    private static final int COPIED = 2048;
+    /** Initial buffer size for a request head. */
+    private static final int HEAD_BUFFER_BYTES = 512;
+    /** Bodies up to this size are copied behind the head and written in one piece with it. */
+    private static final int MAX_COPIED_BODY_BYTES = 2048;
+    /** The bytes that every response starts with. */
     private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
-    private final boolean missIsAnswer;
+    private final boolean missIsFinal;
     private final StrictHttp.Responses decoder = new StrictHttp.Responses();
-    private final Bytes bytes = new Bytes();
-    /** The whole answer, until the read that brought it is over and shows whether more came with it. */
-    private Reply answer;
-    private boolean more;
-    private int begun;
-    private final ResponseStallDetector pace = new ResponseStallDetector();
-    private Future<?> paceTimer;
-    /** Of an answer that comes in pieces: its head, and what has come of its body while that is held whole. */
+    private final PlainCodec plainCodec = new PlainCodec();
+    /** The complete response, until the read that brought it is over and shows whether more data came with it. */
+    private Response pendingResponse;
+    private boolean hasExtraData;
+    /** How many bytes of {@link #START} have been matched; 0 until a response starts. */
+    private int prefixMatched;
+    private final ResponseStallDetector stallDetector = new ResponseStallDetector();
+    private Future<?> stallTimer;
+    /** The head of a response that arrives in parts. */
     private HttpResponse head;
     /** The part of its body that has arrived, as long as the body is buffered. */
     private ByteBuf body = Unpooled.EMPTY_BUFFER;
@@ -75,8 +78,8 @@
     }
 
     /** {@code missIsFinal} says whether a missing value is the final response, as there is no origin to ask. */
-    public HttpNodeConnection(boolean missIsAnswer) {
-        this.missIsAnswer = missIsAnswer;
+    public HttpNodeConnection(boolean missIsFinal) {
+        this.missIsFinal = missIsFinal;
     }
 
     /**
@@ -86,17 +89,18 @@
      * @param cacheStatus the reported cache status; empty if the node reports none
      * @param bytes the value; released by the code that handles the response
      */
-    private record Reply(int status, boolean rejected, String hit, String mediaType, ByteBuf bytes, boolean keepAlive) { }
+    private record Response(int status, boolean rejected, String cacheStatus, String mediaType, ByteBuf bytes,
+            boolean keepAlive) { }
 
     @Override
     protected void install(ChannelPipeline pipeline) {
-        pipeline.addLast(bytes, this);
+        pipeline.addLast(plainCodec, this);
     }
 
     @Override
     protected void resetExchangeState() {
         upload = null;
-        begun = 0;
+        prefixMatched = 0;
     }
 
     @Override
@@ -106,12 +110,12 @@
             return ByteBufUtil.writeAscii(context().alloc(), "GET /alive HTTP/1.1\r\n\r\n");
         }
         if (attempt.hasStreamingBody()) {
-            return head(attempt);
+            return encodeHead(attempt);
         }
         if (isPlain(attempt)) {
-            return plain(attempt);
+            return encodePlain(attempt);
         }
-        bytes.codec();
+        plainCodec.useNettyCodec();
         return request(attempt);
     }
 
@@ -121,55 +125,57 @@
      */
     private static boolean isPlain(Attempt<Content> attempt) {
         Command<Content> command = attempt.command();
-        return LeanHttp.isPlain(attempt.requestId(), false) && command.action() != Command.Action.DELETE && LeanHttp.isPlain(command.target(), false)
+        return LeanHttp.isPlain(attempt.requestId(), false) && command.action() != Command.Action.DELETE
+                && LeanHttp.isPlain(command.target(), false)
                 && (command.idempotencyKey() == null || LeanHttp.isPlain(command.idempotencyKey(), true))
                 && (command.content().mediaType() == null || LeanHttp.isPlain(command.content().mediaType(), true))
-                && command.content().bytes().readableBytes() <= COPIED;
+                && command.content().bytes().readableBytes() <= MAX_COPIED_BODY_BYTES;
     }
 
     /** Encodes a request without Netty's encoder. */
-    private ByteBuf plain(Attempt<Content> attempt) {
+    private ByteBuf encodePlain(Attempt<Content> attempt) {
         Command<Content> command = attempt.command();
         Content content = command.content();
         ByteBuf body = content.bytes();
         int length = body.readableBytes();
-        ByteBuf out = context().alloc().ioBuffer(HEAD + length);
-        text(out, command.write() ? "PUT " : "GET ", command.target());
-        text(out, " HTTP/1.1\r\nhost: service.internal\r\nX-Call-Id: ", attempt.requestId());
-        text(out, "\r\nX-Budget: ", "");
+        ByteBuf out = context().alloc().ioBuffer(HEAD_BUFFER_BYTES + length);
+        writeText(out, command.write() ? "PUT " : "GET ", command.target());
+        writeText(out, " HTTP/1.1\r\nhost: service.internal\r\nX-Call-Id: ", attempt.requestId());
+        writeText(out, "\r\nX-Budget: ", "");
         LeanHttp.writeSeconds(out, Math.max(1, Math.round(attempt.remainingMs())));
         if (attempt.versionLabel() != null) {
-            text(out, "\r\nX-Acted-Under: ", attempt.versionLabel());
+            writeText(out, "\r\nX-Acted-Under: ", attempt.versionLabel());
         }
         if (command.idempotencyKey() != null) {
-            text(out, "\r\nIdempotency-Key: ", command.idempotencyKey());
+            writeText(out, "\r\nIdempotency-Key: ", command.idempotencyKey());
         }
         if (content.mediaType() != null) {
-            text(out, "\r\ncontent-type: ", content.mediaType());
+            writeText(out, "\r\ncontent-type: ", content.mediaType());
         }
         if (length > 0 || command.write()) {
-            text(out, "\r\ncontent-length: ", "");
+            writeText(out, "\r\ncontent-length: ", "");
             LeanHttp.writeNumber(out, length);
         }
-        text(out, "\r\n\r\n", "");
+        writeText(out, "\r\n\r\n", "");
         return out.writeBytes(body, body.readerIndex(), length);
     }
 
     /** Encodes the head of a request whose body is streamed. */
-    private ByteBuf head(Attempt<Content> attempt) {
+    private ByteBuf encodeHead(Attempt<Content> attempt) {
         FullHttpRequest request = request(attempt);
         Content content = attempt.command().content();
         HttpHeaders headers = request.headers();
         if (content.rest().length() < 0) {
-            headers.remove(HttpHeaderNames.CONTENT_LENGTH).set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
+            headers.remove(HttpHeaderNames.CONTENT_LENGTH)
+                    .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         } else {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, content.rest().length());
         }
-        ByteBuf out = context().alloc().ioBuffer(HEAD);
-        text(out, request.method().name() + " ", request.uri());
-        text(out, " HTTP/1.1", "");
-        headers.forEach(h -> text(out, "\r\n" + h.getKey() + ": ", h.getValue()));
-        text(out, "\r\n\r\n", "");
+        ByteBuf out = context().alloc().ioBuffer(HEAD_BUFFER_BYTES);
+        writeText(out, request.method().name() + " ", request.uri());
+        writeText(out, " HTTP/1.1", "");
+        headers.forEach(h -> writeText(out, "\r\n" + h.getKey() + ": ", h.getValue()));
+        writeText(out, "\r\n\r\n", "");
         request.release();
         return out;
     }
@@ -177,13 +183,13 @@
     /** Writes a streamed body as it arrives; the promise completes when its last byte has been written. */
     private final class Upload implements BodyStream.Sink {
         private final BodyStream rest;
-        private final ChannelPromise whole;
+        private final ChannelPromise lastByteWritten;
         private final BodyWriter writer;
 
-        Upload(BodyStream rest, ChannelPromise whole) {
+        Upload(BodyStream rest, ChannelPromise lastByteWritten) {
             this.rest = rest;
-            this.whole = whole;
-            this.writer = new BodyWriter(bytes.context, rest.length() < 0);
+            this.lastByteWritten = lastByteWritten;
+            this.writer = new BodyWriter(plainCodec.context, rest.length() < 0);
         }
 
         @Override
@@ -195,13 +201,13 @@
         @Override
         public void end() {
             upload = null;
-            writer.end(whole);
+            writer.end(lastByteWritten);
         }
 
         @Override
         public void broken() {
             upload = null;
-            whole.tryFailure(new IOException("the request's rest never came"));
+            lastByteWritten.tryFailure(new IOException("the request's rest never came"));
         }
     }
 
@@ -213,9 +219,9 @@
         super.channelWritabilityChanged(ctx);
     }
 
-    private static void text(ByteBuf out, String fixed, String given) {
-        ByteBufUtil.writeAscii(out, fixed);
-        ByteBufUtil.writeAscii(out, given);
+    private static void writeText(ByteBuf out, String prefix, String value) {
+        ByteBufUtil.writeAscii(out, prefix);
+        ByteBufUtil.writeAscii(out, value);
     }
 
     @Override
@@ -223,17 +229,17 @@
         Attempt<Content> attempt = current().attempt();
         if (attempt != null && attempt.hasStreamingBody()) {
             Content content = attempt.command().content();
-            ChannelPromise whole = context().newPromise();
-            bytes.context.writeAndFlush(message, bytes.context.voidPromise());
+            ChannelPromise lastByteWritten = context().newPromise();
+            plainCodec.context.writeAndFlush(message, plainCodec.context.voidPromise());
             upload = content.rest();
-            Upload goesOn = new Upload(upload, whole);
+            Upload uploadSink = new Upload(upload, lastByteWritten);
             if (content.bytes().isReadable()) {
-                goesOn.part(content.bytes().retainedDuplicate());
+                uploadSink.part(content.bytes().retainedDuplicate());
             }
-            upload.drain(goesOn);
-            return whole;
+            upload.drain(uploadSink);
+            return lastByteWritten;
         }
-        return message instanceof ByteBuf ? bytes.context.writeAndFlush(message) : super.send(message);
+        return message instanceof ByteBuf ? plainCodec.context.writeAndFlush(message) : super.send(message);
     }
 
     private static FullHttpRequest request(Attempt<Content> attempt) {
@@ -267,13 +273,13 @@
     }
 
     /** Whether received bytes can belong to the awaited response. */
-    private boolean expected(ByteBuf in) {
+    private boolean isExpected(ByteBuf in) {
         NodeExchange current = current();
         if (current == null || current.isEnded() && !current.isDetached() || !current.isWritten() && upload == null) {
             return false;
         }
-        for (int i = in.readerIndex(); begun < START.length && i < in.writerIndex(); i++, begun++) {
-            if (in.getByte(i) != START[begun]) {
+        for (int i = in.readerIndex(); prefixMatched < START.length && i < in.writerIndex(); i++, prefixMatched++) {
+            if (in.getByte(i) != START[prefixMatched]) {
                 return false;
             }
         }
@@ -284,8 +290,8 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (message instanceof HttpResponse begins) {
-                begin(begins);
+            if (message instanceof HttpResponse responseHead) {
+                begin(responseHead);
             }
             if (message instanceof HttpContent part) {
                 read(part);
@@ -295,19 +301,19 @@
         }
     }
 
-    private void begin(HttpResponse begins) {
-        if (current() == null || answer != null || head != null) {
-            more = true;
-        } else if (begins.decoderResult().isFailure()) {
-            fail(begins.decoderResult().cause());
+    private void begin(HttpResponse responseHead) {
+        if (current() == null || pendingResponse != null || head != null) {
+            hasExtraData = true;
+        } else if (responseHead.decoderResult().isFailure()) {
+            fail(responseHead.decoderResult().cause());
         } else {
-            long length = HttpUtil.getContentLength(begins, -1L);
+            long length = HttpUtil.getContentLength(responseHead, -1L);
             if (length > Content.MOST_BYTES) {
                 protocolError();
                 return;
             }
-            head = begins;
-            if (length > Content.MAX_BYTES && begins.status().equals(HttpResponseStatus.OK)) {
+            head = responseHead;
+            if (length > Content.MAX_BYTES && responseHead.status().equals(HttpResponseStatus.OK)) {
                 stream(length);
             }
         }
@@ -316,21 +322,21 @@
     private void read(HttpContent part) {
         boolean last = part instanceof LastHttpContent;
         if (head == null) {
-            more |= part.content().isReadable();
+            hasExtraData |= part.content().isReadable();
         } else if (part.decoderResult().isFailure()) {
             fail(part.decoderResult().cause());
         } else if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             if (last) {
                 head = null;
-                begun = 0;
+                prefixMatched = 0;
             }
         } else if (stream == null) {
-            hold(part.content(), last);
+            buffer(part.content(), last);
         } else {
             stream.feed(part.content().retain());
-            if (last && mayBeCut()) {
+            if (last && mayBeTruncated()) {
                 connectionLost();
-                dropPieces();
+                discardPartialResponse();
             } else if (last) {
                 endStream();
             }
@@ -338,14 +344,14 @@
     }
 
     /** Buffers a part of a response; a successful response that becomes too large for that is streamed from here on. */
-    private void hold(ByteBuf part, boolean last) {
+    private void buffer(ByteBuf part, boolean last) {
         body = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context().alloc(), body, part.retain());
-        if (last && mayBeCut()) {
+        if (last && mayBeTruncated()) {
             connectionLost();
         } else if (last) {
             HttpHeaders headers = head.headers();
-            answer = new Reply(head.status().code(), "1".equals(headers.get("X-Rejected")), headers.get("X-Hit", ""),
-                    headers.get(HttpHeaderNames.CONTENT_TYPE), body, staysOpen());
+            pendingResponse = new Response(head.status().code(), "1".equals(headers.get("X-Rejected")),
+                    headers.get("X-Hit", ""), headers.get(HttpHeaderNames.CONTENT_TYPE), body, isReusable());
             head = null;
             body = Unpooled.EMPTY_BUFFER;
         } else if (body.readableBytes() > Content.MAX_BYTES) {
@@ -362,7 +368,7 @@
         return HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head);
     }
 
-    private boolean staysOpen() {
+    private boolean isReusable() {
         return isFramed() && HttpUtil.isKeepAlive(head);
     }
 
@@ -370,93 +376,94 @@
      * Whether the response ended only by the close of the connection without having announced it: it cannot be known
      * whether it is complete.
      */
-    private boolean mayBeCut() {
+    private boolean mayBeTruncated() {
         return !isFramed() && HttpUtil.isKeepAlive(head);
     }
 
     /** Passes on the part of the response that has arrived; the rest follows at the pace of the client. */
     private void stream(long length) {
         NodeExchange exchange = current();
-        stream = new BodyStream(length, flows -> {
-            pace.progress(now());
-            context().channel().config().setAutoRead(flows);
+        stream = new BodyStream(length, flowing -> {
+            stallDetector.progress(nowMs());
+            context().channel().config().setAutoRead(flowing);
         });
         ByteBuf first = body;
         body = Unpooled.EMPTY_BUFFER;
-        boolean taken;
+        boolean accepted;
         try {
-            NodeResponse<Content> begins = new NodeResponse<>(new Content(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), stream),
-                    note(head.headers().get("X-Hit", "")));
-            taken = exchange.startStreaming(begins);
+            NodeResponse<Content> start = new NodeResponse<>(
+                    new Content(first, head.headers().get(HttpHeaderNames.CONTENT_TYPE), stream),
+                    cacheStatus(head.headers().get("X-Hit", "")));
+            accepted = exchange.startStreaming(start);
         } finally {
             first.release();
         }
-        if (!taken) {
+        if (!accepted) {
             stream = null;
             protocolError();
         }
     }
 
     private void endStream() {
-        BodyStream whole = stream;
-        boolean keepAlive = staysOpen() && !more;
+        BodyStream endedStream = stream;
+        boolean keepAlive = isReusable() && !hasExtraData;
         stream = null;
         head = null;
-        stopPace();
+        stopStallDetection();
         context().channel().config().setAutoRead(true);
-        whole.end();
+        endedStream.end();
         finish(Outcome.OK, null, keepAlive && !decoder.leftOver());
     }
 
     /** Discards the part of a response that has arrived. */
-    private void dropPieces() {
+    private void discardPartialResponse() {
         head = null;
         body.release();
         body = Unpooled.EMPTY_BUFFER;
         if (stream != null) {
-            BodyStream broken = stream;
+            BodyStream brokenStream = stream;
             stream = null;
-            broken.broke();
+            brokenStream.broke();
         }
-        stopPace();
+        stopStallDetection();
     }
 
-    private static double now() {
+    private static double nowMs() {
         return System.nanoTime() / 1e6;
     }
 
-    private void stopPace() {
-        if (paceTimer != null) {
-            paceTimer.cancel(false);
-            paceTimer = null;
+    private void stopStallDetection() {
+        if (stallTimer != null) {
+            stallTimer.cancel(false);
+            stallTimer = null;
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (answer != null) {
+        if (pendingResponse != null) {
             finish();
-        } else if (current() != null && begun > 0) {
-            pace.progress(now());
-            if (paceTimer == null) {
-                watch(current());
+        } else if (current() != null && prefixMatched > 0) {
+            stallDetector.progress(nowMs());
+            if (stallTimer == null) {
+                scheduleStallCheck(current());
             }
         }
     }
 
-    private void watch(NodeExchange watched) {
-        paceTimer = context().executor().schedule(() -> {
-            paceTimer = null;
-            if (current() != watched || begun == 0) {
+    private void scheduleStallCheck(NodeExchange exchange) {
+        stallTimer = context().executor().schedule(() -> {
+            stallTimer = null;
+            if (current() != exchange || prefixMatched == 0) {
                 return;
             }
             if (stream != null && !stream.isFlowing()) {
-                pace.progress(now());
+                stallDetector.progress(nowMs());
             }
-            if (pace.isStalled(now(), stream != null)) {
+            if (stallDetector.isStalled(nowMs(), stream != null)) {
                 protocolError();
             } else {
-                watch(watched);
+                scheduleStallCheck(exchange);
             }
         }, (long) ResponseStallDetector.CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
@@ -466,27 +473,29 @@
      * taken for the next response.
      */
     private void finish() {
-        Reply reply = answer;
-        answer = null;
-        stopPace();
+        Response response = pendingResponse;
+        pendingResponse = null;
+        stopStallDetection();
         try {
-            Outcome outcome = outcome(reply);
-            boolean absent = missIsAnswer && outcome == Outcome.MISS;
-            finish(absent ? Outcome.OK : outcome, new NodeResponse<>(absent ? Content.ABSENT : new Content(reply.bytes(),
-                    reply.mediaType()), note(reply.hit())), upload == null && !more && !decoder.leftOver() && reply.keepAlive());
+            Outcome outcome = outcome(response);
+            boolean isAbsent = missIsFinal && outcome == Outcome.MISS;
+            finish(isAbsent ? Outcome.OK : outcome,
+                    new NodeResponse<>(isAbsent ? Content.ABSENT : new Content(response.bytes(), response.mediaType()),
+                            cacheStatus(response.cacheStatus())),
+                    upload == null && !hasExtraData && !decoder.leftOver() && response.keepAlive());
         } finally {
-            reply.bytes().release();
+            response.bytes().release();
         }
     }
 
     @Override
     protected void connectionClosed() {
-        if (answer != null) {
+        if (pendingResponse != null) {
             finish();
         } else {
             connectionLost();
         }
-        dropPieces();
+        discardPartialResponse();
         if (upload != null) {
             BodyStream unread = upload;
             upload = null;
@@ -501,30 +510,30 @@
 
     /** Ends the exchange as a lost connection, also within a response, or as a protocol error for other causes. */
     private void fail(Throwable cause) {
-        if (answer != null) {
-            more = true;
+        if (pendingResponse != null) {
+            hasExtraData = true;
             finish();
             context().close();
         } else if (cause instanceof IOException || cause instanceof PrematureChannelClosureException) {
             connectionLost();
-            dropPieces();
+            discardPartialResponse();
             context().close();
         } else {
             protocolError();
         }
     }
 
-    private static Outcome outcome(Reply reply) {
-        return switch (reply.status()) {
+    private static Outcome outcome(Response response) {
+        return switch (response.status()) {
             case 200 -> Outcome.OK;
             case 404 -> Outcome.MISS;
-            case 503, 504 -> reply.rejected() ? Outcome.REJECTED : Outcome.ERROR;
+            case 503, 504 -> response.rejected() ? Outcome.REJECTED : Outcome.ERROR;
             default -> Outcome.ERROR;
         };
     }
 
-    private static int note(String hit) {
-        return switch (hit) {
+    private static int cacheStatus(String text) {
+        return switch (text) {
             case "hit" -> NodeResponse.HIT;
             case "miss" -> NodeResponse.MISS;
             case "pending" -> NodeResponse.PENDING;
@@ -538,7 +547,7 @@
      * detected only at the end of a line. Plain responses are parsed here; from the first one on that is not plain,
      * Netty's decoder reads everything on this connection.
      */
-    private final class Bytes extends ChannelInboundHandlerAdapter {
+    private final class PlainCodec extends ChannelInboundHandlerAdapter {
         private ChannelHandlerContext context;
         private boolean plain = true;
 
@@ -548,38 +557,40 @@
         }
 
         /** Uses Netty's codec in both directions from now on. */
-        void codec() {
+        void useNettyCodec() {
             if (plain) {
                 plain = false;
                 // Both are added directly behind this handler, so the one added last comes first.
-                context.pipeline().addAfter(context.name(), null, decoder).addAfter(context.name(), null, new HttpRequestEncoder());
+                context.pipeline().addAfter(context.name(), null, decoder)
+                        .addAfter(context.name(), null, new HttpRequestEncoder());
             }
         }
 
-        private boolean isRead(ByteBuf in) {
-            LeanHttp response = LeanHttp.response(in);
-            if (response == null) {
+        private boolean readPlainResponse(ByteBuf in) {
+            LeanHttp parsed = LeanHttp.response(in);
+            if (parsed == null) {
                 return false;
             }
-            String hit = response.get("X-Hit");
-            answer = new Reply(response.status(), "1".equals(response.get("X-Rejected")), hit == null ? "" : hit,
-                    response.get("Content-Type"), response.body(in), response.isKeepAlive());
+            String cacheStatus = parsed.get("X-Hit");
+            pendingResponse = new Response(parsed.status(), "1".equals(parsed.get("X-Rejected")),
+                    cacheStatus == null ? "" : cacheStatus, parsed.get("Content-Type"), parsed.body(in),
+                    parsed.isKeepAlive());
             return true;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            boolean first = begun == 0;
-            if (answer != null) {
-                more = true;
+            boolean first = prefixMatched == 0;
+            if (pendingResponse != null) {
+                hasExtraData = true;
                 ReferenceCountUtil.release(message);
-            } else if (message instanceof ByteBuf in && !expected(in)) {
+            } else if (message instanceof ByteBuf in && !isExpected(in)) {
                 in.release();
                 protocolError();
-            } else if (plain && first && message instanceof ByteBuf in && isRead(in)) {
+            } else if (plain && first && message instanceof ByteBuf in && readPlainResponse(in)) {
                 in.release();
             } else {
-                codec();
+                useNettyCodec();
                 ctx.fireChannelRead(message);
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/CacheFillTracker.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/CacheFillTracker.java
@@ -44,8 +44,8 @@
     }
 
     /** Records that a read missed at a node. */
-    void recordMiss(String request, String node, String key) {
-        misses.put(request, new MissRecord(node, writeCount));
+    void recordMiss(String requestId, String node, String key) {
+        misses.put(requestId, new MissRecord(node, writeCount));
     }
 
     /** Records a write of this key; {@code mayHaveRun} says whether it can have changed the value. */
@@ -60,9 +60,10 @@
     }
 
     /** Removes the record of a missed read and returns the node to store its copy at; null if none is to be stored. */
-    String takeFillNode(String request, String key) {
-        MissRecord m = misses.remove(request);
-        return m == null || m.writesSeen() < lastEvictedWrite || lastWriteByKey.getOrDefault(key, 0L) > m.writesSeen() ? null : m.node();
+    String takeFillNode(String requestId, String key) {
+        MissRecord miss = misses.remove(requestId);
+        return miss == null || miss.writesSeen() < lastEvictedWrite
+                || lastWriteByKey.getOrDefault(key, 0L) > miss.writesSeen() ? null : miss.node();
     }
 
     /** The command that stores a copy at a node. */
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/ReplyClassifier.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/ReplyClassifier.java
@@ -20,8 +20,9 @@
      * does not own the key; is a read-only replica; is out of memory for a write; has too few replicas or failed to
      * save, which are checked before a write; denies access; part of the cluster is down; the node is draining.
      */
-    private static final Set<String> NOT_EXECUTED_CODES = Set.of("LOADING", "BUSY", "MOVED", "ASK", "READONLY", "OOM", "NOREPLICAS",
-            "MISCONF", "NOAUTH", "NOPERM", "WRONGPASS", "CLUSTERDOWN", "MASTERDOWN", "TRYAGAIN", "DRAINING");
+    private static final Set<String> NOT_EXECUTED_CODES = Set.of("LOADING", "BUSY", "MOVED", "ASK", "READONLY", "OOM",
+            "NOREPLICAS", "MISCONF", "NOAUTH", "NOPERM", "WRONGPASS", "CLUSTERDOWN", "MASTERDOWN", "TRYAGAIN",
+            "DRAINING");
 
     /** The result of an attempt. The response's bytes belong to the reply, which its owner releases. */
     record Result(Outcome outcome, NodeResponse<Content> response) { }
@@ -42,11 +43,11 @@
      * Classifies the reply to a command; {@code missIsFinal} says whether a missing value is the final response, as
      * there is no origin to ask.
      */
-    static Result classify(Resp reply, Command.Action action, boolean missIsAnswer) {
-        int note = NodeResponse.NO_CACHE_STATUS;
+    static Result classify(Resp reply, Command.Action action, boolean missIsFinal) {
+        int cacheStatus = NodeResponse.NO_CACHE_STATUS;
         Resp value = reply;
         if (reply instanceof Resp.Attributed a) {
-            note = cacheStatus(a.attributes());
+            cacheStatus = cacheStatus(a.attributes());
             value = a.value();
         }
         if (value instanceof Resp.Err e) {
@@ -54,15 +55,16 @@
         }
         if (value instanceof Resp.Null) {
             return action != Command.Action.READ ? new Result(Outcome.ERROR, null)
-                    : missIsAnswer ? new Result(Outcome.OK, new NodeResponse<>(Content.ABSENT, note))
-                    : new Result(Outcome.MISS, new NodeResponse<>(Content.EMPTY, note));
+                    : missIsFinal ? new Result(Outcome.OK, new NodeResponse<>(Content.ABSENT, cacheStatus))
+                    : new Result(Outcome.MISS, new NodeResponse<>(Content.EMPTY, cacheStatus));
         }
         Content content = value instanceof Resp.Blob b ? new Content(b.bytes(), null)
                 : value instanceof Resp.Verbatim v ? new Content(v.bytes(), null)
                 : value instanceof Resp.Num n && action == Command.Action.DELETE ? text(Long.toString(n.value()))
                 : value instanceof Resp.Simple && action != Command.Action.READ ? Content.EMPTY : null;
         // A reply of any other type does not fit the command.
-        return content == null ? new Result(Outcome.ERROR, null) : new Result(Outcome.OK, new NodeResponse<>(content, note));
+        return content == null ? new Result(Outcome.ERROR, null)
+                : new Result(Outcome.OK, new NodeResponse<>(content, cacheStatus));
     }
 
     private static Content text(String text) {
@@ -80,8 +82,8 @@
 
     /** Whether the reply belongs to the request {@code id}; a reply without an id is assumed to. */
     static boolean matchesRequest(Resp.Attributed reply, String id) {
-        String named = attribute(reply.attributes(), "id");
-        return named.isEmpty() || named.equals(id);
+        String replyId = attribute(reply.attributes(), "id");
+        return replyId.isEmpty() || replyId.equals(id);
     }
 
     /** The value of an attribute; empty if there is none. */
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespBackend.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespBackend.java
@@ -55,16 +55,17 @@
      * @param connectionLimit counts each connection that is open or connecting
      * @param drainListener receives the name of each node that reports that it is draining
      */
-    public RespBackend(EventLoop loop, Transport transport, RespNodeConfig nodes, double connectTimeoutMs, double idleMs,
-                    ConnectionLimit sockets, Consumer<String> drains) {
+    public RespBackend(EventLoop loop, Transport transport, RespNodeConfig nodeConfig, double connectTimeoutMs,
+                    double nodeIdleTimeoutMs, ConnectionLimit connectionLimit, Consumer<String> drainListener) {
         this.loop = loop;
-        this.nodeConfig = nodes;
-        this.connectionLimit = sockets;
-        this.idleTimeoutMs = idleMs * IDLE_TIMEOUT_FRACTION;
-        this.drainListener = drains;
-        this.cacheFills = nodes.dialect() == RespNodeConfig.Dialect.PLAIN && nodes.copyTtlMs() > 0 ? new CacheFillTracker(nodes.copyTtlMs()) : null;
-        this.dialer = new Dialer(loop, transport, connectTimeoutMs, sockets);
-        sockets.register(this);
+        this.nodeConfig = nodeConfig;
+        this.connectionLimit = connectionLimit;
+        this.idleTimeoutMs = nodeIdleTimeoutMs * IDLE_TIMEOUT_FRACTION;
+        this.drainListener = drainListener;
+        this.cacheFills = nodeConfig.dialect() == RespNodeConfig.Dialect.PLAIN && nodeConfig.copyTtlMs() > 0
+                ? new CacheFillTracker(nodeConfig.copyTtlMs()) : null;
+        this.dialer = new Dialer(loop, transport, connectTimeoutMs, connectionLimit);
+        connectionLimit.register(this);
     }
 
     RespNodeConfig nodeConfig() {
@@ -82,8 +83,8 @@
     }
 
     @Override
-    public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
-        RespExchange exchange = new RespExchange(attempt, done);
+    public Exchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> listener) {
+        RespExchange exchange = new RespExchange(attempt, listener);
         if (cacheFills != null && attempt != null && attempt.command().write()) {
             // From here on the write may be executed at any time, even if no response ever arrives.
             cacheFills.recordWrite(attempt.command().target(), true);
@@ -94,18 +95,18 @@
             exchange.end(Outcome.CONNECT_FAILED, null);
             return exchange;
         }
-        RespConnection best = null;
+        RespConnection leastLoaded = null;
         for (RespConnection c : target.connections) {
-            if (c.isUsable() && (best == null || c.pendingCommands() < best.pendingCommands())) {
-                best = c;
+            if (c.isUsable() && (leastLoaded == null || c.pendingCommands() < leastLoaded.pendingCommands())) {
+                leastLoaded = c;
             }
         }
-        if (best != null && best.pendingCommands() < NEW_CONNECTION_THRESHOLD) {
-            best.send(exchange);
+        if (leastLoaded != null && leastLoaded.pendingCommands() < NEW_CONNECTION_THRESHOLD) {
+            leastLoaded.send(exchange);
         } else if (target.connections.size() < MAX_CONNECTIONS_PER_NODE && connectionLimit.ensureCapacity()) {
             connect(target).send(exchange);
-        } else if (best != null && best.pendingCommands() < MAX_PENDING_PER_CONNECTION) {
-            best.send(exchange);
+        } else if (leastLoaded != null && leastLoaded.pendingCommands() < MAX_PENDING_PER_CONNECTION) {
+            leastLoaded.send(exchange);
         } else {
             // All connections are full. This must not count as a failure of the node, as the node did not cause it.
             exchange.end(Outcome.NEVER_SENT, null);
@@ -114,19 +115,19 @@
     }
 
     @Override
-    public void probe(String node, double timeoutMs, Listener<Content> done) {
-        send(node, null, timeoutMs, (outcome, answer) -> done.ended(outcome, null));
+    public void probe(String node, double timeoutMs, Listener<Content> listener) {
+        send(node, null, timeoutMs, (outcome, response) -> listener.ended(outcome, null));
     }
 
     private RespConnection connect(Target target) {
         RespConnection connection = new RespConnection(this, target);
         target.connections.add(connection);
         connections.add(connection);
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         ChannelFuture connecting = dialer.connect(target, connection::install);
         connecting.addListener(f -> {
             if (f.isSuccess()) {
-                connection.connected((System.nanoTime() - began) / 1e6);
+                connection.connected((System.nanoTime() - startNanos) / 1e6);
             } else {
                 connecting.channel().close();
                 connection.connectFailed();
@@ -141,34 +142,35 @@
      * copies of a written key. Both are best effort: they are sent only if a connection has few pending commands, as no
      * client waits for them.
      */
-    void responseReceived(Target target, Attempt<Content> attempt, ReplyClassifier.Result ended) {
+    void responseReceived(Target target, Attempt<Content> attempt, ReplyClassifier.Result result) {
         if (cacheFills == null) {
             return;
         }
         String key = attempt.command().target();
-        boolean store = target.name().equals(nodeConfig.originNode());
+        boolean fromOrigin = target.name().equals(nodeConfig.originNode());
         if (attempt.command().write()) {
-            cacheFills.recordWrite(key, ended.outcome() != Outcome.REJECTED);
-            if (ended.outcome() != Outcome.REJECTED) {
-                targets.all().stream().filter(t -> !t.name().equals(nodeConfig.originNode())).forEach(t -> sendInternal(t, cacheFills.deleteCommand(key)));
+            cacheFills.recordWrite(key, result.outcome() != Outcome.REJECTED);
+            if (result.outcome() != Outcome.REJECTED) {
+                targets.all().stream().filter(t -> !t.name().equals(nodeConfig.originNode()))
+                        .forEach(t -> sendInternal(t, cacheFills.deleteCommand(key)));
             }
-        } else if (!store && ended.outcome() == Outcome.MISS) {
+        } else if (!fromOrigin && result.outcome() == Outcome.MISS) {
             cacheFills.recordMiss(attempt.requestId(), target.name(), key);
-        } else if (store && ended.outcome() == Outcome.OK) {
-            String at = cacheFills.takeFillNode(attempt.requestId(), key);
-            Target missing = at == null ? null : targets.get(at);
-            if (missing != null && !missing.isDraining()) {
-                sendInternal(missing, cacheFills.storeCommand(key, ended.response().content().bytes()));
+        } else if (fromOrigin && result.outcome() == Outcome.OK) {
+            String fillNode = cacheFills.takeFillNode(attempt.requestId(), key);
+            Target fillTarget = fillNode == null ? null : targets.get(fillNode);
+            if (fillTarget != null && !fillTarget.isDraining()) {
+                sendInternal(fillTarget, cacheFills.storeCommand(key, result.response().content().bytes()));
             }
         }
     }
 
-    private void sendInternal(Target target, Resp what) {
+    private void sendInternal(Target target, Resp command) {
         for (RespConnection c : target.connections) {
             if (c.canSendInternal()) {
-                RespExchange own = RespExchange.internal(what);
-                own.timeout = loop.schedule(own::timedOut, ABANDONED_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
-                c.send(own);
+                RespExchange exchange = RespExchange.internal(command);
+                exchange.timeout = loop.schedule(exchange::timedOut, ABANDONED_REPLY_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                c.send(exchange);
                 return;
             }
         }
@@ -191,25 +193,25 @@
         }
     }
 
-    private RespConnection oldestIdle() {
-        RespConnection oldest = null;
+    private RespConnection findLongestIdle() {
+        RespConnection longestIdle = null;
         for (RespConnection c : connections) {
-            if (c.isIdle() && (oldest == null || c.idleSinceNanos - oldest.idleSinceNanos < 0)) {
-                oldest = c;
+            if (c.isIdle() && (longestIdle == null || c.idleSinceNanos - longestIdle.idleSinceNanos < 0)) {
+                longestIdle = c;
             }
         }
-        return oldest;
+        return longestIdle;
     }
 
     @Override
     public long longestIdleNanos() {
-        RespConnection oldest = oldestIdle();
-        return oldest == null ? -1 : System.nanoTime() - oldest.idleSinceNanos;
+        RespConnection longestIdle = findLongestIdle();
+        return longestIdle == null ? -1 : System.nanoTime() - longestIdle.idleSinceNanos;
     }
 
     @Override
     public void closeLongestIdle() {
-        oldestIdle().close();
+        findLongestIdle().close();
     }
 
     /** Schedules a check that closes expired idle connections; repeated while there are connections. */
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
@@ -95,16 +95,17 @@
     }
 
     /** The connection is open: authenticates and requests RESP3 before any command is sent. */
-    void connected(double tookMs) {
-        awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1).forEach(e -> e.attempt().connected(tookMs));
+    void connected(double connectMs) {
+        awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1)
+                .forEach(e -> e.attempt().connected(connectMs));
         state = State.HELLO;
-        RespNodeConfig nodes = backend.nodeConfig();
+        RespNodeConfig config = backend.nodeConfig();
         ByteBuf hello = context.alloc().buffer();
-        if (nodes.password() == null) {
+        if (config.password() == null) {
             RespWriter.write(hello, Resp.blobs("HELLO", "3"), RespWriter.V3);
         } else {
-            RespWriter.write(hello, Resp.blobs("HELLO", "3", "AUTH", nodes.user() == null ? "default" : nodes.user(),
-                    nodes.password()), RespWriter.V3);
+            RespWriter.write(hello, Resp.blobs("HELLO", "3", "AUTH", config.user() == null ? "default" : config.user(),
+                    config.password()), RespWriter.V3);
         }
         context.writeAndFlush(hello);
     }
@@ -164,13 +165,14 @@
         Command<Content> command = attempt.command();
         if (needsKeyClaim(exchange)) {
             // Instead of the write, first asks the origin to record the key unless it has it already.
-            RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(), attempt.requestId(), "NX", "PX",
+            RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(),
+                    attempt.requestId(), "NX", "PX",
                     Long.toString(Math.round(backend.nodeConfig().deduplicationWindowMs()))), RespWriter.V2);
             return bytes;
         }
-        int words = command.action() == Command.Action.WRITE ? 3 : 2;
+        int elementCount = command.action() == Command.Action.WRITE ? 3 : 2;
         if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET) {
-            RespWriter.arrayHead(bytes, words + 6 + (command.idempotencyKey() == null ? 0 : 2));
+            RespWriter.arrayHead(bytes, elementCount + 6 + (command.idempotencyKey() == null ? 0 : 2));
             RespWriter.blob(bytes, "RIDGE.WITH");
             RespWriter.blob(bytes, "id");
             RespWriter.blob(bytes, attempt.requestId());
@@ -182,7 +184,7 @@
             }
             RespWriter.blob(bytes, "DO");
         } else {
-            RespWriter.arrayHead(bytes, words);
+            RespWriter.arrayHead(bytes, elementCount);
         }
         RespWriter.blob(bytes, switch (command.action()) {
             case READ -> "GET";
@@ -202,12 +204,13 @@
      * A command was abandoned. It keeps its place until its reply has arrived. If no other command is waiting on this
      * connection, the connection is closed, unless the node was asked to cancel the command.
      */
-    void abandoned(RespExchange exchange, boolean silent) {
+    void abandoned(RespExchange exchange, boolean timedOut) {
         if (awaitingHandshake.remove(exchange)) {
             return;
         }
-        boolean told = backend.nodeConfig().supportsCancel() && exchange.attempt() != null && state == State.READY;
-        if (told) {
+        boolean cancelSent = backend.nodeConfig().supportsCancel() && exchange.attempt() != null
+                && state == State.READY;
+        if (cancelSent) {
             // The node still replies in order, so the connection stays usable and others are not blocked for long.
             ByteBuf bytes = context.alloc().buffer();
             RespWriter.write(bytes, Resp.blobs("RIDGE.CANCEL", exchange.attempt().requestId()), RespWriter.V2);
@@ -218,7 +221,7 @@
             return;
         }
         abandonedReplies++;
-        blocked |= silent;
+        blocked |= timedOut;
         // Other commands may still get replies. A reply that is missing for too long blocks all commands behind it.
         backend.scheduleAbandonedReplyCheck(() -> {
             if (awaitingReply.contains(exchange)) {
@@ -253,8 +256,9 @@
 
     private void handshakeReplyReceived(Resp reply) {
         if (reply instanceof Resp.Err error) {
-            boolean older = state == State.HELLO && (error.code().equals("ERR") || error.code().equals("NOPROTO"));
-            if (!older) {
+            boolean unsupported = state == State.HELLO
+                    && (error.code().equals("ERR") || error.code().equals("NOPROTO"));
+            if (!unsupported) {
                 Log.info("node " + target.name() + " takes no connection: " + error.text());
                 Outcome outcome = ReplyClassifier.isNotExecuted(error) ? Outcome.REJECTED : Outcome.CONNECT_FAILED;
                 drain(awaitingHandshake).forEach(e -> e.end(outcome, null));
@@ -262,9 +266,9 @@
             } else if (backend.nodeConfig().password() != null) {
                 state = State.AUTH;
                 ByteBuf auth = context.alloc().buffer();
-                RespNodeConfig nodes = backend.nodeConfig();
-                RespWriter.write(auth, nodes.user() == null ? Resp.blobs("AUTH", nodes.password())
-                        : Resp.blobs("AUTH", nodes.user(), nodes.password()), RespWriter.V2);
+                RespNodeConfig config = backend.nodeConfig();
+                RespWriter.write(auth, config.user() == null ? Resp.blobs("AUTH", config.password())
+                        : Resp.blobs("AUTH", config.user(), config.password()), RespWriter.V2);
                 context.writeAndFlush(auth);
             } else {
                 handshakeCompleted();
@@ -302,7 +306,8 @@
             protocolError("a reply to nothing");
             return;
         }
-        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET && exchange.attempt() != null && reply instanceof Resp.Attributed a
+        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET && exchange.attempt() != null
+                && reply instanceof Resp.Attributed a
                 && !ReplyClassifier.matchesRequest(a, exchange.attempt().requestId())) {
             awaitingReply.addFirst(exchange);
             protocolError("a reply to another call");
@@ -312,26 +317,27 @@
             abandonedReplies--;
             blocked &= abandonedReplies > 0;
         } else {
-            Resp bare = reply instanceof Resp.Attributed a ? a.value() : reply;
-            if (needsKeyClaim(exchange) && bare instanceof Resp.Simple) {
+            Resp value = reply instanceof Resp.Attributed a ? a.value() : reply;
+            if (needsKeyClaim(exchange) && value instanceof Resp.Simple) {
                 exchange.keyClaimed = true;
                 exchange.written = false;
                 write(exchange);
-            } else if (needsKeyClaim(exchange) && bare instanceof Resp.Null) {
+            } else if (needsKeyClaim(exchange) && value instanceof Resp.Null) {
                 // Another request has recorded this key. Whether its write ran is unknown here, and the write must not
                 // run twice.
                 exchange.end(Outcome.ERROR, null);
             } else if (exchange.attempt() == null) {
-                exchange.end(bare instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
+                exchange.end(value instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
             } else {
-                ReplyClassifier.Result ended = ReplyClassifier.classify(reply, exchange.attempt().command().action(), backend.nodeConfig().missIsFinal());
-                backend.responseReceived(target, exchange.attempt(), ended);
-                exchange.end(ended.outcome(), ended.response());
+                ReplyClassifier.Result result = ReplyClassifier.classify(reply, exchange.attempt().command().action(),
+                        backend.nodeConfig().missIsFinal());
+                backend.responseReceived(target, exchange.attempt(), result);
+                exchange.end(result.outcome(), result.response());
             }
-            if (ReplyClassifier.isDraining(bare)) {
+            if (ReplyClassifier.isDraining(value)) {
                 backend.nodeDraining(target);
             }
-            closing |= bare instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
+            closing |= value instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
         }
         if (awaitingReply.isEmpty()) {
             idleSinceNanos = System.nanoTime();
@@ -342,8 +348,8 @@
     }
 
     /** Handles invalid input. It may have been meant for the first waiting command; all sent commands may have run. */
-    private void protocolError(String why) {
-        Log.info("connection to node " + target.name() + " closed: " + why);
+    private void protocolError(String reason) {
+        Log.info("connection to node " + target.name() + " closed: " + reason);
         // Commands that result from ending the first exchange must not be sent on this connection.
         closing = true;
         RespExchange first = awaitingReply.peek();
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
@@ -26,18 +26,18 @@
     private boolean ended;
 
     /** Creates an exchange for a command of the gateway itself, whose result is ignored. */
-    static RespExchange internal(Resp note) {
-        return new RespExchange(null, (outcome, answer) -> { }, note);
+    static RespExchange internal(Resp internalCommand) {
+        return new RespExchange(null, (outcome, response) -> { }, internalCommand);
     }
 
-    RespExchange(Attempt<Content> attempt, Backend.Listener<Content> done) {
-        this(attempt, done, null);
+    RespExchange(Attempt<Content> attempt, Backend.Listener<Content> listener) {
+        this(attempt, listener, null);
     }
 
-    private RespExchange(Attempt<Content> attempt, Backend.Listener<Content> done, Resp note) {
+    private RespExchange(Attempt<Content> attempt, Backend.Listener<Content> listener, Resp internalCommand) {
         this.attempt = attempt;
-        this.listener = done;
-        this.internalCommand = note;
+        this.listener = listener;
+        this.internalCommand = internalCommand;
     }
 
     /** The command to write if there is no attempt; null for an attempt or a probe. */
@@ -84,13 +84,13 @@
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
-    void end(Outcome outcome, NodeResponse<Content> answer) {
+    void end(Outcome outcome, NodeResponse<Content> response) {
         if (!ended) {
             ended = true;
             if (timeout != null) {
                 timeout.cancel(false);
             }
-            listener.ended(outcome, answer);
+            listener.ended(outcome, response);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespNodeConfig.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespNodeConfig.java
@@ -15,13 +15,13 @@
  * @param supportsCancel whether nodes support {@code RIDGE.CANCEL id}, which has no reply: they stop that call if
  *     possible and reply to it in its place
  */
-public record RespNodeConfig(Dialect dialect, String user, String password, boolean missIsFinal, String originNode, double copyTtlMs,
-                        double deduplicationWindowMs, boolean supportsCancel) {
+public record RespNodeConfig(Dialect dialect, String user, String password, boolean missIsFinal, String originNode,
+                             double copyTtlMs, double deduplicationWindowMs, boolean supportsCancel) {
 
     /** Creates the configuration of nodes that do not support cancelling. */
-    public RespNodeConfig(Dialect dialect, String user, String password, boolean missIsAnswer, String store, double fillMs,
-                     double guardMs) {
-        this(dialect, user, password, missIsAnswer, store, fillMs, guardMs, false);
+    public RespNodeConfig(Dialect dialect, String user, String password, boolean missIsFinal, String originNode,
+                          double copyTtlMs, double deduplicationWindowMs) {
+        this(dialect, user, password, missIsFinal, originNode, copyTtlMs, deduplicationWindowMs, false);
     }
 
     /** The command set of the nodes. */
--- a/gateway/src/main/java/ridgemill/gateway/console/Console.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/Console.java
@@ -26,10 +26,10 @@
     private final Supplier<ProxyMetrics> metrics;
 
     /** Creates a console that reads the readiness and the metrics anew for each request. */
-    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> figures) {
+    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> metrics) {
         this.loop = loop;
         this.readiness = readiness;
-        this.metrics = figures;
+        this.metrics = metrics;
     }
 
     /** Starts listening; the future fails if the address cannot be bound. May be called from any thread. */
@@ -44,10 +44,10 @@
 
     private void accept(Channel channel) {
         ConsoleRequestHandler.install(channel, this);
-        Channel goes = callers.add(channel);
+        Channel evicted = callers.add(channel);
         channel.closeFuture().addListener(f -> callers.remove(channel));
-        if (goes != null) {
-            goes.close();
+        if (evicted != null) {
+            evicted.close();
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/console/ConsoleRequestHandler.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/ConsoleRequestHandler.java
@@ -27,8 +27,8 @@
 /** Handles one request of an operator: responds to the first complete request head, then closes the connection. */
 final class ConsoleRequestHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-    static final String STATUS_PATH = "/status";
-    static final String METRICS_PATH = "/status/metrics";
+    static final String STATUS = "/status";
+    static final String METRICS = "/status/metrics";
     private static final String TEXT_TYPE = "text/plain";
     private static final String JSON_TYPE = "application/json";
     /** Maximum lifetime of a connection; longer than any real caller needs to send its request. */
@@ -44,15 +44,16 @@
     }
 
     static void install(Channel channel, Console console) {
-        channel.pipeline().addLast(new StrictHttp.Requests(), new HttpResponseEncoder(), new ConsoleRequestHandler(console));
+        channel.pipeline().addLast(new StrictHttp.Requests(), new HttpResponseEncoder(),
+                new ConsoleRequestHandler(console));
         closeAfter(channel, MAX_CONNECTION_MS);
     }
 
-    private static void closeAfter(Channel channel, long ms) {
-        var time = channel.eventLoop().schedule(() -> {
+    private static void closeAfter(Channel channel, long delayMs) {
+        var timeout = channel.eventLoop().schedule(() -> {
             channel.close();
-        }, ms, TimeUnit.MILLISECONDS);
-        channel.closeFuture().addListener(f -> time.cancel(false));
+        }, delayMs, TimeUnit.MILLISECONDS);
+        channel.closeFuture().addListener(f -> timeout.cancel(false));
     }
 
     @Override
@@ -62,42 +63,45 @@
         }
         if (request.decoderResult().isFailure()) {
             boolean tooLong = request.decoderResult().cause() instanceof TooLongFrameException;
-            respond(ctx, tooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST, TEXT_TYPE,
+            respond(ctx, tooLong ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE : HttpResponseStatus.BAD_REQUEST,
+                    TEXT_TYPE,
                     tooLong ? "the head is too long" : "this is no request");
             return;
         }
         String path = Targets.path(request.uri());
-        if (!path.equals(STATUS_PATH) && !path.equals(METRICS_PATH)) {
-            respond(ctx, HttpResponseStatus.NOT_FOUND, TEXT_TYPE, "there are " + STATUS_PATH + " and " + METRICS_PATH);
+        if (!path.equals(STATUS) && !path.equals(METRICS)) {
+            respond(ctx, HttpResponseStatus.NOT_FOUND, TEXT_TYPE, "there are " + STATUS + " and " + METRICS);
         } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
             respond(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, TEXT_TYPE, "only GET is answered here");
-        } else if (path.equals(METRICS_PATH)) {
+        } else if (path.equals(METRICS)) {
             respond(ctx, HttpResponseStatus.OK, JSON_TYPE, MetricsJson.format(console.metrics()));
         } else {
-            Readiness now = console.readiness();
-            respond(ctx, now.serves() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, JSON_TYPE, statusJson(now));
+            Readiness readiness = console.readiness();
+            respond(ctx, readiness.serves() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
+                    JSON_TYPE, statusJson(readiness));
         }
     }
 
-    private static String statusJson(Readiness now) {
+    private static String statusJson(Readiness readiness) {
         JsonObject o = new JsonObject();
-        o.addProperty("ready", now.serves());
-        o.addProperty("state", now.description());
+        o.addProperty("ready", readiness.serves());
+        o.addProperty("state", readiness.description());
         return o.toString();
     }
 
-    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String type, String line) {
+    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String mediaType, String line) {
         responded = true;
         ByteBuf body = ByteBufUtil.writeUtf8(ctx.alloc(), line + "\n");
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type).setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
+        response.headers().set(HttpHeaderNames.CONTENT_TYPE, mediaType)
+                .setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes())
                 .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         if (status.equals(HttpResponseStatus.METHOD_NOT_ALLOWED)) {
-            answer.headers().set(HttpHeaderNames.ALLOW, HttpMethod.GET + ", " + HttpMethod.HEAD);
+            response.headers().set(HttpHeaderNames.ALLOW, HttpMethod.GET + ", " + HttpMethod.HEAD);
         }
-        ctx.writeAndFlush(answer).addListener(f -> {
-            if (ctx.channel() instanceof DuplexChannel halves) {
-                halves.shutdownOutput();
+        ctx.writeAndFlush(response).addListener(f -> {
+            if (ctx.channel() instanceof DuplexChannel duplex) {
+                duplex.shutdownOutput();
             }
         });
         closeAfter(ctx.channel(), LINGER_MS);
--- a/gateway/src/main/java/ridgemill/gateway/console/MetricsJson.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/MetricsJson.java
@@ -9,16 +9,16 @@
 
     private MetricsJson() { }
 
-    static String format(ProxyMetrics figures) {
+    static String format(ProxyMetrics metrics) {
         JsonObject o = new JsonObject();
-        o.add("passed", byClass(figures.served()));
-        o.add("dropped", byClass(figures.refused()));
-        o.add("bad_gateway", byClass(figures.failed()));
-        o.addProperty("upstream_tries", figures.sentAttempts());
-        o.addProperty("in_progress", figures.inProgress());
-        o.addProperty("known_cache_nodes", figures.knownNodes());
-        o.addProperty("skipped_cache_nodes", figures.excludedNodes());
-        figures.extraCounts().forEach(o::addProperty);
+        o.add("passed", byClass(metrics.served()));
+        o.add("dropped", byClass(metrics.refused()));
+        o.add("bad_gateway", byClass(metrics.failed()));
+        o.addProperty("upstream_tries", metrics.sentAttempts());
+        o.addProperty("in_progress", metrics.inProgress());
+        o.addProperty("known_cache_nodes", metrics.knownNodes());
+        o.addProperty("skipped_cache_nodes", metrics.excludedNodes());
+        metrics.extraCounts().forEach(o::addProperty);
         return o.toString();
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlClient.java
@@ -25,12 +25,12 @@
             while (line.hasRemaining()) {
                 channel.write(line);
             }
-            ByteArrayOutputStream answer = new ByteArrayOutputStream();
-            Channels.newInputStream(channel).transferTo(answer);
-            if (answer.size() == 0) {
+            ByteArrayOutputStream response = new ByteArrayOutputStream();
+            Channels.newInputStream(channel).transferTo(response);
+            if (response.size() == 0) {
                 throw new IOException("no answer");
             }
-            return answer.toString(StandardCharsets.UTF_8);
+            return response.toString(StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IOException("no proxy answers at " + socket + ": " + e.getMessage(), e);
         }
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
@@ -89,8 +89,8 @@
     }
 
     private static boolean acceptsConnections(Path path) {
-        try (SocketChannel there = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
-            return there.isConnected();
+        try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
+            return channel.isConnected();
         } catch (IOException e) {
             return false;
         }
@@ -125,7 +125,7 @@
             commands.apply(line.trim()).exceptionally(e -> {
                 Log.error("a control command failed", e);
                 return "{\"done\":false,\"reason\":\"the proxy failed over it; its log says why\"}";
-            }).thenAccept(answer -> ctx.writeAndFlush(Unpooled.copiedBuffer(answer + "\n", StandardCharsets.UTF_8))
+            }).thenAccept(response -> ctx.writeAndFlush(Unpooled.copiedBuffer(response + "\n", StandardCharsets.UTF_8))
                     .addListener(ChannelFutureListener.CLOSE));
         }
 
