--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
@@ -18,20 +18,24 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * Connections to the cache nodes and the origin. Each carries one exchange at a time; the newest idle one is used
- * first, so that the rest age and close. Nothing is ever sent a second time from here: every exchange ends once, with
- * the outcome that its own connection showed.
+ * A pool of connections to the cache nodes and the origin. Each connection carries one exchange at a time. The most
+ * recently used idle connection is reused first, so that surplus ones expire. The pool never retries: every exchange
+ * ends once, with the outcome that its own connection showed.
  */
 public final class NodeConnectionPool implements NodeBackend {
 
-    /** Idle connections close at this part of the node's own limit: one that it closes first loses a request. */
+    /**
+     * Idle connections are closed after this fraction of the node's own timeout: if the node closes one first, a
+     * request is lost.
+     */
     private static final double IDLE_TIMEOUT_FRACTION = 0.75;
     /**
-     * How long a connection rests between two exchanges: a second copy of the answer that comes a moment late would be
-     * taken for the next one's. Counted by timers, which run after all that has arrived was read, also after a pause.
+     * How long a connection is not reused after an exchange: a duplicate of the response that arrives slightly later
+     * would be taken for the response of the next exchange. Measured by timers, because they run after all received
+     * data has been read, even if the event loop had paused.
      */
     private static final long COOLDOWN_MS = 4;
-    /** Idle connections are looked through so often in the time that they may stand, and at least each second. */
+    /** How often idle connections are checked within the idle timeout; they are checked at least every second. */
     private static final double IDLE_CHECKS_PER_TIMEOUT = 10;
     private static final double MAX_IDLE_CHECK_INTERVAL_MS = 1000;
 
@@ -50,28 +54,30 @@
     private int openConnections;
 
     /**
-     * A pool without connections.
+     * Creates a pool without connections.
      *
-     * @param protocol makes the connection to a node in the nodes' protocol
-     * @param connectTimeoutMs how long a connection may take to come up, in milliseconds
-     * @param idleMs after how long nodes close idle connections, in milliseconds; may be infinite
-     * @param sockets of which each connection that is open or opening takes one
+     * @param connectionFactory creates a connection that uses the nodes' protocol
+     * @param connectTimeoutMs how long connecting may take, in milliseconds
+     * @param nodeIdleTimeoutMs the idle timeout of the nodes' side, in milliseconds; may be infinite
+     * @param connectionLimit counts each connection that is open or connecting
      */
-    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, ConnectionLimit sockets) {
-        this(loop, transport, protocol, connectTimeoutMs, idleMs, sockets, System::nanoTime);
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> connectionFactory,
+                    double connectTimeoutMs, double nodeIdleTimeoutMs, ConnectionLimit connectionLimit) {
+        this(loop, transport, connectionFactory, connectTimeoutMs, nodeIdleTimeoutMs, connectionLimit,
+                System::nanoTime);
     }
 
-    /** {@code nanos} is the clock that idle times are read from. */
-    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> protocol, double connectTimeoutMs,
-                    double idleMs, ConnectionLimit sockets, LongSupplier nanos) {
+    /** Creates a pool whose idle times are measured with {@code nanoClock}. */
+    public NodeConnectionPool(EventLoop loop, Transport transport, Supplier<NodeConnection> connectionFactory,
+                    double connectTimeoutMs, double nodeIdleTimeoutMs, ConnectionLimit connectionLimit,
+                    LongSupplier nanoClock) {
         this.loop = loop;
-        this.connectionFactory = protocol;
-        this.nanoClock = nanos;
-        this.idleTimeoutMs = idleMs * IDLE_TIMEOUT_FRACTION;
-        this.connectionLimit = sockets;
-        sockets.register(this);
-        this.dialer = new Dialer(loop, transport, connectTimeoutMs, sockets);
+        this.connectionFactory = connectionFactory;
+        this.nanoClock = nanoClock;
+        this.idleTimeoutMs = nodeIdleTimeoutMs * IDLE_TIMEOUT_FRACTION;
+        this.connectionLimit = connectionLimit;
+        connectionLimit.register(this);
+        this.dialer = new Dialer(loop, transport, connectTimeoutMs, connectionLimit);
     }
 
     @Override
@@ -84,65 +90,65 @@
         targets.closeIdle(node);
     }
 
-    /** Tells {@code then} from now on which node turned an attempt away on a connection that was opened for it. */
-    public void onConnectionRejected(Consumer<String> then) {
-        onConnectionRejected = then;
+    /** Sets the listener for the names of nodes that rejected an attempt on a connection opened for it. */
+    public void onConnectionRejected(Consumer<String> listener) {
+        onConnectionRejected = listener;
     }
 
     void connectionRejected(Target target) {
         onConnectionRejected.accept(target.name());
     }
 
-    /** Closes the connections to the nodes of those names that have been idle for longer than {@code olderMs}. */
-    public void closeIdleLongerThan(Predicate<String> nodes, double olderMs) {
+    /** Closes the connections to the nodes with matching names that have been idle for at least {@code minIdleMs}. */
+    public void closeIdleLongerThan(Predicate<String> nodes, double minIdleMs) {
         long now = nanoClock.getAsLong();
         for (Target target : targets.all()) {
             if (nodes.test(target.name())) {
-                closeIdleAtLeast(target, now, olderMs);
+                closeIdleAtLeast(target, now, minIdleMs);
             }
         }
     }
 
-    /** Connections that are open or opening. */
+    /** The number of connections that are open or connecting. */
     public int openConnections() {
         return openConnections;
     }
 
-    /** Whether no connection is in the pause that follows an answer. */
+    /** Whether no connection is in the cooldown that follows a response. */
     public boolean isCooldownOver() {
         return coolingDown.isEmpty();
     }
 
     /**
-     * Starts an exchange that is given up after {@code timeoutMs}. The message is made when a connection is there to
-     * write it to, so that the time it names is what is left then.
+     * Starts an exchange that times out after {@code timeoutMs}. The message is built when a connection is ready to
+     * write it, so that the remaining time it carries is correct.
      */
     @Override
-    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> done) {
-        NodeExchange exchange = new NodeExchange(this, attempt, done);
+    public NodeExchange send(String node, Attempt<Content> attempt, double timeoutMs, Listener<Content> listener) {
+        NodeExchange exchange = new NodeExchange(this, attempt, listener);
         exchange.timeout = loop.schedule(exchange::timedOut, (long) (timeoutMs * 1e6), TimeUnit.NANOSECONDS);
         Target target = targets.get(node);
         if (target == null) {
             exchange.end(Outcome.CONNECT_FAILED, null);
             return exchange;
         }
-        // One that can be carried once goes on a connection that no node is about to close.
+        // A streaming body can be sent only once: use a new connection, which the node is not about to close.
         NodeConnection idle = attempt != null && attempt.hasStreamingBody() ? null : newestIdle(target);
         if (idle != null) {
             idle.write(exchange);
         } else if (connectionLimit.ensureCapacity()) {
             connect(target, exchange);
         } else {
-            // Out of descriptors: opening one more could leave none for a client that is being accepted. The node is
-            // not to blame, so this must not look like a failure of its own.
+            // The connection limit is reached: opening one more could leave no descriptor for a client that is being
+            // accepted. This must not count as a failure of the node, as the node did not cause it.
             exchange.end(Outcome.NEVER_SENT, null);
         }
         return exchange;
     }
 
     @Override
-    public void probe(String node, double timeoutMs, Listener<Content> done) {
-        send(node, null, timeoutMs, (outcome, answer) -> done.ended(outcome, null));
+    public void probe(String node, double timeoutMs, Listener<Content> listener) {
+        send(node, null, timeoutMs, (outcome, response) -> listener.ended(outcome, null));
     }
 
     private NodeConnection newestIdle(Target target) {
@@ -158,31 +164,33 @@
         return null;
     }
 
-    /** Closes what has been idle for too long; runs as long as something is idle. */
+    /** Schedules a check that closes expired idle connections; repeated while any connection is idle. */
     private void scheduleIdleCheck() {
         if (!idleCheckScheduled && idleTimeoutMs < Long.MAX_VALUE / 1e6) {
             idleCheckScheduled = true;
-            loop.schedule(this::closeExpired, (long) (Math.min(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT, MAX_IDLE_CHECK_INTERVAL_MS) * 1e6), TimeUnit.NANOSECONDS);
+            loop.schedule(this::closeExpired, (long) (Math.min(idleTimeoutMs / IDLE_CHECKS_PER_TIMEOUT,
+                    MAX_IDLE_CHECK_INTERVAL_MS) * 1e6), TimeUnit.NANOSECONDS);
         }
     }
 
     private void closeExpired() {
         long now = nanoClock.getAsLong();
         double limit = Math.min(idleTimeoutMs, idleAges.limitMs(now));
-        boolean left = false;
+        boolean anyIdle = false;
         for (Target target : targets.all()) {
             closeIdleAtLeast(target, now, limit);
-            left |= !target.idle.isEmpty();
+            anyIdle |= !target.idle.isEmpty();
         }
         idleCheckScheduled = false;
-        if (left) {
+        if (anyIdle) {
             scheduleIdleCheck();
         }
     }
 
-    /** The newest are first, so that the others age. */
+    /** The queue is ordered from the most recently used to the longest idle connection. */
     private static void closeIdleAtLeast(Target target, long now, double limitMs) {
-        for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs; c = target.idle.peekLast()) {
+        for (NodeConnection c = target.idle.peekLast(); c != null && c.idleMs(now) >= limitMs;
+                c = target.idle.peekLast()) {
             target.idle.removeLast();
             c.close();
         }
@@ -194,7 +202,7 @@
         openConnections++;
         ChannelFuture connecting = dialer.connect(target, connection::install);
         exchange.channel = connecting.channel();
-        long began = nanoClock.getAsLong();
+        long startNanos = nanoClock.getAsLong();
         connecting.channel().closeFuture().addListener(f -> openConnections--);
         connecting.addListener(f -> {
             if (!f.isSuccess()) {
@@ -202,10 +210,10 @@
                 exchange.end(Outcome.CONNECT_FAILED, null);
             } else if (exchange.isEnded()) {
                 connecting.channel().close();
-            } else if (exchange.connected((nanoClock.getAsLong() - began) / 1e6)) {
+            } else if (exchange.connected((nanoClock.getAsLong() - startNanos) / 1e6)) {
                 connection.write(exchange);
             } else {
-                // Too late for any answer: the connection is whole, and the next exchange's.
+                // Too late for a response: the request is not sent, and the connection is kept for the next exchange.
                 connection.idleSinceNanos = nanoClock.getAsLong();
                 makeAvailable(connection);
                 exchange.end(Outcome.NEVER_SENT, null);
@@ -213,31 +221,32 @@
         });
     }
 
-    private NodeConnection oldestIdle() {
-        NodeConnection oldest = coolingDown.peekFirst();
+    private NodeConnection findLongestIdle() {
+        NodeConnection longestIdle = coolingDown.peekFirst();
         for (Target target : targets.all()) {
             NodeConnection candidate = target.idle.peekLast();
-            if (candidate != null && (oldest == null || candidate.idleSinceNanos - oldest.idleSinceNanos < 0)) {
-                oldest = candidate;
+            if (candidate != null && (longestIdle == null
+                    || candidate.idleSinceNanos - longestIdle.idleSinceNanos < 0)) {
+                longestIdle = candidate;
             }
         }
-        return oldest;
+        return longestIdle;
     }
 
     @Override
     public long longestIdleNanos() {
-        NodeConnection oldest = oldestIdle();
-        return oldest == null ? -1 : nanoClock.getAsLong() - oldest.idleSinceNanos;
+        NodeConnection longestIdle = findLongestIdle();
+        return longestIdle == null ? -1 : nanoClock.getAsLong() - longestIdle.idleSinceNanos;
     }
 
     @Override
     public void closeLongestIdle() {
-        NodeConnection oldest = oldestIdle();
-        remove(oldest);
-        oldest.close();
+        NodeConnection longestIdle = findLongestIdle();
+        remove(longestIdle);
+        longestIdle.close();
     }
 
-    /** A node and its idle connections, newest first. */
+    /** A node and its idle connections, most recently used first. */
     final class Target extends NodeTargets.Target {
         final Deque<NodeConnection> idle = new ArrayDeque<>();
 
@@ -259,15 +268,20 @@
         return nanoClock.getAsLong();
     }
 
-    /** Takes note of how an exchange on a connection of that idle age ended; {@code answering} if bytes came back. */
-    void recordUse(double idle, Outcome outcome, boolean answering) {
+    /**
+     * Records how an exchange ended.
+     *
+     * @param connectionIdleMs how long its connection had been idle before it, in milliseconds
+     * @param responseStarted whether bytes of a response arrived
+     */
+    void recordUse(double connectionIdleMs, Outcome outcome, boolean responseStarted) {
         boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
-            idleAges.used(idle, broke && !answering, nanoClock.getAsLong());
+            idleAges.used(connectionIdleMs, broke && !responseStarted, nanoClock.getAsLong());
         }
     }
 
-    /** Takes a connection back whose exchange ended well. */
+    /** Takes back a connection whose exchange ended cleanly; it becomes available after the cooldown. */
     void startCooldown(NodeConnection connection) {
         connection.idleSinceNanos = nanoClock.getAsLong();
         coolingDown.addLast(connection);
@@ -288,10 +302,11 @@
         }
     }
 
-    /** Hands connections back whose rest is over; runs as long as some are left. */
+    /** Makes connections available whose cooldown is over; repeated while any connection is cooling down. */
     private void endCooldowns() {
         long now = nanoClock.getAsLong();
-        while (!coolingDown.isEmpty() && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
+        while (!coolingDown.isEmpty()
+                && now - coolingDown.peekFirst().idleSinceNanos >= TimeUnit.MILLISECONDS.toNanos(COOLDOWN_MS)) {
             makeAvailable(coolingDown.removeFirst());
         }
         cooldownCheckScheduled = false;
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespConnection.java
@@ -23,13 +23,13 @@
 import ridgemill.policy.Router.Outcome;
 
 /**
- * One connection to a node, with many commands on it. Replies belong to commands by their order alone, so what can't be
- * placed ends the connection, and with it, as what may have run, all that is out on it. A command that was given up keeps
- * its place until its reply has come, which is dropped then.
+ * A connection to a node with many pipelined commands. Replies are matched to commands by order only, so a reply that
+ * cannot be matched closes the connection, and all commands awaiting a reply end as possibly executed. An abandoned
+ * command keeps its place until its reply has arrived, which is then dropped.
  */
 final class RespConnection extends ChannelInboundHandlerAdapter {
 
-    /** What the key of a write begins with under which the store remembers it. */
+    /** Prefix of the keys under which the origin remembers the idempotency keys of writes. */
     private static final String DEDUPLICATION_KEY_PREFIX = "ridge:once:";
 
     private enum State { OPENING, HELLO, AUTH, READY, CLOSED }
@@ -41,11 +41,14 @@
     private ChannelHandlerContext context;
     private State state = State.OPENING;
     private boolean flushScheduled;
-    /** Commands that were given up and whose replies have not come. */
+    /** Abandoned commands whose replies have not arrived. */
     private int abandonedReplies;
-    /** One of those timed out: what is sent behind it would wait for it too. */
+    /** An abandoned command timed out: commands sent behind it would wait for its reply too. */
     private boolean blocked;
-    /** Its rights are gone: it closes when all that is out has its reply. */
+    /**
+     * Set after an authentication or protocol error: no more commands are accepted, and the connection closes when all
+     * sent commands have their replies.
+     */
     private boolean closing;
     long idleSinceNanos;
 
@@ -63,17 +66,17 @@
         context = ctx;
     }
 
-    /** Commands on it, those that were given up too. */
+    /** Commands without a reply, including abandoned ones. */
     int pendingCommands() {
         return awaitingHandshake.size() + awaitingReply.size();
     }
 
-    /** Whether something that nobody waits for may go out on it. */
+    /** Whether an internal command, for which no client waits, may be sent on this connection. */
     boolean canSendInternal() {
         return state == State.READY && isUsable() && pendingCommands() < RespBackend.NEW_CONNECTION_THRESHOLD;
     }
 
-    /** Whether more may be sent on it: none that is silent holds it up. */
+    /** Whether more commands may be sent: no command that timed out blocks the connection. */
     boolean isUsable() {
         return state != State.CLOSED && !blocked && !closing;
     }
@@ -91,22 +94,23 @@
         }
     }
 
-    /** The connection is there: shows who we are and asks for the newer version before anything else. */
-    void connected(double tookMs) {
-        awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1).forEach(e -> e.attempt().connected(tookMs));
+    /** The connection is open: authenticates and requests RESP3 before any command is sent. */
+    void connected(double connectMs) {
+        awaitingHandshake.stream().filter(e -> e.attempt() != null).limit(1)
+                .forEach(e -> e.attempt().connected(connectMs));
         state = State.HELLO;
-        RespNodeConfig nodes = backend.nodeConfig();
+        RespNodeConfig config = backend.nodeConfig();
         ByteBuf hello = context.alloc().buffer();
-        if (nodes.password() == null) {
+        if (config.password() == null) {
             RespWriter.write(hello, Resp.blobs("HELLO", "3"), RespWriter.V3);
         } else {
-            RespWriter.write(hello, Resp.blobs("HELLO", "3", "AUTH", nodes.user() == null ? "default" : nodes.user(),
-                    nodes.password()), RespWriter.V3);
+            RespWriter.write(hello, Resp.blobs("HELLO", "3", "AUTH", config.user() == null ? "default" : config.user(),
+                    config.password()), RespWriter.V3);
         }
         context.writeAndFlush(hello);
     }
 
-    /** It never came up. */
+    /** Connecting failed. */
     void connectFailed() {
         if (state != State.CLOSED) {
             markClosed();
@@ -129,7 +133,7 @@
         scheduleFlush();
     }
 
-    /** Flushed once for all that is written in one turn of the loop. */
+    /** Flushes once for all commands that are written in one iteration of the event loop. */
     private void scheduleFlush() {
         if (!flushScheduled) {
             flushScheduled = true;
@@ -140,7 +144,7 @@
         }
     }
 
-    /** A keyed write at a store that drops no repeats by itself, whose key the store has not taken yet. */
+    /** Whether this is a keyed write whose key must first be recorded at an origin that does not deduplicate itself. */
     private boolean needsKeyClaim(RespExchange exchange) {
         return exchange.attempt() != null && !exchange.keyClaimed && backend.nodeConfig().deduplicationWindowMs() > 0
                 && exchange.attempt().command().write() && exchange.attempt().command().idempotencyKey() != null;
@@ -160,14 +164,15 @@
         }
         Command<Content> command = attempt.command();
         if (needsKeyClaim(exchange)) {
-            // Not the write itself: the store is asked whether it has seen the key.
-            RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(), attempt.requestId(), "NX", "PX",
+            // Instead of the write, first asks the origin to record the key unless it has it already.
+            RespWriter.write(bytes, Resp.blobs("SET", DEDUPLICATION_KEY_PREFIX + command.idempotencyKey(),
+                    attempt.requestId(), "NX", "PX",
                     Long.toString(Math.round(backend.nodeConfig().deduplicationWindowMs()))), RespWriter.V2);
             return bytes;
         }
-        int words = command.action() == Command.Action.WRITE ? 3 : 2;
+        int elementCount = command.action() == Command.Action.WRITE ? 3 : 2;
         if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET) {
-            RespWriter.arrayHead(bytes, words + 6 + (command.idempotencyKey() == null ? 0 : 2));
+            RespWriter.arrayHead(bytes, elementCount + 6 + (command.idempotencyKey() == null ? 0 : 2));
             RespWriter.blob(bytes, "RIDGE.WITH");
             RespWriter.blob(bytes, "id");
             RespWriter.blob(bytes, attempt.requestId());
@@ -179,7 +184,7 @@
             }
             RespWriter.blob(bytes, "DO");
         } else {
-            RespWriter.arrayHead(bytes, words);
+            RespWriter.arrayHead(bytes, elementCount);
         }
         RespWriter.blob(bytes, switch (command.action()) {
             case READ -> "GET";
@@ -195,14 +200,18 @@
         return bytes;
     }
 
-    /** One was given up. Its place stays until its reply has come; alone on its connection it takes that along. */
-    void abandoned(RespExchange exchange, boolean silent) {
+    /**
+     * A command was abandoned. It keeps its place until its reply has arrived. If no other command is waiting on this
+     * connection, the connection is closed, unless the node was asked to cancel the command.
+     */
+    void abandoned(RespExchange exchange, boolean timedOut) {
         if (awaitingHandshake.remove(exchange)) {
             return;
         }
-        boolean told = backend.nodeConfig().supportsCancel() && exchange.attempt() != null && state == State.READY;
-        if (told) {
-            // Its reply comes in its place, so the connection stays whole and others on it are not held up for long.
+        boolean cancelSent = backend.nodeConfig().supportsCancel() && exchange.attempt() != null
+                && state == State.READY;
+        if (cancelSent) {
+            // The node still replies in order, so the connection stays usable and others are not blocked for long.
             ByteBuf bytes = context.alloc().buffer();
             RespWriter.write(bytes, Resp.blobs("RIDGE.CANCEL", exchange.attempt().requestId()), RespWriter.V2);
             context.write(bytes);
@@ -212,8 +221,8 @@
             return;
         }
         abandonedReplies++;
-        blocked |= silent;
-        // Others may have their replies yet; one that stays away for too long holds all behind it up for good.
+        blocked |= timedOut;
+        // Other commands may still get replies. A reply that is missing for too long blocks all commands behind it.
         backend.scheduleAbandonedReplyCheck(() -> {
             if (awaitingReply.contains(exchange)) {
                 close();
@@ -242,13 +251,14 @@
         if (kind.equals("ridge.drain")) {
             backend.nodeDraining(target);
         }
-        // All others, such as invalidations, are of no use to one that keeps no values.
+        // Other pushes, such as invalidations, are ignored, as the gateway caches no values.
     }
 
     private void handshakeReplyReceived(Resp reply) {
         if (reply instanceof Resp.Err error) {
-            boolean older = state == State.HELLO && (error.code().equals("ERR") || error.code().equals("NOPROTO"));
-            if (!older) {
+            boolean unsupported = state == State.HELLO
+                    && (error.code().equals("ERR") || error.code().equals("NOPROTO"));
+            if (!unsupported) {
                 Log.info("node " + target.name() + " takes no connection: " + error.text());
                 Outcome outcome = ReplyClassifier.isNotExecuted(error) ? Outcome.REJECTED : Outcome.CONNECT_FAILED;
                 drain(awaitingHandshake).forEach(e -> e.end(outcome, null));
@@ -256,9 +266,9 @@
             } else if (backend.nodeConfig().password() != null) {
                 state = State.AUTH;
                 ByteBuf auth = context.alloc().buffer();
-                RespNodeConfig nodes = backend.nodeConfig();
-                RespWriter.write(auth, nodes.user() == null ? Resp.blobs("AUTH", nodes.password())
-                        : Resp.blobs("AUTH", nodes.user(), nodes.password()), RespWriter.V2);
+                RespNodeConfig config = backend.nodeConfig();
+                RespWriter.write(auth, config.user() == null ? Resp.blobs("AUTH", config.password())
+                        : Resp.blobs("AUTH", config.user(), config.password()), RespWriter.V2);
                 context.writeAndFlush(auth);
             } else {
                 handshakeCompleted();
@@ -289,14 +299,15 @@
     private void replyReceived(Resp reply) {
         RespExchange exchange = awaitingReply.poll();
         if (exchange == null || !exchange.written) {
-            // Nothing was asked, or not yet: it can't be told whose this is, nor whose the next will be.
+            // No command has been written for this reply, so neither it nor later ones can be matched to commands.
             if (exchange != null) {
                 awaitingReply.addFirst(exchange);
             }
             protocolError("a reply to nothing");
             return;
         }
-        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET && exchange.attempt() != null && reply instanceof Resp.Attributed a
+        if (backend.nodeConfig().dialect() == RespNodeConfig.Dialect.FLEET && exchange.attempt() != null
+                && reply instanceof Resp.Attributed a
                 && !ReplyClassifier.matchesRequest(a, exchange.attempt().requestId())) {
             awaitingReply.addFirst(exchange);
             protocolError("a reply to another call");
@@ -306,25 +317,27 @@
             abandonedReplies--;
             blocked &= abandonedReplies > 0;
         } else {
-            Resp bare = reply instanceof Resp.Attributed a ? a.value() : reply;
-            if (needsKeyClaim(exchange) && bare instanceof Resp.Simple) {
+            Resp value = reply instanceof Resp.Attributed a ? a.value() : reply;
+            if (needsKeyClaim(exchange) && value instanceof Resp.Simple) {
                 exchange.keyClaimed = true;
                 exchange.written = false;
                 write(exchange);
-            } else if (needsKeyClaim(exchange) && bare instanceof Resp.Null) {
-                // Another has this key: whether its write ran is not known here, and a second one must not.
+            } else if (needsKeyClaim(exchange) && value instanceof Resp.Null) {
+                // Another request has recorded this key. Whether its write ran is unknown here, and the write must not
+                // run twice.
                 exchange.end(Outcome.ERROR, null);
             } else if (exchange.attempt() == null) {
-                exchange.end(bare instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
+                exchange.end(value instanceof Resp.Err ? Outcome.REJECTED : Outcome.OK, null);
             } else {
-                ReplyClassifier.Result ended = ReplyClassifier.classify(reply, exchange.attempt().command().action(), backend.nodeConfig().missIsFinal());
-                backend.responseReceived(target, exchange.attempt(), ended);
-                exchange.end(ended.outcome(), ended.response());
+                ReplyClassifier.Result result = ReplyClassifier.classify(reply, exchange.attempt().command().action(),
+                        backend.nodeConfig().missIsFinal());
+                backend.responseReceived(target, exchange.attempt(), result);
+                exchange.end(result.outcome(), result.response());
             }
-            if (ReplyClassifier.isDraining(bare)) {
+            if (ReplyClassifier.isDraining(value)) {
                 backend.nodeDraining(target);
             }
-            closing |= bare instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
+            closing |= value instanceof Resp.Err e && (e.code().equals("NOAUTH") || e.code().equals("WRONGPASS"));
         }
         if (awaitingReply.isEmpty()) {
             idleSinceNanos = System.nanoTime();
@@ -334,10 +347,10 @@
         }
     }
 
-    /** What came makes no sense. The first that waits may be what it was for; all may have run. */
-    private void protocolError(String why) {
-        Log.info("connection to node " + target.name() + " closed: " + why);
-        // What follows from the end of the first must not be sent on this one.
+    /** Handles invalid input. It may have been meant for the first waiting command; all sent commands may have run. */
+    private void protocolError(String reason) {
+        Log.info("connection to node " + target.name() + " closed: " + reason);
+        // Commands that result from ending the first exchange must not be sent on this connection.
         closing = true;
         RespExchange first = awaitingReply.peek();
         if (first != null && first.written) {
@@ -346,7 +359,7 @@
         close();
     }
 
-    /** Closes it: no more is sent on it from now on, and what is out on it ends as the connection's own end. */
+    /** Closes the connection: no more commands are sent, and pending exchanges end as on a lost connection. */
     void close() {
         if (state != State.CLOSED) {
             markClosed();
