--- a/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
+++ b/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
@@ -21,9 +21,9 @@
 final class ClassArchiveTraining {
 
     /** Two steps of the decisions, as the second does what the first has nothing for. */
-    private static final long STEPS_MS = 2300;
+    private static final long ROUTER_STEPS_MS = 2300;
     private static final int REQUESTS = 400;
-    private static final double PATIENCE_MS = 4000;
+    private static final double WARMUP_MS = 4000;
 
     private ClassArchiveTraining() { }
 
@@ -32,23 +32,23 @@
         SighupHandler.register(() -> { });
         try (ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Config config = Config.parse(configuration(discovery.getLocalPort()), Map.of());
-            Thread tells = new Thread(() -> tell(discovery), "discovery");
-            tells.setDaemon(true);
-            tells.start();
+            Thread discoveryThread = new Thread(() -> serveDiscovery(discovery), "discovery");
+            discoveryThread.setDaemon(true);
+            discoveryThread.start();
             Service service = Service.start(config);
-            Warmup.run(Transport.TCP, config.settings(), null, new WarmupStopCondition(REQUESTS, PATIENCE_MS, PATIENCE_MS));
-            ask(service.listenAddress());
-            call(service.consoleListenAddress(), "/status");
-            call(service.consoleListenAddress(), "/status/metrics");
+            Warmup.run(Transport.TCP, config.settings(), null, new WarmupStopCondition(REQUESTS, WARMUP_MS, WARMUP_MS));
+            sendRequests(service.listenAddress());
+            callConsole(service.consoleListenAddress(), "/status");
+            callConsole(service.consoleListenAddress(), "/status/metrics");
             service.peerMessage(0, new byte[Integer.BYTES]);
             // Nothing tells of a step; and nobody waits for a build's rehearsal to be short.
-            TimeUnit.MILLISECONDS.sleep(STEPS_MS);
+            TimeUnit.MILLISECONDS.sleep(ROUTER_STEPS_MS);
             service.drain();
         }
     }
 
     /** As a deployment gives it, with every part that one may have. */
-    private static String configuration(int discovery) {
+    private static String configuration(int discoveryPort) {
         return """
                 {"name": "rehearsal", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:%d", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
                  "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
@@ -66,7 +66,7 @@
                   "tariffs": {"connection": 0.03, "handshake": 0.03},
                   "services": [{"name": "read", "objective_ms": 600.0, "deadline_ms": 1500.0, "gain": 2.0, "late_share": 0.25,
                    "effect": "retryable", "group": "all", "repeat_window_ms": 5000.0, "stream": false}]}}
-                """.formatted(discovery, host("gone", "std", "up"));
+                """.formatted(discoveryPort, host("gone", "std", "up"));
     }
 
     private static String host(String name, String kind, String health) {
@@ -76,8 +76,8 @@
     }
 
     /** Answers each watch with a list and a change of it, and keeps it open. */
-    private static void tell(ServerSocket discovery) {
-        String whole = "{\"seq\": 2, \"whole\": true, \"hosts\": [" + host("one", "std", "up") + ", " + host("two", "std", "up")
+    private static void serveDiscovery(ServerSocket discovery) {
+        String fullList = "{\"seq\": 2, \"whole\": true, \"hosts\": [" + host("one", "std", "up") + ", " + host("two", "std", "up")
                 + ", " + host("store", "origin", "up") + "]}\n";
         String change = "{\"seq\": 3, \"whole\": false, \"hosts\": [" + host("two", "std", "draining") + "]}\n";
         try {
@@ -87,8 +87,8 @@
                 for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                     // The head of the question, of which nothing matters.
                 }
-                String answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(whole) + chunk(change);
-                watch.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(fullList) + chunk(change);
+                watch.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
             // The rehearsal is over.
@@ -100,7 +100,7 @@
     }
 
     /** An operator's call. */
-    private static void call(InetSocketAddress console, String path) throws IOException {
+    private static void callConsole(InetSocketAddress console, String path) throws IOException {
         try (Socket caller = new Socket(console.getAddress(), console.getPort())) {
             caller.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             caller.getInputStream().readAllBytes();
@@ -108,7 +108,7 @@
     }
 
     /** The front's question, and one request, whose nodes are not there. */
-    private static void ask(InetSocketAddress proxy) throws IOException {
+    private static void sendRequests(InetSocketAddress proxy) throws IOException {
         try (Socket client = new Socket(proxy.getAddress(), proxy.getPort())) {
             client.getOutputStream().write(("GET /up HTTP/1.1\r\nHost: " + Addresses.text(proxy) + "\r\n\r\n"
                     + "GET /api/1 HTTP/1.1\r\nHost: r\r\nX-Call-Id: 1\r\nX-Call-Class: read\r\nX-Caller: rehearsal\r\n"
--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -29,8 +29,8 @@
                      InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peerBroadcastAddress,
                      HostList knownHosts, Settings settings, int maxPendingRequests, InetSocketAddress console) {
 
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int HEX = 16;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int SEED_RADIX = 16;
 
     public Config {
         peers = List.copyOf(peers);
@@ -44,15 +44,15 @@
      * @param reserved descriptors that are not divided
      */
     Config forLoop(int loop, int loops, int reserved) {
-        PlatformLimits l = settings.limits();
-        PlatformLimits heard = new PlatformLimits(l.maxAttempts(), l.cancelAllowed(), l.probesAllowed(), true, l.retryAfterAllowed(), l.maxRetryAfterMs(),
-                l.hedgingAllowed(), l.connectTimeoutMs());
-        Settings part = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops, settings.zone(),
+        PlatformLimits limits = settings.limits();
+        PlatformLimits loopLimits = new PlatformLimits(limits.maxAttempts(), limits.cancelAllowed(), limits.probesAllowed(), true, limits.retryAfterAllowed(), limits.maxRetryAfterMs(),
+                limits.hedgingAllowed(), limits.connectTimeoutMs());
+        Settings loopSettings = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops, settings.zone(),
                 settings.tickMs(), settings.classes(), settings.tenants(), settings.overQuotaFactor(), settings.valueByWork(),
-                heard, settings.rules(), settings.mustSubscribe(), settings.weightMode(), settings.originModel(),
+                loopLimits, settings.rules(), settings.mustSubscribe(), settings.weightMode(), settings.originModel(),
                 settings.connectionCosts());
         return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved, peerListen,
-                peers, peerBroadcastAddress, knownHosts, part, Math.max(1, maxPendingRequests / loops), console);
+                peers, peerBroadcastAddress, knownHosts, loopSettings, Math.max(1, maxPendingRequests / loops), console);
     }
 
     /** Reads the file that BALANCER_CONFIG names; the other variables override what it says. */
@@ -81,27 +81,27 @@
 
     /** Reads the file again: what it says of discovery now is newer than the variable that the start was given. */
     static Config reread(Map<String, String> environment) throws ConfigException {
-        Map<String, String> others = new HashMap<>(environment);
-        others.remove("BALANCER_DISCOVERY");
-        return fromEnvironment(others);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("BALANCER_DISCOVERY");
+        return fromEnvironment(remaining);
     }
 
     /** Reads a configuration's text; the environment's BALANCER_ variables override what it says. */
     public static Config parse(String json, Map<String, String> environment) throws ConfigException {
         try {
-            JsonObject o = JsonParser.parseString(json).getAsJsonObject();
-            if (!o.has("settings")) {
+            JsonObject root = JsonParser.parseString(json).getAsJsonObject();
+            if (!root.has("settings")) {
                 throw new ConfigException("settings: missing");
             }
-            return new Config(at("name", () -> text(o, "name", environment.get("BALANCER_NAME"))),
-                    at("listen", () -> required(o, "listen", environment.get("BALANCER_LISTEN"))),
-                    at("discovery", () -> required(o, "discovery", environment.get("BALANCER_DISCOVERY"))),
-                    at("seed", () -> seed(o)), at("limits", () -> sockets(o)),
-                    at("peer_listen", () -> optional(o, "peer_listen", null)), at("peers", () -> peers(o)),
-                    at("peers_all", () -> optional(o, "peers_all", null)), at("known", () -> known(o)),
-                    SettingsReader.read(o.get("settings")),
-                    at("settings: limits: max_open", () -> maxOpen(o.getAsJsonObject("settings"))),
-                    at("console", () -> optional(o, "console", environment.get("BALANCER_CONSOLE"))));
+            return new Config(at("name", () -> text(root, "name", environment.get("BALANCER_NAME"))),
+                    at("listen", () -> required(root, "listen", environment.get("BALANCER_LISTEN"))),
+                    at("discovery", () -> required(root, "discovery", environment.get("BALANCER_DISCOVERY"))),
+                    at("seed", () -> seed(root)), at("limits", () -> sockets(root)),
+                    at("peer_listen", () -> optional(root, "peer_listen", null)), at("peers", () -> peers(root)),
+                    at("peers_all", () -> optional(root, "peers_all", null)), at("known", () -> known(root)),
+                    SettingsReader.read(root.get("settings")),
+                    at("settings: limits: max_open", () -> maxOpen(root.getAsJsonObject("settings"))),
+                    at("console", () -> optional(root, "console", environment.get("BALANCER_CONSOLE"))));
         } catch (RuntimeException e) {
             throw new ConfigException(reason(e));
         }
@@ -118,11 +118,11 @@
 
     /** Gson and the settings' own checks report what is wrong by several unchecked types; this is one line of it. */
     private static String reason(RuntimeException e) {
-        boolean shape = e instanceof ClassCastException || e instanceof IllegalStateException
+        boolean wrongType = e instanceof ClassCastException || e instanceof IllegalStateException
                 || e instanceof UnsupportedOperationException;
-        Throwable said = e instanceof JsonParseException && e.getCause() != null ? e.getCause() : e;
-        return shape ? "not the kind of value that is wanted here"
-                : String.valueOf(said.getMessage()).lines().findFirst().orElse("malformed");
+        Throwable source = e instanceof JsonParseException && e.getCause() != null ? e.getCause() : e;
+        return wrongType ? "not the kind of value that is wanted here"
+                : String.valueOf(source.getMessage()).lines().findFirst().orElse("malformed");
     }
 
     private static String text(JsonObject o, String field, String override) {
@@ -161,12 +161,12 @@
 
     private static long seed(JsonObject o) {
         String seed = text(o, "seed", null);
-        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, HEX);
+        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, SEED_RADIX);
     }
 
     private static int sockets(JsonObject o) {
         JsonObject limits = o.getAsJsonObject("limits");
-        return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS;
+        return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_DESCRIPTORS;
     }
 
     private static int maxOpen(JsonObject settings) {
--- a/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
+++ b/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
@@ -41,57 +41,57 @@
 public final class MultiLoopService {
 
     /** A loop's own descriptors: what it waits with, what wakes it, its timer. */
-    private static final int LOOP_SOCKETS = 3;
-    private static final long BEAT_MS = 50;
-    private static final long LOOK_MS = 500;
+    private static final int DESCRIPTORS_PER_LOOP = 3;
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final long LOOP_CHECK_INTERVAL_MS = 500;
 
     private final LoopGroup group = new LoopGroup(1, SocketKind.chosen().handlers());
-    private final EventLoop door = group.next();
+    private final EventLoop acceptorLoop = group.next();
     private final Clock clock = new Clock();
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Config config;
     private final List<Service> members = new ArrayList<>();
-    private final ConnectionAcceptor dealer;
+    private final ConnectionAcceptor acceptor;
     private final Discovery discovery;
     private final PeerMessenger peers;
-    private final boolean[] beating;
-    private InetSocketAddress listening;
+    private final boolean[] tickPending;
+    private InetSocketAddress listenAddress;
 
-    private MultiLoopService(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates) {
+    private MultiLoopService(Config config, int loops, Function<Settings, Router> routerFactory, IntFunction<AdmissionController> admissionFactory) {
         this.config = config;
-        int reserved = Service.RESERVED_DESCRIPTORS + LOOP_SOCKETS * loops;
-        beating = new boolean[loops];
-        int[] most = new int[loops];
+        int reserved = Service.RESERVED_DESCRIPTORS + DESCRIPTORS_PER_LOOP * loops;
+        tickPending = new boolean[loops];
+        int[] maxConnections = new int[loops];
         for (int i = 0; i < loops; i++) {
-            Config part = config.forLoop(i, loops, reserved);
-            members.add(Service.createMember(part, routers.apply(part.settings()), gates.apply(i), new Member(i)));
-            most[i] = members.get(i).clients().maxConnections();
+            Config memberConfig = config.forLoop(i, loops, reserved);
+            members.add(Service.createMember(memberConfig, routerFactory.apply(memberConfig.settings()), admissionFactory.apply(i), new Member(i)));
+            maxConnections[i] = members.get(i).clients().maxConnections();
         }
-        dealer = new ConnectionAcceptor(door, clock, new ConnectionDistributor(most, clock.now()));
-        discovery = new Discovery(door, config.discovery(), config.knownHosts(), !config.settings().mustSubscribe(), new DiscoveryListener());
-        peers = config.peerListen() == null ? null : new PeerMessenger(door, config, this::peerMessage);
+        acceptor = new ConnectionAcceptor(acceptorLoop, clock, new ConnectionDistributor(maxConnections, clock.now()));
+        discovery = new Discovery(acceptorLoop, config.discovery(), config.knownHosts(), !config.settings().mustSubscribe(), new DiscoveryListener());
+        peers = config.peerListen() == null ? null : new PeerMessenger(acceptorLoop, config, this::peerMessage);
     }
 
     /**
      * Starts one without a warm-up.
      *
      * @param loops how many serve, 2 or more; the door comes to them
-     * @param routers makes the decisions of a loop from its settings
-     * @param gates makes the gate of a loop from its number
+     * @param routerFactory makes the decisions of a loop from its settings
+     * @param admissionFactory makes the gate of a loop from its number
      */
-    public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routers, IntFunction<AdmissionController> gates)
+    public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routerFactory, IntFunction<AdmissionController> admissionFactory)
             throws IOException, InterruptedException {
         if (loops < 2) {
             throw new IllegalArgumentException("a crew has at least two loops: " + loops);
         }
-        MultiLoopService crew = new MultiLoopService(config, loops, routers, gates);
+        MultiLoopService service = new MultiLoopService(config, loops, routerFactory, admissionFactory);
         try {
-            crew.open();
+            service.open();
         } catch (IOException e) {
-            crew.kill();
+            service.kill();
             throw e;
         }
-        return crew;
+        return service;
     }
 
     private void open() throws IOException, InterruptedException {
@@ -99,53 +99,53 @@
             Service.awaitBound(peers.listen(false), config.peerListen());
         }
         members.forEach(Service::startMember);
-        listening = listen(config.listen(), Service::httpListeners);
-        Log.info("listening on " + Addresses.text(listening) + " for " + members.size() + " loops");
-        door.execute(discovery::start);
+        listenAddress = listen(config.listen(), Service::httpListeners);
+        Log.info("listening on " + Addresses.text(listenAddress) + " for " + members.size() + " loops");
+        acceptorLoop.execute(discovery::start);
         long patience = config.settings().mustSubscribe() ? 0 : Service.DISCOVERY_WAIT_MS;
-        door.schedule(() -> each(Service::ready), patience, TimeUnit.MILLISECONDS);
-        door.scheduleAtFixedRate(this::beat, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
-        door.scheduleAtFixedRate(dealer::checkLoops, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
-        door.scheduleAtFixedRate(this::logTally, Service.COUNTERS_LOG_INTERVAL_S, Service.COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
+        acceptorLoop.schedule(() -> forEachMember(Service::ready), patience, TimeUnit.MILLISECONDS);
+        acceptorLoop.scheduleAtFixedRate(this::sendTicks, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        acceptorLoop.scheduleAtFixedRate(acceptor::checkLoops, LOOP_CHECK_INTERVAL_MS, LOOP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        acceptorLoop.scheduleAtFixedRate(this::logCounters, Service.COUNTERS_LOG_INTERVAL_S, Service.COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     /**
      * Hands each loop a task at intervals, to see how late it takes it up. By the door's time and not the loop's own: what a loop
      * schedules for itself comes up between two of its turns, however long those are.
      */
-    private void beat() {
+    private void sendTicks() {
         for (int i = 0; i < members.size(); i++) {
-            if (beating[i]) {
+            if (tickPending[i]) {
                 continue;
             }
             int loop = i;
             double sent = clock.now();
-            beating[i] = true;
-            to(members.get(i), () -> {
-                double late = clock.now() - sent;
-                toDoor(() -> {
-                    beating[loop] = false;
-                    dealer.reportDelay(loop, late);
+            tickPending[i] = true;
+            runOnMember(members.get(i), () -> {
+                double delayMs = clock.now() - sent;
+                runOnAcceptorLoop(() -> {
+                    tickPending[loop] = false;
+                    acceptor.reportDelay(loop, delayMs);
                 });
             });
         }
     }
 
     /** Listens at an address until {@link #stopListeningAt}, and deals its connections to these fronts; not on a loop. */
-    public InetSocketAddress listen(InetSocketAddress address, Function<Service, Listeners> fronts)
+    public InetSocketAddress listen(InetSocketAddress address, Function<Service, Listeners> listenersOf)
             throws IOException, InterruptedException {
-        List<Listeners> each = members.stream().map(fronts).toList();
-        return (InetSocketAddress) Service.awaitBound(dealer.listen(Transport.TCP, address, each), address).channel().localAddress();
+        List<Listeners> listeners = members.stream().map(listenersOf).toList();
+        return (InetSocketAddress) Service.awaitBound(acceptor.listen(Transport.TCP, address, listeners), address).channel().localAddress();
     }
 
     /** No new connections at an address. */
     public void stopListeningAt(InetSocketAddress address) {
-        toDoor(() -> dealer.stopListening(address));
+        runOnAcceptorLoop(() -> acceptor.stopListening(address));
     }
 
     /** Where clients connect. */
     public InetSocketAddress listenAddress() {
-        return listening;
+        return listenAddress;
     }
 
     /** The loops' proxies, in their order. */
@@ -155,22 +155,22 @@
 
     /** The loop that has what the process has once. */
     public EventLoop acceptorLoop() {
-        return door;
+        return acceptorLoop;
     }
 
     /** What is known of each loop, a line each. Not to be called on a loop. */
     public List<String> describeLoops() {
-        return door.submit(dealer::describeLoops).syncUninterruptibly().getNow();
+        return acceptorLoop.submit(acceptor::describeLoops).syncUninterruptibly().getNow();
     }
 
-    private void each(Consumer<Service> task) {
+    private void forEachMember(Consumer<Service> task) {
         for (Service m : members) {
-            to(m, () -> task.accept(m));
+            runOnMember(m, () -> task.accept(m));
         }
     }
 
     /** One that has ended hears nothing more. */
-    private static void to(Service member, Runnable task) {
+    private static void runOnMember(Service member, Runnable task) {
         try {
             member.loop().execute(task);
         } catch (RejectedExecutionException e) {
@@ -178,9 +178,9 @@
         }
     }
 
-    private void toDoor(Runnable task) {
+    private void runOnAcceptorLoop(Runnable task) {
         try {
-            door.execute(task);
+            acceptorLoop.execute(task);
         } catch (RejectedExecutionException e) {
             return;
         }
@@ -188,12 +188,12 @@
 
     /** Another process of the tier speaks; its loops can't be told apart, so the message counts as its first one's. */
     private void peerMessage(int from, byte[] contents) {
-        each(m -> m.peerMessage(from * members.size(), contents));
+        forEachMember(m -> m.peerMessage(from * members.size(), contents));
     }
 
     /** Reads the configuration again, as {@link Service#reload} does. */
     public void reload(Map<String, String> environment) {
-        toDoor(() -> Service.reloadDiscovery(environment, discovery));
+        runOnAcceptorLoop(() -> Service.reloadDiscovery(environment, discovery));
     }
 
     /** What the process says of itself, over all loops; the level is the highest of any. Not to be called on a loop. */
@@ -202,10 +202,10 @@
     }
 
     /** One line for all loops; a loop that is stuck must not hold up the door, so each is asked in turn by tasks. */
-    private void logTally() {
+    private void logCounters() {
         CompletableFuture<Service.Counts> sum = CompletableFuture.completedFuture(Service.Counts.NONE);
         for (Service m : members) {
-            sum = sum.thenCombine(CompletableFuture.supplyAsync(m::counts, t -> to(m, t)), Service.Counts::plus);
+            sum = sum.thenCombine(CompletableFuture.supplyAsync(m::counts, t -> runOnMember(m, t)), Service.Counts::plus);
         }
         sum.thenAccept(c -> Log.info(c.toString()));
     }
@@ -213,15 +213,15 @@
     /**
      * Ends the process's service once no loop owes anything, and returns then. Not to be called on a loop.
      *
-     * @param last what is to be done when nothing is owed any more
+     * @param action what is to be done when nothing is owed any more
      */
-    public void drainThen(Runnable last) {
+    public void drainThen(Runnable action) {
         Log.info("draining");
-        each(m -> m.clients().drain());
+        forEachMember(m -> m.clients().drain());
         try {
             Thread.sleep((long) ShutdownPlan.WITHOUT_SUCCESSOR.idleMs());
             // The door first: a connection that it dealt is with its loop before that hears of the end.
-            door.submit(dealer::close).sync();
+            acceptorLoop.submit(acceptor::close).sync();
             members.forEach(Service::endDrain);
             for (Service m : members) {
                 m.awaitEnd();
@@ -229,7 +229,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        last.run();
+        action.run();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
     }
 
@@ -257,7 +257,7 @@
         @Override
         public void subscribe() {
             if (index == 0) {
-                toDoor(discovery::subscribe);
+                runOnAcceptorLoop(discovery::subscribe);
             }
         }
 
@@ -267,18 +267,18 @@
             for (int i = 0; i < members.size(); i++) {
                 if (i != index) {
                     Service other = members.get(i);
-                    to(other, () -> other.peerMessage(from, contents));
+                    runOnMember(other, () -> other.peerMessage(from, contents));
                 }
             }
             if (peers != null) {
-                toDoor(() -> peers.send(contents));
+                runOnAcceptorLoop(() -> peers.send(contents));
             }
         }
 
         /** It serves on without its decisions until its clients have gone to others: each answer is its connection's last. */
         @Override
         public void failed() {
-            toDoor(() -> dealer.retire(index));
+            runOnAcceptorLoop(() -> acceptor.retire(index));
             members.get(index).clients().drain();
             Log.info("loop " + index + " is retired after an error; " + (members.size() - 1) + " others serve on");
         }
@@ -288,17 +288,17 @@
     private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
-            each(m -> m.applyHostList(kind, list));
+            forEachMember(m -> m.applyHostList(kind, list));
         }
 
         @Override
         public void refused() {
-            to(members.get(0), members.get(0)::discoveryFailed);
+            runOnMember(members.get(0), members.get(0)::discoveryFailed);
         }
 
         @Override
         public void heard() {
-            each(Service::ready);
+            forEachMember(Service::ready);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/PeerMessenger.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerMessenger.java
@@ -22,17 +22,17 @@
 
     private final EventLoop loop;
     private final Config config;
-    private final BiConsumer<Integer, byte[]> heard;
+    private final BiConsumer<Integer, byte[]> listener;
     private final int self;
     private final Log log = new Log();
     private Channel channel;
-    private boolean left;
+    private boolean closed;
 
     /** {@code heard} is told the number of the proxy that speaks, and what it says; on the loop. */
-    PeerMessenger(EventLoop loop, Config config, BiConsumer<Integer, byte[]> heard) {
+    PeerMessenger(EventLoop loop, Config config, BiConsumer<Integer, byte[]> listener) {
         this.loop = loop;
         this.config = config;
-        this.heard = heard;
+        this.listener = listener;
         this.self = config.settings().proxyIndex();
     }
 
@@ -52,14 +52,14 @@
     }
 
     /** Hears and says nothing any more: another process of this proxy does. On the loop. */
-    void leave() {
-        left = true;
+    void close() {
+        closed = true;
         channel.close();
     }
 
     /** Sends to every other proxy. */
     void send(byte[] contents) {
-        if (left) {
+        if (closed) {
             return;
         }
         if (channel == null || contents.length > MAX_MESSAGE_BYTES) {
@@ -78,7 +78,7 @@
 
     /** Sends to one other proxy, by its number. */
     void send(int to, byte[] contents) {
-        if (!left && channel != null && to != self) {
+        if (!closed && channel != null && to != self) {
             send(contents, config.peers().get(to));
         }
     }
@@ -95,7 +95,7 @@
             if (from < 0 || length > MAX_MESSAGE_BYTES) {
                 log.odd("a datagram was dropped: " + length + " bytes from " + packet.sender());
             } else if (from != self) {
-                heard.accept(from, ByteBufUtil.getBytes(packet.content()));
+                listener.accept(from, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -85,99 +85,99 @@
     private final LoopTimers timers;
     private final Deadlines deadlines;
     private final Intake<Content> intake;
-    private final ConnectionLimit nodeSockets;
+    private final ConnectionLimit nodeConnectionLimit;
     private final NodeConnectionPool pool;
     private final Upstream platform;
     private final ClientTable clients;
-    private final List<Runnable> stops = new ArrayList<>();
-    private final HttpFrontend front;
+    private final List<Runnable> stopListeningActions = new ArrayList<>();
+    private final HttpFrontend frontend;
     private final Discovery discovery;
     private final PeerMessenger peers;
     private final Map<String, HostList.Host> hosts = new LinkedHashMap<>();
-    private Runnable onHosts = () -> { };
-    private final List<BiConsumer<Integer, byte[]>> onFleet = new ArrayList<>();
-    private IntPredicate mute = from -> false;
-    private final List<Supplier<Map<String, Long>>> moreFigures = new ArrayList<>();
-    private volatile Runnable beforeEnd = () -> { };
-    private Readiness reached = Readiness.STARTING;
-    private boolean marked;
-    private InetSocketAddress listening;
-    private InetSocketAddress consoleListening;
+    private Runnable hostListListener = () -> { };
+    private final List<BiConsumer<Integer, byte[]>> fleetMessageListeners = new ArrayList<>();
+    private IntPredicate ignoredPeers = from -> false;
+    private final List<Supplier<Map<String, Long>>> additionalMetrics = new ArrayList<>();
+    private volatile Runnable afterDrain = () -> { };
+    private Readiness startupStage = Readiness.STARTING;
+    private boolean recordedAsServing;
+    private InetSocketAddress listenAddress;
+    private InetSocketAddress consoleListenAddress;
 
     /** A proxy that reaches the outside by itself. */
-    private Service(Config config, Router router, AdmissionController gate) {
-        this(config, router, gate, null);
+    private Service(Config config, Router router, AdmissionController admission) {
+        this(config, router, admission, null);
     }
 
     /** One that reaches discovery, peers and new clients through a crew, or by itself where that is null. */
-    private Service(Config config, Router router, AdmissionController gate, MemberContext outside) {
+    private Service(Config config, Router router, AdmissionController admission, MemberContext context) {
         this.config = config;
         Settings settings = config.settings();
-        int sockets = Math.max(2, config.sockets() - RESERVED_DESCRIPTORS);
-        int clientSockets = Math.max(1, (int) (sockets * CLIENT_DESCRIPTOR_FRACTION));
+        int descriptors = Math.max(2, config.sockets() - RESERVED_DESCRIPTORS);
+        int clientDescriptors = Math.max(1, (int) (descriptors * CLIENT_DESCRIPTOR_FRACTION));
         timers = new LoopTimers(loop, new Clock());
         deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
-        intake = new Intake<>(timers, gate, deadlines);
-        nodeSockets = new ConnectionLimit(Math.max(1, sockets - clientSockets));
+        intake = new Intake<>(timers, admission, deadlines);
+        nodeConnectionLimit = new ConnectionLimit(Math.max(1, descriptors - clientDescriptors));
         pool = new NodeConnectionPool(loop, Transport.TCP, HttpNodeConnection::new,
-                settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeSockets);
-        platform = upstream(Intake.PLATFORM_GROUP, settings, router, pool, faults(outside));
+                settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeConnectionLimit);
+        platform = createUpstream(Intake.PLATFORM_GROUP, settings, router, pool, faultReporter(context));
         intake.addGroup(Intake.PLATFORM_GROUP, platform.dispatcher());
-        clients = new ClientTable(clientSockets, gate::maxConnectionsPerClient);
-        front = new HttpFrontend(loop, intake, clients);
-        stops.add(front::stopListening);
-        if (outside != null) {
+        clients = new ClientTable(clientDescriptors, admission::maxConnectionsPerClient);
+        frontend = new HttpFrontend(loop, intake, clients);
+        stopListeningActions.add(frontend::stopListening);
+        if (context != null) {
             discovery = null;
             peers = null;
-            platform.dispatcher().setCallbacks(outside::subscribe, outside::broadcast);
-            callForRoom(outside::broadcast);
+            platform.dispatcher().setCallbacks(context::subscribe, context::broadcast);
+            sendReleaseRequests(context::broadcast);
             return;
         }
         discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(), new DiscoveryListener());
         peers = config.peerListen() == null ? null : new PeerMessenger(loop, config, this::peerMessage);
-        Consumer<byte[]> tell = peers == null ? contents -> { } : peers::send;
-        platform.dispatcher().setCallbacks(discovery::subscribe, tell);
-        callForRoom(tell);
+        Consumer<byte[]> broadcast = peers == null ? contents -> { } : peers::send;
+        platform.dispatcher().setCallbacks(discovery::subscribe, broadcast);
+        sendReleaseRequests(broadcast);
     }
 
     /** Nodes that have no place for a connection of ours: the other proxies hear of it, if the settings let us speak. */
-    private void callForRoom(Consumer<byte[]> tell) {
-        ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
+    private void sendReleaseRequests(Consumer<byte[]> broadcast) {
+        ConnectionReleaseRequests releaseRequests = new ConnectionReleaseRequests();
         if (config.settings().limits().peerMessagesAllowed()) {
             pool.onConnectionRejected(node -> {
-                byte[] call = calls.connectionRejected(node, timers.now());
-                if (call != null) {
-                    tell.accept(call);
+                byte[] request = releaseRequests.connectionRejected(node, timers.now());
+                if (request != null) {
+                    broadcast.accept(request);
                 }
             });
         }
     }
 
-    private Upstream upstream(String name, Settings settings, Router router, NodeBackend back, FaultReporter faults) {
-        return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::requestFinished,
+    private Upstream createUpstream(String name, Settings settings, Router router, NodeBackend backend, FaultReporter faults) {
+        return new Upstream(router, backend, new Dispatcher<>(timers, settings, router, backend, faults, intake::requestFinished,
                 config.maxPendingRequests(), deadlines.group(name)));
     }
 
-    private static FaultReporter faults(MemberContext outside) {
-        return outside == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), outside);
+    private static FaultReporter faultReporter(MemberContext context) {
+        return context == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), context);
     }
 
     /** Tells the crew too of what a member does not recover from. */
-    private record MemberFaultReporter(LogFaults log, MemberContext outside) implements FaultReporter {
+    private record MemberFaultReporter(LogFaults log, MemberContext context) implements FaultReporter {
         @Override
-        public void error(String what, Throwable cause) {
-            log.error(what, cause);
+        public void error(String message, Throwable cause) {
+            log.error(message, cause);
         }
 
         @Override
-        public void warning(String what) {
-            log.warning(what);
+        public void warning(String message) {
+            log.warning(message);
         }
 
         @Override
-        public void fatal(String what, Throwable cause) {
-            log.error(what, cause);
-            outside.failed();
+        public void fatal(String message, Throwable cause) {
+            log.error(message, cause);
+            context.failed();
         }
     }
 
@@ -195,37 +195,37 @@
     }
 
     /** A member of a crew, which waits for what it is told and dealt once it has begun. */
-    static Service createMember(Config part, Router router, AdmissionController gate, MemberContext outside) {
-        return new Service(part, router, gate, outside);
+    static Service createMember(Config config, Router router, AdmissionController admission, MemberContext context) {
+        return new Service(config, router, admission, context);
     }
 
     /** Begins as a member, once all of its crew are there. */
     void startMember() {
         runOnLoop(() -> {
-            tellStart();
+            startDispatcher();
             clients.startTimeoutChecks(loop);
         });
     }
 
     /** What holds for clients over HTTP from now on; on the loop. */
-    public void setHttpClientPolicy(HttpClientPolicy terms) {
-        front.policy(terms);
+    public void setHttpClientPolicy(HttpClientPolicy policy) {
+        frontend.policy(policy);
     }
 
     /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
-    public void enableIdempotencyRecords(IdempotencyRecords outcomes) {
-        intake.setDeduplicator(new WriteDeduplicator<>(timers, outcomes, Fingerprint::of));
-        front.enableOutcomeQueries();
+    public void enableIdempotencyRecords(IdempotencyRecords records) {
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, records, Fingerprint::of));
+        frontend.enableOutcomeQueries();
     }
 
     /** Where the HTTP front takes connections in, which a crew deals. */
     public Listeners httpListeners() {
-        return front.listeners();
+        return frontend.listeners();
     }
 
     /** From now on the proxy says that it may be used; on the loop. */
     void ready() {
-        front.markReady();
+        frontend.markReady();
         markServing();
     }
 
@@ -241,14 +241,14 @@
 
     /** A message of another proxy, or of another loop of this process; on the loop. */
     void peerMessage(int from, byte[] contents) {
-        if (mute.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
+        if (ignoredPeers.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
             return;
         }
         if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
             pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
         } else if (contents.length % Integer.BYTES == FLEET_MESSAGE_REMAINDER) {
             // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
-            onFleet.forEach(to -> to.accept(from, contents));
+            fleetMessageListeners.forEach(to -> to.accept(from, contents));
         } else {
             platform.dispatcher().peerMessage(from, contents);
         }
@@ -256,12 +256,12 @@
 
     /** What such proxies, by their place among the peers, tell the decisions or ask for is not heard; on the loop. */
     public void ignorePeers(IntPredicate from) {
-        mute = from;
+        ignoredPeers = from;
     }
 
     /** Passes on what other proxies say of leases and versions, with their place among the peers; to be called on the loop. */
-    public void onFleetMessage(BiConsumer<Integer, byte[]> heard) {
-        onFleet.add(heard);
+    public void onFleetMessage(BiConsumer<Integer, byte[]> listener) {
+        fleetMessageListeners.add(listener);
     }
 
     /** Tells one other proxy something, by its place among the peers; on the loop. */
@@ -272,8 +272,8 @@
     }
 
     /** Takes in another group of nodes, under decisions of its own; to be called on the loop. */
-    public Group addGroup(String name, Settings settings, Router router, NodeBackend back) {
-        Group group = new Group(name, upstream(name, settings, router, back, new LogFaults()));
+    public Group addGroup(String name, Settings settings, Router router, NodeBackend backend) {
+        Group group = new Group(name, createUpstream(name, settings, router, backend, new LogFaults()));
         group.upstream.dispatcher().start();
         intake.addGroup(name, group.upstream.dispatcher());
         return group;
@@ -323,7 +323,7 @@
         public void remove(long version) {
             intake.removeGroup(name);
             setNodes(new HostList(version, true, List.of()));
-            nodeSockets.unregister(upstream.backend());
+            nodeConnectionLimit.unregister(upstream.backend());
         }
     }
 
@@ -334,12 +334,12 @@
 
     /** Listens for HTTP at one more address until {@link #stopListeningAt}; not to be called on the loop. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
-        awaitBound(front.listen(Transport.TCP, address), address);
+        awaitBound(frontend.listen(Transport.TCP, address), address);
     }
 
     /** No new connections at an address that was listened at besides. */
     public void stopListeningAt(InetSocketAddress address) {
-        loop.execute(() -> front.stopListening(address));
+        loop.execute(() -> frontend.stopListening(address));
     }
 
     /** The hosts of the platform's list as it was told last; on the loop. */
@@ -348,8 +348,8 @@
     }
 
     /** Runs {@code then} on the loop after each news of the platform's list, in place of what was run before. */
-    public void onHostListChange(Runnable then) {
-        onHosts = then;
+    public void onHostListChange(Runnable listener) {
+        hostListListener = listener;
     }
 
     /** The decisions' present level of throttling for the platform's nodes; on the loop. */
@@ -364,12 +364,12 @@
 
     /** The descriptors that connections to nodes share. */
     public ConnectionLimit nodeConnectionLimit() {
-        return nodeSockets;
+        return nodeConnectionLimit;
     }
 
     /** Another front: {@code stop} is run on the loop when no more connections are to be taken. */
-    public void onStopListening(Runnable stop) {
-        stops.add(stop);
+    public void onStopListening(Runnable action) {
+        stopListeningActions.add(action);
     }
 
     /** The loop that owns all of the proxy's state. */
@@ -392,8 +392,8 @@
 
     /** Runs the proxy's own path on requests that stay inside the process, before one is started. */
     public static void warmUp(Config config) throws IOException, InterruptedException {
-        boolean succeeds = anotherServes(config, config.listen());
-        Warmup.run(config.settings(), succeeds ? null : config.peerListen(), succeeds);
+        boolean replacesOther = otherProcessServes(config, config.listen());
+        Warmup.run(config.settings(), replacesOther ? null : config.peerListen(), replacesOther);
     }
 
     /**
@@ -420,14 +420,14 @@
     }
 
     /** Starts a proxy whose requests go through a gate of the caller's, without a warm-up. */
-    public static Service start(Config config, Router router, AdmissionController gate) throws IOException, InterruptedException {
-        return start(config, router, gate, service -> { });
+    public static Service start(Config config, Router router, AdmissionController admission) throws IOException, InterruptedException {
+        return start(config, router, admission, service -> { });
     }
 
     /** The same with something to be done once there is a proxy, before it takes clients; not on its loop. */
-    public static Service start(Config config, Router router, AdmissionController gate, Consumer<Service> before) throws IOException, InterruptedException {
-        Service service = new Service(config, router, gate);
-        return service.openOrShutDown(() -> before.accept(service));
+    public static Service start(Config config, Router router, AdmissionController admission, Consumer<Service> beforeClients) throws IOException, InterruptedException {
+        Service service = new Service(config, router, admission);
+        return service.openOrShutDown(() -> beforeClients.accept(service));
     }
 
     /** Opens it, with something to be done before clients are taken. */
@@ -442,29 +442,29 @@
     }
 
     private void open(Preparation preparation) throws IOException, InterruptedException {
-        free(config.listen(), isShared());
+        checkAddressIsFree(config.listen(), isShared());
         if (config.console() != null) {
             Console console = new Console(loop, this::readiness, this::metrics);
-            consoleListening = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console()).channel().localAddress();
+            consoleListenAddress = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console()).channel().localAddress();
         }
         // The module knows its list before the first client can come, and asks for a newer one.
-        loop.submit(this::tellStart).sync();
+        loop.submit(this::startDispatcher).sync();
         loop.execute(discovery::start);
-        loop.execute(() -> reached = reached.advanceTo(Readiness.WARMING_UP));
+        loop.execute(() -> startupStage = startupStage.advanceTo(Readiness.WARMING_UP));
         preparation.run();
         if (peers != null) {
             awaitBound(peers.listen(isShared()), config.peerListen());
         }
-        listening = (InetSocketAddress) awaitBound(front.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
-        Log.info("listening on " + Addresses.text(listening));
+        listenAddress = (InetSocketAddress) awaitBound(frontend.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
+        Log.info("listening on " + Addresses.text(listenAddress));
         loop.execute(() -> {
-            reached = reached.advanceTo(Readiness.WAITING_FOR_LIST);
+            startupStage = startupStage.advanceTo(Readiness.WAITING_FOR_LIST);
             markServing();
         });
         clients.startTimeoutChecks(loop);
-        long patience = config.settings().mustSubscribe() ? 0 : DISCOVERY_WAIT_MS;
-        loop.schedule(this::ready, patience, TimeUnit.MILLISECONDS);
-        loop.scheduleAtFixedRate(this::logTally, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
+        long waitMs = config.settings().mustSubscribe() ? 0 : DISCOVERY_WAIT_MS;
+        loop.schedule(this::ready, waitMs, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     /** Waits until an address is listened at; throws where it can't be had. */
@@ -472,7 +472,7 @@
             throws IOException, InterruptedException {
         bound.await();
         if (!bound.isSuccess()) {
-            throw cannotListen(address, bound.cause());
+            throw listenFailure(address, bound.cause());
         }
         return bound;
     }
@@ -481,16 +481,16 @@
      * Finds out early whether nobody listens there: bound, but not listening, as whoever connected now would wait for all of
      * the start.
      */
-    private static void free(InetSocketAddress address, boolean shared) throws IOException {
-        try (SocketChannel tried = SocketChannel.open()) {
-            tried.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
-            tried.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
+    private static void checkAddressIsFree(InetSocketAddress address, boolean shared) throws IOException {
+        try (SocketChannel channel = SocketChannel.open()) {
+            channel.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
+            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
         } catch (BindException e) {
-            throw cannotListen(address, e);
+            throw listenFailure(address, e);
         }
     }
 
-    private static IOException cannotListen(InetSocketAddress address, Throwable cause) {
+    private static IOException listenFailure(InetSocketAddress address, Throwable cause) {
         return new IOException("cannot listen on " + Addresses.text(address) + ": " + cause.getMessage());
     }
 
@@ -501,7 +501,7 @@
 
     /** Where operators call; null where they have no address. */
     public InetSocketAddress consoleListenAddress() {
-        return consoleListening;
+        return consoleListenAddress;
     }
 
     /** Whether another process of this proxy may listen at its addresses too: where operators can see which of them serves. */
@@ -510,47 +510,47 @@
     }
 
     private boolean readyToServe() {
-        return reached == Readiness.WAITING_FOR_LIST && front.isUp();
+        return startupStage == Readiness.WAITING_FOR_LIST && frontend.isUp();
     }
 
     /** Whether another process of this proxy serves at its address. */
-    private static boolean anotherServes(Config config, InetSocketAddress address) {
+    private static boolean otherProcessServes(Config config, InetSocketAddress address) {
         return config.console() != null && ServingProcessFile.of(address).otherProcess().isPresent();
     }
 
     /** This process has become the one that serves; before the console says so, as the other is told to end then. */
     private void markServing() {
-        if (isShared() && !marked && readyToServe()) {
-            marked = true;
-            ServingProcessFile.of(listening).recordThisProcess();
+        if (isShared() && !recordedAsServing && readyToServe()) {
+            recordedAsServing = true;
+            ServingProcessFile.of(listenAddress).recordThisProcess();
         }
     }
 
     /** Whether clients may come, and why not; on the loop. */
     private Readiness readiness() {
         return clients.isDraining() ? Readiness.DRAINING
-                : readyToServe() ? Readiness.SERVING : reached;
+                : readyToServe() ? Readiness.SERVING : startupStage;
     }
 
     /** On the loop. */
     private ProxyMetrics metrics() {
-        String store = config.settings().originModel();
-        List<String> nodes = hosts.values().stream().filter(h -> store == null || !store.equals(h.node().model()))
+        String originModel = config.settings().originModel();
+        List<String> nodes = hosts.values().stream().filter(h -> originModel == null || !originModel.equals(h.node().model()))
                 .map(h -> h.node().id()).toList();
         Map<String, Long> all = new TreeMap<>();
-        moreFigures.forEach(more -> all.putAll(more.get()));
+        additionalMetrics.forEach(supplier -> all.putAll(supplier.get()));
         return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.pendingRequests(),
                 nodes, id -> platform.router().isExcluded(timers.now(), id), all);
     }
 
     /** Counts that the console shows besides, by name; to be called on the loop, as what tells them is. */
-    public void addMetrics(Supplier<Map<String, Long>> more) {
-        moreFigures.add(more);
+    public void addMetrics(Supplier<Map<String, Long>> supplier) {
+        additionalMetrics.add(supplier);
     }
 
     /** Where clients connect. */
     public InetSocketAddress listenAddress() {
-        return listening;
+        return listenAddress;
     }
 
     /**
@@ -559,13 +559,13 @@
      */
     public void reload(Map<String, String> environment) {
         try {
-            loop.execute(() -> reloadNow(environment));
+            loop.execute(() -> reloadOnLoop(environment));
         } catch (RejectedExecutionException e) {
             Log.info("no new configuration: the proxy has ended");
         }
     }
 
-    private void reloadNow(Map<String, String> environment) {
+    private void reloadOnLoop(Map<String, String> environment) {
         reloadDiscovery(environment, discovery);
     }
 
@@ -586,9 +586,9 @@
     }
 
     /** The same with something to be done when nothing is owed any more, before the loop ends; not on the loop. */
-    public void drainThen(Runnable last) {
-        beforeEnd = last;
-        shutDown(ShutdownPlan.of(anotherServes(config, listening), config.settings().classes()));
+    public void drainThen(Runnable action) {
+        afterDrain = action;
+        shutDown(ShutdownPlan.of(otherProcessServes(config, listenAddress), config.settings().classes()));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -601,10 +601,10 @@
         if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
             loop.execute(() -> {
-                front.markSucceeded();
+                frontend.markSucceeded();
                 clients.limitResponseTime(plan.responseMs());
                 if (peers != null) {
-                    peers.leave();
+                    peers.close();
                 }
             });
         }
@@ -621,8 +621,8 @@
 
     /** Once: a plan may stop listening before it ends. */
     private void stopListening() {
-        stops.forEach(Runnable::run);
-        stops.clear();
+        stopListeningActions.forEach(Runnable::run);
+        stopListeningActions.clear();
     }
 
     /** Takes no more, and ends when all that was taken is answered. */
@@ -630,7 +630,7 @@
         loop.execute(() -> {
             stopListening();
             clients.closeIdleConnections();
-            finish();
+            shutDownWhenIdle();
         });
     }
 
@@ -647,24 +647,24 @@
                          int nodes, int level, Map<String, Map<String, Long>> reasons) {
 
         /** Of two loops together; the level is the higher one's. */
-        Status plus(Status o) {
-            return new Status(requests + o.requests, served + o.served, refused + o.refused, failed + o.failed, gone + o.gone,
-                    owed + o.owed, clients + o.clients, nodes + o.nodes, Math.max(level, o.level), both(reasons, o.reasons));
+        Status plus(Status other) {
+            return new Status(requests + other.requests, served + other.served, refused + other.refused, failed + other.failed, gone + other.gone,
+                    owed + other.owed, clients + other.clients, nodes + other.nodes, Math.max(level, other.level), sum(reasons, other.reasons));
         }
 
-        private static Map<String, Map<String, Long>> both(Map<String, Map<String, Long>> a, Map<String, Map<String, Long>> b) {
+        private static Map<String, Map<String, Long>> sum(Map<String, Map<String, Long>> a, Map<String, Map<String, Long>> b) {
             Map<String, Map<String, Long>> sum = new TreeMap<>();
-            for (Map<String, Map<String, Long>> of : List.of(a, b)) {
-                of.forEach((service, counts) -> counts.forEach((why, n) ->
-                        sum.computeIfAbsent(service, s -> new TreeMap<>()).merge(why, n, Long::sum)));
+            for (Map<String, Map<String, Long>> counts : List.of(a, b)) {
+                counts.forEach((service, byReason) -> byReason.forEach((reason, n) ->
+                        sum.computeIfAbsent(service, s -> new TreeMap<>()).merge(reason, n, Long::sum)));
             }
             return sum;
         }
 
-        static Status of(Counts c, int level) {
-            RequestCounters t = c.counters();
-            return new Status(t.requests(), t.served(), t.refused(), t.failed(), t.gone(), c.pending(), c.clients(), c.nodes(),
-                    level, t.reasons());
+        static Status of(Counts counts, int level) {
+            RequestCounters counters = counts.counters();
+            return new Status(counters.requests(), counters.served(), counters.refused(), counters.failed(), counters.gone(), counts.pending(), counts.clients(), counts.nodes(),
+                    level, counters.reasons());
         }
     }
 
@@ -679,19 +679,19 @@
     }
 
     /** Waits for the last answers to be written; a client's connection closes once its own has been. */
-    private void finish() {
+    private void shutDownWhenIdle() {
         if (intake.pendingRequests() > 0 || clients.size() > 0) {
-            loop.schedule(this::finish, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::shutDownWhenIdle, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
-                logTally();
+                logCounters();
             }
             // Not on the loop, which it may need.
-            Thread last = new Thread(() -> {
-                beforeEnd.run();
+            Thread shutdown = new Thread(() -> {
+                afterDrain.run();
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
             }, "end");
-            last.start();
+            shutdown.start();
         }
     }
 
@@ -700,7 +700,7 @@
         ended.await();
     }
 
-    private void logTally() {
+    private void logCounters() {
         Log.info(counts().toString());
     }
 
@@ -709,8 +709,8 @@
 
         static final Counts NONE = new Counts(new RequestCounters(), 0, 0, 0);
 
-        Counts plus(Counts o) {
-            return new Counts(new RequestCounters().add(counters).add(o.counters), pending + o.pending, clients + o.clients, nodes + o.nodes);
+        Counts plus(Counts other) {
+            return new Counts(new RequestCounters().add(counters).add(other.counters), pending + other.pending, clients + other.clients, nodes + other.nodes);
         }
 
         @Override
@@ -720,20 +720,20 @@
     }
 
     Counts counts() {
-        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeSockets.openConnections());
+        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeConnectionLimit.openConnections());
     }
 
-    private void tellStart() {
+    private void startDispatcher() {
         // With a delay between them, and not at a rate: after a stall one beat tells of it.
         loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0, (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
         if (config.knownHosts() != null) {
             platform.applyHostList(ListUpdateKind.REMEMBERED, config.knownHosts());
-            know(config.knownHosts());
+            updateHosts(config.knownHosts());
         }
     }
 
-    private void know(HostList list) {
+    private void updateHosts(HostList list) {
         if (list.whole()) {
             hosts.clear();
         }
@@ -751,8 +751,8 @@
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
             platform.applyHostList(kind, list);
-            know(list);
-            onHosts.run();
+            updateHosts(list);
+            hostListListener.run();
         }
 
         @Override
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -62,58 +62,58 @@
 final class Warmup {
 
     /** A start waits no longer than this, also where a fault keeps the loop from ending it. */
-    private static final long GIVE_UP_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
     /** Requests between two rests, at which it looks at the time and at what peers say. */
-    private static final int ROUND = 50;
+    private static final int REQUESTS_PER_ROUND = 50;
     /** A rest after each round, in which the proxy's own loop hears discovery, though one core has no room for both. */
-    private static final long REST_MS = 1;
-    private static final int AT_ONCE = 4;
+    private static final long PAUSE_MS = 1;
+    private static final int CLIENTS = 4;
     private static final int NODES = 4;
     /** So many that clients which rest are no quarter of it, which would end their connections. */
-    private static final int TABLE = 8 * AT_ONCE;
+    private static final int MAX_CLIENT_CONNECTIONS = 8 * CLIENTS;
     /** One of so many requests is a miss at its cache node. */
-    private static final int MISS = 4;
-    private static final double CONNECT_MS = 1000;
+    private static final int REQUESTS_PER_MISS = 4;
+    private static final double CONNECT_TIMEOUT_MS = 1000;
 
     private final Transport transport;
     private final LoopGroup group;
     private final EventLoop loop;
     private final CountDownLatch done = new CountDownLatch(1);
     private final Settings settings;
-    private final WarmupStopCondition end;
-    private final PeerDetector ear;
-    private final List<ClientHandler> resting = new ArrayList<>();
-    private long began;
+    private final WarmupStopCondition stopCondition;
+    private final PeerDetector peerDetector;
+    private final List<ClientHandler> pausedClients = new ArrayList<>();
+    private long startNanos;
     private int sent;
-    private int out;
-    private int roundEnd = ROUND;
-    private boolean restEnds;
+    private int pending;
+    private int roundEnd = REQUESTS_PER_ROUND;
+    private boolean pauseScheduled;
     private volatile int served;
 
-    private Warmup(Transport transport, Settings settings, WarmupStopCondition end, PeerDetector ear) {
+    private Warmup(Transport transport, Settings settings, WarmupStopCondition stopCondition, PeerDetector peerDetector) {
         this.transport = transport;
         this.group = new LoopGroup(1, transport == Transport.IN_PROCESS ? LocalIoHandler.newFactory()
                 : SocketKind.chosen().handlers());
         this.loop = group.next();
         this.settings = settings;
-        this.end = end;
-        this.ear = ear;
+        this.stopCondition = stopCondition;
+        this.peerDetector = peerDetector;
     }
 
     /** Returns how many requests were answered, when it has run long enough; a fault in it costs its gain alone. */
-    static int run(Settings settings, InetSocketAddress peerListen, boolean succeeds) throws IOException, InterruptedException {
-        return run(Transport.IN_PROCESS, settings, peerListen, succeeds ? WarmupStopCondition.forSuccessor() : WarmupStopCondition.standard());
+    static int run(Settings settings, InetSocketAddress peerListen, boolean replacesOther) throws IOException, InterruptedException {
+        return run(Transport.IN_PROCESS, settings, peerListen, replacesOther ? WarmupStopCondition.forSuccessor() : WarmupStopCondition.standard());
     }
 
     /** The same over sockets, as a rehearsal wants it, or until another end. */
-    static int run(Transport transport, Settings settings, InetSocketAddress peerListen, WarmupStopCondition end)
+    static int run(Transport transport, Settings settings, InetSocketAddress peerListen, WarmupStopCondition stopCondition)
             throws IOException, InterruptedException {
-        PeerDetector ear = new PeerDetector(peerListen);
-        Warmup warmup = new Warmup(transport, settings, end, ear);
-        try (ear) {
+        PeerDetector peerDetector = new PeerDetector(peerListen);
+        Warmup warmup = new Warmup(transport, settings, stopCondition, peerDetector);
+        try (peerDetector) {
             warmup.start();
             // The loop ends it: this thread may not get to run before the loop rests.
-            warmup.done.await(GIVE_UP_MS, TimeUnit.MILLISECONDS);
+            warmup.done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             Log.info("warmed up with " + warmup.served + " requests");
             return warmup.served;
         } finally {
@@ -122,18 +122,18 @@
     }
 
     private void start() throws InterruptedException {
-        NodeConnectionPool pool = new NodeConnectionPool(loop, transport, HttpNodeConnection::new, CONNECT_MS,
-                settings.connectionCosts().idleTimeoutMs(), new ConnectionLimit(NODES * AT_ONCE));
+        NodeConnectionPool pool = new NodeConnectionPool(loop, transport, HttpNodeConnection::new, CONNECT_TIMEOUT_MS,
+                settings.connectionCosts().idleTimeoutMs(), new ConnectionLimit(NODES * CLIENTS));
         LoopTimers timers = new LoopTimers(loop, new Clock());
         Intake<Content> intake = new Intake<>(timers, new PlatformAdmissionController(settings));
         Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
-                intake::requestFinished, AT_ONCE + 1);
+                intake::requestFinished, CLIENTS + 1);
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        HttpFrontend clients = new HttpFrontend(loop, intake, new ClientTable(TABLE, () -> Integer.MAX_VALUE));
+        HttpFrontend clients = new HttpFrontend(loop, intake, new ClientTable(MAX_CLIENT_CONNECTIONS, () -> Integer.MAX_VALUE));
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = 0; i <= NODES; i++) {
             boolean origin = i == NODES && settings.originModel() != null;
-            SocketAddress address = node(place(), origin, i % 2 == 0);
+            SocketAddress address = startNode(listenAddress(), origin, i % 2 == 0);
             hosts.add(new HostList.Host(new Node("warm-up-" + i, origin ? settings.originModel() : "", settings.zone(), 0,
                     1, 0, Availability.UP), address));
         }
@@ -143,44 +143,44 @@
             pool.applyHostList(list);
             dispatcher.updateNodes(ListUpdateKind.FULL, list.version(), list.nodes());
         }).sync();
-        SocketAddress front = clients.listen(transport, place()).sync().channel().localAddress();
-        began = System.nanoTime();
-        for (int i = 0; i < AT_ONCE; i++) {
-            client(front);
+        SocketAddress frontendAddress = clients.listen(transport, listenAddress()).sync().channel().localAddress();
+        startNanos = System.nanoTime();
+        for (int i = 0; i < CLIENTS; i++) {
+            connectClient(frontendAddress);
         }
     }
 
     /** One that nothing else has: what an earlier warm-up of this process had may not be given back yet. */
-    private SocketAddress place() {
+    private SocketAddress listenAddress() {
         return transport == Transport.IN_PROCESS ? LocalAddress.ANY
                 : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private SocketAddress node(SocketAddress place, boolean origin, boolean whole) throws InterruptedException {
+    private SocketAddress startNode(SocketAddress address, boolean origin, boolean singleBuffer) throws InterruptedException {
         return transport.server(loop)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(Content.MAX_BYTES),
-                                new NodeHandler(origin, whole));
+                                new NodeHandler(origin, singleBuffer));
                     }
-                }).bind(place).sync().channel().localAddress();
+                }).bind(address).sync().channel().localAddress();
     }
 
-    private void answered() {
+    private void countServed() {
         // Written by the loop alone.
         int next = served + 1;
         served = next;
     }
 
-    private void client(SocketAddress front) {
+    private void connectClient(SocketAddress address) {
         transport.client(loop).handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Content.MAX_BYTES),
                         new ClientHandler());
             }
-        }).connect(front);
+        }).connect(address);
     }
 
     /**
@@ -191,14 +191,14 @@
     private static final class NodeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private static final byte[] BODY = new byte[1000];
         private final boolean origin;
-        private final boolean whole;
+        private final boolean singleBuffer;
 
-        NodeHandler(boolean origin, boolean whole) {
+        NodeHandler(boolean origin, boolean singleBuffer) {
             this.origin = origin;
-            this.whole = whole;
+            this.singleBuffer = singleBuffer;
         }
 
-        private static ByteBuf inOnePiece(ChannelHandlerContext ctx, boolean miss) {
+        private static ByteBuf encodeResponse(ChannelHandlerContext ctx, boolean miss) {
             ByteBuf out = ctx.alloc().buffer();
             ByteBufUtil.writeAscii(out, "HTTP/1.1 " + (miss ? "404 Not Found" : "200 OK") + "\r\ncontent-length: "
                     + (miss ? 0 : BODY.length) + "\r\nX-Hit: " + (miss ? "miss" : "hit") + "\r\n\r\n");
@@ -207,43 +207,43 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean miss = !origin && request.uri().hashCode() % MISS == 0;
-            if (whole) {
-                ByteBuf answer = inOnePiece(ctx, miss);
+            boolean miss = !origin && request.uri().hashCode() % REQUESTS_PER_MISS == 0;
+            if (singleBuffer) {
+                ByteBuf response = encodeResponse(ctx, miss);
                 // Past the codec, which stands before this.
                 ChannelHandlerContext first = ctx.pipeline().firstContext();
-                ctx.executor().execute(() -> first.writeAndFlush(answer));
+                ctx.executor().execute(() -> first.writeAndFlush(response));
                 return;
             }
-            FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
+            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     miss ? HttpResponseStatus.NOT_FOUND : HttpResponseStatus.OK,
                     miss ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
-            answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
+            response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
                     .set("X-Hit", miss ? "miss" : "hit");
             // Not from within the read: the answer would overtake the end of the write that asked for it.
-            ctx.executor().execute(() -> ctx.writeAndFlush(answer));
+            ctx.executor().execute(() -> ctx.writeAndFlush(response));
         }
     }
 
     /** The clients rest between rounds, all at once: the loop then waits, and looks at the time itself before it goes on. */
-    private void rest() {
+    private void pause() {
         loop.schedule(() -> {
-            restEnds = false;
-            double elapsedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - began) / 1000.0;
-            List<ClientHandler> rested = List.copyOf(resting);
-            if (rested.isEmpty() || end.shouldStop(sent, elapsedMs, peersServe())) {
+            pauseScheduled = false;
+            double elapsedMs = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos) / 1000.0;
+            List<ClientHandler> clients = List.copyOf(pausedClients);
+            if (clients.isEmpty() || stopCondition.shouldStop(sent, elapsedMs, peersServe())) {
                 done.countDown();
                 return;
             }
-            resting.clear();
-            roundEnd = sent + ROUND;
-            rested.forEach(ClientHandler::ask);
-        }, REST_MS, TimeUnit.MILLISECONDS);
+            pausedClients.clear();
+            roundEnd = sent + REQUESTS_PER_ROUND;
+            clients.forEach(ClientHandler::sendRequest);
+        }, PAUSE_MS, TimeUnit.MILLISECONDS);
     }
 
     private boolean peersServe() {
         try {
-            return ear.hasMessage(0);
+            return peerDetector.hasMessage(0);
         } catch (IOException | ClosedSelectorException e) {
             return false;
         }
@@ -252,51 +252,51 @@
     /** A client that asks again as soon as it has its answer, until its round is over. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private ChannelHandlerContext context;
-        private boolean waits;
+        private boolean waiting;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             context = ctx;
-            ask();
+            sendRequest();
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (answer.status().equals(HttpResponseStatus.OK)) {
-                answered();
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (response.status().equals(HttpResponseStatus.OK)) {
+                countServed();
             }
-            settled();
+            requestEnded();
             if (sent < roundEnd) {
-                ask();
+                sendRequest();
             } else {
-                resting.add(this);
+                pausedClients.add(this);
             }
-            restIfAllDo();
+            pauseIfAllPaused();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            settled();
-            resting.remove(this);
-            restIfAllDo();
+            requestEnded();
+            pausedClients.remove(this);
+            pauseIfAllPaused();
         }
 
-        private void restIfAllDo() {
-            if (out == 0 && !restEnds) {
-                restEnds = true;
-                rest();
+        private void pauseIfAllPaused() {
+            if (pending == 0 && !pauseScheduled) {
+                pauseScheduled = true;
+                pause();
             }
         }
 
-        private void settled() {
-            out -= waits ? 1 : 0;
-            waits = false;
+        private void requestEnded() {
+            pending -= waiting ? 1 : 0;
+            waiting = false;
         }
 
-        private void ask() {
+        private void sendRequest() {
             int number = sent++;
-            out++;
-            waits = true;
+            pending++;
+            waiting = true;
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
                     "/api/warm-up-" + number % 512);
             request.headers().set(HttpHeaderNames.HOST, "service.internal").set("X-Call-Id", "warm-up-" + number)
