--- a/gateway/src/main/java/ridgemill/Main.java
+++ b/gateway/src/main/java/ridgemill/Main.java
@@ -10,13 +10,13 @@
 import ridgemill.gateway.Service;
 
 /**
- * Starts the program. The bare commands that a deployment runs are told apart here: {@code serve} is one real proxy,
- * {@code benchlink} the same decisions on the simulator's wire, {@code rehearse} a start that ends at once, which the
- * build archives. All else goes to the command line's own classes.
+ * Entry point of the program. Commands without arguments are dispatched here: {@code serve} runs one proxy,
+ * {@code benchlink} runs the routing policy behind the simulator's wire protocol, and {@code rehearse} runs a short
+ * start whose classes the build archives. {@link Commands} handles all other command lines.
  */
 public final class Main {
 
-    /** What the operator gave cannot be used: a configuration, an address, a command line. */
+    /** Exit code for an unusable configuration, address or command line. */
     public static final int EXIT_CONFIG = 2;
 
     private Main() { }
@@ -30,15 +30,20 @@
         }
     }
 
-    /** Says in one line on standard error what is wrong. */
+    /** Prints a one-line error message to standard error. */
     public static void printError(String what) {
         System.err.println("ridgemill: " + what);
     }
 
-    /** A proxy that runs, what SIGHUP does to it, and what SIGTERM does, which returns when nothing is owed. */
+    /**
+     * A running proxy and its signal actions.
+     *
+     * @param reload runs for SIGHUP
+     * @param drain runs for SIGTERM; returns when no request is pending
+     */
     public record StartedProxy(Running running, Runnable reload, Runnable drain) { }
 
-    /** What a process waits for. */
+    /** Waits for the end of a proxy. */
     public interface Running {
 
         /** Returns when the proxy has ended. */
@@ -48,11 +53,11 @@
     /** Starts a proxy. */
     public interface Starter {
 
-        /** Starts one; what it throws ends the process. */
+        /** Starts a proxy. An exception ends the process. */
         StartedProxy start(Config config) throws ConfigException, IOException, InterruptedException;
     }
 
-    /** Runs a proxy until it has drained; ends the process with {@link #EXIT_CONFIG} where it can't start. */
+    /** Runs a proxy until it has drained. Ends the process with {@link #EXIT_CONFIG} if the proxy cannot start. */
     public static void serve() throws InterruptedException {
         Map<String, String> environment = System.getenv();
         serve(config -> {
@@ -61,9 +66,9 @@
         });
     }
 
-    /** The same for a proxy that is started in another way. */
+    /** Runs a proxy that is started by {@code starter} until it has drained. */
     public static void serve(Starter starter) throws InterruptedException {
-        // Before the first client can be told that the proxy is ready: without a handler SIGHUP ends the process.
+        // Registered before any client can see the proxy as ready: without a handler SIGHUP ends the process.
         CompletableFuture<StartedProxy> started = new CompletableFuture<>();
         SighupHandler.register(() -> started.thenAccept(s -> s.reload().run()));
         StartedProxy running = null;
@@ -77,7 +82,7 @@
             System.exit(EXIT_CONFIG);
         }
         started.complete(running);
-        // SIGTERM runs this hook; the process ends when the hook does, so it waits until nothing is owed.
+        // SIGTERM runs this hook, and the process ends when the hook returns, so it waits until no request is pending.
         Runtime.getRuntime().addShutdownHook(new Thread(running.drain(), "drain"));
         running.running().awaitEnd();
     }
--- a/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
+++ b/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
@@ -14,20 +14,20 @@
 import ridgemill.gateway.net.Transport;
 
 /**
- * A start without a deployment, which the build runs to archive the classes that a start loads. What it leaves out each
- * start has to read from the jar and check. So it reads a configuration's text, has its list from a discovery, and serves
- * over sockets; all on loopback, at free ports.
+ * Runs a start without a deployment. The build archives the classes that it loads; each start has to read any other
+ * class from the jar and verify it. So the run parses a configuration, receives its host list from a discovery server,
+ * and serves over sockets, all on loopback at free ports.
  */
 final class ClassArchiveTraining {
 
-    /** Two steps of the decisions, as the second does what the first has nothing for. */
+    /** Time for two steps of the routing policy. The second one runs code for which the first has no data yet. */
     private static final long ROUTER_STEPS_MS = 2300;
     private static final int REQUESTS = 400;
     private static final double WARMUP_MS = 4000;
 
     private ClassArchiveTraining() { }
 
-    /** Runs it; ends on its own. */
+    /** Runs the start; returns when the proxy has drained. */
     static void run() throws ConfigException, IOException, InterruptedException {
         SighupHandler.register(() -> { });
         try (ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -41,13 +41,13 @@
             callConsole(service.consoleListenAddress(), "/status");
             callConsole(service.consoleListenAddress(), "/status/metrics");
             service.peerMessage(0, new byte[Integer.BYTES]);
-            // Nothing tells of a step; and nobody waits for a build's rehearsal to be short.
+            // Steps are not observable from here, and the duration of this run in a build does not matter.
             TimeUnit.MILLISECONDS.sleep(ROUTER_STEPS_MS);
             service.drain();
         }
     }
 
-    /** As a deployment gives it, with every part that one may have. */
+    /** A configuration with all sections that a deployment may use. */
     private static String configuration(int discoveryPort) {
         return """
                 {"name": "rehearsal", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:%d", "console": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
@@ -75,7 +75,7 @@
                 "born_ms": 0}""".formatted(name, kind, health);
     }
 
-    /** Answers each watch with a list and a change of it, and keeps it open. */
+    /** Answers each discovery watch with a full list and a change, and keeps the connection open. */
     private static void serveDiscovery(ServerSocket discovery) {
         String fullList = "{\"seq\": 2, \"whole\": true, \"hosts\": [" + host("one", "std", "up") + ", " + host("two", "std", "up")
                 + ", " + host("store", "origin", "up") + "]}\n";
@@ -85,13 +85,13 @@
                 Socket watch = discovery.accept();
                 BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
                 for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
-                    // The head of the question, of which nothing matters.
+                    // The request head is not needed.
                 }
                 String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(fullList) + chunk(change);
                 watch.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
-            // The rehearsal is over.
+            // The run has ended and closed the socket.
         }
     }
 
@@ -99,7 +99,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** An operator's call. */
+    /** Sends an operator's request to the console. */
     private static void callConsole(InetSocketAddress console, String path) throws IOException {
         try (Socket caller = new Socket(console.getAddress(), console.getPort())) {
             caller.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -107,7 +107,7 @@
         }
     }
 
-    /** The front's question, and one request, whose nodes are not there. */
+    /** Sends a readiness check and one request, whose nodes do not exist. */
     private static void sendRequests(InetSocketAddress proxy) throws IOException {
         try (Socket client = new Socket(proxy.getAddress(), proxy.getPort())) {
             client.getOutputStream().write(("GET /up HTTP/1.1\r\nHost: " + Addresses.text(proxy) + "\r\n\r\n"
--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -21,13 +21,25 @@
 import ridgemill.policy.Router.Settings;
 
 /**
- * What the deployment tells a proxy. {@code peerListen} and {@code peersAll} are null and {@code peers} empty where
- * proxies may not talk to one another; {@code known} is null where the proxy has never had a list;
- * {@code console} is null where operators have no address of their own.
+ * Configuration of a proxy by its deployment.
+ *
+ * @param name name of the proxy, or null
+ * @param listen address for clients
+ * @param discovery address of discovery
+ * @param seed seed of the random numbers
+ * @param sockets limit of file descriptors
+ * @param peerListen address for messages from other proxies; null if proxies may not exchange messages
+ * @param peers addresses of all proxies by index; empty if proxies may not exchange messages
+ * @param peerBroadcastAddress address that reaches all proxies; null if there is none
+ * @param knownHosts the host list that the proxy remembers; null if it has never received one
+ * @param settings settings of the routing policy
+ * @param maxPendingRequests limit of requests without a final response, per group of nodes
+ * @param console address of the console for operators; null if there is none
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                     InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peerBroadcastAddress,
-                     HostList knownHosts, Settings settings, int maxPendingRequests, InetSocketAddress console) {
+                     InetSocketAddress peerListen, List<InetSocketAddress> peers,
+                     InetSocketAddress peerBroadcastAddress, HostList knownHosts, Settings settings,
+                     int maxPendingRequests, InetSocketAddress console) {
 
     private static final int DEFAULT_DESCRIPTORS = 1024;
     private static final int SEED_RADIX = 16;
@@ -37,25 +49,28 @@
     }
 
     /**
-     * What one of several loops of this process is told: to the decisions each is a proxy of a tier that is as many times
-     * larger, so that what they divide among proxies (quotas, care with cold nodes) they divide among loops too. Descriptors
-     * are divided; those that the process holds whatever it serves are not.
+     * The configuration of one of several event loops of this process. Its routing policy sees each loop as one proxy
+     * of a tier that has {@code loops} times as many proxies, so values that are divided among proxies (quotas, cold
+     * node protection) are divided among loops too. File descriptors are divided as well, except for those that the
+     * process holds regardless of load.
      *
-     * @param reserved descriptors that are not divided
+     * @param reserved file descriptors that are not divided
      */
     Config forLoop(int loop, int loops, int reserved) {
         PlatformLimits limits = settings.limits();
-        PlatformLimits loopLimits = new PlatformLimits(limits.maxAttempts(), limits.cancelAllowed(), limits.probesAllowed(), true, limits.retryAfterAllowed(), limits.maxRetryAfterMs(),
+        PlatformLimits loopLimits = new PlatformLimits(limits.maxAttempts(), limits.cancelAllowed(),
+                limits.probesAllowed(), true, limits.retryAfterAllowed(), limits.maxRetryAfterMs(),
                 limits.hedgingAllowed(), limits.connectTimeoutMs());
-        Settings loopSettings = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops, settings.zone(),
-                settings.tickMs(), settings.classes(), settings.tenants(), settings.overQuotaFactor(), settings.valueByWork(),
-                loopLimits, settings.rules(), settings.mustSubscribe(), settings.weightMode(), settings.originModel(),
-                settings.connectionCosts());
-        return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved, peerListen,
-                peers, peerBroadcastAddress, knownHosts, loopSettings, Math.max(1, maxPendingRequests / loops), console);
+        Settings loopSettings = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops,
+                settings.zone(), settings.tickMs(), settings.classes(), settings.tenants(), settings.overQuotaFactor(),
+                settings.valueByWork(), loopLimits, settings.rules(), settings.mustSubscribe(), settings.weightMode(),
+                settings.originModel(), settings.connectionCosts());
+        return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved,
+                peerListen, peers, peerBroadcastAddress, knownHosts, loopSettings,
+                Math.max(1, maxPendingRequests / loops), console);
     }
 
-    /** Reads the file that BALANCER_CONFIG names; the other variables override what it says. */
+    /** Reads the file that BALANCER_CONFIG names. The other BALANCER_ variables override its values. */
     public static Config fromEnvironment(Map<String, String> environment) throws ConfigException {
         String file = environment.get("BALANCER_CONFIG");
         if (file == null) {
@@ -64,7 +79,7 @@
         return read(file, environment);
     }
 
-    /** Reads a file; what is wrong with it is told in one line that names the file and the place in it. */
+    /** Reads a file. An error is reported in one line that names the file and the location in it. */
     public static Config read(String file, Map<String, String> environment) throws ConfigException {
         String json;
         try {
@@ -79,14 +94,14 @@
         }
     }
 
-    /** Reads the file again: what it says of discovery now is newer than the variable that the start was given. */
+    /** Reads the file again. Its discovery address now overrides BALANCER_DISCOVERY, which dates from the start. */
     static Config reread(Map<String, String> environment) throws ConfigException {
         Map<String, String> remaining = new HashMap<>(environment);
         remaining.remove("BALANCER_DISCOVERY");
         return fromEnvironment(remaining);
     }
 
-    /** Reads a configuration's text; the environment's BALANCER_ variables override what it says. */
+    /** Parses a configuration. The BALANCER_ variables of the environment override its values. */
     public static Config parse(String json, Map<String, String> environment) throws ConfigException {
         try {
             JsonObject root = JsonParser.parseString(json).getAsJsonObject();
@@ -107,7 +122,7 @@
         }
     }
 
-    /** Reads one field; what is wrong with it is told with its name. */
+    /** Reads one field and adds its name to an error. */
     private static <T> T at(String field, Supplier<T> read) {
         try {
             return read.get();
@@ -116,7 +131,7 @@
         }
     }
 
-    /** Gson and the settings' own checks report what is wrong by several unchecked types; this is one line of it. */
+    /** Describes an error in one line. Gson and the checks of the settings throw several unchecked exception types. */
     private static String reason(RuntimeException e) {
         boolean wrongType = e instanceof ClassCastException || e instanceof IllegalStateException
                 || e instanceof UnsupportedOperationException;
--- a/gateway/src/main/java/ridgemill/gateway/ConfigException.java
+++ b/gateway/src/main/java/ridgemill/gateway/ConfigException.java
@@ -1,6 +1,6 @@
 package ridgemill.gateway;
 
-/** A configuration that nothing can be started from; the message is for the operator. */
+/** Thrown for a configuration with which no proxy can be started. The message is shown to the operator. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
+++ b/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
@@ -31,18 +31,21 @@
 import ridgemill.succession.ShutdownPlan;
 
 /**
- * One process of several event loops, each a complete proxy with decisions and state of its own: nothing is shared on a
- * request's path, and nothing is locked. What proxies of a tier tell one another by datagram, the loops tell one another
- * through memory, as tasks on each other's loops. One more loop, the door, has what a process has once: listeners,
- * discovery's watch, the peers' socket; it deals connections out and passes news on.
+ * Runs several event loops in one process. Each loop is a complete proxy with its own routing policy and state: the
+ * request path shares no state between loops and takes no locks. Messages that proxies of a tier exchange by datagram
+ * are exchanged between loops as tasks on the receiver's event loop. One additional loop, the acceptor loop, owns the
+ * resources that a process has once: the listeners, the discovery watch and the socket for peers. It distributes
+ * connections and forwards updates.
  *
- * <p>Not loaded where one loop serves.
+ * <p>This class is not loaded if a single event loop serves.
  */
 public final class MultiLoopService {
 
-    /** A loop's own descriptors: what it waits with, what wakes it, its timer. */
+    /** File descriptors of an event loop itself: its selector, its wake-up descriptor and its timer. */
     private static final int DESCRIPTORS_PER_LOOP = 3;
+    /** Interval of the tasks that measure how late an event loop runs a task. */
     private static final long TICK_INTERVAL_MS = 50;
+    /** Interval of the checks for stalled event loops. */
     private static final long LOOP_CHECK_INTERVAL_MS = 500;
 
     private final LoopGroup group = new LoopGroup(1, SocketKind.chosen().handlers());
@@ -57,30 +60,33 @@
     private final boolean[] tickPending;
     private InetSocketAddress listenAddress;
 
-    private MultiLoopService(Config config, int loops, Function<Settings, Router> routerFactory, IntFunction<AdmissionController> admissionFactory) {
+    private MultiLoopService(Config config, int loops, Function<Settings, Router> routerFactory,
+            IntFunction<AdmissionController> admissionFactory) {
         this.config = config;
         int reserved = Service.RESERVED_DESCRIPTORS + DESCRIPTORS_PER_LOOP * loops;
         tickPending = new boolean[loops];
         int[] maxConnections = new int[loops];
         for (int i = 0; i < loops; i++) {
             Config memberConfig = config.forLoop(i, loops, reserved);
-            members.add(Service.createMember(memberConfig, routerFactory.apply(memberConfig.settings()), admissionFactory.apply(i), new Member(i)));
+            members.add(Service.createMember(memberConfig, routerFactory.apply(memberConfig.settings()),
+                    admissionFactory.apply(i), new Member(i)));
             maxConnections[i] = members.get(i).clients().maxConnections();
         }
         acceptor = new ConnectionAcceptor(acceptorLoop, clock, new ConnectionDistributor(maxConnections, clock.now()));
-        discovery = new Discovery(acceptorLoop, config.discovery(), config.knownHosts(), !config.settings().mustSubscribe(), new DiscoveryListener());
+        discovery = new Discovery(acceptorLoop, config.discovery(), config.knownHosts(),
+                !config.settings().mustSubscribe(), new DiscoveryListener());
         peers = config.peerListen() == null ? null : new PeerMessenger(acceptorLoop, config, this::peerMessage);
     }
 
     /**
-     * Starts one without a warm-up.
+     * Starts a proxy of several event loops, without a warm-up.
      *
-     * @param loops how many serve, 2 or more; the door comes to them
-     * @param routerFactory makes the decisions of a loop from its settings
-     * @param admissionFactory makes the gate of a loop from its number
+     * @param loops number of event loops that serve, at least 2; the acceptor loop is not counted
+     * @param routerFactory creates the routing policy of a loop from its settings
+     * @param admissionFactory creates the admission controller of a loop from its index
      */
-    public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routerFactory, IntFunction<AdmissionController> admissionFactory)
-            throws IOException, InterruptedException {
+    public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routerFactory,
+            IntFunction<AdmissionController> admissionFactory) throws IOException, InterruptedException {
         if (loops < 2) {
             throw new IllegalArgumentException("a crew has at least two loops: " + loops);
         }
@@ -102,16 +108,18 @@
         listenAddress = listen(config.listen(), Service::httpListeners);
         Log.info("listening on " + Addresses.text(listenAddress) + " for " + members.size() + " loops");
         acceptorLoop.execute(discovery::start);
-        long patience = config.settings().mustSubscribe() ? 0 : Service.DISCOVERY_WAIT_MS;
-        acceptorLoop.schedule(() -> forEachMember(Service::ready), patience, TimeUnit.MILLISECONDS);
+        long waitMs = config.settings().mustSubscribe() ? 0 : Service.DISCOVERY_WAIT_MS;
+        acceptorLoop.schedule(() -> forEachMember(Service::ready), waitMs, TimeUnit.MILLISECONDS);
         acceptorLoop.scheduleAtFixedRate(this::sendTicks, TICK_INTERVAL_MS, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        acceptorLoop.scheduleAtFixedRate(acceptor::checkLoops, LOOP_CHECK_INTERVAL_MS, LOOP_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
-        acceptorLoop.scheduleAtFixedRate(this::logCounters, Service.COUNTERS_LOG_INTERVAL_S, Service.COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
+        acceptorLoop.scheduleAtFixedRate(acceptor::checkLoops, LOOP_CHECK_INTERVAL_MS, LOOP_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
+        acceptorLoop.scheduleAtFixedRate(this::logCounters, Service.COUNTERS_LOG_INTERVAL_S,
+                Service.COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
     /**
-     * Hands each loop a task at intervals, to see how late it takes it up. By the door's time and not the loop's own: what a loop
-     * schedules for itself comes up between two of its turns, however long those are.
+     * Sends each event loop a task to measure how late it runs. The acceptor loop sends it, not the loop itself: a task
+     * that a loop schedules for itself runs between two of its iterations, however long those take.
      */
     private void sendTicks() {
         for (int i = 0; i < members.size(); i++) {
@@ -131,34 +139,40 @@
         }
     }
 
-    /** Listens at an address until {@link #stopListeningAt}, and deals its connections to these fronts; not on a loop. */
+    /**
+     * Listens at an address until {@link #stopListeningAt} and distributes its connections to the members. Do not call
+     * it on an event loop.
+     *
+     * @param listenersOf returns the listeners of a member that get the connections
+     */
     public InetSocketAddress listen(InetSocketAddress address, Function<Service, Listeners> listenersOf)
             throws IOException, InterruptedException {
         List<Listeners> listeners = members.stream().map(listenersOf).toList();
-        return (InetSocketAddress) Service.awaitBound(acceptor.listen(Transport.TCP, address, listeners), address).channel().localAddress();
+        return (InetSocketAddress) Service.awaitBound(acceptor.listen(Transport.TCP, address, listeners), address)
+                .channel().localAddress();
     }
 
-    /** No new connections at an address. */
+    /** Stops accepting connections at an address. */
     public void stopListeningAt(InetSocketAddress address) {
         runOnAcceptorLoop(() -> acceptor.stopListening(address));
     }
 
-    /** Where clients connect. */
+    /** The address at which clients connect. */
     public InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
-    /** The loops' proxies, in their order. */
+    /** The proxies of the event loops, by index. */
     public List<Service> members() {
         return List.copyOf(members);
     }
 
-    /** The loop that has what the process has once. */
+    /** The event loop that owns the resources which the process has once. */
     public EventLoop acceptorLoop() {
         return acceptorLoop;
     }
 
-    /** What is known of each loop, a line each. Not to be called on a loop. */
+    /** Describes the state of each event loop in one line. Do not call it on an event loop. */
     public List<String> describeLoops() {
         return acceptorLoop.submit(acceptor::describeLoops).syncUninterruptibly().getNow();
     }
@@ -169,7 +183,7 @@
         }
     }
 
-    /** One that has ended hears nothing more. */
+    /** Runs a task on a member's event loop; does nothing if the member has ended. */
     private static void runOnMember(Service member, Runnable task) {
         try {
             member.loop().execute(task);
@@ -186,41 +200,48 @@
         }
     }
 
-    /** Another process of the tier speaks; its loops can't be told apart, so the message counts as its first one's. */
+    /**
+     * Forwards a message from another process of the tier. Its event loops cannot be told apart, so its first loop
+     * counts as the sender.
+     */
     private void peerMessage(int from, byte[] contents) {
         forEachMember(m -> m.peerMessage(from * members.size(), contents));
     }
 
-    /** Reads the configuration again, as {@link Service#reload} does. */
+    /** Reloads the configuration like {@link Service#reload}. */
     public void reload(Map<String, String> environment) {
         runOnAcceptorLoop(() -> Service.reloadDiscovery(environment, discovery));
     }
 
-    /** What the process says of itself, over all loops; the level is the highest of any. Not to be called on a loop. */
+    /** The status over all event loops; its level is the highest of any loop. Do not call it on an event loop. */
     public Service.Status status() {
         return members.stream().map(Service::status).reduce(Service.Status::plus).orElseThrow();
     }
 
-    /** One line for all loops; a loop that is stuck must not hold up the door, so each is asked in turn by tasks. */
+    /**
+     * Logs one line for all event loops. The counters are collected by a task on each loop, so that a stalled loop does
+     * not block the acceptor loop.
+     */
     private void logCounters() {
         CompletableFuture<Service.Counts> sum = CompletableFuture.completedFuture(Service.Counts.NONE);
         for (Service m : members) {
-            sum = sum.thenCombine(CompletableFuture.supplyAsync(m::counts, t -> runOnMember(m, t)), Service.Counts::plus);
+            sum = sum.thenCombine(CompletableFuture.supplyAsync(m::counts, t -> runOnMember(m, t)),
+                    Service.Counts::plus);
         }
         sum.thenAccept(c -> Log.info(c.toString()));
     }
 
     /**
-     * Ends the process's service once no loop owes anything, and returns then. Not to be called on a loop.
+     * Shuts the process down and returns once no request is pending on any event loop. Do not call it on an event loop.
      *
-     * @param action what is to be done when nothing is owed any more
+     * @param action runs once no request is pending
      */
     public void drainThen(Runnable action) {
         Log.info("draining");
         forEachMember(m -> m.clients().drain());
         try {
             Thread.sleep((long) ShutdownPlan.WITHOUT_SUCCESSOR.idleMs());
-            // The door first: a connection that it dealt is with its loop before that hears of the end.
+            // The acceptor first: a connection that it has distributed reaches its event loop before the shutdown does.
             acceptorLoop.submit(acceptor::close).sync();
             members.forEach(Service::endDrain);
             for (Service m : members) {
@@ -233,19 +254,19 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
     }
 
-    /** Waits until the service has ended. */
+    /** Waits until the proxy has ended. */
     public void awaitEnd() throws InterruptedException {
         ended.await();
     }
 
-    /** Ends at once, whatever is owed. */
+    /** Ends at once, even if requests are pending. */
     public void kill() {
         members.forEach(Service::kill);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         ended.countDown();
     }
 
-    /** What one loop has of the world. */
+    /** Connects one event loop to the shared resources. */
     private final class Member implements Service.MemberContext {
         private final int index;
 
@@ -253,7 +274,7 @@
             this.index = index;
         }
 
-        /** Where discovery is asked, one loop's asking serves all, and it hears of a failure. */
+        /** Only the first member subscribes, for all of them. It also receives a failure of discovery. */
         @Override
         public void subscribe() {
             if (index == 0) {
@@ -275,16 +296,20 @@
             }
         }
 
-        /** It serves on without its decisions until its clients have gone to others: each answer is its connection's last. */
+        /**
+         * The member keeps serving without its routing policy until its clients have moved to other loops: each
+         * connection is closed after its next response.
+         */
         @Override
         public void failed() {
             runOnAcceptorLoop(() -> acceptor.retire(index));
             members.get(index).clients().drain();
-            Log.info("loop " + index + " is retired after an error; " + (members.size() - 1) + " others serve on");
+            Log.info("loop " + index + " is retired after an error; " + (members.size() - 1)
+                    + " others serve on");
         }
     }
 
-    /** Passes on what discovery tells: the list is immutable, and each loop takes it in when its turn comes. */
+    /** Forwards updates from discovery. The list is immutable; each event loop applies it when it runs the task. */
     private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
--- a/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
@@ -9,9 +9,9 @@
 import ridgemill.gateway.net.Log;
 
 /**
- * Listens where peers' messages arrive before the proxy itself does. Peers speak only while they serve clients, so
- * hearing one during a start tells a restart in a fleet at work from the first start of all. Without peers, or where the
- * address can't be had yet, nothing is heard; the proxy's own attempt to listen reports why.
+ * Listens for messages from peers during a start, before the proxy itself does. Peers send messages only while they
+ * serve clients, so a message tells a restart within a running fleet from the first start of a fleet. Without peers, or
+ * if the address cannot be bound yet, no message is detected; the proxy's own attempt to listen reports the reason.
  */
 final class PeerDetector implements Closeable {
 
@@ -30,12 +30,12 @@
         }
     }
 
-    /** Where it listens; null where it does not. */
+    /** The address it listens at; null if it does not listen. */
     InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Whether a message has come, or comes within so long; it is left unread. */
+    /** Whether a message has arrived or arrives within {@code waitMs} milliseconds. The message is not read. */
     boolean hasMessage(long waitMs) throws IOException {
         return (waitMs <= 0 ? selector.selectNow() : selector.select(waitMs)) > 0 || !selector.selectedKeys().isEmpty();
     }
--- a/gateway/src/main/java/ridgemill/gateway/PeerMessenger.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerMessenger.java
@@ -15,7 +15,7 @@
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.SocketKind;
 
-/** Short messages between proxies, over UDP: late, lost, or from strangers. */
+/** Exchanges short messages with other proxies over UDP. They may be delayed, lost, or sent by unknown hosts. */
 final class PeerMessenger {
 
     static final int MAX_MESSAGE_BYTES = 256;
@@ -28,7 +28,9 @@
     private Channel channel;
     private boolean closed;
 
-    /** {@code heard} is told the number of the proxy that speaks, and what it says; on the loop. */
+    /**
+     * Creates a messenger; {@code listener} receives the sender's index among the peers and the message, on the loop.
+     */
     PeerMessenger(EventLoop loop, Config config, BiConsumer<Integer, byte[]> listener) {
         this.loop = loop;
         this.config = config;
@@ -36,7 +38,7 @@
         this.self = config.settings().proxyIndex();
     }
 
-    /** Listens for the others; {@code shared} where another process of this proxy may do so too. */
+    /** Starts to listen; {@code shared} allows another process of this proxy to listen at the same address. */
     ChannelFuture listen(boolean shared) {
         Bootstrap bootstrap = new Bootstrap().group(loop).channel(SocketKind.of(loop).datagram()).handler(new Inbox());
         if (shared) {
@@ -51,13 +53,13 @@
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Hears and says nothing any more: another process of this proxy does. On the loop. */
+    /** Stops receiving and sending, because another process of this proxy takes over. Called on the event loop. */
     void close() {
         closed = true;
         channel.close();
     }
 
-    /** Sends to every other proxy. */
+    /** Sends a message to all other proxies. */
     void send(byte[] contents) {
         if (closed) {
             return;
@@ -76,7 +78,7 @@
         }
     }
 
-    /** Sends to one other proxy, by its number. */
+    /** Sends a message to one other proxy, by its index among the peers. */
     void send(int to, byte[] contents) {
         if (!closed && channel != null && to != self) {
             send(contents, config.peers().get(to));
@@ -101,7 +103,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // An unreachable peer shows as an error on this socket; the socket itself is fine.
+            // An unreachable peer causes an error on this socket. The socket remains usable.
             log.odd("peer socket: " + cause);
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -64,18 +64,26 @@
 import ridgemill.policy.Router;
 import ridgemill.succession.ShutdownPlan;
 
-/** One running proxy: puts the parts together on one event loop, and takes them down without losing a request. */
+/**
+ * One running proxy. Assembles its components on one event loop and shuts them down without losing a request.
+ */
 public final class Service {
 
-    /** Descriptors for the listener, the watch, peers, the selector and the Java machine's own files. */
+    /** File descriptors for the listener, the discovery watch, peers, the selector and the JVM's own files. */
     static final int RESERVED_DESCRIPTORS = 48;
-    /** Part of the other descriptors that is for clients; each of their requests has one attempt out at most. */
+    /**
+     * Fraction of the remaining descriptors for client connections; the rest are for connections to nodes. Half
+     * is enough for nodes, as a client's request has at most one attempt in progress.
+     */
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
     private static final long DRAIN_POLL_INTERVAL_MS = 10;
-    /** How long readiness waits for discovery: a list from the configuration serves if it says nothing. */
+    /**
+     * How long readiness waits for discovery. If discovery sends nothing in this time, the host list from the
+     * configuration is used.
+     */
     static final long DISCOVERY_WAIT_MS = 2000;
     static final long COUNTERS_LOG_INTERVAL_S = 10;
-    /** What the length of a datagram of leases leaves when it is divided by that of a key. */
+    /** Remainder of the length of a lease or version datagram modulo {@link Integer#BYTES}, the size of a key. */
     private static final int FLEET_MESSAGE_REMAINDER = 3;
 
     private final LoopGroup group = new LoopGroup(1, SocketKind.chosen().handlers());
@@ -104,12 +112,15 @@
     private InetSocketAddress listenAddress;
     private InetSocketAddress consoleListenAddress;
 
-    /** A proxy that reaches the outside by itself. */
+    /** Creates a proxy with its own connections to discovery and peers. */
     private Service(Config config, Router router, AdmissionController admission) {
         this(config, router, admission, null);
     }
 
-    /** One that reaches discovery, peers and new clients through a crew, or by itself where that is null. */
+    /**
+     * Creates a proxy that reaches discovery and peers through {@code context} and gets its clients from another event
+     * loop. If {@code context} is null, it does all of this itself.
+     */
     private Service(Config config, Router router, AdmissionController admission, MemberContext context) {
         this.config = config;
         Settings settings = config.settings();
@@ -133,14 +144,18 @@
             sendReleaseRequests(context::broadcast);
             return;
         }
-        discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(), new DiscoveryListener());
+        discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(),
+                new DiscoveryListener());
         peers = config.peerListen() == null ? null : new PeerMessenger(loop, config, this::peerMessage);
         Consumer<byte[]> broadcast = peers == null ? contents -> { } : peers::send;
         platform.dispatcher().setCallbacks(discovery::subscribe, broadcast);
         sendReleaseRequests(broadcast);
     }
 
-    /** Nodes that have no place for a connection of ours: the other proxies hear of it, if the settings let us speak. */
+    /**
+     * When a node rejects a connection because it has no capacity left, asks the other proxies to release idle
+     * connections to it, if the settings allow peer messages.
+     */
     private void sendReleaseRequests(Consumer<byte[]> broadcast) {
         ConnectionReleaseRequests releaseRequests = new ConnectionReleaseRequests();
         if (config.settings().limits().peerMessagesAllowed()) {
@@ -153,16 +168,17 @@
         }
     }
 
-    private Upstream createUpstream(String name, Settings settings, Router router, NodeBackend backend, FaultReporter faults) {
-        return new Upstream(router, backend, new Dispatcher<>(timers, settings, router, backend, faults, intake::requestFinished,
-                config.maxPendingRequests(), deadlines.group(name)));
+    private Upstream createUpstream(String name, Settings settings, Router router, NodeBackend backend,
+            FaultReporter faults) {
+        return new Upstream(router, backend, new Dispatcher<>(timers, settings, router, backend, faults,
+                intake::requestFinished, config.maxPendingRequests(), deadlines.group(name)));
     }
 
     private static FaultReporter faultReporter(MemberContext context) {
         return context == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), context);
     }
 
-    /** Tells the crew too of what a member does not recover from. */
+    /** Logs faults, and also reports those that a member cannot recover from to its {@link MultiLoopService}. */
     private record MemberFaultReporter(LogFaults log, MemberContext context) implements FaultReporter {
         @Override
         public void error(String message, Throwable cause) {
@@ -181,25 +197,30 @@
         }
     }
 
-    /** What a member of a crew has of the world beyond nodes and its clients; called on the member's loop. */
+    /**
+     * Connects a member to the services that its {@link MultiLoopService} shares; called on the member's event loop.
+     */
     interface MemberContext {
 
-        /** Asks discovery to send changes. */
+        /** Subscribes to changes from discovery. */
         void subscribe();
 
-        /** Tells all other proxies, those of this process too. */
+        /** Sends a message to all other proxies, including the other event loops of this process. */
         void broadcast(byte[] contents);
 
-        /** The member can't decide any more. */
+        /** Reports that the member's routing policy has failed and cannot be used any more. */
         void failed();
     }
 
-    /** A member of a crew, which waits for what it is told and dealt once it has begun. */
+    /**
+     * Creates a member of a {@link MultiLoopService}. After {@link #startMember}, it gets its host lists, peer messages
+     * and client connections from there.
+     */
     static Service createMember(Config config, Router router, AdmissionController admission, MemberContext context) {
         return new Service(config, router, admission, context);
     }
 
-    /** Begins as a member, once all of its crew are there. */
+    /** Starts a member; called once all members have been created. */
     void startMember() {
         runOnLoop(() -> {
             startDispatcher();
@@ -207,71 +228,84 @@
         });
     }
 
-    /** What holds for clients over HTTP from now on; on the loop. */
+    /** Sets the policy for HTTP clients from now on. Call it on the event loop. */
     public void setHttpClientPolicy(HttpClientPolicy policy) {
         frontend.policy(policy);
     }
 
-    /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
+    /** Starts to record the outcomes of keyed writes and to answer queries for them. Call it on the event loop. */
     public void enableIdempotencyRecords(IdempotencyRecords records) {
         intake.setDeduplicator(new WriteDeduplicator<>(timers, records, Fingerprint::of));
         frontend.enableOutcomeQueries();
     }
 
-    /** Where the HTTP front takes connections in, which a crew deals. */
+    /** The listeners of the HTTP frontend; a {@link MultiLoopService} distributes connections to them. */
     public Listeners httpListeners() {
         return frontend.listeners();
     }
 
-    /** From now on the proxy says that it may be used; on the loop. */
+    /** Marks the proxy as ready to serve clients. Call it on the event loop. */
     void ready() {
         frontend.markReady();
         markServing();
     }
 
-    /** What discovery told a crew; on the loop. */
+    /** Applies a host list that a {@link MultiLoopService} received from discovery. Call it on the event loop. */
     void applyHostList(ListUpdateKind kind, HostList list) {
         new DiscoveryListener().hosts(kind, list);
     }
 
-    /** Discovery failed a crew; on the loop. */
+    /** Reports that discovery failed for a {@link MultiLoopService}. Call it on the event loop. */
     void discoveryFailed() {
         platform.dispatcher().discoveryFailed();
     }
 
-    /** A message of another proxy, or of another loop of this process; on the loop. */
+    /**
+     * Handles a message from another proxy, or from another event loop of this process. Call it on the event loop.
+     *
+     * @param from index of the sender among the peers
+     */
     void peerMessage(int from, byte[] contents) {
-        if (ignoredPeers.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
+        if (ignoredPeers.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents)
+                || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
             return;
         }
         if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
-            pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
+            pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node),
+                    ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
         } else if (contents.length % Integer.BYTES == FLEET_MESSAGE_REMAINDER) {
-            // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
+            // A lease or version message. The length of a routing policy message is a multiple of the key size.
+            // Without listeners the message is dropped.
             fleetMessageListeners.forEach(to -> to.accept(from, contents));
         } else {
             platform.dispatcher().peerMessage(from, contents);
         }
     }
 
-    /** What such proxies, by their place among the peers, tell the decisions or ask for is not heard; on the loop. */
+    /**
+     * Ignores routing policy messages and connection release requests from the peers whose index matches. Lease and
+     * version messages are still received. Call it on the event loop.
+     */
     public void ignorePeers(IntPredicate from) {
         ignoredPeers = from;
     }
 
-    /** Passes on what other proxies say of leases and versions, with their place among the peers; to be called on the loop. */
+    /**
+     * Adds a listener for lease and version messages of other proxies. It receives the sender's index among the peers
+     * and the message. Call it on the event loop.
+     */
     public void onFleetMessage(BiConsumer<Integer, byte[]> listener) {
         fleetMessageListeners.add(listener);
     }
 
-    /** Tells one other proxy something, by its place among the peers; on the loop. */
+    /** Sends a message to one other proxy, by its index among the peers. Call it on the event loop. */
     public void sendToPeer(int to, byte[] contents) {
         if (peers != null) {
             peers.send(to, contents);
         }
     }
 
-    /** Takes in another group of nodes, under decisions of its own; to be called on the loop. */
+    /** Adds a group of nodes with a routing policy of its own. Call it on the event loop. */
     public Group addGroup(String name, Settings settings, Router router, NodeBackend backend) {
         Group group = new Group(name, createUpstream(name, settings, router, backend, new LogFaults()));
         group.upstream.dispatcher().start();
@@ -279,12 +313,12 @@
         return group;
     }
 
-    /** The platform's own nodes. */
+    /** The default group: the platform's nodes. */
     public Group platform() {
         return new Group(Intake.PLATFORM_GROUP, platform);
     }
 
-    /** A group of nodes: the platform's, or one beside it. All of it is to be called on the loop. */
+    /** A group of nodes: the platform's or an additional one. Call all methods on the event loop. */
     public final class Group {
         private final String name;
         private final Upstream upstream;
@@ -294,32 +328,37 @@
             this.upstream = upstream;
         }
 
-        /** Its nodes, which the list names all. */
+        /** Replaces the nodes of the group; the list is complete. */
         public void setNodes(HostList list) {
             upstream.applyHostList(ListUpdateKind.FULL, list);
         }
 
-        /** Its nodes that take work, as they are listed. */
+        /** The nodes that accept requests according to the host list. */
         public List<String> listed() {
             return upstream.router().listedNodes();
         }
 
-        /** Those of its nodes that get nothing now as they could not be reached. */
+        /** The nodes that currently get no requests because they could not be reached. */
         public List<String> gone() {
             return upstream.router().unreachableNodes(timers.now());
         }
 
-        /** Its decisions are told what came of a probe, made here or by another proxy. */
+        /** Reports the result of a probe, sent by this or another proxy, to the routing policy. */
         public void probed(String node, Outcome outcome, double tookMs) {
             upstream.dispatcher().probeEnded(node, outcome, tookMs);
         }
 
-        /** Asks one of its nodes whether it takes work; {@code done} is told on the loop. */
+        /** Probes whether a node accepts requests. {@code done} receives the result on the event loop. */
         public void probe(String node, Consumer<Outcome> done) {
-            upstream.backend().probe(node, config.settings().limits().connectTimeoutMs(), (outcome, answer) -> done.accept(outcome));
+            upstream.backend().probe(node, config.settings().limits().connectTimeoutMs(),
+                    (outcome, answer) -> done.accept(outcome));
         }
 
-        /** No new request goes to it, and nothing new to its nodes; attempts that are out there end as they end. */
+        /**
+         * Removes the group: it and its nodes get no new requests. Attempts in progress run to their end.
+         *
+         * @param version version of the empty host list that replaces the current one
+         */
         public void remove(long version) {
             intake.removeGroup(name);
             setNodes(new HostList(version, true, List.of()));
@@ -327,110 +366,125 @@
         }
     }
 
-    /** What holds for requests that come and for those in line; all of it is to be called on the loop. */
+    /** The intake of new and queued requests. Call its methods on the event loop. */
     public Intake<Content> intake() {
         return intake;
     }
 
-    /** Listens for HTTP at one more address until {@link #stopListeningAt}; not to be called on the loop. */
+    /** Listens for HTTP at an additional address until {@link #stopListeningAt}. Do not call it on the event loop. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
         awaitBound(frontend.listen(Transport.TCP, address), address);
     }
 
-    /** No new connections at an address that was listened at besides. */
+    /** Stops accepting connections at an additional address. */
     public void stopListeningAt(InetSocketAddress address) {
         loop.execute(() -> frontend.stopListening(address));
     }
 
-    /** The hosts of the platform's list as it was told last; on the loop. */
+    /** The hosts of the platform's list after its last update. Call it on the event loop. */
     public List<HostList.Host> hosts() {
         return List.copyOf(hosts.values());
     }
 
-    /** Runs {@code then} on the loop after each news of the platform's list, in place of what was run before. */
+    /**
+     * Sets the listener that runs on the event loop after each update of the platform's host list. It replaces the
+     * previous one.
+     */
     public void onHostListChange(Runnable listener) {
         hostListListener = listener;
     }
 
-    /** The decisions' present level of throttling for the platform's nodes; on the loop. */
+    /**
+     * The routing policy's current throttling level for the platform's nodes, 0 for none. Call it on the event loop.
+     */
     public int throttleLevel() {
         return platform.router().admissionLevel();
     }
 
-    /** The clients' connections of all fronts. */
+    /** The client connections of all frontends. */
     public ClientTable clients() {
         return clients;
     }
 
-    /** The descriptors that connections to nodes share. */
+    /** The limit of connections to nodes, which all groups share. */
     public ConnectionLimit nodeConnectionLimit() {
         return nodeConnectionLimit;
     }
 
-    /** Another front: {@code stop} is run on the loop when no more connections are to be taken. */
+    /** Adds an action of another frontend that runs on the event loop when the proxy stops accepting connections. */
     public void onStopListening(Runnable action) {
         stopListeningActions.add(action);
     }
 
-    /** The loop that owns all of the proxy's state. */
+    /** The event loop that owns all state of the proxy. */
     public EventLoop loop() {
         return loop;
     }
 
     /**
-     * Runs a task on the loop between two requests, as when other settings take effect, and returns when it has run.
-     * Not to be called on the loop.
+     * Runs a task on the event loop between two requests, for example to apply new settings, and returns when it has
+     * run. Do not call it on the event loop.
      */
     public void runOnLoop(Runnable task) {
         loop.submit(task).syncUninterruptibly();
     }
 
-    /** Runs what a start runs, without a deployment: the build archives the classes that this loads. */
+    /** Runs the code of a start without a deployment. The build archives the classes that this loads. */
     public static void runClassArchiveTraining() throws ConfigException, IOException, InterruptedException {
         ClassArchiveTraining.run();
     }
 
-    /** Runs the proxy's own path on requests that stay inside the process, before one is started. */
+    /** Warms up the request path with requests that stay inside the process, before a proxy is started. */
     public static void warmUp(Config config) throws IOException, InterruptedException {
         boolean replacesOther = otherProcessServes(config, config.listen());
         Warmup.run(config.settings(), replacesOther ? null : config.peerListen(), replacesOther);
     }
 
     /**
-     * Starts a proxy with the project's decisions. It asks discovery before it warms up: what discovery says takes seconds
-     * when a whole fleet starts anew and asks at once, and the list that a restarted proxy knows has many that are gone.
+     * Starts a proxy with the default routing policy. It queries discovery before it warms up: a response takes seconds
+     * if a whole fleet restarts and queries at once, and the list that a restarted proxy remembers has many removed
+     * hosts.
      */
     public static Service start(Config config) throws IOException, InterruptedException {
         return start(config, new BalancingRouter(config.settings(), config.seed()), () -> warmUp(config));
     }
 
-    /** The same with other decisions and another preparation. */
-    static Service start(Config config, Router router, Preparation preparation) throws IOException, InterruptedException {
-        return new Service(config, router, new PlatformAdmissionController(config.settings())).openOrShutDown(preparation);
+    /** Starts a proxy with the given routing policy and preparation. */
+    static Service start(Config config, Router router, Preparation preparation)
+            throws IOException, InterruptedException {
+        return new Service(config, router, new PlatformAdmissionController(config.settings()))
+                .openOrShutDown(preparation);
     }
 
-    /** What a start does between asking discovery and taking clients. */
+    /** Runs during a start, after the query to discovery and before the proxy accepts clients. */
     interface Preparation {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Starts a proxy with decisions of the caller's, and without a warm-up. */
+    /** Starts a proxy with the given routing policy and without a warm-up. */
     public static Service start(Config config, Router router) throws IOException, InterruptedException {
         return start(config, router, new PlatformAdmissionController(config.settings()));
     }
 
-    /** Starts a proxy whose requests go through a gate of the caller's, without a warm-up. */
-    public static Service start(Config config, Router router, AdmissionController admission) throws IOException, InterruptedException {
+    /** Starts a proxy with the given admission controller and without a warm-up. */
+    public static Service start(Config config, Router router, AdmissionController admission)
+            throws IOException, InterruptedException {
         return start(config, router, admission, service -> { });
     }
 
-    /** The same with something to be done once there is a proxy, before it takes clients; not on its loop. */
-    public static Service start(Config config, Router router, AdmissionController admission, Consumer<Service> beforeClients) throws IOException, InterruptedException {
+    /**
+     * Starts a proxy like {@link #start(Config, Router, AdmissionController)} and runs {@code beforeClients} with it
+     * before it accepts clients, not on its event loop.
+     */
+    public static Service start(Config config, Router router, AdmissionController admission,
+            Consumer<Service> beforeClients) throws IOException, InterruptedException {
         Service service = new Service(config, router, admission);
         return service.openOrShutDown(() -> beforeClients.accept(service));
     }
 
-    /** Opens it, with something to be done before clients are taken. */
+    /**
+     * Opens the proxy; runs {@code preparation} before it accepts clients. Ends the event loop if it cannot be opened.
+     */
     Service openOrShutDown(Preparation preparation) throws IOException, InterruptedException {
         try {
             open(preparation);
@@ -445,9 +499,11 @@
         checkAddressIsFree(config.listen(), isShared());
         if (config.console() != null) {
             Console console = new Console(loop, this::readiness, this::metrics);
-            consoleListenAddress = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console()).channel().localAddress();
+            consoleListenAddress = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console())
+                    .channel().localAddress();
         }
-        // The module knows its list before the first client can come, and asks for a newer one.
+        // The routing policy gets the remembered list before the first client can connect. Discovery is then queried
+        // for a newer list.
         loop.submit(this::startDispatcher).sync();
         loop.execute(discovery::start);
         loop.execute(() -> startupStage = startupStage.advanceTo(Readiness.WARMING_UP));
@@ -455,7 +511,9 @@
         if (peers != null) {
             awaitBound(peers.listen(isShared()), config.peerListen());
         }
-        listenAddress = (InetSocketAddress) awaitBound(frontend.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
+        listenAddress = (InetSocketAddress) awaitBound(
+                frontend.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen())
+                .channel().localAddress();
         Log.info("listening on " + Addresses.text(listenAddress));
         loop.execute(() -> {
             startupStage = startupStage.advanceTo(Readiness.WAITING_FOR_LIST);
@@ -467,7 +525,7 @@
         loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    /** Waits until an address is listened at; throws where it can't be had. */
+    /** Waits until a listener is bound. Throws if the address cannot be bound. */
     public static ChannelFuture awaitBound(ChannelFuture bound, InetSocketAddress address)
             throws IOException, InterruptedException {
         bound.await();
@@ -478,8 +536,8 @@
     }
 
     /**
-     * Finds out early whether nobody listens there: bound, but not listening, as whoever connected now would wait for all of
-     * the start.
+     * Checks early that no other process listens at the address. Binds it without listening, because a client that
+     * connected now would wait until the start is complete.
      */
     private static void checkAddressIsFree(InetSocketAddress address, boolean shared) throws IOException {
         try (SocketChannel channel = SocketChannel.open()) {
@@ -494,17 +552,20 @@
         return new IOException("cannot listen on " + Addresses.text(address) + ": " + cause.getMessage());
     }
 
-    /** Where peers' messages arrive. */
+    /** The address at which messages from peers arrive. */
     public InetSocketAddress peerListenAddress() {
         return peers.listenAddress();
     }
 
-    /** Where operators call; null where they have no address. */
+    /** The address of the console for operators; null if there is none. */
     public InetSocketAddress consoleListenAddress() {
         return consoleListenAddress;
     }
 
-    /** Whether another process of this proxy may listen at its addresses too: where operators can see which of them serves. */
+    /**
+     * Whether another process of this proxy may listen at its addresses too. This needs a console, at which operators
+     * see which of them serves.
+     */
     private boolean isShared() {
         return config.console() != null;
     }
@@ -513,12 +574,14 @@
         return startupStage == Readiness.WAITING_FOR_LIST && frontend.isUp();
     }
 
-    /** Whether another process of this proxy serves at its address. */
+    /** Whether another process of this proxy serves at this address. */
     private static boolean otherProcessServes(Config config, InetSocketAddress address) {
         return config.console() != null && ServingProcessFile.of(address).otherProcess().isPresent();
     }
 
-    /** This process has become the one that serves; before the console says so, as the other is told to end then. */
+    /**
+     * Records that this process serves. This happens before the console shows it, because the other one is ended then.
+     */
     private void markServing() {
         if (isShared() && !recordedAsServing && readyToServe()) {
             recordedAsServing = true;
@@ -526,36 +589,39 @@
         }
     }
 
-    /** Whether clients may come, and why not; on the loop. */
+    /** Whether clients may connect, and if not, why. Called on the event loop. */
     private Readiness readiness() {
         return clients.isDraining() ? Readiness.DRAINING
                 : readyToServe() ? Readiness.SERVING : startupStage;
     }
 
-    /** On the loop. */
+    /** Called on the event loop. */
     private ProxyMetrics metrics() {
         String originModel = config.settings().originModel();
-        List<String> nodes = hosts.values().stream().filter(h -> originModel == null || !originModel.equals(h.node().model()))
+        List<String> nodes = hosts.values().stream()
+                .filter(h -> originModel == null || !originModel.equals(h.node().model()))
                 .map(h -> h.node().id()).toList();
         Map<String, Long> all = new TreeMap<>();
         additionalMetrics.forEach(supplier -> all.putAll(supplier.get()));
-        return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.pendingRequests(),
-                nodes, id -> platform.router().isExcluded(timers.now(), id), all);
+        return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(),
+                intake.pendingRequests(), nodes, id -> platform.router().isExcluded(timers.now(), id), all);
     }
 
-    /** Counts that the console shows besides, by name; to be called on the loop, as what tells them is. */
+    /**
+     * Adds counters, by name, to the console's metrics. Call it on the event loop; the supplier is called there too.
+     */
     public void addMetrics(Supplier<Map<String, Long>> supplier) {
         additionalMetrics.add(supplier);
     }
 
-    /** Where clients connect. */
+    /** The address at which clients connect. */
     public InetSocketAddress listenAddress() {
         return listenAddress;
     }
 
     /**
-     * Takes in the configuration's file as it is now. Discovery's address is what a running proxy can change; a file
-     * that can't be read changes nothing. Returns at once: it is called by the thread that has the signal.
+     * Reloads the configuration file. A running proxy can change only the address of discovery. An unreadable file
+     * changes nothing. Returns at once, because it is called by the thread that handles the signal.
      */
     public void reload(Map<String, String> environment) {
         try {
@@ -569,7 +635,7 @@
         reloadDiscovery(environment, discovery);
     }
 
-    /** Reads the configuration again for a watch that may move; on the watch's loop. */
+    /** Reads the configuration again and applies a new discovery address. Called on the event loop of the watch. */
     static void reloadDiscovery(Map<String, String> environment, Discovery discovery) {
         try {
             Config next = Config.reread(environment);
@@ -580,12 +646,15 @@
         }
     }
 
-    /** Ends the service once nothing is owed, and returns then. */
+    /** Shuts the proxy down and returns once no request is pending. */
     public void drain() {
         drainThen(() -> { });
     }
 
-    /** The same with something to be done when nothing is owed any more, before the loop ends; not on the loop. */
+    /**
+     * Like {@link #drain}; runs {@code action} on a thread of its own once no request is pending and before the event
+     * loop ends. Do not call it on the event loop.
+     */
     public void drainThen(Runnable action) {
         afterDrain = action;
         shutDown(ShutdownPlan.of(otherProcessServes(config, listenAddress), config.settings().classes()));
@@ -596,7 +665,7 @@
         }
     }
 
-    /** Leaves by a plan; returns at once. */
+    /** Starts the shutdown according to a plan; returns at once. */
     void shutDown(ShutdownPlan plan) {
         if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
@@ -613,19 +682,19 @@
         loop.schedule(this::endDrain, (long) plan.idleMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Still serves whoever comes, but each for the last time. */
+    /** Still serves every client, but closes each connection after its next response. */
     void beginDrain() {
         Log.info("draining");
         loop.execute(clients::drain);
     }
 
-    /** Once: a plan may stop listening before it ends. */
+    /** Runs the actions once: a plan may stop listening before the drain ends. */
     private void stopListening() {
         stopListeningActions.forEach(Runnable::run);
         stopListeningActions.clear();
     }
 
-    /** Takes no more, and ends when all that was taken is answered. */
+    /** Accepts no more connections, and ends the proxy when all accepted requests are answered. */
     void endDrain() {
         loop.execute(() -> {
             stopListening();
@@ -635,24 +704,28 @@
     }
 
     /**
-     * What a running proxy says of itself; requests and what became of them since the start.
+     * Status of a running proxy: counts of requests and their results since the start, and current values.
+     *
+     * <p>Written as JSON: the component names are part of the output.
      *
-     * @param owed requests without a final answer yet
-     * @param clients clients' connections
+     * @param owed pending requests, without a final response yet
+     * @param clients connections from clients
      * @param nodes connections to nodes
-     * @param level the decisions' present level of throttling, 0 for none
-     * @param reasons why requests were refused or failed, by class and by the reason's stable name
+     * @param level current throttling level of the routing policy, 0 for none
+     * @param reasons counts of refused and failed requests, by class and by the reason's stable name
      */
     public record Status(long requests, long served, long refused, long failed, long gone, int owed, int clients,
                          int nodes, int level, Map<String, Map<String, Long>> reasons) {
 
-        /** Of two loops together; the level is the higher one's. */
+        /** The sum of the status of two event loops. The level is the higher one of both. */
         Status plus(Status other) {
-            return new Status(requests + other.requests, served + other.served, refused + other.refused, failed + other.failed, gone + other.gone,
-                    owed + other.owed, clients + other.clients, nodes + other.nodes, Math.max(level, other.level), sum(reasons, other.reasons));
+            return new Status(requests + other.requests, served + other.served, refused + other.refused,
+                    failed + other.failed, gone + other.gone, owed + other.owed, clients + other.clients,
+                    nodes + other.nodes, Math.max(level, other.level), sum(reasons, other.reasons));
         }
 
-        private static Map<String, Map<String, Long>> sum(Map<String, Map<String, Long>> a, Map<String, Map<String, Long>> b) {
+        private static Map<String, Map<String, Long>> sum(Map<String, Map<String, Long>> a,
+                Map<String, Map<String, Long>> b) {
             Map<String, Map<String, Long>> sum = new TreeMap<>();
             for (Map<String, Map<String, Long>> counts : List.of(a, b)) {
                 counts.forEach((service, byReason) -> byReason.forEach((reason, n) ->
@@ -663,22 +736,22 @@
 
         static Status of(Counts counts, int level) {
             RequestCounters counters = counts.counters();
-            return new Status(counters.requests(), counters.served(), counters.refused(), counters.failed(), counters.gone(), counts.pending(), counts.clients(), counts.nodes(),
-                    level, counters.reasons());
+            return new Status(counters.requests(), counters.served(), counters.refused(), counters.failed(),
+                    counters.gone(), counts.pending(), counts.clients(), counts.nodes(), level, counters.reasons());
         }
     }
 
-    /** Asks the loop; not to be called on it. */
+    /** Reads the status on the event loop. Do not call it on the event loop. */
     public Status status() {
         return loop.submit(() -> Status.of(counts(), throttleLevel())).syncUninterruptibly().getNow();
     }
 
-    /** Ends at once, whatever is owed. */
+    /** Ends at once, even if requests are pending. */
     public void kill() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Waits for the last answers to be written; a client's connection closes once its own has been. */
+    /** Waits until the last responses are written. A client's connection closes after its last response. */
     private void shutDownWhenIdle() {
         if (intake.pendingRequests() > 0 || clients.size() > 0) {
             loop.schedule(this::shutDownWhenIdle, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -686,7 +759,7 @@
             if (discovery != null) {
                 logCounters();
             }
-            // Not on the loop, which it may need.
+            // On a thread of its own, because the action may need the event loop.
             Thread shutdown = new Thread(() -> {
                 afterDrain.run();
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
@@ -704,13 +777,14 @@
         Log.info(counts().toString());
     }
 
-    /** What the log tells at intervals; on the loop. */
+    /** The counters that are logged at intervals. Created on the event loop. */
     record Counts(RequestCounters counters, int pending, int clients, int nodes) {
 
         static final Counts NONE = new Counts(new RequestCounters(), 0, 0, 0);
 
         Counts plus(Counts other) {
-            return new Counts(new RequestCounters().add(counters).add(other.counters), pending + other.pending, clients + other.clients, nodes + other.nodes);
+            return new Counts(new RequestCounters().add(counters).add(other.counters), pending + other.pending,
+                    clients + other.clients, nodes + other.nodes);
         }
 
         @Override
@@ -719,13 +793,16 @@
         }
     }
 
+    /** Call it on the event loop. */
     Counts counts() {
-        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeConnectionLimit.openConnections());
+        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(),
+                nodeConnectionLimit.openConnections());
     }
 
     private void startDispatcher() {
-        // With a delay between them, and not at a rate: after a stall one beat tells of it.
-        loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0, (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        // With a fixed delay, not at a fixed rate: a stall is then reported by one tick.
+        loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0,
+                (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
         if (config.knownHosts() != null) {
             platform.applyHostList(ListUpdateKind.REMEMBERED, config.knownHosts());
@@ -746,7 +823,7 @@
         }
     }
 
-    /** Passes on what discovery tells. */
+    /** Applies updates from discovery. */
     private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
--- a/gateway/src/main/java/ridgemill/gateway/SighupHandler.java
+++ b/gateway/src/main/java/ridgemill/gateway/SighupHandler.java
@@ -3,21 +3,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, the usual sign for a new configuration; unhandled it ends a process. The Java machine's interface to signals
- * is supported but not standard, so it is looked up by name: the compiler warns of any other use.
+ * Handles SIGHUP, the usual signal to reload a configuration. Without a handler it ends the process. The JVM's signal
+ * interface is supported but not standard, so it is looked up by name: the compiler warns of any other use.
  */
 public final class SighupHandler {
 
     private SighupHandler() { }
 
-    /** Runs {@code reload} at each signal from now on, on a thread of the Java machine's. */
+    /** Runs {@code reload} for each signal from now on, on a thread of the JVM. */
     public static void register(Runnable reload) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            // A plain proxy: method handles would spin classes at each start, which no archive holds.
-            Object handling = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler}, (self, method, given) ->
-                    switch (method.getName()) {
+            // A dynamic proxy: method handles would generate classes at each start, which a class archive cannot hold.
+            Object handling = Proxy.newProxyInstance(handler.getClassLoader(), new Class<?>[] {handler},
+                    (self, method, given) -> switch (method.getName()) {
                         case "hashCode" -> System.identityHashCode(self);
                         case "equals" -> self == given[0];
                         case "toString" -> "reload";
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -7,10 +7,10 @@
 import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router;
 
-/** One group of nodes: the decisions about it, and the connections to it. */
+/** A group of nodes with its routing policy, its connections and its dispatcher. */
 record Upstream(Router router, NodeBackend backend, Dispatcher<Content> dispatcher) {
 
-    /** The back first: it must know a node before the module may choose it. */
+    /** Updates the backend first, because the routing policy may only choose nodes that the backend can reach. */
     void applyHostList(ListUpdateKind kind, HostList list) {
         backend.applyHostList(list);
         dispatcher.updateNodes(kind, list.version(), list.nodes());
--- a/gateway/src/main/java/ridgemill/gateway/Warmup.java
+++ b/gateway/src/main/java/ridgemill/gateway/Warmup.java
@@ -54,25 +54,31 @@
 import ridgemill.policy.Router.Settings;
 
 /**
- * Runs the proxy's own path before clients come, with a proxy of its own and nothing that leaves the process. On part of
- * a core the Java machine needs seconds to load and compile it; requests that came meanwhile were all too late, and
- * what the module then learned of nodes and origin was learned of us. The loop that runs it rests between rounds alone, and
- * looks at the time itself then: on one core no other thread is sure to be run meanwhile, whatever it waits for.
+ * Warms up the request path before clients connect, with a separate proxy and without traffic that leaves the process.
+ *
+ * <p>On a fraction of a core the JVM needs seconds to load and compile the request path. Without a warm-up all requests
+ * in that time were late, and the routing policy attributed the delay to the nodes and the origin.
+ *
+ * <p>The event loop that runs the warm-up pauses only between rounds, and checks the elapsed time itself then: on one
+ * core no other thread is sure to be scheduled during a round.
  */
 final class Warmup {
 
-    /** A start waits no longer than this, also where a fault keeps the loop from ending it. */
+    /** Limit of the time that a start waits, in case a fault keeps the event loop from ending the warm-up. */
     private static final long TIMEOUT_MS = 20_000;
-    /** Requests between two rests, at which it looks at the time and at what peers say. */
+    /** Requests between two pauses. The elapsed time and messages from peers are checked at each pause. */
     private static final int REQUESTS_PER_ROUND = 50;
-    /** A rest after each round, in which the proxy's own loop hears discovery, though one core has no room for both. */
+    /**
+     * Pause after each round. It lets the proxy's own event loop receive from discovery even if both share one core.
+     */
     private static final long PAUSE_MS = 1;
+    /** Concurrent clients, each with one request at a time. */
     private static final int CLIENTS = 4;
     private static final int NODES = 4;
-    /** So many that clients which rest are no quarter of it, which would end their connections. */
+    /** Capacity of the client table. Idle clients that filled a quarter of it would have their connections closed. */
     private static final int MAX_CLIENT_CONNECTIONS = 8 * CLIENTS;
-    /** One of so many requests is a miss at its cache node. */
-    private static final int REQUESTS_PER_MISS = 4;
+    /** One request in this number is a miss at its cache node. */
+    private static final int MISS = 4;
     private static final double CONNECT_TIMEOUT_MS = 1000;
 
     private final Transport transport;
@@ -90,7 +96,8 @@
     private boolean pauseScheduled;
     private volatile int served;
 
-    private Warmup(Transport transport, Settings settings, WarmupStopCondition stopCondition, PeerDetector peerDetector) {
+    private Warmup(Transport transport, Settings settings, WarmupStopCondition stopCondition,
+            PeerDetector peerDetector) {
         this.transport = transport;
         this.group = new LoopGroup(1, transport == Transport.IN_PROCESS ? LocalIoHandler.newFactory()
                 : SocketKind.chosen().handlers());
@@ -100,19 +107,27 @@
         this.peerDetector = peerDetector;
     }
 
-    /** Returns how many requests were answered, when it has run long enough; a fault in it costs its gain alone. */
-    static int run(Settings settings, InetSocketAddress peerListen, boolean replacesOther) throws IOException, InterruptedException {
-        return run(Transport.IN_PROCESS, settings, peerListen, replacesOther ? WarmupStopCondition.forSuccessor() : WarmupStopCondition.standard());
+    /**
+     * Runs the warm-up inside the process. A fault during the warm-up only reduces its effect.
+     *
+     * @param peerListen where messages from peers arrive, or null
+     * @param replacesOther whether this process replaces another process of this proxy
+     * @return number of requests that were answered
+     */
+    static int run(Settings settings, InetSocketAddress peerListen, boolean replacesOther)
+            throws IOException, InterruptedException {
+        return run(Transport.IN_PROCESS, settings, peerListen,
+                replacesOther ? WarmupStopCondition.forSuccessor() : WarmupStopCondition.standard());
     }
 
-    /** The same over sockets, as a rehearsal wants it, or until another end. */
-    static int run(Transport transport, Settings settings, InetSocketAddress peerListen, WarmupStopCondition stopCondition)
-            throws IOException, InterruptedException {
+    /** Runs the warm-up over the given transport until the given condition holds. */
+    static int run(Transport transport, Settings settings, InetSocketAddress peerListen,
+            WarmupStopCondition stopCondition) throws IOException, InterruptedException {
         PeerDetector peerDetector = new PeerDetector(peerListen);
         Warmup warmup = new Warmup(transport, settings, stopCondition, peerDetector);
         try (peerDetector) {
             warmup.start();
-            // The loop ends it: this thread may not get to run before the loop rests.
+            // The event loop ends the warm-up: this thread may not be scheduled before the loop pauses.
             warmup.done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             Log.info("warmed up with " + warmup.served + " requests");
             return warmup.served;
@@ -126,16 +141,17 @@
                 settings.connectionCosts().idleTimeoutMs(), new ConnectionLimit(NODES * CLIENTS));
         LoopTimers timers = new LoopTimers(loop, new Clock());
         Intake<Content> intake = new Intake<>(timers, new PlatformAdmissionController(settings));
-        Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool, new LogFaults(),
-                intake::requestFinished, CLIENTS + 1);
+        Dispatcher<Content> dispatcher = new Dispatcher<>(timers, settings, new BalancingRouter(settings, 0), pool,
+                new LogFaults(), intake::requestFinished, CLIENTS + 1);
         intake.addGroup(Intake.PLATFORM_GROUP, dispatcher);
-        HttpFrontend clients = new HttpFrontend(loop, intake, new ClientTable(MAX_CLIENT_CONNECTIONS, () -> Integer.MAX_VALUE));
+        HttpFrontend clients = new HttpFrontend(loop, intake,
+                new ClientTable(MAX_CLIENT_CONNECTIONS, () -> Integer.MAX_VALUE));
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = 0; i <= NODES; i++) {
             boolean origin = i == NODES && settings.originModel() != null;
             SocketAddress address = startNode(listenAddress(), origin, i % 2 == 0);
-            hosts.add(new HostList.Host(new Node("warm-up-" + i, origin ? settings.originModel() : "", settings.zone(), 0,
-                    1, 0, Availability.UP), address));
+            hosts.add(new HostList.Host(new Node("warm-up-" + i, origin ? settings.originModel() : "", settings.zone(),
+                    0, 1, 0, Availability.UP), address));
         }
         loop.submit(() -> {
             HostList list = new HostList(1, true, hosts);
@@ -150,13 +166,14 @@
         }
     }
 
-    /** One that nothing else has: what an earlier warm-up of this process had may not be given back yet. */
+    /** An unused address. The address of an earlier warm-up of this process may not be released yet. */
     private SocketAddress listenAddress() {
         return transport == Transport.IN_PROCESS ? LocalAddress.ANY
                 : new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
 
-    private SocketAddress startNode(SocketAddress address, boolean origin, boolean singleBuffer) throws InterruptedException {
+    private SocketAddress startNode(SocketAddress address, boolean origin, boolean singleBuffer)
+            throws InterruptedException {
         return transport.server(loop)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
@@ -168,7 +185,7 @@
     }
 
     private void countServed() {
-        // Written by the loop alone.
+        // Only the event loop writes this field.
         int next = served + 1;
         served = next;
     }
@@ -184,9 +201,9 @@
     }
 
     /**
-     * A node that has most keys, or the origin, which has all. Over a queue inside the process an answer comes in as many
-     * pieces as Netty writes, where a socket brings it in one; so every other node's are put into one, and both of the
-     * ways in which answers are read get warm.
+     * A cache node that has most keys, or the origin, which has all of them. Over the in-process transport a response
+     * arrives in as many buffers as Netty writes, while a socket delivers it in one. Every second node therefore sends
+     * its responses as single buffers, so that both ways of reading responses are warmed up.
      */
     private static final class NodeHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private static final byte[] BODY = new byte[1000];
@@ -207,10 +224,10 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean miss = !origin && request.uri().hashCode() % REQUESTS_PER_MISS == 0;
+            boolean miss = !origin && request.uri().hashCode() % MISS == 0;
             if (singleBuffer) {
                 ByteBuf response = encodeResponse(ctx, miss);
-                // Past the codec, which stands before this.
+                // Bypasses the codec, which is the first handler of the pipeline.
                 ChannelHandlerContext first = ctx.pipeline().firstContext();
                 ctx.executor().execute(() -> first.writeAndFlush(response));
                 return;
@@ -220,12 +237,15 @@
                     miss ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(BODY));
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
                     .set("X-Hit", miss ? "miss" : "hit");
-            // Not from within the read: the answer would overtake the end of the write that asked for it.
+            // Not from within the read: the response would arrive before the write of its request is complete.
             ctx.executor().execute(() -> ctx.writeAndFlush(response));
         }
     }
 
-    /** The clients rest between rounds, all at once: the loop then waits, and looks at the time itself before it goes on. */
+    /**
+     * Pauses all clients between two rounds. The event loop is idle then, and checks the elapsed time before it
+     * continues.
+     */
     private void pause() {
         loop.schedule(() -> {
             pauseScheduled = false;
@@ -249,7 +269,7 @@
         }
     }
 
-    /** A client that asks again as soon as it has its answer, until its round is over. */
+    /** A client that sends its next request as soon as it has received a response, until the round ends. */
     private final class ClientHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private ChannelHandlerContext context;
         private boolean waiting;
