--- a/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
+++ b/gateway/src/main/java/ridgemill/gateway/MultiLoopService.java
@@ -88,7 +88,7 @@
     public static MultiLoopService start(Config config, int loops, Function<Settings, Router> routerFactory,
             IntFunction<AdmissionController> admissionFactory) throws IOException, InterruptedException {
         if (loops < 2) {
-            throw new IllegalArgumentException("a crew has at least two loops: " + loops);
+            throw new IllegalArgumentException("at least two event loops are required: " + loops);
         }
         MultiLoopService service = new MultiLoopService(config, loops, routerFactory, admissionFactory);
         try {
@@ -305,7 +305,7 @@
             runOnAcceptorLoop(() -> acceptor.retire(index));
             members.get(index).clients().drain();
             Log.info("loop " + index + " is retired after an error; " + (members.size() - 1)
-                    + " others serve on");
+                    + " other loops still serve");
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
@@ -25,7 +25,7 @@
             try {
                 channel.bind(address).configureBlocking(false).register(selector, SelectionKey.OP_READ);
             } catch (IOException e) {
-                Log.info("no peers are heard before the start: " + e.getMessage());
+                Log.info("cannot detect peers during the start: " + e.getMessage());
             }
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -627,7 +627,7 @@
         try {
             loop.execute(() -> reloadOnLoop(environment));
         } catch (RejectedExecutionException e) {
-            Log.info("no new configuration: the proxy has ended");
+            Log.info("configuration not reloaded: the proxy has shut down");
         }
     }
 
@@ -639,10 +639,10 @@
     static void reloadDiscovery(Map<String, String> environment, Discovery discovery) {
         try {
             Config next = Config.reread(environment);
-            Log.info("new configuration: discovery at " + next.discovery());
+            Log.info("configuration reloaded: discovery address is " + next.discovery());
             discovery.moveTo(next.discovery());
         } catch (ConfigException e) {
-            Log.info("new configuration not taken, the old one stays: " + e.getMessage());
+            Log.info("configuration not reloaded, the current one is kept: " + e.getMessage());
         }
     }
 
