--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -64,18 +64,26 @@
 import ridgemill.policy.Router;
 import ridgemill.succession.ShutdownPlan;
 
-/** One running proxy: puts the parts together on one event loop, and takes them down without losing a request. */
+/**
+ * One running proxy. Assembles its components on one event loop and shuts them down without losing a request.
+ */
 public final class Service {
 
-    /** Descriptors for the listener, the watch, peers, the selector and the Java machine's own files. */
+    /** File descriptors for the listener, the discovery watch, peers, the selector and the JVM's own files. */
     static final int RESERVED_DESCRIPTORS = 48;
-    /** Part of the other descriptors that is for clients; each of their requests has one attempt out at most. */
+    /**
+     * Fraction of the remaining descriptors for client connections; the rest are for connections to nodes. Half
+     * is enough for nodes, as a client's request has at most one attempt in progress.
+     */
     private static final double CLIENT_DESCRIPTOR_FRACTION = 0.5;
     private static final long DRAIN_POLL_INTERVAL_MS = 10;
-    /** How long readiness waits for discovery: a list from the configuration serves if it says nothing. */
+    /**
+     * How long readiness waits for discovery. If discovery sends nothing in this time, the host list from the
+     * configuration is used.
+     */
     static final long DISCOVERY_WAIT_MS = 2000;
     static final long COUNTERS_LOG_INTERVAL_S = 10;
-    /** What the length of a datagram of leases leaves when it is divided by that of a key. */
+    /** Remainder of the length of a lease or version datagram modulo {@link Integer#BYTES}, the size of a key. */
     private static final int FLEET_MESSAGE_REMAINDER = 3;
 
     private final LoopGroup group = new LoopGroup(1, SocketKind.chosen().handlers());
@@ -85,206 +93,232 @@
     private final LoopTimers timers;
     private final Deadlines deadlines;
     private final Intake<Content> intake;
-    private final ConnectionLimit nodeSockets;
+    private final ConnectionLimit nodeConnectionLimit;
     private final NodeConnectionPool pool;
     private final Upstream platform;
     private final ClientTable clients;
-    private final List<Runnable> stops = new ArrayList<>();
-    private final HttpFrontend front;
+    private final List<Runnable> stopListeningActions = new ArrayList<>();
+    private final HttpFrontend frontend;
     private final Discovery discovery;
     private final PeerMessenger peers;
     private final Map<String, HostList.Host> hosts = new LinkedHashMap<>();
-    private Runnable onHosts = () -> { };
-    private final List<BiConsumer<Integer, byte[]>> onFleet = new ArrayList<>();
-    private IntPredicate mute = from -> false;
-    private final List<Supplier<Map<String, Long>>> moreFigures = new ArrayList<>();
-    private volatile Runnable beforeEnd = () -> { };
-    private Readiness reached = Readiness.STARTING;
-    private boolean marked;
-    private InetSocketAddress listening;
-    private InetSocketAddress consoleListening;
-
-    /** A proxy that reaches the outside by itself. */
-    private Service(Config config, Router router, AdmissionController gate) {
-        this(config, router, gate, null);
-    }
-
-    /** One that reaches discovery, peers and new clients through a crew, or by itself where that is null. */
-    private Service(Config config, Router router, AdmissionController gate, MemberContext outside) {
+    private Runnable hostListListener = () -> { };
+    private final List<BiConsumer<Integer, byte[]>> fleetMessageListeners = new ArrayList<>();
+    private IntPredicate ignoredPeers = from -> false;
+    private final List<Supplier<Map<String, Long>>> additionalMetrics = new ArrayList<>();
+    private volatile Runnable afterDrain = () -> { };
+    private Readiness startupStage = Readiness.STARTING;
+    private boolean recordedAsServing;
+    private InetSocketAddress listenAddress;
+    private InetSocketAddress consoleListenAddress;
+
+    /** Creates a proxy with its own connections to discovery and peers. */
+    private Service(Config config, Router router, AdmissionController admission) {
+        this(config, router, admission, null);
+    }
+
+    /**
+     * Creates a proxy that reaches discovery and peers through {@code context} and gets its clients from another event
+     * loop. If {@code context} is null, it does all of this itself.
+     */
+    private Service(Config config, Router router, AdmissionController admission, MemberContext context) {
         this.config = config;
         Settings settings = config.settings();
-        int sockets = Math.max(2, config.sockets() - RESERVED_DESCRIPTORS);
-        int clientSockets = Math.max(1, (int) (sockets * CLIENT_DESCRIPTOR_FRACTION));
+        int descriptors = Math.max(2, config.sockets() - RESERVED_DESCRIPTORS);
+        int clientDescriptors = Math.max(1, (int) (descriptors * CLIENT_DESCRIPTOR_FRACTION));
         timers = new LoopTimers(loop, new Clock());
         deadlines = new Deadlines(DeadlinePolicy.DEFAULT);
-        intake = new Intake<>(timers, gate, deadlines);
-        nodeSockets = new ConnectionLimit(Math.max(1, sockets - clientSockets));
+        intake = new Intake<>(timers, admission, deadlines);
+        nodeConnectionLimit = new ConnectionLimit(Math.max(1, descriptors - clientDescriptors));
         pool = new NodeConnectionPool(loop, Transport.TCP, HttpNodeConnection::new,
-                settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeSockets);
-        platform = upstream(Intake.PLATFORM_GROUP, settings, router, pool, faults(outside));
+                settings.limits().connectTimeoutMs(), settings.connectionCosts().idleTimeoutMs(), nodeConnectionLimit);
+        platform = createUpstream(Intake.PLATFORM_GROUP, settings, router, pool, faultReporter(context));
         intake.addGroup(Intake.PLATFORM_GROUP, platform.dispatcher());
-        clients = new ClientTable(clientSockets, gate::maxConnectionsPerClient);
-        front = new HttpFrontend(loop, intake, clients);
-        stops.add(front::stopListening);
-        if (outside != null) {
+        clients = new ClientTable(clientDescriptors, admission::maxConnectionsPerClient);
+        frontend = new HttpFrontend(loop, intake, clients);
+        stopListeningActions.add(frontend::stopListening);
+        if (context != null) {
             discovery = null;
             peers = null;
-            platform.dispatcher().setCallbacks(outside::subscribe, outside::broadcast);
-            callForRoom(outside::broadcast);
+            platform.dispatcher().setCallbacks(context::subscribe, context::broadcast);
+            sendReleaseRequests(context::broadcast);
             return;
         }
-        discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(), new DiscoveryListener());
+        discovery = new Discovery(loop, config.discovery(), config.knownHosts(), !settings.mustSubscribe(),
+                new DiscoveryListener());
         peers = config.peerListen() == null ? null : new PeerMessenger(loop, config, this::peerMessage);
-        Consumer<byte[]> tell = peers == null ? contents -> { } : peers::send;
-        platform.dispatcher().setCallbacks(discovery::subscribe, tell);
-        callForRoom(tell);
+        Consumer<byte[]> broadcast = peers == null ? contents -> { } : peers::send;
+        platform.dispatcher().setCallbacks(discovery::subscribe, broadcast);
+        sendReleaseRequests(broadcast);
     }
 
-    /** Nodes that have no place for a connection of ours: the other proxies hear of it, if the settings let us speak. */
-    private void callForRoom(Consumer<byte[]> tell) {
-        ConnectionReleaseRequests calls = new ConnectionReleaseRequests();
+    /**
+     * When a node rejects a connection because it has no capacity left, asks the other proxies to release idle
+     * connections to it, if the settings allow peer messages.
+     */
+    private void sendReleaseRequests(Consumer<byte[]> broadcast) {
+        ConnectionReleaseRequests releaseRequests = new ConnectionReleaseRequests();
         if (config.settings().limits().peerMessagesAllowed()) {
             pool.onConnectionRejected(node -> {
-                byte[] call = calls.connectionRejected(node, timers.now());
-                if (call != null) {
-                    tell.accept(call);
+                byte[] request = releaseRequests.connectionRejected(node, timers.now());
+                if (request != null) {
+                    broadcast.accept(request);
                 }
             });
         }
     }
 
-    private Upstream upstream(String name, Settings settings, Router router, NodeBackend back, FaultReporter faults) {
-        return new Upstream(router, back, new Dispatcher<>(timers, settings, router, back, faults, intake::requestFinished,
-                config.maxPendingRequests(), deadlines.group(name)));
+    private Upstream createUpstream(String name, Settings settings, Router router, NodeBackend backend,
+            FaultReporter faults) {
+        return new Upstream(router, backend, new Dispatcher<>(timers, settings, router, backend, faults,
+                intake::requestFinished, config.maxPendingRequests(), deadlines.group(name)));
     }
 
-    private static FaultReporter faults(MemberContext outside) {
-        return outside == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), outside);
+    private static FaultReporter faultReporter(MemberContext context) {
+        return context == null ? new LogFaults() : new MemberFaultReporter(new LogFaults(), context);
     }
 
-    /** Tells the crew too of what a member does not recover from. */
-    private record MemberFaultReporter(LogFaults log, MemberContext outside) implements FaultReporter {
+    /** Logs faults, and also reports those that a member cannot recover from to its {@link MultiLoopService}. */
+    private record MemberFaultReporter(LogFaults log, MemberContext context) implements FaultReporter {
         @Override
-        public void error(String what, Throwable cause) {
-            log.error(what, cause);
+        public void error(String message, Throwable cause) {
+            log.error(message, cause);
         }
 
         @Override
-        public void warning(String what) {
-            log.warning(what);
+        public void warning(String message) {
+            log.warning(message);
         }
 
         @Override
-        public void fatal(String what, Throwable cause) {
-            log.error(what, cause);
-            outside.failed();
+        public void fatal(String message, Throwable cause) {
+            log.error(message, cause);
+            context.failed();
         }
     }
 
-    /** What a member of a crew has of the world beyond nodes and its clients; called on the member's loop. */
+    /**
+     * Connects a member to the services that its {@link MultiLoopService} shares; called on the member's event loop.
+     */
     interface MemberContext {
 
-        /** Asks discovery to send changes. */
+        /** Subscribes to changes from discovery. */
         void subscribe();
 
-        /** Tells all other proxies, those of this process too. */
+        /** Sends a message to all other proxies, including the other event loops of this process. */
         void broadcast(byte[] contents);
 
-        /** The member can't decide any more. */
+        /** Reports that the member's routing policy has failed and cannot be used any more. */
         void failed();
     }
 
-    /** A member of a crew, which waits for what it is told and dealt once it has begun. */
-    static Service createMember(Config part, Router router, AdmissionController gate, MemberContext outside) {
-        return new Service(part, router, gate, outside);
+    /**
+     * Creates a member of a {@link MultiLoopService}. After {@link #startMember}, it gets its host lists, peer messages
+     * and client connections from there.
+     */
+    static Service createMember(Config config, Router router, AdmissionController admission, MemberContext context) {
+        return new Service(config, router, admission, context);
     }
 
-    /** Begins as a member, once all of its crew are there. */
+    /** Starts a member; called once all members have been created. */
     void startMember() {
         runOnLoop(() -> {
-            tellStart();
+            startDispatcher();
             clients.startTimeoutChecks(loop);
         });
     }
 
-    /** What holds for clients over HTTP from now on; on the loop. */
-    public void setHttpClientPolicy(HttpClientPolicy terms) {
-        front.policy(terms);
+    /** Sets the policy for HTTP clients from now on. Call it on the event loop. */
+    public void setHttpClientPolicy(HttpClientPolicy policy) {
+        frontend.policy(policy);
     }
 
-    /** Outcomes of keyed writes are recorded from now on, and told to who asks; on the loop. */
-    public void enableIdempotencyRecords(IdempotencyRecords outcomes) {
-        intake.setDeduplicator(new WriteDeduplicator<>(timers, outcomes, Fingerprint::of));
-        front.enableOutcomeQueries();
+    /** Starts to record the outcomes of keyed writes and to answer queries for them. Call it on the event loop. */
+    public void enableIdempotencyRecords(IdempotencyRecords records) {
+        intake.setDeduplicator(new WriteDeduplicator<>(timers, records, Fingerprint::of));
+        frontend.enableOutcomeQueries();
     }
 
-    /** Where the HTTP front takes connections in, which a crew deals. */
+    /** The listeners of the HTTP frontend; a {@link MultiLoopService} distributes connections to them. */
     public Listeners httpListeners() {
-        return front.listeners();
+        return frontend.listeners();
     }
 
-    /** From now on the proxy says that it may be used; on the loop. */
+    /** Marks the proxy as ready to serve clients. Call it on the event loop. */
     void ready() {
-        front.markReady();
+        frontend.markReady();
         markServing();
     }
 
-    /** What discovery told a crew; on the loop. */
+    /** Applies a host list that a {@link MultiLoopService} received from discovery. Call it on the event loop. */
     void applyHostList(ListUpdateKind kind, HostList list) {
         new DiscoveryListener().hosts(kind, list);
     }
 
-    /** Discovery failed a crew; on the loop. */
+    /** Reports that discovery failed for a {@link MultiLoopService}. Call it on the event loop. */
     void discoveryFailed() {
         platform.dispatcher().discoveryFailed();
     }
 
-    /** A message of another proxy, or of another loop of this process; on the loop. */
+    /**
+     * Handles a message from another proxy, or from another event loop of this process. Call it on the event loop.
+     *
+     * @param from index of the sender among the peers
+     */
     void peerMessage(int from, byte[] contents) {
-        if (mute.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents) || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
+        if (ignoredPeers.test(from) && (ConnectionReleaseRequests.isReleaseRequest(contents)
+                || contents.length % Integer.BYTES != FLEET_MESSAGE_REMAINDER)) {
             return;
         }
         if (ConnectionReleaseRequests.isReleaseRequest(contents)) {
-            pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node), ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
+            pool.closeIdleLongerThan(node -> ConnectionReleaseRequests.isForNode(contents, node),
+                    ConnectionReleaseRequests.IDLE_THRESHOLD_MS);
         } else if (contents.length % Integer.BYTES == FLEET_MESSAGE_REMAINDER) {
-            // Of leases or versions: the decisions' own messages are whole numbers of keys. Whoever has none of these has no use for it.
-            onFleet.forEach(to -> to.accept(from, contents));
+            // A lease or version message. The length of a routing policy message is a multiple of the key size.
+            // Without listeners the message is dropped.
+            fleetMessageListeners.forEach(to -> to.accept(from, contents));
         } else {
             platform.dispatcher().peerMessage(from, contents);
         }
     }
 
-    /** What such proxies, by their place among the peers, tell the decisions or ask for is not heard; on the loop. */
+    /**
+     * Ignores routing policy messages and connection release requests from the peers whose index matches. Lease and
+     * version messages are still received. Call it on the event loop.
+     */
     public void ignorePeers(IntPredicate from) {
-        mute = from;
+        ignoredPeers = from;
     }
 
-    /** Passes on what other proxies say of leases and versions, with their place among the peers; to be called on the loop. */
-    public void onFleetMessage(BiConsumer<Integer, byte[]> heard) {
-        onFleet.add(heard);
+    /**
+     * Adds a listener for lease and version messages of other proxies. It receives the sender's index among the peers
+     * and the message. Call it on the event loop.
+     */
+    public void onFleetMessage(BiConsumer<Integer, byte[]> listener) {
+        fleetMessageListeners.add(listener);
     }
 
-    /** Tells one other proxy something, by its place among the peers; on the loop. */
+    /** Sends a message to one other proxy, by its index among the peers. Call it on the event loop. */
     public void sendToPeer(int to, byte[] contents) {
         if (peers != null) {
             peers.send(to, contents);
         }
     }
 
-    /** Takes in another group of nodes, under decisions of its own; to be called on the loop. */
-    public Group addGroup(String name, Settings settings, Router router, NodeBackend back) {
-        Group group = new Group(name, upstream(name, settings, router, back, new LogFaults()));
+    /** Adds a group of nodes with a routing policy of its own. Call it on the event loop. */
+    public Group addGroup(String name, Settings settings, Router router, NodeBackend backend) {
+        Group group = new Group(name, createUpstream(name, settings, router, backend, new LogFaults()));
         group.upstream.dispatcher().start();
         intake.addGroup(name, group.upstream.dispatcher());
         return group;
     }
 
-    /** The platform's own nodes. */
+    /** The default group: the platform's nodes. */
     public Group platform() {
         return new Group(Intake.PLATFORM_GROUP, platform);
     }
 
-    /** A group of nodes: the platform's, or one beside it. All of it is to be called on the loop. */
+    /** A group of nodes: the platform's or an additional one. Call all methods on the event loop. */
     public final class Group {
         private final String name;
         private final Upstream upstream;
@@ -294,143 +328,163 @@
             this.upstream = upstream;
         }
 
-        /** Its nodes, which the list names all. */
+        /** Replaces the nodes of the group; the list is complete. */
         public void setNodes(HostList list) {
             upstream.applyHostList(ListUpdateKind.FULL, list);
         }
 
-        /** Its nodes that take work, as they are listed. */
+        /** The nodes that accept requests according to the host list. */
         public List<String> listed() {
             return upstream.router().listedNodes();
         }
 
-        /** Those of its nodes that get nothing now as they could not be reached. */
+        /** The nodes that currently get no requests because they could not be reached. */
         public List<String> gone() {
             return upstream.router().unreachableNodes(timers.now());
         }
 
-        /** Its decisions are told what came of a probe, made here or by another proxy. */
+        /** Reports the result of a probe, sent by this or another proxy, to the routing policy. */
         public void probed(String node, Outcome outcome, double tookMs) {
             upstream.dispatcher().probeEnded(node, outcome, tookMs);
         }
 
-        /** Asks one of its nodes whether it takes work; {@code done} is told on the loop. */
+        /** Probes whether a node accepts requests. {@code done} receives the result on the event loop. */
         public void probe(String node, Consumer<Outcome> done) {
-            upstream.backend().probe(node, config.settings().limits().connectTimeoutMs(), (outcome, answer) -> done.accept(outcome));
+            upstream.backend().probe(node, config.settings().limits().connectTimeoutMs(),
+                    (outcome, answer) -> done.accept(outcome));
         }
 
-        /** No new request goes to it, and nothing new to its nodes; attempts that are out there end as they end. */
+        /**
+         * Removes the group: it and its nodes get no new requests. Attempts in progress run to their end.
+         *
+         * @param version version of the empty host list that replaces the current one
+         */
         public void remove(long version) {
             intake.removeGroup(name);
             setNodes(new HostList(version, true, List.of()));
-            nodeSockets.unregister(upstream.backend());
+            nodeConnectionLimit.unregister(upstream.backend());
         }
     }
 
-    /** What holds for requests that come and for those in line; all of it is to be called on the loop. */
+    /** The intake of new and queued requests. Call its methods on the event loop. */
     public Intake<Content> intake() {
         return intake;
     }
 
-    /** Listens for HTTP at one more address until {@link #stopListeningAt}; not to be called on the loop. */
+    /** Listens for HTTP at an additional address until {@link #stopListeningAt}. Do not call it on the event loop. */
     public void listen(InetSocketAddress address) throws IOException, InterruptedException {
-        awaitBound(front.listen(Transport.TCP, address), address);
+        awaitBound(frontend.listen(Transport.TCP, address), address);
     }
 
-    /** No new connections at an address that was listened at besides. */
+    /** Stops accepting connections at an additional address. */
     public void stopListeningAt(InetSocketAddress address) {
-        loop.execute(() -> front.stopListening(address));
+        loop.execute(() -> frontend.stopListening(address));
     }
 
-    /** The hosts of the platform's list as it was told last; on the loop. */
+    /** The hosts of the platform's list after its last update. Call it on the event loop. */
     public List<HostList.Host> hosts() {
         return List.copyOf(hosts.values());
     }
 
-    /** Runs {@code then} on the loop after each news of the platform's list, in place of what was run before. */
-    public void onHostListChange(Runnable then) {
-        onHosts = then;
+    /**
+     * Sets the listener that runs on the event loop after each update of the platform's host list. It replaces the
+     * previous one.
+     */
+    public void onHostListChange(Runnable listener) {
+        hostListListener = listener;
     }
 
-    /** The decisions' present level of throttling for the platform's nodes; on the loop. */
+    /**
+     * The routing policy's current throttling level for the platform's nodes, 0 for none. Call it on the event loop.
+     */
     public int throttleLevel() {
         return platform.router().admissionLevel();
     }
 
-    /** The clients' connections of all fronts. */
+    /** The client connections of all frontends. */
     public ClientTable clients() {
         return clients;
     }
 
-    /** The descriptors that connections to nodes share. */
+    /** The limit of connections to nodes, which all groups share. */
     public ConnectionLimit nodeConnectionLimit() {
-        return nodeSockets;
+        return nodeConnectionLimit;
     }
 
-    /** Another front: {@code stop} is run on the loop when no more connections are to be taken. */
-    public void onStopListening(Runnable stop) {
-        stops.add(stop);
+    /** Adds an action of another frontend that runs on the event loop when the proxy stops accepting connections. */
+    public void onStopListening(Runnable action) {
+        stopListeningActions.add(action);
     }
 
-    /** The loop that owns all of the proxy's state. */
+    /** The event loop that owns all state of the proxy. */
     public EventLoop loop() {
         return loop;
     }
 
     /**
-     * Runs a task on the loop between two requests, as when other settings take effect, and returns when it has run.
-     * Not to be called on the loop.
+     * Runs a task on the event loop between two requests, for example to apply new settings, and returns when it has
+     * run. Do not call it on the event loop.
      */
     public void runOnLoop(Runnable task) {
         loop.submit(task).syncUninterruptibly();
     }
 
-    /** Runs what a start runs, without a deployment: the build archives the classes that this loads. */
+    /** Runs the code of a start without a deployment. The build archives the classes that this loads. */
     public static void runClassArchiveTraining() throws ConfigException, IOException, InterruptedException {
         ClassArchiveTraining.run();
     }
 
-    /** Runs the proxy's own path on requests that stay inside the process, before one is started. */
+    /** Warms up the request path with requests that stay inside the process, before a proxy is started. */
     public static void warmUp(Config config) throws IOException, InterruptedException {
-        boolean succeeds = anotherServes(config, config.listen());
-        Warmup.run(config.settings(), succeeds ? null : config.peerListen(), succeeds);
+        boolean replacesOther = otherProcessServes(config, config.listen());
+        Warmup.run(config.settings(), replacesOther ? null : config.peerListen(), replacesOther);
     }
 
     /**
-     * Starts a proxy with the project's decisions. It asks discovery before it warms up: what discovery says takes seconds
-     * when a whole fleet starts anew and asks at once, and the list that a restarted proxy knows has many that are gone.
+     * Starts a proxy with the default routing policy. It queries discovery before it warms up: a response takes seconds
+     * if a whole fleet restarts and queries at once, and the list that a restarted proxy remembers has many removed
+     * hosts.
      */
     public static Service start(Config config) throws IOException, InterruptedException {
         return start(config, new BalancingRouter(config.settings(), config.seed()), () -> warmUp(config));
     }
 
-    /** The same with other decisions and another preparation. */
-    static Service start(Config config, Router router, Preparation preparation) throws IOException, InterruptedException {
-        return new Service(config, router, new PlatformAdmissionController(config.settings())).openOrShutDown(preparation);
+    /** Starts a proxy with the given routing policy and preparation. */
+    static Service start(Config config, Router router, Preparation preparation)
+            throws IOException, InterruptedException {
+        return new Service(config, router, new PlatformAdmissionController(config.settings()))
+                .openOrShutDown(preparation);
     }
 
-    /** What a start does between asking discovery and taking clients. */
+    /** Runs during a start, after the query to discovery and before the proxy accepts clients. */
     interface Preparation {
         void run() throws IOException, InterruptedException;
     }
 
-    /** Starts a proxy with decisions of the caller's, and without a warm-up. */
+    /** Starts a proxy with the given routing policy and without a warm-up. */
     public static Service start(Config config, Router router) throws IOException, InterruptedException {
         return start(config, router, new PlatformAdmissionController(config.settings()));
     }
 
-    /** Starts a proxy whose requests go through a gate of the caller's, without a warm-up. */
-    public static Service start(Config config, Router router, AdmissionController gate) throws IOException, InterruptedException {
-        return start(config, router, gate, service -> { });
+    /** Starts a proxy with the given admission controller and without a warm-up. */
+    public static Service start(Config config, Router router, AdmissionController admission)
+            throws IOException, InterruptedException {
+        return start(config, router, admission, service -> { });
     }
 
-    /** The same with something to be done once there is a proxy, before it takes clients; not on its loop. */
-    public static Service start(Config config, Router router, AdmissionController gate, Consumer<Service> before) throws IOException, InterruptedException {
-        Service service = new Service(config, router, gate);
-        return service.openOrShutDown(() -> before.accept(service));
+    /**
+     * Starts a proxy like {@link #start(Config, Router, AdmissionController)} and runs {@code beforeClients} with it
+     * before it accepts clients, not on its event loop.
+     */
+    public static Service start(Config config, Router router, AdmissionController admission,
+            Consumer<Service> beforeClients) throws IOException, InterruptedException {
+        Service service = new Service(config, router, admission);
+        return service.openOrShutDown(() -> beforeClients.accept(service));
     }
 
-    /** Opens it, with something to be done before clients are taken. */
+    /**
+     * Opens the proxy; runs {@code preparation} before it accepts clients. Ends the event loop if it cannot be opened.
+     */
     Service openOrShutDown(Preparation preparation) throws IOException, InterruptedException {
         try {
             open(preparation);
@@ -442,153 +496,168 @@
     }
 
     private void open(Preparation preparation) throws IOException, InterruptedException {
-        free(config.listen(), isShared());
+        checkAddressIsFree(config.listen(), isShared());
         if (config.console() != null) {
             Console console = new Console(loop, this::readiness, this::metrics);
-            consoleListening = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console()).channel().localAddress();
+            consoleListenAddress = (InetSocketAddress) awaitBound(console.listen(config.console()), config.console())
+                    .channel().localAddress();
         }
-        // The module knows its list before the first client can come, and asks for a newer one.
-        loop.submit(this::tellStart).sync();
+        // The routing policy gets the remembered list before the first client can connect. Discovery is then queried
+        // for a newer list.
+        loop.submit(this::startDispatcher).sync();
         loop.execute(discovery::start);
-        loop.execute(() -> reached = reached.advanceTo(Readiness.WARMING_UP));
+        loop.execute(() -> startupStage = startupStage.advanceTo(Readiness.WARMING_UP));
         preparation.run();
         if (peers != null) {
             awaitBound(peers.listen(isShared()), config.peerListen());
         }
-        listening = (InetSocketAddress) awaitBound(front.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen()).channel().localAddress();
-        Log.info("listening on " + Addresses.text(listening));
+        listenAddress = (InetSocketAddress) awaitBound(
+                frontend.listen(isShared() ? Transport.SHARED_TCP : Transport.TCP, config.listen()), config.listen())
+                .channel().localAddress();
+        Log.info("listening on " + Addresses.text(listenAddress));
         loop.execute(() -> {
-            reached = reached.advanceTo(Readiness.WAITING_FOR_LIST);
+            startupStage = startupStage.advanceTo(Readiness.WAITING_FOR_LIST);
             markServing();
         });
         clients.startTimeoutChecks(loop);
-        long patience = config.settings().mustSubscribe() ? 0 : DISCOVERY_WAIT_MS;
-        loop.schedule(this::ready, patience, TimeUnit.MILLISECONDS);
-        loop.scheduleAtFixedRate(this::logTally, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
+        long waitMs = config.settings().mustSubscribe() ? 0 : DISCOVERY_WAIT_MS;
+        loop.schedule(this::ready, waitMs, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::logCounters, COUNTERS_LOG_INTERVAL_S, COUNTERS_LOG_INTERVAL_S, TimeUnit.SECONDS);
     }
 
-    /** Waits until an address is listened at; throws where it can't be had. */
+    /** Waits until a listener is bound. Throws if the address cannot be bound. */
     public static ChannelFuture awaitBound(ChannelFuture bound, InetSocketAddress address)
             throws IOException, InterruptedException {
         bound.await();
         if (!bound.isSuccess()) {
-            throw cannotListen(address, bound.cause());
+            throw listenFailure(address, bound.cause());
         }
         return bound;
     }
 
     /**
-     * Finds out early whether nobody listens there: bound, but not listening, as whoever connected now would wait for all of
-     * the start.
+     * Checks early that no other process listens at the address. Binds it without listening, because a client that
+     * connected now would wait until the start is complete.
      */
-    private static void free(InetSocketAddress address, boolean shared) throws IOException {
-        try (SocketChannel tried = SocketChannel.open()) {
-            tried.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
-            tried.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
+    private static void checkAddressIsFree(InetSocketAddress address, boolean shared) throws IOException {
+        try (SocketChannel channel = SocketChannel.open()) {
+            channel.setOption(StandardSocketOptions.SO_REUSEPORT, shared);
+            channel.setOption(StandardSocketOptions.SO_REUSEADDR, true).bind(address);
         } catch (BindException e) {
-            throw cannotListen(address, e);
+            throw listenFailure(address, e);
         }
     }
 
-    private static IOException cannotListen(InetSocketAddress address, Throwable cause) {
+    private static IOException listenFailure(InetSocketAddress address, Throwable cause) {
         return new IOException("cannot listen on " + Addresses.text(address) + ": " + cause.getMessage());
     }
 
-    /** Where peers' messages arrive. */
+    /** The address at which messages from peers arrive. */
     public InetSocketAddress peerListenAddress() {
         return peers.listenAddress();
     }
 
-    /** Where operators call; null where they have no address. */
+    /** The address of the console for operators; null if there is none. */
     public InetSocketAddress consoleListenAddress() {
-        return consoleListening;
+        return consoleListenAddress;
     }
 
-    /** Whether another process of this proxy may listen at its addresses too: where operators can see which of them serves. */
+    /**
+     * Whether another process of this proxy may listen at its addresses too. This needs a console, at which operators
+     * see which of them serves.
+     */
     private boolean isShared() {
         return config.console() != null;
     }
 
     private boolean readyToServe() {
-        return reached == Readiness.WAITING_FOR_LIST && front.isUp();
+        return startupStage == Readiness.WAITING_FOR_LIST && frontend.isUp();
     }
 
-    /** Whether another process of this proxy serves at its address. */
-    private static boolean anotherServes(Config config, InetSocketAddress address) {
+    /** Whether another process of this proxy serves at this address. */
+    private static boolean otherProcessServes(Config config, InetSocketAddress address) {
         return config.console() != null && ServingProcessFile.of(address).otherProcess().isPresent();
     }
 
-    /** This process has become the one that serves; before the console says so, as the other is told to end then. */
+    /**
+     * Records that this process serves. This happens before the console shows it, because the other one is ended then.
+     */
     private void markServing() {
-        if (isShared() && !marked && readyToServe()) {
-            marked = true;
-            ServingProcessFile.of(listening).recordThisProcess();
+        if (isShared() && !recordedAsServing && readyToServe()) {
+            recordedAsServing = true;
+            ServingProcessFile.of(listenAddress).recordThisProcess();
         }
     }
 
-    /** Whether clients may come, and why not; on the loop. */
+    /** Whether clients may connect, and if not, why. Called on the event loop. */
     private Readiness readiness() {
         return clients.isDraining() ? Readiness.DRAINING
-                : readyToServe() ? Readiness.SERVING : reached;
+                : readyToServe() ? Readiness.SERVING : startupStage;
     }
 
-    /** On the loop. */
+    /** Called on the event loop. */
     private ProxyMetrics metrics() {
-        String store = config.settings().originModel();
-        List<String> nodes = hosts.values().stream().filter(h -> store == null || !store.equals(h.node().model()))
+        String originModel = config.settings().originModel();
+        List<String> nodes = hosts.values().stream()
+                .filter(h -> originModel == null || !originModel.equals(h.node().model()))
                 .map(h -> h.node().id()).toList();
         Map<String, Long> all = new TreeMap<>();
-        moreFigures.forEach(more -> all.putAll(more.get()));
-        return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(), intake.pendingRequests(),
-                nodes, id -> platform.router().isExcluded(timers.now(), id), all);
+        additionalMetrics.forEach(supplier -> all.putAll(supplier.get()));
+        return ProxyMetrics.of(intake.counters(), config.settings().classes().stream().map(ServiceClass::name).toList(),
+                intake.pendingRequests(), nodes, id -> platform.router().isExcluded(timers.now(), id), all);
     }
 
-    /** Counts that the console shows besides, by name; to be called on the loop, as what tells them is. */
-    public void addMetrics(Supplier<Map<String, Long>> more) {
-        moreFigures.add(more);
+    /**
+     * Adds counters, by name, to the console's metrics. Call it on the event loop; the supplier is called there too.
+     */
+    public void addMetrics(Supplier<Map<String, Long>> supplier) {
+        additionalMetrics.add(supplier);
     }
 
-    /** Where clients connect. */
+    /** The address at which clients connect. */
     public InetSocketAddress listenAddress() {
-        return listening;
+        return listenAddress;
     }
 
     /**
-     * Takes in the configuration's file as it is now. Discovery's address is what a running proxy can change; a file
-     * that can't be read changes nothing. Returns at once: it is called by the thread that has the signal.
+     * Reloads the configuration file. A running proxy can change only the address of discovery. An unreadable file
+     * changes nothing. Returns at once, because it is called by the thread that handles the signal.
      */
     public void reload(Map<String, String> environment) {
         try {
-            loop.execute(() -> reloadNow(environment));
+            loop.execute(() -> reloadOnLoop(environment));
         } catch (RejectedExecutionException e) {
-            Log.info("no new configuration: the proxy has ended");
+            Log.info("configuration not reloaded: the proxy has shut down");
         }
     }
 
-    private void reloadNow(Map<String, String> environment) {
+    private void reloadOnLoop(Map<String, String> environment) {
         reloadDiscovery(environment, discovery);
     }
 
-    /** Reads the configuration again for a watch that may move; on the watch's loop. */
+    /** Reads the configuration again and applies a new discovery address. Called on the event loop of the watch. */
     static void reloadDiscovery(Map<String, String> environment, Discovery discovery) {
         try {
             Config next = Config.reread(environment);
-            Log.info("new configuration: discovery at " + next.discovery());
+            Log.info("configuration reloaded: discovery address is " + next.discovery());
             discovery.moveTo(next.discovery());
         } catch (ConfigException e) {
-            Log.info("new configuration not taken, the old one stays: " + e.getMessage());
+            Log.info("configuration not reloaded, the current one is kept: " + e.getMessage());
         }
     }
 
-    /** Ends the service once nothing is owed, and returns then. */
+    /** Shuts the proxy down and returns once no request is pending. */
     public void drain() {
         drainThen(() -> { });
     }
 
-    /** The same with something to be done when nothing is owed any more, before the loop ends; not on the loop. */
-    public void drainThen(Runnable last) {
-        beforeEnd = last;
-        shutDown(ShutdownPlan.of(anotherServes(config, listening), config.settings().classes()));
+    /**
+     * Like {@link #drain}; runs {@code action} on a thread of its own once no request is pending and before the event
+     * loop ends. Do not call it on the event loop.
+     */
+    public void drainThen(Runnable action) {
+        afterDrain = action;
+        shutDown(ShutdownPlan.of(otherProcessServes(config, listenAddress), config.settings().classes()));
         try {
             ended.await();
         } catch (InterruptedException e) {
@@ -596,15 +665,15 @@
         }
     }
 
-    /** Leaves by a plan; returns at once. */
+    /** Starts the shutdown according to a plan; returns at once. */
     void shutDown(ShutdownPlan plan) {
         if (plan.hasSuccessor()) {
             Log.info("succeeded by another process");
             loop.execute(() -> {
-                front.markSucceeded();
+                frontend.markSucceeded();
                 clients.limitResponseTime(plan.responseMs());
                 if (peers != null) {
-                    peers.leave();
+                    peers.close();
                 }
             });
         }
@@ -613,85 +682,89 @@
         loop.schedule(this::endDrain, (long) plan.idleMs(), TimeUnit.MILLISECONDS);
     }
 
-    /** Still serves whoever comes, but each for the last time. */
+    /** Still serves every client, but closes each connection after its next response. */
     void beginDrain() {
         Log.info("draining");
         loop.execute(clients::drain);
     }
 
-    /** Once: a plan may stop listening before it ends. */
+    /** Runs the actions once: a plan may stop listening before the drain ends. */
     private void stopListening() {
-        stops.forEach(Runnable::run);
-        stops.clear();
+        stopListeningActions.forEach(Runnable::run);
+        stopListeningActions.clear();
     }
 
-    /** Takes no more, and ends when all that was taken is answered. */
+    /** Accepts no more connections, and ends the proxy when all accepted requests are answered. */
     void endDrain() {
         loop.execute(() -> {
             stopListening();
             clients.closeIdleConnections();
-            finish();
+            shutDownWhenIdle();
         });
     }
 
     /**
-     * What a running proxy says of itself; requests and what became of them since the start.
+     * Status of a running proxy: counts of requests and their results since the start, and current values.
+     *
+     * <p>Written as JSON: the component names are part of the output.
      *
-     * @param owed requests without a final answer yet
-     * @param clients clients' connections
+     * @param owed pending requests, without a final response yet
+     * @param clients connections from clients
      * @param nodes connections to nodes
-     * @param level the decisions' present level of throttling, 0 for none
-     * @param reasons why requests were refused or failed, by class and by the reason's stable name
+     * @param level current throttling level of the routing policy, 0 for none
+     * @param reasons counts of refused and failed requests, by class and by the reason's stable name
      */
     public record Status(long requests, long served, long refused, long failed, long gone, int owed, int clients,
                          int nodes, int level, Map<String, Map<String, Long>> reasons) {
 
-        /** Of two loops together; the level is the higher one's. */
-        Status plus(Status o) {
-            return new Status(requests + o.requests, served + o.served, refused + o.refused, failed + o.failed, gone + o.gone,
-                    owed + o.owed, clients + o.clients, nodes + o.nodes, Math.max(level, o.level), both(reasons, o.reasons));
+        /** The sum of the status of two event loops. The level is the higher one of both. */
+        Status plus(Status other) {
+            return new Status(requests + other.requests, served + other.served, refused + other.refused,
+                    failed + other.failed, gone + other.gone, owed + other.owed, clients + other.clients,
+                    nodes + other.nodes, Math.max(level, other.level), sum(reasons, other.reasons));
         }
 
-        private static Map<String, Map<String, Long>> both(Map<String, Map<String, Long>> a, Map<String, Map<String, Long>> b) {
+        private static Map<String, Map<String, Long>> sum(Map<String, Map<String, Long>> a,
+                Map<String, Map<String, Long>> b) {
             Map<String, Map<String, Long>> sum = new TreeMap<>();
-            for (Map<String, Map<String, Long>> of : List.of(a, b)) {
-                of.forEach((service, counts) -> counts.forEach((why, n) ->
-                        sum.computeIfAbsent(service, s -> new TreeMap<>()).merge(why, n, Long::sum)));
+            for (Map<String, Map<String, Long>> counts : List.of(a, b)) {
+                counts.forEach((service, byReason) -> byReason.forEach((reason, n) ->
+                        sum.computeIfAbsent(service, s -> new TreeMap<>()).merge(reason, n, Long::sum)));
             }
             return sum;
         }
 
-        static Status of(Counts c, int level) {
-            RequestCounters t = c.counters();
-            return new Status(t.requests(), t.served(), t.refused(), t.failed(), t.gone(), c.pending(), c.clients(), c.nodes(),
-                    level, t.reasons());
+        static Status of(Counts counts, int level) {
+            RequestCounters counters = counts.counters();
+            return new Status(counters.requests(), counters.served(), counters.refused(), counters.failed(),
+                    counters.gone(), counts.pending(), counts.clients(), counts.nodes(), level, counters.reasons());
         }
     }
 
-    /** Asks the loop; not to be called on it. */
+    /** Reads the status on the event loop. Do not call it on the event loop. */
     public Status status() {
         return loop.submit(() -> Status.of(counts(), throttleLevel())).syncUninterruptibly().getNow();
     }
 
-    /** Ends at once, whatever is owed. */
+    /** Ends at once, even if requests are pending. */
     public void kill() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Waits for the last answers to be written; a client's connection closes once its own has been. */
-    private void finish() {
+    /** Waits until the last responses are written. A client's connection closes after its last response. */
+    private void shutDownWhenIdle() {
         if (intake.pendingRequests() > 0 || clients.size() > 0) {
-            loop.schedule(this::finish, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::shutDownWhenIdle, DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             if (discovery != null) {
-                logTally();
+                logCounters();
             }
-            // Not on the loop, which it may need.
-            Thread last = new Thread(() -> {
-                beforeEnd.run();
+            // On a thread of its own, because the action may need the event loop.
+            Thread shutdown = new Thread(() -> {
+                afterDrain.run();
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(f -> ended.countDown());
             }, "end");
-            last.start();
+            shutdown.start();
         }
     }
 
@@ -700,17 +773,18 @@
         ended.await();
     }
 
-    private void logTally() {
+    private void logCounters() {
         Log.info(counts().toString());
     }
 
-    /** What the log tells at intervals; on the loop. */
+    /** The counters that are logged at intervals. Created on the event loop. */
     record Counts(RequestCounters counters, int pending, int clients, int nodes) {
 
         static final Counts NONE = new Counts(new RequestCounters(), 0, 0, 0);
 
-        Counts plus(Counts o) {
-            return new Counts(new RequestCounters().add(counters).add(o.counters), pending + o.pending, clients + o.clients, nodes + o.nodes);
+        Counts plus(Counts other) {
+            return new Counts(new RequestCounters().add(counters).add(other.counters), pending + other.pending,
+                    clients + other.clients, nodes + other.nodes);
         }
 
         @Override
@@ -719,21 +793,24 @@
         }
     }
 
+    /** Call it on the event loop. */
     Counts counts() {
-        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(), nodeSockets.openConnections());
+        return new Counts(intake.counters(), intake.pendingRequests(), clients.size(),
+                nodeConnectionLimit.openConnections());
     }
 
-    private void tellStart() {
-        // With a delay between them, and not at a rate: after a stall one beat tells of it.
-        loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0, (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    private void startDispatcher() {
+        // With a fixed delay, not at a fixed rate: a stall is then reported by one tick.
+        loop.scheduleWithFixedDelay(() -> deadlines.loopStalls().tick(timers.now()), 0,
+                (long) LoopStallDetector.TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         platform.dispatcher().start();
         if (config.knownHosts() != null) {
             platform.applyHostList(ListUpdateKind.REMEMBERED, config.knownHosts());
-            know(config.knownHosts());
+            updateHosts(config.knownHosts());
         }
     }
 
-    private void know(HostList list) {
+    private void updateHosts(HostList list) {
         if (list.whole()) {
             hosts.clear();
         }
@@ -746,13 +823,13 @@
         }
     }
 
-    /** Passes on what discovery tells. */
+    /** Applies updates from discovery. */
     private final class DiscoveryListener implements Discovery.Listener {
         @Override
         public void hosts(ListUpdateKind kind, HostList list) {
             platform.applyHostList(kind, list);
-            know(list);
-            onHosts.run();
+            updateHosts(list);
+            hostListListener.run();
         }
 
         @Override
