--- a/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
+++ b/gateway/src/main/java/ridgemill/gateway/ClassArchiveTraining.java
@@ -77,17 +77,19 @@
 
     /** Answers each discovery watch with a full list and a change, and keeps the connection open. */
     private static void serveDiscovery(ServerSocket discovery) {
-        String fullList = "{\"seq\": 2, \"whole\": true, \"hosts\": [" + host("one", "std", "up") + ", " + host("two", "std", "up")
-                + ", " + host("store", "origin", "up") + "]}\n";
+        String fullList = "{\"seq\": 2, \"whole\": true, \"hosts\": [" + host("one", "std", "up") + ", "
+                + host("two", "std", "up") + ", " + host("store", "origin", "up") + "]}\n";
         String change = "{\"seq\": 3, \"whole\": false, \"hosts\": [" + host("two", "std", "draining") + "]}\n";
         try {
             while (true) {
                 Socket watch = discovery.accept();
-                BufferedReader in = new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
+                BufferedReader in = new BufferedReader(
+                        new InputStreamReader(watch.getInputStream(), StandardCharsets.US_ASCII));
                 for (String line = in.readLine(); line != null && !line.isEmpty(); line = in.readLine()) {
                     // The request head is not needed.
                 }
-                String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(fullList) + chunk(change);
+                String response = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(fullList)
+                        + chunk(change);
                 watch.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             }
         } catch (IOException e) {
@@ -102,7 +104,8 @@
     /** Sends an operator's request to the console. */
     private static void callConsole(InetSocketAddress console, String path) throws IOException {
         try (Socket caller = new Socket(console.getAddress(), console.getPort())) {
-            caller.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            caller.getOutputStream()
+                    .write(("GET " + path + " HTTP/1.1\r\nHost: r\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             caller.getInputStream().readAllBytes();
         }
     }
--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -140,47 +140,47 @@
                 : String.valueOf(source.getMessage()).lines().findFirst().orElse("malformed");
     }
 
-    private static String text(JsonObject o, String field, String override) {
+    private static String text(JsonObject root, String field, String override) {
         if (override != null) {
             return override;
         }
-        JsonElement value = o.get(field);
+        JsonElement value = root.get(field);
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
 
-    private static InetSocketAddress required(JsonObject o, String field, String override) {
-        String value = text(o, field, override);
+    private static InetSocketAddress required(JsonObject root, String field, String override) {
+        String value = text(root, field, override);
         if (value == null) {
             throw new IllegalArgumentException("missing");
         }
         return Addresses.parse(value);
     }
 
-    private static InetSocketAddress optional(JsonObject o, String field, String override) {
-        String value = text(o, field, override);
+    private static InetSocketAddress optional(JsonObject root, String field, String override) {
+        String value = text(root, field, override);
         return value == null || value.isEmpty() ? null : Addresses.parse(value);
     }
 
-    private static List<InetSocketAddress> peers(JsonObject o) {
+    private static List<InetSocketAddress> peers(JsonObject root) {
         List<InetSocketAddress> peers = new ArrayList<>();
-        if (o.has("peers") && !o.get("peers").isJsonNull()) {
-            o.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
+        if (root.has("peers") && !root.get("peers").isJsonNull()) {
+            root.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
         }
         return peers;
     }
 
-    private static HostList known(JsonObject o) {
-        JsonElement known = o.get("known");
+    private static HostList known(JsonObject root) {
+        JsonElement known = root.get("known");
         return known == null || known.isJsonNull() ? null : HostList.parse(known.getAsJsonObject());
     }
 
-    private static long seed(JsonObject o) {
-        String seed = text(o, "seed", null);
+    private static long seed(JsonObject root) {
+        String seed = text(root, "seed", null);
         return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, SEED_RADIX);
     }
 
-    private static int sockets(JsonObject o) {
-        JsonObject limits = o.getAsJsonObject("limits");
+    private static int sockets(JsonObject root) {
+        JsonObject limits = root.getAsJsonObject("limits");
         return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_DESCRIPTORS;
     }
 
