--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementMessage.java
@@ -55,7 +55,7 @@
     record Promise(Voter from, Ballot ballot, StateId accepted, VoterSet voters) implements ToProposer {}
 
     /** Proposes a state as a delta, under the ballot of the delta's state (Paxos phase 2a). */
-    record Accept(Voter from, StateDelta step) implements ToAcceptor {}
+    record Accept(Voter from, StateDelta delta) implements ToAcceptor {}
 
     /** A state, and all earlier states under the same ballot, are accepted and on disk (Paxos phase 2b). */
     record Accepted(Voter from, StateId stateId) implements ToProposer {}
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -363,7 +363,7 @@
     }
 
     private void accept(AgreementMessage.Accept accept, double nowMs) {
-        StateDelta delta = accept.step();
+        StateDelta delta = accept.delta();
         leadership.observeRound(delta.stateId().ballot().round());
         StateId before = acceptor.state().id();
         Acceptor.Outcome outcome = acceptor.accept(delta, acceptedReply(accept.from(), delta.stateId()));
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionPool.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ConnectionPool.java
@@ -13,7 +13,7 @@
 import ridgemill.cdn.edge.Invariant;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
-import ridgemill.gateway.back.IdleAges;
+import ridgemill.gateway.back.IdleTimeoutEstimator;
 import ridgemill.gateway.net.Addresses;
 
 /** The connections to one incarnation of one instance. The most recently used idle connection is used first. */
@@ -32,7 +32,7 @@
 
     private final ProxyContext context;
     private final InstanceStats stats;
-    private final IdleAges ages;
+    private final IdleTimeoutEstimator ages;
     private final ServiceMeters meters;
     private final InetSocketAddress address;
     private final ArrayDeque<InstanceConnection> idle = new ArrayDeque<>();
@@ -43,7 +43,11 @@
     private boolean closed;
 
     ConnectionPool(
-            ProxyContext context, Instance instance, IdleAges ages, ServiceMeters meters, boolean toSharedCache) {
+            ProxyContext context,
+            Instance instance,
+            IdleTimeoutEstimator ages,
+            ServiceMeters meters,
+            boolean toSharedCache) {
         this.context = context;
         this.stats = new InstanceStats(instance);
         this.ages = ages;
@@ -135,7 +139,7 @@
 
     /** Records how an exchange ended, to learn how long idle connections stay usable. */
     void exchangeEnded(InstanceConnection connection, boolean connectionBroke) {
-        ages.used(connection.idleBeforeMs(), connectionBroke, System.nanoTime());
+        ages.recordUse(connection.idleBeforeMs(), connectionBroke, System.nanoTime());
     }
 
     /** Returns a reusable connection to the pool. */
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -11,7 +11,7 @@
 import ridgemill.cdn.edge.InstanceStats;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
-import ridgemill.gateway.back.IdleAges;
+import ridgemill.gateway.back.IdleTimeoutEstimator;
 
 /**
  * The instances of a service, or the shared caches, to which requests may be sent, with the connections to them and
@@ -28,7 +28,7 @@
     private final InstancePicker picker;
     private final ServiceMeters meters;
     private final boolean sharedCaches;
-    private final IdleAges ages = new IdleAges();
+    private final IdleTimeoutEstimator ages = new IdleTimeoutEstimator();
     private final Map<String, ConnectionPool> pools = new HashMap<>();
     private final ArrayDeque<UpstreamCall> waiting = new ArrayDeque<>();
 
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -48,7 +48,7 @@
             writeVoterSet(promise.voters(), out);
         } else if (message instanceof AgreementMessage.Accept accept) {
             begin(Type.ACCEPT, message, out);
-            writeDelta(accept.step(), out);
+            writeDelta(accept.delta(), out);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
             begin(Type.ACCEPTED, message, out);
             writeStateId(accepted.stateId(), out);
--- a/core/src/main/java/ridgemill/core/AdmissionController.java
+++ b/core/src/main/java/ridgemill/core/AdmissionController.java
@@ -31,14 +31,14 @@
      * turn, or {@link AdmissionController#withdraw} must be called for it. After its turn, or if it is not queued,
      * {@link AdmissionController#requestEnded} must be called when it ends.
      *
-     * @param service class of the request
+     * @param serviceClass class of the request
      * @param budgetMs time budget of the request
      * @param group node group that it goes to; the empty string for the platform's nodes
      * @param maxQueueMs how long it may stay in the queue; 0 if it proceeds at once
      * @param displacedId id of a queued request that lost its position to this one and must be rejected; null if none
      *     did
      */
-    record Admitted(ServiceClass service, double budgetMs, String group, double maxQueueMs, String displacedId)
+    record Admitted(ServiceClass serviceClass, double budgetMs, String group, double maxQueueMs, String displacedId)
             implements Decision {
 
         /**
@@ -46,7 +46,7 @@
          * duplicate may be sent.
          */
         public boolean requiresIdempotencyKey(boolean write) {
-            return write && service.effect() == Effect.KEYED;
+            return write && serviceClass.effect() == Effect.KEYED;
         }
 
         /** An admitted request that proceeds at once to the platform's nodes. */
--- a/core/src/main/java/ridgemill/core/Dispatcher.java
+++ b/core/src/main/java/ridgemill/core/Dispatcher.java
@@ -226,7 +226,7 @@
     }
 
     /** The client of an open request has disconnected; no response is needed any more. */
-    public void clientGone(String id) {
+    public void clientDisconnected(String id) {
         Call<C> call = calls.get(id);
         if (call != null && !call.finished) {
             count(call, RequestCounters.RequestResult.GONE);
--- a/core/src/main/java/ridgemill/core/Intake.java
+++ b/core/src/main/java/ridgemill/core/Intake.java
@@ -161,7 +161,7 @@
         if (admitted.maxQueueMs() > 0) {
             admission.withdraw(timers.now(), id);
         } else {
-            requestFinished(admitted.service().name());
+            requestFinished(admitted.serviceClass().name());
         }
         rejectDisplaced(admitted);
     }
@@ -215,7 +215,7 @@
     }
 
     private ClassTimings timings(AdmissionController.Admitted admitted) {
-        return deadlines.group(admitted.group()).forClass(admitted.service().name());
+        return deadlines.group(admitted.group()).forClass(admitted.serviceClass().name());
     }
 
     private void start(AdmissionController.Admitted admitted, Request request, Command<C> command,
@@ -231,10 +231,10 @@
             client.refused(0);
             return;
         }
-        if (deduplicator != null && command.write() && admitted.service().effect() == Effect.KEYED
+        if (deduplicator != null && command.write() && admitted.serviceClass().effect() == Effect.KEYED
                 && command.idempotencyKey() != null) {
             ResponseHandler<C> waiting = deduplicator.submit(request, command,
-                    admitted.service().deduplicationWindowMs(), client, () -> requestFinished(request.serviceClass()));
+                    admitted.serviceClass().deduplicationWindowMs(), client, () -> requestFinished(request.serviceClass()));
             if (waiting == null) {
                 return;
             }
@@ -247,7 +247,7 @@
     private void dispatch(Dispatcher<C> dispatcher, AdmissionController.Admitted admitted, Request request,
                           Command<C> command, ResponseHandler<C> client) {
         if (forwarder != null) {
-            forwarder.submit(dispatcher, admitted.service(), request, command, client);
+            forwarder.submit(dispatcher, admitted.serviceClass(), request, command, client);
         } else {
             dispatcher.submit(request, command, client);
         }
@@ -304,20 +304,20 @@
     }
 
     /** The client of an open request has disconnected; no response is needed any more. */
-    public void clientGone(String id) {
+    public void clientDisconnected(String id) {
         Waiting<C> w = queue.remove(id);
         if (w != null) {
             w.timeout().cancel();
             admission.withdraw(timers.now(), id);
             count(w.request().serviceClass(), RequestCounters.RequestResult.GONE);
-        } else if (deduplicator == null || !deduplicator.clientGone(id, () -> mayHaveRun(id))) {
-            dispatchClientGone(id);
+        } else if (deduplicator == null || !deduplicator.clientDisconnected(id, () -> mayHaveRun(id))) {
+            dispatchClientDisconnected(id);
         }
     }
 
-    private void dispatchClientGone(String id) {
-        if (forwarder == null || !forwarder.clientGone(id)) {
-            dispatchers.forEach(d -> d.clientGone(id));
+    private void dispatchClientDisconnected(String id) {
+        if (forwarder == null || !forwarder.clientDisconnected(id)) {
+            dispatchers.forEach(d -> d.clientDisconnected(id));
         }
     }
 
--- a/core/src/main/java/ridgemill/core/RequestForwarder.java
+++ b/core/src/main/java/ridgemill/core/RequestForwarder.java
@@ -24,7 +24,7 @@
      * The client of an open request has disconnected; the forwarder informs the local dispatcher. Returns whether the
      * request was open here.
      */
-    boolean clientGone(String id);
+    boolean clientDisconnected(String id);
 
     /** Whether an open request here may have run anywhere, or is being executed. */
     boolean mayHaveRun(String id);
--- a/core/src/main/java/ridgemill/core/WriteDeduplicator.java
+++ b/core/src/main/java/ridgemill/core/WriteDeduplicator.java
@@ -110,7 +110,7 @@
      *
      * @param mayHaveRun whether the call may have run already, or is being executed
      */
-    boolean clientGone(String id, BooleanSupplier mayHaveRun) {
+    boolean clientDisconnected(String id, BooleanSupplier mayHaveRun) {
         Duplicate duplicate = duplicates.get(id);
         if (duplicate != null) {
             duplicate.end(RequestCounters.RequestResult.GONE, () -> { });
--- a/core/src/main/java/ridgemill/lease/TargetSchedule.java
+++ b/core/src/main/java/ridgemill/lease/TargetSchedule.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether the lease is wanted: during a run, and always for a repeated task. */
-    public boolean wantsLease() {
+    public boolean isLeaseWanted() {
         return intervalMs > 0 || running;
     }
 
--- a/core/src/main/java/ridgemill/version/RequestTrace.java
+++ b/core/src/main/java/ridgemill/version/RequestTrace.java
@@ -100,7 +100,7 @@
     }
 
     /** Returns its attempts in their order. */
-    public List<Attempt> sent() {
+    public List<Attempt> attempts() {
         return List.copyOf(attempts);
     }
 
--- a/core/src/test/java/ridgemill/core/DispatcherTest.java
+++ b/core/src/test/java/ridgemill/core/DispatcherTest.java
@@ -286,7 +286,7 @@
             }
         };
         RecordingHandler handler = submit("a");
-        dispatcher.clientGone("a");
+        dispatcher.clientDisconnected("a");
         assertEquals(0, dispatcher.pendingRequests());
         assertEquals(Outcome.CANCELLED, results.get(0).outcome());
         assertEquals(List.of(), handler.responses);
@@ -334,7 +334,7 @@
         submit("a");
         submit("b");
         assertTrue(inFlight.get(0).attempt.mayBeWritten());
-        dispatcher.clientGone("a");
+        dispatcher.clientDisconnected("a");
         assertFalse(inFlight.get(0).attempt.mayBeWritten(), "the client has disconnected");
         SentAttempt second = inFlight.get(1);
         timers.pass(999);
@@ -402,7 +402,7 @@
                 int index = random.nextInt(handlers.size());
                 if (handlers.get(index).responses.isEmpty() && dispatcher.isOpen("r" + index)) {
                     disconnected.set(index, true);
-                    dispatcher.clientGone("r" + index);
+                    dispatcher.clientDisconnected("r" + index);
                 }
             }
             timers.pass(random.nextInt(40));
--- a/core/src/test/java/ridgemill/core/IntakeTest.java
+++ b/core/src/test/java/ridgemill/core/IntakeTest.java
@@ -264,7 +264,7 @@
         createIntake(1, 1, 100);
         submit("a", "t", 1000);
         RecordingHandler b = submit("b", "t", 1000);
-        intake.clientGone("b");
+        intake.clientDisconnected("b");
         assertEquals(List.of(), b.responses);
         assertFalse(intake.isOpen("b"));
         RecordingHandler c = submit("c", "t", 1000);
@@ -279,7 +279,7 @@
         createIntake(1, 4, 100);
         submit("a", "t", 1000);
         RecordingHandler b = submit("b", "t", 1000);
-        intake.rejectQueuedIf(admitted -> admitted.service().equals(READ));
+        intake.rejectQueuedIf(admitted -> admitted.serviceClass().equals(READ));
         assertEquals(List.of("limited"), b.responses);
         backend.end("a", Outcome.OK);
         assertEquals(1, router.requests.size());
@@ -327,7 +327,7 @@
             String id = "r" + random.nextInt(i + 1);
             if (random.nextInt(10) == 0 && handlers.get(id).responses.isEmpty() && intake.isOpen(id)) {
                 disconnected.add(id);
-                intake.clientGone(id);
+                intake.clientDisconnected(id);
             }
             if (random.nextInt(200) == 0) {
                 intake.rejectQueuedIf(admitted -> true);
--- a/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
+++ b/core/src/test/java/ridgemill/core/WriteDeduplicatorTest.java
@@ -179,7 +179,7 @@
     @Test
     void retryAfterDisconnectIsAnsweredFromTheRecord() {
         pay("a", "k", 1000);
-        intake.clientGone("a");
+        intake.clientDisconnected("a");
         assertTrue(backend.inFlight.containsKey("a"), "the call continues to its end");
         backend.execute("a");
         backend.end("a", Outcome.OK);
@@ -198,7 +198,7 @@
         assertTrue(intake.isOpen("b"));
         timers.pass(100);
         assertEquals(List.of("refused"), c.responses, "its own time is up, and a retry is harmless");
-        intake.clientGone("a");
+        intake.clientDisconnected("a");
         backend.execute("a");
         backend.end("a", Outcome.OK);
         assertEquals(List.of("served"), b.responses);
@@ -213,7 +213,7 @@
         backend.execute("a");
         backend.end("a", Outcome.RESET);
         assertEquals(List.of("a", "a"), backend.sentIds, "the origin drops the duplicate");
-        intake.clientGone("a");
+        intake.clientDisconnected("a");
         backend.execute("a");
         backend.end("a", Outcome.OK);
         assertEquals(IdempotencyRecord.State.RECORDED, intake.findLocalOutcome("k", "acme").state());
@@ -261,9 +261,9 @@
         RecordingHandler a = pay("a", "k", 1000);
         backend.execute("a");
         backend.end("a", Outcome.OK);
-        intake.clientGone("a");
+        intake.clientDisconnected("a");
         RecordingHandler b = pay("b", "j", 1000);
-        intake.clientGone("b");
+        intake.clientDisconnected("b");
         backend.execute("b");
         backend.end("b", Outcome.OK);
         assertEquals(List.of("served"), a.responses);
@@ -307,7 +307,7 @@
             int index = random.nextInt(handlers.size());
             if (random.nextInt(4) == 0 && handlers.get(index).responses.isEmpty() && !disconnected.get(index)) {
                 disconnected.set(index, true);
-                intake.clientGone("r" + index);
+                intake.clientDisconnected("r" + index);
             }
             timers.pass(random.nextInt(60));
         }
--- a/core/src/test/java/ridgemill/lease/TargetScheduleTest.java
+++ b/core/src/test/java/ridgemill/lease/TargetScheduleTest.java
@@ -13,17 +13,17 @@
     @Test
     void runStartedByOperatorsCallsEachTargetOnce() {
         TargetSchedule schedule = new TargetSchedule(3, 0, 0);
-        assertFalse(schedule.wantsLease());
+        assertFalse(schedule.isLeaseWanted());
         assertEquals(-1, schedule.nextTarget(1e9));
         assertTrue(schedule.start(10));
         assertFalse(schedule.start(11), "a run is in progress");
         for (int i = 0; i < 3; i++) {
-            assertTrue(schedule.wantsLease());
+            assertTrue(schedule.isLeaseWanted());
             assertEquals(i, schedule.nextTarget(20));
             schedule.recordOutcome(Outcome.DONE);
         }
         assertEquals(-1, schedule.nextTarget(30));
-        assertFalse(schedule.wantsLease());
+        assertFalse(schedule.isLeaseWanted());
         assertTrue(schedule.start(40));
     }
 
@@ -54,7 +54,7 @@
     @Test
     void repeatedTaskKeepsItsInterval() {
         TargetSchedule schedule = new TargetSchedule(1, 100, 50);
-        assertTrue(schedule.wantsLease());
+        assertTrue(schedule.isLeaseWanted());
         assertEquals(0, schedule.nextTarget(50));
         schedule.recordOutcome(Outcome.DONE);
         assertEquals(-1, schedule.nextTarget(149));
--- a/core/src/test/java/ridgemill/version/VersionTest.java
+++ b/core/src/test/java/ridgemill/version/VersionTest.java
@@ -248,7 +248,7 @@
         first.attemptEnded(11, Outcome.ERROR);
         first.requestEnded(11, "read", RequestResult.FAILED, Reason.NODES_FAILED);
         assertEquals(List.of(new RequestTrace.Attempt("n1", 7, 8, Outcome.RESET),
-                new RequestTrace.Attempt("n2", 9, 11, Outcome.ERROR)), trace.sent());
+                new RequestTrace.Attempt("n2", 9, 11, Outcome.ERROR)), trace.attempts());
         assertEquals(List.of(RequestResult.FAILED, Reason.NODES_FAILED, 11.0),
                 List.of(trace.end(), trace.reason(), trace.endMs()));
         assertEquals(1, history.periods().get(0).count("read", RequestResult.FAILED), "its period counts it too");
--- a/gateway/src/main/java/ridgemill/gateway/Service.java
+++ b/gateway/src/main/java/ridgemill/gateway/Service.java
@@ -334,17 +334,17 @@
         }
 
         /** The nodes that accept requests according to the host list. */
-        public List<String> listed() {
+        public List<String> listedNodes() {
             return upstream.router().listedNodes();
         }
 
         /** The nodes that currently get no requests because they could not be reached. */
-        public List<String> gone() {
+        public List<String> unreachableNodes() {
             return upstream.router().unreachableNodes(timers.now());
         }
 
         /** Reports the result of a probe, sent by this or another proxy, to the routing policy. */
-        public void probed(String node, Outcome outcome, double tookMs) {
+        public void probeEnded(String node, Outcome outcome, double tookMs) {
             upstream.dispatcher().probeEnded(node, outcome, tookMs);
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
+++ b/gateway/src/main/java/ridgemill/gateway/audit/AuditService.java
@@ -200,7 +200,7 @@
         json.addProperty("list", trace.hostList());
         json.addProperty("from_ms", (long) trace.startMs());
         JsonArray attempts = new JsonArray();
-        for (RequestTrace.Attempt sentAttempt : trace.sent()) {
+        for (RequestTrace.Attempt sentAttempt : trace.attempts()) {
             JsonObject attempt = new JsonObject();
             attempt.addProperty("node", sentAttempt.node());
             attempt.addProperty("after_ms", sentAttempt.sentMs() - trace.startMs());
--- a/gateway/src/main/java/ridgemill/gateway/back/IdleAges.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/IdleTimeoutEstimator.java
@@ -10,7 +10,7 @@
  * connections, cause the breaks and fall on one idle time by chance, the estimate is too short and costs extra
  * handshakes; therefore idle times below a minimum are always allowed, and old samples decay.
  */
-public final class IdleAges {
+public final class IdleTimeoutEstimator {
 
     private static final double FIRST_BUCKET_MS = 10;
     private static final double BUCKET_GROWTH = 1.4;
@@ -39,7 +39,7 @@
      * @param idleMs how long its connection had been idle before it, in milliseconds; 0 for a new connection
      * @param broke whether the connection broke before any byte of the response arrived
      */
-    public void used(double idleMs, boolean broke, long nowNanos) {
+    public void recordUse(double idleMs, boolean broke, long nowNanos) {
         decay(nowNanos);
         int bucket = idleMs <= 0 ? 0 : bucketOf(idleMs);
         uses[bucket]++;
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnectionPool.java
@@ -46,7 +46,7 @@
     private final ConnectionLimit connectionLimit;
     private final NodeTargets<Target> targets = new NodeTargets<>(Target::new);
     private final Deque<NodeConnection> coolingDown = new ArrayDeque<>();
-    private final IdleAges idleAges = new IdleAges();
+    private final IdleTimeoutEstimator idleAges = new IdleTimeoutEstimator();
     private final LongSupplier nanoClock;
     private Consumer<String> onConnectionRejected = node -> { };
     private boolean cooldownCheckScheduled;
@@ -277,7 +277,7 @@
     void recordUse(double connectionIdleMs, Outcome outcome, boolean responseStarted) {
         boolean broke = outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED;
         if (outcome != Outcome.CANCELLED && outcome != Outcome.NEVER_SENT) {
-            idleAges.used(connectionIdleMs, broke && !responseStarted, nanoClock.getAsLong());
+            idleAges.recordUse(connectionIdleMs, broke && !responseStarted, nanoClock.getAsLong());
         }
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterForwarder.java
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public boolean clientGone(String id) {
+    public boolean clientDisconnected(String id) {
         PendingRequest pending = openRequests.get(id);
         if (pending == null) {
             return false;
@@ -423,7 +423,7 @@
         private void abandon() {
             if (atHome) {
                 // The home datacenter counts the request and frees its capacity.
-                homeDispatcher.clientGone(request.id());
+                homeDispatcher.clientDisconnected(request.id());
                 router.homeEnded(timers.now(), routed, HomeOutcome.GONE, false);
                 homeResult = RequestCounters.RequestResult.GONE;
                 atHome = false;
--- a/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/datacenter/DatacenterServer.java
@@ -424,7 +424,7 @@
                 id = call.id();
                 remoteRequest.path = call.path();
                 forwarder.addRemoteRequest(id, remoteRequest);
-                intake.submit(admitted, new Request(id, admitted.service().name(), call.tenant(), Targets.hash(path),
+                intake.submit(admitted, new Request(id, admitted.serviceClass().name(), call.tenant(), Targets.hash(path),
                         call.workMs(), admitted.budgetMs(),
                         command.write(), call.retry()), command, this);
             } else {
@@ -438,7 +438,7 @@
                 finished = true;
                 if (id != null) {
                     forwarder.removeRemoteRequest(id);
-                    intake.clientGone(id);
+                    intake.clientDisconnected(id);
                 }
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpClientConnection.java
@@ -588,12 +588,12 @@
             release();
             if (content != null && content.rest() != null) {
                 content.rest().drop();
-                frontend.intake().clientGone(id);
+                frontend.intake().clientDisconnected(id);
             }
             if (!done) {
                 done = true;
                 if (id != null) {
-                    frontend.intake().clientGone(id);
+                    frontend.intake().clientDisconnected(id);
                 }
             }
         }
--- a/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/http/HttpRequestReader.java
@@ -242,9 +242,9 @@
             return new InvalidRequest(HttpResponseStatus.BAD_REQUEST);
         }
         double budgetMs = Double.isInfinite(clientTimeoutMs)
-                ? remainingMs.applyAsDouble(Math.min(admitted.budgetMs(), admitted.service().deadlineMs()))
+                ? remainingMs.applyAsDouble(Math.min(admitted.budgetMs(), admitted.serviceClass().deadlineMs()))
                 : admitted.budgetMs();
-        Request request = new Request(id, admitted.service().name(), tenant, Targets.hash(path),
+        Request request = new Request(id, admitted.serviceClass().name(), tenant, Targets.hash(path),
                 Math.max(0, number(headers.get("X-Call-Cost"), 0)) / 1000, budgetMs, write, retry, rest != null);
         String mediaType = headers.get("Content-Type");
         Content content = !body.isReadable() && mediaType == null && rest == null ? Content.EMPTY
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -316,7 +316,7 @@
         String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + suffix;
         if (admitted.requiresIdempotencyKey(writes) && idempotencyKey == null) {
             frontend.intake().withdraw(admitted, id);
-            rejectCall(pending, "class " + admitted.service().name()
+            rejectCall(pending, "class " + admitted.serviceClass().name()
                     + " records each key once and none was given: RIDGE.WITH "
                     + "idempotency-key KEY DO ...");
             return;
@@ -325,10 +325,10 @@
         Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null)
                 : Content.EMPTY;
         double remainingMs = Math.min(admitted.budgetMs(),
-                deadlines.remainingMs(admitted.service().deadlineMs(), passedMs, frontend.returnDelay()));
+                deadlines.remainingMs(admitted.serviceClass().deadlineMs(), passedMs, frontend.returnDelay()));
         pending.addCall(id, frontend.intake().now() + remainingMs);
         pipelineTimer.shortenDeadline(pending, pending.deadlineMs());
-        Request request = new Request(id, admitted.service().name(), session.tenant(), Targets.hash(path), 0,
+        Request request = new Request(id, admitted.serviceClass().name(), session.tenant(), Targets.hash(path), 0,
                 remainingMs, writes, options.retry());
         frontend.intake().submit(admitted, request, new Command<>(action, target, idempotencyKey, content), handler);
     }
@@ -466,7 +466,7 @@
         openCallIds.clear();
         pendingReplies.forEach(PendingReply::drop);
         pendingReplies.clear();
-        open.forEach(frontend.intake()::clientGone);
+        open.forEach(frontend.intake()::clientDisconnected);
     }
 
     @Override
--- a/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/LeaseService.java
@@ -147,7 +147,7 @@
         leases = new LeaseManager(self, incarnation, settings.policy(), settings.voterSets(peers),
                 settings.calls().keySet().stream().sorted().toList(),
                 seed, now, this);
-        callTasks.values().stream().filter(t -> !t.schedule.wantsLease())
+        callTasks.values().stream().filter(t -> !t.schedule.isLeaseWanted())
                 .forEach(t -> leases.setWanted(now, t.call.name(), false));
         leasedTasks.keySet().forEach(n -> leases.addTask(now, n));
         Log.info("leases: this process votes for its proxy from now on");
@@ -388,7 +388,7 @@
         if (!result.succeeded()) {
             task.notBefore = now + RETRY_DELAY_MS;
         }
-        if (!task.schedule.wantsLease() && callTasks.get(task.call.name()) == task) {
+        if (!task.schedule.isLeaseWanted() && callTasks.get(task.call.name()) == task) {
             leases.setWanted(now, task.call.name(), false);
         }
         step();
--- a/gateway/src/main/java/ridgemill/gateway/lease/SharedProber.java
+++ b/gateway/src/main/java/ridgemill/gateway/lease/SharedProber.java
@@ -54,7 +54,7 @@
     @Override
     public double tick(double now, boolean holds) {
         Set<Integer> unreachable = new LinkedHashSet<>();
-        groups.get().forEach((name, group) -> group.gone().forEach(node -> unreachable.add(nodeId(name, node))));
+        groups.get().forEach((name, group) -> group.unreachableNodes().forEach(node -> unreachable.add(nodeId(name, node))));
         return prober.tick(now, holds, leases.otherVoters(LEASE), unreachable);
     }
 
@@ -65,7 +65,7 @@
 
     /** Finds the node with this number; empty if no group lists it, as the files of proxies may differ. */
     private Optional<GroupNode> findNode(int number) {
-        return groups.get().entrySet().stream().flatMap(g -> g.getValue().listed().stream()
+        return groups.get().entrySet().stream().flatMap(g -> g.getValue().listedNodes().stream()
                 .filter(node -> nodeId(g.getKey(), node) == number)
                 .map(node -> new GroupNode(g.getValue(), node))).findFirst();
     }
@@ -103,7 +103,7 @@
 
     @Override
     public void nodeProbed(int node, boolean answered, double tookMs) {
-        findNode(node).ifPresent(p -> p.group().probed(p.node(), answered ? Outcome.OK
+        findNode(node).ifPresent(p -> p.group().probeEnded(p.node(), answered ? Outcome.OK
                 : Outcome.CONNECT_FAILED, tookMs));
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorGate.java
@@ -102,7 +102,7 @@
 
     /** Whether a request that waits in line came under what no longer holds: its class or its group is another now. */
     boolean isOutdated(Admitted go) {
-        return !go.service().equals(classes.get(go.service().name()))
+        return !go.serviceClass().equals(classes.get(go.serviceClass().name()))
                 || !go.group().equals(Intake.PLATFORM_GROUP) && !config.groups().containsKey(go.group());
     }
 
--- a/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/OperatorGateTest.java
@@ -77,21 +77,21 @@
             assertEquals("shut-out", assertInstanceOf(Rejected.class, gate.admit(NOW, arrival("/api/m1", "read", 0, 1000))).limit());
         }
         aside[0] = false;
-        assertEquals("read", go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000))).service().name());
+        assertEquals("read", go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000))).serviceClass().name());
     }
 
     @Test
     void theRouteNamesTheClassOrElseTheRequest() throws Exception {
         OperatorGate gate = new OperatorGate(SETTINGS, config(FILE), NOW);
-        assertEquals("night", go(gate.admit(NOW, arrival("/api/night/m1", "read", 0, 1000))).service().name());
+        assertEquals("night", go(gate.admit(NOW, arrival("/api/night/m1", "read", 0, 1000))).serviceClass().name());
         Admitted read = go(gate.admit(NOW, arrival("/api/m1", "read", 0, 1000)));
-        assertEquals("read", read.service().name());
+        assertEquals("read", read.serviceClass().name());
         assertEquals(800, read.budgetMs(), "no more than the class's total");
         assertEquals(300, go(gate.admit(NOW, arrival("/api/m1", "read", 0, 300))).budgetMs());
-        assertEquals(2, read.service().retry().maxAttempts());
-        assertEquals(200, read.service().retry().attemptTimeoutMs());
-        assertEquals(400, read.service().targetLatencyMs());
-        assertEquals("pay", go(gate.admit(NOW, arrival("/api/m1", "pay", 0, 1000))).service().name(),
+        assertEquals(2, read.serviceClass().retry().maxAttempts());
+        assertEquals(200, read.serviceClass().retry().attemptTimeoutMs());
+        assertEquals(400, read.serviceClass().targetLatencyMs());
+        assertEquals("pay", go(gate.admit(NOW, arrival("/api/m1", "pay", 0, 1000))).serviceClass().name(),
                 "a class of the platform's that the file does not name holds as it is");
     }
 
@@ -145,10 +145,10 @@
         for (int i = 0; i < 100; i++) {
             gate.changeTo(i % 2 == 0 ? b : a, NOW + i);
             Admitted go = go(gate.admit(NOW + i, arrival("/api/m1", "read", 10, 1000)));
-            assertEquals(i % 2 == 0 ? "b" : "a", go.service().name());
-            assertEquals(totals.get(go.service().name()), go.budgetMs());
-            assertEquals(go.service().name().equals("a") ? Effect.SAFE : Effect.UNSAFE, go.service().effect());
-            assertTrue(gate.classes().contains(go.service()), "the decisions have the very class");
+            assertEquals(i % 2 == 0 ? "b" : "a", go.serviceClass().name());
+            assertEquals(totals.get(go.serviceClass().name()), go.budgetMs());
+            assertEquals(go.serviceClass().name().equals("a") ? Effect.SAFE : Effect.UNSAFE, go.serviceClass().effect());
+            assertTrue(gate.classes().contains(go.serviceClass()), "the decisions have the very class");
         }
     }
 }
