--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Acceptor.java
@@ -5,40 +5,40 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * What one store has promised and accepted. Answers are given once what they say is on disk: what is in memory may be
- * ahead of the disk, what was said never is.
+ * The acceptor of one store: the ballot that it promised and the newest state that it accepted. A reply is sent only
+ * after the state that it reports is on disk. The state in memory may be ahead of the disk; a sent reply never is.
  */
 final class Acceptor {
 
-    /** What became of a proposed step. */
+    /** The result of a proposal. */
     enum Outcome {
-        /** It is accepted now, or was before. */
+        /** The delta is accepted now or was accepted before. */
         ACCEPTED,
-        /** A higher ballot was promised. */
+        /** A higher ballot has been promised. */
         REFUSED,
-        /** This store does not hold the state that the step starts from. */
+        /** This store does not hold the state that the delta starts from. */
         BEHIND
     }
 
     private final AgreementEnvironment environment;
     private ControlState state = new ControlState();
     private Ballot promised = Ballot.NONE;
-    private Stamp durable = Stamp.NONE;
+    private StateId durable = StateId.NONE;
 
     Acceptor(AgreementEnvironment environment) {
         this.environment = environment;
     }
 
-    /** Takes over what the disk holds. */
+    /** Restores the promise and the state that were read from the disk. */
     void restore(AcceptorRecord record) {
         state = new ControlState(record.accepted(), record.voters(), record.items());
         promised = record.promised();
         durable = record.accepted();
     }
 
-    /** All that was promised and accepted, as far as it is in memory. */
+    /** The promise and the whole accepted state as held in memory, which may be ahead of the disk. */
     AcceptorRecord record() {
-        return new AcceptorRecord(promised, state.stamp(), state.voters(), List.copyOf(state.items()), true);
+        return new AcceptorRecord(promised, state.id(), state.voters(), List.copyOf(state.items()), true);
     }
 
     /** The newest accepted state. Only this class changes it. */
@@ -51,11 +51,11 @@
     }
 
     /** The newest accepted state that is on disk. */
-    Stamp durable() {
+    StateId durable() {
         return durable;
     }
 
-    /** Promises to accept nothing of a lower ballot. Returns false if a higher one was promised. */
+    /** Promises to accept nothing under a lower ballot. Returns false if a higher ballot has been promised. */
     boolean promise(Ballot ballot, Runnable whenDurable) {
         if (ballot.compareTo(promised) < 0) {
             return false;
@@ -65,63 +65,64 @@
         return true;
     }
 
-    /** Accepts a proposed step if its ballot is the highest and it fits. */
-    Outcome accept(Step step, Runnable whenDurable) {
-        Stamp stamp = step.stamp();
-        if (!isHeeded(stamp)) {
+    /** Accepts a proposed delta if no higher ballot has been promised and the delta starts from the accepted state. */
+    Outcome accept(StateDelta delta, Runnable whenDurable) {
+        StateId stateId = delta.stateId();
+        if (!isPermitted(stateId)) {
             return Outcome.REFUSED;
         }
-        promised = stamp.ballot();
-        if (stamp.leadsTo(state.stamp())) {
+        promised = stateId.ballot();
+        if (stateId.isAtOrBefore(state.id())) {
             persist(List.of(), false, whenDurable);
             return Outcome.ACCEPTED;
         }
-        if (!step.base().equals(state.stamp())) {
+        if (!delta.base().equals(state.id())) {
             return Outcome.BEHIND;
         }
-        state.apply(step);
-        persist(step.items(), false, whenDurable);
+        state.apply(delta);
+        persist(delta.items(), false, whenDurable);
         return Outcome.ACCEPTED;
     }
 
     /**
-     * Takes over a whole state: a decided one, or one whose ballot is the highest. Returns false if neither holds, or if
-     * what is held is as new.
+     * Replaces the accepted state by a whole state that is decided, or whose ballot is at least the promised one.
+     * Returns false if neither holds or if the accepted state is at least as new.
      */
-    boolean install(ControlState whole, boolean decided, Runnable whenDurable) {
-        if (!isHeeded(whole.stamp()) && !decided || whole.stamp().compareTo(state.stamp()) <= 0) {
+    boolean install(ControlState snapshot, boolean decided, Runnable whenDurable) {
+        if (!isPermitted(snapshot.id()) && !decided || snapshot.id().compareTo(state.id()) <= 0) {
             return false;
         }
-        state = whole;
-        promised = Ballot.max(promised, whole.stamp().ballot());
-        persist(List.copyOf(whole.items()), true, whenDurable);
+        state = snapshot;
+        promised = Ballot.max(promised, snapshot.id().ballot());
+        persist(List.copyOf(snapshot.items()), true, whenDurable);
         return true;
     }
 
-    /** Goes a step further that was learned from another store, under the same conditions as {@link #install}. */
-    boolean follow(Step step, boolean decided, Runnable whenDurable) {
-        if (!isHeeded(step.stamp()) && !decided || !step.base().equals(state.stamp())) {
+    /** Applies a delta that was pulled from another store, under the same conditions as {@link #install}. */
+    boolean applyDelta(StateDelta delta, boolean decided, Runnable whenDurable) {
+        if (!isPermitted(delta.stateId()) && !decided || !delta.base().equals(state.id())) {
             return false;
         }
-        state.apply(step);
-        promised = Ballot.max(promised, step.stamp().ballot());
-        persist(step.items(), false, whenDurable);
+        state.apply(delta);
+        promised = Ballot.max(promised, delta.stateId().ballot());
+        persist(delta.items(), false, whenDurable);
         return true;
     }
 
-    /** Whether no higher ballot than a state's own was promised. */
-    private boolean isHeeded(Stamp stamp) {
-        return stamp.ballot().compareTo(promised) >= 0;
+    /** Whether the promise allows accepting this state: no ballot higher than its own has been promised. */
+    private boolean isPermitted(StateId stateId) {
+        return stateId.ballot().compareTo(promised) >= 0;
     }
 
-    /** Begins with the first voters, before anything was decided. */
-    void form(Stamp stamp, VoterSet voters, Runnable whenDurable) {
-        state = new ControlState(stamp, voters, List.of());
+    /** Sets the first voters, before anything has been decided. */
+    void bootstrap(StateId stateId, VoterSet voters, Runnable whenDurable) {
+        state = new ControlState(stateId, voters, List.of());
         persist(List.of(), true, whenDurable);
     }
 
+    /** Writes the promise and the accepted state with these items, and then advances the durable state. */
     private void persist(List<VersionedItem> items, boolean replaces, Runnable whenDurable) {
-        Stamp accepted = state.stamp();
+        StateId accepted = state.id();
         environment.persist(new AcceptorRecord(promised, accepted, state.voters(), items, replaces), () -> {
             durable = accepted;
             whenDurable.run();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/AgreementNode.java
@@ -11,29 +11,30 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * One store's part in the agreement on the control state. Single-threaded: messages, the passing of time and the disk's
- * answers are passed in. Times are milliseconds of a clock that never steps back.
+ * The participation of one store in the agreement on the control state. Single-threaded: messages, the time and the
+ * completion of disk writes are passed in. Times are milliseconds of a monotonic clock.
  */
 public final class AgreementNode {
 
-    /** How often {@link #tick} is to be called, in milliseconds. */
+    /** The interval at which {@link #tick} has to be called, in milliseconds. */
     public static final long TICK_MS = 100;
 
     private static final double STATUS_INTERVAL_MS = 400;
-    /** After so long without a leader a voter tries to lead: the first one in order first, in milliseconds. */
-    private static final double LEADERLESS_MS = 1_000;
-
-    private static final double LEADERLESS_STEP_MS = 200;
-    /** A store that was promised a ballot within this time is not outbid, in milliseconds. */
-    private static final double CANDIDATE_MS = 400;
-    /** A leader that was heard within this time is the one to ask, in milliseconds. */
+    /** How long the first voter in order waits without a leader before it starts an election, in milliseconds. */
+    private static final double ELECTION_TIMEOUT_MS = 1_000;
+
+    /** How much longer each following voter waits, and the maximum of the random part of the wait, in milliseconds. */
+    private static final double ELECTION_STAGGER_MS = 200;
+    /** How long after promising a ballot this store starts no election of its own for a call, in milliseconds. */
+    private static final double CANDIDATE_HOLD_OFF_MS = 400;
+    /** The maximum age of the last status of a leader that calls are passed to, in milliseconds. */
     private static final double LEADER_FRESH_MS = 1_000;
-    /** A leader that was heard within this time keeps leading although somebody could not reach it, in milliseconds. */
-    private static final double LEADER_KEPT_MS = 600;
-    /** How long a pull of a newer state waits for the usual messages to bring it, in milliseconds. */
-    private static final double BEHIND_PATIENCE_MS = 250;
-    /** How long a change of the voters keeps off the next one, in milliseconds. */
-    private static final double VOTERS_PAUSE_MS = 300;
+    /** The same for a call whose sender could not reach the leader: within this age the leader is not replaced. */
+    private static final double LEADER_INSIST_FRESH_MS = 600;
+    /** How long to wait for the usual messages to deliver a newer state before it is pulled, in milliseconds. */
+    private static final double PULL_DELAY_MS = 250;
+    /** The minimum interval between changes of the voters, in milliseconds. */
+    private static final double VOTER_CHANGE_INTERVAL_MS = 300;
 
     private final NodeSettings settings;
     private final Voter self;
@@ -44,55 +45,61 @@
     private final StateSource source;
     private final StatePull pull;
     private final Peers peers;
-    private final DiskWatch disks = new DiskWatch();
-    private final VoterPlan plan;
+    private final StalledDiskDetector stalledDisks = new StalledDiskDetector();
+    private final VoterPlanner voterPlanner;
     private boolean leaving;
     private long completeEpoch;
     private double statusAtMs = Double.NEGATIVE_INFINITY;
-    private double leaderHeardAtMs;
+    private double leaderSeenAtMs;
     private double behindSinceMs = Double.NaN;
     private double votersChangedAtMs = Double.NEGATIVE_INFINITY;
     private double electionJitterMs;
-    /** A state of the present epoch, which newcomers have to hold; newer ones come all the time. */
-    private Stamp changeStamp = Stamp.NONE;
+    /**
+     * The first state seen in the current epoch, which added voters have to hold; newer states are decided all the
+     * time.
+     */
+    private StateId changeStateId = StateId.NONE;
 
     private long changeEpoch;
-    /** The change of the voters that is to be proposed next; null if there is none. */
-    private VoterSet wantedVoters;
-    /** The store that was promised a ballot last, and when. */
-    private String candidate = "";
-
+    /** The voters to propose next; null if no change is planned. */
+    private VoterSet nextVoters;
+    /** The IP address of the store whose ballot was promised last. */
+    private String candidateAddress = "";
+    /** When that ballot was promised. */
     private double candidateAtMs = Double.NEGATIVE_INFINITY;
-    private Stamp announced = Stamp.NONE;
 
-    /** A node that begins with {@link #start}. */
+    private StateId lastAnnounced = StateId.NONE;
+
+    /** A node that takes part once {@link #start} has been called. */
     public AgreementNode(NodeSettings settings, AgreementEnvironment environment, ChangeRules rules) {
         this.settings = settings;
         this.self = settings.self();
         this.environment = environment;
         this.acceptor = new Acceptor(environment);
         this.view = new DecidedView(environment);
-        this.leadership = new Leadership(self, settings.lifeId(), environment, acceptor, view, rules);
+        this.leadership = new Leadership(self, settings.incarnationId(), environment, acceptor, view, rules);
         this.source = new StateSource(self, acceptor, view);
-        this.pull = new StatePull(self, settings.lifeId(), environment);
+        this.pull = new StatePull(self, settings.incarnationId(), environment);
         this.peers = new Peers(self, settings.seeds());
-        this.plan = new VoterPlan(peers, disks, settings.toleratedLosses());
+        this.voterPlanner = new VoterPlanner(peers, stalledDisks, settings.toleratedLosses());
     }
 
-    /** Begins with what the disk held. */
+    /** Starts with the record that was read from the disk. */
     public void start(AcceptorRecord record, double nowMs) {
         acceptor.restore(record);
-        if (!record.accepted().equals(Stamp.NONE)) {
-            view.installed(acceptor.state());
+        if (!record.accepted().equals(StateId.NONE)) {
+            view.reset(acceptor.state());
         }
-        leadership.roundSeen(record.promised().round());
+        leadership.observeRound(record.promised().round());
         peers.start(nowMs);
-        leaderHeardAtMs = nowMs;
-        electionJitterMs = environment.random() * LEADERLESS_STEP_MS;
+        leaderSeenAtMs = nowMs;
+        electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
         sendStatus(nowMs);
     }
 
-    /** The voters of the newest accepted state, decided or not: their epoch is the one that counts for keys and purges. */
+    /**
+     * The voters of the newest accepted state, decided or not. Their epoch is the one that applies to keys and purges.
+     */
     public VoterSet voters() {
         return acceptor.state().voters();
     }
@@ -107,72 +114,83 @@
         return view.items();
     }
 
-    /** All that this store has promised and accepted, to be written to a disk that is begun anew. */
+    /** The promise and the whole accepted state, to be written to a disk that is reinitialized. */
     public AcceptorRecord record() {
         return acceptor.record();
     }
 
-    /** Whether this store votes. */
+    /** Whether this store is a voter. */
     public boolean isVoter() {
         return voters().contains(self);
     }
 
-    /** Whether this store leads at present. */
+    /** Whether this store is the leader. */
     public boolean isLeading() {
         return leadership.isLeading();
     }
 
-    /** Whether this store may vote on operation keys: as a newcomer only once it holds all of them. */
-    public boolean mayVoteOnKeys() {
+    /** Whether this store may vote on operation keys. An added voter may do so only once it holds all keys. */
+    public boolean canVoteOnKeys() {
         VoterSet voters = voters();
-        boolean whole = !voters.newcomers().contains(self) || completeEpoch >= voters.epoch();
-        return voters.contains(self) && whole;
+        boolean caughtUp = !voters.addedVoters().contains(self) || completeEpoch >= voters.epoch();
+        return voters.contains(self) && caughtUp;
     }
 
     /**
-     * The change of voters for which this store still has to fetch the operation keys, once that change is decided; null
-     * if there is none.
+     * The decided change of the voters for which this store still has to fetch the operation keys; null if there is
+     * none.
      */
-    public VoterSet changeThatNeedsKeys() {
+    public VoterSet voterChangeAwaitingKeys() {
         VoterSet voters = view.voters();
-        boolean wanted = voters.newcomers().contains(self) && completeEpoch < voters.epoch();
-        return wanted && voters.equals(voters()) ? voters : null;
+        boolean pending = voters.addedVoters().contains(self) && completeEpoch < voters.epoch();
+        return pending && voters.equals(voters()) ? voters : null;
     }
 
-    /** All operation keys of an epoch are on disk here. */
-    public void keysComplete(long epoch, double nowMs) {
+    /** Records that all operation keys of an epoch are on this store's disk. */
+    public void onKeysComplete(long epoch, double nowMs) {
         completeEpoch = Math.max(completeEpoch, epoch);
         sendStatus(nowMs);
     }
 
-    /** This store is about to end: another one is to vote in its place. */
+    /** Announces that this store is about to stop, so that another one replaces it as a voter. */
     public void leave(double nowMs) {
         leaving = true;
         sendStatus(nowMs);
     }
 
-    /** Whether this store may end without harm: it votes no more, or nobody could take its place. */
-    public boolean mayEnd(double nowMs) {
-        boolean out = !voters().contains(self) && !view.voters().contains(self);
-        return out || !plan.hasCandidate(voters(), status(nowMs), nowMs);
+    /** Whether this store may stop: it is no longer a voter, or no other store could replace it. */
+    public boolean canStop(double nowMs) {
+        boolean replaced = !voters().contains(self) && !view.voters().contains(self);
+        return replaced || !voterPlanner.hasCandidate(voters(), status(nowMs), nowMs);
     }
 
     /**
-     * Decides an order, see {@link OrderResult}. With {@code insist}, which says that the leader could not be reached, this
-     * store tries to lead unless it has just heard that leader itself.
+     * Submits a configuration change.
+     *
+     * @param items the new versions of the items
+     * @param insist whether the caller could not reach the leader: this store then starts an election unless it has
+     *     just received a status from the leader itself
+     * @param deadlineMs when the callback is called with {@link ChangeResult#UNKNOWN} at the latest
+     * @param callback called with the result
      */
-    public void order(
-            List<Item> items, boolean insist, double nowMs, double deadlineMs, Consumer<OrderResult> callback) {
+    public void submit(
+            List<Item> items, boolean insist, double nowMs, double deadlineMs, Consumer<ChangeResult> callback) {
         String leader = otherLeader(insist, nowMs);
         if (leader != null) {
-            callback.accept(OrderResult.notLeader(leader));
+            callback.accept(ChangeResult.notLeader(leader));
             return;
         }
-        leadership.order(items, deadlineMs, callback);
-        goOn(nowMs);
+        leadership.enqueueChange(items, deadlineMs, callback);
+        advance(nowMs);
     }
 
-    /** Reads the newest decided items; the callback is told null if no majority confirms in time that they are. */
+    /**
+     * Reads the newest decided items.
+     *
+     * @param insist as for {@link #submit}
+     * @param callback called with the items, or with null if no majority confirms in time that they are the newest
+     * @param other called instead with the IP address of the leader if another store leads; empty if none is known
+     */
     public void read(
             boolean insist,
             double nowMs,
@@ -184,44 +202,48 @@
             other.accept(leader);
             return;
         }
-        leadership.confirm(
+        leadership.enqueueConfirmation(
                 () -> callback.accept(new ArrayList<>(view.items().all())), () -> callback.accept(null), deadlineMs);
-        goOn(nowMs);
+        advance(nowMs);
     }
 
-    /** The store to ask in this one's place, empty if none is known; null if this one leads or begins to. */
+    /**
+     * The IP address of the leader if that is another store; empty if none is known; null if this store leads or tries
+     * to.
+     */
     private String otherLeader(boolean insist, double nowMs) {
         if (!leadership.isFollowing()) {
             return null;
         }
-        AgreementMessage.Status leader = leader(insist ? LEADER_KEPT_MS : LEADER_FRESH_MS, nowMs);
+        AgreementMessage.Status leader = leader(insist ? LEADER_INSIST_FRESH_MS : LEADER_FRESH_MS, nowMs);
         if (!isVoter() || leaving) {
             return leader == null ? "" : leader.from().address();
         }
         if (leader != null) {
             return leader.from().address();
         }
-        if (nowMs - candidateAtMs < CANDIDATE_MS) {
-            return candidate;
+        if (nowMs - candidateAtMs < CANDIDATE_HOLD_OFF_MS) {
+            return candidateAddress;
         }
-        if (!hearsMajority(nowMs)) {
+        if (!isMajorityReachable(nowMs)) {
             return "";
         }
-        leadership.begin(nowMs);
+        leadership.startElection(nowMs);
         return null;
     }
 
     /**
-     * Whether a majority of the voters was heard lately. A store that was cut off, or frozen, hears first what has become
-     * of the voters, and does not outbid the one that leads them.
+     * Whether recent statuses were received from a majority of the voters. A store that was partitioned or frozen thus
+     * first learns the current voters, and does not outbid their leader.
      */
-    private boolean hearsMajority(double nowMs) {
-        return voters().isMajority(voter -> voter.equals(self) || peers.of(voter, Peers.FRESH_MS, nowMs) != null);
+    private boolean isMajorityReachable(double nowMs) {
+        return voters().hasQuorum(
+                        voter -> voter.equals(self) || peers.recentStatus(voter, Peers.FRESH_MS, nowMs) != null);
     }
 
     private AgreementMessage.Status leader(double freshMs, double nowMs) {
         AgreementMessage.Status best = null;
-        for (AgreementMessage.Status status : peers.within(freshMs, nowMs)) {
+        for (AgreementMessage.Status status : peers.recentStatuses(freshMs, nowMs)) {
             if (status.leading() && (best == null || status.promised().compareTo(best.promised()) > 0)) {
                 best = status;
             }
@@ -229,46 +251,49 @@
         return best;
     }
 
-    /** Takes a message. */
+    /** Handles a message from another store. */
     public void receive(AgreementMessage message, double nowMs) {
         if (message.from().equals(self)) {
             return;
         }
         if (message instanceof AgreementMessage.Status status) {
-            heard(status, nowMs);
-        } else if (message instanceof AgreementMessage.ToAcceptor asked) {
-            acceptorMessage(asked, nowMs);
+            receiveStatus(status, nowMs);
+        } else if (message instanceof AgreementMessage.ToAcceptor request) {
+            handleAcceptorMessage(request, nowMs);
         } else if (message instanceof AgreementMessage.ToProposer answer) {
-            proposerMessage(answer, nowMs);
+            handleProposerMessage(answer, nowMs);
         } else if (message instanceof AgreementMessage.Transfer transfer) {
-            transferMessage(transfer, nowMs);
+            handleTransferMessage(transfer, nowMs);
         }
-        leadership.checkPromised();
-        goOn(nowMs);
+        leadership.stepDownIfOutbid();
+        advance(nowMs);
     }
 
-    private void heard(AgreementMessage.Status status, double nowMs) {
-        peers.heard(status, nowMs);
-        leadership.roundSeen(status.promised().round());
+    private void receiveStatus(AgreementMessage.Status status, double nowMs) {
+        peers.record(status, nowMs);
+        leadership.observeRound(status.promised().round());
         if (status.leading()) {
-            leaderHeardAtMs = nowMs;
+            leaderSeenAtMs = nowMs;
         }
         view.decide(status.decided());
-        disks.seen(status.from(), status.accepted(), view.decided(), nowMs);
-        decideIfAllHoldTheSame(nowMs);
-        formIfSeedsAreEmpty(nowMs);
+        stalledDisks.record(status.from(), status.accepted(), view.decided(), nowMs);
+        decideIfMajorityAccepted(nowMs);
+        bootstrapIfSeedsAreEmpty(nowMs);
     }
 
-    /** After a restart of all nobody knows what was decided: what a majority has accepted is. */
-    private void decideIfAllHoldTheSame(double nowMs) {
-        Stamp own = acceptor.durable();
+    /**
+     * Decides a state that a majority is known to have accepted. After a restart of all stores no store knows which
+     * states were decided.
+     */
+    private void decideIfMajorityAccepted(double nowMs) {
+        StateId own = acceptor.durable();
         if (own.revision() < 1
                 || own.compareTo(view.decided()) <= 0
-                || !own.equals(acceptor.state().stamp())) {
+                || !own.equals(acceptor.state().id())) {
             return;
         }
-        boolean decided = voters().isMajority(voter -> {
-            AgreementMessage.Status status = peers.of(voter, Peers.GONE_MS, nowMs);
+        boolean decided = voters().hasQuorum(voter -> {
+            AgreementMessage.Status status = peers.recentStatus(voter, Peers.GONE_MS, nowMs);
             return voter.equals(self) || status != null && status.accepted().equals(own);
         });
         if (decided && isVoter()) {
@@ -277,16 +302,17 @@
     }
 
     /**
-     * The first voters are the seeds, once all of them have said that nothing was ever decided there. Each has its disk's
-     * name on disk before it says so; so a kill at any moment leaves either nothing or a state that goes on.
+     * Makes the seeds the first voters, once all of them have reported that they hold no decided state. Each store has
+     * its disk's identifier on disk before it reports that, so a crash at any moment leaves either an empty disk or one
+     * that can continue.
      */
-    private void formIfSeedsAreEmpty(double nowMs) {
-        if (acceptor.state().stamp().revision() > 0 || !peers.seeds().contains(self.address())) {
+    private void bootstrapIfSeedsAreEmpty(double nowMs) {
+        if (acceptor.state().id().revision() > 0 || !peers.seeds().contains(self.address())) {
             return;
         }
         List<Voter> founders = new ArrayList<>();
         founders.add(self);
-        for (AgreementMessage.Status status : peers.within(Peers.GONE_MS, nowMs)) {
+        for (AgreementMessage.Status status : peers.recentStatuses(Peers.GONE_MS, nowMs)) {
             if (status.accepted().revision() > 0 || status.voters().epoch() > 1) {
                 return;
             }
@@ -300,24 +326,24 @@
         founders.sort(null);
         VoterSet first = new VoterSet(1, founders, List.of());
         if (!first.equals(voters())) {
-            Stamp stamp = new Stamp(new Ballot(0, founders.toString()), 0);
-            acceptor.form(stamp, first, () -> {});
-            view.installed(acceptor.state());
+            StateId stateId = new StateId(new Ballot(0, founders.toString()), 0);
+            acceptor.bootstrap(stateId, first, () -> {});
+            view.reset(acceptor.state());
             sendStatus(nowMs);
         }
     }
 
-    private void acceptorMessage(AgreementMessage.ToAcceptor message, double nowMs) {
+    private void handleAcceptorMessage(AgreementMessage.ToAcceptor message, double nowMs) {
         String address = message.from().address();
         if (message instanceof AgreementMessage.Prepare prepare) {
-            leadership.roundSeen(prepare.ballot().round());
-            Stamp accepted = acceptor.state().stamp();
+            leadership.observeRound(prepare.ballot().round());
+            StateId accepted = acceptor.state().id();
             VoterSet voters = acceptor.state().voters();
             AgreementMessage.Promise promise = new AgreementMessage.Promise(self, prepare.ballot(), accepted, voters);
             if (acceptor.promise(prepare.ballot(), () -> environment.send(address, promise))) {
-                candidate = address;
+                candidateAddress = address;
                 candidateAtMs = nowMs;
-                leaderHeardAtMs = nowMs;
+                leaderSeenAtMs = nowMs;
             } else {
                 refuse(address, prepare.ballot());
             }
@@ -332,112 +358,114 @@
         }
     }
 
-    private void refuse(String address, Ballot asked) {
-        environment.send(address, new AgreementMessage.Refused(self, asked, acceptor.promised()));
+    private void refuse(String address, Ballot request) {
+        environment.send(address, new AgreementMessage.Refused(self, request, acceptor.promised()));
     }
 
     private void accept(AgreementMessage.Accept accept, double nowMs) {
-        Step step = accept.step();
-        leadership.roundSeen(step.stamp().ballot().round());
-        Stamp before = acceptor.state().stamp();
-        Acceptor.Outcome outcome = acceptor.accept(step, sayAccepted(accept.from(), step.stamp()));
+        StateDelta delta = accept.delta();
+        leadership.observeRound(delta.stateId().ballot().round());
+        StateId before = acceptor.state().id();
+        Acceptor.Outcome outcome = acceptor.accept(delta, acceptedReply(accept.from(), delta.stateId()));
         switch (outcome) {
-            case REFUSED -> refuse(accept.from().address(), step.stamp().ballot());
+            case REFUSED -> refuse(accept.from().address(), delta.stateId().ballot());
             case BEHIND -> pullFrom(accept.from(), nowMs);
             case ACCEPTED -> {
-                if (!before.equals(acceptor.state().stamp())) {
-                    view.accepted(step);
-                    view.decide(view.heard());
+                if (!before.equals(acceptor.state().id())) {
+                    view.addAccepted(delta);
+                    view.decide(view.newestKnownDecided());
                 }
             }
         }
     }
 
-    private Runnable sayAccepted(Voter leader, Stamp stamp) {
-        return () -> environment.send(leader.address(), new AgreementMessage.Accepted(self, stamp));
+    private Runnable acceptedReply(Voter leader, StateId stateId) {
+        return () -> environment.send(leader.address(), new AgreementMessage.Accepted(self, stateId));
     }
 
     private void pullFrom(Voter store, double nowMs) {
         if (!pull.isActive()) {
-            pull.begin(store, acceptor.state().stamp(), nowMs);
+            pull.begin(store, acceptor.state().id(), nowMs);
         }
     }
 
-    private void proposerMessage(AgreementMessage.ToProposer message, double nowMs) {
+    private void handleProposerMessage(AgreementMessage.ToProposer message, double nowMs) {
         if (message instanceof AgreementMessage.Promise promise) {
-            leadership.promised(promise, nowMs);
+            leadership.onPromise(promise, nowMs);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
-            leadership.accepted(accepted, nowMs);
+            leadership.onAccepted(accepted, nowMs);
         } else if (message instanceof AgreementMessage.Confirmed confirmed) {
-            leadership.confirmed(confirmed, nowMs);
+            leadership.onConfirmed(confirmed, nowMs);
         } else if (message instanceof AgreementMessage.Refused refused) {
-            leadership.refused(refused);
+            leadership.onRefused(refused);
         }
     }
 
-    private void transferMessage(AgreementMessage.Transfer message, double nowMs) {
-        if (message instanceof AgreementMessage.Pull asked) {
-            environment.send(asked.from().address(), source.answer(asked, nowMs));
+    private void handleTransferMessage(AgreementMessage.Transfer message, double nowMs) {
+        if (message instanceof AgreementMessage.Pull request) {
+            environment.send(request.from().address(), source.answer(request, nowMs));
         } else if (message instanceof AgreementMessage.Difference difference) {
-            pull.take(difference).ifPresent(pulled -> follow(pulled));
-            leadership.fetch().take(difference).ifPresent(pulled -> leadership.fetched(pulled, nowMs));
+            pull.receive(difference).ifPresent(pulled -> applyPulled(pulled));
+            leadership.fetch().receive(difference).ifPresent(pulled -> leadership.onFetched(pulled, nowMs));
         } else if (message instanceof AgreementMessage.Page page) {
-            pull.take(page, nowMs).ifPresent(pulled -> follow(pulled));
-            leadership.fetch().take(page, nowMs).ifPresent(pulled -> leadership.fetched(pulled, nowMs));
+            pull.receive(page, nowMs).ifPresent(pulled -> applyPulled(pulled));
+            leadership.fetch().receive(page, nowMs).ifPresent(pulled -> leadership.onFetched(pulled, nowMs));
         }
     }
 
-    /** Takes over what another store holds, as far as it is decided or its ballot is the highest. */
-    private void follow(Pulled pulled) {
+    /**
+     * Takes over the state of another store, as far as it is decided or under a ballot not lower than the promised one.
+     */
+    private void applyPulled(PulledState pulled) {
         behindSinceMs = Double.NaN;
-        if (pulled.whole() != null) {
-            Stamp stamp = pulled.whole().stamp();
-            boolean decided = stamp.leadsTo(pulled.decided());
-            if (acceptor.install(pulled.whole(), decided, sayAccepted(pulled.source(), stamp))) {
-                view.installed(pulled.whole());
+        if (pulled.snapshot() != null) {
+            StateId stateId = pulled.snapshot().id();
+            boolean decided = stateId.isAtOrBefore(pulled.decided());
+            if (acceptor.install(pulled.snapshot(), decided, acceptedReply(pulled.source(), stateId))) {
+                view.reset(pulled.snapshot());
             }
         }
-        int settled = 0;
-        for (int i = 0; i < pulled.steps().size(); i++) {
-            settled = pulled.steps().get(i).stamp().leadsTo(pulled.decided()) ? i + 1 : settled;
+        int decidedCount = 0;
+        for (int i = 0; i < pulled.deltas().size(); i++) {
+            decidedCount = pulled.deltas().get(i).stateId().isAtOrBefore(pulled.decided()) ? i + 1 : decidedCount;
         }
-        for (int i = 0; i < pulled.steps().size(); i++) {
-            Step step = pulled.steps().get(i);
-            if (acceptor.follow(step, i < settled, sayAccepted(pulled.source(), step.stamp()))) {
-                view.accepted(step);
+        for (int i = 0; i < pulled.deltas().size(); i++) {
+            StateDelta delta = pulled.deltas().get(i);
+            if (acceptor.applyDelta(delta, i < decidedCount, acceptedReply(pulled.source(), delta.stateId()))) {
+                view.addAccepted(delta);
             }
         }
         view.decide(pulled.decided());
-        view.decide(view.heard());
+        view.decide(view.newestKnownDecided());
     }
 
-    /** Goes on as time passes; to be called every {@link #TICK_MS}. */
+    /** Handles timeouts and periodic work; to be called every {@link #TICK_MS}. */
     public void tick(double nowMs) {
         peers.tick(nowMs);
-        disks.seen(self, acceptor.durable(), view.decided(), nowMs);
+        stalledDisks.record(self, acceptor.durable(), view.decided(), nowMs);
         source.tick(nowMs);
         pull.tick(nowMs);
         leadership.tick(nowMs);
-        formIfSeedsAreEmpty(nowMs);
+        bootstrapIfSeedsAreEmpty(nowMs);
         pullIfBehind(nowMs);
-        leadIfNobodyDoes(nowMs);
+        startElectionIfLeaderless(nowMs);
         planVoters(nowMs);
-        goOn(nowMs);
+        advance(nowMs);
         if (nowMs - statusAtMs >= STATUS_INTERVAL_MS) {
             sendStatus(nowMs);
         }
     }
 
     private void pullIfBehind(double nowMs) {
-        if (view.heard().compareTo(acceptor.state().stamp()) <= 0) {
+        if (view.newestKnownDecided().compareTo(acceptor.state().id()) <= 0) {
             behindSinceMs = Double.NaN;
             return;
         }
         if (Double.isNaN(behindSinceMs)) {
             behindSinceMs = nowMs;
-        } else if (nowMs - behindSinceMs > BEHIND_PATIENCE_MS && !pull.isActive()) {
-            for (AgreementMessage.Status status : peers.within(Peers.FRESH_MS, nowMs)) {
-                if (status.decided().compareTo(acceptor.state().stamp()) > 0) {
+        } else if (nowMs - behindSinceMs > PULL_DELAY_MS && !pull.isActive()) {
+            for (AgreementMessage.Status status : peers.recentStatuses(Peers.FRESH_MS, nowMs)) {
+                if (status.decided().compareTo(acceptor.state().id()) > 0) {
                     pullFrom(status.from(), nowMs);
                     return;
                 }
@@ -445,74 +473,79 @@
         }
     }
 
-    private void leadIfNobodyDoes(double nowMs) {
+    private void startElectionIfLeaderless(double nowMs) {
         int rank = voters().members().indexOf(self);
         if (rank < 0 || leaving || !leadership.isFollowing()) {
             return;
         }
-        double patienceMs = LEADERLESS_MS + rank * LEADERLESS_STEP_MS + electionJitterMs;
-        boolean begins = acceptor.state().stamp().revision() == 0 && rank == 0;
-        if ((begins || nowMs - leaderHeardAtMs > patienceMs) && hearsMajority(nowMs)) {
-            leaderHeardAtMs = nowMs;
-            electionJitterMs = environment.random() * LEADERLESS_STEP_MS;
-            leadership.begin(nowMs);
+        double timeoutMs = ELECTION_TIMEOUT_MS + rank * ELECTION_STAGGER_MS + electionJitterMs;
+        boolean first = acceptor.state().id().revision() == 0 && rank == 0;
+        if ((first || nowMs - leaderSeenAtMs > timeoutMs) && isMajorityReachable(nowMs)) {
+            leaderSeenAtMs = nowMs;
+            electionJitterMs = environment.random() * ELECTION_STAGGER_MS;
+            leadership.startElection(nowMs);
         }
     }
 
-    /** The one that leads changes the voters: first a joint set, then, once its newcomers hold all, the new one alone. */
+    /**
+     * As the leader, plans a change of the voters: first to a joint set, and once its added voters have caught up, to
+     * the new voters alone.
+     */
     private void planVoters(double nowMs) {
-        wantedVoters = null;
-        if (!leadership.isLeading() || nowMs - votersChangedAtMs < VOTERS_PAUSE_MS) {
+        nextVoters = null;
+        if (!leadership.isLeading() || nowMs - votersChangedAtMs < VOTER_CHANGE_INTERVAL_MS) {
             return;
         }
         VoterSet current = voters();
         if (current.epoch() != changeEpoch) {
             changeEpoch = current.epoch();
-            changeStamp = acceptor.state().stamp();
+            changeStateId = acceptor.state().id();
         }
-        Optional<List<Voter>> next = plan.next(current, status(nowMs), nowMs);
+        Optional<List<Voter>> next = voterPlanner.nextVoters(current, status(nowMs), nowMs);
         if (next.isPresent()) {
-            wantedVoters = current.changedTo(next.get());
-        } else if (current.isJoint() && current.newcomers().stream().allMatch(voter -> isWhole(voter, nowMs))) {
-            wantedVoters = current.settled();
+            nextVoters = current.changedTo(next.get());
+        } else if (current.isJoint() && current.addedVoters().stream().allMatch(voter -> isCaughtUp(voter, nowMs))) {
+            nextVoters = current.completed();
         }
     }
 
-    /** Serves what waits; a change of the voters goes before orders, which would keep it off for ever. */
-    private void serve(double nowMs) {
-        if (wantedVoters != null && leadership.isFree() && wantedVoters.epoch() == voters().epoch() + 1) {
-            VoterSet wanted = wantedVoters;
-            wantedVoters = null;
+    /**
+     * Proposes pending work. A change of the voters goes first, since a steady load of changes would delay it forever.
+     */
+    private void proposePending(double nowMs) {
+        if (nextVoters != null && leadership.isIdle() && nextVoters.epoch() == voters().epoch() + 1) {
+            VoterSet proposed = nextVoters;
+            nextVoters = null;
             votersChangedAtMs = nowMs;
-            leadership.proposeVoters(wanted, nowMs);
+            leadership.proposeVoters(proposed, nowMs);
         }
-        leadership.serve(nowMs);
+        leadership.proposePending(nowMs);
     }
 
-    private boolean isWhole(Voter newcomer, double nowMs) {
+    private boolean isCaughtUp(Voter added, double nowMs) {
         long epoch = voters().epoch();
-        if (newcomer.equals(self)) {
+        if (added.equals(self)) {
             return completeEpoch >= epoch;
         }
-        AgreementMessage.Status status = peers.of(newcomer, Peers.FRESH_MS, nowMs);
+        AgreementMessage.Status status = peers.recentStatus(added, Peers.FRESH_MS, nowMs);
         return status != null
                 && status.completeEpoch() >= epoch
-                && status.accepted().compareTo(changeStamp) >= 0;
+                && status.accepted().compareTo(changeStateId) >= 0;
     }
 
-    /** Serves what waits, and tells the others at once of what was decided. */
-    private void goOn(double nowMs) {
-        serve(nowMs);
-        if (leadership.isLeading() && !view.decided().equals(announced)) {
-            announced = view.decided();
+    /** Proposes pending work, and announces newly decided states to the other stores at once. */
+    private void advance(double nowMs) {
+        proposePending(nowMs);
+        if (leadership.isLeading() && !view.decided().equals(lastAnnounced)) {
+            lastAnnounced = view.decided();
             sendStatus(nowMs);
-            serve(nowMs);
+            proposePending(nowMs);
         }
     }
 
-    /** Goes on after the disk has answered. */
-    public void persisted(double nowMs) {
-        goOn(nowMs);
+    /** Continues after a disk write has completed. */
+    public void onPersisted(double nowMs) {
+        advance(nowMs);
     }
 
     private AgreementMessage.Status status(double nowMs) {
@@ -527,26 +560,26 @@
                 view.decided(),
                 acceptor.state().voters(),
                 completeEpoch,
-                peers.known(nowMs));
+                peers.knownAddresses(nowMs));
     }
 
-    /** How far this store is, for logs. */
+    /** The progress of this store, for logs. */
     public String describe() {
         return "leading=" + leadership.isLeading() + " following=" + leadership.isFollowing() + " accepted="
-                + acceptor.state().stamp() + " decided=" + view.decided() + " promised=" + acceptor.promised()
+                + acceptor.state().id() + " decided=" + view.decided() + " promised=" + acceptor.promised()
                 + " epoch=" + voters().epoch() + " complete_epoch=" + completeEpoch;
     }
 
-    /** Tells a store how far this one is, as messages reach it from now on. */
-    public void reached(String address, double nowMs) {
+    /** Sends this store's status to another store that has become reachable. */
+    public void onConnected(String address, double nowMs) {
         environment.send(address, status(nowMs));
     }
 
-    /** Tells all stores how far this one is. */
+    /** Sends this store's status to all known stores. */
     public void sendStatus(double nowMs) {
         statusAtMs = nowMs;
         AgreementMessage.Status status = status(nowMs);
-        for (String address : peers.addresses(acceptor.state().voters(), view.voters())) {
+        for (String address : peers.statusRecipients(acceptor.state().voters(), view.voters())) {
             environment.send(address, status);
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/Peers.java
@@ -9,23 +9,23 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What the other stores said of themselves, and when. */
+/** The newest status of each other store, and when it was received. */
 final class Peers {
 
-    /** A store that was not heard for so long is gone for the choice of voters, in milliseconds. */
+    /** The age of a voter's last status from which on it counts as gone and may be replaced, in milliseconds. */
     static final double GONE_MS = 2_000;
-    /** A store that was not heard for so long is not chosen as a voter, in milliseconds. */
+    /** The maximum age of the last status of a store that is chosen as a voter, in milliseconds. */
     static final double FRESH_MS = 1_500;
-    /** A store that was not heard for so long is forgotten, in milliseconds. */
-    private static final double FORGET_MS = 30_000;
+    /** The age at which a status is discarded, in milliseconds. */
+    private static final double RETENTION_MS = 30_000;
 
     private final Voter self;
     private final List<String> seeds;
-    private final Map<String, Heard> heard = new HashMap<>();
-    private final TreeSet<String> told = new TreeSet<>();
+    private final Map<String, ReceivedStatus> statuses = new HashMap<>();
+    private final TreeSet<String> reportedAddresses = new TreeSet<>();
     private double startedAtMs;
 
-    private record Heard(AgreementMessage.Status status, double atMs) {}
+    private record ReceivedStatus(AgreementMessage.Status status, double atMs) {}
 
     Peers(Voter self, List<String> seeds) {
         this.self = self;
@@ -41,63 +41,67 @@
         return seeds;
     }
 
-    /** Takes what a store says of itself. */
-    void heard(AgreementMessage.Status status, double nowMs) {
-        heard.put(status.from().address(), new Heard(status, nowMs));
-        told.addAll(status.known());
+    /** Records a status that was received. */
+    void record(AgreementMessage.Status status, double nowMs) {
+        statuses.put(status.from().address(), new ReceivedStatus(status, nowMs));
+        reportedAddresses.addAll(status.knownAddresses());
     }
 
-    /** Forgets stores that were not heard for long. */
+    /** Discards old statuses, and addresses that other stores reported and that sent no status. */
     void tick(double nowMs) {
-        if (heard.values().removeIf(entry -> nowMs - entry.atMs() > FORGET_MS)) {
-            told.retainAll(heard.keySet());
+        if (statuses.values().removeIf(received -> nowMs - received.atMs() > RETENTION_MS)) {
+            reportedAddresses.retainAll(statuses.keySet());
         }
     }
 
-    /** The newest statuses of the stores that were heard within a time. */
-    Collection<AgreementMessage.Status> within(double boundMs, double nowMs) {
+    /** The newest status of each store, if it is no older than a maximum age in milliseconds. */
+    Collection<AgreementMessage.Status> recentStatuses(double maxAgeMs, double nowMs) {
         List<AgreementMessage.Status> fresh = new ArrayList<>();
-        for (Heard entry : heard.values()) {
-            if (nowMs - entry.atMs() <= boundMs) {
-                fresh.add(entry.status());
+        for (ReceivedStatus received : statuses.values()) {
+            if (nowMs - received.atMs() <= maxAgeMs) {
+                fresh.add(received.status());
             }
         }
         return fresh;
     }
 
-    /** What a store said last, if it was heard within a time; else null. A lost disk is another store. */
-    AgreementMessage.Status of(Voter voter, double boundMs, double nowMs) {
-        Heard entry = heard.get(voter.address());
-        boolean fresh = entry != null && entry.status().from().equals(voter) && nowMs - entry.atMs() <= boundMs;
-        return fresh ? entry.status() : null;
+    /**
+     * The newest status of a store if it is no older than a maximum age in milliseconds; else null. A status of another
+     * disk on the same machine is that of another store.
+     */
+    AgreementMessage.Status recentStatus(Voter voter, double maxAgeMs, double nowMs) {
+        ReceivedStatus received = statuses.get(voter.address());
+        boolean fresh =
+                received != null && received.status().from().equals(voter) && nowMs - received.atMs() <= maxAgeMs;
+        return fresh ? received.status() : null;
     }
 
-    /** Whether a voter is gone: silent for long, about to end, or its machine has another disk now. */
+    /** Whether a voter is gone: it sent no status for long, is about to stop, or its machine has another disk now. */
     boolean isGone(Voter voter, double nowMs) {
-        Heard entry = heard.get(voter.address());
-        if (entry == null) {
+        ReceivedStatus received = statuses.get(voter.address());
+        if (received == null) {
             return nowMs - startedAtMs > GONE_MS;
         }
-        if (!entry.status().from().equals(voter) || entry.status().leaving()) {
+        if (!received.status().from().equals(voter) || received.status().leaving()) {
             return true;
         }
-        return nowMs - entry.atMs() > GONE_MS;
+        return nowMs - received.atMs() > GONE_MS;
     }
 
-    /** Everybody to tell of this store's status. */
-    List<String> addresses(VoterSet accepted, VoterSet decided) {
+    /** The IP addresses of all stores that this store sends its status to. */
+    List<String> statusRecipients(VoterSet accepted, VoterSet decided) {
         TreeSet<String> addresses = new TreeSet<>(seeds);
         addresses.addAll(accepted.addresses());
         addresses.addAll(decided.addresses());
-        addresses.addAll(heard.keySet());
-        addresses.addAll(told);
+        addresses.addAll(statuses.keySet());
+        addresses.addAll(reportedAddresses);
         addresses.remove(self.address());
         return List.copyOf(addresses);
     }
 
-    /** The IP addresses of the stores heard lately. */
-    List<String> known(double nowMs) {
-        return within(GONE_MS, nowMs).stream()
+    /** The IP addresses of the stores that a recent status was received from. */
+    List<String> knownAddresses(double nowMs) {
+        return recentStatuses(GONE_MS, nowMs).stream()
                 .map(status -> status.from().address())
                 .sorted()
                 .toList();
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StatePull.java
@@ -6,35 +6,36 @@
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.Voter;
 
-/** Brings the state of another store here: asks page after page and checks the whole against its digest. */
+/** Pulls the state of another store: requests one page after another and verifies the whole state by its digest. */
 final class StatePull {
 
-    /** A page that did not come is asked for again after so long, in milliseconds. */
-    private static final double ASK_AGAIN_MS = 300;
-    /** A transfer that brings nothing for so long is given up, in milliseconds. */
-    private static final double GIVE_UP_MS = 1_500;
+    /** How long to wait for a page before it is requested again, in milliseconds. */
+    private static final double RETRY_INTERVAL_MS = 300;
+    /** A transfer that receives nothing for this long is cancelled, in milliseconds. */
+    private static final double STALL_TIMEOUT_MS = 1_500;
 
     private final Voter self;
-    private final String lifeId;
+    private final String transferIdPrefix;
     private final AgreementEnvironment environment;
     private final List<VersionedItem> items = new ArrayList<>();
-    private long transfers;
+    private long transferCount;
     private Voter source;
-    private String transfer;
-    private Stamp have;
-    private Stamp stamp;
-    private int page;
-    private double askedAtMs;
-    private double cameAtMs;
+    private String transferId;
+    private StateId heldStateId;
+    private StateId stateId;
+    private int nextPage;
+    private double requestedAtMs;
+    private double lastReceivedAtMs;
 
     /**
-     * A pull without a transfer under way.
+     * A pull without a transfer in progress.
      *
-     * @param lifeId names this life and this user of transfers, so that answers to earlier ones are not taken
+     * @param transferIdPrefix identifies this run of the process and this user of transfers, so that answers to earlier
+     *     transfers are ignored
      */
-    StatePull(Voter self, String lifeId, AgreementEnvironment environment) {
+    StatePull(Voter self, String transferIdPrefix, AgreementEnvironment environment) {
         this.self = self;
-        this.lifeId = lifeId;
+        this.transferIdPrefix = transferIdPrefix;
         this.environment = environment;
     }
 
@@ -42,85 +43,85 @@
         return source != null;
     }
 
-    /** Whether the store that is asked now is this one. */
+    /** Whether the transfer in progress is from this store. */
     boolean isFrom(Voter store) {
         return store.equals(source);
     }
 
-    /** Begins a transfer; one that is under way is given up. */
-    void begin(Voter from, Stamp held, double nowMs) {
+    /** Starts a transfer, and cancels the one in progress. */
+    void begin(Voter from, StateId held, double nowMs) {
         source = from;
-        have = held;
-        transfer = lifeId + "-" + ++transfers;
+        heldStateId = held;
+        transferId = transferIdPrefix + "-" + ++transferCount;
         restart();
-        cameAtMs = nowMs;
-        ask(nowMs);
+        lastReceivedAtMs = nowMs;
+        requestPage(nowMs);
     }
 
-    void giveUp() {
+    void cancel() {
         source = null;
     }
 
     private void restart() {
-        page = 0;
-        stamp = null;
+        nextPage = 0;
+        stateId = null;
         items.clear();
     }
 
-    private void ask(double nowMs) {
-        askedAtMs = nowMs;
-        environment.send(source.address(), new AgreementMessage.Pull(self, transfer, have, page));
+    private void requestPage(double nowMs) {
+        requestedAtMs = nowMs;
+        environment.send(source.address(), new AgreementMessage.Pull(self, transferId, heldStateId, nextPage));
     }
 
-    /** Asks again for what did not come, or gives up. */
+    /** Requests a missing page again, or cancels a stalled transfer. */
     void tick(double nowMs) {
         if (!isActive()) {
             return;
         }
-        if (nowMs - cameAtMs > GIVE_UP_MS) {
-            giveUp();
-        } else if (nowMs - askedAtMs > ASK_AGAIN_MS) {
-            ask(nowMs);
+        if (nowMs - lastReceivedAtMs > STALL_TIMEOUT_MS) {
+            cancel();
+        } else if (nowMs - requestedAtMs > RETRY_INTERVAL_MS) {
+            requestPage(nowMs);
         }
     }
 
-    private boolean isExpected(Voter from, String name) {
-        return isActive() && source.equals(from) && transfer.equals(name);
+    private boolean isExpected(Voter from, String expectedTransferId) {
+        return isActive() && source.equals(from) && transferId.equals(expectedTransferId);
     }
 
-    /** Takes a difference. Returns what was pulled if it is of the transfer under way. */
-    Optional<Pulled> take(AgreementMessage.Difference difference) {
-        if (!isExpected(difference.from(), difference.transfer())) {
+    /** Handles a difference. Returns the pulled deltas if it belongs to the transfer in progress. */
+    Optional<PulledState> receive(AgreementMessage.Difference difference) {
+        if (!isExpected(difference.from(), difference.transferId())) {
             return Optional.empty();
         }
-        giveUp();
-        return Optional.of(new Pulled(difference.from(), difference.decided(), difference.steps(), null));
+        cancel();
+        return Optional.of(new PulledState(difference.from(), difference.decided(), difference.deltas(), null));
     }
 
-    /** Takes a page. Returns what was pulled once all pages are there and match their digest. */
-    Optional<Pulled> take(AgreementMessage.Page received, double nowMs) {
-        if (!isExpected(received.from(), received.transfer())) {
+    /** Handles a page. Returns the pulled state once all pages have arrived and match the digest. */
+    Optional<PulledState> receive(AgreementMessage.Page received, double nowMs) {
+        if (!isExpected(received.from(), received.transferId())) {
             return Optional.empty();
         }
-        if (stamp != null && !received.stamp().equals(stamp)) {
+        if (stateId != null && !received.stateId().equals(stateId)) {
             restart();
         }
-        if (received.page() != page) {
+        if (received.page() != nextPage) {
             return Optional.empty();
         }
-        cameAtMs = nowMs;
-        stamp = received.stamp();
+        lastReceivedAtMs = nowMs;
+        stateId = received.stateId();
         items.addAll(received.items());
-        page++;
-        if (page < received.pages()) {
-            ask(nowMs);
+        nextPage++;
+        if (nextPage < received.pageCount()) {
+            requestPage(nowMs);
             return Optional.empty();
         }
-        ControlState whole = new ControlState(received.stamp(), received.voters(), items);
-        giveUp();
-        boolean intact = whole.digest() == received.digest();
+        ControlState state = new ControlState(received.stateId(), received.voters(), items);
+        cancel();
+        boolean intact = state.digest() == received.digest();
         return intact
-                ? Optional.of(new Pulled(received.from(), received.decided(), List.of(), whole))
+                ? Optional.of(new PulledState(received.from(), received.decided(), List.of(), state))
                 : Optional.empty();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/agreement/StateSource.java
@@ -8,17 +8,19 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** Sends this store's accepted state to others: what they lack, where that is little, else a snapshot in pages. */
+/**
+ * Sends this store's accepted state to other stores: the missing deltas if they are small, else a snapshot in pages.
+ */
 final class StateSource {
 
-    /** A page ends once its items have so many characters. */
+    /** A page ends once its items reach this size, in characters. */
     private static final long PAGE_CHARACTERS = 128 << 10;
-    /** A difference of more characters is not sent; the snapshot's pages are. */
-    private static final long DIFFERENCE_CHARACTERS = 512 << 10;
-    /** For how long a snapshot is kept after its last page was asked for, in milliseconds. */
-    private static final double KEPT_MS = 5_000;
+    /** A snapshot is sent instead of a difference that exceeds this size, in characters. */
+    private static final long MAX_DIFFERENCE_CHARACTERS = 512 << 10;
+    /** How long a snapshot is kept after the last request for one of its pages, in milliseconds. */
+    private static final double SNAPSHOT_RETENTION_MS = 5_000;
 
-    private static final int KEPT_SNAPSHOTS = 8;
+    private static final int MAX_SNAPSHOTS = 8;
 
     private final Voter self;
     private final Acceptor acceptor;
@@ -27,14 +29,14 @@
 
     private static final class Snapshot {
 
-        private final Stamp stamp;
+        private final StateId stateId;
         private final VoterSet voters;
         private final long digest;
         private final List<List<VersionedItem>> pages;
-        private double askedAtMs;
+        private double requestedAtMs;
 
         Snapshot(ControlState state) {
-            stamp = state.stamp();
+            stateId = state.id();
             voters = state.voters();
             digest = state.digest();
             pages = pagesOf(state);
@@ -47,45 +49,46 @@
         this.view = view;
     }
 
-    /** The answer to a store that asks. */
+    /** The answer to a pull request. */
     AgreementMessage answer(AgreementMessage.Pull pull, double nowMs) {
-        Snapshot kept = snapshots.get(pull.transfer());
-        if (kept == null) {
-            List<Step> steps = difference(pull.have());
-            if (steps != null) {
-                return new AgreementMessage.Difference(self, pull.transfer(), view.decided(), steps);
+        Snapshot snapshot = snapshots.get(pull.transferId());
+        if (snapshot == null) {
+            List<StateDelta> deltas = missingDeltas(pull.heldStateId());
+            if (deltas != null) {
+                return new AgreementMessage.Difference(self, pull.transferId(), view.decided(), deltas);
             }
-            kept = new Snapshot(acceptor.state());
-            snapshots.put(pull.transfer(), kept);
+            snapshot = new Snapshot(acceptor.state());
+            snapshots.put(pull.transferId(), snapshot);
         }
-        kept.askedAtMs = nowMs;
-        int page = Math.min(pull.page(), kept.pages.size() - 1);
+        snapshot.requestedAtMs = nowMs;
+        int page = Math.min(pull.page(), snapshot.pages.size() - 1);
         return new AgreementMessage.Page(
                 self,
-                pull.transfer(),
+                pull.transferId(),
                 view.decided(),
                 page,
-                kept.pages.size(),
-                kept.stamp,
-                kept.voters,
-                kept.pages.get(page),
-                kept.digest);
+                snapshot.pages.size(),
+                snapshot.stateId,
+                snapshot.voters,
+                snapshot.pages.get(page),
+                snapshot.digest);
     }
 
-    private List<Step> difference(Stamp have) {
-        if (have.equals(acceptor.state().stamp())) {
+    private List<StateDelta> missingDeltas(StateId heldStateId) {
+        if (heldStateId.equals(acceptor.state().id())) {
             return List.of();
         }
-        List<Step> steps = view.stepsFrom(have);
-        long characters =
-                steps == null ? 0 : steps.stream().mapToLong(Step::characters).sum();
-        return characters > DIFFERENCE_CHARACTERS ? null : steps;
+        List<StateDelta> deltas = view.deltasFrom(heldStateId);
+        long characters = deltas == null
+                ? 0
+                : deltas.stream().mapToLong(StateDelta::characters).sum();
+        return characters > MAX_DIFFERENCE_CHARACTERS ? null : deltas;
     }
 
-    /** Forgets snapshots that nobody asks for any more. */
+    /** Discards snapshots that are no longer requested, and the oldest ones beyond the maximum number. */
     void tick(double nowMs) {
-        snapshots.values().removeIf(snapshot -> nowMs - snapshot.askedAtMs > KEPT_MS);
-        while (snapshots.size() > KEPT_SNAPSHOTS) {
+        snapshots.values().removeIf(snapshot -> nowMs - snapshot.requestedAtMs > SNAPSHOT_RETENTION_MS);
+        while (snapshots.size() > MAX_SNAPSHOTS) {
             snapshots.remove(snapshots.keySet().iterator().next());
         }
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/EntityTags.java
@@ -1,11 +1,11 @@
 package ridgemill.cdn.edge;
 
-/** Compares entity tags as RFC 9110 says. */
+/** Compares entity tags as specified by RFC 9110. */
 public final class EntityTags {
 
     private EntityTags() {}
 
-    /** Whether an If-None-Match header names this tag. Weak tags count as the strong ones. */
+    /** Whether an If-None-Match header lists this entity tag, by weak comparison. Either argument may be null. */
     public static boolean matches(String header, String etag) {
         if (header == null || etag == null) {
             return false;
@@ -17,7 +17,7 @@
         while (start <= header.length()) {
             int comma = header.indexOf(',', start);
             int end = comma < 0 ? header.length() : comma;
-            if (strong(header.substring(start, end).trim()).equals(strong(etag))) {
+            if (opaqueTag(header.substring(start, end).trim()).equals(opaqueTag(etag))) {
                 return true;
             }
             start = end + 1;
@@ -25,7 +25,7 @@
         return false;
     }
 
-    private static String strong(String tag) {
+    private static String opaqueTag(String tag) {
         return tag.startsWith("W/") ? tag.substring(2) : tag;
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstancePicker.java
@@ -2,60 +2,59 @@
 
 import java.util.Collection;
 import java.util.List;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /**
- * Picks the instance for a request: of the two best by rendezvous hash of its key, the one with fewer requests in
- * flight.
- * Instances of this proxy's own region come first where one of them can take the request.
+ * Picks the instance for a request: of the two best candidates by rendezvous hashing of its key, the one with the lower
+ * load. Instances in this proxy's own region are preferred if one of them can take the request.
  */
 public final class InstancePicker {
 
-    /** One of so many instances may be left alone at once. */
-    private static final int SPARED_PART = 2;
+    /** At most one of this many instances may be ejected at the same time. */
+    private static final int MIN_INSTANCES_PER_EJECTION = 2;
 
-    /** What a pick came to. */
+    /** The result of a pick. */
     public sealed interface Pick {
 
-        /** The request goes there. */
+        /** The request is sent to this instance. */
         record Chosen(InstanceStats instance) implements Pick {}
 
-        /** All that could run it hold as many requests as they should. */
-        record Crowded() implements Pick {}
+        /** All remaining instances are at their limit of requests. */
+        record Saturated() implements Pick {}
 
-        /** There is none left to try. */
+        /** No instance is left to try. */
         record None() implements Pick {}
     }
 
-    private static final Pick CROWDED = new Pick.Crowded();
+    private static final Pick SATURATED = new Pick.Saturated();
     private static final Pick NONE = new Pick.None();
 
-    private final boolean two;
+    private final boolean twoCandidates;
     private List<InstanceStats> instances = List.of();
 
-    /** Picks the one with fewer requests of the two best. */
+    /** A picker that chooses the less loaded of the two best candidates. */
     public InstancePicker() {
         this(true);
     }
 
-    private InstancePicker(boolean two) {
-        this.two = two;
+    private InstancePicker(boolean twoCandidates) {
+        this.twoCandidates = twoCandidates;
     }
 
     /**
-     * Picks the best one always, whatever its speed, so that each key has one place for all that pick, as long as that
-     * place can take it.
+     * A picker that always chooses the best candidate, whatever its latency, so that all pickers send a key to the same
+     * instance as long as that instance can take the request.
      */
-    public static InstancePicker ofOne() {
+    public static InstancePicker singleCandidate() {
         return new InstancePicker(false);
     }
 
-    /** Picks from these instances from now on. */
+    /** Sets the instances to pick from. */
     public void instances(List<InstanceStats> ready) {
         instances = List.copyOf(ready);
     }
 
-    /** The instances that it picks from. */
+    /** The instances to pick from. */
     public List<InstanceStats> instances() {
         return instances;
     }
@@ -63,84 +62,87 @@
     /**
      * Picks an instance.
      *
-     * @param key a hash of the object or of the attempt's id
-     * @param tried instances that are not to be picked again
+     * @param key a hash of the object's key or of the attempt's identifier
+     * @param tried instances that must not be picked again
      */
     public Pick pick(double nowMs, long key, Collection<InstanceStats> tried) {
         boolean anyUsable = false;
-        boolean anyLeft = false;
+        boolean anyUntried = false;
         for (InstanceStats instance : instances) {
-            boolean left = !tried.contains(instance) && !instance.isGone(nowMs);
-            anyLeft |= left;
-            anyUsable |= left && instance.isUsable(nowMs);
+            boolean untried = !tried.contains(instance) && !instance.isReplaced(nowMs);
+            anyUntried |= untried;
+            anyUsable |= untried && instance.isUsable(nowMs);
         }
-        if (!anyLeft) {
+        if (!anyUntried) {
             return NONE;
         }
-        // Where all that are left failed lately, one of them is better than none.
+        // If all remaining instances are ejected, one of them is tried all the same.
         InstanceStats best = best(nowMs, key, tried, true, !anyUsable);
         if (best == null) {
             best = best(nowMs, key, tried, false, !anyUsable);
         }
-        return best == null ? CROWDED : new Pick.Chosen(best);
+        return best == null ? SATURATED : new Pick.Chosen(best);
     }
 
     private InstanceStats best(
-            double nowMs, long key, Collection<InstanceStats> tried, boolean local, boolean anyHealth) {
-        double meanMs = meanMs();
-        long mixed = Rendezvous.mix(key);
+            double nowMs, long key, Collection<InstanceStats> tried, boolean inOwnRegion, boolean includeEjected) {
+        double meanMs = meanLatencyMs();
+        long hash = RendezvousHash.mix(key);
         InstanceStats first = null;
         InstanceStats second = null;
         double firstScore = 0;
         double secondScore = 0;
         for (InstanceStats instance : instances) {
-            boolean fit = instance.isLocal() == local
-                    && (anyHealth || instance.isUsable(nowMs))
-                    && instance.isOpen(nowMs)
-                    && !instance.isGone(nowMs)
+            boolean eligible = instance.isLocal() == inOwnRegion
+                    && (includeEjected || instance.isUsable(nowMs))
+                    && instance.hasCapacity(nowMs)
+                    && !instance.isReplaced(nowMs)
                     && !tried.contains(instance);
-            double share = two && fit ? instance.share(nowMs, meanMs) : 1;
-            double score = fit ? -share / Math.log(instance.draw(mixed)) : 0;
-            if (fit && score > firstScore) {
+            double weight = twoCandidates && eligible ? instance.weight(nowMs, meanMs) : 1;
+            double score = eligible ? -weight / Math.log(instance.rendezvousDraw(hash)) : 0;
+            if (eligible && score > firstScore) {
                 second = first;
                 secondScore = firstScore;
                 first = instance;
                 firstScore = score;
-            } else if (fit && score > secondScore) {
+            } else if (eligible && score > secondScore) {
                 second = instance;
                 secondScore = score;
             }
         }
-        return two && second != null && second.load(nowMs) < first.load(nowMs) ? second : first;
+        return twoCandidates && second != null && second.load(nowMs) < first.load(nowMs) ? second : first;
     }
 
-    private double meanMs() {
+    private double meanLatencyMs() {
         double sum = 0;
-        int known = 0;
+        int count = 0;
         for (InstanceStats instance : instances) {
-            if (!Double.isNaN(instance.usualMs())) {
-                sum += instance.usualMs();
-                known++;
+            if (!Double.isNaN(instance.meanLatencyMs())) {
+                sum += instance.meanLatencyMs();
+                count++;
             }
         }
-        return known == 0 ? Double.NaN : sum / known;
+        return count == 0 ? Double.NaN : sum / count;
     }
 
-    /** Whether one more instance may be left alone without the others being overrun. */
-    public boolean maySpare(double nowMs) {
-        int spared = 0;
+    /** Whether one more instance may be ejected without overloading the others. */
+    public boolean mayEject(double nowMs) {
+        int ejected = 0;
         for (InstanceStats instance : instances) {
-            spared += instance.isUsable(nowMs) ? 0 : 1;
+            ejected += instance.isUsable(nowMs) ? 0 : 1;
         }
-        return SPARED_PART * (spared + 1) <= instances.size();
+        return MIN_INSTANCES_PER_EJECTION * (ejected + 1) <= instances.size();
     }
 
-    /** Whether connections broke lately at most instances; what breaks at a few alone is not the service's load. */
-    public boolean isBreakingWidely(double nowMs, double withinMs) {
-        int broken = 0;
+    /**
+     * Whether connections to more than half of the instances failed within a time in milliseconds. Failures at a few
+     * instances only do not indicate overload of the service.
+     */
+    public boolean hasWidespreadConnectionFailures(double nowMs, double withinMs) {
+        int failing = 0;
         for (InstanceStats instance : instances) {
-            broken += nowMs - instance.lastBrokenMs() <= withinMs ? 1 : 0;
+            failing += nowMs - instance.lastConnectionFailureMs() <= withinMs ? 1 : 0;
         }
-        return 2 * broken > instances.size();
+        return 2 * failing > instances.size();
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/InstanceStats.java
@@ -1,67 +1,77 @@
 package ridgemill.cdn.edge;
 
 import ridgemill.cdn.instances.Instance;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
-/** What this proxy knows of one instance: its own requests there, how they fared, and the load that answers told. */
+/**
+ * Statistics of this proxy about one instance: its own requests in flight, their outcomes and latencies, and the load
+ * that the instance reports with its answers. An instance with failures is ejected for a time (outlier ejection) and is
+ * then probed with a single request.
+ */
 public final class InstanceStats {
 
-    /** Failures in a row before an instance is spared, and for how long, doubling up to the last. */
-    static final double STRIKES = 2;
-
-    static final double SPARE_MS = 500;
-    static final double SPARE_MOST_MS = 4_000;
-    /** How long an instance is left alone after another one answered at its address. */
-    static final double MISDIRECTED_MS = 5_000;
-    /** How long an instance that turned a request away is taken to be full: about until a slot is free again. */
+    /** The number of consecutive failures that ejects an instance. */
+    static final double FAILURES_BEFORE_EJECTION = 2;
+    /** How long the first ejection lasts, in milliseconds; doubled with each further failure. */
+    static final double EJECTION_MS = 500;
+    /** The longest ejection, in milliseconds. */
+    static final double MAX_EJECTION_MS = 4_000;
+    /** How long an instance is not used after another instance answered at its address, in milliseconds. */
+    static final double REPLACED_MS = 5_000;
+    /**
+     * How long an instance that declined a request counts as full, in milliseconds: about until a slot is free again.
+     */
     private static final double FULL_MS = 50;
 
-    private static final double SMOOTH = 0.1;
-    /** A running share of spoilt answers beyond this spares an instance though it answers. */
-    private static final double SPOILING = 0.35;
-    /** How long a told load counts. */
-    private static final double LOAD_MS = 250;
-    /** What a cold instance gets of its share at its start. */
-    private static final double COLD_SHARE = 0.35;
+    /** The weight of a new sample in the moving averages. */
+    private static final double SMOOTHING = 0.1;
+    /** An instance whose moving average of errors among its answers exceeds this share is ejected. */
+    private static final double MAX_ERROR_RATE = 0.35;
+    /** How long a reported load is used, in milliseconds. */
+    private static final double LOAD_VALIDITY_MS = 250;
+    /** The factor of the weight of a cold instance. */
+    private static final double COLD_WEIGHT = 0.35;
 
-    private static final double SLOWEST_SHARE = 0.2;
-    /** Requests beyond its slots that an instance is sent. */
-    private static final int QUEUE = 1;
+    /** The minimum factor of the weight of an instance that is slower than the others. */
+    private static final double MIN_LATENCY_WEIGHT = 0.2;
+    /** How many requests beyond its slots an instance is sent. */
+    private static final int QUEUE_SLOTS = 1;
 
     private final long hash;
     private Instance instance;
     private boolean local;
-    private int places;
+    private int maxInFlight;
     private int inFlight;
-    private double strikes;
-    private double spoilt;
+    private double consecutiveFailures;
+    private double errorRate;
     private int ejections;
-    private double sparedUntilMs;
-    private double goneUntilMs;
+    private double ejectedUntilMs;
+    private double replacedUntilMs;
     private double fullUntilMs;
-    private double lastBrokenMs = Double.NEGATIVE_INFINITY;
-    private boolean onTrial;
-    private double usualMs = Double.NaN;
-    private double deviationMs;
-    private double loadToldMs = Double.NEGATIVE_INFINITY;
-    private int toldBusy;
-    private int toldSlots;
-
+    private double lastConnectionFailureMs = Double.NEGATIVE_INFINITY;
+    private boolean onProbation;
+    private double meanLatencyMs = Double.NaN;
+    private double latencyDeviationMs;
+    private double loadReportedAtMs = Double.NEGATIVE_INFINITY;
+    private int reportedBusy;
+    private int reportedSlots;
+
+    /** Statistics without samples; {@link #update} has to be called before the instance can take requests. */
     public InstanceStats(Instance instance) {
         this.instance = instance;
-        this.hash = Rendezvous.mix(Rendezvous.hashText(instance.id()));
+        this.hash = RendezvousHash.mix(RendezvousHash.hashText(instance.id()));
     }
 
     /**
-     * Takes in what the control plane says of it.
+     * Updates the description of the instance from the control plane.
      *
-     * @param inOwnRegion whether it is in this proxy's region
-     * @param connections how many connections this proxy may have there
+     * @param inOwnRegion whether the instance is in this proxy's region
+     * @param connections how many connections to the instance this proxy may have
      */
-    public void learn(Instance told, boolean inOwnRegion, int connections) {
-        instance = told;
+    public void update(Instance reported, boolean inOwnRegion, int connections) {
+        instance = reported;
         local = inOwnRegion;
-        places = Math.max(1, Math.min(connections, told.slots() + QUEUE));
+        maxInFlight = Math.max(1, Math.min(connections, reported.slots() + QUEUE_SLOTS));
     }
 
     /** The instance as the control plane last described it. */
@@ -69,153 +79,167 @@
         return instance;
     }
 
-    /** Whether it is in this proxy's region. */
+    /** Whether the instance is in this proxy's region. */
     public boolean isLocal() {
         return local;
     }
 
-    /** How many requests it may be sent at once. */
-    public int places() {
-        return places;
+    /** The maximum number of requests of this proxy in flight at the instance. */
+    public int maxInFlight() {
+        return maxInFlight;
     }
 
-    /** This proxy's requests there that have not ended. */
+    /** The number of requests of this proxy in flight at the instance. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Whether it has not failed so recently that it is left alone. */
+    /** Whether the instance is not ejected; after an ejection only one request at a time is sent as a probe. */
     public boolean isUsable(double nowMs) {
-        return nowMs >= sparedUntilMs && (!onTrial || inFlight == 0);
+        return nowMs >= ejectedUntilMs && (!onProbation || inFlight == 0);
     }
 
-    /** Whether another instance answered at its address lately. */
-    public boolean isGone(double nowMs) {
-        return nowMs < goneUntilMs;
+    /** Whether another instance recently answered at its address. */
+    public boolean isReplaced(double nowMs) {
+        return nowMs < replacedUntilMs;
     }
 
-    /** Whether it may take one more request of this proxy now. */
-    public boolean isOpen(double nowMs) {
-        if (inFlight >= places || nowMs < fullUntilMs) {
+    /** Whether the instance can take one more request of this proxy now. */
+    public boolean hasCapacity(double nowMs) {
+        if (inFlight >= maxInFlight || nowMs < fullUntilMs) {
             return false;
         }
-        return nowMs - loadToldMs > LOAD_MS || toldBusy < toldSlots + QUEUE;
+        return nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedBusy < reportedSlots + QUEUE_SLOTS;
     }
 
-    /** Requests there as far as known: this proxy's, and what it told lately. */
+    /**
+     * The known load: this proxy's requests in flight, with the recently reported load as the fraction that breaks
+     * ties.
+     */
     double load(double nowMs) {
-        double told = nowMs - loadToldMs > LOAD_MS || toldSlots == 0 ? 0 : (double) toldBusy / toldSlots;
-        return inFlight + Math.min(told, 0.99);
+        double reported = nowMs - loadReportedAtMs > LOAD_VALIDITY_MS || reportedSlots == 0
+                ? 0
+                : (double) reportedBusy / reportedSlots;
+        return inFlight + Math.min(reported, 0.99);
     }
 
-    /** Its share of keys: less while cold and where it is slower than the others. */
-    double share(double nowMs, double othersMs) {
-        double cold = nowMs < instance.coldUntilMs() ? COLD_SHARE : 1;
-        double slow = Double.isNaN(usualMs) || Double.isNaN(othersMs) || usualMs <= 0 ? 1 : othersMs / usualMs;
-        return cold * Math.max(SLOWEST_SHARE, Math.min(1, slow * slow));
+    /** The weight for rendezvous hashing: lower while the instance is cold, or if it is slower than the others. */
+    double weight(double nowMs, double meanOfAllMs) {
+        double coldFactor = nowMs < instance.coldUntilMs() ? COLD_WEIGHT : 1;
+        double latencyRatio = Double.isNaN(meanLatencyMs) || Double.isNaN(meanOfAllMs) || meanLatencyMs <= 0
+                ? 1
+                : meanOfAllMs / meanLatencyMs;
+        return coldFactor * Math.max(MIN_LATENCY_WEIGHT, Math.min(1, latencyRatio * latencyRatio));
     }
 
-    /** A draw that depends on the instance and a key alone. */
-    double draw(long key) {
-        return Rendezvous.unit(hash ^ key);
+    /** A number in (0, 1] that depends only on the instance and a key. */
+    double rendezvousDraw(long key) {
+        return RendezvousHash.unitInterval(hash ^ key);
     }
 
-    /** The usual time of an answered attempt, in milliseconds; not a number before the first. */
-    public double usualMs() {
-        return usualMs;
+    /** The moving average of the latency of answered attempts, in milliseconds; NaN before the first. */
+    public double meanLatencyMs() {
+        return meanLatencyMs;
     }
 
-    /** A time by which nearly every attempt is answered, in milliseconds; not a number before the first. */
-    public double lateMs() {
-        return usualMs + 4 * deviationMs;
+    /** A time within which nearly every attempt is answered, in milliseconds; NaN before the first answer. */
+    public double highLatencyMs() {
+        return meanLatencyMs + 4 * latencyDeviationMs;
     }
 
-    /** When a connection to it last broke, in milliseconds. */
-    public double lastBrokenMs() {
-        return lastBrokenMs;
+    /** When a connection to the instance last failed, in milliseconds; negative infinity if none did. */
+    public double lastConnectionFailureMs() {
+        return lastConnectionFailureMs;
     }
 
-    /** A request of this proxy goes there. */
-    public void began() {
+    /** Counts a request of this proxy that is sent to the instance. */
+    public void requestStarted() {
         inFlight++;
     }
 
-    /** It told its load with an answer: requests running and waiting, and its slots. */
-    public void toldLoad(double nowMs, int running, int waiting, int slots) {
-        loadToldMs = nowMs;
-        toldBusy = Math.max(0, running + waiting);
-        toldSlots = slots;
+    /**
+     * Records the load that the instance reported with an answer.
+     *
+     * @param running the requests that it is working on
+     * @param waiting the requests that wait there
+     * @param slots how many requests it can work on at once
+     */
+    public void loadReported(double nowMs, int running, int waiting, int slots) {
+        loadReportedAtMs = nowMs;
+        reportedBusy = Math.max(0, running + waiting);
+        reportedSlots = slots;
     }
 
-    /** A request of this proxy was taken back before anything of it could be judged. */
-    public void withdrawn() {
+    /** Counts a request of this proxy that was withdrawn before it had an outcome. */
+    public void requestWithdrawn() {
         inFlight = Math.max(0, inFlight - 1);
     }
 
     /**
-     * A request of this proxy ended.
+     * Counts a request of this proxy that ended.
      *
-     * @param elapsedMs how long it took from its writing, in milliseconds
-     * @param failedInside whether it was answered with a 5xx of the instance's own
-     * @param maySpare whether enough others are left to leave this one alone
+     * @param elapsedMs the time since the request was written, in milliseconds
+     * @param serverError whether it was answered with a 5xx status of the instance itself
+     * @param mayEject whether enough other instances are left to eject this one
      */
-    public void ended(double nowMs, Verdict verdict, double elapsedMs, boolean failedInside, boolean maySpare) {
+    public void requestEnded(
+            double nowMs, AttemptOutcome outcome, double elapsedMs, boolean serverError, boolean mayEject) {
         inFlight = Math.max(0, inFlight - 1);
-        switch (verdict) {
-            case ANSWERED -> answered(nowMs, elapsedMs, failedInside, maySpare);
+        switch (outcome) {
+            case ANSWERED -> countAnswer(nowMs, elapsedMs, serverError, mayEject);
             case DECLINED -> fullUntilMs = nowMs + FULL_MS;
-            case REFUSED_BY_CACHE -> answered(nowMs, elapsedMs, false, maySpare);
-            case MISDIRECTED -> goneUntilMs = nowMs + MISDIRECTED_MS;
-            case SILENT -> strike(nowMs, 1, maySpare);
-            case GARBLED -> spoil(nowMs, maySpare);
+            case REFUSED_BY_CACHE -> countAnswer(nowMs, elapsedMs, false, mayEject);
+            case MISDIRECTED -> replacedUntilMs = nowMs + REPLACED_MS;
+            case SILENT -> countFailure(nowMs, 1, mayEject);
+            case GARBLED -> countError(nowMs, mayEject);
             case CONNECT_FAILED, RESET, NEVER_WRITTEN -> {
-                lastBrokenMs = nowMs;
-                strike(nowMs, verdict == Verdict.CONNECT_FAILED ? STRIKES : 1, maySpare);
+                lastConnectionFailureMs = nowMs;
+                countFailure(nowMs, outcome == AttemptOutcome.CONNECT_FAILED ? FAILURES_BEFORE_EJECTION : 1, mayEject);
             }
-            default -> throw new IllegalArgumentException(verdict.name());
+            default -> throw new IllegalArgumentException(outcome.name());
         }
     }
 
-    private void answered(double nowMs, double elapsedMs, boolean failedInside, boolean maySpare) {
-        onTrial = false;
-        strikes = 0;
-        time(elapsedMs);
-        if (failedInside) {
-            spoil(nowMs, maySpare);
+    private void countAnswer(double nowMs, double elapsedMs, boolean serverError, boolean mayEject) {
+        onProbation = false;
+        consecutiveFailures = 0;
+        updateLatency(elapsedMs);
+        if (serverError) {
+            countError(nowMs, mayEject);
         } else {
-            spoilt -= SMOOTH * spoilt;
-            ejections = spoilt < SMOOTH ? 0 : ejections;
+            errorRate -= SMOOTHING * errorRate;
+            ejections = errorRate < SMOOTHING ? 0 : ejections;
         }
     }
 
-    private void time(double elapsedMs) {
-        if (Double.isNaN(usualMs)) {
-            usualMs = elapsedMs;
-            deviationMs = elapsedMs / 2;
+    private void updateLatency(double elapsedMs) {
+        if (Double.isNaN(meanLatencyMs)) {
+            meanLatencyMs = elapsedMs;
+            latencyDeviationMs = elapsedMs / 2;
         } else {
-            deviationMs += SMOOTH * (Math.abs(elapsedMs - usualMs) - deviationMs);
-            usualMs += SMOOTH * (elapsedMs - usualMs);
+            latencyDeviationMs += SMOOTHING * (Math.abs(elapsedMs - meanLatencyMs) - latencyDeviationMs);
+            meanLatencyMs += SMOOTHING * (elapsedMs - meanLatencyMs);
         }
     }
 
-    private void spoil(double nowMs, boolean maySpare) {
-        spoilt += SMOOTH * (1 - spoilt);
-        if (spoilt > SPOILING && nowMs >= sparedUntilMs) {
-            spare(nowMs, ejections++, maySpare);
+    private void countError(double nowMs, boolean mayEject) {
+        errorRate += SMOOTHING * (1 - errorRate);
+        if (errorRate > MAX_ERROR_RATE && nowMs >= ejectedUntilMs) {
+            eject(nowMs, ejections++, mayEject);
         }
     }
 
-    private void strike(double nowMs, double weight, boolean maySpare) {
-        strikes += weight;
-        if (strikes >= STRIKES) {
-            spare(nowMs, (int) (strikes - STRIKES), maySpare);
+    private void countFailure(double nowMs, double failures, boolean mayEject) {
+        consecutiveFailures += failures;
+        if (consecutiveFailures >= FAILURES_BEFORE_EJECTION) {
+            eject(nowMs, (int) (consecutiveFailures - FAILURES_BEFORE_EJECTION), mayEject);
         }
     }
 
-    private void spare(double nowMs, int times, boolean maySpare) {
-        if (maySpare) {
-            sparedUntilMs = nowMs + Math.min(SPARE_MOST_MS, SPARE_MS * Math.pow(2, times));
-            onTrial = true;
+    private void eject(double nowMs, int exponent, boolean mayEject) {
+        if (mayEject) {
+            ejectedUntilMs = nowMs + Math.min(MAX_EJECTION_MS, EJECTION_MS * Math.pow(2, exponent));
+            onProbation = true;
         }
     }
 }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/ObjectCache.java
@@ -6,76 +6,78 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Whole objects within a bound of memory; the least recently used go first. */
+/** A cache of whole objects with bounded memory and least-recently-used eviction. */
 public final class ObjectCache {
 
-    /** An object may take this part of the memory at most. */
-    private static final int LARGEST_PART = 4;
+    /** An object may take at most the capacity divided by this. */
+    private static final int MAX_OBJECT_DIVISOR = 4;
 
-    /** A copy and how often it was used. */
-    private static final class Kept {
+    /** A cached object and how often it was used. */
+    private static final class Entry {
         private final CachedObject copy;
         private int uses;
 
-        private Kept(CachedObject copy) {
+        private Entry(CachedObject copy) {
             this.copy = copy;
         }
     }
 
-    private final long capacity;
-    private final LinkedHashMap<String, Kept> byKey = new LinkedHashMap<>(64, 0.75f, true);
+    private final long capacityBytes;
+    private final LinkedHashMap<String, Entry> byKey = new LinkedHashMap<>(64, 0.75f, true);
     private final Map<String, Set<String>> keysByTag = new HashMap<>();
-    private long size;
+    private long sizeBytes;
 
-    /** An empty cache that takes so many bytes at most, roughly. */
+    /** An empty cache with a capacity in bytes, against which the estimated sizes of the objects count. */
     public ObjectCache(long capacityBytes) {
-        this.capacity = capacityBytes;
+        this.capacityBytes = capacityBytes;
     }
 
-    /** The copy under a key; null if there is none. */
+    /** The object with this key; null if it is not cached. */
     public CachedObject get(String key) {
-        Kept kept = byKey.get(key);
+        Entry kept = byKey.get(key);
         return kept == null ? null : kept.copy;
     }
 
-    /** Counts a use of the copy under a key and returns how many there were; 0 if there is no copy. */
-    public int use(String key) {
-        Kept kept = byKey.get(key);
+    /** Counts a use of the object with this key. Returns the number of uses so far; 0 if the object is not cached. */
+    public int countUse(String key) {
+        Entry kept = byKey.get(key);
         return kept == null ? 0 : ++kept.uses;
     }
 
-    /** Counts the uses of the copy under a key anew. */
-    public void forgetUses(String key) {
-        Kept kept = byKey.get(key);
+    /** Resets the number of uses of the object with this key. */
+    public void resetUses(String key) {
+        Entry kept = byKey.get(key);
         if (kept != null) {
             kept.uses = 0;
         }
     }
 
-    /** Keeps a copy in place of an older one. A copy that is too large is not kept, and the older one goes too. */
+    /**
+     * Stores an object in place of an older copy. An object that is too large is not stored; the older copy is removed.
+     */
     public void put(CachedObject copy) {
         remove(copy.key());
-        if (copy.size() > capacity / LARGEST_PART) {
+        if (copy.sizeBytes() > capacityBytes / MAX_OBJECT_DIVISOR) {
             return;
         }
-        byKey.put(copy.key(), new Kept(copy));
-        size += copy.size();
+        byKey.put(copy.key(), new Entry(copy));
+        sizeBytes += copy.sizeBytes();
         for (String tag : copy.tags()) {
             keysByTag.computeIfAbsent(tag, t -> new HashSet<>()).add(copy.key());
         }
-        while (size > capacity) {
+        while (sizeBytes > capacityBytes) {
             remove(byKey.values().iterator().next().copy.key());
         }
     }
 
-    /** Drops the copy under a key. */
+    /** Removes the object with this key. */
     public void remove(String key) {
-        Kept kept = byKey.remove(key);
+        Entry kept = byKey.remove(key);
         if (kept == null) {
             return;
         }
         CachedObject copy = kept.copy;
-        size -= copy.size();
+        sizeBytes -= copy.sizeBytes();
         for (String tag : copy.tags()) {
             Set<String> keys = keysByTag.get(tag);
             if (keys != null && keys.remove(key) && keys.isEmpty()) {
@@ -84,8 +86,8 @@
         }
     }
 
-    /** Drops all copies that carry a tag. */
-    public void removeTagged(String tag) {
+    /** Removes all objects that carry this tag. */
+    public void removeByTag(String tag) {
         Set<String> keys = keysByTag.remove(tag);
         if (keys != null) {
             for (String key : keys) {
@@ -94,12 +96,12 @@
         }
     }
 
-    /** The memory that is used, in bytes, roughly. */
-    public long size() {
-        return size;
+    /** The estimated memory in use, in bytes. */
+    public long sizeBytes() {
+        return sizeBytes;
     }
 
-    /** How many copies there are. */
+    /** The number of cached objects. */
     public int count() {
         return byKey.size();
     }
--- a/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
+++ b/cdn-core/src/main/java/ridgemill/cdn/edge/RetryBudget.java
@@ -3,93 +3,96 @@
 import java.util.Arrays;
 
 /**
- * Bounds, for one service, the arrivals at its instances beyond the first of each request. All proxies share the bound
- * of the rules: each allows itself a ratio of its own requests and an even part of the fixed slack. The window slides
- * by a twentieth of its length at a time; repeats count for one such span longer than a window, requests for no
- * longer.
+ * Limits, for one service, the retries: the requests that instances receive beyond the first attempt of each client
+ * request. The limit applies to all proxies together: each proxy allows itself a ratio of its own requests and an even
+ * share of the fixed slack. The window slides in buckets of a twentieth of its length; retries count for one bucket
+ * longer than the window, requests for no longer than the window.
  */
 public final class RetryBudget {
 
-    /** What this proxy leaves of the bounds, as others count from other moments and on other clocks. */
-    private static final double RATIO_USED = 0.8;
+    /** The fraction of the ratio that is used, since the windows and clocks of the proxies differ. */
+    private static final double USED_RATIO_FRACTION = 0.8;
 
-    private static final double SLACK_USED = 0.7;
-    private static final int SPANS = 20;
+    /** The fraction of the slack that is used, for the same reason. */
+    private static final double USED_SLACK_FRACTION = 0.7;
+
+    private static final int BUCKETS = 20;
 
     private final double ratio;
     private final double slack;
-    private final double spanMs;
-    private final int[] requests = new int[SPANS + 1];
-    private final int[] repeats = new int[SPANS + 1];
-    private long currentSpan = Long.MIN_VALUE;
+    private final double bucketMs;
+    private final int[] requests = new int[BUCKETS + 1];
+    private final int[] retries = new int[BUCKETS + 1];
+    private long currentBucket = Long.MIN_VALUE;
 
     /**
-     * A budget in which nothing has been spent.
+     * An unused budget.
      *
-     * @param ratio the bound's share of requests
-     * @param slack the bound's fixed part, for all proxies together, a window
+     * @param ratio the allowed retries per request
+     * @param slack the retries that are allowed in addition within a window, for all proxies together
      * @param windowMs the length of the sliding window, in milliseconds
      */
     public RetryBudget(double ratio, double slack, double windowMs) {
         this.ratio = ratio;
         this.slack = slack;
-        this.spanMs = windowMs / SPANS;
+        this.bucketMs = windowMs / BUCKETS;
     }
 
-    /** Counts a request of a client for this service. */
+    /** Counts a client request for this service. */
     public void countRequest(double nowMs) {
-        requests[moveTo(nowMs)]++;
+        requests[advanceTo(nowMs)]++;
     }
 
     /**
-     * Takes one further arrival from the budget.
+     * Takes one retry from the budget.
      *
-     * @param proxyCount how many proxies share the bound
-     * @return whether there was one left
+     * @param proxyCount the number of proxies that share the limit
+     * @return false if the budget is used up
      */
-    public boolean tryRepeat(double nowMs, int proxyCount) {
-        int span = moveTo(nowMs);
+    public boolean tryRetry(double nowMs, int proxyCount) {
+        int bucket = advanceTo(nowMs);
         int used = 0;
-        int seen = 0;
-        for (int i = 0; i <= SPANS; i++) {
-            used += repeats[i];
-            seen += i == oldest(span) ? 0 : requests[i];
+        int requestCount = 0;
+        for (int i = 0; i <= BUCKETS; i++) {
+            used += retries[i];
+            requestCount += i == oldestBucket(bucket) ? 0 : requests[i];
         }
-        if (used + 1 > RATIO_USED * ratio * seen + SLACK_USED * slack / Math.max(1, proxyCount)) {
+        if (used + 1
+                > USED_RATIO_FRACTION * ratio * requestCount + USED_SLACK_FRACTION * slack / Math.max(1, proxyCount)) {
             return false;
         }
-        repeats[span]++;
+        retries[bucket]++;
         return true;
     }
 
-    /** Gives back a further arrival that was taken and did not take place; in the span in which it was taken. */
+    /** Returns a retry that was taken and not sent. Deducted from the current bucket, at most down to 0. */
     public void giveBack(double nowMs) {
-        int span = moveTo(nowMs);
-        repeats[span] = Math.max(0, repeats[span] - 1);
+        int bucket = advanceTo(nowMs);
+        retries[bucket] = Math.max(0, retries[bucket] - 1);
     }
 
-    private static int oldest(int span) {
-        return (span + 1) % (SPANS + 1);
+    private static int oldestBucket(int bucket) {
+        return (bucket + 1) % (BUCKETS + 1);
     }
 
-    /** Empties the spans that have left the window and returns the place of the current one. */
-    private int moveTo(double nowMs) {
-        long span = (long) Math.floor(nowMs / spanMs);
-        if (currentSpan == Long.MIN_VALUE || span - currentSpan > SPANS) {
+    /** Clears the buckets that have left the window and returns the index of the current one. */
+    private int advanceTo(double nowMs) {
+        long bucket = (long) Math.floor(nowMs / bucketMs);
+        if (currentBucket == Long.MIN_VALUE || bucket - currentBucket > BUCKETS) {
             Arrays.fill(requests, 0);
-            Arrays.fill(repeats, 0);
-            currentSpan = span;
+            Arrays.fill(retries, 0);
+            currentBucket = bucket;
         }
-        while (currentSpan < span) {
-            currentSpan++;
-            int place = place(currentSpan);
-            requests[place] = 0;
-            repeats[place] = 0;
+        while (currentBucket < bucket) {
+            currentBucket++;
+            int index = bucketOf(currentBucket);
+            requests[index] = 0;
+            retries[index] = 0;
         }
-        return place(currentSpan);
+        return bucketOf(currentBucket);
     }
 
-    private static int place(long span) {
-        return (int) Math.floorMod(span, SPANS + 1L);
+    private static int bucketOf(long bucket) {
+        return (int) Math.floorMod(bucket, BUCKETS + 1L);
     }
 }
--- a/cdn-core/src/test/java/ridgemill/cdn/agreement/ControlWorld.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/agreement/ClusterSimulation.java
@@ -21,7 +21,7 @@
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
-import ridgemill.cdn.keys.ClaimVote;
+import ridgemill.cdn.keys.ClaimTally;
 import ridgemill.cdn.keys.KeyLimits;
 import ridgemill.cdn.keys.KeyRecord;
 import ridgemill.cdn.keys.KeyReplica;
@@ -30,60 +30,61 @@
 import ridgemill.cdn.quorum.VoterSet;
 
 /**
- * Stores of the real modules in simulated time: their messages are delayed, lost and doubled, their machines cut off,
- * frozen, killed, without power, wiped and replaced, while operators order and read and edge proxies claim keys. What
- * outsiders see is checked against what was confirmed. One seed gives one course of events.
+ * Simulates stores that run the real agreement and key code in simulated time. Messages are delayed, lost and
+ * duplicated; machines are partitioned, frozen, killed, powered off, wiped and replaced; operators submit changes and
+ * read, and edge proxies claim keys. The results that callers see are checked against those confirmed before. Runs are
+ * deterministic for a seed.
  */
-final class ControlWorld {
+final class ClusterSimulation {
 
-    /** Where nothing goes on any more. */
-    static final class Stuck extends Broken {
+    /** Thrown when the cluster makes no progress although all faults have ended. */
+    static final class NoProgress extends Violation {
 
         private static final long serialVersionUID = 1;
 
-        Stuck(String what) {
-            super(what);
+        NoProgress(String message) {
+            super(message);
         }
     }
 
-    /** Where the rules were broken. */
-    static class Broken extends AssertionError {
+    /** Thrown when a safety property is violated. */
+    static class Violation extends AssertionError {
 
         private static final long serialVersionUID = 1;
 
-        Broken(String what) {
-            super(what);
+        Violation(String message) {
+            super(message);
         }
     }
 
     static final double CATCH_UP_MS = 4_000;
     private static final boolean TRACE = Boolean.getBoolean("trace");
-    private static final int EDGES = 3;
-    private static final int MOST_LATE_MS = 4_000;
-    private static final double BUDGET_MS = 900;
+    private static final int EDGE_PROXIES = 3;
+    private static final int MAX_ANNOUNCEMENT_DELAY_MS = 4_000;
+    private static final double CALL_TIMEOUT_MS = 900;
     private static final KeyLimits LIMITS = new KeyLimits(1_000_000, 100_000, 1 << 24);
 
     final Random random;
-    private final Mutant mutant;
-    private final int tolerated;
+    private final Mutation mutation;
+    private final int toleratedLosses;
     private final List<String> seeds;
     final Map<String, Machine> machines = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final Map<String, Double> lostUntilMs = new HashMap<>();
-    private double stuckSinceMs;
+    private double diskStalledAtMs;
     private long eventCount;
     private long diskCount;
     double nowMs;
-    double lossShare = 0.02;
-    /** What each edge proxy has heard of the voters last; some hear late. */
-    private final VoterSet[] edgeVoters = new VoterSet[EDGES];
+    double lossRate = 0.02;
+    /** The voters that each edge proxy knows; some receive updates late. */
+    private final VoterSet[] edgeVoters = new VoterSet[EDGE_PROXIES];
 
-    private final Set<Integer> deaf = new HashSet<>();
+    private final Set<Integer> edgesWithoutUpdates = new HashSet<>();
 
-    /** Which content was confirmed, or shown to anybody, under a name and version. */
-    private final Map<String, String> contents = new HashMap<>();
+    /** The content that was confirmed, or seen by any caller, for each name and version. */
+    private final Map<String, String> contentByVersion = new HashMap<>();
     /** The highest confirmed version of each name. */
     private final Map<ItemName, Item> confirmed = new TreeMap<>();
 
@@ -94,20 +95,20 @@
 
     private record Event(double atMs, long order, Runnable task) {}
 
-    /** A machine, its disk and, while it runs, its store. */
+    /** A machine with its disk and, while it runs, the process of its store. */
     final class Machine {
 
         final String address;
-        WorldDisk disk;
+        SimulatedDisk disk;
         Process process;
         boolean frozen;
-        private final List<Runnable> held = new ArrayList<>();
+        private final List<Runnable> deferredTasks = new ArrayList<>();
         private Map<String, KeyRecord> oldKeys = Map.of();
-        private AcceptorRecord oldImage;
+        private AcceptorRecord previousImage;
 
         Machine(String address) {
             this.address = address;
-            this.disk = new WorldDisk("disk-" + ++diskCount);
+            this.disk = new SimulatedDisk("disk-" + ++diskCount);
         }
 
         void start() {
@@ -115,37 +116,40 @@
                 return;
             }
             frozen = false;
-            held.clear();
+            deferredTasks.clear();
             process = new Process(this);
-            process.begin();
+            process.start();
         }
 
-        /** Ends the process; of what is not synced some may be there, after a loss of power nothing is. */
-        void stop(boolean power) {
+        /**
+         * Ends the process. After a kill some of the writes that were not synced may be on disk; after a power loss
+         * none is.
+         */
+        void stop(boolean powerLoss) {
             process = null;
             frozen = false;
-            held.clear();
-            disk.keepOnly(power ? 0 : random.nextInt(disk.pendingCount() + 1));
+            deferredTasks.clear();
+            disk.crash(powerLoss ? 0 : random.nextInt(disk.pendingCount() + 1));
         }
 
-        void wipe() {
-            boolean same = mutant == Mutant.WIPED_ONE_VOTES;
-            disk = new WorldDisk(same ? disk.diskId : "disk-" + ++diskCount);
+        void replaceDisk() {
+            boolean keepsDiskId = mutation == Mutation.WIPED_ONE_VOTES;
+            disk = new SimulatedDisk(keepsDiskId ? disk.diskId : "disk-" + ++diskCount);
         }
 
-        void thaw() {
+        void unfreeze() {
             frozen = false;
-            List<Runnable> tasks = new ArrayList<>(held);
-            held.clear();
+            List<Runnable> tasks = new ArrayList<>(deferredTasks);
+            deferredTasks.clear();
             tasks.forEach(Runnable::run);
         }
     }
 
-    /** One life of a store. */
+    /** One run of a store's process. */
     final class Process implements AgreementEnvironment {
 
         private final Machine machine;
-        private final WorldDisk disk;
+        private final SimulatedDisk disk;
         final AgreementNode node;
         final KeyReplica keys = new KeyReplica(LIMITS);
         private VoterSet transferring = VoterSet.UNKNOWN;
@@ -156,19 +160,19 @@
             this.machine = machine;
             this.disk = machine.disk;
             Voter self = new Voter(machine.address, disk.diskId);
-            String life = mutant == Mutant.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
-            NodeSettings settings =
-                    new NodeSettings(self, life, "zone-" + machine.address, true, seedsNow(), tolerated);
-            node = new AgreementNode(settings, this, new PlaceRules(mutant));
+            String incarnationId = mutation == Mutation.BALLOT_REUSED ? "same" : "life-" + ++eventCount;
+            NodeSettings settings = new NodeSettings(
+                    self, incarnationId, "zone-" + machine.address, true, currentSeeds(), toleratedLosses);
+            node = new AgreementNode(settings, this, new UniquePlaceRules(mutation));
         }
 
-        void begin() {
+        void start() {
             AcceptorRecord image = disk.read();
-            if (mutant == Mutant.BALLOT_REUSED) {
+            if (mutation == Mutation.BALLOT_REUSED) {
                 image = new AcceptorRecord(Ballot.NONE, image.accepted(), image.voters(), image.items(), true);
             }
-            if (mutant == Mutant.OLD_SNAPSHOT_TAKEN && machine.oldImage != null) {
-                image = machine.oldImage;
+            if (mutation == Mutation.OLD_SNAPSHOT_TAKEN && machine.previousImage != null) {
+                image = machine.previousImage;
             }
             keys.restore(disk.keys.values());
             node.start(image, nowMs);
@@ -176,7 +180,7 @@
         }
 
         private void tick() {
-            at(AgreementNode.TICK_MS, this, () -> {
+            schedule(AgreementNode.TICK_MS, this, () -> {
                 node.tick(nowMs);
                 transferKeys();
                 tick();
@@ -189,7 +193,7 @@
 
         @Override
         public void send(String address, AgreementMessage message) {
-            AgreementMessage sent = mutated(message);
+            AgreementMessage sent = mutate(message);
             transmit(machine.address, address, () -> {
                 Machine target = machines.get(address);
                 if (target != null && target.process != null) {
@@ -198,43 +202,44 @@
             });
         }
 
-        private AgreementMessage mutated(AgreementMessage message) {
-            if (mutant == Mutant.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
-                Stamp none = new Stamp(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
+        private AgreementMessage mutate(AgreementMessage message) {
+            if (mutation == Mutation.UNDECIDED_DROPPED && message instanceof AgreementMessage.Promise promise) {
+                StateId none = new StateId(Ballot.NONE, promise.accepted().revision() > 0 ? 0 : -1);
                 return new AgreementMessage.Promise(promise.from(), promise.ballot(), none, promise.voters());
             }
             return message;
         }
 
         void receive(AgreementMessage message) {
-            AgreementMessage taken = message;
-            if (mutant == Mutant.ANSWER_MATCHED_BY_NUMBER && message instanceof AgreementMessage.Accepted accepted) {
-                // Whatever ballot is proposed here at present: only the number of the revision is compared.
+            AgreementMessage received = message;
+            if (mutation == Mutation.ANSWER_MATCHED_BY_NUMBER
+                    && message instanceof AgreementMessage.Accepted accepted) {
+                // Replaces the ballot by the one proposed here at present, so that only the revision is compared.
                 Ballot own = disk.read().promised();
-                taken = new AgreementMessage.Accepted(
-                        accepted.from(), new Stamp(own, accepted.stamp().revision()));
+                received = new AgreementMessage.Accepted(
+                        accepted.from(), new StateId(own, accepted.stateId().revision()));
             }
-            if (mutant == Mutant.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
+            if (mutation == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Refused) {
                 return;
             }
-            if (mutant == Mutant.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
-                AgreementMessage yes = new AgreementMessage.Confirmed(
+            if (mutation == Mutation.FROZEN_ONE_GOES_ON && message instanceof AgreementMessage.Confirm confirm) {
+                AgreementMessage confirmation = new AgreementMessage.Confirmed(
                         new Voter(machine.address, disk.diskId), confirm.ballot(), confirm.number());
-                send(confirm.from().address(), yes);
+                send(confirm.from().address(), confirmation);
                 return;
             }
-            node.receive(taken, nowMs);
+            node.receive(received, nowMs);
         }
 
         @Override
         public void persist(AcceptorRecord record, Runnable durable) {
-            if (mutant == Mutant.PUSHES_BEFORE_DECIDED) {
-                record.items().forEach(entry -> shown(entry.item()));
+            if (mutation == Mutation.PUSHES_BEFORE_DECIDED) {
+                record.items().forEach(entry -> checkContent(entry.item()));
             }
-            boolean early = mutant == Mutant.CONFIRMS_BEFORE_SYNC;
-            write(record, null, early ? () -> {} : durable);
-            if (early) {
-                at(0, this, durable);
+            boolean reportsEarly = mutation == Mutation.CONFIRMS_BEFORE_SYNC;
+            write(record, null, reportsEarly ? () -> {} : durable);
+            if (reportsEarly) {
+                schedule(0, this, durable);
             }
         }
 
@@ -248,11 +253,11 @@
                 return;
             }
             syncing = true;
-            at(1 + random.nextInt(8), this, () -> {
+            schedule(1 + random.nextInt(8), this, () -> {
                 syncing = false;
-                if (disk.hasPending() && !disk.stuck) {
+                if (disk.hasPending() && !disk.stalled) {
                     disk.sync().run();
-                    node.persisted(nowMs);
+                    node.onPersisted(nowMs);
                 }
                 if (disk.hasPending()) {
                     sync();
@@ -261,18 +266,18 @@
         }
 
         @Override
-        public void decided(List<Item> changed, VoterSet voters) {
-            changed.forEach(ControlWorld.this::shown);
+        public void onDecided(List<Item> changed, VoterSet voters) {
+            changed.forEach(ClusterSimulation.this::checkContent);
             trace(() -> machine.address + "/" + disk.diskId + " decided epoch=" + voters.epoch() + " voters="
                     + voters.voters() + " previous=" + voters.previous());
-            for (int i = 0; i < EDGES; i++) {
+            for (int i = 0; i < EDGE_PROXIES; i++) {
                 int edge = i;
-                double lateMs = random.nextInt(4) == 0 ? random.nextInt(MOST_LATE_MS) : 0;
-                at(
-                        lateMs,
+                double delayMs = random.nextInt(4) == 0 ? random.nextInt(MAX_ANNOUNCEMENT_DELAY_MS) : 0;
+                schedule(
+                        delayMs,
                         null,
                         () -> transmit(machine.address, "edge", () -> {
-                            if (voters.isNewerThan(edgeVoters[edge]) && !deaf.contains(edge)) {
+                            if (voters.isNewerThan(edgeVoters[edge]) && !edgesWithoutUpdates.contains(edge)) {
                                 edgeVoters[edge] = voters;
                             }
                         }));
@@ -284,60 +289,65 @@
             return random.nextDouble();
         }
 
-        /** As the store program does it: from a majority of the voters before, each in the epoch of the change. */
+        /**
+         * Fetches the keys as the store program does: from a majority of the base voters, each in the epoch of the
+         * change.
+         */
         private void transferKeys() {
-            VoterSet wanted = node.changeThatNeedsKeys();
-            if (wanted == null) {
+            VoterSet change = node.voterChangeAwaitingKeys();
+            if (change == null) {
                 return;
             }
-            if (mutant == Mutant.NEWCOMER_COUNTS_AT_ONCE) {
-                node.keysComplete(wanted.epoch(), nowMs);
+            if (mutation == Mutation.NEWCOMER_COUNTS_AT_ONCE) {
+                node.onKeysComplete(change.epoch(), nowMs);
                 return;
             }
-            if (!wanted.equals(transferring)) {
-                transferring = wanted;
+            if (!change.equals(transferring)) {
+                transferring = change;
                 transferred.clear();
             }
-            for (Voter voter : wanted.standing()) {
+            for (Voter voter : change.baseVoters()) {
                 if (!transferred.containsKey(voter)) {
-                    transmit(machine.address, voter.address(), () -> answerKeys(voter, wanted));
+                    transmit(machine.address, voter.address(), () -> answerKeys(voter, change));
                 }
             }
         }
 
-        private void answerKeys(Voter voter, VoterSet wanted) {
+        private void answerKeys(Voter voter, VoterSet change) {
             Process other = processOf(voter);
-            if (other == null || other.node.decidedVoters().epoch() != wanted.epoch()) {
+            if (other == null || other.node.decidedVoters().epoch() != change.epoch()) {
                 return;
             }
             List<KeyRecord> records = other.keys.all();
             transmit(voter.address(), machine.address, () -> {
-                if (isRunning() && transferring.equals(wanted) && transferred.putIfAbsent(voter, records) == null) {
-                    finishTransfer(wanted);
+                if (isRunning() && transferring.equals(change) && transferred.putIfAbsent(voter, records) == null) {
+                    finishTransfer(change);
                 }
             });
         }
 
-        private void finishTransfer(VoterSet wanted) {
-            if (!wanted.isMajorityOfStanding(transferred::containsKey)) {
+        private void finishTransfer(VoterSet change) {
+            if (!change.hasMajorityOfBase(transferred::containsKey)) {
                 return;
             }
             List<KeyRecord> all = new ArrayList<>();
             transferred.values().forEach(all::addAll);
-            List<KeyRecord> merged = keys.join(all);
+            List<KeyRecord> merged = keys.merge(all);
             merged.forEach(record -> write(null, record, () -> {}));
-            write(null, null, () -> node.keysComplete(wanted.epoch(), nowMs));
+            write(null, null, () -> node.onKeysComplete(change.epoch(), nowMs));
         }
     }
 
-    /** Route items may not stand at one place; the place is the first letter of their content. */
-    static final class PlaceRules implements ChangeRules {
+    /**
+     * No two items may have the same place, which is the first character of the content; {@code -} stands for no place.
+     */
+    static final class UniquePlaceRules implements ChangeRules {
 
         private final Map<ItemName, Item> items = new TreeMap<>();
-        private final Mutant mutant;
+        private final Mutation mutation;
 
-        PlaceRules(Mutant mutant) {
-            this.mutant = mutant;
+        UniquePlaceRules(Mutation mutation) {
+            this.mutation = mutation;
         }
 
         @Override
@@ -347,42 +357,43 @@
         }
 
         @Override
-        public void changed(Collection<Item> changed) {
-            if (mutant != Mutant.CHECKS_AGAINST_OLD_ITEMS) {
+        public void apply(Collection<Item> changed) {
+            if (mutation != Mutation.CHECKS_AGAINST_OLD_ITEMS) {
                 changed.forEach(item -> items.put(item.name(), item));
             }
         }
 
         @Override
-        public Optional<String> fault(Collection<Item> changed) {
+        public Optional<String> validate(Collection<Item> changed) {
             Map<ItemName, Item> next = new TreeMap<>(items);
             changed.forEach(item -> next.put(item.name(), item));
-            return clash(next.values());
+            return conflict(next.values());
         }
 
-        static Optional<String> clash(Collection<Item> items) {
+        static Optional<String> conflict(Collection<Item> items) {
             Set<Character> places = new HashSet<>();
             for (Item item : items) {
-                if (!item.isDrop()
+                if (!item.isTombstone()
                         && item.content().charAt(0) != '-'
                         && !places.add(item.content().charAt(0))) {
-                    return Optional.of("two at the place " + item.content().charAt(0));
+                    return Optional.of(
+                            "two items at the place " + item.content().charAt(0));
                 }
             }
             return Optional.empty();
         }
     }
 
-    ControlWorld(long seed, Mutant mutant, int stores, int tolerated) {
+    ClusterSimulation(long seed, Mutation mutation, int stores, int tolerated) {
         this.random = new Random(seed);
-        this.mutant = mutant;
-        this.tolerated = tolerated;
+        this.mutation = mutation;
+        this.toleratedLosses = tolerated;
         this.seeds = List.of("m1", "m2", "m3");
         Arrays.fill(edgeVoters, VoterSet.UNKNOWN);
         for (int i = 1; i <= stores; i++) {
             add("m" + i);
         }
-        machines.values().forEach(machine -> at(random.nextInt(300), null, machine::start));
+        machines.values().forEach(machine -> schedule(random.nextInt(300), null, machine::start));
     }
 
     Machine add(String address) {
@@ -391,21 +402,23 @@
         return machine;
     }
 
-    /** Runs a task later; one of a process only while that lives, and once it is thawed. */
-    void at(double delayMs, Process owner, Runnable task) {
+    /** Schedules a task. A task of a process runs only while that process runs, and if it is frozen, after that. */
+    void schedule(double delayMs, Process owner, Runnable task) {
         events.add(new Event(nowMs + delayMs, ++eventCount, () -> {
             if (owner == null) {
                 task.run();
             } else if (owner.isRunning() && owner.machine.frozen) {
-                owner.machine.held.add(() -> runIfLiving(owner, task));
+                owner.machine.deferredTasks.add(() -> runIfRunning(owner, task));
             } else {
-                runIfLiving(owner, task);
+                runIfRunning(owner, task);
             }
         }));
     }
 
-    /** What the settings of a process that starts now name: the first seeds, or others where those are gone. */
-    private List<String> seedsNow() {
+    /**
+     * The seeds in the settings of a process that starts now: the first seeds, or other machines where those are gone.
+     */
+    private List<String> currentSeeds() {
         List<String> now = new ArrayList<>(seeds);
         now.retainAll(machines.keySet());
         for (String address : machines.keySet()) {
@@ -416,7 +429,7 @@
         return now;
     }
 
-    private static void runIfLiving(Process owner, Runnable task) {
+    private static void runIfRunning(Process owner, Runnable task) {
         if (owner.isRunning()) {
             task.run();
         }
@@ -426,16 +439,16 @@
         int copies = random.nextDouble() < 0.02 ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             double delayMs = random.nextInt(10) == 0 ? random.nextInt(400) : 1 + random.nextInt(20);
-            if (random.nextDouble() < lossShare) {
+            if (random.nextDouble() < lossRate) {
                 continue;
             }
             events.add(new Event(nowMs + delayMs, ++eventCount, () -> {
                 Machine target = machines.get(to);
-                if (cuts.contains(from + ">" + to)) {
+                if (cutLinks.contains(from + ">" + to)) {
                     return;
                 }
                 if (target != null && target.frozen) {
-                    target.held.add(delivery);
+                    target.deferredTasks.add(delivery);
                 } else {
                     delivery.run();
                 }
@@ -453,9 +466,9 @@
         nowMs = endMs;
     }
 
-    /** Runs until something holds. Returns false if it does not within a time. */
-    boolean runUntil(Predicate<ControlWorld> condition, double mostMs) {
-        double endMs = nowMs + mostMs;
+    /** Runs until a condition holds. Returns false if it does not hold within a time. */
+    boolean runUntil(Predicate<ClusterSimulation> condition, double maxMs) {
+        double endMs = nowMs + maxMs;
         while (nowMs < endMs && !condition.test(this)) {
             run(100);
         }
@@ -472,20 +485,20 @@
         return edgeVoters[edge];
     }
 
-    /** An edge proxy hears of no change of the voters any more. */
-    void edgeHearsNothing(int edge) {
-        deaf.add(edge);
+    /** An edge proxy receives no further changes of the voters. */
+    void stopUpdatesToEdge(int edge) {
+        edgesWithoutUpdates.add(edge);
     }
 
-    /** Cuts a machine off from the other stores; edge proxies still reach it. */
-    void cutFromStores(String address) {
+    /** Partitions a machine from the other stores; edge proxies still reach it. */
+    void partitionFromStores(String address) {
         for (String other : machines.keySet()) {
-            cuts.add(address + ">" + other);
-            cuts.add(other + ">" + address);
+            cutLinks.add(address + ">" + other);
+            cutLinks.add(other + ">" + address);
         }
     }
 
-    /** The machine whose store leads. */
+    /** The machine of the leader. */
     Machine leader() {
         return machines.values().stream()
                 .filter(machine -> machine.process != null && machine.process.node.isLeading())
@@ -507,34 +520,34 @@
         return lostUntilMs.getOrDefault(address, -1.0) > nowMs;
     }
 
-    boolean nobodyIsLost() {
+    boolean isNoMachineLost() {
         return machines.keySet().stream().noneMatch(this::isLost);
     }
 
-    /** Whether one more machine may be lost now. */
-    boolean mayLose(String address) {
+    /** Whether this machine may be lost now without exceeding the tolerated losses. */
+    boolean canLose(String address) {
         long lost = machines.keySet().stream().filter(this::isLost).count();
-        return machines.containsKey(address) && !isLost(address) && lost < tolerated;
+        return machines.containsKey(address) && !isLost(address) && lost < toleratedLosses;
     }
 
-    void lose(String address, double forMs) {
+    void markLost(String address, double forMs) {
         lostUntilMs.merge(address, nowMs + forMs + CATCH_UP_MS, Math::max);
     }
 
-    /** Keeps an image of a disk that a mutant may start from later. */
-    void remember(String address) {
-        machines.get(address).oldImage = machines.get(address).disk.read();
+    /** Keeps an image of a disk, from which a process may start later under {@link Mutation#OLD_SNAPSHOT_TAKEN}. */
+    void keepDiskImage(String address) {
+        machines.get(address).previousImage = machines.get(address).disk.read();
     }
 
-    void kill(String address, double forMs, boolean power, boolean wipe) {
+    void kill(String address, double forMs, boolean powerLoss, boolean replaceDisk) {
         Machine machine = machines.get(address);
-        lose(address, forMs);
-        trace(() -> "kill " + address + " for " + forMs + " power=" + power + " wipe=" + wipe);
-        machine.stop(power);
-        if (wipe) {
-            machine.wipe();
+        markLost(address, forMs);
+        trace(() -> "kill " + address + " for " + forMs + " power=" + powerLoss + " wipe=" + replaceDisk);
+        machine.stop(powerLoss);
+        if (replaceDisk) {
+            machine.replaceDisk();
         }
-        at(forMs, null, () -> {
+        schedule(forMs, null, () -> {
             if (machines.get(address) == machine) {
                 machine.start();
             }
@@ -546,8 +559,8 @@
         for (Machine machine : machines.values()) {
             machine.stop(true);
             double forMs = 200 + random.nextInt(800);
-            lose(machine.address, forMs);
-            at(forMs, null, () -> {
+            markLost(machine.address, forMs);
+            schedule(forMs, null, () -> {
                 if (machines.get(machine.address) == machine) {
                     machine.start();
                 }
@@ -557,34 +570,34 @@
 
     void freeze(String address, double forMs) {
         Machine machine = machines.get(address);
-        lose(address, forMs);
+        markLost(address, forMs);
         trace(() -> "freeze " + address + " for " + forMs);
         machine.frozen = true;
-        at(forMs, null, machine::thaw);
+        schedule(forMs, null, machine::unfreeze);
     }
 
-    /** A disk takes nothing for a while, as a full one does. Its machine does not count as lost. */
-    void stick(String address, double forMs) {
-        WorldDisk disk = machines.get(address).disk;
-        trace(() -> "stick " + address + " for " + forMs);
-        disk.stuck = true;
-        stuckSinceMs = nowMs;
-        at(forMs, null, () -> disk.stuck = false);
+    /** A disk writes nothing for a time, as a full disk does. Its machine does not count as lost. */
+    void stallDisk(String address, double forMs) {
+        SimulatedDisk disk = machines.get(address).disk;
+        trace(() -> "stall disk of " + address + " for " + forMs);
+        disk.stalled = true;
+        diskStalledAtMs = nowMs;
+        schedule(forMs, null, () -> disk.stalled = false);
     }
 
-    /** Whether a voter whose disk is stuck has had the time to be replaced. */
-    boolean stuckLongEnough() {
-        return nowMs - stuckSinceMs > CATCH_UP_MS;
+    /** Whether a voter whose disk is stalled has had enough time to be replaced. */
+    boolean isStallLongEnough() {
+        return nowMs - diskStalledAtMs > CATCH_UP_MS;
     }
 
-    boolean isAnyDiskStuck() {
-        return machines.values().stream().anyMatch(machine -> machine.disk.stuck);
+    boolean isAnyDiskStalled() {
+        return machines.values().stream().anyMatch(machine -> machine.disk.stalled);
     }
 
-    /** Cuts a machine off from the others, both ways or only what it sends or receives. */
-    void cut(String address, double forMs, boolean sends, boolean receives) {
-        lose(address, forMs);
-        trace(() -> "cut " + address + " for " + forMs + " sends=" + sends + " receives=" + receives);
+    /** Partitions a machine from all others, in both directions or only for what it sends or receives. */
+    void partition(String address, double forMs, boolean sends, boolean receives) {
+        markLost(address, forMs);
+        trace(() -> "partition " + address + " for " + forMs + " sends=" + sends + " receives=" + receives);
         List<String> added = new ArrayList<>();
         List<String> others = new ArrayList<>(machines.keySet());
         others.add("edge");
@@ -597,26 +610,26 @@
                 added.add(other + ">" + address);
             }
         }
-        cuts.addAll(added);
-        at(forMs, null, () -> cuts.removeAll(added));
+        cutLinks.addAll(added);
+        schedule(forMs, null, () -> cutLinks.removeAll(added));
     }
 
-    /** One machine goes for good and an empty one comes, before it if that was planned. */
+    /** Removes a machine for good and adds an empty one, which is added first if the replacement is planned. */
     void replace(String address, String successor, boolean planned, double laterMs) {
         trace(() -> "replace " + address + " by " + successor + " planned=" + planned + " later=" + laterMs);
         if (planned) {
             add(successor).start();
-            lose(successor, 0);
-            at(laterMs, null, () -> leaveThenGo(address, nowMs + 3_000));
+            markLost(successor, 0);
+            schedule(laterMs, null, () -> leaveThenStop(address, nowMs + 3_000));
         } else {
             machines.remove(address).stop(true);
             lostUntilMs.put(successor, nowMs + laterMs + CATCH_UP_MS);
             add(successor);
-            at(laterMs, null, () -> machines.get(successor).start());
+            schedule(laterMs, null, () -> machines.get(successor).start());
         }
     }
 
-    private void leaveThenGo(String address, double latestMs) {
+    private void leaveThenStop(String address, double deadlineMs) {
         Machine machine = machines.get(address);
         if (machine == null) {
             return;
@@ -624,23 +637,23 @@
         if (machine.process != null) {
             machine.process.node.leave(nowMs);
         }
-        if (machine.process == null || nowMs >= latestMs || machine.process.node.mayEnd(nowMs)) {
+        if (machine.process == null || nowMs >= deadlineMs || machine.process.node.canStop(nowMs)) {
             machine.stop(true);
             machines.remove(address);
         } else {
-            at(100, null, () -> leaveThenGo(address, latestMs));
+            schedule(100, null, () -> leaveThenStop(address, deadlineMs));
         }
     }
 
-    // What outsiders do and see
+    // Calls of operators and edge proxies, and the checks of their results
 
-    /** Somebody outside the stores saw an item: under one name and version there is one content for ever. */
-    private void shown(Item item) {
+    /** Checks an item that was visible outside the stores: for each name and version there is only one content. */
+    private void checkContent(Item item) {
         String key = item.name() + " " + item.version();
         String content = String.valueOf(item.content());
-        String before = contents.putIfAbsent(key, content);
+        String before = contentByVersion.putIfAbsent(key, content);
         if (before != null && !before.equals(content)) {
-            throw new Broken("two contents of " + key + ": " + before + " and " + content);
+            throw new Violation("two contents of " + key + ": " + before + " and " + content);
         }
     }
 
@@ -651,30 +664,30 @@
         return running.isEmpty() ? null : running.get(random.nextInt(running.size()));
     }
 
-    void order(List<Item> items, Consumer<OrderResult> callback) {
+    void submit(List<Item> items, Consumer<ChangeResult> callback) {
         Machine machine = anyRunning();
         if (machine != null) {
-            orderAt(machine, items, random.nextInt(3) == 0, callback);
+            submitAt(machine, items, random.nextInt(3) == 0, callback);
         }
     }
 
-    void orderAt(Machine machine, List<Item> items, boolean insist, Consumer<OrderResult> callback) {
-        machine.process.node.order(items, insist, nowMs, nowMs + BUDGET_MS, result -> {
-            // The answer may be lost on its way.
-            if (result.outcome() == OrderResult.Outcome.CONFIRMED && random.nextInt(10) > 0) {
-                confirmed(items);
+    void submitAt(Machine machine, List<Item> items, boolean insist, Consumer<ChangeResult> callback) {
+        machine.process.node.submit(items, insist, nowMs, nowMs + CALL_TIMEOUT_MS, result -> {
+            // The answer may be lost.
+            if (result.outcome() == ChangeResult.Outcome.CONFIRMED && random.nextInt(10) > 0) {
+                recordConfirmed(items);
             }
             Machine leader = machines.get(result.detail());
-            boolean other = result.outcome() == OrderResult.Outcome.NOT_LEADER && leader != null;
+            boolean other = result.outcome() == ChangeResult.Outcome.NOT_LEADER && leader != null;
             if (other && leader.process != null && !leader.frozen && leader != machine) {
-                // As registries do: on to the store that leads, over a link that may be slow.
+                // As registries do, sends the change on to the leader, over a link that may be slow.
                 transmit(machine.address, leader.address, () -> {
                     if (leader.process != null) {
-                        leader.process.node.order(items, true, nowMs, nowMs + BUDGET_MS, again -> {
-                            if (again.outcome() == OrderResult.Outcome.CONFIRMED) {
-                                confirmed(items);
+                        leader.process.node.submit(items, true, nowMs, nowMs + CALL_TIMEOUT_MS, retried -> {
+                            if (retried.outcome() == ChangeResult.Outcome.CONFIRMED) {
+                                recordConfirmed(items);
                             }
-                            callback.accept(again);
+                            callback.accept(retried);
                         });
                     }
                 });
@@ -684,11 +697,11 @@
         });
     }
 
-    private void confirmed(List<Item> items) {
+    private void recordConfirmed(List<Item> items) {
         confirmations++;
         for (Item item : items) {
-            shown(item);
-            confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
+            checkContent(item);
+            confirmed.merge(item.name(), item, (first, second) -> first.version() >= second.version() ? first : second);
         }
     }
 
@@ -700,58 +713,58 @@
         readAt(machine, true);
     }
 
-    private void readAt(Machine machine, boolean goOn) {
+    private void readAt(Machine machine, boolean retryAtLeader) {
         Map<ItemName, Item> before = new TreeMap<>(confirmed);
-        if (mutant == Mutant.READS_AT_ONE) {
-            check(machine.process.node.decidedItems().all(), before);
+        if (mutation == Mutation.READS_AT_ONE) {
+            checkRead(machine.process.node.decidedItems().all(), before);
             return;
         }
         machine.process.node.read(
                 random.nextInt(3) == 0,
                 nowMs,
-                nowMs + BUDGET_MS,
+                nowMs + CALL_TIMEOUT_MS,
                 items -> {
                     if (items != null) {
-                        check(items, before);
+                        checkRead(items, before);
                     }
                 },
                 leader -> {
                     Machine other = machines.get(leader);
-                    if (goOn && other != null && other.process != null && !other.frozen) {
+                    if (retryAtLeader && other != null && other.process != null && !other.frozen) {
                         readAt(other, false);
                     }
                 });
     }
 
-    private void check(Collection<Item> items, Map<ItemName, Item> confirmedBefore) {
+    private void checkRead(Collection<Item> items, Map<ItemName, Item> confirmedBefore) {
         reads++;
         Map<ItemName, Item> read = new TreeMap<>();
         items.forEach(item -> read.put(item.name(), item));
-        read.values().forEach(this::shown);
+        read.values().forEach(this::checkContent);
         for (Item item : confirmedBefore.values()) {
             Item found = read.get(item.name());
             if (found == null || found.version() < item.version()) {
-                throw new Broken("read " + found + " after " + item + " was confirmed");
+                throw new Violation("read " + found + " after " + item + " was confirmed");
             }
         }
-        PlaceRules.clash(read.values()).ifPresent(clash -> {
-            throw new Broken("invalid in force: " + clash);
+        UniquePlaceRules.conflict(read.values()).ifPresent(conflict -> {
+            throw new Violation("an inconsistent configuration is in effect: " + conflict);
         });
-        // What one reader saw, no later one may miss.
+        // A version that one read returned must be visible to all later reads.
         for (Item item : read.values()) {
-            confirmed.merge(item.name(), item, (one, other) -> one.version() >= other.version() ? one : other);
+            confirmed.merge(item.name(), item, (first, second) -> first.version() >= second.version() ? first : second);
         }
     }
 
     /** An edge proxy claims a key and, if it is granted, runs its operation. */
     void claim(String key) {
-        claim(key, random.nextInt(EDGES));
+        claim(key, random.nextInt(EDGE_PROXIES));
     }
 
     void claim(String key, int edge) {
         VoterSet known = edgeVoters[edge];
         if (known.isKnown()) {
-            new Claim(key, known).begin();
+            new Claim(key, known).start();
         }
     }
 
@@ -760,21 +773,24 @@
         private final String key;
         private final String claimId = "claim-" + ++eventCount;
         private final VoterSet voters;
-        private final ClaimVote vote;
+        private final ClaimTally tally;
         private final Set<Voter> counted = new HashSet<>();
         private boolean decided;
 
         Claim(String key, VoterSet voters) {
             this.key = key;
             this.voters = voters;
-            this.vote = new ClaimVote(claimId, voters);
+            this.tally = new ClaimTally(claimId, voters);
         }
 
-        void begin() {
+        void start() {
             for (Voter voter : voters.members()) {
                 transmit("edge", voter.address(), () -> ask(voter));
             }
-            at(BUDGET_MS, null, () -> voters.members().forEach(voter -> count(voter, () -> vote.unavailable(voter))));
+            schedule(
+                    CALL_TIMEOUT_MS,
+                    null,
+                    () -> voters.members().forEach(voter -> count(voter, () -> tally.countUnavailable(voter))));
         }
 
         private void ask(Voter voter) {
@@ -783,64 +799,64 @@
                 return;
             }
             boolean otherEpoch = store.node.voters().epoch() != voters.epoch();
-            if (otherEpoch && mutant != Mutant.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.moved(voter));
+            if (otherEpoch && mutation != Mutation.OLD_EPOCH_ACCEPTED) {
+                reply(voter, () -> tally.countEpochMismatch(voter));
                 return;
             }
-            if (!store.node.mayVoteOnKeys() && mutant != Mutant.OLD_EPOCH_ACCEPTED) {
-                reply(voter, () -> vote.unavailable(voter));
+            if (!store.node.canVoteOnKeys() && mutation != Mutation.OLD_EPOCH_ACCEPTED) {
+                reply(voter, () -> tally.countUnavailable(voter));
                 return;
             }
             KeyVote answer = store.keys.claim(key, claimId, (long) nowMs);
             KeyRecord record = answer.record();
-            Runnable told =
-                    () -> reply(voter, () -> vote.vote(voter, record.state(), record.claimId(), record.answer()));
+            Runnable reply =
+                    () -> reply(voter, () -> tally.countVote(voter, record.state(), record.claimId(), record.answer()));
             if (answer.outcome() == KeyVote.Outcome.GRANTED) {
-                store.write(null, answer.changed() ? record : null, told);
+                store.write(null, answer.changed() ? record : null, reply);
             } else {
-                told.run();
+                reply.run();
             }
         }
 
-        private void reply(Voter voter, Runnable voted) {
-            transmit(voter.address(), "edge", () -> count(voter, voted));
+        private void reply(Voter voter, Runnable countVote) {
+            transmit(voter.address(), "edge", () -> count(voter, countVote));
         }
 
-        private void count(Voter voter, Runnable voted) {
+        private void count(Voter voter, Runnable countVote) {
             if (decided || !counted.add(voter)) {
                 return;
             }
-            voted.run();
-            ClaimVote.Result result = vote.result();
-            if (result == ClaimVote.Result.OPEN) {
+            countVote.run();
+            ClaimTally.Result result = tally.result();
+            if (result == ClaimTally.Result.OPEN) {
                 return;
             }
             decided = true;
-            if (result == ClaimVote.Result.GRANTED) {
-                ran();
+            if (result == ClaimTally.Result.GRANTED) {
+                runOperation();
             } else {
                 release();
             }
         }
 
-        private void ran() {
+        private void runOperation() {
             grants++;
             if (runs.merge(key, 1, Integer::sum) > 1) {
-                throw new Broken("the operation of " + key + " ran twice");
+                throw new Violation("the operation of " + key + " ran twice");
             }
             if (random.nextInt(3) > 0) {
-                at(
+                schedule(
                         random.nextInt(200),
                         null,
-                        () -> tell(store -> store.keys.finish(key, claimId, new byte[] {1}, (long) nowMs)));
+                        () -> updateVoters(store -> store.keys.finish(key, claimId, new byte[] {1}, (long) nowMs)));
             }
         }
 
         private void release() {
-            tell(store -> store.keys.release(key, claimId, (long) nowMs));
+            updateVoters(store -> store.keys.release(key, claimId, (long) nowMs));
         }
 
-        private void tell(Function<Process, KeyRecord> change) {
+        private void updateVoters(Function<Process, KeyRecord> change) {
             for (Voter voter : newestVoters().members()) {
                 transmit("edge", voter.address(), () -> {
                     Process store = processOf(voter);
@@ -853,14 +869,17 @@
         }
     }
 
-    /** Everything heals; then orders are confirmed, and all that was confirmed is read at every store. */
-    void checkEnd() {
-        cuts.clear();
-        lossShare = 0;
+    /**
+     * Ends all faults, and checks that changes are confirmed again and that every store holds everything that was
+     * confirmed.
+     */
+    void verifyFinalState() {
+        cutLinks.clear();
+        lossRate = 0;
         for (Machine machine : machines.values()) {
-            machine.disk.stuck = false;
+            machine.disk.stalled = false;
             if (machine.frozen) {
-                machine.thaw();
+                machine.unfreeze();
             }
             machine.start();
         }
@@ -868,25 +887,25 @@
         Item last = new Item(new ItemName(ItemKind.SERVICE, "last"), 1_000, "-last");
         boolean[] done = {false};
         for (int i = 0; i < 40 && !done[0]; i++) {
-            order(List.of(last), result -> {
-                trace(() -> "last order: " + result);
-                done[0] |= result.outcome() == OrderResult.Outcome.CONFIRMED;
+            submit(List.of(last), result -> {
+                trace(() -> "last change: " + result);
+                done[0] |= result.outcome() == ChangeResult.Outcome.CONFIRMED;
             });
             run(500);
         }
         if (!done[0]) {
-            throw new Stuck("no order is confirmed after everything healed: " + newestVoters() + describe());
+            throw new NoProgress("no change is confirmed after all faults ended: " + newestVoters() + describe());
         }
         run(3_000);
         for (Machine machine : machines.values()) {
-            check(machine.process.node.decidedItems().all(), new TreeMap<>(confirmed));
+            checkRead(machine.process.node.decidedItems().all(), new TreeMap<>(confirmed));
         }
         if (newestVoters().isJoint()) {
-            throw new Stuck("a change of the voters does not end: " + newestVoters());
+            throw new NoProgress("a change of the voters does not complete: " + newestVoters());
         }
     }
 
-    /** What each store holds, for the message of a failure. */
+    /** The progress of each store, for failure messages. */
     private String describe() {
         StringBuilder text = new StringBuilder();
         for (Machine machine : machines.values()) {
@@ -896,10 +915,10 @@
         return text.toString();
     }
 
-    /** Prints what happens if {@code -Dtrace=true} asks for it. */
-    void trace(Supplier<String> what) {
+    /** Prints an event if {@code -Dtrace=true} is set. */
+    void trace(Supplier<String> message) {
         if (TRACE) {
-            System.out.printf("%8.0f %s%n", nowMs, what.get());
+            System.out.printf("%8.0f %s%n", nowMs, message.get());
         }
     }
 
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/InstancePickerTest.java
@@ -23,7 +23,7 @@
         Instance instance =
                 new Instance(id, "s", "a:" + all.size(), "z", "v1", SLOTS, InstanceState.READY, 1, coldUntilMs);
         InstanceStats stats = new InstanceStats(instance);
-        stats.learn(instance, local, 100);
+        stats.update(instance, local, 100);
         all.add(stats);
         picker.instances(all);
         return stats;
@@ -35,90 +35,92 @@
 
     private static void fill(InstanceStats instance) {
         for (int i = 0; i < SLOTS + 1; i++) {
-            assertThat(instance.isOpen(NOW)).isTrue();
-            instance.began();
+            assertThat(instance.hasCapacity(NOW)).isTrue();
+            instance.requestStarted();
         }
     }
 
-    /** Two requests go there and meet silence. */
+    /** Two requests to the instance time out. */
     private void fail(InstanceStats instance, double nowMs) {
         for (int i = 0; i < 2; i++) {
-            instance.began();
-            instance.ended(nowMs, Verdict.SILENT, 100, false, true);
+            instance.requestStarted();
+            instance.requestEnded(nowMs, AttemptOutcome.SILENT, 100, false, true);
         }
     }
 
-    /** Shared caches keep an object at one place: proxies that saw other speeds, or ask at another load, pick the same. */
+    /**
+     * Shared caches keep each object in one cache: proxies that see other latencies or loads must pick the same one.
+     */
     @Test
-    void ofOneEveryoneHasTheSamePlaceForAKeyWhateverItsSpeed() {
+    void singleCandidatePickIgnoresLatencyAndLoad() {
         for (int i = 0; i < 4; i++) {
             add("i" + i, true, 0);
         }
-        InstancePicker ofOne = InstancePicker.ofOne();
-        ofOne.instances(all);
+        InstancePicker singleCandidate = InstancePicker.singleCandidate();
+        singleCandidate.instances(all);
         List<InstanceStats> before = new ArrayList<>();
         for (long key = 0; key < 200; key++) {
-            before.add(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance());
+            before.add(((Pick.Chosen) singleCandidate.pick(NOW, key, List.of())).instance());
         }
-        all.get(0).began();
-        all.get(0).ended(NOW, Verdict.ANSWERED, 900, false, true);
-        all.get(1).began();
-        all.get(1).ended(NOW, Verdict.ANSWERED, 2, false, true);
-        all.get(2).began();
+        all.get(0).requestStarted();
+        all.get(0).requestEnded(NOW, AttemptOutcome.ANSWERED, 900, false, true);
+        all.get(1).requestStarted();
+        all.get(1).requestEnded(NOW, AttemptOutcome.ANSWERED, 2, false, true);
+        all.get(2).requestStarted();
         for (long key = 0; key < 200; key++) {
-            assertThat(((Pick.Chosen) ofOne.pick(NOW, key, List.of())).instance())
+            assertThat(((Pick.Chosen) singleCandidate.pick(NOW, key, List.of())).instance())
                     .isSameAs(before.get((int) key));
         }
         assertThat(before).contains(all.toArray(new InstanceStats[0]));
     }
 
     @Test
-    void ofTheKeysTwoCandidatesTheOneWithFewerInFlightWins() {
+    void candidateWithFewerRequestsInFlightIsPicked() {
         for (int i = 0; i < 10; i++) {
             add("i" + i, true, 0);
         }
         for (long key = 0; key < 100; key++) {
             InstanceStats first = pick(NOW, key);
             assertThat(pick(NOW, key)).as("a tie goes to the first").isSameAs(first);
-            first.began();
+            first.requestStarted();
             InstanceStats second = pick(NOW, key);
             assertThat(second).isNotSameAs(first);
-            second.began();
-            second.began();
-            assertThat(pick(NOW, key)).as("no third, though idle").isSameAs(first);
-            first.withdrawn();
-            second.withdrawn();
-            second.withdrawn();
+            second.requestStarted();
+            second.requestStarted();
+            assertThat(pick(NOW, key)).as("no third candidate, though idle").isSameAs(first);
+            first.requestWithdrawn();
+            second.requestWithdrawn();
+            second.requestWithdrawn();
         }
     }
 
     @Test
-    void aToldLoadBreaksATie() {
+    void reportedLoadBreaksTie() {
         add("a", true, 0);
         add("b", true, 0);
         InstanceStats first = pick(NOW, 7);
-        first.toldLoad(NOW, 3, 0, SLOTS);
+        first.loadReported(NOW, 3, 0, SLOTS);
         assertThat(pick(NOW, 7)).isNotSameAs(first);
-        assertThat(pick(NOW + 300, 7)).as("old news").isSameAs(first);
+        assertThat(pick(NOW + 300, 7)).as("the reported load is too old").isSameAs(first);
     }
 
     @Test
-    void theOwnRegionComesFirstWhileItCanTakeTheRequest() {
-        InstanceStats here = add("a", true, 0);
-        InstanceStats alsoHere = add("b", true, 0);
+    void ownRegionIsPreferredWhileItHasCapacity() {
+        InstanceStats first = add("a", true, 0);
+        InstanceStats second = add("b", true, 0);
         add("c", false, 0);
         for (long key = 0; key < 50; key++) {
             assertThat(pick(NOW, key).isLocal()).isTrue();
         }
-        fill(here);
-        assertThat(pick(NOW, 1)).isSameAs(alsoHere);
-        fail(alsoHere, NOW);
+        fill(first);
+        assertThat(pick(NOW, 1)).isSameAs(second);
+        fail(second, NOW);
         assertThat(pick(NOW, 1).isLocal()).isFalse();
-        assertThat(pick(NOW + 600, 1)).as("on trial once its time is over").isSameAs(alsoHere);
+        assertThat(pick(NOW + 600, 1)).as("probed after the ejection").isSameAs(second);
     }
 
     @Test
-    void aFailingInstanceIsSparedThenTriedByOneRequest() {
+    void failingInstanceIsEjectedThenProbedByOneRequest() {
         InstanceStats failing = add("a", true, 0);
         InstanceStats other = add("b", true, 0);
         add("c", true, 0);
@@ -127,37 +129,37 @@
             assertThat(pick(NOW + 400, key)).isNotSameAs(failing);
         }
         assertThat(failing.isUsable(NOW + 600)).isTrue();
-        failing.began();
-        assertThat(failing.isUsable(NOW + 600)).as("one on trial is enough").isFalse();
-        failing.ended(NOW + 700, Verdict.ANSWERED, 100, false, true);
-        failing.began();
-        assertThat(failing.isUsable(NOW + 700)).as("it is well again").isTrue();
+        failing.requestStarted();
+        assertThat(failing.isUsable(NOW + 600)).as("only one probe at a time").isFalse();
+        failing.requestEnded(NOW + 700, AttemptOutcome.ANSWERED, 100, false, true);
+        failing.requestStarted();
+        assertThat(failing.isUsable(NOW + 700)).as("recovered").isTrue();
         assertThat(other.isUsable(NOW)).isTrue();
     }
 
     @Test
-    void whereAllAreSparedOneIsBetterThanNone() {
+    void ejectedInstanceIsPickedIfAllAreEjected() {
         fail(add("a", true, 0), NOW);
         assertThat(pick(NOW, 1)).isNotNull();
         fail(add("b", true, 0), NOW);
-        assertThat(picker.maySpare(NOW)).isFalse();
+        assertThat(picker.mayEject(NOW)).isFalse();
     }
 
     @Test
-    void atMostHalfMayBeSpared() {
+    void atMostHalfOfInstancesMayBeEjected() {
         InstanceStats one = add("a", true, 0);
         InstanceStats two = add("b", true, 0);
         add("c", true, 0);
         add("d", true, 0);
-        assertThat(picker.maySpare(NOW)).isTrue();
+        assertThat(picker.mayEject(NOW)).isTrue();
         fail(one, NOW);
-        assertThat(picker.maySpare(NOW)).isTrue();
+        assertThat(picker.mayEject(NOW)).isTrue();
         fail(two, NOW);
-        assertThat(picker.maySpare(NOW)).isFalse();
+        assertThat(picker.mayEject(NOW)).isFalse();
     }
 
     @Test
-    void aColdInstanceGetsFewerKeys() {
+    void coldInstanceReceivesFewerKeys() {
         InstanceStats cold = add("cold", true, (long) NOW + 1_000);
         add("b", true, 0);
         add("c", true, 0);
@@ -174,36 +176,36 @@
     }
 
     @Test
-    void aFullInstanceGetsNothingAndAllFullIsACrowd() {
+    void fullInstanceIsSkippedAndAllFullIsSaturated() {
         InstanceStats full = add("a", true, 0);
         fill(full);
-        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Saturated.class);
         InstanceStats other = add("b", true, 0);
         for (long key = 0; key < 20; key++) {
             assertThat(pick(NOW, key)).isSameAs(other);
         }
-        other.toldLoad(NOW, SLOTS, 1, SLOTS);
-        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        other.loadReported(NOW, SLOTS, 1, SLOTS);
+        assertThat(picker.pick(NOW, 1, List.of())).isInstanceOf(Pick.Saturated.class);
     }
 
     @Test
-    void oneThatTurnedARequestAwayIsFullForAMoment() {
+    void decliningInstanceCountsAsFullBriefly() {
         InstanceStats full = add("a", true, 0);
-        full.began();
-        full.ended(NOW, Verdict.DECLINED, 1, false, true);
-        assertThat(picker.pick(NOW + 10, 1, List.of())).isInstanceOf(Pick.Crowded.class);
+        full.requestStarted();
+        full.requestEnded(NOW, AttemptOutcome.DECLINED, 1, false, true);
+        assertThat(picker.pick(NOW + 10, 1, List.of())).isInstanceOf(Pick.Saturated.class);
         assertThat(pick(NOW + 100, 1)).isSameAs(full);
     }
 
     @Test
-    void whoeverWasTriedOrIsGoneIsNotPicked() {
+    void triedOrReplacedInstanceIsNotPicked() {
         InstanceStats tried = add("a", true, 0);
         InstanceStats gone = add("b", true, 0);
         for (long key = 0; key < 20; key++) {
             assertThat(pick(NOW, key, tried)).isSameAs(gone);
         }
-        gone.began();
-        gone.ended(NOW, Verdict.MISDIRECTED, 1, false, true);
+        gone.requestStarted();
+        gone.requestEnded(NOW, AttemptOutcome.MISDIRECTED, 1, false, true);
         assertThat(picker.pick(NOW + 4_900, 1, List.of(tried))).isInstanceOf(Pick.None.class);
         assertThat(pick(NOW + 5_100, 1, tried)).isSameAs(gone);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/edge/RateDivisionTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ridgemill.cdn.membership.CachePlace;
+import ridgemill.cdn.membership.CachePosition;
 import ridgemill.cdn.membership.FleetPosition;
 
 class RateDivisionTest {
@@ -20,33 +20,36 @@
     private static List<OriginShare> shares(double rate, int proxies, int caches) {
         List<OriginShare> shares = new ArrayList<>();
         for (int rank = 0; rank < caches; rank++) {
-            shares.add(share(DIVISION.ofCache(rate, place(caches, rank))));
+            shares.add(share(DIVISION.forCache(rate, position(caches, rank))));
         }
         for (int rank = 0; rank < proxies; rank++) {
-            shares.add(share(DIVISION.ofProxy(rate, new FleetPosition(proxies, rank), caches > 0)));
+            shares.add(share(DIVISION.forProxy(rate, new FleetPosition(proxies, rank), caches > 0)));
         }
         return shares;
     }
 
-    /** Two regions where there is more than one shared cache, of unequal sizes. */
-    private static CachePlace place(int caches, int rank) {
+    /** The position among shared caches, which are in two regions of unequal size if there is more than one. */
+    private static CachePosition position(int caches, int rank) {
         if (caches == 1) {
-            return CachePlace.ALONE;
+            return CachePosition.ALONE;
         }
         int first = (2 * caches + 1) / 3;
         boolean inFirst = rank < first;
-        return new CachePlace(
+        return new CachePosition(
                 new FleetPosition(2, inFirst ? 0 : 1),
                 inFirst ? new FleetPosition(first, rank) : new FleetPosition(caches - first, rank - first));
     }
 
-    private static OriginShare share(RateDivision.Part part) {
+    private static OriginShare share(RateDivision.Share part) {
         OriginShare share = new OriginShare(OVERAGE, WINDOW_MS);
-        share.setPart(part, 0);
+        share.assign(part, 0);
         return share;
     }
 
-    /** All press as hard as they may after a pause in which their bursts fill. */
+    /**
+     * The requests sent in each step if all processes send as much as they can, with pauses in which their bursts
+     * refill.
+     */
     private static int[] arrivals(List<OriginShare> shares) {
         int[] taken = new int[END_MS / STEP_MS];
         for (int step = 0; step < taken.length; step++) {
@@ -61,15 +64,15 @@
         return taken;
     }
 
-    private static int mostInWindow(int[] taken) {
+    private static int maxInWindow(int[] taken) {
         int steps = WINDOW_MS / STEP_MS;
         int sum = 0;
-        int most = 0;
+        int max = 0;
         for (int step = 0; step < taken.length; step++) {
             sum += taken[step] - (step < steps ? 0 : taken[step - steps]);
-            most = Math.max(most, sum);
+            max = Math.max(max, sum);
         }
-        return most;
+        return max;
     }
 
     @ParameterizedTest
@@ -90,19 +93,19 @@
         "2,1300,3",
         "9000,1300,80"
     })
-    void allTogetherStayUnderTheCeilingInEveryWindow(double rate, int proxies, int caches) {
-        int most = mostInWindow(arrivals(shares(rate, proxies, caches)));
-        assertThat(most).isLessThanOrEqualTo((int) (OVERAGE * rate * WINDOW_MS / 1_000) + 5);
-        assertThat(most).as("something may be sent").isPositive();
+    void allProcessesTogetherStayBelowCeilingInEveryWindow(double rate, int proxies, int caches) {
+        int max = maxInWindow(arrivals(shares(rate, proxies, caches)));
+        assertThat(max).isLessThanOrEqualTo((int) (OVERAGE * rate * WINDOW_MS / 1_000) + 5);
+        assertThat(max).as("something may be sent").isPositive();
     }
 
     @ParameterizedTest
     @CsvSource({"590,11,2", "230,73,2", "270,62,3", "230,300,6", "230,1300,20", "9000,1300,80"})
-    void sharedCachesMayUseMostOfTheRateHoweverManyProxiesThereAre(double rate, int proxies, int caches) {
+    void sharedCachesReceiveMostOfRateForAnyNumberOfProxies(double rate, int proxies, int caches) {
         double sum = 0;
         for (int rank = 0; rank < caches; rank++) {
-            RateDivision.Part part = DIVISION.ofCache(rate, place(caches, rank));
-            sum += part instanceof RateDivision.Part.Bounded bounded ? bounded.perSecond() : 0;
+            RateDivision.Share part = DIVISION.forCache(rate, position(caches, rank));
+            sum += part instanceof RateDivision.Share.Bounded bounded ? bounded.perSecond() : 0;
         }
         assertThat(sum).isGreaterThan(0.85 * rate);
     }
--- a/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
+++ b/cdn-core/src/test/java/ridgemill/cdn/membership/FleetPositionTest.java
@@ -12,12 +12,12 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 9, 73, 300, 1_300})
-    void partsOfAllPlacesAddUpToTheWholeWhateverTheSize(int size) {
+    void sharesAddUpToTotalForAnySize(int size) {
         for (int units : new int[] {0, 1, 56, 130, 1_299, 4_000}) {
             for (int index : new int[] {0, 1, 7, 309}) {
                 int sum = 0;
                 for (int rank = 0; rank < size; rank++) {
-                    sum += new FleetPosition(size, rank).part(units, index);
+                    sum += new FleetPosition(size, rank).share(units, index);
                 }
                 assertThat(sum).as("%d units, index %d", units, index).isEqualTo(units);
             }
@@ -25,11 +25,11 @@
     }
 
     @Test
-    void severalBoundsTogetherLeaveNobodyWithoutAPartIfThereIsOneForEach() {
+    void twoLimitsTogetherGiveEveryPositionAShare() {
         int size = 73;
         for (int rank = 0; rank < size; rank++) {
             FleetPosition position = new FleetPosition(size, rank);
-            assertThat(position.part(50, 0) + position.part(50, 1))
+            assertThat(position.share(50, 0) + position.share(50, 1))
                     .as("rank %d", rank)
                     .isPositive();
         }
@@ -42,17 +42,17 @@
         Fleet fleet = new Fleet(FleetPosition.ALONE, caches);
         int sum = 0;
         for (CacheNode cache : caches) {
-            CachePlace place = fleet.cachePlace(cache, zone -> zone.equals("z3") ? "south" : "north");
-            assertThat(place.region().size()).isEqualTo(2);
-            sum += place.part(25, 1);
+            CachePosition position = fleet.cachePosition(cache, zone -> zone.equals("z3") ? "south" : "north");
+            assertThat(position.region().size()).isEqualTo(2);
+            sum += position.share(25, 1);
         }
         assertThat(sum).isEqualTo(25);
-        CacheNode unheard = new CacheNode("d", "4", "z3");
-        assertThat(fleet.cachePlace(unheard, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
+        CacheNode unknown = new CacheNode("d", "4", "z3");
+        assertThat(fleet.cachePosition(unknown, zone -> "one").inRegion()).isEqualTo(new FleetPosition(4, 3));
     }
 
     @Test
-    void aPlaceIsOneOfTheSize() {
+    void rankMustBeWithinSize() {
         assertThatThrownBy(() -> new FleetPosition(3, 3)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new FleetPosition(0, 0)).isInstanceOf(IllegalArgumentException.class);
     }
--- a/cdn/src/main/java/ridgemill/cdn/app/Rehearsal.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/ClassArchiveTraining.java
@@ -9,10 +9,11 @@
 import java.util.stream.Stream;
 
 /**
- * Starts all three programs in one process on loopback, serves some requests with them and ends. The build runs it to
- * archive the classes that a start loads; what it leaves out, each start has to read from the jar and check.
+ * Starts all programs in one process on loopback, serves some requests with them and ends. The build runs it (command
+ * {@code rehearse}) to create the class archive. Each start has to load and verify classes that are missing in the
+ * archive from the jar.
  */
-final class Rehearsal {
+final class ClassArchiveTraining {
 
     private static final String LOOPBACK = "127.0.0.1";
     private static final int REQUESTS = 60;
@@ -22,21 +23,21 @@
 
     private final LoopbackSystem system;
 
-    private Rehearsal(LoopbackSystem system) {
+    private ClassArchiveTraining(LoopbackSystem system) {
         this.system = system;
     }
 
-    /** Runs it; the process ends with it. */
+    /** Runs the training. The process ends afterwards. */
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("ridgemill-rehearsal");
         try (LoopbackInstance instance = new LoopbackInstance(LOOPBACK)) {
-            new Rehearsal(new LoopbackSystem(folder, List.of(LOOPBACK))).play(instance.address());
+            new ClassArchiveTraining(new LoopbackSystem(folder, List.of(LOOPBACK))).exercise(instance.address());
         } finally {
             delete(folder);
         }
     }
 
-    private void play(String instanceAddress) throws IOException, InterruptedException {
+    private void exercise(String instanceAddress) throws IOException, InterruptedException {
         Signals.onHangup(() -> {});
         system.start();
         String heartbeat = LoopbackSystem.heartbeat(instanceAddress, 1);
@@ -53,7 +54,7 @@
         control("GET", "/ridgemill/configuration", "");
         control("PATCH", "/ridgemill/configuration", "{");
         control("DELETE", "/ridgemill/instances/i-1", "");
-        system.figures();
+        system.metricsText();
         system.stopCore(0);
     }
 
@@ -77,7 +78,7 @@
             }
             Thread.sleep(PAUSE_MS);
         }
-        throw new IOException("the rehearsal's call was never answered with " + OK);
+        throw new IOException("a request of the training run never got status " + OK);
     }
 
     private static void delete(Path folder) {
--- a/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Demonstration.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The whole system on this machine's loopback, with commands to try: three core machines, an edge proxy, two instances. */
+/**
+ * Runs the whole system on loopback addresses, for trying it out by hand: three core machines, an edge proxy, a shared
+ * cache and two instances.
+ */
 final class Demonstration {
 
     private static final List<String> HOSTS = List.of("127.0.0.1", "127.0.0.2", "127.0.0.3");
@@ -26,7 +29,7 @@
         this.system = system;
     }
 
-    /** Runs until its input ends or the process is ended. */
+    /** Runs until standard input ends or the process is stopped. */
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("ridgemill-demonstration");
         LoopbackSystem system = new LoopbackSystem(folder, HOSTS);
@@ -35,22 +38,23 @@
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (LoopbackInstance one = new LoopbackInstance(HOSTS.get(0));
                 LoopbackInstance two = new LoopbackInstance(HOSTS.get(0))) {
-            timer.scheduleAtFixedRate(() -> demonstration.beat(one, two), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
+            timer.scheduleAtFixedRate(
+                    () -> demonstration.sendHeartbeats(one, two), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             demonstration.configure();
-            demonstration.explain();
-            demonstration.takeCommands();
+            demonstration.printUsage();
+            demonstration.readCommands();
         } finally {
             timer.shutdownNow();
         }
     }
 
-    private void beat(LoopbackInstance one, LoopbackInstance two) {
+    private void sendHeartbeats(LoopbackInstance one, LoopbackInstance two) {
         long number = sequence.incrementAndGet();
-        toAnyCore("PUT", "/ridgemill/instances/i-1", LoopbackSystem.heartbeat(one.address(), number));
-        toAnyCore("PUT", "/ridgemill/instances/i-2", LoopbackSystem.heartbeat(two.address(), number));
+        callAnyCore("PUT", "/ridgemill/instances/i-1", LoopbackSystem.heartbeat(one.address(), number));
+        callAnyCore("PUT", "/ridgemill/instances/i-2", LoopbackSystem.heartbeat(two.address(), number));
     }
 
-    private int toAnyCore(String method, String path, String body) {
+    private int callAnyCore(String method, String path, String body) {
         int status = 0;
         for (int machine = 0; machine < HOSTS.size() && status != OK; machine++) {
             status = system.call(machine, system.controlPort(), method, path, "", body);
@@ -59,12 +63,12 @@
     }
 
     private void configure() throws InterruptedException {
-        while (toAnyCore("PATCH", "/ridgemill/configuration", LoopbackSystem.configuration()) != OK) {
+        while (callAnyCore("PATCH", "/ridgemill/configuration", LoopbackSystem.configuration()) != OK) {
             TimeUnit.MILLISECONDS.sleep(HEARTBEAT_MS);
         }
     }
 
-    private void explain() {
+    private void printUsage() {
         String front = HOSTS.get(0) + ':' + system.frontPort();
         String request = " -H 'Host: a.example' -H 'X-Attempt-Id: 1' -H 'X-Deadline-Remaining: 2000' ";
         System.out.println("Serving at " + front + "; calls at port " + system.controlPort() + " of "
@@ -77,7 +81,7 @@
         System.out.println("Type 'stop N' or 'start N' for core machine N of 1 to 3; Ctrl-D ends it.");
     }
 
-    private void takeCommands() throws IOException {
+    private void readCommands() throws IOException {
         BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             String[] words = line.trim().split(" ");
--- a/cdn/src/main/java/ridgemill/cdn/app/Main.java
+++ b/cdn/src/main/java/ridgemill/cdn/app/Main.java
@@ -8,31 +8,31 @@
 import org.apache.commons.cli.HelpFormatter;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import ridgemill.cdn.metrics.MetricsPlace;
+import ridgemill.cdn.metrics.MetricsEndpoint;
 import ridgemill.cdn.settings.Settings;
 import ridgemill.cdn.settings.SettingsError;
 import ridgemill.cdn.settings.SettingsReader;
 
-/** The command line of the system's programs. Bad input is one line on standard error and exit code 2. */
+/** The command line of the CDN programs. Invalid input causes one line on standard error and exit code 2. */
 public final class Main {
 
     private static final String SETTINGS_VARIABLE = "RIDGEMILL_CONFIG";
     private static final String DEFAULT_SETTINGS = "/etc/ridgemill/local.toml";
     private static final String METRICS = "metrics";
     private static final String METRICS_PREFIX = "--" + METRICS + "=";
-    private static final int BAD_INPUT = 2;
+    private static final int EXIT_BAD_INPUT = 2;
     private static final String USAGE =
             "ridgemill-cdn [--settings FILE] [--metrics PORT/PATH] proxy|cache|registry|store|check|demo|version";
-    private static final String ABOUT =
+    private static final String COMMAND_HELP =
             "proxy serves clients; cache reads objects for all proxies; registry takes the calls of instances and operators; store "
                     + "keeps the configuration; check reads the settings and says what is wrong with them.";
 
     private Main() {}
 
-    /** Runs the program that the command line names. */
+    /** Runs the command that is given on the command line. */
     public static void main(String[] arguments) throws Exception {
-        // The usual command line of a deployment is one word: reading it by hand spares each start the parser's
-        // classes.
+        // The usual command lines of a deployment are handled without the parser, which saves loading its classes at
+        // each start.
         if (arguments.length == 1 && !arguments[0].startsWith("-")) {
             run(arguments[0], settingsPath(), Option.none());
             return;
@@ -60,11 +60,11 @@
                 .build());
         CommandLine line = parse(options, arguments);
         if (line.hasOption("help")) {
-            new HelpFormatter().printHelp(USAGE, null, options, ABOUT);
+            new HelpFormatter().printHelp(USAGE, null, options, COMMAND_HELP);
             return;
         }
         if (line.getArgs().length != 1) {
-            fail("one command is needed: " + USAGE);
+            fail("exactly one command is required: " + USAGE);
         }
         run(
                 line.getArgs()[0],
@@ -82,11 +82,11 @@
     }
 
     private static Path settingsPath() {
-        String named = System.getenv(SETTINGS_VARIABLE);
-        return Path.of(named == null || named.isEmpty() ? DEFAULT_SETTINGS : named);
+        String configuredPath = System.getenv(SETTINGS_VARIABLE);
+        return Path.of(configuredPath == null || configuredPath.isEmpty() ? DEFAULT_SETTINGS : configuredPath);
     }
 
-    private static void run(String command, Path settingsPath, Option<MetricsPlace> metrics) throws Exception {
+    private static void run(String command, Path settingsPath, Option<MetricsEndpoint> metrics) throws Exception {
         switch (command) {
             case "proxy" -> new Process(settings(settingsPath), settingsPath, metrics).runProxy();
             case "cache" -> new Process(settings(settingsPath), settingsPath, metrics).runCache();
@@ -97,18 +97,18 @@
                 System.out.println(settingsPath + ": good; machine " + settings.nodeName());
             }
             case "demo" -> Demonstration.run();
-            case "rehearse" -> Rehearsal.run();
+            case "rehearse" -> ClassArchiveTraining.run();
             case "version" -> System.out.println(version());
             default -> fail("unknown command " + command + ": " + USAGE);
         }
     }
 
-    private static Option<MetricsPlace> metrics(String text) {
-        Option<MetricsPlace> place = MetricsPlace.parse(text);
-        if (place.isEmpty()) {
+    private static Option<MetricsEndpoint> metrics(String text) {
+        Option<MetricsEndpoint> endpoint = MetricsEndpoint.parse(text);
+        if (endpoint.isEmpty()) {
             fail("--" + METRICS + " takes PORT/PATH, not " + text);
         }
-        return place;
+        return endpoint;
     }
 
     private static String version() {
@@ -126,6 +126,6 @@
 
     static void fail(String reason) {
         System.err.println("ridgemill-cdn: " + reason);
-        System.exit(BAD_INPUT);
+        System.exit(EXIT_BAD_INPUT);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
+++ b/cdn/src/main/java/ridgemill/cdn/configuration/ConfigurationRules.java
@@ -14,36 +14,37 @@
 import ridgemill.cdn.config.Route;
 
 /**
- * Whether a configuration holds together: each route names services that are there, and no two routes have the same host
- * and prefix. Keeps an index of routes by place and by service, so that a change costs what it touches.
+ * The consistency rules of a configuration: each route refers to existing services, and no two routes have the same
+ * host and path prefix. Keeps an index of routes by host and prefix and by service, so that the cost of checking a
+ * change depends only on the size of the change.
  */
 public final class ConfigurationRules implements ChangeRules {
 
     private final Map<ItemName, Route> routes = new HashMap<>();
-    private final Map<String, Set<ItemName>> routesAtPlace = new HashMap<>();
-    private final Map<String, Set<ItemName>> routesOfService = new HashMap<>();
+    private final Map<String, Set<ItemName>> routesByMatch = new HashMap<>();
+    private final Map<String, Set<ItemName>> routesByService = new HashMap<>();
     private final Set<String> services = new HashSet<>();
 
     @Override
     public void reset(Collection<Item> items) {
         routes.clear();
-        routesAtPlace.clear();
-        routesOfService.clear();
+        routesByMatch.clear();
+        routesByService.clear();
         services.clear();
-        changed(items);
+        apply(items);
     }
 
     @Override
-    public void changed(Collection<Item> items) {
+    public void apply(Collection<Item> items) {
         for (Item item : items) {
             if (item.name().kind() == ItemKind.ROUTE) {
-                forget(item.name(), routes.remove(item.name()));
+                remove(item.name(), routes.remove(item.name()));
                 Route route = ItemParser.route(item);
                 if (route != null) {
                     add(item.name(), route);
                 }
             } else if (item.name().kind() == ItemKind.SERVICE) {
-                if (item.isDrop()) {
+                if (item.isTombstone()) {
                     services.remove(item.name().name());
                 } else {
                     services.add(item.name().name());
@@ -54,40 +55,40 @@
 
     private void add(ItemName name, Route route) {
         routes.put(name, route);
-        routesAtPlace.computeIfAbsent(place(route), key -> new HashSet<>()).add(name);
+        routesByMatch.computeIfAbsent(matchKey(route), key -> new HashSet<>()).add(name);
         for (Destination destination : route.destinations()) {
-            routesOfService
+            routesByService
                     .computeIfAbsent(destination.service(), key -> new HashSet<>())
                     .add(name);
         }
     }
 
-    private void forget(ItemName name, Route route) {
+    private void remove(ItemName name, Route route) {
         if (route == null) {
             return;
         }
-        routesAtPlace.get(place(route)).remove(name);
+        routesByMatch.get(matchKey(route)).remove(name);
         for (Destination destination : route.destinations()) {
-            routesOfService.get(destination.service()).remove(name);
+            routesByService.get(destination.service()).remove(name);
         }
     }
 
-    private static String place(Route route) {
+    private static String matchKey(Route route) {
         return route.hostname() + "\n" + route.pathPrefix();
     }
 
     @Override
-    public Optional<String> fault(Collection<Item> items) {
+    public Optional<String> validate(Collection<Item> items) {
         Change change = new Change(items);
         return change.routeFault().or(change::serviceFault);
     }
 
-    /** A change on top of the index. */
+    /** A change to be checked against the index. */
     private final class Change {
 
-        /** The routes that change; empty for those that are dropped. */
+        /** The changed routes; empty for removed routes. */
         private final Map<ItemName, Optional<Route>> changedRoutes = new HashMap<>();
-        /** Whether the services that change are there afterwards. */
+        /** The changed services, with whether they exist after the change. */
         private final Map<String, Boolean> changedServices = new HashMap<>();
 
         Change(Collection<Item> items) {
@@ -95,13 +96,13 @@
                 if (item.name().kind() == ItemKind.ROUTE) {
                     changedRoutes.put(item.name(), Optional.ofNullable(ItemParser.route(item)));
                 } else if (item.name().kind() == ItemKind.SERVICE) {
-                    changedServices.put(item.name().name(), !item.isDrop());
+                    changedServices.put(item.name().name(), !item.isTombstone());
                 }
             }
         }
 
         Optional<String> routeFault() {
-            Map<String, ItemName> places = new HashMap<>();
+            Map<String, ItemName> changedByMatch = new HashMap<>();
             for (Map.Entry<ItemName, Optional<Route>> entry : changedRoutes.entrySet()) {
                 Route route = entry.getValue().orElse(null);
                 if (route == null) {
@@ -113,8 +114,8 @@
                         return Optional.of(describe(name) + ": names the unknown service " + destination.service());
                     }
                 }
-                ItemName other = places.put(place(route), name);
-                other = other == null ? standingAt(place(route)) : other;
+                ItemName other = changedByMatch.put(matchKey(route), name);
+                other = other == null ? unchangedRouteAt(matchKey(route)) : other;
                 if (other != null) {
                     return Optional.of(describe(name) + ": has the same host and prefix as " + other.name());
                 }
@@ -122,9 +123,9 @@
             return Optional.empty();
         }
 
-        /** A route at a place that the change leaves as it is; null if there is none. */
-        private ItemName standingAt(String place) {
-            for (ItemName name : routesAtPlace.getOrDefault(place, Set.of())) {
+        /** Returns a route with this host and prefix that the change does not affect; null if there is none. */
+        private ItemName unchangedRouteAt(String key) {
+            for (ItemName name : routesByMatch.getOrDefault(key, Set.of())) {
                 if (!changedRoutes.containsKey(name)) {
                     return name;
                 }
@@ -136,10 +137,10 @@
             return changedServices.getOrDefault(service, services.contains(service));
         }
 
-        /** A service must not go while a route that stays names it. */
+        /** Checks that no removed service is used by a route that remains. */
         Optional<String> serviceFault() {
             for (Map.Entry<String, Boolean> entry : changedServices.entrySet()) {
-                for (ItemName name : routesOfService.getOrDefault(entry.getKey(), Set.of())) {
+                for (ItemName name : routesByService.getOrDefault(entry.getKey(), Set.of())) {
                     if (!entry.getValue() && !changedRoutes.containsKey(name)) {
                         return Optional.of(describe(name) + ": names the unknown service " + entry.getKey());
                     }
--- a/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
+++ b/cdn/src/main/java/ridgemill/cdn/log/LineLoggerFinder.java
@@ -5,12 +5,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Brings a {@link System.Logger} that writes each event as one line of key=value pairs to standard error. The JDK's own
- * takes far longer to start. Debug events are written if the system property {@code ridgemill.log} is {@code debug}.
+ * Provides a {@link System.Logger} that writes each event as one line of key=value pairs to standard error. The logger
+ * of the JDK takes much longer to start. Debug events are written if the system property {@code ridgemill.log} is
+ * {@code debug}.
  */
 public final class LineLoggerFinder extends System.LoggerFinder {
 
-    private static final System.Logger.Level LEAST =
+    private static final System.Logger.Level MIN_LEVEL =
             "debug".equals(System.getProperty("ridgemill.log")) ? System.Logger.Level.DEBUG : System.Logger.Level.INFO;
 
     private final Map<String, System.Logger> loggers = new ConcurrentHashMap<>();
@@ -20,7 +21,7 @@
         return loggers.computeIfAbsent(name, LineLogger::new);
     }
 
-    /** Writes lines for one class. */
+    /** A logger of one class. */
     private record LineLogger(String name) implements System.Logger {
 
         @Override
@@ -30,7 +31,7 @@
 
         @Override
         public boolean isLoggable(Level level) {
-            return level.getSeverity() >= LEAST.getSeverity();
+            return level.getSeverity() >= MIN_LEVEL.getSeverity();
         }
 
         @Override
