--- a/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Attempt.java
@@ -1,48 +1,48 @@
 package ridgemill.cdn.proxy;
 
 import java.util.function.Consumer;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.edge.InstanceStats;
 import ridgemill.cdn.edge.Invariant;
-import ridgemill.cdn.edge.Verdict;
 import ridgemill.core.Timers;
 
 /**
- * One request at one instance, from the wish for a connection to its verdict. Reports what came of it to the
- * statistics.
+ * One attempt to send a request to one instance, from acquiring a connection to the outcome, which it reports to the
+ * instance's statistics and the service's admission.
  */
 final class Attempt implements ConnectionListener {
 
-    private static final double LEAST_LEFT_MS = 1;
+    private static final double MIN_REMAINING_MS = 1;
 
     private final ProxyContext context;
     private final Upstream upstream;
     private final InstanceStats instance;
-    private final InstancePool pool;
+    private final ConnectionPool pool;
     private final OutgoingRequest request;
-    private final boolean repeatable;
+    private final boolean retryable;
     private final Consumer<Attempt> callback;
     private InstanceConnection connection;
     private Timers.Timer timer;
     private double deadlineMs;
-    private double endMs;
+    private double responseTimeoutAtMs;
     private double sentAtMs = Double.NaN;
-    private Verdict verdict;
-    private InstanceAnswer answer;
-    private boolean over;
+    private AttemptOutcome outcome;
+    private InstanceResponse response;
+    private boolean finished;
 
     Attempt(
             ProxyContext context,
             Upstream upstream,
             InstanceStats instance,
             OutgoingRequest request,
-            boolean repeatable,
+            boolean retryable,
             Consumer<Attempt> callback) {
         this.context = context;
         this.upstream = upstream;
         this.instance = instance;
         this.pool = upstream.pool(instance);
         this.request = request;
-        this.repeatable = repeatable;
+        this.retryable = retryable;
         this.callback = callback;
     }
 
@@ -50,59 +50,60 @@
         return instance;
     }
 
-    /** How it ended. */
-    Verdict verdict() {
-        return verdict;
+    /** How the attempt ended; null while it is in progress or if it was cancelled. */
+    AttemptOutcome outcome() {
+        return outcome;
     }
 
-    /** The answer, if the verdict is that there is one. */
-    InstanceAnswer answer() {
-        return answer;
+    /** The response; null unless the instance or shared cache sent a complete one. */
+    InstanceResponse response() {
+        return response;
     }
 
-    /** Whether the request was handed to a connection, so that it may have arrived. */
+    /** Whether the request was passed to a connection, so that it may have reached the instance. */
     boolean isSent() {
-        return !Double.isNaN(sentAtMs) && verdict != Verdict.NEVER_WRITTEN;
+        return !Double.isNaN(sentAtMs) && outcome != AttemptOutcome.NEVER_WRITTEN;
     }
 
     /**
-     * Begins.
+     * Starts the attempt.
      *
-     * @param requestDeadlineMs when the request's sender gives up
-     * @param silentUntilMs until when silence is borne
+     * @param requestDeadlineMs when the sender of the request stops waiting, on the proxy's clock
+     * @param timeoutAtMs when the attempt ends as {@code SILENT} if no response has arrived; infinite for no such
+     *     timeout
      */
-    void start(double requestDeadlineMs, double silentUntilMs) {
+    void start(double requestDeadlineMs, double timeoutAtMs) {
         deadlineMs = requestDeadlineMs;
-        endMs = silentUntilMs;
-        instance.began();
-        pool.acquire(repeatable, this::connected);
+        responseTimeoutAtMs = timeoutAtMs;
+        instance.requestStarted();
+        pool.acquire(retryable, this::connected);
     }
 
-    private void connected(InstanceConnection given) {
+    private void connected(InstanceConnection newConnection) {
         double nowMs = context.now();
-        if (over) {
-            abandoned(given);
-        } else if (given == null) {
-            end(Verdict.CONNECT_FAILED, null);
-        } else if (pool.isClosed() || deadlineMs - nowMs < LEAST_LEFT_MS) {
-            // The instance began to leave while the connection came up, or this process stood still: what is sent now
-            // would run too late.
-            pool.release(given);
-            end(Verdict.NEVER_WRITTEN, null);
+        if (finished) {
+            connectedAfterCancel(newConnection);
+        } else if (newConnection == null) {
+            end(AttemptOutcome.CONNECT_FAILED, null);
+        } else if (pool.isClosed() || deadlineMs - nowMs < MIN_REMAINING_MS) {
+            // The instance began to drain while the connection was being established, or this process was paused: a
+            // request sent now would run too late.
+            pool.release(newConnection);
+            end(AttemptOutcome.NEVER_WRITTEN, null);
         } else {
-            connection = given;
+            connection = newConnection;
             sentAtMs = nowMs;
             upstream.meters().countSent();
             context.invariants()
                     .check(
-                            upstream.originShare().isWithinPart(),
+                            upstream.originShare().isWithinShare(),
                             Invariant.REQUESTS_WITHIN_PART,
                             instance.instance().service());
-            if (endMs < Double.POSITIVE_INFINITY) {
-                timer = context.timers().at(endMs, this::silent);
+            if (responseTimeoutAtMs < Double.POSITIVE_INFINITY) {
+                timer = context.timers().scheduleAt(responseTimeoutAtMs, this::timedOut);
             }
-            given.send(
-                    request.bytes(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
+            newConnection.send(
+                    request.encode(context.allocator(), instance.instance().id(), deadlineMs - nowMs),
                     request.attemptId(),
                     request.isHead(),
                     nowMs,
@@ -110,93 +111,102 @@
         }
     }
 
-    /** It was cancelled while its connection came up: the place that this held is free from now on. */
-    private void abandoned(InstanceConnection given) {
-        instance.withdrawn();
-        if (given != null) {
-            pool.release(given);
+    /**
+     * The attempt was cancelled while its connection was being established. The slot that it held at the instance is
+     * released now.
+     */
+    private void connectedAfterCancel(InstanceConnection newConnection) {
+        instance.requestWithdrawn();
+        if (newConnection != null) {
+            pool.release(newConnection);
         }
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
-    private void silent() {
-        if (!over) {
+    private void timedOut() {
+        if (!finished) {
             connection.abort();
-            end(Verdict.SILENT, null);
+            end(AttemptOutcome.SILENT, null);
         }
     }
 
-    /** Gives it up without a word to the callback. A connection that is coming up holds its place until it is there. */
-    void cancel(boolean late) {
-        if (over) {
+    /**
+     * Cancels the attempt without calling the callback. If its connection is still being established, it keeps its
+     * slot at the instance until that ends.
+     *
+     * @param deadlinePassed whether the request's time has run out, which then counts as a failure of the instance
+     */
+    void cancel(boolean deadlinePassed) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         stopTimer();
         if (connection != null) {
             connection.abort();
         }
-        if (isSent() && late) {
-            report(Verdict.SILENT);
+        if (isSent() && deadlinePassed) {
+            report(AttemptOutcome.SILENT);
         } else {
             if (connection != null) {
-                instance.withdrawn();
+                instance.requestWithdrawn();
             }
-            giveBackShare();
+            returnOriginShare();
         }
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
     @Override
-    public void ended(Verdict how, InstanceAnswer whole, String load) {
+    public void exchangeEnded(AttemptOutcome result, InstanceResponse completeResponse, String load) {
         if (load != null) {
-            LoadHeader.tell(instance, load, context.now());
+            LoadHeader.apply(instance, load, context.now());
         }
-        boolean broke = how == Verdict.RESET || how == Verdict.NEVER_WRITTEN;
-        if (broke && connection.idleBeforeMs() == 0) {
+        boolean connectionBroke = result == AttemptOutcome.RESET || result == AttemptOutcome.NEVER_WRITTEN;
+        if (connectionBroke && connection.idleBeforeMs() == 0) {
             upstream.meters().countBrokenUnused();
         }
-        pool.used(connection, broke);
-        end(how, whole);
+        pool.exchangeEnded(connection, connectionBroke);
+        end(result, completeResponse);
     }
 
-    private void end(Verdict how, InstanceAnswer whole) {
-        if (over) {
+    private void end(AttemptOutcome result, InstanceResponse completeResponse) {
+        if (finished) {
             return;
         }
-        over = true;
+        finished = true;
         stopTimer();
-        verdict = how;
-        answer = whole;
-        if (connection == null && how == Verdict.NEVER_WRITTEN) {
-            instance.withdrawn();
+        outcome = result;
+        response = completeResponse;
+        if (connection == null && result == AttemptOutcome.NEVER_WRITTEN) {
+            instance.requestWithdrawn();
         } else {
-            report(how);
+            report(result);
         }
-        giveBackShare();
+        returnOriginShare();
         callback.accept(this);
-        upstream.recall();
+        upstream.retryWaiting();
     }
 
-    private void giveBackShare() {
+    private void returnOriginShare() {
         if (!isSent()) {
             upstream.originShare().giveBack(context.now());
         }
     }
 
-    private void report(Verdict how) {
+    private void report(AttemptOutcome result) {
         double nowMs = context.now();
         double elapsedMs = nowMs - sentAtMs;
-        boolean failedInside = answer != null && answer.isFailure();
-        boolean timely = elapsedMs <= request.targetMs();
-        instance.ended(nowMs, how, elapsedMs, failedInside, upstream.picker().maySpare(nowMs));
-        switch (how) {
-            case ANSWERED -> upstream.admission().count(!failedInside && timely);
-            case SILENT, GARBLED -> upstream.admission().count(false);
-            case RESET, CONNECT_FAILED -> upstream.admission().countBroken();
-            case DECLINED -> upstream.admission().count(false);
+        boolean serverFailed = response != null && response.isFailure();
+        boolean timely = elapsedMs <= request.targetLatencyMs();
+        instance.requestEnded(
+                nowMs, result, elapsedMs, serverFailed, upstream.picker().mayEject(nowMs));
+        switch (result) {
+            case ANSWERED -> upstream.admission().countAttempt(!serverFailed && timely);
+            case SILENT, GARBLED -> upstream.admission().countAttempt(false);
+            case RESET, CONNECT_FAILED -> upstream.admission().countConnectionFailure();
+            case DECLINED -> upstream.admission().countAttempt(false);
             case REFUSED_BY_CACHE, MISDIRECTED, NEVER_WRITTEN -> {}
-            default -> throw new IllegalStateException(how.name());
+            default -> throw new IllegalStateException(result.name());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/CachedExchange.java
@@ -5,29 +5,29 @@
 import ridgemill.cdn.edge.Invariant;
 import ridgemill.cdn.edge.RefusalReason;
 
-/** A read of an object that may be answered from a copy. */
+/** A read of an object that may be served from a copy. */
 final class CachedExchange extends Exchange {
 
-    /** How often a request may wait for fetches that others started and that failed. */
-    private static final int MOST_FETCHES = 2;
+    /** How many failed fetches of other requests a request may wait for before the next failure ends it. */
+    private static final int MAX_FAILED_SHARED_FETCHES = 2;
 
     private final ServiceState service;
-    private final ObjectFetches objects;
+    private final ObjectFetcher fetcher;
     private ObjectFetch fetch;
     private int fetches;
-    private double askedMs;
-    private boolean ownMayHaveRun;
+    private double requestedAtMs;
+    private boolean ownFetchMayHaveRun;
 
     CachedExchange(
             ProxyContext context,
-            FrontConnection client,
+            ClientConnection client,
             ClientRequest request,
             Route route,
             ServiceState service,
-            ObjectFetches objects) {
+            ObjectFetcher fetcher) {
         super(context, client, request, route);
         this.service = service;
-        this.objects = objects;
+        this.fetcher = fetcher;
     }
 
     @Override
@@ -35,71 +35,76 @@
         return service;
     }
 
-    /** How old a copy was as the request arrived, in milliseconds; 0 if its fetch began later. */
+    /** The age of a copy at the time the request arrived, in milliseconds; 0 if its fetch started later. */
     private String ageOnArrival(CachedObject copy) {
-        return Long.toString((long) Math.max(0, Math.ceil(arrivedMs() - copy.fetchStartedMs())));
+        return Long.toString((long) Math.max(0, Math.ceil(arrivedAtMs() - copy.fetchStartedMs())));
     }
 
-    /** How old a copy may be that answers it, in milliseconds: infinite but for what edge proxies ask shared caches. */
+    /**
+     * The maximum acceptable age of a copy for this request, in milliseconds. Infinite unless an edge proxy sent a
+     * limit to this shared cache.
+     */
     double maxAgeMs() {
-        long told = CacheHeaders.number(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
-        return context().isSharedCache() && told < Long.MAX_VALUE ? told : Double.POSITIVE_INFINITY;
+        long limitMs = CacheHeaders.getLong(request().headers(), CacheHeaders.MAX_AGE, Long.MAX_VALUE);
+        return context().isSharedCache() && limitMs < Long.MAX_VALUE ? limitMs : Double.POSITIVE_INFINITY;
     }
 
-    /** When it began to wait for the fetch that it waits for. */
-    double askedMs() {
-        return askedMs;
+    /** When the request began to wait for its current fetch. */
+    double requestedAtMs() {
+        return requestedAtMs;
     }
 
     @Override
     void run() {
-        askedMs = context().now();
+        requestedAtMs = context().now();
         fetches++;
-        fetch = objects.ask(this);
+        fetch = fetcher.serveOrFetch(this);
     }
 
-    /** The object is there. */
-    void found(CachedObject copy) {
+    /** A usable copy is available. */
+    void copyAvailable(CachedObject copy) {
         fetch = null;
         context()
                 .invariants()
-                .check(objects.isAsNewAsPurges(copy, askedMs), Invariant.COPY_NEWER_THAN_PURGE, copy.key());
-        FinalAnswer answer = FinalAnswer.of(copy, request());
-        boolean tellsAge = context().isSharedCache();
-        answer(tellsAge ? answer.with(CacheHeaders.AGE, ageOnArrival(copy)) : answer);
+                .check(fetcher.isNotOlderThanPurges(copy, requestedAtMs), Invariant.COPY_NEWER_THAN_PURGE, copy.key());
+        FinalResponse response = FinalResponse.of(copy, request());
+        boolean addAge = context().isSharedCache();
+        respond(addAge ? response.addHeader(CacheHeaders.AGE, ageOnArrival(copy)) : response);
     }
 
-    /** It started the fetch and this came of it, which is no copy. */
-    void failed(Delivery.Result result) {
+    /** The fetch that this request started ended without a copy. */
+    void ownFetchFailed(UpstreamCall.Result result) {
         fetch = null;
-        answer(result);
+        respond(result);
     }
 
-    /** Another one's fetch brought nothing that it may have. */
-    void again(Delivery.Result result) {
+    /** The fetch of another request ended without a copy that may be used for this one. */
+    void sharedFetchFailed(UpstreamCall.Result result) {
         fetch = null;
-        if (isOver()) {
+        if (isFinished()) {
             return;
         }
-        boolean refused = result instanceof Delivery.Result.Failed failed && !failed.mayHaveRun();
-        if (refused || fetches > MOST_FETCHES) {
-            refuse(RefusalReason.SHARED_FETCH, result instanceof Delivery.Result.Failed failed ? failed.waitMs() : 0);
+        boolean refused = result instanceof UpstreamCall.Result.Failed failed && !failed.mayHaveRun();
+        if (refused || fetches > MAX_FAILED_SHARED_FETCHES) {
+            refuse(
+                    RefusalReason.SHARED_FETCH,
+                    result instanceof UpstreamCall.Result.Failed failed ? failed.retryAfterMs() : 0);
         } else {
             run();
         }
     }
 
     @Override
-    void giveUp(boolean late) {
+    void cancel(boolean deadlinePassed) {
         if (fetch != null) {
-            ownMayHaveRun = fetch.isOf(this) && fetch.mayHaveRun();
-            fetch.leave(this, late);
+            ownFetchMayHaveRun = fetch.isInitiatedBy(this) && fetch.mayHaveRun();
+            fetch.leave(this, deadlinePassed);
             fetch = null;
         }
     }
 
     @Override
     boolean mayHaveRun() {
-        return ownMayHaveRun || fetch != null && fetch.isOf(this) && fetch.mayHaveRun();
+        return ownFetchMayHaveRun || fetch != null && fetch.isInitiatedBy(this) && fetch.mayHaveRun();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/FrontConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ClientConnection.java
@@ -17,19 +17,27 @@
 import ridgemill.cdn.proxy.http.MessageWriter;
 import ridgemill.cdn.proxy.http.RequestReader;
 
-/** A client's connection: reads one request at a time and writes its answer before it looks at the next. */
-final class FrontConnection extends ChannelInboundHandlerAdapter {
+/**
+ * The connection of a client. It processes one request at a time and writes the response before it reads the next
+ * request.
+ */
+final class ClientConnection extends ChannelInboundHandlerAdapter {
 
-    /** Bytes of further requests that are taken in while one is under way. */
-    private static final int MOST_AHEAD = 64 * 1_024;
-    /** How long a connection whose last answer is out is kept for its client to close it, in milliseconds. */
+    /** Maximum number of bytes of pipelined requests that are buffered while a request is in progress. */
+    private static final int MAX_PIPELINED_BYTES = 64 * 1_024;
+    /**
+     * How long a connection is kept open after its last response, so that the client closes it first, in milliseconds.
+     */
     private static final double LINGER_MS = 1_000;
-    /** The stated idle time is this much below the true one, in milliseconds. */
-    private static final long IDLE_MARGIN_MS = 1_000;
+    /**
+     * The advertised keep-alive timeout is this much shorter than the actual one, in milliseconds, so that clients
+     * stop using a connection before it is closed.
+     */
+    private static final long KEEP_ALIVE_MARGIN_MS = 1_000;
 
     private static final long MS_PER_SECOND = 1_000;
     private static final String CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n";
-    private static final String CLOSE = "Connection: close\r\n";
+    private static final String CONNECTION_CLOSE_LINE = "Connection: close\r\n";
 
     private enum State {
         IDLE,
@@ -39,30 +47,30 @@
         CLOSING
     }
 
-    private final DataPath path;
+    private final DataPath dataPath;
     private final RequestReader reader = new RequestReader();
     private Channel channel;
     private ByteBuf pending = Unpooled.EMPTY_BUFFER;
     private State state = State.IDLE;
-    private double untilMs;
-    private Exchange current;
+    private double timeoutAtMs;
+    private Exchange currentExchange;
     private boolean keepAlive;
     private boolean processing;
 
-    FrontConnection(DataPath path) {
-        this.path = path;
+    ClientConnection(DataPath dataPath) {
+        this.dataPath = dataPath;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        idle();
-        path.opened(this);
+        becomeIdle();
+        dataPath.opened(this);
     }
 
-    private void idle() {
+    private void becomeIdle() {
         state = State.IDLE;
-        untilMs = path.now() + path.limits().idleTimeoutMs();
+        timeoutAtMs = dataPath.now() + dataPath.limits().idleTimeoutMs();
     }
 
     @Override
@@ -74,7 +82,7 @@
         }
         pending = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context.alloc(), pending, bytes);
         if (state == State.BUSY) {
-            if (pending.readableBytes() > MOST_AHEAD) {
+            if (pending.readableBytes() > MAX_PIPELINED_BYTES) {
                 channel.config().setAutoRead(false);
             }
         } else {
@@ -82,7 +90,7 @@
         }
     }
 
-    /** Reads requests as long as they are answered at once. */
+    /** Processes buffered requests until one is in progress or more bytes are needed. */
     private void process() {
         if (processing) {
             return;
@@ -90,19 +98,19 @@
         processing = true;
         try {
             while (state != State.BUSY && state != State.CLOSING && pending.isReadable()) {
-                Limits limits = path.limits();
-                reader.limits(limits.maxHeaderBytes(), limits.maxBodyBytes());
+                Limits limits = dataPath.limits();
+                reader.setLimits(limits.maxHeaderBytes(), limits.maxBodyBytes());
                 if (!reader.read(pending)) {
-                    partial(limits);
+                    requestIncomplete(limits);
                     break;
                 }
                 state = State.BUSY;
                 keepAlive = reader.isKeepAlive();
-                begin();
+                handleRequest();
             }
         } catch (BadMessageException e) {
-            path.log().line("event=bad-request status=" + e.status() + " reason=\"" + e.getMessage() + "\"");
-            last(FinalAnswer.own(e.status(), null));
+            dataPath.log().info("event=bad-request status=" + e.status() + " reason=\"" + e.getMessage() + "\"");
+            respondAndClose(FinalResponse.generated(e.status(), null));
         } finally {
             processing = false;
         }
@@ -112,12 +120,15 @@
         }
     }
 
-    /** A part of a request has come. */
-    private void partial(Limits limits) {
+    /**
+     * Updates the timeout while a request has arrived only in part, and sends {@code 100 Continue} if the client waits
+     * for it.
+     */
+    private void requestIncomplete(Limits limits) {
         if (!reader.hasHead()) {
             if (state == State.IDLE) {
                 state = State.HEAD;
-                untilMs = path.now() + limits.headerTimeoutMs();
+                timeoutAtMs = dataPath.now() + limits.headerTimeoutMs();
             }
             return;
         }
@@ -125,118 +136,132 @@
             channel.writeAndFlush(ByteBufUtil.writeAscii(channel.alloc(), CONTINUE));
         }
         state = State.BODY;
-        untilMs = path.now() + limits.idleTimeoutMs();
+        timeoutAtMs = dataPath.now() + limits.idleTimeoutMs();
     }
 
-    private void begin() {
+    private void handleRequest() {
         String host = reader.headers().get("Host");
         if (reader.headers().count("Host") != 1 || host.isEmpty()) {
             keepAlive = false;
-            answer(null, FinalAnswer.own(400, null));
+            respond(null, FinalResponse.generated(400, null));
             return;
         }
         ClientRequest request = new ClientRequest(
                 reader.method(),
                 reader.target(),
-                name(host),
+                hostname(host),
                 reader.headers().get(ClientRequest.ATTEMPT_ID),
                 reader.headers(),
                 reader.body());
         reader.reset();
-        Exchange exchange = path.route(this, request);
+        Exchange exchange = dataPath.route(this, request);
         if (exchange != null) {
-            current = exchange;
+            currentExchange = exchange;
             exchange.start();
         }
     }
 
-    private static String name(String host) {
+    private static String hostname(String host) {
         int colon = host.lastIndexOf(':');
         return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
     }
 
-    /** Writes the answer of the request that is under way; {@code exchange} is null if none was made for it. */
-    void answer(Exchange exchange, FinalAnswer answer) {
-        if (state != State.BUSY || exchange != current) {
+    /**
+     * Writes the response to the current request; {@code exchange} is null if the request was answered without one.
+     * Ignored if it is not the current exchange.
+     */
+    void respond(Exchange exchange, FinalResponse response) {
+        if (state != State.BUSY || exchange != currentExchange) {
             return;
         }
-        current = null;
-        if (!keepAlive || path.isDraining()) {
-            last(answer);
+        currentExchange = null;
+        if (!keepAlive || dataPath.isDraining()) {
+            respondAndClose(response);
             return;
         }
-        write(answer, keepAliveLine());
+        writeResponse(response, keepAliveLine());
         reader.reset();
-        idle();
-        path.becameIdle(this);
+        becomeIdle();
+        dataPath.becameIdle(this);
         channel.config().setAutoRead(true);
         process();
     }
 
     private String keepAliveLine() {
-        long seconds = (path.limits().idleTimeoutMs() - IDLE_MARGIN_MS) / MS_PER_SECOND;
+        long seconds = (dataPath.limits().idleTimeoutMs() - KEEP_ALIVE_MARGIN_MS) / MS_PER_SECOND;
         return seconds < 1 ? "" : "Keep-Alive: timeout=" + seconds + "\r\n";
     }
 
-    /** Writes an answer behind which the connection ends; what still comes is not read, so that it can't reset it. */
-    private void last(FinalAnswer answer) {
+    /**
+     * Writes the last response of the connection. Further input is discarded rather than left unread: closing a socket
+     * with unread input would reset the connection and could destroy the response.
+     */
+    private void respondAndClose(FinalResponse response) {
         state = State.CLOSING;
-        untilMs = path.now() + LINGER_MS;
+        timeoutAtMs = dataPath.now() + LINGER_MS;
         channel.config().setAutoRead(true);
-        write(answer, CLOSE);
+        writeResponse(response, CONNECTION_CLOSE_LINE);
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
     }
 
-    private void write(FinalAnswer answer, String more) {
-        ByteBuf bytes = MessageWriter.answer(
-                channel.alloc(), answer.status(), answer.headers(), more, answer.length(), answer.body());
+    private void writeResponse(FinalResponse response, String connectionHeader) {
+        ByteBuf bytes = MessageWriter.response(
+                channel.alloc(),
+                response.status(),
+                response.headers(),
+                connectionHeader,
+                response.contentLength(),
+                response.body());
         if (state == State.CLOSING) {
-            endOutput(channel.writeAndFlush(bytes));
+            shutdownOutputAfter(channel.writeAndFlush(bytes));
         } else {
             channel.writeAndFlush(bytes);
         }
     }
 
-    /** Closes it if its time has passed. */
+    /** Closes the connection, or responds with 408, if its timeout has passed. */
     void tick(double nowMs) {
-        if (state == State.BUSY || nowMs < untilMs) {
+        if (state == State.BUSY || nowMs < timeoutAtMs) {
             return;
         }
         if (state == State.HEAD || state == State.BODY) {
-            last(FinalAnswer.own(408, null));
-        } else if (!hasUnsent() || state != State.IDLE && !channel.isWritable()) {
+            respondAndClose(FinalResponse.generated(408, null));
+        } else if (!hasUnsentOutput() || state != State.IDLE && !channel.isWritable()) {
             channel.close();
         } else {
-            untilMs = nowMs + LINGER_MS;
+            timeoutAtMs = nowMs + LINGER_MS;
         }
     }
 
-    /** Whether a part of an answer waits to be taken by the client's side. */
-    boolean hasUnsent() {
+    /** Whether some output has not been accepted by the socket yet. */
+    boolean hasUnsentOutput() {
         return channel.isActive()
                 && channel.unsafe().outboundBuffer() != null
                 && !channel.unsafe().outboundBuffer().isEmpty();
     }
 
-    /** Whether no request is under way or coming, and the last answer has gone out whole. */
+    /** Whether no request is in progress or partially received, and the last response has been sent completely. */
     boolean isIdle() {
-        return state == State.IDLE && !pending.isReadable() && !hasUnsent();
+        return state == State.IDLE && !pending.isReadable() && !hasUnsentOutput();
     }
 
-    /** Closes it, behind what is still to be sent, if no request is under way or coming. */
+    /** Closes the connection after its unsent output if no request is in progress or partially received. */
     void closeIfIdle() {
         if (state == State.IDLE) {
             state = State.CLOSING;
-            endOutput(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
+            shutdownOutputAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
         }
     }
 
-    /** Ends the output once a write is out; a close at once would drop what a slow client has not taken yet. */
-    private void endOutput(ChannelFuture written) {
-        untilMs = path.now() + LINGER_MS;
+    /**
+     * Shuts down the output after a write has completed. Closing the connection at once would discard output that a
+     * slow client has not read yet.
+     */
+    private void shutdownOutputAfter(ChannelFuture written) {
+        timeoutAtMs = dataPath.now() + LINGER_MS;
         written.addListener((ChannelFutureListener) done -> {
-            untilMs = path.now() + LINGER_MS;
+            timeoutAtMs = dataPath.now() + LINGER_MS;
             ((DuplexChannel) done.channel()).shutdownOutput();
         });
     }
@@ -250,18 +275,18 @@
         state = State.CLOSING;
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
-        path.closed(this);
-        if (current != null) {
-            Exchange abandoned = current;
-            current = null;
-            abandoned.clientGone();
+        dataPath.closed(this);
+        if (currentExchange != null) {
+            Exchange abandoned = currentExchange;
+            currentExchange = null;
+            abandoned.clientDisconnected();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            EventLog.fault("event=fault place=front", cause);
+            EventLog.error("event=fault place=front", cause);
         }
         context.close();
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/Exchange.java
@@ -4,125 +4,129 @@
 import ridgemill.cdn.edge.RefusalReason;
 import ridgemill.core.Timers;
 
-/** One request of a client, from its arrival to its one final answer. */
+/** One request of a client, from its arrival to its one final response. */
 abstract class Exchange {
 
-    /** The answer leaves this long before the deadline, in milliseconds. */
-    private static final double GUARD_MS = 5;
+    /** How long before the deadline the response is sent, in milliseconds. */
+    private static final double RESPONSE_MARGIN_MS = 5;
 
     private final ProxyContext context;
-    private final FrontConnection client;
+    private final ClientConnection client;
     private final ClientRequest request;
     private final Route route;
-    private final double arrivedMs;
+    private final double arrivedAtMs;
     private final double deadlineMs;
-    private Timers.Timer deadline;
-    private boolean over;
+    private Timers.Timer deadlineTimer;
+    private boolean finished;
 
-    Exchange(ProxyContext context, FrontConnection client, ClientRequest request, Route route) {
+    Exchange(ProxyContext context, ClientConnection client, ClientRequest request, Route route) {
         this.context = context;
         this.client = client;
         this.request = request;
         this.route = route;
-        this.arrivedMs = context.now();
-        this.deadlineMs = arrivedMs + Math.min(request.remainingMs(), route.timeoutMs()) - GUARD_MS;
+        this.arrivedAtMs = context.now();
+        this.deadlineMs = arrivedAtMs + Math.min(request.remainingMs(), route.timeoutMs()) - RESPONSE_MARGIN_MS;
     }
 
-    /** Does what the request asks for; it answers sooner or later, or the deadline does. */
+    /** Starts processing the request. It responds later, unless the deadline passes first. */
     abstract void run();
 
-    /** The deadline has passed or the client has left: gives up what is under way. */
-    abstract void giveUp(boolean late);
+    /**
+     * Cancels the work in progress.
+     *
+     * @param deadlinePassed true if the deadline has passed, false if the client has disconnected
+     */
+    abstract void cancel(boolean deadlinePassed);
 
     /** Whether the request may have run, or may be running. */
     abstract boolean mayHaveRun();
 
-    /** The service that it asks for. */
+    /** The service that the request is for. */
     abstract ServiceState service();
 
-    /** Starts the request and its deadline. */
+    /** Starts the request and its deadline timer. */
     final void start() {
-        context.countInFlight(1);
-        if (deadlineMs <= arrivedMs) {
+        context.addInFlight(1);
+        if (deadlineMs <= arrivedAtMs) {
             refuse(RefusalReason.OUT_OF_TIME, 0);
             return;
         }
-        deadline = context.timers().at(deadlineMs, this::deadlinePassed);
+        deadlineTimer = context.timers().scheduleAt(deadlineMs, this::deadlinePassed);
         run();
     }
 
     private void deadlinePassed() {
-        if (over) {
+        if (finished) {
             return;
         }
-        boolean ran = mayHaveRun();
-        over = true;
-        giveUp(true);
-        over = false;
-        if (ran) {
+        boolean mayHaveRun = mayHaveRun();
+        finished = true;
+        cancel(true);
+        finished = false;
+        if (mayHaveRun) {
             fail(RefusalReason.OUT_OF_TIME);
         } else {
             refuse(RefusalReason.OUT_OF_TIME, 0);
         }
     }
 
-    /** The client has closed its connection. */
-    final void clientGone() {
-        if (!over) {
+    /** Called when the client has closed its connection. */
+    final void clientDisconnected() {
+        if (!finished) {
             end();
-            giveUp(false);
+            cancel(false);
         }
     }
 
-    /** Gives the final answer, if none was given. */
-    final void answer(FinalAnswer answer) {
-        if (!over) {
+    /** Sends the final response unless the exchange is finished. */
+    final void respond(FinalResponse response) {
+        if (!finished) {
             end();
-            client.answer(this, answer);
+            client.respond(this, response);
         }
     }
 
-    /** Refuses the request, which has not run and will not. */
-    final void refuse(RefusalReason reason, double waitMs) {
-        if (!over) {
+    /** Refuses the request, which has not run and will not run. */
+    final void refuse(RefusalReason reason, double retryAfterMs) {
+        if (!finished) {
             service().meters().countRefused(reason);
         }
-        FinalAnswer refusal = FinalAnswer.later(503, request.attemptId(), waitMs);
-        answer(context.isSharedCache() ? refusal.with(CacheHeaders.REFUSAL, reason.label()) : refusal);
+        FinalResponse refusal = FinalResponse.retryLater(503, request.attemptId(), retryAfterMs);
+        respond(context.isSharedCache() ? refusal.addHeader(CacheHeaders.REFUSAL, reason.label()) : refusal);
     }
 
-    /** Ends the request, which may have run, without an answer of an instance. */
+    /** Ends a request that may have run without a response from an instance. */
     private void fail(RefusalReason reason) {
-        if (!over) {
+        if (!finished) {
             service().meters().countFailed(reason);
         }
-        answer(FinalAnswer.own(reason == RefusalReason.OUT_OF_TIME ? 504 : 502, request.attemptId()));
+        respond(FinalResponse.generated(reason == RefusalReason.OUT_OF_TIME ? 504 : 502, request.attemptId()));
     }
 
-    /** Answers with what came of a delivery. */
-    final void answer(Delivery.Result result) {
-        if (result instanceof Delivery.Result.Answered answered) {
-            answer(FinalAnswer.of(answered.answer(), request.method().equals("HEAD")));
-        } else if (result instanceof Delivery.Result.Failed failed) {
+    /** Responds with the result of an upstream call. */
+    final void respond(UpstreamCall.Result result) {
+        if (result instanceof UpstreamCall.Result.Answered answered) {
+            respond(FinalResponse.of(answered.response(), request.method().equals("HEAD")));
+        } else if (result instanceof UpstreamCall.Result.Failed failed) {
             if (failed.mayHaveRun()) {
                 fail(failed.reason());
             } else {
-                refuse(failed.reason(), failed.waitMs());
+                refuse(failed.reason(), failed.retryAfterMs());
             }
         }
     }
 
     private void end() {
-        over = true;
-        if (deadline != null) {
-            deadline.cancel();
+        finished = true;
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel();
         }
-        context.countInFlight(-1);
+        context.addInFlight(-1);
     }
 
-    /** Whether the client needs no answer any more. */
-    final boolean isOver() {
-        return over;
+    /** Whether the response was sent or the client has disconnected. */
+    final boolean isFinished() {
+        return finished;
     }
 
     final ProxyContext context() {
@@ -137,11 +141,11 @@
         return route;
     }
 
-    final double arrivedMs() {
-        return arrivedMs;
+    final double arrivedAtMs() {
+        return arrivedAtMs;
     }
 
-    /** When the client gives up, on the proxy's clock. */
+    /** When the client stops waiting, on the proxy's clock, less the margin for sending the response. */
     final double deadlineMs() {
         return deadlineMs;
     }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/OperationsUnderWay.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InFlightOperations.java
@@ -3,18 +3,20 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import ridgemill.cdn.proxy.control.OperationRegister.RecordedAnswer;
+import ridgemill.cdn.proxy.control.OperationRegister.RecordedResponse;
 
 /**
- * The keyed operations that this proxy is claiming or running. For each key one request at a time leads: it alone asks
- * the register. Repeats wait for what comes of it, which costs no votes.
+ * The keyed operations that this proxy is claiming or running. For each key one request at a time is the leader: only
+ * the leader claims the key at the register. Duplicates wait for its result, which costs no votes.
  */
-final class OperationsUnderWay {
+final class InFlightOperations {
 
     private final Map<String, ArrayDeque<KeyedExchange>> waitingByKey = new HashMap<>();
 
-    /** Makes a request the leader of its key, or lets it wait for the one that leads. Returns whether it leads. */
-    boolean lead(String key, KeyedExchange exchange) {
+    /**
+     * Makes a request the leader of its key, or lets it wait for the current leader. Returns whether it is the leader.
+     */
+    boolean tryLead(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
             waitingByKey.put(key, new ArrayDeque<>(0));
@@ -24,24 +26,24 @@
         return false;
     }
 
-    /** A request does not wait any more. */
-    void forget(String key, KeyedExchange exchange) {
+    /** Removes a request that stopped waiting. */
+    void removeWaiter(String key, KeyedExchange exchange) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting != null) {
             waiting.remove(exchange);
         }
     }
 
-    /** The operation has run: all that wait receive its answer. */
-    void finished(String key, RecordedAnswer answer) {
+    /** The operation has run: all waiting requests receive its response. */
+    void completed(String key, RecordedResponse response) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.remove(key);
         while (waiting != null && !waiting.isEmpty()) {
-            waiting.poll().leaderFinished(answer);
+            waiting.poll().leaderFinished(response);
         }
     }
 
-    /** The leader ends without an answer to give again: the first of those that wait leads on. */
-    void leftOpen(String key) {
+    /** The leader ended without a recorded response: the first waiting request becomes the leader. */
+    void leaderAbandoned(String key) {
         ArrayDeque<KeyedExchange> waiting = waitingByKey.get(key);
         if (waiting == null) {
             return;
@@ -50,7 +52,7 @@
         if (next == null) {
             waitingByKey.remove(key);
         } else {
-            next.leadOn();
+            next.becomeLeader();
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceConnection.java
@@ -7,44 +7,44 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.handler.codec.ByteToMessageDecoder;
-import ridgemill.cdn.edge.Verdict;
-import ridgemill.cdn.proxy.http.AnswerReader;
+import ridgemill.cdn.edge.AttemptOutcome;
 import ridgemill.cdn.proxy.http.BadMessageException;
 import ridgemill.cdn.proxy.http.Headers;
+import ridgemill.cdn.proxy.http.ResponseReader;
 
-/** One connection to an instance; it carries one request at a time. */
+/** One connection to an instance or shared cache; it carries one request at a time. */
 final class InstanceConnection extends ChannelInboundHandlerAdapter {
 
     private static final int MISDIRECTED = 421;
-    /** Surplus answers of earlier requests that are passed over before the one that is due. */
-    private static final int MOST_SURPLUS = 2;
+    /** Maximum number of surplus responses to earlier requests that are skipped before the expected response. */
+    private static final int MAX_SURPLUS_RESPONSES = 2;
 
     private static final double MS_PER_SECOND = 1_000;
 
-    private final InstancePool pool;
-    private final AnswerReader reader = new AnswerReader();
+    private final ConnectionPool pool;
+    private final ResponseReader reader = new ResponseReader();
     private Channel channel;
     private ByteBuf pending = Unpooled.EMPTY_BUFFER;
     private ConnectionListener listener;
     private String attemptId;
-    private boolean written;
-    private boolean answersEarly;
-    private int surplus;
-    private boolean spent;
-    private boolean up;
-    private boolean over;
-    private boolean countsOpen;
+    private boolean requestWritten;
+    private boolean respondsEarly;
+    private int surplusResponses;
+    private boolean notReusable;
+    private boolean connected;
+    private boolean closeReported;
+    private boolean usedBefore;
     private double idleSinceMs;
     private double idleBeforeMs;
-    private double statedIdleMs = Double.NaN;
+    private double keepAliveTimeoutMs = Double.NaN;
 
-    InstanceConnection(InstancePool pool) {
+    InstanceConnection(ConnectionPool pool) {
         this.pool = pool;
     }
 
-    /** Whether a request may be sent on it. */
+    /** Whether a request may be sent on this connection. */
     boolean isUsable() {
-        return channel != null && channel.isActive() && listener == null && !spent;
+        return channel != null && channel.isActive() && listener == null && !notReusable;
     }
 
     /** How long it has been idle, in milliseconds. */
@@ -52,12 +52,15 @@
         return nowMs - idleSinceMs;
     }
 
-    /** After which idle time the instance said it would close it, in milliseconds; not a number if it did not say. */
-    double statedIdleMs() {
-        return statedIdleMs;
+    /**
+     * The idle timeout that the instance advertised in its Keep-Alive header, in milliseconds; NaN if it advertised
+     * none.
+     */
+    double keepAliveTimeoutMs() {
+        return keepAliveTimeoutMs;
     }
 
-    /** How long it had been idle before its current or last request; 0 for its first. */
+    /** How long it had been idle before its current or last request, in milliseconds; 0 for its first request. */
     double idleBeforeMs() {
         return idleBeforeMs;
     }
@@ -65,33 +68,33 @@
     /**
      * Sends a request.
      *
-     * @param bytes the whole request
-     * @param id the id that its answer must carry
-     * @param isHead whether its answer has no body
+     * @param bytes the complete request
+     * @param expectedId the attempt identifier that the response must carry
+     * @param isHead whether the request is a HEAD request, so that the response has no body
      */
-    void send(ByteBuf bytes, String id, boolean isHead, double nowMs, ConnectionListener to) {
-        listener = to;
-        attemptId = id;
-        written = false;
-        answersEarly = false;
-        surplus = 0;
-        idleBeforeMs = countsOpen ? idleMs(nowMs) : 0;
-        countsOpen = true;
+    void send(ByteBuf bytes, String expectedId, boolean isHead, double nowMs, ConnectionListener newListener) {
+        listener = newListener;
+        attemptId = expectedId;
+        requestWritten = false;
+        respondsEarly = false;
+        surplusResponses = 0;
+        idleBeforeMs = usedBefore ? idleMs(nowMs) : 0;
+        usedBefore = true;
         reader.reset();
-        reader.toHead(isHead);
+        reader.setHeadRequest(isHead);
         channel.writeAndFlush(bytes).addListener((ChannelFuture future) -> {
-            if (listener != to) {
+            if (listener != newListener) {
                 return;
             }
             if (future.isSuccess()) {
-                written = true;
+                requestWritten = true;
             } else {
-                end(brokenOff(), null, null);
+                endExchange(disconnectOutcome(), null, null);
             }
         });
     }
 
-    /** Gives up the exchange without a word to its listener and closes the connection. */
+    /** Aborts the exchange without calling its listener and closes the connection. */
     void abort() {
         listener = null;
         close();
@@ -99,17 +102,17 @@
 
     /** Closes the connection. */
     void close() {
-        spent = true;
+        notReusable = true;
         if (channel != null) {
-            over();
+            reportClosed();
             channel.close();
         }
     }
 
-    /** It holds no place any more; told to the pool once, when it is closed from here or has ended. */
-    private void over() {
-        if (up && !over) {
-            over = true;
+    /** Reports the end of the connection to the pool once, when it is closed on this side or by the instance. */
+    private void reportClosed() {
+        if (connected && !closeReported) {
+            closeReported = true;
             pool.closed(this);
         }
     }
@@ -122,7 +125,7 @@
     @Override
     public void channelActive(ChannelHandlerContext context) {
         idleSinceMs = pool.now();
-        up = true;
+        connected = true;
         pool.opened();
     }
 
@@ -130,15 +133,16 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
         ByteBuf bytes = (ByteBuf) message;
         if (listener == null) {
-            // Nothing is awaited: it belongs to no request.
+            // No response is pending: the bytes belong to no request.
             bytes.release();
             close();
             return;
         }
-        if (!written) {
-            // It answers before it has taken the whole request, of which the rest may still be on its way.
-            spent = true;
-            answersEarly = true;
+        if (!requestWritten) {
+            // The response begins before the request was written completely; the rest of the request may still be in
+            // transit.
+            notReusable = true;
+            respondsEarly = true;
         }
         pending = ByteToMessageDecoder.MERGE_CUMULATOR.cumulate(context.alloc(), pending, bytes);
         read();
@@ -147,17 +151,17 @@
     private void read() {
         try {
             while (listener != null && reader.read(pending)) {
-                answered();
+                responseRead();
             }
         } catch (BadMessageException e) {
-            end(Verdict.GARBLED, null, null);
+            endExchange(AttemptOutcome.GARBLED, null, null);
         }
         if (listener == null || !pending.isReadable()) {
-            drop();
+            discardPending();
         }
     }
 
-    private void drop() {
+    private void discardPending() {
         if (pending.isReadable()) {
             close();
         }
@@ -165,40 +169,41 @@
         pending = Unpooled.EMPTY_BUFFER;
     }
 
-    private void answered() {
+    private void responseRead() {
         Headers headers = reader.headers();
-        spent |= !reader.isKeepAlive();
+        notReusable |= !reader.isKeepAlive();
         if (!attemptId.equals(headers.get("X-Attempt-Id"))) {
-            spent = true;
-            if (++surplus > MOST_SURPLUS || !reader.isKeepAlive()) {
-                end(Verdict.GARBLED, null, null);
+            notReusable = true;
+            if (++surplusResponses > MAX_SURPLUS_RESPONSES || !reader.isKeepAlive()) {
+                endExchange(AttemptOutcome.GARBLED, null, null);
             } else {
                 reader.reset();
             }
             return;
         }
-        statedIdleMs = statedIdle(headers.get("Keep-Alive"));
+        keepAliveTimeoutMs = parseKeepAliveTimeoutMs(headers.get("Keep-Alive"));
         if (pending.isReadable()) {
-            spent = true;
+            notReusable = true;
         }
         String load = headers.get("X-Server-Load");
-        InstanceAnswer answer = new InstanceAnswer(reader.status(), headers.endToEnd(), length(headers), reader.body());
-        boolean refused = pool.isOfCache() && headers.get(CacheHeaders.REFUSAL) != null;
-        end(refused ? Verdict.REFUSED_BY_CACHE : verdict(answer, headers), answer, load);
+        InstanceResponse response =
+                new InstanceResponse(reader.status(), headers.endToEnd(), contentLength(headers), reader.body());
+        boolean refused = pool.isToSharedCache() && headers.get(CacheHeaders.REFUSAL) != null;
+        endExchange(refused ? AttemptOutcome.REFUSED_BY_CACHE : outcomeOf(response, headers), response, load);
     }
 
-    private static Verdict verdict(InstanceAnswer answer, Headers headers) {
-        if (answer.status() == MISDIRECTED) {
-            return Verdict.MISDIRECTED;
+    private static AttemptOutcome outcomeOf(InstanceResponse response, Headers headers) {
+        if (response.status() == MISDIRECTED) {
+            return AttemptOutcome.MISDIRECTED;
         }
         if (headers.get("X-Not-Executed") != null) {
-            return answer.isSuccess() ? Verdict.GARBLED : Verdict.DECLINED;
+            return response.isSuccess() ? AttemptOutcome.GARBLED : AttemptOutcome.DECLINED;
         }
-        boolean garbled = headers.get("Content-Encoding") != null || answer.isSuccess() && !answer.isSealed();
-        return garbled ? Verdict.GARBLED : Verdict.ANSWERED;
+        boolean garbled = headers.get("Content-Encoding") != null || response.isSuccess() && !response.isSealed();
+        return garbled ? AttemptOutcome.GARBLED : AttemptOutcome.ANSWERED;
     }
 
-    private static long length(Headers headers) {
+    private static long contentLength(Headers headers) {
         String text = headers.get("Content-Length");
         try {
             return text == null ? -1 : Long.parseLong(text);
@@ -207,48 +212,54 @@
         }
     }
 
-    private static double statedIdle(String keepAlive) {
-        int at = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
-        if (at < 0) {
+    private static double parseKeepAliveTimeoutMs(String keepAlive) {
+        int position = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
+        if (position < 0) {
             return Double.NaN;
         }
         double seconds = 0;
-        for (int i = at + "timeout=".length(); i < keepAlive.length() && Character.isDigit(keepAlive.charAt(i)); i++) {
+        for (int i = position + "timeout=".length();
+                i < keepAlive.length() && Character.isDigit(keepAlive.charAt(i));
+                i++) {
             seconds = 10 * seconds + keepAlive.charAt(i) - '0';
         }
         return seconds * MS_PER_SECOND;
     }
 
-    /** What the end of a connection before a whole answer means: who began to answer may have run the request. */
-    private Verdict brokenOff() {
-        return written || answersEarly ? Verdict.RESET : Verdict.NEVER_WRITTEN;
+    /**
+     * The outcome if the connection ends before a complete response. An instance that began to respond may have run
+     * the request.
+     */
+    private AttemptOutcome disconnectOutcome() {
+        return requestWritten || respondsEarly ? AttemptOutcome.RESET : AttemptOutcome.NEVER_WRITTEN;
     }
 
-    private void end(Verdict verdict, InstanceAnswer answer, String load) {
-        ConnectionListener told = listener;
+    private void endExchange(AttemptOutcome outcome, InstanceResponse response, String load) {
+        ConnectionListener endedListener = listener;
         listener = null;
-        boolean intact =
-                verdict == Verdict.ANSWERED || verdict == Verdict.DECLINED || verdict == Verdict.REFUSED_BY_CACHE;
+        boolean intact = outcome == AttemptOutcome.ANSWERED
+                || outcome == AttemptOutcome.DECLINED
+                || outcome == AttemptOutcome.REFUSED_BY_CACHE;
         if (!intact) {
-            spent = true;
+            notReusable = true;
         }
         idleSinceMs = pool.now();
-        if (spent) {
+        if (notReusable) {
             close();
         } else {
             pool.release(this);
         }
-        if (told != null) {
-            told.ended(verdict, answer, load);
+        if (endedListener != null) {
+            endedListener.exchangeEnded(outcome, response, load);
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        spent = true;
-        over();
+        notReusable = true;
+        reportClosed();
         if (listener != null) {
-            end(brokenOff(), null, null);
+            endExchange(disconnectOutcome(), null, null);
         }
         pending.release();
         pending = Unpooled.EMPTY_BUFFER;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InstanceSet.java
@@ -11,104 +11,107 @@
 import ridgemill.cdn.edge.InstanceStats;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
-import ridgemill.gateway.back.IdleAges;
+import ridgemill.gateway.back.IdleTimeoutEstimator;
 
-/** The places of one kind that requests may be sent to, the connections to them, and the deliveries that wait for room. */
+/**
+ * The instances of a service, or the shared caches, to which requests may be sent, with the connections to them and
+ * the calls that wait for capacity.
+ */
 final class InstanceSet {
 
-    /** How many connections may be held to one of the instances, by its index in the order of identifiers. */
-    interface ConnectionParts {
-        int part(int index);
+    /** The maximum number of connections to one instance, by its index in the list ordered by identifier. */
+    interface ConnectionShares {
+        int share(int index);
     }
 
     private final ProxyContext context;
     private final InstancePicker picker;
     private final ServiceMeters meters;
-    private final boolean ofCaches;
-    private final IdleAges ages = new IdleAges();
-    private final Map<String, InstancePool> pools = new HashMap<>();
-    private final ArrayDeque<Delivery> waiting = new ArrayDeque<>();
+    private final boolean sharedCaches;
+    private final IdleTimeoutEstimator ages = new IdleTimeoutEstimator();
+    private final Map<String, ConnectionPool> pools = new HashMap<>();
+    private final ArrayDeque<UpstreamCall> waiting = new ArrayDeque<>();
 
     /**
-     * An empty set.
+     * Creates an empty set.
      *
-     * @param ofCaches whether the places are shared caches and not instances of a service
+     * @param sharedCaches whether the members are shared caches rather than instances of a service
      */
-    InstanceSet(ProxyContext context, InstancePicker picker, ServiceMeters meters, boolean ofCaches) {
+    InstanceSet(ProxyContext context, InstancePicker picker, ServiceMeters meters, boolean sharedCaches) {
         this.context = context;
         this.picker = picker;
         this.meters = meters;
-        this.ofCaches = ofCaches;
+        this.sharedCaches = sharedCaches;
     }
 
     InstancePicker picker() {
         return picker;
     }
 
-    InstancePool pool(InstanceStats stats) {
+    ConnectionPool pool(InstanceStats stats) {
         return pools.get(stats.instance().id());
     }
 
-    /** Requests may be sent to these from now on, and to no others. */
-    void set(List<Instance> instances, ConnectionParts parts) {
+    /** Replaces the instances to which requests may be sent. */
+    void update(List<Instance> instances, ConnectionShares shares) {
         List<InstanceStats> ready = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         int index = 0;
         for (Instance instance : instances) {
-            InstancePool pool = pools.computeIfAbsent(
-                    instance.id(), id -> new InstancePool(context, instance, ages, meters, ofCaches));
-            int part = parts.part(index++);
-            pool.limit(part);
+            ConnectionPool pool = pools.computeIfAbsent(
+                    instance.id(), id -> new ConnectionPool(context, instance, ages, meters, sharedCaches));
+            int share = shares.share(index++);
+            pool.setMaxConnections(share);
             ids.add(instance.id());
-            if (part > 0) {
-                pool.stats().learn(instance, context.isLocal(instance), part);
+            if (share > 0) {
+                pool.stats().update(instance, context.isLocal(instance), share);
                 ready.add(pool.stats());
             }
         }
         picker.instances(ready);
         pools.entrySet().removeIf(entry -> {
-            boolean gone = !ids.contains(entry.getKey());
-            if (gone) {
+            boolean removed = !ids.contains(entry.getKey());
+            if (removed) {
                 entry.getValue().close();
             }
-            return gone;
+            return removed;
         });
-        recall();
+        retryWaiting();
     }
 
-    void await(Delivery delivery) {
-        waiting.add(delivery);
+    void awaitCapacity(UpstreamCall call) {
+        waiting.add(call);
     }
 
-    void forget(Delivery delivery) {
-        waiting.remove(delivery);
+    void stopAwaiting(UpstreamCall call) {
+        waiting.remove(call);
     }
 
-    void recall() {
+    void retryWaiting() {
         for (int i = waiting.size(); i > 0 && !waiting.isEmpty(); i--) {
-            waiting.pollFirst().roomAgain();
+            waiting.pollFirst().capacityAvailable();
         }
     }
 
-    /** Connections to all places that are open now. */
+    /** The number of open connections to all instances. */
     int openConnections() {
         int open = 0;
-        for (InstancePool pool : pools.values()) {
-            open += pool.open();
+        for (ConnectionPool pool : pools.values()) {
+            open += pool.openConnections();
         }
         return open;
     }
 
-    /** Closes connections that have been idle for too long and lets those that wait try again. */
+    /** Closes expired idle connections and lets waiting calls try again. */
     void tick(double nowMs) {
-        for (InstancePool pool : pools.values()) {
-            pool.closeOld(nowMs);
+        for (ConnectionPool pool : pools.values()) {
+            pool.closeExpired(nowMs);
         }
-        recall();
+        retryWaiting();
     }
 
     /** Closes all connections. */
     void close() {
-        pools.values().forEach(InstancePool::close);
+        pools.values().forEach(ConnectionPool::close);
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/InvariantCheck.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/InvariantChecker.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 import ridgemill.cdn.edge.Invariant;
 
-/** Checks what must hold at any time: breaks are counted and logged; the program goes on. */
-final class InvariantCheck {
+/** Checks invariants at run time: violations are counted and logged, and the program continues. */
+final class InvariantChecker {
 
     private final Map<Invariant, Counter> violations = new EnumMap<>(Invariant.class);
     private final EventLog log;
 
-    InvariantCheck(MeterRegistry registry, EventLog log) {
+    InvariantChecker(MeterRegistry registry, EventLog log) {
         this.log = log;
         for (Invariant invariant : Invariant.values()) {
             violations.put(
@@ -21,19 +21,20 @@
     }
 
     /**
-     * Counts a break unless the invariant holds.
+     * Records a violation if the invariant does not hold.
      *
-     * @param where the service or object that it concerns
+     * @param holds whether the invariant holds
+     * @param where the service, address or object concerned
      */
     void check(boolean holds, Invariant invariant, String where) {
         if (!holds) {
             violations.get(invariant).increment();
-            log.line("event=invariant_broken invariant=" + invariant.label() + " where=" + where);
+            log.info("event=invariant_broken invariant=" + invariant.label() + " where=" + where);
         }
     }
 
-    /** All breaks since the start. */
-    long broken() {
+    /** The number of violations since the start. */
+    long violationCount() {
         return (long) violations.values().stream().mapToDouble(Counter::count).sum();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/KeyedExchange.java
@@ -4,40 +4,46 @@
 import ridgemill.cdn.edge.RefusalReason;
 import ridgemill.cdn.proxy.control.OperationRegister.Claim;
 import ridgemill.cdn.proxy.control.OperationRegister.ClaimOutcome;
-import ridgemill.cdn.proxy.control.OperationRegister.RecordedAnswer;
+import ridgemill.cdn.proxy.control.OperationRegister.RecordedResponse;
 import ridgemill.core.Timers;
-import ridgemill.policy.Rendezvous;
+import ridgemill.policy.RendezvousHash;
 
 /**
- * A request of a keyed operation. It runs only under a claim of the register; the claim is given back only where
- * nothing ran, and what ran is recorded, also after the client has left. Of several requests with one key at this proxy
- * one leads, see {@link OperationsUnderWay}; the others wait a while for its answer.
+ * A request of a keyed operation. It runs only under a claim of the register. The claim is released only if nothing
+ * ran; the response of an operation that ran is recorded, even after the client has disconnected. Of several requests
+ * with one key at this proxy one is the leader, see {@link InFlightOperations}; the others wait for its response for a
+ * limited time.
  */
 final class KeyedExchange extends Exchange {
 
-    private static final double CLAIM_AGAIN_MS = 120;
-    /** Part of the route's target that a repeat waits for the first one's answer. */
-    private static final double PATIENCE = 0.25;
-    /** How long an operation that was sent may take beyond its deadline, so that its answer is recorded. */
-    private static final double LINGER_MS = 5_000;
+    /** Interval between claims while the claim of another proxy holds the key, in milliseconds. */
+    private static final double CLAIM_RETRY_MS = 120;
+    /** Fraction of the route's target latency that a duplicate waits for the response of the first request. */
+    private static final double WAIT_FRACTION = 0.25;
+    /**
+     * How long after its deadline an operation that was sent may continue, so that its response is recorded, in
+     * milliseconds.
+     */
+    private static final double RECORDING_GRACE_MS = 5_000;
 
-    private static final int MOST_RECORDED_BYTES = 1024 * 1024;
+    /** Responses with a larger body are not recorded; the key then stays claimed. */
+    private static final int MAX_RECORDED_BYTES = 1024 * 1024;
 
     private final ServiceState service;
-    private final OperationsUnderWay operations;
+    private final InFlightOperations operations;
     private final String key;
     private Claim claim;
-    private Delivery delivery;
+    private UpstreamCall call;
     private Timers.Timer timer;
-    /** Whether it leads and an answer of the register is due. */
-    private boolean claiming;
+    /** Whether this is the leader and a response of the register is pending. */
+    private boolean claimPending;
 
-    private boolean leads;
-    private boolean lingers;
+    private boolean leader;
+    private boolean finishingInBackground;
 
     KeyedExchange(
             ProxyContext context,
-            FrontConnection client,
+            ClientConnection client,
             ClientRequest request,
             Route route,
             ServiceState service,
@@ -51,159 +57,164 @@
     @Override
     void run() {
         double nowMs = context().now();
-        if (!service.admission().draw(nowMs, route().priorityLevel())) {
-            refuse(RefusalReason.ADMISSION, service.admission().waitMs());
+        if (!service.admission().tryAdmit(nowMs, route().priorityLevel())) {
+            refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
             return;
         }
-        leads = operations.lead(key, this);
-        if (leads) {
+        leader = operations.tryLead(key, this);
+        if (leader) {
             claim();
         } else {
-            timer = context().timers().at(Math.max(nowMs, patienceEndMs()), this::outOfPatience);
+            timer = context().timers().scheduleAt(Math.max(nowMs, waitEndMs()), this::waitExpired);
         }
     }
 
-    /** Until when a repeat waits for the first one's answer. */
-    private double patienceEndMs() {
-        return Math.min(deadlineMs(), arrivedMs() + PATIENCE * route().targetLatencyMs());
+    /** Until when a duplicate waits for the response of the first request. */
+    private double waitEndMs() {
+        return Math.min(deadlineMs(), arrivedAtMs() + WAIT_FRACTION * route().targetLatencyMs());
     }
 
-    private void outOfPatience() {
-        operations.forget(key, this);
-        answerBusy();
+    private void waitExpired() {
+        operations.removeWaiter(key, this);
+        respondConflict();
     }
 
-    private void answerBusy() {
-        answer(FinalAnswer.later(409, request().attemptId(), PATIENCE * route().targetLatencyMs()));
+    private void respondConflict() {
+        respond(FinalResponse.retryLater(409, request().attemptId(), WAIT_FRACTION * route().targetLatencyMs()));
     }
 
-    /** The request that led has run the operation; its answer is this one's too. */
-    void leaderFinished(RecordedAnswer answer) {
+    /** The leader has run the operation; its response is sent for this request too. */
+    void leaderFinished(RecordedResponse response) {
         stopTimer();
-        answer(FinalAnswer.of(answer, request().attemptId()));
+        respond(FinalResponse.of(response, request().attemptId()));
     }
 
-    /** The request that led has ended without an answer; this one leads from now on. */
-    void leadOn() {
+    /** The previous leader ended without a recorded response; this request becomes the leader. */
+    void becomeLeader() {
         stopTimer();
-        leads = true;
+        leader = true;
         claim();
     }
 
-    /** Ceases to lead; what was learned goes to those that wait. */
-    private void stopLeading(RecordedAnswer answer) {
-        if (!leads) {
+    /**
+     * Ends this request's leadership. Waiting requests receive the recorded response, or one of them becomes the
+     * leader if {@code response} is null.
+     */
+    private void endLeadership(RecordedResponse response) {
+        if (!leader) {
             return;
         }
-        leads = false;
-        if (answer != null) {
-            operations.finished(key, answer);
+        leader = false;
+        if (response != null) {
+            operations.completed(key, response);
         } else {
-            operations.leftOpen(key);
+            operations.leaderAbandoned(key);
         }
     }
 
     private void claim() {
         timer = null;
-        claiming = true;
-        context().register().claim(key, deadlineMs(), this::claimed);
+        claimPending = true;
+        context().register().claim(key, deadlineMs(), this::claimEnded);
     }
 
-    private void claimed(ClaimOutcome outcome) {
-        claiming = false;
+    private void claimEnded(ClaimOutcome outcome) {
+        claimPending = false;
         if (outcome instanceof ClaimOutcome.Granted granted) {
             granted(granted.claim());
         } else if (outcome instanceof ClaimOutcome.Finished finished) {
-            answer(FinalAnswer.of(finished.answer(), request().attemptId()));
-            stopLeading(finished.answer());
-        } else if (isOver()) {
-            stopLeading(null);
+            respond(FinalResponse.of(finished.response(), request().attemptId()));
+            endLeadership(finished.response());
+        } else if (isFinished()) {
+            endLeadership(null);
         } else if (outcome instanceof ClaimOutcome.Busy) {
-            busy();
+            keyHeld();
         } else {
-            refuse(RefusalReason.NO_CLAIM, PATIENCE * route().targetLatencyMs());
-            stopLeading(null);
+            refuse(RefusalReason.NO_CLAIM, WAIT_FRACTION * route().targetLatencyMs());
+            endLeadership(null);
         }
     }
 
-    private void granted(Claim given) {
-        if (isOver()) {
-            context().register().release(given);
-            stopLeading(null);
+    private void granted(Claim newClaim) {
+        if (isFinished()) {
+            context().register().release(newClaim);
+            endLeadership(null);
             return;
         }
-        claim = given;
-        long place = Rendezvous.hashText(request().attemptId());
-        OutgoingRequest outgoing = OutgoingRequest.of(request(), place, route().targetLatencyMs());
-        delivery = new Delivery(context(), service, route(), outgoing, false, deadlineMs(), this::delivered);
-        delivery.start();
-    }
-
-    /** Another proxy's claim holds the key. */
-    private void busy() {
-        double nextMs = context().now() + CLAIM_AGAIN_MS;
-        if (nextMs < patienceEndMs()) {
-            timer = context().timers().at(nextMs, this::claim);
+        claim = newClaim;
+        long hashKey = RendezvousHash.hashText(request().attemptId());
+        OutgoingRequest outgoing = OutgoingRequest.of(request(), hashKey, route().targetLatencyMs());
+        call = new UpstreamCall(context(), service, route(), outgoing, false, deadlineMs(), this::callEnded);
+        call.start();
+    }
+
+    /** The claim of another proxy holds the key. */
+    private void keyHeld() {
+        double nextMs = context().now() + CLAIM_RETRY_MS;
+        if (nextMs < waitEndMs()) {
+            timer = context().timers().scheduleAt(nextMs, this::claim);
         } else {
-            answerBusy();
-            stopLeading(null);
+            respondConflict();
+            endLeadership(null);
         }
     }
 
-    private void delivered(Delivery.Result result) {
-        if (lingers) {
-            lingers = false;
+    private void callEnded(UpstreamCall.Result result) {
+        if (finishingInBackground) {
+            finishingInBackground = false;
             stopTimer();
-            context().countInFlight(-1);
+            context().addInFlight(-1);
         }
-        RecordedAnswer recorded = null;
-        if (result instanceof Delivery.Result.Answered answered) {
-            recorded = record(answered.answer());
-        } else if (result instanceof Delivery.Result.Failed failed && !failed.mayHaveRun()) {
+        RecordedResponse recorded = null;
+        if (result instanceof UpstreamCall.Result.Answered answered) {
+            recorded = record(answered.response());
+        } else if (result instanceof UpstreamCall.Result.Failed failed && !failed.mayHaveRun()) {
             context().register().release(claim);
         }
-        answer(result);
-        stopLeading(recorded);
+        respond(result);
+        endLeadership(recorded);
     }
 
-    private RecordedAnswer record(InstanceAnswer answer) {
-        if (answer.body().length > MOST_RECORDED_BYTES) {
+    private RecordedResponse record(InstanceResponse response) {
+        if (response.body().length > MAX_RECORDED_BYTES) {
             return null;
         }
-        RecordedAnswer recorded = new RecordedAnswer(
-                answer.status(), OwnHeaders.without(answer.headers().lines(), false), answer.body());
+        RecordedResponse recorded = new RecordedResponse(
+                response.status(),
+                RequestSpecificHeaders.removeFrom(response.headers().lines(), false),
+                response.body());
         context().register().finish(claim, recorded);
         return recorded;
     }
 
     @Override
-    void giveUp(boolean late) {
+    void cancel(boolean deadlinePassed) {
         stopTimer();
-        if (delivery != null && delivery.mayHaveRun()) {
-            linger();
+        if (call != null && call.mayHaveRun()) {
+            finishInBackground();
             return;
         }
-        if (delivery != null) {
-            delivery.cancel(late);
+        if (call != null) {
+            call.cancel(deadlinePassed);
             context().register().release(claim);
         }
-        if (!leads) {
-            operations.forget(key, this);
-        } else if (!claiming) {
-            stopLeading(null);
+        if (!leader) {
+            operations.removeWaiter(key, this);
+        } else if (!claimPending) {
+            endLeadership(null);
         }
     }
 
-    /** Lets the operation end, so that repeats receive its answer. */
-    private void linger() {
-        delivery.stopRepeating();
-        lingers = true;
-        context().countInFlight(1);
-        timer = context().timers().at(Math.max(deadlineMs(), context().now()) + LINGER_MS, () -> {
-            lingers = false;
-            context().countInFlight(-1);
-            delivery.cancel(true);
-            stopLeading(null);
+    /** Lets the operation finish in the background, so that duplicates receive its response. */
+    private void finishInBackground() {
+        call.disableRetries();
+        finishingInBackground = true;
+        context().addInFlight(1);
+        timer = context().timers().scheduleAt(Math.max(deadlineMs(), context().now()) + RECORDING_GRACE_MS, () -> {
+            finishingInBackground = false;
+            context().addInFlight(-1);
+            call.cancel(true);
+            endLeadership(null);
         });
     }
 
@@ -221,6 +232,6 @@
 
     @Override
     boolean mayHaveRun() {
-        return delivery != null && delivery.mayHaveRun();
+        return call != null && call.mayHaveRun();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetch.java
@@ -4,33 +4,36 @@
 import java.util.List;
 import ridgemill.cdn.edge.CachedObject;
 
-/** A fetch of one object under way, and the requests that wait for it; none at first if it is made ahead of need. */
+/**
+ * A fetch of one object in progress and the requests that wait for it. A refresh-ahead fetch starts without a waiting
+ * request.
+ */
 final class ObjectFetch {
 
     private record PurgedTag(String tag, double atMs) {}
 
     private final String key;
-    private final CachedExchange starter;
-    private final CachedObject older;
+    private final CachedExchange initiator;
+    private final CachedObject storedCopy;
     private final double startedMs;
     private final List<CachedExchange> waiters = new ArrayList<>(2);
     private final List<PurgedTag> purgedTags = new ArrayList<>(0);
-    private Delivery delivery;
+    private UpstreamCall call;
     private boolean purged;
 
     /**
-     * A fetch that has not started.
+     * Creates a fetch that has not started.
      *
-     * @param starter the request that it is made for; null if no client waits for it
-     * @param older a copy that it may confirm; null if there is none
+     * @param initiator the request that started it; null for a refresh-ahead fetch
+     * @param storedCopy a copy that the fetch may revalidate; null if there is none
      */
-    ObjectFetch(String key, CachedExchange starter, CachedObject older, double startedMs) {
+    ObjectFetch(String key, CachedExchange initiator, CachedObject storedCopy, double startedMs) {
         this.key = key;
-        this.starter = starter;
-        this.older = older;
+        this.initiator = initiator;
+        this.storedCopy = storedCopy;
         this.startedMs = startedMs;
-        if (starter != null) {
-            waiters.add(starter);
+        if (initiator != null) {
+            waiters.add(initiator);
         }
     }
 
@@ -38,57 +41,60 @@
         return key;
     }
 
-    CachedObject older() {
-        return older;
+    CachedObject storedCopy() {
+        return storedCopy;
     }
 
     double startedMs() {
         return startedMs;
     }
 
-    void deliverBy(Delivery by) {
-        delivery = by;
+    void setCall(UpstreamCall newCall) {
+        call = newCall;
     }
 
-    /** Whether a copy that it brought had been fetched by another process before. */
-    boolean isOfOther(CachedObject copy) {
+    /** Whether the fetched copy had been fetched earlier by another process. */
+    boolean isFromOtherProcess(CachedObject copy) {
         return copy.fetchStartedMs() < startedMs;
     }
 
-    /** Whether a request waits for it. */
-    boolean isAwaited() {
+    /** Whether any request waits for this fetch. */
+    boolean hasWaiters() {
         return !waiters.isEmpty();
     }
 
-    boolean isOf(CachedExchange exchange) {
-        return exchange == starter;
+    boolean isInitiatedBy(CachedExchange exchange) {
+        return exchange == initiator;
     }
 
     boolean mayHaveRun() {
-        return delivery != null && delivery.mayHaveRun();
+        return call != null && call.mayHaveRun();
     }
 
     void join(CachedExchange exchange) {
         waiters.add(exchange);
     }
 
-    /** A request does not wait any more. The fetch goes on, as its object will be asked for again. */
-    void leave(CachedExchange exchange, boolean late) {
+    /**
+     * Removes a request that stopped waiting. The fetch continues if it may have reached an instance and its time has
+     * not run out, because the object will be requested again.
+     */
+    void leave(CachedExchange exchange, boolean deadlinePassed) {
         waiters.remove(exchange);
-        if (waiters.isEmpty() && delivery != null && (late || !delivery.mayHaveRun())) {
-            delivery.cancel(late);
-            exchange.context().objects().ended(this);
+        if (waiters.isEmpty() && call != null && (deadlinePassed || !call.mayHaveRun())) {
+            call.cancel(deadlinePassed);
+            exchange.context().fetcher().remove(this);
         }
     }
 
-    /** Those that wait, from the first; they are handed over. */
+    /** Removes and returns the waiting requests, in order of arrival. */
     List<CachedExchange> takeWaiters() {
         List<CachedExchange> all = new ArrayList<>(waiters);
         waiters.clear();
         return all;
     }
 
-    /** The object was purged: what comes may be given to those that wait already, and is not kept. */
+    /** The object was purged: the result may be used for requests that already wait, but must not be stored. */
     void purge() {
         purged = true;
     }
@@ -98,12 +104,12 @@
         purgedTags.add(new PurgedTag(tag, nowMs));
     }
 
-    /** Whether what came may be kept. */
+    /** Whether the result may be stored. */
     boolean isStorable(CachedObject copy) {
         return !purged && Double.isInfinite(purgedMs(copy));
     }
 
-    /** When the first purge of this copy came while it was under way; infinite if none came. */
+    /** When the first purge by tag that covers this copy arrived during the fetch; infinite if there was none. */
     double purgedMs(CachedObject copy) {
         for (PurgedTag purge : purgedTags) {
             if (copy.tags().contains(purge.tag())) {
--- /dev/null
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ObjectFetcher.java
@@ -0,0 +1,312 @@
+package ridgemill.cdn.proxy;
+
+import java.util.ArrayList;
+import java.util.EnumSet;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import ridgemill.cdn.edge.CachedObject;
+import ridgemill.cdn.edge.ObjectCache;
+import ridgemill.cdn.edge.PurgeLog;
+import ridgemill.cdn.edge.RefusalReason;
+import ridgemill.cdn.proxy.ProxyMeters.ReadSource;
+import ridgemill.cdn.proxy.control.ControlListener;
+import ridgemill.cdn.proxy.http.Headers;
+import ridgemill.policy.RendezvousHash;
+
+/**
+ * The cached copies of objects and the fetches in progress: one fetch at a time per object, shared by all requests for
+ * it.
+ */
+final class ObjectFetcher implements ControlListener {
+
+    private static final int OK = 200;
+    private static final int NOT_MODIFIED = 304;
+    /** The maximum age of a copy that a refresh-ahead fetch accepts from a shared cache, as a fraction of the TTL. */
+    private static final double REFRESH_MAX_AGE_FRACTION = 0.5;
+    /**
+     * Failures after which the instances are used directly: no shared cache could be asked, or none could process the
+     * request.
+     */
+    private static final Set<RefusalReason> FALLBACK_REASONS = EnumSet.of(
+            RefusalReason.NO_INSTANCE,
+            RefusalReason.CONNECT_FAILED,
+            RefusalReason.ROUTE_UNKNOWN,
+            RefusalReason.CROWDED);
+
+    private final ProxyContext context;
+    private final ObjectCache cache;
+    private final PurgeLog purgeLog = new PurgeLog();
+    private final Map<String, ObjectFetch> joinable = new HashMap<>();
+    private final Set<ObjectFetch> running = new LinkedHashSet<>();
+
+    ObjectFetcher(ProxyContext context, ObjectCache cache) {
+        this.context = context;
+        this.cache = cache;
+    }
+
+    /** Serves a request from a copy or lets it wait for a fetch. Returns that fetch; null if the request has ended. */
+    ObjectFetch serveOrFetch(CachedExchange exchange) {
+        double nowMs = context.now();
+        String key = exchange.request().cacheKey();
+        CachedObject copy = cache.get(key);
+        double oldestMs = nowMs - exchange.maxAgeMs();
+        if (copy != null && copy.fetchStartedMs() >= oldestMs && isUsable(copy, exchange, nowMs)) {
+            context.meters().countRead(ReadSource.COPY);
+            refreshAhead(exchange, copy, nowMs);
+            exchange.copyAvailable(copy);
+            return null;
+        }
+        ObjectFetch current = joinable.get(key);
+        if (current != null
+                && current.startedMs() >= oldestMs
+                && (!context.isSharedCache() || context.control().receivesPurges())
+                && context.control().isCoveredSince(current.startedMs())) {
+            context.meters().countRead(ReadSource.SHARED_FETCH);
+            current.join(exchange);
+            return current;
+        }
+        context.meters().countRead(ReadSource.OWN_FETCH);
+        return fetch(exchange, key, copy, nowMs);
+    }
+
+    /** Whether a copy may be served: it is fresh, and every acknowledged purge that covers it is known here. */
+    private boolean isUsable(CachedObject copy, CachedExchange exchange, double nowMs) {
+        return copy.isFresh(nowMs, exchange.route().cacheTtlMs())
+                && context.control().isCoveredSince(copy.purgeCoverageSinceMs())
+                && (!context.isSharedCache() || context.control().receivesPurges());
+    }
+
+    /** Whether a copy is not older than any purge of it that was received before the request was made. */
+    boolean isNotOlderThanPurges(CachedObject copy, double requestedAtMs) {
+        double purgedMs = purgeLog.lastPurgedMs(copy);
+        return copy.fetchStartedMs() >= purgedMs || purgedMs >= requestedAtMs;
+    }
+
+    private ObjectFetch fetch(CachedExchange exchange, String key, CachedObject copy, double nowMs) {
+        ServiceState service = exchange.service();
+        if (!service.admission().tryAdmit(nowMs, exchange.route().priorityLevel())) {
+            exchange.refuse(RefusalReason.ADMISSION, service.admission().retryAfterMs());
+            return null;
+        }
+        CachedObject storedCopy = copy != null && copy.etag() != null ? copy : null;
+        ObjectFetch fetch = new ObjectFetch(key, exchange, storedCopy, nowMs);
+        double deadlineMs =
+                Math.max(exchange.deadlineMs(), nowMs + exchange.route().timeoutMs());
+        newCall(fetch, exchange, deadlineMs, nowMs - purgeLog.lastPurgedMs(key)).start();
+        return running.contains(fetch) ? fetch : null;
+    }
+
+    /**
+     * Creates the call for a fetch of the object that a request asks for; the call has not started.
+     *
+     * @param maxAgeMs the maximum age of a copy from a shared cache, in milliseconds
+     */
+    private UpstreamCall newCall(ObjectFetch fetch, CachedExchange exchange, double deadlineMs, double maxAgeMs) {
+        joinable.put(fetch.key(), fetch);
+        running.add(fetch);
+        OutgoingRequest outgoing = OutgoingRequest.fetch(
+                exchange.request(),
+                fetch.storedCopy() == null ? null : fetch.storedCopy().etag(),
+                RendezvousHash.hashText(fetch.key()),
+                exchange.route().targetLatencyMs());
+        boolean viaSharedCaches = context.caches().isAvailable();
+        ServiceState service = exchange.service();
+        OutgoingRequest sentRequest = viaSharedCaches
+                ? outgoing.forSharedCache(service.name(), exchange.route().version(), maxAgeMs)
+                : outgoing;
+        UpstreamCall call = new UpstreamCall(
+                context,
+                viaSharedCaches ? context.caches().upstreamFor(service) : service,
+                exchange.route(),
+                sentRequest,
+                !context.isSharedCache(),
+                deadlineMs,
+                result -> callEnded(fetch, exchange, outgoing, deadlineMs, viaSharedCaches, result));
+        fetch.setCall(call);
+        return call;
+    }
+
+    /** Fetches from the instances if no shared cache could be used and nothing has run. */
+    private void callEnded(
+            ObjectFetch fetch,
+            CachedExchange exchange,
+            OutgoingRequest outgoing,
+            double deadlineMs,
+            boolean viaSharedCaches,
+            UpstreamCall.Result result) {
+        boolean fallBackToInstances = viaSharedCaches
+                && fetch.hasWaiters()
+                && result instanceof UpstreamCall.Result.Failed failed
+                && !failed.mayHaveRun()
+                && FALLBACK_REASONS.contains(failed.reason());
+        if (!fallBackToInstances) {
+            fetchEnded(fetch, result);
+            return;
+        }
+        UpstreamCall directCall = new UpstreamCall(
+                context,
+                exchange.service(),
+                exchange.route(),
+                outgoing,
+                true,
+                deadlineMs,
+                directResult -> fetchEnded(fetch, directResult));
+        fetch.setCall(directCall);
+        directCall.start();
+    }
+
+    /**
+     * Refreshes a frequently used copy that expires soon, once for all requests. The fetch uses only spare capacity of
+     * the origin share and the admission, is sent once, and carries the attempt identifier of the request that
+     * triggered it.
+     */
+    private void refreshAhead(CachedExchange exchange, CachedObject copy, double nowMs) {
+        ServiceState service = exchange.service();
+        int uses = cache.countUse(copy.key());
+        boolean due = copy.isDueForRefresh(nowMs, exchange.route().cacheTtlMs(), uses)
+                && !joinable.containsKey(copy.key())
+                && !context.isDraining();
+        if (!due
+                || !context.caches().isAvailable() && !service.originShare().hasBackgroundCapacity(nowMs)
+                || !service.admission().tryAdmitBackground(nowMs)) {
+            return;
+        }
+        // If the fetch fails, the same number of uses is needed before the next one.
+        cache.resetUses(copy.key());
+        ObjectFetch fetch = new ObjectFetch(copy.key(), null, copy.etag() == null ? null : copy, nowMs);
+        double maxAgeMs = REFRESH_MAX_AGE_FRACTION * exchange.route().cacheTtlMs();
+        UpstreamCall call = newCall(fetch, exchange, nowMs + exchange.route().timeoutMs(), maxAgeMs);
+        call.disableRetries();
+        call.start();
+    }
+
+    /** Removes a fetch that ended or was cancelled. */
+    void remove(ObjectFetch fetch) {
+        running.remove(fetch);
+        joinable.remove(fetch.key(), fetch);
+    }
+
+    private void fetchEnded(ObjectFetch fetch, UpstreamCall.Result result) {
+        remove(fetch);
+        CachedObject copy =
+                result instanceof UpstreamCall.Result.Answered answered ? toCopy(fetch, answered.response()) : null;
+        if (copy == null) {
+            fetchFailed(fetch, result);
+            return;
+        }
+        double lastPurgedMs = purgeLog.lastPurgedMs(copy);
+        if (fetch.isFromOtherProcess(copy)
+                && copy.fetchStartedMs() < lastPurgedMs
+                && lastPurgedMs < fetch.startedMs()) {
+            // The other process had not received a purge yet: the requests fetch again with a lower maximum age.
+            purgeLog.recordPath(copy.key(), lastPurgedMs);
+            fetch.takeWaiters().forEach(waiter -> waiter.sharedFetchFailed(result));
+            return;
+        }
+        CachedObject existing = cache.get(copy.key());
+        if (fetch.isStorable(copy)
+                && (existing == null || existing.purgeCoverageSinceMs() <= copy.purgeCoverageSinceMs())) {
+            cache.put(copy);
+        }
+        double purgedMs = fetch.purgedMs(copy);
+        for (CachedExchange waiter : fetch.takeWaiters()) {
+            if (waiter.requestedAtMs() <= purgedMs) {
+                waiter.copyAvailable(copy);
+            } else {
+                waiter.sharedFetchFailed(result);
+            }
+        }
+    }
+
+    private void fetchFailed(ObjectFetch fetch, UpstreamCall.Result result) {
+        boolean unexpectedNotModified = result instanceof UpstreamCall.Result.Answered answered
+                && answered.response().status() == NOT_MODIFIED;
+        UpstreamCall.Result reported =
+                unexpectedNotModified ? new UpstreamCall.Result.Failed(true, RefusalReason.ATTEMPTS_FAILED, 0) : result;
+        for (CachedExchange waiter : fetch.takeWaiters()) {
+            if (fetch.isInitiatedBy(waiter)) {
+                waiter.ownFetchFailed(reported);
+            } else {
+                waiter.sharedFetchFailed(reported);
+            }
+        }
+    }
+
+    /** The copy that a response contains or revalidates; null if it does neither. */
+    private static CachedObject toCopy(ObjectFetch fetch, InstanceResponse response) {
+        if (response.status() == NOT_MODIFIED && fetch.storedCopy() != null) {
+            String etag = response.headers().get("ETag");
+            boolean same = etag == null || etag.equals(fetch.storedCopy().etag());
+            return same
+                    ? fetch.storedCopy().revalidated(originFetchStartedMs(fetch, response), fetch.startedMs())
+                    : null;
+        }
+        if (response.status() != OK || !response.isSealed()) {
+            return null;
+        }
+        Headers headers = response.headers();
+        return new CachedObject(
+                fetch.key(),
+                RequestSpecificHeaders.removeFrom(
+                        CacheHeaders.removeFrom(Headers.of(headers.lines())).lines(), true),
+                headers.get("ETag"),
+                tags(headers.get("X-Object-Tags")),
+                response.body(),
+                originFetchStartedMs(fetch, response),
+                fetch.startedMs());
+    }
+
+    /**
+     * The latest time at which the fetch from the instance may have started: a shared cache states the age of its copy
+     * in the response.
+     */
+    private static double originFetchStartedMs(ObjectFetch fetch, InstanceResponse response) {
+        return fetch.startedMs() - CacheHeaders.getLong(response.headers(), CacheHeaders.AGE, 0);
+    }
+
+    private static List<String> tags(String header) {
+        List<String> tags = new ArrayList<>(4);
+        int start = 0;
+        while (header != null && start < header.length()) {
+            int space = header.indexOf(' ', start);
+            int end = space < 0 ? header.length() : space;
+            if (end > start) {
+                tags.add(header.substring(start, end));
+            }
+            start = end + 1;
+        }
+        return tags;
+    }
+
+    /** Removes expired purges. */
+    void tick(double nowMs) {
+        purgeLog.removeExpired(nowMs);
+    }
+
+    @Override
+    public void pathPurged(String hostname, String path) {
+        String key = hostname.toLowerCase(Locale.ROOT) + path;
+        purgeLog.recordPath(key, context.now());
+        cache.remove(key);
+        joinable.remove(key);
+        for (ObjectFetch fetch : running) {
+            if (fetch.key().equals(key)) {
+                fetch.purge();
+            }
+        }
+    }
+
+    @Override
+    public void tagPurged(String tag) {
+        cache.removeByTag(tag);
+        double nowMs = context.now();
+        purgeLog.recordTag(tag, nowMs);
+        for (ObjectFetch fetch : running) {
+            fetch.purgeTag(tag, nowMs);
+        }
+    }
+}
--- a/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/ProxyProgram.java
@@ -3,7 +3,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.proxy.control.ControlClient;
 import ridgemill.cdn.proxy.control.QuorumRegister;
 import ridgemill.cdn.settings.Settings;
@@ -12,32 +12,35 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The edge proxy: serves clients once the control plane has told it enough, and leaves in order on request. Everything
- * runs on one event loop.
+ * The edge proxy: serves clients once it has received enough from the control plane, and shuts down gracefully on
+ * request. Everything runs on one event loop.
  */
 public final class ProxyProgram {
 
     private static final System.Logger LOG = System.getLogger(ProxyProgram.class.getName());
-    private static final String READINESS = "/ridgemill/readiness";
+    private static final String READINESS_PATH = "/ridgemill/readiness";
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
     private static final long CHECK_INTERVAL_MS = 20;
-    /** The share of the grace period after which no new connections are accepted; the platform has noticed by then. */
-    private static final double ACCEPT_SHARE = 0.45;
-    /** The share of the grace period after which the process ends whatever is left. */
-    private static final double END_SHARE = 0.92;
+    /**
+     * Fraction of the grace period after which no new connections are accepted; the platform has noticed by then that
+     * the proxy is not ready.
+     */
+    private static final double ACCEPT_GRACE_FRACTION = 0.45;
+    /** Fraction of the grace period after which the process exits even if requests are in flight. */
+    private static final double EXIT_GRACE_FRACTION = 0.92;
 
     private final Settings settings;
     private final EventLoop loop;
     private final SocketKind sockets;
     private final ControlClient control;
     private final DataPath dataPath;
-    private CallServer readiness;
+    private SimpleHttpServer readinessServer;
     private boolean listening;
     private boolean draining;
 
-    /** A proxy that serves once it is started. */
+    /** Creates a proxy; call {@link #start} to serve requests. */
     public ProxyProgram(Settings settings, EventLoop loop, SocketKind sockets, Clock clock, MeterRegistry registry) {
         this.settings = settings;
         this.loop = loop;
@@ -48,21 +51,22 @@
     }
 
     /**
-     * Tells its readiness and connects to the control plane.
+     * Starts the readiness endpoint and connects to the control plane.
      *
-     * @throws io.netty.channel.ChannelException if an address can't be had
+     * @throws io.netty.channel.ChannelException if an address cannot be bound
      */
     public void start() {
         if (settings.readyAddress() != null) {
-            readiness = CallServer.listen(loop, sockets, Addresses.parse(settings.readyAddress()), this::tellReadiness);
+            readinessServer = SimpleHttpServer.listen(
+                    loop, sockets, Addresses.parse(settings.readyAddress()), this::answerReadiness);
         }
         loop.execute(() -> {
             control.start();
-            listenOnceReady();
+            listenWhenReady();
         });
     }
 
-    private void listenOnceReady() {
+    private void listenWhenReady() {
         if (draining) {
             return;
         }
@@ -71,20 +75,21 @@
             listening = true;
             LOG.log(System.Logger.Level.INFO, "event=serving address=" + settings.frontAddress());
         } else {
-            loop.schedule(this::listenOnceReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::listenWhenReady, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void tellReadiness(CallServer.Call call) {
-        int status = !call.path().equals(READINESS) ? NOT_FOUND : listening && !draining ? OK : UNAVAILABLE;
-        call.answer().accept(CallServer.Answer.empty(status));
+    private void answerReadiness(SimpleHttpServer.Request call) {
+        int status = !call.path().equals(READINESS_PATH) ? NOT_FOUND : listening && !draining ? OK : UNAVAILABLE;
+        call.responder().accept(SimpleHttpServer.Response.empty(status));
     }
 
     /**
-     * Leaves in order: says that it is not ready, goes on serving until the platform has noticed, answers what it has,
-     * and runs the task at the latest shortly before the grace period ends.
+     * Shuts down gracefully: reports that it is not ready, continues to serve until the platform has noticed, finishes
+     * pending requests and runs the task. The task also runs shortly before the grace period ends, so it may run
+     * twice.
      */
-    public void drain(Runnable ended) {
+    public void drain(Runnable exitTask) {
         loop.execute(() -> {
             if (draining) {
                 return;
@@ -92,22 +97,23 @@
             draining = true;
             LOG.log(System.Logger.Level.INFO, "event=draining in_flight=" + dataPath.inFlight());
             dataPath.drain();
-            long grace = settings.bounds().gracePeriodMs();
-            loop.schedule(() -> stopAccepting(ended), (long) (grace * ACCEPT_SHARE), TimeUnit.MILLISECONDS);
-            loop.schedule(ended, (long) (grace * END_SHARE), TimeUnit.MILLISECONDS);
+            long graceMs = settings.bounds().gracePeriodMs();
+            loop.schedule(
+                    () -> stopAccepting(exitTask), (long) (graceMs * ACCEPT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
+            loop.schedule(exitTask, (long) (graceMs * EXIT_GRACE_FRACTION), TimeUnit.MILLISECONDS);
         });
     }
 
-    private void stopAccepting(Runnable ended) {
+    private void stopAccepting(Runnable exitTask) {
         dataPath.stopAccepting();
-        endOnceIdle(ended);
+        exitWhenIdle(exitTask);
     }
 
-    private void endOnceIdle(Runnable ended) {
+    private void exitWhenIdle(Runnable exitTask) {
         if (dataPath.inFlight() == 0) {
-            ended.run();
+            exitTask.run();
         } else {
-            loop.schedule(() -> endOnceIdle(ended), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> exitWhenIdle(exitTask), CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/SharedCaches.java
@@ -12,86 +12,90 @@
 import ridgemill.cdn.proxy.ProxyMeters.ServiceMeters;
 
 /**
- * The shared caches that this edge proxy reads objects from. Each object has one place among those of the proxy's region, by
- * rendezvous hash, so that it is fetched once for all proxies there; those of other regions are asked where none is left.
+ * The shared caches from which this edge proxy reads objects. Rendezvous hashing assigns each object to one shared
+ * cache of the proxy's region, so that it is fetched once for all proxies there. Shared caches of other regions are
+ * used if none is left in the region.
  */
 final class SharedCaches {
 
-    /** Requests that one shared cache is sent at once; each may wait for a fetch. */
+    /** Maximum number of concurrent requests to one shared cache; each may wait for a fetch. */
     private static final int SLOTS = 48;
 
     private static final String NAME = "shared-cache";
 
     private final ProxyContext context;
-    private final InstanceSet set;
+    private final InstanceSet instances;
     private final ServiceMeters meters;
-    private final OriginShare unbounded;
+    private final OriginShare unlimitedShare;
 
     SharedCaches(ProxyContext context) {
         this.context = context;
         this.meters = context.meters().service(NAME);
-        this.set = new InstanceSet(context, InstancePicker.ofOne(), meters, true);
-        this.unbounded = new OriginShare(
+        this.instances = new InstanceSet(context, InstancePicker.singleCandidate(), meters, true);
+        this.unlimitedShare = new OriginShare(
                 context.settings().bounds().originCeilingOverage(),
                 context.settings().bounds().originWindowMs());
         refresh();
     }
 
-    /** Whether there is one to read from. A shared cache itself reads from none. */
-    boolean isAny() {
-        return !set.picker().instances().isEmpty();
+    /** Whether there is a shared cache to read from. Always false in a shared cache. */
+    boolean isAvailable() {
+        return !instances.picker().instances().isEmpty();
     }
 
-    /** Takes in which shared caches there are. */
+    /** Applies the current list of shared caches. */
     void refresh() {
         List<CacheNode> nodes =
                 context.isSharedCache() ? List.of() : context.control().fleet().caches();
-        set.set(nodes.stream().map(SharedCaches::instance).toList(), index -> SLOTS);
+        instances.update(nodes.stream().map(SharedCaches::instance).toList(), index -> SLOTS);
     }
 
     private static Instance instance(CacheNode node) {
         return new Instance(node.id(), NAME, node.address(), node.zone(), "", SLOTS, InstanceState.READY, 0, 0);
     }
 
-    /** The way to a service's objects over the shared caches; attempts draw on the service's budget and teach its admission. */
-    Upstream of(ServiceState service) {
-        return new Way(service);
+    /**
+     * The upstream that reads a service's objects through the shared caches. Attempts use the service's retry budget
+     * and report to its admission.
+     */
+    Upstream upstreamFor(ServiceState service) {
+        return new CacheUpstream(service);
     }
 
     void tick(double nowMs) {
-        set.tick(nowMs);
+        instances.tick(nowMs);
     }
 
     void close() {
-        set.close();
+        instances.close();
     }
 
-    private final class Way implements Upstream {
+    private final class CacheUpstream implements Upstream {
 
         private final ServiceState service;
 
-        private Way(ServiceState service) {
+        private CacheUpstream(ServiceState service) {
             this.service = service;
         }
 
         @Override
         public InstancePicker picker() {
-            return set.picker();
+            return instances.picker();
         }
 
         @Override
-        public InstancePool pool(InstanceStats stats) {
-            return set.pool(stats);
+        public ConnectionPool pool(InstanceStats stats) {
+            return instances.pool(stats);
         }
 
         @Override
         public OriginShare originShare() {
-            return unbounded;
+            return unlimitedShare;
         }
 
         @Override
-        public RetryBudget budget() {
-            return service.budget();
+        public RetryBudget retryBudget() {
+            return service.retryBudget();
         }
 
         @Override
@@ -105,18 +109,18 @@
         }
 
         @Override
-        public void await(Delivery delivery) {
-            set.await(delivery);
+        public void awaitCapacity(UpstreamCall call) {
+            instances.awaitCapacity(call);
         }
 
         @Override
-        public void forget(Delivery delivery) {
-            set.forget(delivery);
+        public void stopAwaiting(UpstreamCall call) {
+            instances.stopAwaiting(call);
         }
 
         @Override
-        public void recall() {
-            set.recall();
+        public void retryWaiting() {
+            instances.retryWaiting();
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/ControlClient.java
@@ -19,7 +19,7 @@
 import ridgemill.cdn.instances.InstanceState;
 import ridgemill.cdn.instances.InstanceTable;
 import ridgemill.cdn.membership.CacheNode;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.membership.FleetPosition;
 import ridgemill.cdn.purge.Purge;
@@ -27,16 +27,16 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.settings.Settings;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.LinkMessages;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The connections of an edge proxy, or of a shared cache, to the control plane: follows every registry and every voting configuration store, and
- * merges what they say. Nothing that was learned is lost in one life of the process, whoever is cut off. Everything runs
- * on the proxy's event loop.
+ * The connections of an edge proxy or a shared cache to the control plane. It follows every registry and every voting
+ * configuration store and merges the updates received from them. It keeps all received information for the lifetime of
+ * the process, even while connections are lost. Everything runs on the proxy's event loop.
  */
 public final class ControlClient implements ControlView, StoreFeed.Receiver, RegistryFeed.Receiver {
 
@@ -47,7 +47,7 @@
     private final SocketKind sockets;
     private final Clock clock;
     private final LinkMessages.Hello hello;
-    private final CoreMembers members = new CoreMembers();
+    private final ClusterMembers members = new ClusterMembers();
     private final Map<String, RegistryFeed> registries = new LinkedHashMap<>();
     private final Map<String, StoreFeed> stores = new LinkedHashMap<>();
     private final ItemSet items = new ItemSet();
@@ -55,20 +55,20 @@
     private final PurgeCoverage coverage = new PurgeCoverage();
     private final List<ControlListener> listeners = new ArrayList<>();
     private final Map<String, List<Instance>> readyByService = new HashMap<>();
-    private final Optional<CacheNode> cache;
+    private final Optional<CacheNode> sharedCache;
     private RoutingTable routing = RoutingTable.EMPTY;
     private Fleet fleet;
-    /** The fleet as settled registries last told it; null before one has. */
+    /** The fleet as last reported by settled registries; null until one has reported it. */
     private Fleet settledFleet;
 
-    private boolean offering;
+    private boolean announcing;
 
-    /** The client of an edge proxy; it connects when it is started. */
+    /** Creates the client of an edge proxy, which connects when it is started. */
     public ControlClient(Settings settings, EventLoop loop, SocketKind sockets, Clock clock) {
         this(settings, loop, sockets, clock, "proxy", Optional.empty());
     }
 
-    /** The client of a shared cache, which offers itself to edge proxies while it is connected. */
+    /** Creates the client of a shared cache, which can announce itself to edge proxies. */
     public static ControlClient ofCache(
             Settings settings, EventLoop loop, SocketKind sockets, Clock clock, CacheNode cache) {
         return new ControlClient(settings, loop, sockets, clock, "cache", Optional.of(cache));
@@ -81,7 +81,7 @@
             Clock clock,
             String program,
             Optional<CacheNode> cache) {
-        this.cache = cache;
+        this.sharedCache = cache;
         this.settings = settings;
         this.loop = loop;
         this.sockets = sockets;
@@ -98,21 +98,22 @@
     public void start() {
         members.addCoreHosts(settings.seedHosts());
         connectRegistries();
-        // Voters are among the seeds as a rule: asking them at once spares a restart the way through a registry.
+        // Voters are usually among the seeds: connecting to them at once avoids learning them from a registry after a
+        // restart.
         for (String host : settings.seedHosts()) {
             connectStore(host);
         }
     }
 
-    /** Offers this shared cache to edge proxies, over every registry. */
-    public void offer() {
-        offering = true;
-        cache.ifPresent(node -> registries.values().forEach(feed -> feed.offer(node)));
+    /** Announces this shared cache to edge proxies through every registry. */
+    public void announce() {
+        announcing = true;
+        sharedCache.ifPresent(node -> registries.values().forEach(feed -> feed.announce(node)));
     }
 
-    /** Ends the connections to all registries, which then tell edge proxies that this process has left. */
+    /** Closes the connections to all registries, which then report to edge proxies that this process has left. */
     public void withdraw() {
-        offering = false;
+        announcing = false;
         registries.values().forEach(RegistryFeed::close);
     }
 
@@ -120,7 +121,7 @@
         if (!stores.containsKey(host)) {
             StoreFeed feed = new StoreFeed(this);
             stores.put(host, feed);
-            feed.start(held(host, settings.storePort(), feed));
+            feed.start(newLink(host, settings.storePort(), feed));
         }
     }
 
@@ -129,16 +130,16 @@
             if (!registries.containsKey(host)) {
                 RegistryFeed feed = new RegistryFeed(this);
                 registries.put(host, feed);
-                feed.start(held(host, settings.registryPort(), feed));
-                if (offering) {
-                    cache.ifPresent(feed::offer);
+                feed.start(newLink(host, settings.registryPort(), feed));
+                if (announcing) {
+                    sharedCache.ifPresent(feed::announce);
                 }
             }
         }
     }
 
-    private HeldLink held(String host, int port, LinkListener listener) {
-        return new HeldLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
+    private ReconnectingLink newLink(String host, int port, LinkListener listener) {
+        return new ReconnectingLink(loop, sockets, new InetSocketAddress(host, port), hello, listener);
     }
 
     @Override
@@ -146,11 +147,11 @@
         if (members.addCoreHosts(coreHosts)) {
             connectRegistries();
         }
-        learnVoters(voters);
+        updateVoters(voters);
     }
 
-    private void learnVoters(VoterSet voters) {
-        if (!members.learnVoters(voters)) {
+    private void updateVoters(VoterSet voters) {
+        if (!members.updateVoters(voters)) {
             return;
         }
         LOG.log(
@@ -167,17 +168,17 @@
         }
     }
 
-    /** The voting stores, in the newest epoch that was heard of. */
+    /** The voting stores, in the newest epoch received. */
     VoterSet voters() {
         return members.voters();
     }
 
-    /** The feeds of the voting stores' machines; empty while they are not known. */
+    /** The feeds of the voting stores' machines; empty while the voters are not known. */
     List<StoreFeed> voterFeeds() {
         return members.voters().isKnown() ? List.copyOf(stores.values()) : List.of();
     }
 
-    /** The feed of a voting store; null if it is not followed, or if its machine has another disk now. */
+    /** The feed of a voting store; null if it is not followed, or if its machine has a different disk now. */
     StoreFeed feedOf(Voter voter) {
         StoreFeed feed = stores.get(voter.address());
         return feed != null && voter.equals(feed.store()) ? feed : null;
@@ -185,15 +186,15 @@
 
     @Override
     public void snapshotReceived(StoreFeed feed, VoterSet voters, List<Item> all) {
-        learnVoters(voters);
-        coverage.restarted(feed.store(), clock.now());
-        itemsReceived(all);
+        updateVoters(voters);
+        coverage.streamStarted(feed.store(), clock.now());
+        mergeItems(all);
     }
 
     @Override
-    public void newsReceived(VoterSet voters, List<Item> changed, List<Purge> purges) {
-        learnVoters(voters);
-        itemsReceived(changed);
+    public void updateReceived(VoterSet voters, List<Item> changed, List<Purge> purges) {
+        updateVoters(voters);
+        mergeItems(changed);
         for (Purge purge : purges) {
             for (ControlListener listener : listeners) {
                 if (purge.isByTag()) {
@@ -205,7 +206,7 @@
         }
     }
 
-    private void itemsReceived(List<Item> received) {
+    private void mergeItems(List<Item> received) {
         if (items.mergeAll(received).isEmpty()) {
             return;
         }
@@ -242,7 +243,7 @@
         for (Instance instance : instances.all()) {
             boolean serves = instance.state() == InstanceState.READY
                     && instance.service().equals(service);
-            if (serves && !isSilent(instance.id())) {
+            if (serves && !isUnresponsive(instance.id())) {
                 ready.add(instance);
             }
         }
@@ -250,18 +251,18 @@
         return List.copyOf(ready);
     }
 
-    /** An instance counts as silent if every registry that could know says so. */
-    private boolean isSilent(String instanceId) {
-        boolean silent = false;
+    /** An instance is unresponsive if every settled registry reports it as such. */
+    private boolean isUnresponsive(String instanceId) {
+        boolean reported = false;
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
-                if (!registry.isSilent(instanceId)) {
+                if (!registry.isUnresponsive(instanceId)) {
                     return false;
                 }
-                silent = true;
+                reported = true;
             }
         }
-        return silent;
+        return reported;
     }
 
     @Override
@@ -273,8 +274,9 @@
     }
 
     /**
-     * The fleet by all registries that have run for long enough to know it. One that has just started knows a part, and a
-     * part of the fleet would take the whole of its bounds: what was known before stands until then.
+     * The fleet as reported by all settled registries. A registry that has just started knows only part of the fleet,
+     * and this process would then take too large a share of the fleet's limits. The previous fleet is kept until a
+     * registry is settled.
      */
     private Fleet mergedFleet() {
         List<RegistryFeed> connected =
@@ -287,11 +289,11 @@
         return settledFleet != null ? settledFleet : merged(connected);
     }
 
-    /** The largest fleet of proxies that one of them knows, and the caches that any of them holds a link to. */
-    private static Fleet merged(List<RegistryFeed> told) {
+    /** The largest fleet of proxies that any registry knows, and the shared caches connected to any of them. */
+    private static Fleet merged(List<RegistryFeed> feeds) {
         FleetPosition position = FleetPosition.ALONE;
         Map<String, CacheNode> caches = new TreeMap<>();
-        for (RegistryFeed registry : told) {
+        for (RegistryFeed registry : feeds) {
             FleetPosition proxies = registry.fleet().proxies();
             position = proxies.size() > position.size() ? proxies : position;
             registry.fleet().caches().forEach(cache -> caches.put(cache.id(), cache));
@@ -313,11 +315,13 @@
 
     @Override
     public boolean isReady() {
-        return !routing.isEmpty() && knowsInstances() && knowsNewestItems();
+        return !routing.isEmpty() && hasInstances() && hasNewestItems();
     }
 
-    /** A registry that has run for long enough knows all; one that has just started may know some of each service. */
-    private boolean knowsInstances() {
+    /**
+     * A settled registry knows all instances; one that has just started may know only some instances of each service.
+     */
+    private boolean hasInstances() {
         for (RegistryFeed registry : registries.values()) {
             if (registry.isSettled()) {
                 return true;
@@ -331,9 +335,12 @@
         return true;
     }
 
-    /** A majority of the voters has told its decided items: each order that was confirmed before is on one of them. */
-    private boolean knowsNewestItems() {
-        return voters().isMajority(voter -> feedOf(voter) != null);
+    /**
+     * A quorum of the voters has sent its decided items, so at least one of them has each change that was confirmed
+     * before.
+     */
+    private boolean hasNewestItems() {
+        return voters().hasQuorum(voter -> feedOf(voter) != null);
     }
 
     @Override
@@ -342,8 +349,8 @@
     }
 
     @Override
-    public boolean hearsPurges() {
-        return voters().isMajority(
+    public boolean receivesPurges() {
+        return voters().hasQuorum(
                         voter -> feedOf(voter) != null && feedOf(voter).isLive());
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedAnswerCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RecordedResponseCodec.java
@@ -7,25 +7,25 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The form in which stores keep recorded answers, which they do not read. */
-final class RecordedAnswerCodec {
+/** Encodes recorded responses for the stores, which keep them as opaque bytes. */
+final class RecordedResponseCodec {
 
-    private RecordedAnswerCodec() {}
+    private RecordedResponseCodec() {}
 
-    static byte[] encode(OperationRegister.RecordedAnswer answer) throws IOException {
+    static byte[] encode(OperationRegister.RecordedResponse response) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-            packer.packInt(answer.status());
-            packer.packArrayHeader(answer.headers().size());
-            for (String header : answer.headers()) {
+            packer.packInt(response.status());
+            packer.packArrayHeader(response.headers().size());
+            for (String header : response.headers()) {
                 packer.packString(header);
             }
-            packer.packBinaryHeader(answer.body().length);
-            packer.writePayload(answer.body());
+            packer.packBinaryHeader(response.body().length);
+            packer.writePayload(response.body());
             return packer.toByteArray();
         }
     }
 
-    static OperationRegister.RecordedAnswer decode(byte[] encoded) throws IOException {
+    static OperationRegister.RecordedResponse decode(byte[] encoded) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(encoded)) {
             int status = unpacker.unpackInt();
             int count = unpacker.unpackArrayHeader();
@@ -34,9 +34,9 @@
                 headers.add(unpacker.unpackString());
             }
             byte[] body = unpacker.readPayload(unpacker.unpackBinaryHeader());
-            return new OperationRegister.RecordedAnswer(status, headers, body);
+            return new OperationRegister.RecordedResponse(status, headers, body);
         } catch (RuntimeException malformed) {
-            throw new IOException("a recorded answer can't be read", malformed);
+            throw new IOException("malformed recorded response", malformed);
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/control/RegistryFeed.java
@@ -7,72 +7,72 @@
 import ridgemill.cdn.membership.CacheNode;
 import ridgemill.cdn.membership.Fleet;
 import ridgemill.cdn.quorum.VoterSet;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.RegistryMessages;
 
-/** Follows the numbered news of one registry. */
+/** Follows the numbered updates of one registry. */
 final class RegistryFeed implements LinkListener {
 
-    /** Told what a registry says. */
+    /** Receives the updates of a registry. */
     interface Receiver {
 
-        /** The registry told of instances that are new to it or changed; its own state is read from the feed. */
+        /** The registry reported new or changed instances; its other state is read from the feed. */
         void instancesReceived(List<Instance> instances);
 
-        /** The registry told of core machines and voters. */
+        /** The registry reported core machines and voters. */
         void membersReceived(List<String> coreHosts, VoterSet voters);
 
-        /** The connection to a registry has ended. */
+        /** The connection to a registry was lost. */
         void registryLost();
     }
 
     private final Receiver receiver;
-    private HeldLink link;
-    private Set<String> silent = Set.of();
+    private ReconnectingLink link;
+    private Set<String> unresponsive = Set.of();
     private boolean settled;
     private boolean connected;
     private Fleet fleet = Fleet.ALONE;
-    private Optional<CacheNode> offered = Optional.empty();
+    private Optional<CacheNode> announcedCache = Optional.empty();
 
     RegistryFeed(Receiver receiver) {
         this.receiver = receiver;
     }
 
-    void start(HeldLink held) {
-        link = held;
-        held.start();
+    void start(ReconnectingLink newLink) {
+        link = newLink;
+        newLink.start();
     }
 
-    /** Offers this process as a shared cache, now and whenever the registry is connected again. */
-    void offer(CacheNode cache) {
-        offered = Optional.of(cache);
-        link.send(new RegistryMessages.OfferCache(cache));
+    /** Announces this process as a shared cache, now and after each reconnection to the registry. */
+    void announce(CacheNode cache) {
+        announcedCache = Optional.of(cache);
+        link.send(new RegistryMessages.AnnounceCache(cache));
     }
 
-    /** Ends the connection for good. */
+    /** Closes the connection permanently. */
     void close() {
         link.close();
     }
 
-    /** Whether the registry is connected and has run for long enough to know all instances. */
+    /** Whether the registry is connected and settled: it has run for long enough to know all instances. */
     boolean isSettled() {
         return connected && settled && link.isOpen();
     }
 
-    /** Whether the registry is connected and has told what it knows. */
+    /** Whether the registry is connected and has sent its state. */
     boolean isConnected() {
         return connected && link.isOpen();
     }
 
-    /** Whether the registry has not heard an instance for too long. */
-    boolean isSilent(String instanceId) {
-        return silent.contains(instanceId);
+    /** Whether the registry reports an instance as unresponsive. */
+    boolean isUnresponsive(String instanceId) {
+        return unresponsive.contains(instanceId);
     }
 
-    /** Who shares the services' bounds, as the registry last told. */
+    /** The processes that share the services' limits, as last reported by the registry. */
     Fleet fleet() {
         return fleet;
     }
@@ -80,26 +80,26 @@
     @Override
     public void opened(Link opened) {
         opened.send(new RegistryMessages.Subscribe("", 0));
-        offered.ifPresent(cache -> opened.send(new RegistryMessages.OfferCache(cache)));
+        announcedCache.ifPresent(cache -> opened.send(new RegistryMessages.AnnounceCache(cache)));
     }
 
     @Override
     public void received(Link from, Message message) {
         if (message instanceof RegistryMessages.Snapshot snapshot) {
             connected = true;
-            take(from, snapshot.number(), snapshot.overview());
-        } else if (message instanceof RegistryMessages.News news) {
-            take(from, news.number(), news.overview());
+            apply(from, snapshot.number(), snapshot.overview());
+        } else if (message instanceof RegistryMessages.Update update) {
+            apply(from, update.number(), update.overview());
         }
     }
 
-    private void take(Link from, long number, RegistryMessages.Overview overview) {
-        settled = overview.settled();
-        silent = Set.copyOf(overview.silent());
+    private void apply(Link from, long number, RegistryMessages.Overview overview) {
+        settled = overview.complete();
+        unresponsive = Set.copyOf(overview.unresponsive());
         fleet = overview.fleet();
         receiver.membersReceived(overview.registries(), overview.voters());
         receiver.instancesReceived(overview.instances());
-        from.send(new RegistryMessages.NewsAcknowledged(number));
+        from.send(new RegistryMessages.UpdateAcknowledged(number));
     }
 
     @Override
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/MessageReader.java
@@ -5,25 +5,25 @@
 import java.util.Arrays;
 
 /**
- * Reads one HTTP/1.1 message at a time from the bytes of a connection, and refuses all framing that two readers could
- * understand differently.
+ * Reads one HTTP/1.1 message at a time from the bytes of a connection. Rejects all framing that two parsers could
+ * interpret differently, which prevents request smuggling.
  */
 public abstract class MessageReader {
 
     private static final byte[] EMPTY = {};
-    private static final int LONGEST_CHUNK_LINE = 1_024;
-    private static final int MOST_CHUNK_DIGITS = 8;
-    /** A body takes this much at once at most, whatever length its head states. */
-    private static final int FIRST_PIECE = 256 * 1_024;
+    private static final int MAX_CHUNK_LINE_BYTES = 1_024;
+    private static final int MAX_CHUNK_SIZE_DIGITS = 8;
+    /** Maximum initial buffer size of a body, whatever its Content-Length, in bytes. */
+    private static final int INITIAL_BODY_BYTES = 256 * 1_024;
 
     private enum State {
         HEAD,
         FIXED,
-        CHUNK_LINE,
+        CHUNK_HEADER,
         CHUNK,
         CHUNK_END,
         TRAILER,
-        WHOLE
+        COMPLETE
     }
 
     private State state = State.HEAD;
@@ -31,43 +31,44 @@
     private int trailerBytes;
     private byte[] body = EMPTY;
     private int filled;
-    private long left;
+    private long remaining;
     private Headers headers;
 
-    /** Reads the first line of a head. */
+    /** Parses the start line. */
     abstract void startLine(String line) throws BadMessageException;
 
-    /** Whether no body follows this head, whatever it says. */
+    /** Whether the message has no body, whatever its headers state. */
     abstract boolean isBodiless();
 
-    /** Whether a head that states no length has no body; else it can't be read. */
+    /** Whether a message without Content-Length and Transfer-Encoding has no body; otherwise it is rejected. */
     abstract boolean isEmptyWithoutLength();
 
-    /** The most bytes a head may have. */
+    /** Maximum size of the start line and the headers, in bytes. */
     abstract int maxHeadBytes();
 
-    /** The most bytes a body may have. */
+    /** Maximum size of a body, in bytes. */
     abstract long maxBodyBytes();
 
     /**
-     * Reads on; bytes that belong to the message are taken from the buffer.
+     * Reads more of the message; bytes that belong to it are consumed from the buffer.
      *
-     * @return whether the message is whole
-     * @throws BadMessageException if it can't be one; the connection is of no use any more
+     * @return whether the message is complete
+     * @throws BadMessageException if the message is malformed or exceeds a limit; the connection cannot be used any
+     *     more
      */
     public final boolean read(ByteBuf in) throws BadMessageException {
-        while (state != State.WHOLE) {
+        while (state != State.COMPLETE) {
             boolean more = switch (state) {
                 case HEAD -> readHead(in);
-                case FIXED -> readBody(in, State.WHOLE);
-                case CHUNK_LINE -> readChunkLine(in);
+                case FIXED -> readBody(in, State.COMPLETE);
+                case CHUNK_HEADER -> readChunkHeader(in);
                 case CHUNK -> readBody(in, State.CHUNK_END);
                 case CHUNK_END -> readChunkEnd(in);
                 case TRAILER -> readTrailer(in);
-                case WHOLE -> false;
+                case COMPLETE -> false;
             };
             if (!more) {
-                return state == State.WHOLE;
+                return state == State.COMPLETE;
             }
         }
         return true;
@@ -78,24 +79,24 @@
         return state != State.HEAD;
     }
 
-    /** The header lines, once the head has been read. */
+    /** The headers, once the head has been read. */
     public final Headers headers() {
         return headers;
     }
 
-    /** The body, once the message is whole. */
+    /** The body, once the message is complete. */
     public final byte[] body() {
         return body.length == filled ? body : Arrays.copyOf(body, filled);
     }
 
-    /** Makes ready for the next message. */
+    /** Prepares for the next message. */
     public void reset() {
         state = State.HEAD;
         scanned = 0;
         trailerBytes = 0;
         body = EMPTY;
         filled = 0;
-        left = 0;
+        remaining = 0;
         headers = null;
     }
 
@@ -112,14 +113,15 @@
         headers = new Headers();
         for (int start = lineEnd + 2; bytes[start] != '\r'; start = lineEnd + 2) {
             lineEnd = endOfLine(bytes, start);
-            HeaderLine.read(bytes, start, lineEnd, headers);
+            HeaderLine.parse(bytes, start, lineEnd, headers);
         }
-        frame();
+        startBody();
         return true;
     }
 
     /**
-     * The number of bytes up to the empty line and with it; negative where it has not come. Ends of lines are CR LF.
+     * Returns the number of bytes up to and including the empty line, or a negative number if it has not arrived.
+     * Lines must end with CR LF.
      */
     private int endOfHead(ByteBuf in) throws BadMessageException {
         int start = in.readerIndex();
@@ -131,13 +133,13 @@
             byte b = in.getByte(start + scanned);
             if (b == '\n') {
                 if (scanned == 0 || in.getByte(start + scanned - 1) != '\r') {
-                    throw new BadMessageException(400, "a line ends without CR");
+                    throw new BadMessageException(400, "LF without CR");
                 }
                 if (scanned >= 3 && in.getByte(start + scanned - 2) == '\n') {
                     return scanned + 1;
                 }
             } else if (scanned > 0 && in.getByte(start + scanned - 1) == '\r') {
-                throw new BadMessageException(400, "a CR without LF");
+                throw new BadMessageException(400, "CR without LF");
             }
         }
         return -1;
@@ -151,58 +153,58 @@
         return at;
     }
 
-    private void frame() throws BadMessageException {
+    private void startBody() throws BadMessageException {
         int codings = headers.count("Transfer-Encoding");
         int lengths = headers.count("Content-Length");
         if (codings > 0) {
             if (lengths > 0 || codings > 1 || !"chunked".equalsIgnoreCase(headers.get("Transfer-Encoding"))) {
-                throw new BadMessageException(400, "the coding leaves the length open");
+                throw new BadMessageException(400, "unsupported or conflicting Transfer-Encoding");
             }
-            state = isBodiless() ? State.WHOLE : State.CHUNK_LINE;
+            state = isBodiless() ? State.COMPLETE : State.CHUNK_HEADER;
         } else if (lengths > 1) {
-            throw new BadMessageException(400, "more than one length");
+            throw new BadMessageException(400, "more than one Content-Length");
         } else if (lengths == 1) {
-            fixed(HeaderLine.length(headers.get("Content-Length")));
+            startFixedBody(HeaderLine.parseContentLength(headers.get("Content-Length")));
         } else if (isBodiless() || isEmptyWithoutLength()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
         } else {
-            throw new BadMessageException(400, "nothing tells the end of the body");
+            throw new BadMessageException(400, "neither Content-Length nor chunked coding");
         }
     }
 
-    private void fixed(long length) throws BadMessageException {
+    private void startFixedBody(long length) throws BadMessageException {
         if (isBodiless()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
             return;
         }
         if (length > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
-        left = length;
-        body = length == 0 ? EMPTY : new byte[(int) Math.min(length, FIRST_PIECE)];
-        state = length == 0 ? State.WHOLE : State.FIXED;
+        remaining = length;
+        body = length == 0 ? EMPTY : new byte[(int) Math.min(length, INITIAL_BODY_BYTES)];
+        state = length == 0 ? State.COMPLETE : State.FIXED;
     }
 
     private boolean readBody(ByteBuf in, State next) {
-        int take = (int) Math.min(left, in.readableBytes());
+        int take = (int) Math.min(remaining, in.readableBytes());
         if (take == 0) {
             return false;
         }
         if (filled + take > body.length) {
-            long wanted = Math.max(filled + take, Math.min(2L * body.length, filled + left));
+            long wanted = Math.max(filled + take, Math.min(2L * body.length, filled + remaining));
             body = Arrays.copyOf(body, (int) wanted);
         }
         in.readBytes(body, filled, take);
         filled += take;
-        left -= take;
-        if (left == 0) {
+        remaining -= take;
+        if (remaining == 0) {
             state = next;
         }
-        return left == 0;
+        return remaining == 0;
     }
 
-    private boolean readChunkLine(ByteBuf in) throws BadMessageException {
-        String line = line(in, LONGEST_CHUNK_LINE);
+    private boolean readChunkHeader(ByteBuf in) throws BadMessageException {
+        String line = readLine(in, MAX_CHUNK_LINE_BYTES);
         if (line == null) {
             return false;
         }
@@ -210,14 +212,14 @@
         while (digits < line.length() && Character.digit(line.charAt(digits), 16) >= 0 && line.charAt(digits) < 128) {
             digits++;
         }
-        if (digits == 0 || digits > MOST_CHUNK_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
-            throw new BadMessageException(400, "a chunk without a length");
+        if (digits == 0 || digits > MAX_CHUNK_SIZE_DIGITS || digits < line.length() && line.charAt(digits) != ';') {
+            throw new BadMessageException(400, "malformed chunk size");
         }
-        left = Long.parseLong(line.substring(0, digits), 16);
-        if (filled + left > maxBodyBytes()) {
-            throw new BadMessageException(413, "the body is too long");
+        remaining = Long.parseLong(line.substring(0, digits), 16);
+        if (filled + remaining > maxBodyBytes()) {
+            throw new BadMessageException(413, "body exceeds the size limit");
         }
-        state = left == 0 ? State.TRAILER : State.CHUNK;
+        state = remaining == 0 ? State.TRAILER : State.CHUNK;
         return true;
     }
 
@@ -226,46 +228,46 @@
             return false;
         }
         if (in.readByte() != '\r' || in.readByte() != '\n') {
-            throw new BadMessageException(400, "a chunk is longer than it says");
+            throw new BadMessageException(400, "chunk data exceeds the chunk size");
         }
-        state = State.CHUNK_LINE;
+        state = State.CHUNK_HEADER;
         return true;
     }
 
-    /** Reads and drops the lines behind the last chunk. */
+    /** Reads and discards the trailer section after the last chunk. */
     private boolean readTrailer(ByteBuf in) throws BadMessageException {
-        String line = line(in, maxHeadBytes());
+        String line = readLine(in, maxHeadBytes());
         if (line == null) {
             return false;
         }
         trailerBytes += line.length() + 2;
         if (trailerBytes > maxHeadBytes()) {
-            throw new BadMessageException(431, "the trailer is too long");
+            throw new BadMessageException(431, "trailer section exceeds the size limit");
         }
         if (line.isEmpty()) {
-            state = State.WHOLE;
+            state = State.COMPLETE;
         } else {
             byte[] bytes = line.getBytes(StandardCharsets.ISO_8859_1);
-            HeaderLine.read(bytes, 0, bytes.length, new Headers());
+            HeaderLine.parse(bytes, 0, bytes.length, new Headers());
         }
         return true;
     }
 
-    private static String line(ByteBuf in, int most) throws BadMessageException {
+    private static String readLine(ByteBuf in, int maxBytes) throws BadMessageException {
         int start = in.readerIndex();
         int lineFeed = in.indexOf(start, in.writerIndex(), (byte) '\n');
         if (lineFeed < 0) {
-            if (in.readableBytes() > most) {
-                throw new BadMessageException(400, "a line is too long");
+            if (in.readableBytes() > maxBytes) {
+                throw new BadMessageException(400, "line exceeds the size limit");
             }
             return null;
         }
-        if (lineFeed - start > most || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
-            throw new BadMessageException(400, "a line ends without CR or is too long");
+        if (lineFeed - start > maxBytes || lineFeed == start || in.getByte(lineFeed - 1) != '\r') {
+            throw new BadMessageException(400, "line ends without CR or exceeds the size limit");
         }
         String line = in.toString(start, lineFeed - 1 - start, StandardCharsets.ISO_8859_1);
         if (line.indexOf('\r') >= 0) {
-            throw new BadMessageException(400, "a CR without LF");
+            throw new BadMessageException(400, "CR without LF");
         }
         in.readerIndex(lineFeed + 1);
         return line;
--- a/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
+++ b/cdn/src/main/java/ridgemill/cdn/proxy/http/RequestReader.java
@@ -7,10 +7,10 @@
     private long maxBodyBytes;
     private String method;
     private String target;
-    private boolean oldVersion;
+    private boolean http10;
 
-    /** Bounds what is read from now on. */
-    public void limits(int headBytes, long bodyBytes) {
+    /** Sets the maximum size of the head and the body, in bytes. */
+    public void setLimits(int headBytes, long bodyBytes) {
         maxHeadBytes = headBytes;
         maxBodyBytes = bodyBytes;
     }
@@ -20,17 +20,17 @@
         return method;
     }
 
-    /** The path with its query, as it came. */
+    /** The path and query as received. */
     public String target() {
         return target;
     }
 
-    /** Whether the client wants the connection to stay open. */
+    /** Whether the client allows the connection to stay open. */
     public boolean isKeepAlive() {
-        return !oldVersion && !headers().lists("Connection", "close");
+        return !http10 && !headers().containsToken("Connection", "close");
     }
 
-    /** Whether the client waits for a word before it sends the body. */
+    /** Whether the client waits for {@code 100 Continue} before it sends the body. */
     public boolean expectsContinue() {
         return "100-continue".equalsIgnoreCase(headers().get("Expect"));
     }
@@ -40,18 +40,18 @@
         int first = line.indexOf(' ');
         int second = line.indexOf(' ', first + 1);
         if (first <= 0 || second < 0 || line.indexOf(' ', second + 1) >= 0) {
-            throw new BadMessageException(400, "the request line has other than three parts");
+            throw new BadMessageException(400, "request line does not have three parts");
         }
         method = line.substring(0, first);
         target = line.substring(first + 1, second);
         String version = line.substring(second + 1);
-        oldVersion = version.equals("HTTP/1.0");
-        if (!HeaderLine.isToken(method) || !isPath(target) || !oldVersion && !version.equals("HTTP/1.1")) {
-            throw new BadMessageException(400, "the request line makes no sense");
+        http10 = version.equals("HTTP/1.0");
+        if (!HeaderLine.isToken(method) || !isOriginForm(target) || !http10 && !version.equals("HTTP/1.1")) {
+            throw new BadMessageException(400, "invalid method, target or version in the request line");
         }
     }
 
-    private static boolean isPath(String text) {
+    private static boolean isOriginForm(String text) {
         for (int i = 0; i < text.length(); i++) {
             if (text.charAt(i) <= ' ' || text.charAt(i) >= 127 || text.charAt(i) == '#') {
                 return false;
--- a/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/Confirmation.java
@@ -7,59 +7,63 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ridgemill.cdn.instances.Instance;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 
 /**
- * Waits until everybody that can be reached has a change of an instance's state, for a bounded time. The change is
- * confirmed if the registries on a majority of the voting machines have it by then, whatever the proxies say: they may be out of reach.
+ * Waits for a bounded time until all reachable proxies and registries have a change of an instance's state. The change
+ * is confirmed if the registries on a majority of the voting machines have it by then. Proxies do not affect the
+ * result, because they may be unreachable.
  */
 final class Confirmation {
 
-    /** How long a change of an instance's state may take to reach everybody before its call is answered. */
+    /** The maximum delay of the response to a change of an instance's state, in milliseconds. */
     static final long TIMEOUT_MS = 600;
 
     private final PeerRegistries peers;
-    private final ProxyNews news;
-    private final CoreMembers members;
+    private final ProxyUpdates proxyUpdates;
+    private final ClusterMembers members;
     private final Consumer<Boolean> callback;
-    /** The machines whose registries have the change. */
-    private final Set<String> registries = new HashSet<>();
+    /** The addresses of the machines whose registries have the change. */
+    private final Set<String> confirmedRegistries = new HashSet<>();
 
-    private int outstanding;
-    private boolean proxiesHaveIt;
+    private int pendingReplies;
+    private boolean proxiesAcknowledged;
     private boolean done;
 
-    /** A confirmation that waits from {@link #begin} on. The callback is told once whether the change is confirmed. */
-    Confirmation(PeerRegistries peers, ProxyNews news, CoreMembers members, Consumer<Boolean> callback) {
+    /**
+     * Creates a confirmation that is started by {@link #begin}. The callback receives once whether the change is
+     * confirmed.
+     */
+    Confirmation(PeerRegistries peers, ProxyUpdates proxyUpdates, ClusterMembers members, Consumer<Boolean> callback) {
         this.peers = peers;
-        registries.add(peers.ownAddress());
-        this.news = news;
+        confirmedRegistries.add(peers.ownAddress());
+        this.proxyUpdates = proxyUpdates;
         this.members = members;
         this.callback = callback;
     }
 
-    /** Tells the other registries of the change; the news of it to the proxies are pushed already. */
+    /** Sends the change to the other registries. The update to the proxies has already been sent. */
     void begin(List<Instance> change, EventLoop loop) {
-        outstanding = peers.count();
-        peers.confirm(change, this::answered);
-        news.whenAcknowledged(() -> {
-            proxiesHaveIt = true;
-            finishIfAllHaveIt();
+        pendingReplies = peers.count();
+        peers.confirm(change, this::onPeerReply);
+        proxyUpdates.whenAcknowledged(() -> {
+            proxiesAcknowledged = true;
+            finishIfComplete();
         });
         loop.schedule(this::finish, TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        finishIfAllHaveIt();
+        finishIfComplete();
     }
 
-    private void answered(String host, boolean merged) {
+    private void onPeerReply(String host, boolean merged) {
         if (merged) {
-            registries.add(host);
+            confirmedRegistries.add(host);
         }
-        outstanding--;
-        finishIfAllHaveIt();
+        pendingReplies--;
+        finishIfComplete();
     }
 
-    private void finishIfAllHaveIt() {
-        if (proxiesHaveIt && outstanding == 0) {
+    private void finishIfComplete() {
+        if (proxiesAcknowledged && pendingReplies == 0) {
             finish();
         }
     }
@@ -67,7 +71,7 @@
     private void finish() {
         if (!done) {
             done = true;
-            callback.accept(members.voters().isMajorityOfAddresses(registries::contains));
+            callback.accept(members.voters().hasQuorumOfAddresses(confirmedRegistries::contains));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/InstanceCalls.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceState;
 import ridgemill.cdn.instances.InstanceTable;
@@ -11,14 +11,15 @@
 import ridgemill.cdn.settings.Durations;
 import ridgemill.gateway.net.Clock;
 
-/** Answers the heartbeats of instances and their leaving. */
+/** Handles heartbeats and departures of instances. */
 final class InstanceCalls {
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int UNAVAILABLE = 503;
-    private static final CallServer.Answer TAKEN = new CallServer.Answer(OK, "{}".getBytes(StandardCharsets.US_ASCII));
+    private static final SimpleHttpServer.Response ACCEPTED =
+            new SimpleHttpServer.Response(OK, "{}".getBytes(StandardCharsets.US_ASCII));
 
     private final InstanceReports reports;
     private final InstanceTable instances;
@@ -30,26 +31,28 @@
         this.clock = clock;
     }
 
-    /** Answers a call about the instance with this identifier. */
-    void accept(String id, CallServer.Call call) {
-        Instance instance = switch (call.method()) {
-            case "PUT" -> heartbeat(id, call.body());
+    /** Handles a request about the instance with this identifier. */
+    void accept(String id, SimpleHttpServer.Request request) {
+        Instance instance = switch (request.method()) {
+            case "PUT" -> heartbeat(id, request.body());
             case "DELETE" -> departure(id);
             default -> null;
         };
         if (instance == null) {
-            boolean known = call.method().equals("PUT") || call.method().equals("DELETE");
-            call.answer().accept(CallServer.Answer.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
+            boolean known = request.method().equals("PUT") || request.method().equals("DELETE");
+            request.responder().accept(SimpleHttpServer.Response.empty(known ? BAD_REQUEST : METHOD_NOT_ALLOWED));
             return;
         }
-        reports.take(
-                instance, confirmed -> call.answer().accept(confirmed ? TAKEN : CallServer.Answer.empty(UNAVAILABLE)));
+        reports.accept(
+                instance,
+                confirmed -> request.responder()
+                        .accept(confirmed ? ACCEPTED : SimpleHttpServer.Response.empty(UNAVAILABLE)));
     }
 
-    /** What a heartbeat says of its instance, or null if it can't be read. */
+    /** Parses a heartbeat. Returns null if it is malformed. */
     private Instance heartbeat(String id, byte[] body) {
         try {
-            JsonNode root = TreeReader.json(body);
+            JsonNode root = TreeReader.parseJson(body);
             JsonNode information = root.path("information");
             JsonNode status = root.path("status");
             String state = status.path("state").asText();
@@ -73,9 +76,12 @@
         }
     }
 
-    /** An instance that leaves before it was ever heard is noted too: a heartbeat that comes late doesn't bring it back. */
+    /**
+     * Creates the state of an instance that leaves. An unknown instance is recorded as gone too, so that a late
+     * heartbeat does not bring it back.
+     */
     private Instance departure(String id) {
         Instance known = instances.get(id);
-        return known == null ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, 0) : known.gone();
+        return known == null ? new Instance(id, "", "", "", "", 0, InstanceState.GONE, 0, 0) : known.asGone();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/OperatorCalls.java
@@ -12,11 +12,11 @@
 import ridgemill.cdn.configuration.ChangeValidator;
 import ridgemill.cdn.configuration.ConfigurationChange;
 import ridgemill.cdn.configuration.InvalidChange;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.json.TreeReader;
 import ridgemill.cdn.purge.Purge;
 
-/** Answers the operators' calls: changes and reads of the configuration, purges. */
+/** Handles the requests of operators: changes and reads of the configuration, and purges. */
 final class OperatorCalls {
 
     private static final System.Logger LOG = System.getLogger(OperatorCalls.class.getName());
@@ -33,7 +33,10 @@
         this.stores = stores;
     }
 
-    /** Made with the first call: the schema takes a start on part of a core longer than all else together. */
+    /**
+     * Creates the reader on first use. On a fraction of a CPU core, loading the schema takes longer than the rest of
+     * the start.
+     */
     private ChangeReader reader() {
         if (reader == null) {
             reader = new ChangeReader();
@@ -41,25 +44,27 @@
         return reader;
     }
 
-    /** Answers with what a quorum of the stores holds. */
-    void readConfiguration(CallServer.Call call) {
-        stores.read(items -> call.answer()
+    /** Responds with the configuration that a quorum of the stores holds. */
+    void readConfiguration(SimpleHttpServer.Request request) {
+        stores.read(items -> request.responder()
                 .accept(
                         items == null
-                                ? CallServer.Answer.empty(UNAVAILABLE)
-                                : new CallServer.Answer(OK, reader().write(items))));
+                                ? SimpleHttpServer.Response.empty(UNAVAILABLE)
+                                : new SimpleHttpServer.Response(OK, reader().write(items))));
     }
 
-    /** Each item of a change is checked here by itself; the rest is decided by the stores together. */
-    void changeConfiguration(CallServer.Call call) {
-        Either<InvalidChange, ConfigurationChange> change = reader().read(call.body());
+    /**
+     * Changes the configuration. Each item is checked here on its own; rules across items are checked by the stores.
+     */
+    void changeConfiguration(SimpleHttpServer.Request request) {
+        Either<InvalidChange, ConfigurationChange> change = reader().read(request.body());
         if (change.isLeft()) {
-            refuse(call, BAD_REQUEST, change.getLeft().describe());
+            refuse(request, BAD_REQUEST, change.getLeft().describe());
             return;
         }
         Option<InvalidChange> fault = validator.check(change.get());
         if (fault.isDefined()) {
-            refuse(call, BAD_REQUEST, fault.get().describe());
+            refuse(request, BAD_REQUEST, fault.get().describe());
             return;
         }
         stores.change(change.get().items(), result -> {
@@ -67,34 +72,37 @@
                     System.Logger.Level.INFO,
                     "event=configuration items=" + change.get().items().size() + " outcome=" + result.outcome());
             switch (result.outcome()) {
-                case CONFIRMED -> call.answer().accept(CallServer.Answer.empty(OK));
-                case CONFLICT -> refuse(call, CONFLICT, result.detail());
-                case INVALID -> refuse(call, BAD_REQUEST, result.detail());
-                default -> call.answer().accept(CallServer.Answer.empty(UNAVAILABLE));
+                case CONFIRMED -> request.responder().accept(SimpleHttpServer.Response.empty(OK));
+                case CONFLICT -> refuse(request, CONFLICT, result.detail());
+                case INVALID -> refuse(request, BAD_REQUEST, result.detail());
+                default -> request.responder().accept(SimpleHttpServer.Response.empty(UNAVAILABLE));
             }
         });
     }
 
-    private void refuse(CallServer.Call call, int status, String reason) {
+    private void refuse(SimpleHttpServer.Request request, int status, String reason) {
         LOG.log(System.Logger.Level.INFO, "event=order_refused status=" + status + " reason=\"" + reason + "\"");
         ObjectNode body = JsonNodeFactory.instance.objectNode().put("errorMessage", reason);
-        call.answer().accept(new CallServer.Answer(status, body.toString().getBytes(StandardCharsets.UTF_8)));
+        request.responder()
+                .accept(new SimpleHttpServer.Response(status, body.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Orders a purge; the call is acknowledged once a majority of the stores has passed it on. */
-    void purge(CallServer.Call call) {
-        Purge purge = readPurge(call.body());
+    /** Requests a purge. The request is acknowledged once a majority of the stores has forwarded it. */
+    void purge(SimpleHttpServer.Request request) {
+        Purge purge = readPurge(request.body());
         if (purge == null) {
-            refuse(call, BAD_REQUEST, "a purge needs hostname and path, or tag");
+            refuse(request, BAD_REQUEST, "a purge needs hostname and path, or tag");
             return;
         }
-        stores.purge(purge, passedOn -> call.answer().accept(CallServer.Answer.empty(passedOn ? OK : UNAVAILABLE)));
+        stores.purge(
+                purge,
+                forwarded -> request.responder().accept(SimpleHttpServer.Response.empty(forwarded ? OK : UNAVAILABLE)));
     }
 
-    /** The purge of a call, or null if it can't be read. */
+    /** Parses the purge of a request. Returns null if it is malformed. */
     private Purge readPurge(byte[] body) {
         try {
-            JsonNode root = TreeReader.json(body);
+            JsonNode root = TreeReader.parseJson(body);
             String id = UUID.randomUUID().toString();
             if (root.path("tag").isTextual()) {
                 return Purge.ofTag(id, root.path("tag").textValue());
--- a/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/RegistryProgram.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
-import ridgemill.cdn.http.CallServer;
+import ridgemill.cdn.http.SimpleHttpServer;
 import ridgemill.cdn.instances.InstanceTable;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.settings.Settings;
 import ridgemill.cdn.wire.LinkMessages;
 import ridgemill.cdn.wire.LinkServer;
@@ -16,15 +16,15 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * The registry: takes the calls of instances and operators, keeps the list of instances in memory, shares it with the
- * registries on the other core machines and pushes it to edge proxies. One runs on each core machine. Everything runs on
- * one event loop.
+ * The registry: accepts requests of instances and operators, keeps the list of instances in memory, shares it with the
+ * registries on the other core machines and sends it to edge proxies. One registry runs on each core machine.
+ * Everything runs on one event loop.
  */
 public final class RegistryProgram {
 
-    /** How often what other registries may have missed is told again, in milliseconds. */
+    /** How often heartbeats and recent changes are sent to the other registries, in milliseconds. */
     private static final long GOSSIP_INTERVAL_MS = 500;
-    /** How long a call to the stores takes at most, in milliseconds: callers go on to another registry after a second. */
+    /** The timeout of a call to the stores, in milliseconds. Clients move on to another registry after one second. */
     private static final long STORE_TIMEOUT_MS = 900;
 
     private final Settings settings;
@@ -32,57 +32,59 @@
     private final SocketKind sockets;
     private final Clock clock;
     private final InstanceTable instances = new InstanceTable();
-    private final CoreMembers members = new CoreMembers();
+    private final ClusterMembers members = new ClusterMembers();
     private final StoreClient storeClient;
-    private final ProxyNews news;
+    private final ProxyUpdates proxyUpdates;
     private final PeerRegistries peers;
     private final VotingStores stores;
     private final InstanceReports reports;
-    private CallServer controlServer;
+    private SimpleHttpServer controlServer;
     private LinkServer linkServer;
 
-    /** A registry that is started by {@link #start}. */
+    /** Creates a registry that is started by {@link #start}. */
     public RegistryProgram(Settings settings, EventLoop loop, SocketKind sockets, Clock clock) {
         this.settings = settings;
         this.loop = loop;
         this.sockets = sockets;
         this.clock = clock;
-        String lifeId = UUID.randomUUID().toString();
+        String incarnationId = UUID.randomUUID().toString();
         LinkMessages.Hello hello = new LinkMessages.Hello(
-                LinkMessages.Hello.PROTOCOL, "registry", settings.nodeName(), settings.ipAddress(), lifeId);
+                LinkMessages.Hello.PROTOCOL, "registry", settings.nodeName(), settings.ipAddress(), incarnationId);
         LinkOpener opener = new LinkOpener(loop, sockets, hello);
         storeClient = new StoreClient(loop, STORE_TIMEOUT_MS);
-        news = new ProxyNews(lifeId, members, instances, clock, settings.heartbeatIntervalMs());
-        peers = new PeerRegistries(settings.ipAddress(), settings.registryPort(), opener, members, instances, news);
-        stores = new VotingStores(settings.storePort(), opener, members, news, storeClient);
-        reports = new InstanceReports(instances, members, peers, news, loop, clock);
+        proxyUpdates = new ProxyUpdates(incarnationId, members, instances, clock, settings.heartbeatIntervalMs());
+        peers = new PeerRegistries(
+                settings.ipAddress(), settings.registryPort(), opener, members, instances, proxyUpdates);
+        stores = new VotingStores(settings.storePort(), opener, members, proxyUpdates, storeClient);
+        reports = new InstanceReports(instances, members, peers, proxyUpdates, loop, clock);
     }
 
     /**
      * Listens and connects to the other core machines.
      *
-     * @throws io.netty.channel.ChannelException if an address can't be had
+     * @throws io.netty.channel.ChannelException if an address cannot be bound
      */
     public void start() {
-        news.started();
+        proxyUpdates.markStarted();
         InetSocketAddress control = Addresses.parse(settings.controlAddress());
-        CallRouter calls = new CallRouter(new InstanceCalls(reports, instances, clock), new OperatorCalls(storeClient));
+        ControlRouter calls =
+                new ControlRouter(new InstanceCalls(reports, instances, clock), new OperatorCalls(storeClient));
         linkServer = LinkServer.listen(
                 loop,
                 sockets,
                 new InetSocketAddress(settings.ipAddress(), settings.registryPort()),
-                new IncomingLinks(members, instances, news, peers, stores, clock));
-        controlServer = CallServer.listen(loop, sockets, control, calls);
-        loop.execute(this::join);
+                new IncomingLinks(members, instances, proxyUpdates, peers, stores, clock));
+        controlServer = SimpleHttpServer.listen(loop, sockets, control, calls);
+        loop.execute(this::joinCluster);
     }
 
-    /** Stops taking calls. */
+    /** Stops accepting requests and links. */
     public void stop() {
         controlServer.close();
         linkServer.close();
     }
 
-    private void join() {
+    private void joinCluster() {
         members.addCoreHosts(List.of(settings.ipAddress()));
         members.addCoreHosts(settings.seedHosts());
         peers.connect();
@@ -91,14 +93,14 @@
         loop.scheduleWithFixedDelay(this::gossip, GOSSIP_INTERVAL_MS, GOSSIP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Tells the other registries of heartbeats and, again, of recent changes, and the proxies of silent instances. */
+    /** Sends heartbeats and recent changes to the other registries, and unresponsive instances to the proxies. */
     private void gossip() {
         double now = clock.now();
-        for (String proxy : news.proxyNames()) {
-            members.proxyHeard(proxy, now);
+        for (String proxy : proxyUpdates.proxyNames()) {
+            members.recordProxy(proxy, now);
         }
-        peers.tell(reports.changedLately(), reports.drainNewBeats());
-        instances.forgetOld(now);
-        news.refresh();
+        peers.broadcast(reports.recentChanges(), reports.drainNewHeartbeats());
+        instances.removeExpired(now);
+        proxyUpdates.refresh();
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/StoreClient.java
@@ -12,43 +12,44 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.purge.Purge;
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 import ridgemill.cdn.wire.CallFailure;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Asks the voting configuration stores. Changes and reads go to the store that leads; where it can't be reached, another
- * one is asked to lead. An order may be sent to several: it is decided once. Purges go to all voters.
+ * A client of the voting configuration stores. Changes and reads go to the leader. If the leader is unreachable,
+ * another store is asked to lead. A change may be sent to several stores; it is decided only once. Purges go to all
+ * voters.
  */
 public final class StoreClient {
 
-    /** How long one store is waited for before the next one is asked, in milliseconds. */
-    private static final long ATTEMPT_MS = 450;
-    /** A store is not asked if less time than this is left, in milliseconds. */
-    private static final long LEAST_ATTEMPT_MS = 100;
-    /** How much longer a change may take for each of its items, in milliseconds. */
-    private static final long ITEM_MS = 2;
-    /** How long a call waits where nobody leads, in milliseconds. */
-    private static final long LEADERLESS_MS = 80;
-    /** How long a purge waits before it is sent again in a newer epoch, in milliseconds. */
-    private static final long PURGE_AGAIN_MS = 60;
+    /** The timeout of an attempt at one store, after which the next store is asked, in milliseconds. */
+    private static final long ATTEMPT_TIMEOUT_MS = 450;
+    /** No attempt is started if less time than this remains, in milliseconds. */
+    private static final long MIN_ATTEMPT_MS = 100;
+    /** The additional time that a change may take for each of its items, in milliseconds. */
+    private static final long EXTRA_MS_PER_ITEM = 2;
+    /** The delay before a call is retried when there is no reachable leader, in milliseconds. */
+    private static final long NO_LEADER_RETRY_DELAY_MS = 80;
+    /** The delay before a purge is sent again, with the newest epoch, in milliseconds. */
+    private static final long PURGE_RETRY_DELAY_MS = 60;
 
     private final EventLoop loop;
     private final long budgetMs;
-    private final Map<String, HeldLink> links = new HashMap<>();
+    private final Map<String, ReconnectingLink> links = new HashMap<>();
     private VoterSet voters = VoterSet.UNKNOWN;
     private String leader = "";
 
     /**
-     * A client without voters, whose calls fail until {@link #setVoters} is called.
+     * Creates a client without voters. Calls fail until {@link #setVoters} is called.
      *
-     * @param budgetMs how long a call takes at most, in milliseconds
+     * @param budgetMs the timeout of a call, in milliseconds
      */
     public StoreClient(EventLoop loop, long budgetMs) {
         this.loop = loop;
@@ -56,164 +57,167 @@
     }
 
     /** Sets the voters and the links to them, by their IP addresses. */
-    public void setVoters(VoterSet newest, Map<String, HeldLink> newestLinks) {
+    public void setVoters(VoterSet newest, Map<String, ReconnectingLink> newestLinks) {
         voters = newest;
         links.clear();
         links.putAll(newestLinks);
     }
 
-    /** Orders a change. The callback is told what became of it. */
-    public void change(List<Item> items, Consumer<OrderResult> callback) {
-        long patienceMs = ITEM_MS * items.size();
-        new Attempts<OrderResult>(
-                        patienceMs,
-                        (callId, insist, leftMs) -> new StoreMessages.ChangeItems(callId, insist, leftMs, items),
+    /** Requests a change. The callback receives its result. */
+    public void change(List<Item> items, Consumer<ChangeResult> callback) {
+        long extraMs = EXTRA_MS_PER_ITEM * items.size();
+        new Attempts<ChangeResult>(
+                        extraMs,
+                        (callId, forceLeader, leftMs) ->
+                                new StoreMessages.ChangeItems(callId, forceLeader, leftMs, items),
                         StoreClient::resultOf,
                         result -> result,
-                        answer -> callback.accept(answer == null ? OrderResult.UNKNOWN : answer))
-                .next();
+                        response -> callback.accept(response == null ? ChangeResult.UNKNOWN : response))
+                .tryNext();
     }
 
-    private static OrderResult resultOf(Message.Reply reply) {
-        return reply instanceof StoreMessages.ItemsChanged changed ? changed.result() : OrderResult.UNKNOWN;
+    private static ChangeResult resultOf(Message.Reply reply) {
+        return reply instanceof StoreMessages.ItemsChanged changed ? changed.result() : ChangeResult.UNKNOWN;
     }
 
-    /** Reads the newest decided items. The callback is told null if no majority confirmed them in time. */
+    /** Reads the newest decided items. The callback receives null if no majority confirmed them in time. */
     public void read(Consumer<Collection<Item>> callback) {
         new Attempts<StoreMessages.ItemsRead>(
                         0,
                         StoreMessages.ReadItems::new,
                         reply -> (StoreMessages.ItemsRead) reply,
-                        read -> new OrderResult(read.outcome(), read.leader()),
+                        read -> new ChangeResult(read.outcome(), read.leaderAddress()),
                         read -> callback.accept(read == null ? null : read.items()))
-                .next();
+                .tryNext();
     }
 
-    /** Makes a call from its number, whether the store is to insist on leading, and how long the caller waits. */
+    /**
+     * Creates a call from its number, whether the store is to take over the leadership, and how long the caller waits.
+     */
     private interface CallMaker {
 
-        Message.Call make(long callId, boolean insist, long leftMs);
+        Message.Call make(long callId, boolean forceLeader, long leftMs);
     }
 
-    /** One call, tried at one store after another until one of them knows the answer. */
+    /** One call, tried at one store after another until one of them gives a definite result. */
     private final class Attempts<R> {
 
         private final long endNanos;
-        private final long patienceMs;
+        private final long extraMs;
         private final CallMaker maker;
         private final Function<Message.Reply, R> reader;
-        private final Function<R, OrderResult> result;
+        private final Function<R, ChangeResult> result;
         private final Consumer<R> callback;
-        private final Set<String> asked = new HashSet<>();
-        private boolean insist;
+        private final Set<String> attemptedHosts = new HashSet<>();
+        private boolean forceLeader;
 
         Attempts(
-                long patienceMs,
+                long extraMs,
                 CallMaker maker,
                 Function<Message.Reply, R> reader,
-                Function<R, OrderResult> result,
+                Function<R, ChangeResult> result,
                 Consumer<R> callback) {
-            this.patienceMs = patienceMs;
-            this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + patienceMs);
+            this.extraMs = extraMs;
+            this.endNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs + extraMs);
             this.maker = maker;
             this.reader = reader;
             this.result = result;
             this.callback = callback;
         }
 
-        void next() {
+        void tryNext() {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
-            String host = leftMs < LEAST_ATTEMPT_MS ? null : nextHost();
+            String host = leftMs < MIN_ATTEMPT_MS ? null : selectHost();
             if (host == null) {
                 callback.accept(null);
                 return;
             }
-            asked.add(host);
-            long timeoutMs = Math.min(leftMs, ATTEMPT_MS + patienceMs);
-            boolean insists = insist;
+            attemptedHosts.add(host);
+            long timeoutMs = Math.min(leftMs, ATTEMPT_TIMEOUT_MS + extraMs);
+            boolean force = forceLeader;
             links.get(host)
-                    .call(callId -> maker.make(callId, insists, timeoutMs), timeoutMs, reply -> answered(host, reply));
+                    .call(callId -> maker.make(callId, force, timeoutMs), timeoutMs, reply -> onReply(host, reply));
         }
 
-        /** The store that leads, else a voter that can be reached; null if all were asked. */
-        private String nextHost() {
-            if (isOpen(leader) && !asked.contains(leader)) {
+        /** Returns the leader, else a reachable voter; null if all were asked. */
+        private String selectHost() {
+            if (isOpen(leader) && !attemptedHosts.contains(leader)) {
                 return leader;
             }
             for (Voter voter : voters.members()) {
-                if (isOpen(voter.address()) && !asked.contains(voter.address())) {
+                if (isOpen(voter.address()) && !attemptedHosts.contains(voter.address())) {
                     return voter.address();
                 }
             }
             return null;
         }
 
-        /** Nobody who leads can be reached at present: all may be asked again. */
-        private void askAgain() {
-            asked.clear();
+        /** Starts over with all stores, because no leader is reachable. */
+        private void restart() {
+            attemptedHosts.clear();
             leader = "";
-            insist = true;
-            next();
+            forceLeader = true;
+            tryNext();
         }
 
-        private void answered(String host, Either<CallFailure, Message.Reply> reply) {
-            R answer = reply.isRight() ? reader.apply(reply.get()) : null;
-            OrderResult told = answer == null ? OrderResult.UNKNOWN : result.apply(answer);
-            switch (told.outcome()) {
+        private void onReply(String host, Either<CallFailure, Message.Reply> reply) {
+            R response = reply.isRight() ? reader.apply(reply.get()) : null;
+            ChangeResult changeResult = response == null ? ChangeResult.UNKNOWN : result.apply(response);
+            switch (changeResult.outcome()) {
                 case CONFIRMED, CONFLICT, INVALID -> {
                     leader = host;
-                    callback.accept(answer);
+                    callback.accept(response);
                 }
                 case NOT_LEADER -> {
-                    leader = told.detail();
-                    if (isOpen(leader) && !asked.contains(leader)) {
-                        next();
+                    leader = changeResult.detail();
+                    if (isOpen(leader) && !attemptedHosts.contains(leader)) {
+                        tryNext();
                     } else {
-                        loop.schedule(this::askAgain, LEADERLESS_MS, TimeUnit.MILLISECONDS);
+                        loop.schedule(this::restart, NO_LEADER_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
                     }
                 }
                 case UNKNOWN -> {
-                    insist = true;
-                    next();
+                    forceLeader = true;
+                    tryNext();
                 }
             }
         }
     }
 
     private boolean isOpen(String host) {
-        HeldLink link = links.get(host);
+        ReconnectingLink link = links.get(host);
         return link != null && link.isOpen();
     }
 
-    /** Orders a purge. The callback is told whether a majority of the voters has passed it on. */
+    /** Requests a purge. The callback receives whether a majority of the voters has forwarded it. */
     public void purge(Purge purge, Consumer<Boolean> callback) {
         purge(purge, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(budgetMs), callback);
     }
 
     private void purge(Purge purge, long endNanos, Consumer<Boolean> callback) {
-        VoterSet asked = voters;
+        VoterSet targetVoters = voters;
         long leftMs = TimeUnit.NANOSECONDS.toMillis(endNanos - System.nanoTime());
-        LongFunction<Message.Call> call = callId -> new StoreMessages.WritePurge(callId, asked.epoch(), purge);
-        MajorityCount count = new MajorityCount(asked, passedOn -> {
-            boolean again = !passedOn && leftMs > LEAST_ATTEMPT_MS + PURGE_AGAIN_MS;
-            if (again) {
-                loop.schedule(() -> purge(purge, endNanos, callback), PURGE_AGAIN_MS, TimeUnit.MILLISECONDS);
+        LongFunction<Message.Call> call = callId -> new StoreMessages.WritePurge(callId, targetVoters.epoch(), purge);
+        MajorityCount count = new MajorityCount(targetVoters, forwarded -> {
+            boolean retry = !forwarded && leftMs > MIN_ATTEMPT_MS + PURGE_RETRY_DELAY_MS;
+            if (retry) {
+                loop.schedule(() -> purge(purge, endNanos, callback), PURGE_RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
             } else {
-                callback.accept(passedOn);
+                callback.accept(forwarded);
             }
         });
-        for (String address : asked.addresses()) {
-            HeldLink link = links.get(address);
+        for (String address : targetVoters.addresses()) {
+            ReconnectingLink link = links.get(address);
             if (link == null) {
                 count.failed(address);
             } else {
-                link.call(call, Math.max(1, leftMs), reply -> count.answered(address, reply));
+                link.call(call, Math.max(1, leftMs), reply -> count.onReply(address, reply));
             }
         }
-        count.failIfNobodyIsAsked();
+        count.failIfNoVoters();
     }
 
-    /** Counts the voters that have written something and tells once whether they are a majority. */
+    /** Counts the voters that have completed a write and reports once whether they are a majority. */
     private static final class MajorityCount {
 
         private final VoterSet voters;
@@ -227,10 +231,10 @@
             this.callback = callback;
         }
 
-        void answered(String address, Either<CallFailure, Message.Reply> reply) {
-            if (reply.isRight() && reply.get() instanceof StoreMessages.Written written && written.durable()) {
+        void onReply(String address, Either<CallFailure, Message.Reply> reply) {
+            if (reply.isRight() && reply.get() instanceof StoreMessages.WriteResult written && written.durable()) {
                 succeeded.add(written.store());
-                if (voters.isMajority(succeeded::contains)) {
+                if (voters.hasQuorum(succeeded::contains)) {
                     decide(true);
                 }
             } else {
@@ -240,12 +244,12 @@
 
         void failed(String address) {
             failed.add(address);
-            if (!voters.isMajorityOfAddresses(voter -> !failed.contains(voter))) {
+            if (!voters.hasQuorumOfAddresses(voter -> !failed.contains(voter))) {
                 decide(false);
             }
         }
 
-        void failIfNobodyIsAsked() {
+        void failIfNoVoters() {
             if (!voters.isKnown()) {
                 decide(false);
             }
--- a/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
+++ b/cdn/src/main/java/ridgemill/cdn/registry/VotingStores.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ridgemill.cdn.membership.CoreMembers;
+import ridgemill.cdn.membership.ClusterMembers;
 import ridgemill.cdn.quorum.VoterSet;
-import ridgemill.cdn.wire.HeldLink;
 import ridgemill.cdn.wire.Link;
 import ridgemill.cdn.wire.LinkListener;
 import ridgemill.cdn.wire.Message;
+import ridgemill.cdn.wire.ReconnectingLink;
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Follows which configuration stores vote and keeps links to them. Each store that is linked says it, as do other
- * registries; the newest epoch counts.
+ * Tracks which configuration stores vote and keeps links to them. Linked stores and other registries report the voters;
+ * the newest epoch is used.
  */
 final class VotingStores implements LinkListener {
 
@@ -21,35 +21,35 @@
 
     private final int port;
     private final LinkOpener opener;
-    private final CoreMembers members;
-    private final ProxyNews news;
+    private final ClusterMembers members;
+    private final ProxyUpdates proxyUpdates;
     private final StoreClient client;
-    private final Map<String, HeldLink> links = new HashMap<>();
+    private final Map<String, ReconnectingLink> links = new HashMap<>();
 
     /**
-     * Without links until {@link #connect} or {@link #learn}.
+     * Creates an object that has no links until {@link #connect} or {@link #updateVoters} is called.
      *
-     * @param port the port at which each store takes links
-     * @param client given the links to the voters once they are known
+     * @param port the port at which each store accepts links
+     * @param client receives the links to the voters once they are known
      */
-    VotingStores(int port, LinkOpener opener, CoreMembers members, ProxyNews news, StoreClient client) {
+    VotingStores(int port, LinkOpener opener, ClusterMembers members, ProxyUpdates proxyUpdates, StoreClient client) {
         this.port = port;
         this.opener = opener;
         this.members = members;
-        this.news = news;
+        this.proxyUpdates = proxyUpdates;
         this.client = client;
     }
 
-    /** Opens a link to a store unless there is one. */
+    /** Opens a link to a store unless one exists. */
     void connect(String host) {
         if (!links.containsKey(host)) {
             links.put(host, opener.open(host, port, this));
         }
     }
 
-    /** Takes the voters if they are newer than those that are known. */
-    void learn(VoterSet voters) {
-        if (!members.learnVoters(voters)) {
+    /** Updates the voters if they are newer than the known ones. */
+    void updateVoters(VoterSet voters) {
+        if (!members.updateVoters(voters)) {
             return;
         }
         LOG.log(
@@ -58,21 +58,21 @@
                         + voters.previous());
         List<String> addresses = voters.addresses();
         addresses.forEach(this::connect);
-        Map<String, HeldLink> voterLinks = new HashMap<>(links);
+        Map<String, ReconnectingLink> voterLinks = new HashMap<>(links);
         voterLinks.keySet().retainAll(addresses);
         client.setVoters(voters, voterLinks);
-        news.push(List.of());
+        proxyUpdates.push(List.of());
     }
 
     @Override
     public void opened(Link link) {
-        link.send(new StoreMessages.FollowVoters());
+        link.send(new StoreMessages.WatchVoters());
     }
 
     @Override
     public void received(Link link, Message message) {
-        if (message instanceof StoreMessages.VotersNow now) {
-            learn(now.voters());
+        if (message instanceof StoreMessages.CurrentVoters now) {
+            updateVoters(now.voters());
         }
     }
 
--- a/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/DiskQueue.java
@@ -10,32 +10,33 @@
 import java.util.function.Consumer;
 
 /**
- * The one thread that uses the disk. Batches that wait are written together with one sync. What could not be written is
- * kept and written first with the next attempt, so a batch is reported as written only if all before it are.
+ * Runs all disk operations on one thread. Queued batches are written together with one sync. Changes that could not be
+ * written are kept and written first with the next attempt, so a batch is reported as written only if all batches
+ * before it are.
  */
 final class DiskQueue {
 
     private static final System.Logger LOG = System.getLogger(DiskQueue.class.getName());
-    private static final int MAX_WAITING = 20_000;
-    /** The least time between attempts on a disk that refuses. */
-    private static final long RETRY_MS = 250;
+    private static final int MAX_QUEUED_BATCHES = 20_000;
+    /** The delay between attempts on a disk that fails, in milliseconds. */
+    private static final long RETRY_DELAY_MS = 250;
 
-    private static final long STOP_WAIT_MS = 3_000;
+    private static final long STOP_TIMEOUT_MS = 3_000;
 
     private final StoreDisk disk;
     private final Executor loop;
     private final Thread thread = new Thread(this::run, "store-disk");
-    private final ArrayDeque<Submission> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Submission> queue = new ArrayDeque<>();
     private final PendingChanges unwritten = new PendingChanges();
-    private Consumer<StoredState> opened;
-    private Runnable lost;
+    private Consumer<StoredState> onOpened;
+    private Runnable onDataLost;
     private boolean failing;
     private boolean stopped;
 
     private record Submission(DiskBatch batch, Consumer<Boolean> done) {}
 
     /**
-     * A queue that is started by {@link #start}.
+     * Creates a queue that is started by {@link #start}.
      *
      * @param loop runs the callbacks
      */
@@ -46,36 +47,40 @@
     }
 
     /**
-     * Opens the disk and reports what it holds; repeated until the disk lets itself be opened.
+     * Opens the disk and reports its contents. Opening is retried until it succeeds.
      *
-     * @param whenLost called if the disk became unreadable later and was begun anew: all has to be written again
+     * @param dataLostCallback called if the disk became unreadable later and was reset: all data has to be written
+     *     again
      */
-    void start(Consumer<StoredState> whenOpened, Runnable whenLost) {
-        opened = whenOpened;
-        lost = whenLost;
+    void start(Consumer<StoredState> openedCallback, Runnable dataLostCallback) {
+        onOpened = openedCallback;
+        onDataLost = dataLostCallback;
         thread.start();
     }
 
-    /** Queues a batch; the callback is told whether it is on disk. */
+    /**
+     * Queues a batch. The callback receives whether the batch is on disk; false at once if the queue is full or
+     * stopped.
+     */
     void submit(DiskBatch batch, Consumer<Boolean> done) {
-        synchronized (waiting) {
-            if (!stopped && waiting.size() < MAX_WAITING) {
-                waiting.add(new Submission(batch, done));
-                waiting.notifyAll();
+        synchronized (queue) {
+            if (!stopped && queue.size() < MAX_QUEUED_BATCHES) {
+                queue.add(new Submission(batch, done));
+                queue.notifyAll();
                 return;
             }
         }
         done.accept(false);
     }
 
-    /** Writes what waits, closes the disk and waits for that, but not for ever if the disk hangs. */
+    /** Writes the queued batches, closes the disk and waits for both, for a bounded time in case the disk hangs. */
     void stop() {
-        synchronized (waiting) {
+        synchronized (queue) {
             stopped = true;
-            waiting.notifyAll();
+            queue.notifyAll();
         }
         try {
-            thread.join(STOP_WAIT_MS);
+            thread.join(STOP_TIMEOUT_MS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
@@ -85,7 +90,7 @@
         try {
             StoredState state = openDisk();
             if (state != null) {
-                loop.execute(() -> opened.accept(state));
+                loop.execute(() -> onOpened.accept(state));
                 writeUntilStopped();
             }
         } catch (InterruptedException interrupted) {
@@ -95,7 +100,7 @@
         }
     }
 
-    /** Null if the queue was stopped before. */
+    /** Returns the contents of the disk, or null if the queue was stopped before it could be opened. */
     private StoredState openDisk() throws InterruptedException {
         boolean lost = false;
         while (!isStopped()) {
@@ -105,8 +110,8 @@
             } catch (DiskCorruptException corrupt) {
                 LOG.log(Level.ERROR, "event=disk_unreadable cause=\"" + corrupt.getMessage() + "\"");
                 lost |= moveAside();
-            } catch (IOException refused) {
-                LOG.log(Level.WARNING, "event=disk_not_opened cause=\"" + refused.getMessage() + "\"");
+            } catch (IOException failure) {
+                LOG.log(Level.WARNING, "event=disk_not_opened cause=\"" + failure.getMessage() + "\"");
             }
             pause();
         }
@@ -117,40 +122,40 @@
         try {
             disk.moveAside();
             return true;
-        } catch (IOException refused) {
-            LOG.log(Level.WARNING, "event=disk_not_moved_aside cause=\"" + refused.getMessage() + "\"");
+        } catch (IOException failure) {
+            LOG.log(Level.WARNING, "event=disk_not_moved_aside cause=\"" + failure.getMessage() + "\"");
             return false;
         }
     }
 
     private void writeUntilStopped() throws InterruptedException {
-        List<Submission> taken = take();
-        while (taken != null) {
-            taken.forEach(submission -> unwritten.add(submission.batch()));
+        List<Submission> submissions = take();
+        while (submissions != null) {
+            submissions.forEach(submission -> unwritten.add(submission.batch()));
             boolean written = write();
-            report(taken, written);
+            report(submissions, written);
             if (!written) {
                 if (isStopped()) {
                     return;
                 }
                 pause();
             }
-            taken = take();
+            submissions = take();
         }
     }
 
-    /** Null once the queue was stopped and nothing waits. */
+    /** Returns the queued batches, or null once the queue is stopped and empty. */
     private List<Submission> take() throws InterruptedException {
-        synchronized (waiting) {
-            while (waiting.isEmpty() && !stopped && unwritten.isEmpty()) {
-                waiting.wait();
+        synchronized (queue) {
+            while (queue.isEmpty() && !stopped && unwritten.isEmpty()) {
+                queue.wait();
             }
-            if (waiting.isEmpty() && stopped) {
+            if (queue.isEmpty() && stopped) {
                 return null;
             }
-            List<Submission> taken = new ArrayList<>(waiting);
-            waiting.clear();
-            return taken;
+            List<Submission> submissions = new ArrayList<>(queue);
+            queue.clear();
+            return submissions;
         }
     }
 
@@ -163,12 +168,12 @@
         } catch (DiskCorruptException corrupt) {
             LOG.log(Level.ERROR, "event=disk_unreadable cause=\"" + corrupt.getMessage() + "\"");
             if (moveAside()) {
-                loop.execute(lost);
+                loop.execute(onDataLost);
             }
             return false;
-        } catch (IOException refused) {
+        } catch (IOException failure) {
             if (!failing) {
-                LOG.log(Level.ERROR, "event=disk_refuses cause=\"" + refused.getMessage() + "\"");
+                LOG.log(Level.ERROR, "event=disk_refuses cause=\"" + failure.getMessage() + "\"");
             }
             failing = true;
             return false;
@@ -181,24 +186,25 @@
         return true;
     }
 
-    private void report(List<Submission> taken, boolean written) {
-        if (!taken.isEmpty()) {
-            loop.execute(() -> taken.forEach(submission -> submission.done().accept(written)));
+    private void report(List<Submission> submissions, boolean written) {
+        if (!submissions.isEmpty()) {
+            loop.execute(
+                    () -> submissions.forEach(submission -> submission.done().accept(written)));
         }
     }
 
     private void pause() throws InterruptedException {
-        synchronized (waiting) {
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_MS);
-            for (long left = RETRY_MS; left > 0 && !stopped; ) {
-                waiting.wait(left);
+        synchronized (queue) {
+            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MS);
+            for (long left = RETRY_DELAY_MS; left > 0 && !stopped; ) {
+                queue.wait(left);
                 left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             }
         }
     }
 
     private boolean isStopped() {
-        synchronized (waiting) {
+        synchronized (queue) {
             return stopped;
         }
     }
