--- a/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/KeyTransfer.java
@@ -15,9 +15,9 @@
 import ridgemill.cdn.wire.StoreMessages;
 
 /**
- * Fetches the operation keys for a store that is to become a voter: from a majority of the voters that it joins, each of
- * which grants nothing in the epoch before any more. A key that was granted by a majority is then on one of them. On the
- * event loop.
+ * Fetches the operation keys for a store that is about to become a voter, from a majority of the voters that it joins.
+ * Each of them no longer grants keys in the previous epoch. A key that was granted by a majority is therefore held by
+ * at least one of them. Runs on the event loop.
  */
 final class KeyTransfer {
 
@@ -25,74 +25,74 @@
 
     private final StoreReplica replica;
     private final StorePeers peers;
-    private final Map<Voter, List<KeyRecord>> taken = new HashMap<>();
-    private final Set<Voter> asking = new HashSet<>();
+    private final Map<Voter, List<KeyRecord>> recordsByVoter = new HashMap<>();
+    private final Set<Voter> pendingVoters = new HashSet<>();
     private VoterSet change = VoterSet.UNKNOWN;
-    private boolean writing;
+    private boolean merging;
 
     KeyTransfer(StoreReplica replica, StorePeers peers) {
         this.replica = replica;
         this.peers = peers;
     }
 
-    /** Goes on with what can be done now; called again and again. */
-    void step() {
-        VoterSet wanted = replica.agreement().changeThatNeedsKeys();
-        if (wanted == null) {
+    /** Starts the requests that are possible now. Called periodically. */
+    void requestMissingPages() {
+        VoterSet pendingChange = replica.agreement().voterChangeAwaitingKeys();
+        if (pendingChange == null) {
             return;
         }
-        if (!wanted.equals(change)) {
-            change = wanted;
-            taken.clear();
-            asking.clear();
-            writing = false;
+        if (!pendingChange.equals(change)) {
+            change = pendingChange;
+            recordsByVoter.clear();
+            pendingVoters.clear();
+            merging = false;
         }
-        for (Voter voter : change.standing()) {
-            if (!taken.containsKey(voter) && asking.add(voter)) {
-                ask(change, voter, "", new ArrayList<>());
+        for (Voter voter : change.baseVoters()) {
+            if (!recordsByVoter.containsKey(voter) && pendingVoters.add(voter)) {
+                requestPage(change, voter, "", new ArrayList<>());
             }
         }
     }
 
-    private void ask(VoterSet forChange, Voter voter, String afterKey, List<KeyRecord> records) {
-        peers.to(voter.address())
+    private void requestPage(VoterSet requestedChange, Voter voter, String afterKey, List<KeyRecord> records) {
+        peers.linkTo(voter.address())
                 .call(
                         callId -> new StoreMessages.PullKeys(callId, afterKey),
                         CALL_TIMEOUT_MS,
-                        reply -> take(forChange, voter, records, reply));
+                        reply -> onPage(requestedChange, voter, records, reply));
     }
 
-    private void take(
-            VoterSet forChange, Voter voter, List<KeyRecord> records, Either<CallFailure, Message.Reply> reply) {
-        if (!forChange.equals(change)) {
+    private void onPage(
+            VoterSet requestedChange, Voter voter, List<KeyRecord> records, Either<CallFailure, Message.Reply> reply) {
+        if (!requestedChange.equals(change)) {
             return;
         }
         boolean usable = reply.isRight()
-                && reply.get() instanceof StoreMessages.KeysPage answer
-                && answer.store().equals(voter)
-                && answer.epoch() == forChange.epoch();
+                && reply.get() instanceof StoreMessages.KeysPage keysPage
+                && keysPage.store().equals(voter)
+                && keysPage.epoch() == requestedChange.epoch();
         if (!usable) {
-            asking.remove(voter);
+            pendingVoters.remove(voter);
             return;
         }
         StoreMessages.KeysPage page = (StoreMessages.KeysPage) reply.get();
         records.addAll(page.records());
         if (page.lastPage()) {
-            asking.remove(voter);
-            taken.put(voter, records);
-            finishIfEnough();
+            pendingVoters.remove(voter);
+            recordsByVoter.put(voter, records);
+            mergeIfQuorum();
         } else {
-            ask(forChange, voter, records.get(records.size() - 1).key(), records);
+            requestPage(requestedChange, voter, records.get(records.size() - 1).key(), records);
         }
     }
 
-    private void finishIfEnough() {
-        if (writing || !change.isMajorityOfStanding(taken::containsKey)) {
+    private void mergeIfQuorum() {
+        if (merging || !change.hasMajorityOfBase(recordsByVoter::containsKey)) {
             return;
         }
-        writing = true;
+        merging = true;
         List<KeyRecord> all = new ArrayList<>();
-        taken.values().forEach(all::addAll);
-        replica.keysPulled(all, change.epoch());
+        recordsByVoter.values().forEach(all::addAll);
+        replica.mergeTransferredKeys(all, change.epoch());
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
+++ b/cdn/src/main/java/ridgemill/cdn/store/StoreService.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import ridgemill.cdn.agreement.OrderResult;
+import ridgemill.cdn.agreement.ChangeResult;
 import ridgemill.cdn.keys.KeyRecord;
 import ridgemill.cdn.keys.KeyState;
 import ridgemill.cdn.keys.KeyVote;
@@ -14,12 +14,12 @@
 import ridgemill.cdn.wire.Message;
 import ridgemill.cdn.wire.StoreMessages;
 
-/** Answers the messages that come over links to this store. On the event loop. */
+/** Handles the messages that arrive over links to this store. Runs on the event loop. */
 final class StoreService implements LinkListener {
 
     private static final System.Logger LOG = System.getLogger(StoreService.class.getName());
-    private static final int PAGE_RECORDS = 2_000;
-    private static final long PAGE_BYTES = 512 << 10;
+    private static final int MAX_PAGE_RECORDS = 2_000;
+    private static final long MAX_PAGE_BYTES = 512 << 10;
 
     private final StoreReplica replica;
     private final Set<Link> links = new LinkedHashSet<>();
@@ -33,7 +33,7 @@
         links.add(link);
     }
 
-    /** Ends all links. */
+    /** Closes all links. */
     void closeLinks() {
         new ArrayList<>(links).forEach(Link::close);
     }
@@ -41,25 +41,25 @@
     @Override
     public void closed(Link link) {
         links.remove(link);
-        replica.news().closed(link);
+        replica.updates().closed(link);
     }
 
     @Override
     public void received(Link link, Message message) {
         if (message instanceof StoreMessages.Agreement agreement) {
-            replica.agreement().receive(agreement.content(), replica.steadyMs());
+            replica.agreement().receive(agreement.content(), replica.monotonicMs());
         } else if (message instanceof StoreMessages.ClaimKey claim) {
             claim(link, claim);
         } else if (message instanceof StoreMessages.FinishKey finish) {
             finish(link, finish);
         } else if (message instanceof StoreMessages.ReleaseKey release) {
             release(link, release);
-        } else if (message instanceof StoreMessages.NewsAcknowledged acknowledged) {
-            replica.news().acknowledged(link, acknowledged.number(), replica.nowMs());
+        } else if (message instanceof StoreMessages.UpdateAcknowledged acknowledged) {
+            replica.updates().acknowledged(link, acknowledged.number(), replica.nowMs());
         } else if (message instanceof StoreMessages.Subscribe subscribe) {
-            replica.news().subscribe(link, subscribe.lifeId(), subscribe.number(), replica.nowMs());
-        } else if (message instanceof StoreMessages.FollowVoters) {
-            replica.news().followVoters(link);
+            replica.updates().subscribe(link, subscribe.incarnationId(), subscribe.number(), replica.nowMs());
+        } else if (message instanceof StoreMessages.WatchVoters) {
+            replica.updates().watchVoters(link);
         } else if (message instanceof StoreMessages.ChangeItems change) {
             change(link, change);
         } else if (message instanceof StoreMessages.ReadItems read) {
@@ -75,51 +75,51 @@
     }
 
     private void change(Link link, StoreMessages.ChangeItems change) {
-        double nowMs = replica.steadyMs();
+        double nowMs = replica.monotonicMs();
         replica.agreement()
-                .order(
+                .submit(
                         change.items(),
-                        change.insist(),
+                        change.forceLeader(),
                         nowMs,
                         nowMs + change.budgetMs(),
                         result -> link.send(new StoreMessages.ItemsChanged(change.callId(), result)));
     }
 
     private void read(Link link, StoreMessages.ReadItems read) {
-        double nowMs = replica.steadyMs();
+        double nowMs = replica.monotonicMs();
         replica.agreement()
                 .read(
-                        read.insist(),
+                        read.forceLeader(),
                         nowMs,
                         nowMs + read.budgetMs(),
                         items -> link.send(new StoreMessages.ItemsRead(
                                 read.callId(),
-                                items == null ? OrderResult.Outcome.UNKNOWN : OrderResult.Outcome.CONFIRMED,
+                                items == null ? ChangeResult.Outcome.UNKNOWN : ChangeResult.Outcome.CONFIRMED,
                                 "",
                                 items == null ? List.of() : List.copyOf(items))),
                         leader -> link.send(new StoreMessages.ItemsRead(
-                                read.callId(), OrderResult.Outcome.NOT_LEADER, leader, List.of())));
+                                read.callId(), ChangeResult.Outcome.NOT_LEADER, leader, List.of())));
     }
 
-    /** Passes a purge on. It counts only if its caller asked the voters of this store's epoch. */
+    /** Publishes a purge. The result counts only if the caller addressed the voters of this store's epoch. */
     private void purge(Link link, StoreMessages.WritePurge write) {
-        replica.news().publishPurge(write.purge(), replica.nowMs());
+        replica.updates().publishPurge(write.purge(), replica.nowMs());
         boolean counts = replica.agreement().isVoter() && write.epoch() == replica.epoch();
-        link.send(new StoreMessages.Written(write.callId(), replica.self(), counts));
+        link.send(new StoreMessages.WriteResult(write.callId(), replica.self(), counts));
     }
 
-    private void answer(Link link, Message.Call call, boolean written) {
+    private void sendWriteResult(Link link, Message.Call call, boolean written) {
         boolean counts = written && replica.agreement().isVoter();
-        link.send(new StoreMessages.Written(call.callId(), replica.self(), counts));
+        link.send(new StoreMessages.WriteResult(call.callId(), replica.self(), counts));
     }
 
-    /** Grants a key, or says who has it; a grant is sent once it is on disk. */
+    /** Grants a key, or replies with its current holder. A grant is sent only once it is on disk. */
     private void claim(Link link, StoreMessages.ClaimKey claim) {
         if (claim.epoch() != replica.epoch()) {
             link.send(notVoting(claim, StoreMessages.KeyStatus.Availability.OTHER_EPOCH));
             return;
         }
-        if (!replica.agreement().mayVoteOnKeys()) {
+        if (!replica.agreement().canVoteOnKeys()) {
             link.send(unavailable(claim));
             return;
         }
@@ -128,7 +128,7 @@
             case FULL -> link.send(unavailable(claim));
             case DENIED -> link.send(status(claim, vote.record()));
             case GRANTED ->
-                replica.store(
+                replica.writeRecord(
                         vote.changed() ? vote.record() : null,
                         written -> link.send(written ? status(claim, vote.record()) : unavailable(claim)));
         }
@@ -148,11 +148,11 @@
     }
 
     private static StoreMessages.KeyStatus notVoting(
-            StoreMessages.ClaimKey claim, StoreMessages.KeyStatus.Availability why) {
-        return new StoreMessages.KeyStatus(claim.callId(), why, KeyState.RELEASED, "", null);
+            StoreMessages.ClaimKey claim, StoreMessages.KeyStatus.Availability availability) {
+        return new StoreMessages.KeyStatus(claim.callId(), availability, KeyState.RELEASED, "", null);
     }
 
-    /** Records the answer of an operation. A second answer for a key is a fault of the system, which is logged. */
+    /** Records the response of an operation. A second response for a key is a system fault and is logged. */
     private void finish(Link link, StoreMessages.FinishKey finish) {
         KeyRecord held = replica.keys().finish(finish.key(), finish.claimId(), finish.answer(), replica.nowMs());
         if (!held.claimId().equals(finish.claimId())) {
@@ -161,17 +161,17 @@
                     "event=finished_twice key=" + finish.key() + " kept=" + held.claimId() + " refused="
                             + finish.claimId());
         }
-        replica.store(held, written -> answer(link, finish, written));
+        replica.writeRecord(held, written -> sendWriteResult(link, finish, written));
     }
 
     private void release(Link link, StoreMessages.ReleaseKey release) {
         KeyRecord changed = replica.keys().release(release.key(), release.claimId(), replica.nowMs());
-        replica.store(changed, written -> answer(link, release, written));
+        replica.writeRecord(changed, written -> sendWriteResult(link, release, written));
     }
 
-    /** A page of the operation keys that this store holds. */
+    /** Returns a page of the operation keys of this store. */
     private StoreMessages.KeysPage page(StoreMessages.PullKeys pull) {
-        List<KeyRecord> records = replica.keys().page(pull.afterKey(), PAGE_RECORDS, PAGE_BYTES);
+        List<KeyRecord> records = replica.keys().page(pull.afterKey(), MAX_PAGE_RECORDS, MAX_PAGE_BYTES);
         boolean last = records.isEmpty()
                 || replica.keys().isLast(records.get(records.size() - 1).key());
         long epoch = replica.agreement().decidedVoters().epoch();
--- a/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/AgreementCodec.java
@@ -3,17 +3,20 @@
 import java.io.IOException;
 import ridgemill.cdn.agreement.AgreementMessage;
 import ridgemill.cdn.agreement.Ballot;
-import ridgemill.cdn.agreement.Stamp;
-import ridgemill.cdn.agreement.Step;
+import ridgemill.cdn.agreement.StateDelta;
+import ridgemill.cdn.agreement.StateId;
 import ridgemill.cdn.config.PastVersion;
 import ridgemill.cdn.config.VersionedItem;
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** How the messages between stores, and the values in them, are written. The disk uses the same form for the values. */
+/**
+ * Encodes and decodes the agreement messages between stores and the values in them. The disk uses the same encoding for
+ * the values.
+ */
 public final class AgreementCodec {
 
-    /** The number of a message's type; one keeps its number for ever. */
+    /** The types of messages. The ordinal is the number on the wire, so the order must never change. */
     private enum Type {
         STATUS,
         PREPARE,
@@ -41,17 +44,17 @@
         } else if (message instanceof AgreementMessage.Promise promise) {
             begin(Type.PROMISE, message, out);
             writeBallot(promise.ballot(), out);
-            writeStamp(promise.accepted(), out);
+            writeStateId(promise.accepted(), out);
             writeVoterSet(promise.voters(), out);
         } else if (message instanceof AgreementMessage.Accept accept) {
             begin(Type.ACCEPT, message, out);
-            writeStep(accept.step(), out);
+            writeDelta(accept.delta(), out);
         } else if (message instanceof AgreementMessage.Accepted accepted) {
             begin(Type.ACCEPTED, message, out);
-            writeStamp(accepted.stamp(), out);
+            writeStateId(accepted.stateId(), out);
         } else if (message instanceof AgreementMessage.Refused refused) {
             begin(Type.REFUSED, message, out);
-            writeBallot(refused.asked(), out);
+            writeBallot(refused.refused(), out);
             writeBallot(refused.promised(), out);
         } else if (message instanceof AgreementMessage.Confirm confirm) {
             begin(Type.CONFIRM, message, out);
@@ -74,37 +77,37 @@
     private static void writeStatus(AgreementMessage.Status status, FieldWriter out) throws IOException {
         out.text(status.zone()).flag(status.eligible()).flag(status.leaving()).flag(status.leading());
         writeBallot(status.promised(), out);
-        writeStamp(status.accepted(), out);
-        writeStamp(status.decided(), out);
+        writeStateId(status.accepted(), out);
+        writeStateId(status.decided(), out);
         writeVoterSet(status.voters(), out);
-        out.number(status.completeEpoch()).texts(status.known());
+        out.number(status.completeEpoch()).texts(status.knownAddresses());
     }
 
     private static void writeTransfer(AgreementMessage message, FieldWriter out) throws IOException {
         if (message instanceof AgreementMessage.Pull pull) {
             begin(Type.PULL, message, out);
-            out.text(pull.transfer());
-            writeStamp(pull.have(), out);
+            out.text(pull.transferId());
+            writeStateId(pull.heldStateId(), out);
             out.number(pull.page());
         } else if (message instanceof AgreementMessage.Difference difference) {
             begin(Type.DIFFERENCE, message, out);
-            out.text(difference.transfer());
-            writeStamp(difference.decided(), out);
-            out.list(difference.steps(), AgreementCodec::writeStep);
+            out.text(difference.transferId());
+            writeStateId(difference.decided(), out);
+            out.list(difference.deltas(), AgreementCodec::writeDelta);
         } else if (message instanceof AgreementMessage.Page page) {
             begin(Type.PAGE, message, out);
-            out.text(page.transfer());
-            writeStamp(page.decided(), out);
-            out.number(page.page()).number(page.pages());
-            writeStamp(page.stamp(), out);
+            out.text(page.transferId());
+            writeStateId(page.decided(), out);
+            out.number(page.page()).number(page.pageCount());
+            writeStateId(page.stateId(), out);
             writeVoterSet(page.voters(), out);
             out.list(page.items(), AgreementCodec::writeVersionedItem).number(page.digest());
         }
     }
 
-    /** Reads what {@link #write} wrote. */
+    /** Reads a message that {@link #write} wrote. */
     static AgreementMessage read(FieldReader in) throws IOException {
-        Type type = in.oneOf(Type.values());
+        Type type = in.enumValue(Type.values());
         Voter from = readVoter(in);
         return switch (type) {
             case STATUS ->
@@ -115,29 +118,29 @@
                         in.flag(),
                         in.flag(),
                         readBallot(in),
-                        readStamp(in),
-                        readStamp(in),
+                        readStateId(in),
+                        readStateId(in),
                         readVoterSet(in),
                         in.number(),
                         in.texts());
             case PREPARE -> new AgreementMessage.Prepare(from, readBallot(in));
-            case PROMISE -> new AgreementMessage.Promise(from, readBallot(in), readStamp(in), readVoterSet(in));
-            case ACCEPT -> new AgreementMessage.Accept(from, readStep(in));
-            case ACCEPTED -> new AgreementMessage.Accepted(from, readStamp(in));
+            case PROMISE -> new AgreementMessage.Promise(from, readBallot(in), readStateId(in), readVoterSet(in));
+            case ACCEPT -> new AgreementMessage.Accept(from, readDelta(in));
+            case ACCEPTED -> new AgreementMessage.Accepted(from, readStateId(in));
             case REFUSED -> new AgreementMessage.Refused(from, readBallot(in), readBallot(in));
             case CONFIRM -> new AgreementMessage.Confirm(from, readBallot(in), in.number());
             case CONFIRMED -> new AgreementMessage.Confirmed(from, readBallot(in), in.number());
-            case PULL -> new AgreementMessage.Pull(from, in.text(), readStamp(in), in.smallNumber());
+            case PULL -> new AgreementMessage.Pull(from, in.text(), readStateId(in), in.intNumber());
             case DIFFERENCE ->
-                new AgreementMessage.Difference(from, in.text(), readStamp(in), in.list(AgreementCodec::readStep));
+                new AgreementMessage.Difference(from, in.text(), readStateId(in), in.list(AgreementCodec::readDelta));
             case PAGE ->
                 new AgreementMessage.Page(
                         from,
                         in.text(),
-                        readStamp(in),
-                        in.smallNumber(),
-                        in.smallNumber(),
-                        readStamp(in),
+                        readStateId(in),
+                        in.intNumber(),
+                        in.intNumber(),
+                        readStateId(in),
                         readVoterSet(in),
                         in.list(AgreementCodec::readVersionedItem),
                         in.number());
@@ -154,14 +157,14 @@
         return new Voter(in.text(), in.text());
     }
 
-    /** Writes the voters of an epoch. */
+    /** Writes a voter set. */
     public static void writeVoterSet(VoterSet voters, FieldWriter out) throws IOException {
         out.number(voters.epoch())
                 .list(voters.voters(), AgreementCodec::writeVoter)
                 .list(voters.previous(), AgreementCodec::writeVoter);
     }
 
-    /** Reads the voters of an epoch. */
+    /** Reads a voter set. */
     public static VoterSet readVoterSet(FieldReader in) throws IOException {
         return new VoterSet(in.number(), in.list(AgreementCodec::readVoter), in.list(AgreementCodec::readVoter));
     }
@@ -176,36 +179,38 @@
         return new Ballot(in.number(), in.text());
     }
 
-    /** Writes the stamp of a state. */
-    public static void writeStamp(Stamp stamp, FieldWriter out) throws IOException {
-        writeBallot(stamp.ballot(), out);
-        out.number(stamp.revision());
+    /** Writes a state identifier. */
+    public static void writeStateId(StateId stateId, FieldWriter out) throws IOException {
+        writeBallot(stateId.ballot(), out);
+        out.number(stateId.revision());
     }
 
-    /** Reads the stamp of a state. */
-    public static Stamp readStamp(FieldReader in) throws IOException {
-        return new Stamp(readBallot(in), in.number());
+    /** Reads a state identifier. */
+    public static StateId readStateId(FieldReader in) throws IOException {
+        return new StateId(readBallot(in), in.number());
     }
 
-    private static void writeStep(Step step, FieldWriter out) throws IOException {
-        writeStamp(step.base(), out);
-        writeStamp(step.stamp(), out);
-        writeVoterSet(step.voters(), out);
-        out.list(step.items(), AgreementCodec::writeVersionedItem);
+    private static void writeDelta(StateDelta delta, FieldWriter out) throws IOException {
+        writeStateId(delta.base(), out);
+        writeStateId(delta.stateId(), out);
+        writeVoterSet(delta.voters(), out);
+        out.list(delta.items(), AgreementCodec::writeVersionedItem);
     }
 
-    private static Step readStep(FieldReader in) throws IOException {
-        return new Step(readStamp(in), readStamp(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
+    private static StateDelta readDelta(FieldReader in) throws IOException {
+        return new StateDelta(
+                readStateId(in), readStateId(in), readVoterSet(in), in.list(AgreementCodec::readVersionedItem));
     }
 
-    /** Writes an item with its history. */
+    /** Writes an item with its past versions. */
     public static void writeVersionedItem(VersionedItem entry, FieldWriter out) throws IOException {
-        Fields.writeItem(entry.item(), out);
-        out.list(entry.past(), (past, to) -> to.number(past.version()).number(past.contentDigest()));
+        ValueCodec.writeItem(entry.item(), out);
+        out.list(entry.past(), (past, target) -> target.number(past.version()).number(past.contentDigest()));
     }
 
-    /** Reads an item with its history. */
+    /** Reads an item with its past versions. */
     public static VersionedItem readVersionedItem(FieldReader in) throws IOException {
-        return new VersionedItem(Fields.readItem(in), in.list(from -> new PastVersion(from.number(), from.number())));
+        return new VersionedItem(
+                ValueCodec.readItem(in), in.list(from -> new PastVersion(from.number(), from.number())));
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/LinkServer.java
@@ -6,7 +6,7 @@
 import io.netty.channel.EventLoopGroup;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
-import ridgemill.cdn.net.Listening;
+import ridgemill.cdn.net.ServerBootstraps;
 import ridgemill.gateway.net.SocketKind;
 
 /** Accepts links from other processes of the system. */
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Listens at an address and reports each link to the listener. Waits, so not to be called on the loop.
+     * Listens at an address and reports each link to the listener. Blocks, so it must not be called on the event loop.
      *
-     * @throws io.netty.channel.ChannelException if the address can't be had
+     * @throws io.netty.channel.ChannelException if the address cannot be bound
      */
     public static LinkServer listen(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
@@ -31,8 +31,11 @@
                 bind(loop, sockets, address, listener).syncUninterruptibly().channel());
     }
 
-    /** As {@link #listen}, without waiting: may be called on the loop. Fails if the address can't be had. */
-    public static CompletableFuture<LinkServer> open(
+    /**
+     * Like {@link #listen}, without blocking, so it may be called on the event loop. The future fails if the address
+     * cannot be bound.
+     */
+    public static CompletableFuture<LinkServer> listenAsync(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
         CompletableFuture<LinkServer> opened = new CompletableFuture<>();
         bind(loop, sockets, address, listener).addListener((ChannelFutureListener) bound -> {
@@ -47,7 +50,7 @@
 
     private static ChannelFuture bind(
             EventLoopGroup loop, SocketKind sockets, InetSocketAddress address, LinkListener listener) {
-        return Listening.bootstrap(
+        return ServerBootstraps.create(
                         loop,
                         sockets,
                         BACKLOG,
@@ -55,7 +58,7 @@
                 .bind(address);
     }
 
-    /** The address that is listened at. */
+    /** Returns the address of the listening socket. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
--- a/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/RegistryMessages.java
@@ -14,29 +14,29 @@
     private RegistryMessages() {}
 
     /**
-     * That an instance was heard.
+     * A heartbeat of an instance.
      *
      * @param instanceId the instance
-     * @param sequence the number of its heartbeat
+     * @param sequence the sequence number of the heartbeat
      */
-    public record Beat(String instanceId, long sequence) {
+    public record Heartbeat(String instanceId, long sequence) {
 
         void write(FieldWriter out) throws IOException {
             out.text(instanceId).number(sequence);
         }
 
-        static Beat read(FieldReader in) throws IOException {
-            return new Beat(in.text(), in.number());
+        static Heartbeat read(FieldReader in) throws IOException {
+            return new Heartbeat(in.text(), in.number());
         }
     }
 
     /**
-     * An edge proxy asks for instances, core members and the number of proxies, now and from now on.
+     * Subscribes the sender to instances, core machines and the number of proxies: a snapshot and all later updates.
      *
-     * @param lifeId the life of the registry that was heard last; empty if none was
-     * @param number the last number that was taken in that life
+     * @param incarnationId the last known incarnation of the registry; empty if there was none
+     * @param number the last update number that was received from that incarnation
      */
-    public record Subscribe(String lifeId, long number) implements Message {
+    public record Subscribe(String incarnationId, long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -45,7 +45,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number);
+            out.text(incarnationId).number(number);
         }
 
         static Subscribe read(FieldReader in) throws IOException {
@@ -54,11 +54,11 @@
     }
 
     /**
-     * The sender is a shared cache, which edge proxies may read from while the connection is held.
+     * Announces the sender as a shared cache. Edge proxies may read from it as long as the connection is open.
      *
      * @param cache the sender
      */
-    public record OfferCache(CacheNode cache) implements Message {
+    public record AnnounceCache(CacheNode cache) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -70,8 +70,8 @@
             out.value(cache, RegistryMessages::writeCache);
         }
 
-        static OfferCache read(FieldReader in) throws IOException {
-            return new OfferCache(readCache(in));
+        static AnnounceCache read(FieldReader in) throws IOException {
+            return new AnnounceCache(readCache(in));
         }
     }
 
@@ -90,39 +90,39 @@
     }
 
     private static Fleet readFleet(FieldReader in) throws IOException {
-        int size = in.smallNumber();
-        int rank = in.smallNumber();
+        int size = in.intNumber();
+        int rank = in.intNumber();
         if (size < 1 || rank < 0 || rank >= size) {
-            throw new IOException("no place " + rank + " among " + size);
+            throw new IOException("invalid position " + rank + " of " + size);
         }
         return new Fleet(new FleetPosition(size, rank), in.list(RegistryMessages::readCache));
     }
 
     /**
-     * What a registry tells edge proxies and shared caches.
+     * The state of the cluster that a registry sends to edge proxies and shared caches.
      *
-     * @param settled whether the registry has run for long enough to know all instances
+     * @param complete whether the registry has run for long enough to know all instances
      * @param registries the IP addresses of all known core machines
-     * @param voters the voting stores; none while unknown
-     * @param fleet who shares the bounds of services, as seen from the subscriber
-     * @param instances all known instances, those that left included, or those that changed
-     * @param silent identifiers of all instances that have not been heard for too long
+     * @param voters the voting stores; empty while unknown
+     * @param fleet the processes that share the bounds of services, as seen from the subscriber
+     * @param instances all known instances, including those that left, or only those that changed
+     * @param unresponsive identifiers of all instances without a heartbeat for too long
      */
     public record Overview(
-            boolean settled,
+            boolean complete,
             List<String> registries,
             VoterSet voters,
             Fleet fleet,
             List<Instance> instances,
-            List<String> silent) {
+            List<String> unresponsive) {
 
         void write(FieldWriter out) throws IOException {
-            out.flag(settled)
+            out.flag(complete)
                     .texts(registries)
                     .value(voters, AgreementCodec::writeVoterSet)
                     .value(fleet, RegistryMessages::writeFleet)
-                    .list(instances, Fields::writeInstance)
-                    .texts(silent);
+                    .list(instances, ValueCodec::writeInstance)
+                    .texts(unresponsive);
         }
 
         static Overview read(FieldReader in) throws IOException {
@@ -131,19 +131,19 @@
                     in.texts(),
                     AgreementCodec.readVoterSet(in),
                     readFleet(in),
-                    in.list(Fields::readInstance),
+                    in.list(ValueCodec::readInstance),
                     in.texts());
         }
     }
 
     /**
-     * All that a registry knows; the numbered changes after it continue from its number.
+     * The complete state of a registry. Later updates continue from its number.
      *
-     * @param lifeId the life of the registry
-     * @param number the number of the last change that the snapshot holds
-     * @param overview what it knows, with all instances
+     * @param incarnationId the incarnation of the registry
+     * @param number the number of the last update that the snapshot contains
+     * @param overview the state, with all instances
      */
-    public record Snapshot(String lifeId, long number, Overview overview) implements Message {
+    public record Snapshot(String incarnationId, long number, Overview overview) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -152,7 +152,7 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.text(lifeId).number(number).value(overview, Overview::write);
+            out.text(incarnationId).number(number).value(overview, Overview::write);
         }
 
         static Snapshot read(FieldReader in) throws IOException {
@@ -161,12 +161,12 @@
     }
 
     /**
-     * A numbered change; numbers follow one another without a gap.
+     * A numbered update. Numbers are consecutive.
      *
-     * @param number the number of this change
-     * @param overview what the registry knows, with the instances that changed
+     * @param number the number of this update
+     * @param overview the state, with only the instances that changed
      */
-    public record News(long number, Overview overview) implements Message {
+    public record Update(long number, Overview overview) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -178,17 +178,17 @@
             out.number(number).value(overview, Overview::write);
         }
 
-        static News read(FieldReader in) throws IOException {
-            return new News(in.number(), Overview.read(in));
+        static Update read(FieldReader in) throws IOException {
+            return new Update(in.number(), Overview.read(in));
         }
     }
 
     /**
-     * The subscriber has carried out all changes up to a number.
+     * Reports that the subscriber has applied all updates up to a number.
      *
-     * @param number the last number that was carried out
+     * @param number the number of the last applied update
      */
-    public record NewsAcknowledged(long number) implements Message {
+    public record UpdateAcknowledged(long number) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -200,19 +200,19 @@
             out.number(number);
         }
 
-        static NewsAcknowledged read(FieldReader in) throws IOException {
-            return new NewsAcknowledged(in.number());
+        static UpdateAcknowledged read(FieldReader in) throws IOException {
+            return new UpdateAcknowledged(in.number());
         }
     }
 
     /**
-     * A registry tells another of instances that changed and of machines that it knows; answered by {@link PeerUpdateTaken}.
+     * Sends changed instances and known machines from one registry to another. The reply is {@link PeerUpdateMerged}.
      *
      * @param callId the number of the call
      * @param registries the IP addresses of all known core machines
-     * @param voters the voting stores; none while unknown
+     * @param voters the voting stores; empty while unknown
      * @param proxies names of the edge proxies that are connected to the sender
-     * @param instances instances that changed, or all of them
+     * @param instances the changed instances, or all instances
      */
     public record PeerUpdate(
             long callId, List<String> registries, VoterSet voters, List<String> proxies, List<Instance> instances)
@@ -229,7 +229,7 @@
                     .texts(registries)
                     .value(voters, AgreementCodec::writeVoterSet)
                     .texts(proxies)
-                    .list(instances, Fields::writeInstance);
+                    .list(instances, ValueCodec::writeInstance);
         }
 
         static PeerUpdate read(FieldReader in) throws IOException {
@@ -238,16 +238,16 @@
                     in.texts(),
                     AgreementCodec.readVoterSet(in),
                     in.texts(),
-                    in.list(Fields::readInstance));
+                    in.list(ValueCodec::readInstance));
         }
     }
 
     /**
-     * Answers {@link PeerUpdate} once the update is merged.
+     * The reply to {@link PeerUpdate}, sent once the update is merged.
      *
      * @param callId the number of the call
      */
-    public record PeerUpdateTaken(long callId) implements Message.Reply {
+    public record PeerUpdateMerged(long callId) implements Message.Reply {
 
         @Override
         public MessageKind kind() {
@@ -259,17 +259,17 @@
             out.number(callId);
         }
 
-        static PeerUpdateTaken read(FieldReader in) throws IOException {
-            return new PeerUpdateTaken(in.number());
+        static PeerUpdateMerged read(FieldReader in) throws IOException {
+            return new PeerUpdateMerged(in.number());
         }
     }
 
     /**
-     * The newest heartbeats that a registry has taken itself since it last told.
+     * The newest heartbeats that the sender has received from instances since the previous message of this kind.
      *
-     * @param beats the heartbeats
+     * @param heartbeats the heartbeats
      */
-    public record PeerBeats(List<Beat> beats) implements Message {
+    public record PeerHeartbeats(List<Heartbeat> heartbeats) implements Message {
 
         @Override
         public MessageKind kind() {
@@ -278,11 +278,11 @@
 
         @Override
         public void write(FieldWriter out) throws IOException {
-            out.list(beats, Beat::write);
+            out.list(heartbeats, Heartbeat::write);
         }
 
-        static PeerBeats read(FieldReader in) throws IOException {
-            return new PeerBeats(in.list(Beat::read));
+        static PeerHeartbeats read(FieldReader in) throws IOException {
+            return new PeerHeartbeats(in.list(Heartbeat::read));
         }
     }
 }
--- a/cdn/src/main/java/ridgemill/cdn/wire/Fields.java
+++ b/cdn/src/main/java/ridgemill/cdn/wire/ValueCodec.java
@@ -13,12 +13,12 @@
 import ridgemill.cdn.keys.KeyState;
 import ridgemill.cdn.purge.Purge;
 
-/** How values that several messages hold are written; the disk of the store uses the same form. */
-public final class Fields {
+/** Encodes and decodes the values that several messages contain. The disk of the store uses the same encoding. */
+public final class ValueCodec {
 
-    private Fields() {}
+    private ValueCodec() {}
 
-    /** The bytes of one value, for the disk. */
+    /** Encodes one value, for the disk. */
     public static <T> byte[] toBytes(T value, FieldWriter.ElementWriter<T> writer) throws IOException {
         try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
             writer.write(value, new FieldWriter(packer));
@@ -27,15 +27,15 @@
     }
 
     /**
-     * The value that {@link #toBytes} wrote.
+     * Decodes a value that was encoded by {@link #toBytes}.
      *
-     * @throws IOException if the bytes are no such value
+     * @throws IOException if the bytes are not a valid encoding
      */
     public static <T> T fromBytes(byte[] bytes, FieldReader.ElementReader<T> reader) throws IOException {
         try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
             return reader.read(new FieldReader(unpacker));
         } catch (RuntimeException malformed) {
-            throw new IOException("a stored value can't be read: " + malformed.getMessage(), malformed);
+            throw new IOException("malformed stored value: " + malformed.getMessage(), malformed);
         }
     }
 
@@ -49,7 +49,7 @@
 
     /** Reads an item version. */
     public static Item readItem(FieldReader in) throws IOException {
-        ItemName name = new ItemName(in.oneOf(ItemKind.values()), in.text());
+        ItemName name = new ItemName(in.enumValue(ItemKind.values()), in.text());
         return new Item(name, in.number(), in.text());
     }
 
@@ -74,7 +74,7 @@
 
     /** Reads a key record. */
     public static KeyRecord readKeyRecord(FieldReader in) throws IOException {
-        return new KeyRecord(in.text(), in.oneOf(KeyState.values()), in.text(), in.bytes(), in.number());
+        return new KeyRecord(in.text(), in.enumValue(KeyState.values()), in.text(), in.bytes(), in.number());
     }
 
     /** Writes an instance. */
@@ -98,8 +98,8 @@
                 in.text(),
                 in.text(),
                 in.text(),
-                in.smallNumber(),
-                in.oneOf(InstanceState.values()),
+                in.intNumber(),
+                in.enumValue(InstanceState.values()),
                 in.number(),
                 in.number());
     }
--- a/cdn/src/test/java/ridgemill/cdn/LayersTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/LayersTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The programs meet in the messages between them and in what they share, not in each other's classes. */
+/** Checks that the programs share only messages and common packages and do not depend on each other's classes. */
 class LayersTest {
 
     private static final String[] PROGRAMS = {
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"proxy", "registry", "store"})
-    void noProgramKnowsAnother(String program) {
+    void programsDoNotDependOnEachOther(String program) {
         String own = "ridgemill.cdn." + program + "..";
         assertThat(classes.stream().filter(type -> type.getPackageName().startsWith("ridgemill.cdn." + program)))
                 .as("the classes are found")
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void whatProgramsShareKnowsNone() {
+    void sharedPackagesDoNotDependOnPrograms() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(PROGRAMS)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void packagesDependOnEachOtherOneWay() {
+    void packagesHaveNoCycles() {
         slices().matching("ridgemill.cdn.(**)").should().beFreeOfCycles().check(classes);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/configuration/ConfigurationChangeTest.java
@@ -31,14 +31,14 @@
                         read -> validator
                                 .check(read)
                                 .map(InvalidChange::describe)
-                                .getOrElse(() -> faultTogether(read, current)));
+                                .getOrElse(() -> crossItemFault(read, current)));
     }
 
-    /** As the stores judge a change: by the versions that are newer than what is held. */
-    private static String faultTogether(ConfigurationChange change, ItemSet current) {
+    /** Validates a change like the stores: only the versions that are newer than the current ones. */
+    private static String crossItemFault(ConfigurationChange change, ItemSet current) {
         ConfigurationRules rules = new ConfigurationRules();
         rules.reset(current.all());
-        return rules.fault(current.copy().mergeAll(change.items())).orElse(null);
+        return rules.validate(current.copy().mergeAll(change.items())).orElse(null);
     }
 
     private ItemSet after(String change) {
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aGoodChangeIsTakenAndReadBackAsItWasSent() {
+    void aValidChangeRoundTrips() {
         assertThat(fault(GOOD, new ItemSet())).isNull();
         String written = new String(reader.write(after(GOOD).all()), StandardCharsets.UTF_8);
         assertThat(written)
@@ -59,7 +59,7 @@
                 .isEqualTo(after(GOOD).digest());
     }
 
-    /** One thing is wrong at a time; each text replaces a part of the good change. */
+    /** Each case replaces one part of the valid change by an invalid one. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
                     "service":"t" | "service":"unknown" | unknown service
@@ -73,15 +73,15 @@
                     "cacheTtl":"40s","version":7 | "cacheTtl":"40s" | version
                     {"upsert" | {"upsert | no JSON
                     """)
-    void aChangeWithOneFaultIsRefusedWithItsPlace(String part, String replacement, String reason) {
+    void anInvalidChangeIsRefusedWithTheLocationOfTheFault(String part, String replacement, String reason) {
         String one = GOOD.replace("\n", "");
-        String spoilt = one.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(one);
-        assertThat(fault(spoilt, new ItemSet())).contains(reason);
+        String invalid = one.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(one);
+        assertThat(fault(invalid, new ItemSet())).contains(reason);
     }
 
     @Test
-    void aChangeThatIsCutShortIsRefused() {
+    void aTruncatedChangeIsRefused() {
         for (int length = 0; length < GOOD.stripTrailing().length(); length += 7) {
             assertThat(fault(GOOD.substring(0, length), new ItemSet()))
                     .as("%d bytes", length)
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void twoRoutesAtOnePlaceAreRefusedUnlessTheOtherIsDroppedInTheSameCall() {
+    void twoRoutesWithTheSameHostAndPrefixAreRefusedUnlessOneIsRemoved() {
         String second = """
                 {"upsert":{"routeTable":{"r-2":{"hostname":"a.example","pathPrefix":"/x/","routeKind":"idempotent",
                 "service":"s","version":8}}},"remove":{"routeTable":[%s]}}
@@ -101,13 +101,13 @@
     }
 
     @Test
-    void aServiceThatARouteNamesCanNotBeDropped() {
+    void aServiceInUseCannotBeRemoved() {
         String drop = "{\"remove\":{\"serviceTable\":[{\"name\":\"s\",\"version\":9}]}}";
         assertThat(fault(drop, after(GOOD))).contains("unknown service s");
     }
 
     @Test
-    void anOlderChangeThatArrivesAgainIsValidAndChangesNothing() {
+    void anOlderChangeIsValidAndHasNoEffect() {
         ItemSet current = after(GOOD.replace("\"version\":7", "\"version\":9"));
         long before = current.digest();
         assertThat(fault(GOOD, current)).isNull();
--- a/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/FleetFixture.java
@@ -22,26 +22,35 @@
 import ridgemill.cdn.settings.Settings;
 import ridgemill.gateway.net.SocketKind;
 
-/** Many edge proxies and two shared caches that share the bounds of one service, on one loop, between stand-in instances and plain sockets. */
+/**
+ * Several edge proxies and two shared caches that share the limits of one service, on one event loop, with stub
+ * instances and plain client sockets.
+ */
 final class FleetFixture implements AutoCloseable {
 
     private static final long CACHE_BYTES = 1_000_000;
-    private static final int DESCRIPTORS = 1_000;
+    private static final int FILE_DESCRIPTORS = 1_000;
     private static final int CACHES = 2;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final JumpingTimers timers = new JumpingTimers(loop);
+    private final AdvanceableTimers timers = new AdvanceableTimers(loop);
     private final double ratePerSecond;
     private final int connectionCap;
     final List<CacheNode> nodes = new ArrayList<>();
     private final List<DataPath> caches = new ArrayList<>();
     private final List<FakeControl> controls = new ArrayList<>();
     private final List<DataPath> proxies = new ArrayList<>();
-    private final List<StandInInstance> instances = new ArrayList<>();
+    private final List<StubInstance> instances = new ArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
 
-    /** Proxies before instances that together take so many requests a second and each so many connections. */
+    /**
+     * Starts the processes.
+     *
+     * @param size the number of edge proxies
+     * @param ratePerSecond the request rate limit of the service; 0 for none
+     * @param connectionCap the maximum number of connections to each instance
+     */
     FleetFixture(int size, double ratePerSecond, int connectionCap) throws Exception {
         this.ratePerSecond = ratePerSecond;
         this.connectionCap = connectionCap;
@@ -54,20 +63,20 @@
         for (int rank = 0; rank < size; rank++) {
             proxies.add(start(new FleetPosition(size, rank), Optional.empty()));
         }
-        showCaches(nodes);
+        setSharedCaches(nodes);
     }
 
     private DataPath start(FleetPosition position, Optional<CacheNode> cache) throws Exception {
         FakeControl control = new FakeControl();
         control.fleet = new Fleet(position, List.of());
         control.connectionCap = connectionCap;
-        control.routes(
+        control.setRoutes(
                 ProxyFixture.LIMITS,
                 ratePerSecond,
                 ProxyFixture.route(RouteKind.CACHEABLE, "/c/", 2),
                 ProxyFixture.route(RouteKind.IDEMPOTENT, "/i/", 2));
         controls.add(control);
-        DataPath path = new DataPath(
+        DataPath dataPath = new DataPath(
                 loop,
                 SocketKind.NIO,
                 timers,
@@ -77,15 +86,15 @@
                 new SimpleMeterRegistry(),
                 cache,
                 CACHE_BYTES);
-        path.listen().sync();
-        return path;
+        dataPath.listen().sync();
+        return dataPath;
     }
 
-    /** All processes hear of these shared caches, and of no others. */
-    void showCaches(List<CacheNode> shown) throws Exception {
+    /** Reports these shared caches, and no others, to all processes. */
+    void setSharedCaches(List<CacheNode> sharedCaches) throws Exception {
         loop.submit(() -> {
                     for (FakeControl control : controls) {
-                        control.fleet = new Fleet(control.fleet.proxies(), shown);
+                        control.fleet = new Fleet(control.fleet.proxies(), sharedCaches);
                         control.listeners.forEach(ControlListener::instancesChanged);
                     }
                 })
@@ -108,29 +117,29 @@
                 null,
                 1_000,
                 new Bounds(Map.of("retryBudgetRatio", "0.2", "retryBudgetSlack", "50")),
-                DESCRIPTORS,
+                FILE_DESCRIPTORS,
                 0,
                 false);
     }
 
-    /** Changes what one of the proxies is told. */
+    /** Changes the control plane view of one of the proxies. */
     void onProxy(int proxy, Consumer<FakeControl> change) throws Exception {
         FakeControl control = controls.get(CACHES + proxy);
         loop.submit(() -> change.accept(control)).sync();
     }
 
-    /** Changes what the shared caches are told. */
+    /** Changes the control plane view of the shared caches. */
     void onCaches(Consumer<FakeControl> change) throws Exception {
         loop.submit(() -> controls.subList(0, CACHES).forEach(change)).sync();
     }
 
-    /** Time passes without anything being done. */
-    void timePasses(double ms) {
-        timers.jump(ms);
+    /** Advances the clock; timers do not fire in between. */
+    void advanceTime(double ms) {
+        timers.advance(ms);
     }
 
-    StandInInstance instance(String id, StandInInstance.Script script) throws Exception {
-        StandInInstance instance = new StandInInstance(id, script);
+    StubInstance instance(String id, StubInstance.Script script) throws Exception {
+        StubInstance instance = new StubInstance(id, script);
         instances.add(instance);
         loop.submit(() -> {
                     for (FakeControl control : controls) {
@@ -143,7 +152,7 @@
         return instance;
     }
 
-    /** A client's connection to one of the proxies. */
+    /** Opens a client connection to one of the proxies. */
     ProxyFixture.Client client(int proxy) throws IOException {
         Socket socket = new Socket("127.0.0.1", proxies.get(proxy).address().getPort());
         socket.setSoTimeout(6_000);
@@ -155,21 +164,21 @@
     public void close() throws IOException {
         List<DataPath> all = new ArrayList<>(proxies);
         all.addAll(caches);
-        long[] broken = new long[1];
+        long[] violations = new long[1];
         loop.submit(() -> {
-                    for (DataPath path : all) {
-                        broken[0] += path.brokenInvariants();
-                        path.close();
+                    for (DataPath dataPath : all) {
+                        violations[0] += dataPath.invariantViolations();
+                        dataPath.close();
                     }
                 })
                 .syncUninterruptibly();
         for (Socket client : clients) {
             client.close();
         }
-        for (StandInInstance instance : instances) {
+        for (StubInstance instance : instances) {
             instance.close();
         }
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).syncUninterruptibly();
-        assertThat(broken[0]).as("broken invariants").isZero();
+        assertThat(violations[0]).as("invariant violations").isZero();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/proxy/StandInInstance.java
+++ b/cdn/src/test/java/ridgemill/cdn/proxy/StubInstance.java
@@ -15,15 +15,15 @@
 import ridgemill.cdn.instances.Instance;
 import ridgemill.cdn.instances.InstanceState;
 
-/** An instance over loopback that answers by a script and records what it received. */
-final class StandInInstance implements AutoCloseable {
+/** A scripted instance on the loopback interface that records the requests it receives. */
+final class StubInstance implements AutoCloseable {
 
-    /** Writes the answer to a request; the connection stays open if it returns true. */
+    /** Writes the response to a request; the connection stays open if it returns true. */
     interface Script {
-        boolean answer(Received request, Socket socket) throws Exception;
+        boolean respond(Received request, Socket socket) throws Exception;
     }
 
-    /** A request as it arrived. */
+    /** A request as received. */
     record Received(String head, String body) {
 
         String header(String name) {
@@ -35,7 +35,7 @@
             return null;
         }
 
-        String id() {
+        String attemptId() {
             return header("X-Attempt-Id");
         }
     }
@@ -45,23 +45,23 @@
     private final String id;
     private final List<Socket> sockets = new ArrayList<>();
     volatile Script script;
-    /** Answers by heads alone, before the bodies are read, if it is set. */
-    volatile Script early;
+    /** If set, responds after the head alone, before the body is read. */
+    volatile Script earlyScript;
 
-    StandInInstance(String id, Script script) throws IOException {
+    StubInstance(String id, Script script) throws IOException {
         this.id = id;
         this.script = script;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        Thread accepts = new Thread(this::accept);
-        accepts.setDaemon(true);
-        accepts.start();
+        Thread acceptThread = new Thread(this::accept);
+        acceptThread.setDaemon(true);
+        acceptThread.start();
     }
 
     Instance instance(String service) {
         return new Instance(id, service, "127.0.0.1:" + server.getLocalPort(), "z", "v1", 8, InstanceState.READY, 1, 0);
     }
 
-    /** How many connections were opened to it so far. */
+    /** The number of connections accepted so far. */
     int connections() {
         synchronized (sockets) {
             return sockets.size();
@@ -71,19 +71,19 @@
     Received take() throws InterruptedException {
         Received next = received.poll(5, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("no request arrived at " + id);
+            throw new AssertionError("no request received by " + id);
         }
         return next;
     }
 
-    /** Answers 200 with a seal and this body. */
+    /** Responds with status 200, a seal and this body. */
     static Script sealed(String body) {
-        return (request, socket) -> write(socket, answer(request, 200, "X-Response-Seal: s\r\n", body));
+        return (request, socket) -> write(socket, response(request, 200, "X-Response-Seal: s\r\n", body));
     }
 
-    static String answer(Received request, int status, String more, String body) {
-        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.id() + "\r\n" + more + "Content-Length: "
-                + body.length() + "\r\n\r\n" + body;
+    static String response(Received request, int status, String extraHeaders, String body) {
+        return "HTTP/1.1 " + status + " X\r\nX-Attempt-Id: " + request.attemptId() + "\r\n" + extraHeaders
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     static boolean write(Socket socket, String text) throws IOException {
@@ -99,12 +99,12 @@
                 synchronized (sockets) {
                     sockets.add(socket);
                 }
-                Thread serves = new Thread(() -> serve(socket));
-                serves.setDaemon(true);
-                serves.start();
+                Thread serveThread = new Thread(() -> serve(socket));
+                serveThread.setDaemon(true);
+                serveThread.start();
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The test has ended.
         }
     }
 
@@ -113,12 +113,12 @@
             InputStream in = socket.getInputStream();
             for (Received next = read(in, socket); next != null; next = read(in, socket)) {
                 received.add(next);
-                if (!script.answer(next, socket)) {
+                if (!script.respond(next, socket)) {
                     return;
                 }
             }
         } catch (Exception closed) {
-            // The proxy closed it.
+            // The proxy closed the connection.
         }
     }
 
@@ -132,7 +132,7 @@
             head.write(b);
         }
         Received request = new Received(head.toString(StandardCharsets.ISO_8859_1), "");
-        if (early != null && !early.answer(request, socket)) {
+        if (earlyScript != null && !earlyScript.respond(request, socket)) {
             return null;
         }
         String length = request.header("Content-Length");
--- a/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/settings/SettingsReaderTest.java
@@ -29,7 +29,7 @@
             """;
 
     @Test
-    void aFileIsReadAndUnknownFieldsArePassedOver() {
+    void unknownFieldsAreIgnored() {
         Settings settings = SettingsReader.parse(GOOD, "f").get();
         assertThat(settings.seedHosts()).containsExactly("10.1.0.39", "10.2.0.31");
         assertThat(settings.storePort()).isEqualTo(7661);
@@ -41,13 +41,13 @@
     }
 
     @Test
-    void boundsMayStandOnOneLine() {
+    void boundsMayBeOneString() {
         String line = GOOD.replaceFirst("bounds = .*", "bounds = \"drainDeadline=3s,gracePeriod=4s\"");
         assertThat(SettingsReader.parse(line, "f").get().bounds().drainDeadlineMs())
                 .isEqualTo(3000);
     }
 
-    /** One line is spoilt at a time. */
+    /** Each case makes one line invalid. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', textBlock = """
                     nodeName = "edge-a-1" | nodeName = 3 | f: nodeName
@@ -59,10 +59,10 @@
                     10.1.0.35:8144 | 10.1.0.35:x | f: listenAddresses.frontAddress
                     zone = "a" | zone = | f: is no TOML
                     """)
-    void aFaultIsOneLineThatNamesItsPlace(String part, String replacement, String place) {
-        String spoilt = GOOD.replace(part, replacement);
-        assertThat(spoilt).isNotEqualTo(GOOD);
-        String error = SettingsReader.parse(spoilt, "f").getLeft().describe();
+    void anErrorIsOneLineThatNamesItsField(String part, String replacement, String place) {
+        String invalid = GOOD.replace(part, replacement);
+        assertThat(invalid).isNotEqualTo(GOOD);
+        String error = SettingsReader.parse(invalid, "f").getLeft().describe();
         assertThat(error).startsWith(place).doesNotContain("\n");
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/Soak.java
@@ -16,25 +16,28 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 
-/** One run: a whole system of processes under seeded troubles, then calm, then what it broke. */
+/**
+ * One run: the whole system as processes under seeded faults, then a phase without faults, then the check for
+ * violations.
+ */
 public final class Soak {
 
     private static final double ORIGIN_RATE = 60;
     private static final int CONNECTION_CAP = 24;
-    private static final long START_MS = 60_000;
-    private static final long CALM_MS = 5_000;
-    private static final long RECOVERY_MS = 15_000;
+    private static final long START_TIMEOUT_MS = 60_000;
+    private static final long FAULT_FREE_MS = 5_000;
+    private static final long RECOVERY_TIMEOUT_MS = 15_000;
     private static final long HEARTBEAT_MS = 500;
-    private static final int TROUBLES = 9;
+    private static final int FAULT_COUNT = 9;
 
     /**
-     * What a run came to.
+     * The result of a run.
      *
-     * @param broken the rules and invariants that it broke
-     * @param served requests that were served after the troubles
-     * @param troubles what was done
+     * @param violations the violated rules and invariants
+     * @param served the number of requests that were served after the faults
+     * @param faults descriptions of the injected faults
      */
-    record Result(long seed, List<String> broken, int served, List<String> troubles, Path folder) {}
+    record Result(long seed, List<String> violations, int served, List<String> faults, Path folder) {}
 
     private final long seed;
     private final int proxies;
@@ -61,8 +64,8 @@
         return thread;
     }
 
-    /** Plays it. */
-    Result play() throws IOException {
+    /** Executes the run. */
+    Result run() throws IOException {
         SoakFleet fleet = new SoakFleet(folder, (int) Math.floorMod(seed, 200L), new Random(seed), proxies);
         Map<String, AtomicInteger> versions = SoakInstance.versions();
         for (int i = 0; i < 2; i++) {
@@ -71,8 +74,8 @@
         }
         SoakOperator operator = new SoakOperator(fleet, audit, versions, seed, timer);
         List<SoakClient> running = new ArrayList<>();
-        SoakTroubles troubles = null;
-        // A run that is ended from outside takes its processes along.
+        SoakFaults faults = null;
+        // Kills the processes of the run if it is terminated from outside.
         Thread cleanUp = new Thread(fleet::kill);
         Runtime.getRuntime().addShutdownHook(cleanUp);
         try {
@@ -81,9 +84,9 @@
             timer.scheduleWithFixedDelay(() -> heartbeats(operator), 0, HEARTBEAT_MS, TimeUnit.MILLISECONDS);
             until(
                     "all proxies are ready",
-                    START_MS,
+                    START_TIMEOUT_MS,
                     () -> fleet.machines(SoakFleet.Role.PROXY).stream().allMatch(fleet::isReady));
-            fleet.started();
+            fleet.markStarted();
             for (int i = 0; i < clients; i++) {
                 SoakClient client = new SoakClient(fleet, audit, seed * 1_000 + i, 25.0 * clients / 12);
                 running.add(client);
@@ -91,20 +94,20 @@
             }
             List<SoakInstance> all = new ArrayList<>(objects);
             all.addAll(orders);
-            troubles = new SoakTroubles(fleet, audit, operator, all, seed, timer);
-            troubles.plan(TROUBLES, spanMs);
-            pass(troubles.lastEndMs() + 1_000);
+            faults = new SoakFaults(fleet, audit, operator, all, seed, timer);
+            faults.plan(FAULT_COUNT, spanMs);
+            sleep(faults.lastEndMs() + 1_000);
             until(
                     "all proxies are ready again",
-                    RECOVERY_MS,
+                    RECOVERY_TIMEOUT_MS,
                     () -> fleet.machines(SoakFleet.Role.PROXY).stream().allMatch(fleet::isReady));
-            pass(1_500);
-            audit.calm();
-            pass(CALM_MS);
-            until("the configuration is read back", RECOVERY_MS, operator::readBack);
+            sleep(1_500);
+            audit.startFaultFreePhase();
+            sleep(FAULT_FREE_MS);
+            until("the configuration is read back", RECOVERY_TIMEOUT_MS, operator::readBack);
             checkInvariants(fleet);
         } catch (IllegalStateException late) {
-            audit.breaks("RECOVER", late.getMessage());
+            audit.recordViolation("RECOVER", late.getMessage());
         } finally {
             running.forEach(SoakClient::end);
             clientThreads.shutdownNow();
@@ -112,11 +115,11 @@
             fleet.kill();
             Runtime.getRuntime().removeShutdownHook(cleanUp);
         }
-        List<String> broken = audit.broken(ORIGIN_RATE);
-        if (broken.isEmpty()) {
+        List<String> violations = audit.violations(ORIGIN_RATE);
+        if (violations.isEmpty()) {
             delete(folder);
         }
-        return new Result(seed, broken, audit.served(), troubles == null ? List.of() : troubles.told(), folder);
+        return new Result(seed, violations, audit.served(), faults == null ? List.of() : faults.planned(), folder);
     }
 
     private void heartbeats(SoakOperator operator) {
@@ -124,7 +127,7 @@
         orders.forEach(instance -> operator.heartbeat(instance, "orders"));
     }
 
-    /** Every process that runs counts breaks of its invariants itself. */
+    /** Checks the invariant violations that each running process counts itself. */
     private void checkInvariants(SoakFleet fleet) {
         for (SoakFleet.Machine machine : fleet.machines()) {
             for (int i = 0; i < machine.processes().size(); i++) {
@@ -132,22 +135,22 @@
                 figures.lines()
                         .filter(line -> line.startsWith("ridgemill_invariant_violations_total"))
                         .filter(line -> !line.endsWith(" 0.0"))
-                        .forEach(line -> audit.breaks("INVARIANT", machine.name() + ' ' + line));
+                        .forEach(line -> audit.recordViolation("INVARIANT", machine.name() + ' ' + line));
             }
         }
     }
 
-    private void pass(long ms) {
+    private void sleep(long ms) {
         java.util.concurrent.locks.LockSupport.parkNanos(ms * 1_000_000);
     }
 
-    private void until(String what, long mostMs, BooleanSupplier holds) {
-        double endMs = audit.now() + mostMs;
-        while (!holds.getAsBoolean()) {
+    private void until(String description, long timeoutMs, BooleanSupplier condition) {
+        double endMs = audit.now() + timeoutMs;
+        while (!condition.getAsBoolean()) {
             if (audit.now() > endMs) {
-                throw new IllegalStateException("not after " + mostMs + " ms: " + what);
+                throw new IllegalStateException("not after " + timeoutMs + " ms: " + description);
             }
-            pass(50);
+            sleep(50);
         }
     }
 
@@ -159,28 +162,29 @@
     }
 
     /**
-     * Plays seeds by hand: first seed, how many, proxies, and optionally how many clients. The exit code is 1 if any broke a
-     * rule; the folder of such a run, with the logs of its processes, is kept.
+     * Runs seeds from the command line. The arguments are the first seed, the number of seeds, the number of proxies,
+     * and optionally the number of clients. The exit code is 1 if any run failed. The folder of a failed run, with the
+     * logs of its processes, is kept.
      */
     public static void main(String[] arguments) throws IOException {
         long first = Long.parseLong(arguments[0]);
         int count = Integer.parseInt(arguments[1]);
         int proxies = Integer.parseInt(arguments[2]);
         int clients = arguments.length > 3 ? Integer.parseInt(arguments[3]) : 12;
-        int red = 0;
+        int failures = 0;
         for (long seed = first; seed < first + count; seed++) {
-            Result result = new Soak(seed, proxies, clients, 10_000).play();
-            boolean good = result.broken().isEmpty() && result.served() > 0;
-            red += good ? 0 : 1;
-            System.out.println((good ? "held" : "BROKE") + " seed=" + seed + " proxies=" + proxies + " served_calm="
+            Result result = new Soak(seed, proxies, clients, 10_000).run();
+            boolean held = result.violations().isEmpty() && result.served() > 0;
+            failures += held ? 0 : 1;
+            System.out.println((held ? "held" : "BROKE") + " seed=" + seed + " proxies=" + proxies + " served_calm="
                     + result.served());
-            if (!good) {
-                result.troubles().forEach(trouble -> System.out.println("  trouble " + trouble));
-                result.broken().forEach(broken -> System.out.println("  " + broken));
+            if (!held) {
+                result.faults().forEach(fault -> System.out.println("  trouble " + fault));
+                result.violations().forEach(violation -> System.out.println("  " + violation));
                 System.out.println("  logs in " + result.folder());
             }
         }
-        System.out.println(count + " seeds, " + red + " broke something");
-        System.exit(red == 0 ? 0 : 1);
+        System.out.println(count + " seeds, " + failures + " broke something");
+        System.exit(failures == 0 ? 0 : 1);
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakOperator.java
@@ -9,11 +9,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Sends the configuration, changes, purges and heartbeats, each again until it is acknowledged, to any core machine. */
+/**
+ * Sends the configuration, changes, purges and heartbeats to random core machines. Changes and purges are repeated
+ * until they are acknowledged.
+ */
 final class SoakOperator {
 
-    private static final long AGAIN_MS = 150;
-    private static final int MOST_TRIES = 60;
+    private static final long RETRY_DELAY_MS = 150;
+    private static final int MAX_ATTEMPTS = 60;
 
     private final SoakFleet fleet;
     private final SoakAudit audit;
@@ -42,17 +45,21 @@
         return fleet.call(core.get(random.nextInt(core.size())), fleet.controlPort(), method, path, body);
     }
 
-    /** Sends an order until it is acknowledged, then runs the task; a refusal of a proper order is a break. */
-    private void order(String method, String path, String body, Runnable acknowledgedTask, int tries) {
+    /**
+     * Repeats a request until it is acknowledged, then runs the task. The refusal of a valid request is a violation.
+     */
+    private void callUntilAcknowledged(String method, String path, String body, Runnable acknowledgedTask, int tries) {
         timer.execute(() -> {
             int status = call(method, path, body);
             if (status == 200) {
                 acknowledgedTask.run();
             } else if (status >= 400 && status < 500 && status != 408 && status != 429) {
-                audit.breaks("CONFIG", "a proper order was refused with " + status + ": " + body);
-            } else if (tries < MOST_TRIES) {
+                audit.recordViolation("CONFIG", "a proper order was refused with " + status + ": " + body);
+            } else if (tries < MAX_ATTEMPTS) {
                 timer.schedule(
-                        () -> order(method, path, body, acknowledgedTask, tries + 1), AGAIN_MS, TimeUnit.MILLISECONDS);
+                        () -> callUntilAcknowledged(method, path, body, acknowledgedTask, tries + 1),
+                        RETRY_DELAY_MS,
+                        TimeUnit.MILLISECONDS);
             }
         });
     }
@@ -66,7 +73,7 @@
                 + "\"version\":" + version + "}";
     }
 
-    /** The first configuration. */
+    /** Sends the initial configuration. */
     void configure(double originRate, int connectionCap, Runnable done) {
         String service =
                 "\"%s\":{\"healthPath\":\"/health\",\"connectionCap\":%d,\"deduplicates\":false,%s\"version\":1}";
@@ -79,10 +86,10 @@
                 + service.formatted("orders", 400, "")
                 + "},\"limits\":{\"maxHeaderBytes\":16384,\"maxBodyBytes\":67108864,\"headerTimeout\":\"3000ms\","
                 + "\"idleTimeout\":\"15000ms\",\"version\":1}},\"remove\":{\"routeTable\":[]}}";
-        order("PATCH", "/ridgemill/configuration", body, done, 0);
+        callUntilAcknowledged("PATCH", "/ridgemill/configuration", body, done, 0);
     }
 
-    /** Changes a route: of no traffic, or the timeout of the reads. */
+    /** Changes a route: one without traffic, or the timeout of the read route. */
     void change(boolean timeout) {
         long version = nextVersion.incrementAndGet();
         String name = timeout ? "read" : "idle";
@@ -90,26 +97,30 @@
                 ? route(name, "/read/", "cacheable", "objects", 2_500 + version, version)
                 : route(name, "/idle/", "idempotent", "orders", 3_000, version);
         String body = "{\"upsert\":{\"routeTable\":{" + route + "}},\"remove\":{\"routeTable\":[]}}";
-        order("PATCH", "/ridgemill/configuration", body, () -> acknowledged.merge(name, version, Math::max), 0);
+        callUntilAcknowledged(
+                "PATCH", "/ridgemill/configuration", body, () -> acknowledged.merge(name, version, Math::max), 0);
     }
 
-    /** Puts the next version of an object in place and purges the one before. */
+    /** Publishes the next version of an object and purges the previous one. */
     void purge(int object) {
         String path = "/read/" + object;
         AtomicInteger version = versions.computeIfAbsent(path, p -> new AtomicInteger(1));
         int replaced = version.getAndIncrement();
         audit.replaced(path, replaced);
         String body = "{\"hostname\":\"h.example\",\"path\":\"" + path + "\"}";
-        order("POST", "/ridgemill/purges", body, () -> audit.purgeAcknowledged(path, replaced), 0);
+        callUntilAcknowledged("POST", "/ridgemill/purges", body, () -> audit.purgeAcknowledged(path, replaced), 0);
     }
 
-    /** Tells of an instance. */
+    /** Sends a heartbeat of an instance. */
     boolean heartbeat(SoakInstance instance, String service) {
         String body = instance.heartbeat(service, sequence.incrementAndGet());
         return call("PUT", "/ridgemill/instances/" + instance.id(), body) == 200;
     }
 
-    /** Reads the configuration back: what was acknowledged must stand. Returns whether there was an answer. */
+    /**
+     * Reads the configuration and checks that it contains all acknowledged changes. Returns whether there was a
+     * response.
+     */
     boolean readBack() {
         List<SoakFleet.Machine> core = fleet.machines(SoakFleet.Role.CORE);
         String items =
@@ -122,7 +133,7 @@
                             "\"" + name + "\":\\{[^}]*\"version\":(\\d+)")
                     .matcher(items);
             if (!held.find() || Long.parseLong(held.group(1)) < version) {
-                audit.breaks("CONFIG", name + " was acknowledged with version " + version + ": " + items);
+                audit.recordViolation("CONFIG", name + " was acknowledged with version " + version + ": " + items);
             }
         });
         return true;
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakProcess.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One program of the system as a process of its own, which may be signalled, killed and started again. */
+/** One program of the system as a process, which can be signalled, killed and restarted. */
 final class SoakProcess {
 
     private static final List<String> JAVA = List.of(
@@ -23,7 +23,7 @@
             "-Dio.netty.allocator.numHeapArenas=1",
             "-Dio.netty.allocator.numDirectArenas=1",
             "-Dio.netty.allocator.maxOrder=5");
-    private static final long END_SECONDS = 10;
+    private static final long STOP_TIMEOUT_SECONDS = 10;
 
     private final String program;
     private final Path settings;
@@ -39,7 +39,7 @@
         this.log = log;
     }
 
-    /** Starts it, if it does not run. */
+    /** Starts the process if it is not running. */
     synchronized void start() {
         if (isAlive()) {
             return;
@@ -67,7 +67,7 @@
         return paused;
     }
 
-    /** Ends it at once, also while it is paused. */
+    /** Kills the process at once, also while it is paused. */
     synchronized void kill() {
         if (process != null) {
             process.destroyForcibly();
@@ -77,13 +77,13 @@
 
     private void await() {
         try {
-            process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+            process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException ended) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** It stands still until {@link #resume}. */
+    /** Pauses the process (SIGSTOP) until {@link #resume}. */
     synchronized void pause() {
         paused = true;
         signal("STOP");
@@ -94,12 +94,12 @@
         signal("CONT");
     }
 
-    /** Asks it to end in order. */
+    /** Requests an orderly shutdown (SIGTERM). */
     synchronized void terminate() {
         signal("TERM");
     }
 
-    /** Tells it that its settings may have changed. */
+    /** Notifies the process that its settings may have changed (SIGHUP). */
     synchronized void hangUp() {
         signal("HUP");
     }
@@ -111,7 +111,7 @@
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                     .start()
-                    .waitFor(END_SECONDS, TimeUnit.SECONDS);
+                    .waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (IOException failed) {
             throw new java.io.UncheckedIOException(failed);
         } catch (InterruptedException ended) {
--- a/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/soak/SoakTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short soak with fixed seeds; {@code bench/soak} plays many by hand. */
+/** Runs short soaks with fixed seeds. {@code bench/soak} runs many seeds from the command line. */
 class SoakTest {
 
     private static final int PROXIES = 3;
@@ -14,9 +14,9 @@
 
     @ParameterizedTest
     @ValueSource(longs = {7, 21})
-    void noRuleBreaksUnderTroublesThatOverlap(long seed) throws Exception {
-        Soak.Result result = new Soak(seed, PROXIES, CLIENTS, SPAN_MS).play();
-        assertThat(result.broken()).as("%s", result).isEmpty();
+    void noRuleIsViolatedUnderOverlappingFaults(long seed) throws Exception {
+        Soak.Result result = new Soak(seed, PROXIES, CLIENTS, SPAN_MS).run();
+        assertThat(result.violations()).as("%s", result).isEmpty();
         assertThat(result.served()).as("served after the troubles").isPositive();
     }
 }
--- a/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
+++ b/cdn/src/test/java/ridgemill/cdn/store/JournalDiskTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import ridgemill.cdn.agreement.AcceptorRecord;
 import ridgemill.cdn.agreement.Ballot;
-import ridgemill.cdn.agreement.Stamp;
+import ridgemill.cdn.agreement.StateId;
 import ridgemill.cdn.config.Item;
 import ridgemill.cdn.config.ItemKind;
 import ridgemill.cdn.config.ItemName;
@@ -24,7 +24,7 @@
 import ridgemill.cdn.quorum.Voter;
 import ridgemill.cdn.quorum.VoterSet;
 
-/** What the disk holds after a kill at any moment, and after a loss of power with torn files. */
+/** Checks the contents of the disk after a kill at any moment, and after a power loss that leaves torn files. */
 final class JournalDiskTest {
 
     private static final int COMMITS = 150;
@@ -36,7 +36,7 @@
     private final Map<String, byte[]> written = new HashMap<>();
 
     @Test
-    void allThatWasWrittenSurvivesALossOfPower() throws Exception {
+    void acknowledgedWritesSurviveAPowerLoss() throws Exception {
         Random random = new Random(7);
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
@@ -48,7 +48,7 @@
             Map<String, byte[]> later = PowerLoss.contents(folder.resolve("live"));
             for (int image = 0; image < 3; image++) {
                 Path lost = folder.resolve("lost-" + commit + "-" + image);
-                PowerLoss.write(synced, later, random, lost);
+                PowerLoss.writeImage(synced, later, random, lost);
                 check(lost, acknowledged);
             }
             synced = later;
@@ -65,7 +65,7 @@
         return DiskBatch.ofRecord(new KeyRecord(key, KeyState.FINISHED, "claim", answer, 1));
     }
 
-    /** All acknowledged records are there, or a newer one that was under way. */
+    /** Checks that an image contains all acknowledged records, or the newer version that was being written. */
     private void check(Path image, Map<String, byte[]> acknowledged) throws IOException {
         JournalDisk disk = new JournalDisk(image);
         StoredState state = disk.open();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aJournalThatHasGrownBeginsAnewAndLosesNothing() throws IOException {
+    void aLargeJournalIsRewrittenWithoutLoss() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
@@ -101,27 +101,27 @@
     }
 
     @Test
-    void anOlderGenerationThatComesBackIsNotTaken() throws IOException {
+    void anOlderGenerationThatReappearsIsIgnored() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
         disk.write(DiskBatch.ofDiskId("a"));
         disk.close();
         byte[] old = PowerLoss.contents(live).get("journal-1");
-        TroubledDisk trouble = new TroubledDisk();
-        JournalDisk again = new JournalDisk(live, trouble);
-        again.open();
-        trouble.refuse(true, false);
-        assertThatThrownBy(() -> again.write(DiskBatch.ofDiskId("b"))).isInstanceOf(IOException.class);
-        trouble.refuse(false, false);
-        again.write(DiskBatch.ofDiskId("b"));
-        again.close();
+        FaultyDisk faults = new FaultyDisk();
+        JournalDisk reopened = new JournalDisk(live, faults);
+        reopened.open();
+        faults.setFailing(true, false);
+        assertThatThrownBy(() -> reopened.write(DiskBatch.ofDiskId("b"))).isInstanceOf(IOException.class);
+        faults.setFailing(false, false);
+        reopened.write(DiskBatch.ofDiskId("b"));
+        reopened.close();
         Files.write(live.resolve("journal-1"), old);
         assertThat(new JournalDisk(live).open().diskId()).isEqualTo("b");
     }
 
     @Test
-    void aNewGenerationThatIsTornIsPassedOverForTheOneBefore() throws IOException {
+    void aTornNewGenerationIsIgnoredInFavorOfThePreviousOne() throws IOException {
         Path live = folder.resolve("live");
         JournalDisk disk = new JournalDisk(live);
         disk.open();
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void aFolderWithoutAWholeJournalIsToldAndNotTakenForEmpty() throws IOException {
+    void aFolderWithoutAnIntactJournalIsReportedAsCorrupt() throws IOException {
         Path live = folder.resolve("live");
         Files.createDirectories(live);
         Files.write(live.resolve("journal-7"), new byte[100]);
@@ -141,12 +141,12 @@
     }
 
     @Test
-    void whatWasPromisedAndAcceptedIsReadAsItWasWrittenLast() throws IOException {
+    void theLatestAcceptorRecordIsRestored() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
-        Stamp first = new Stamp(new Ballot(3, "p"), 1);
+        StateId first = new StateId(new Ballot(3, "p"), 1);
         disk.write(DiskBatch.ofAccepted(record(first, false, entry("r1", 1), entry("r2", 1))));
-        Stamp second = first.next(new Ballot(4, "q"));
+        StateId second = first.next(new Ballot(4, "q"));
         disk.write(DiskBatch.ofAccepted(record(second, false, entry("r1", 2))));
         disk.close();
         AcceptorRecord read = new JournalDisk(folder.resolve("live")).open().accepted();
@@ -157,10 +157,10 @@
     }
 
     @Test
-    void aWholeStateTakesThePlaceOfAllItems() throws IOException {
+    void aReplacingStateRemovesAllEarlierItems() throws IOException {
         JournalDisk disk = new JournalDisk(folder.resolve("live"));
         disk.open();
-        Stamp first = new Stamp(new Ballot(3, "p"), 1);
+        StateId first = new StateId(new Ballot(3, "p"), 1);
         PendingChanges joined = new PendingChanges();
         joined.add(DiskBatch.ofAccepted(record(first, false, entry("r1", 1), entry("r2", 1))));
         joined.add(DiskBatch.ofAccepted(record(first, true, entry("r3", 1))));
@@ -174,7 +174,7 @@
 
     private static final VoterSet VOTERS = new VoterSet(2, List.of(new Voter("a", "1")), List.of(new Voter("b", "2")));
 
-    private static AcceptorRecord record(Stamp accepted, boolean replaces, VersionedItem... entries) {
+    private static AcceptorRecord record(StateId accepted, boolean replaces, VersionedItem... entries) {
         return new AcceptorRecord(accepted.ballot(), accepted, VOTERS, List.of(entries), replaces);
     }
 
--- a/core/src/main/java/ridgemill/lease/Voter.java
+++ b/core/src/main/java/ridgemill/lease/Voter.java
@@ -3,131 +3,150 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import ridgemill.lease.LeaseMessage.Why;
+import ridgemill.lease.LeaseMessage.RefusalReason;
 
 /**
- * One proxy's vote on one task: to whom it is promised, until when, and which terms it has seen. A vote once given is given to
- * nobody else until it has run out or its holder has released it; a term once seen is given to nobody else ever. What a process
- * before this one promised is unknown, so a voter keeps still until all of that must have run out, and gives no vote until it
- * has heard from those who know which terms there were.
+ * One proxy's vote on one task: to whom it is promised, until when, and the highest term seen. A promised vote goes to
+ * no other candidate until the promise has expired or its holder has released it; a term that was seen is never voted
+ * for again. A process does not know what the previous process of its proxy promised. So after a start a voter refuses
+ * all requests until any such promise must have expired, and until it has recovered the highest term from a majority of
+ * voters that know it.
  */
 final class Voter {
 
-    /** What came of a question: a vote where {@code why} is null. */
-    record Answer(Why why, long highest, double waitMs) { }
+    /** Answer to a vote request; the vote is granted if {@code refusal} is null. */
+    record Answer(RefusalReason refusal, long highestTerm, double retryAfterMs) { }
 
     private static final int NOBODY = Integer.MIN_VALUE;
 
     private final LeasePolicy policy;
     private final double quietUntil;
-    private final double knowsAnyhowAt;
-    private final Set<Integer> knowing = new HashSet<>();
-    private boolean knows;
+    private final double recoveryTimeoutAt;
+    private final Set<Integer> recoverySources = new HashSet<>();
+    private boolean recovered;
     private boolean outdated;
     private int holder = NOBODY;
     private int incarnation;
     private long term;
     private int round;
-    private double until = Double.NEGATIVE_INFINITY;
+    private double promisedUntil = Double.NEGATIVE_INFINITY;
     private boolean released;
-    private long highest;
-    private int heir = NOBODY;
-    private double heirUntil = Double.NEGATIVE_INFINITY;
+    private long highestTerm;
+    private int successor = NOBODY;
+    private double successorUntil = Double.NEGATIVE_INFINITY;
     private double forbiddenUntil = Double.NEGATIVE_INFINITY;
 
-    /** {@code startedAt} is from when on this process has been the one that votes. */
+    /**
+     * Creates a voter; {@code startedAt} is the time since which this process has been the only one of its proxy that
+     * votes.
+     */
     Voter(LeasePolicy policy, double startedAt, double now) {
         this.policy = policy;
         this.quietUntil = startedAt + policy.promiseMs();
-        this.knowsAnyhowAt = Math.max(quietUntil, now) + policy.promiseMs();
-    }
-
-    /** A candidate asks; {@code other} if it goes by older electorates than this proxy, or by others of the same version. */
-    Answer ask(double now, int from, LeaseMessage.Ask ask, boolean other) {
-        boolean same = from == holder && ask.incarnation() == incarnation && ask.term() == term;
+        this.recoveryTimeoutAt = Math.max(quietUntil, now) + policy.promiseMs();
+    }
+
+    /**
+     * Handles a vote request.
+     *
+     * @param mismatchedVoterSets whether the candidate has older voter sets than this proxy, or different ones of the
+     *     same version
+     * @return the answer; null if the request is a duplicate or late, and there is nothing to answer
+     */
+    Answer handleRequest(double now, int from, LeaseMessage.VoteRequest request, boolean mismatchedVoterSets) {
+        boolean renewal = from == holder && request.incarnation() == incarnation && request.term() == term;
         if (now < quietUntil) {
-            return new Answer(Why.QUIET, highest, quietUntil - now);
+            return new Answer(RefusalReason.QUIET, highestTerm, quietUntil - now);
         }
-        if (!knows(now)) {
-            return new Answer(Why.JOINING, highest, policy.answerMs());
+        if (!isRecovered(now)) {
+            return new Answer(RefusalReason.JOINING, highestTerm, policy.answerMs());
         }
-        if (other) {
-            return new Answer(Why.OTHER_VERSION, highest, 0);
+        if (mismatchedVoterSets) {
+            return new Answer(RefusalReason.OTHER_VERSION, highestTerm, 0);
         }
         if (now < forbiddenUntil) {
-            return new Answer(Why.FORBIDDEN, highest, forbiddenUntil - now);
+            return new Answer(RefusalReason.FORBIDDEN, highestTerm, forbiddenUntil - now);
         }
-        if (same) {
+        if (renewal) {
             if (released) {
-                return new Answer(Why.OLD_TERM, highest, 0);
+                return new Answer(RefusalReason.OLD_TERM, highestTerm, 0);
             }
-            if (ask.round() <= round) {
-                // It came twice or late: what it asked for was given, and is given no longer for that.
+            if (request.round() <= round) {
+                // A duplicate or late request: its vote was already granted, and the promise is not extended.
                 return null;
             }
         } else {
-            // One that asks under a new term has stopped under the one before, whether or not its release came.
-            boolean goesOn = from == holder && ask.incarnation() == incarnation && ask.term() > term;
-            if (now < until && !goesOn) {
-                return new Answer(Why.HELD, highest, until - now);
+            // A candidate that requests a vote under a new term has stopped under its previous one, even if its release
+            // was lost.
+            boolean raisesTerm = from == holder && request.incarnation() == incarnation && request.term() > term;
+            if (now < promisedUntil && !raisesTerm) {
+                return new Answer(RefusalReason.HELD, highestTerm, promisedUntil - now);
             }
-            if (now < heirUntil && from != heir) {
-                return new Answer(Why.HELD, highest, heirUntil - now);
+            if (now < successorUntil && from != successor) {
+                return new Answer(RefusalReason.HELD, highestTerm, successorUntil - now);
             }
-            if (ask.term() <= highest) {
-                return new Answer(Why.OLD_TERM, highest, 0);
+            if (request.term() <= highestTerm) {
+                return new Answer(RefusalReason.OLD_TERM, highestTerm, 0);
             }
         }
         holder = from;
-        incarnation = ask.incarnation();
-        term = ask.term();
-        highest = Math.max(highest, term);
-        round = ask.round();
+        incarnation = request.incarnation();
+        term = request.term();
+        highestTerm = Math.max(highestTerm, term);
+        round = request.round();
         released = false;
-        until = now + policy.promiseMs();
-        return new Answer(null, highest, 0);
+        promisedUntil = now + policy.promiseMs();
+        return new Answer(null, highestTerm, 0);
     }
 
-    /** A candidate has stopped; believed of the one alone that has the vote, and of its present term. */
+    /** Handles a release. It counts only from the candidate that has the vote, and for its current term. */
     void release(double now, int from, LeaseMessage.Release release) {
-        highest = Math.max(highest, release.term());
+        highestTerm = Math.max(highestTerm, release.term());
         if (from == holder && release.incarnation() == incarnation && release.term() == term && !released) {
             released = true;
-            until = Math.min(until, now);
-            if (release.heir() >= 0) {
-                heir = release.heir();
-                heirUntil = now + 4 * policy.answerMs();
+            promisedUntil = Math.min(promisedUntil, now);
+            if (release.successor() >= 0) {
+                successor = release.successor();
+                successorUntil = now + 4 * policy.answerMs();
             }
         }
     }
 
-    /** Another voter says which terms it has seen, and whether it knows them all; {@code newer} if it goes by newer electorates. */
-    void recalled(int from, LeaseMessage.Recalled said, List<Integer> voters, int self, boolean newer) {
-        highest = Math.max(highest, said.highest());
-        outdated |= newer && !knows;
-        if (said.knows() && from != self && voters.contains(from)) {
-            knowing.add(from);
+    /** Handles a voter's reply to a term query; {@code newer} is whether that voter has newer voter sets. */
+    void receiveTermReply(int from, LeaseMessage.TermReply reply, List<Integer> voters, int self, boolean newer) {
+        highestTerm = Math.max(highestTerm, reply.highestTerm());
+        outdated |= newer && !recovered;
+        if (reply.recovered() && from != self && voters.contains(from)) {
+            recoverySources.add(from);
         }
-        if (!outdated && knowing.stream().filter(voters::contains).count() >= Electorates.majority(voters.size())) {
-            knows = true;
+        if (!outdated && recoverySources.stream().filter(voters::contains).count()
+                >= VoterSets.majority(voters.size())) {
+            recovered = true;
         }
     }
 
-    /** This proxy has taken in newer electorates: what made it outdated is over. */
-    void upToDate() {
+    /** This proxy has adopted newer voter sets, so it is not known to be outdated any more. */
+    void clearOutdated() {
         outdated = false;
     }
 
-    /** Whether it has heard which terms there were, or has waited for long enough that nobody can tell it. */
-    boolean knows(double now) {
-        knows |= !outdated && now >= knowsAnyhowAt;
-        return knows;
+    /**
+     * Returns whether the highest term is recovered, or enough time has passed that no other voter can know a higher
+     * one.
+     */
+    boolean isRecovered(double now) {
+        recovered |= !outdated && now >= recoveryTimeoutAt;
+        return recovered;
     }
 
+
+    /** Returns whether promises of a previous process may still be valid. */
     boolean isQuiet(double now) {
         return now < quietUntil;
     }
 
+
+    /** Grants no vote until then. */
     void forbid(double untilMs) {
         forbiddenUntil = Math.max(forbiddenUntil, untilMs);
     }
@@ -136,23 +155,23 @@
         return forbiddenUntil;
     }
 
-    /** A term was seen elsewhere, as at who receives acts. */
-    void seen(long other) {
-        highest = Math.max(highest, other);
+    /** Records a term that was seen elsewhere, such as at the receiver of an action. */
+    void observeTerm(long term) {
+        highestTerm = Math.max(highestTerm, term);
     }
 
-    long highest() {
-        return highest;
+    long highestTerm() {
+        return highestTerm;
     }
 
-    /** Whether the vote is given to somebody now. */
-    boolean isGiven(double now) {
-        return now < until;
+    /** Returns whether the vote is promised to a candidate. */
+    boolean isPromised(double now) {
+        return now < promisedUntil;
     }
 
-    /** Until when it is given, or kept for an heir other than this proxy. */
-    double busyUntil(int self) {
-        return heir == self ? until : Math.max(until, heirUntil);
+    /** Returns the time until which the vote is promised, or reserved for a successor other than this proxy. */
+    double unavailableUntil(int self) {
+        return successor == self ? promisedUntil : Math.max(promisedUntil, successorUntil);
     }
 
     int holder() {
@@ -163,14 +182,15 @@
         return term;
     }
 
-    double until() {
-        return until;
+    double promisedUntil() {
+        return promisedUntil;
     }
 
-    /** All of its state, times as they are from now on: two voters with the same text act the same. */
-    String text(double now) {
-        return holder + " " + incarnation + " " + term + " " + round + " " + Math.max(0, until - now) + " " + released + " " + highest + " "
-                + heir + " " + Math.max(0, heirUntil - now) + " " + knows + outdated + knowing + " " + Math.max(0, quietUntil - now) + " "
-                + Math.max(0, knowsAnyhowAt - now) + " " + Math.max(0, forbiddenUntil - now);
+    /** Returns the whole state as text, with times relative to now. Two voters with equal text behave alike. */
+    String stateText(double now) {
+        return holder + " " + incarnation + " " + term + " " + round + " " + Math.max(0, promisedUntil - now) + " "
+                + released + " " + highestTerm + " " + successor + " " + Math.max(0, successorUntil - now) + " "
+                + recovered + outdated + recoverySources + " " + Math.max(0, quietUntil - now) + " "
+                + Math.max(0, recoveryTimeoutAt - now) + " " + Math.max(0, forbiddenUntil - now);
     }
 }
--- a/core/src/main/java/ridgemill/limit/FairQueue.java
+++ b/core/src/main/java/ridgemill/limit/FairQueue.java
@@ -8,27 +8,27 @@
 import java.util.Map;
 
 /**
- * A bounded line of requests in which tenants take turns, one request each, so that a tenant that asks much waits behind
- * itself and not before others. A full line gives a place of its longest tenant to one whose share is smaller (as
- * longest-queue drop does, RFC 7567, section 4.2.1 names the kind); the newest goes, which has waited least.
+ * A bounded queue of requests that serves tenants round robin, one request each, so that a tenant with many requests
+ * delays only itself. When the queue is full, a tenant with fewer queued requests takes a place from the tenant with
+ * the most (longest-queue drop, a kind of active queue management that RFC 7567, section 4.2.1 names). The newest
+ * request of that tenant is dropped, as it has waited least.
  *
- * <p>It is as large as what stands in it: a tenant with nothing in line takes no memory. Not safe for use by several
- * threads.
+ * <p>Memory use is proportional to the queued requests: a tenant without any takes none. Not thread-safe.
  */
 final class FairQueue {
 
-    /** What became of one that asked for a place. */
-    enum Place { TAKEN, FULL }
+    /** The result of an offer. */
+    enum OfferResult { ACCEPTED, FULL }
 
-    private static final class Line {
+    private static final class TenantQueue {
         final Deque<String> ids = new ArrayDeque<>();
     }
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, TenantQueue> queues = new LinkedHashMap<>();
     private final Map<String, String> tenants = new HashMap<>();
     private String displaced;
 
-    /** How many stand in it. */
+    /** The number of queued requests. */
     int size() {
         return tenants.size();
     }
@@ -38,68 +38,69 @@
     }
 
     /**
-     * Asks for a place in a line of so many; {@link #displaced} then tells whether another lost its own for it.
+     * Offers a request to the queue; {@link #displaced} then tells whether another request lost its place to it.
      *
-     * @param id of the request, not in line yet
-     * @param tenant whose it is; the empty text where it names none
+     * @param id of the request, which is not queued yet
+     * @param tenant the tenant of the request; empty if it names none
+     * @param capacity how many requests the queue may hold now
      */
-    Place offer(String id, String tenant, int capacity) {
+    OfferResult offer(String id, String tenant, int capacity) {
         displaced = null;
         if (tenants.size() >= capacity) {
-            String longest = longest();
-            int own = lines.containsKey(tenant) ? lines.get(tenant).ids.size() : 0;
-            if (longest == null || lines.get(longest).ids.size() <= own + 1) {
-                return Place.FULL;
+            String longest = longestQueue();
+            int own = queues.containsKey(tenant) ? queues.get(tenant).ids.size() : 0;
+            if (longest == null || queues.get(longest).ids.size() <= own + 1) {
+                return OfferResult.FULL;
             }
-            displaced = lines.get(longest).ids.peekLast();
+            displaced = queues.get(longest).ids.peekLast();
             remove(displaced);
         }
-        lines.computeIfAbsent(tenant, t -> new Line()).ids.addLast(id);
+        queues.computeIfAbsent(tenant, t -> new TenantQueue()).ids.addLast(id);
         tenants.put(id, tenant);
-        return Place.TAKEN;
+        return OfferResult.ACCEPTED;
     }
 
-    /** Who lost its place to the last that was offered; null if nobody did. */
+    /** The request that lost its place to the last accepted one; null if none did. */
     String displaced() {
         return displaced;
     }
 
-    /** Takes out the one whose turn it is; null where nobody waits. */
+    /** Removes and returns the next request in turn; null if the queue is empty. */
     String poll() {
-        Iterator<Map.Entry<String, Line>> first = lines.entrySet().iterator();
+        Iterator<Map.Entry<String, TenantQueue>> first = queues.entrySet().iterator();
         if (!first.hasNext()) {
             return null;
         }
-        Map.Entry<String, Line> turn = first.next();
-        String tenant = turn.getKey();
-        Line line = turn.getValue();
+        Map.Entry<String, TenantQueue> next = first.next();
+        String tenant = next.getKey();
+        TenantQueue queue = next.getValue();
         first.remove();
-        String id = line.ids.pollFirst();
+        String id = queue.ids.pollFirst();
         tenants.remove(id);
-        if (!line.ids.isEmpty()) {
-            lines.put(tenant, line);
+        if (!queue.ids.isEmpty()) {
+            queues.put(tenant, queue);
         }
         return id;
     }
 
-    /** Takes one out before its turn; false if it was not in line. */
+    /** Removes a request before its turn; false if it was not queued. */
     boolean remove(String id) {
         String tenant = tenants.remove(id);
         if (tenant == null) {
             return false;
         }
-        Line line = lines.get(tenant);
-        line.ids.remove(id);
-        if (line.ids.isEmpty()) {
-            lines.remove(tenant);
+        TenantQueue queue = queues.get(tenant);
+        queue.ids.remove(id);
+        if (queue.ids.isEmpty()) {
+            queues.remove(tenant);
         }
         return true;
     }
 
-    private String longest() {
+    private String longestQueue() {
         String longest = null;
         int most = 0;
-        for (Map.Entry<String, Line> e : lines.entrySet()) {
+        for (Map.Entry<String, TenantQueue> e : queues.entrySet()) {
             if (e.getValue().ids.size() > most) {
                 most = e.getValue().ids.size();
                 longest = e.getKey();
--- a/core/src/main/java/ridgemill/limit/Limiter.java
+++ b/core/src/main/java/ridgemill/limit/Limiter.java
@@ -4,256 +4,266 @@
 import java.util.Map;
 
 /**
- * Decides whether a request may go on to the decisions, and if not, when to come back. It has a bounded number of
- * buckets whatever names clients send. Not safe for use by several threads.
+ * Decides whether a request is admitted, and if not, when its client may retry. The number of buckets is bounded
+ * whatever tenant names clients send. Not thread-safe.
  */
 public final class Limiter {
 
-    /** How long room takes to come where no answer has been seen to make any. */
-    private static final double FIRST_GAP_MS = 50;
-    /** What one gap between two answers counts for against those before it. */
-    private static final double GAP_PART = 0.1;
-    /** Nobody is told to come back later than this for want of room: what was measured may be long past. */
-    private static final double MOST_ROOM_MS = 5000;
+    /** The time between two releases that is assumed before any was measured. */
+    private static final double INITIAL_RELEASE_INTERVAL_MS = 50;
+    /** The weight of the newest time between two releases in their moving average. */
+    private static final double RELEASE_INTERVAL_WEIGHT = 0.1;
+    /** The longest retry time given for lack of room, as the measured release rate may be out of date. */
+    private static final double MAX_RETRY_AFTER_MS = 5000;
 
-    /** Which limit refuses. */
+    /** The limit that refuses a request. */
     public enum Reason { IN_FLIGHT, QUEUE_FULL, CLASS_IN_FLIGHT, CLASS_RATE, TENANT_RATE, RETRY_BUDGET }
 
-    /** What becomes of a request. */
+    /** The decision about a request. */
     public sealed interface Verdict { }
 
-    /** It may go on; {@link Limiter#ended} is owed when it has its final answer. */
+    /** It is admitted; {@link Limiter#ended} must be called when it has its final response. */
     public record Admitted() implements Verdict { }
 
     /**
-     * It stands in line: {@link Limiter#next} names it when its turn comes, or {@link Limiter#withdrawn} is owed.
+     * It is queued: {@link Limiter#admitNext} returns it when its turn comes; otherwise {@link Limiter#withdraw} must
+     * be called.
      *
-     * @param waitMs how long it may wait at most
-     * @param displaced another that lost its place in line for it and is turned away; null if none did
+     * @param maxWaitMs how long it may wait
+     * @param displaced another queued request that lost its place to this one and is refused; null if none did
      */
-    public record Queued(double waitMs, String displaced) implements Verdict { }
+    public record Queued(double maxWaitMs, String displaced) implements Verdict { }
 
-    /** It is turned away; nothing ran. {@code retryAfterMs} follows from the limit that refuses and is above 0. */
+    /** It is refused and nothing ran. {@code retryAfterMs} follows from the limit that refuses it and is above 0. */
     public record Refused(Reason reason, double retryAfterMs) implements Verdict { }
 
     private static final Admitted ADMITTED = new Admitted();
 
     private final Map<String, TokenBucket> classBuckets = new HashMap<>();
     private final Map<String, TokenBucket> tenantBuckets = new HashMap<>();
-    private final UnknownTenants unknown = new UnknownTenants();
+    private final UnknownTenantBuckets unknownTenantBuckets = new UnknownTenantBuckets();
     private final Map<String, Integer> classInFlight = new HashMap<>();
-    private RetryBudget retries;
+    private RetryBudget retryBudget;
     private Limits limits;
-    private final FairQueue line = new FairQueue();
-    private final Map<String, Standing> standing = new HashMap<>();
-    private double gapMs = FIRST_GAP_MS;
-    private double lastEndMs = Double.NaN;
+    private final FairQueue queue = new FairQueue();
+    private final Map<String, QueuedRequest> queued = new HashMap<>();
+    private double releaseIntervalMs = INITIAL_RELEASE_INTERVAL_MS;
+    private double lastReleaseMs = Double.NaN;
     private int inFlight;
-    /** What this loop may use where several keep the limits together; null where there is one. */
+    /** This loop's share if several loops enforce the limits together; null if there is only one. */
     private final LoopShare share;
 
-    /** One in line, and the buckets that it has a token of. */
-    private record Standing(String service, TokenBucket ofTenant, TokenBucket ofClass) { }
+    /** A queued request, and the buckets that it took a token from. */
+    private record QueuedRequest(String service, TokenBucket tenantBucket, TokenBucket classBucket) { }
 
     public Limiter(Limits limits, double nowMs) {
         this(limits, nowMs, null);
     }
 
-    /** Keeps limits together with the limiters of other loops of this process, of which each has a share. */
+    /** Enforces limits together with the limiters of other loops of this process, each of which has a share. */
     public Limiter(Limits limits, double nowMs, LoopShare share) {
         this.limits = limits;
         this.share = share;
-        this.retries = limits.retries() == null ? null : new RetryBudget(retryTerms(limits), nowMs);
+        this.retryBudget = limits.retryBudget() == null ? null : new RetryBudget(retryConfig(limits), nowMs);
     }
 
     /**
-     * Decides on a request. Limits that cost nothing to ask come first, and a token that one limit gave goes back if the
-     * next refuses, so that a request that is turned away counts against nobody.
+     * Decides on a request. Limits that are cheap to check come first, and a token that was taken from one limit is
+     * given back if the next one refuses, so that a refused request counts against no limit.
      *
-     * @param id by which it is named when it comes out of the line
-     * @param tenant null where it names none, which is a tenant like any other that is not named
-     * @param retry whether it is marked as a client's retry
+     * @param id under which {@link #admitNext} returns it
+     * @param tenant null if it names none; such requests count as one more unnamed tenant
+     * @param retry whether the client marked it as a retry
      */
     public Verdict admit(double nowMs, String id, String tenant, String service, boolean retry) {
-        // Nobody overtakes those in line.
-        boolean full = isFull() || !line.isEmpty();
+        // A new request must not overtake queued ones.
+        boolean full = isFull() || !queue.isEmpty();
         if (full && limits.queue() == null) {
-            lacked(Shared.ALL_IN_FLIGHT);
-            return new Refused(Reason.IN_FLIGHT, roomMs(0));
+            recordRefusal(LimitKey.ALL_IN_FLIGHT);
+            return new Refused(Reason.IN_FLIGHT, retryAfterMs(0));
         }
-        Integer most = limits.classInFlight().get(service);
-        if (most != null && isFull(service, most)) {
-            return new Refused(Reason.CLASS_IN_FLIGHT, roomMs(0));
+        Integer maxInFlight = limits.classInFlight().get(service);
+        if (maxInFlight != null && isFull(service, maxInFlight)) {
+            return new Refused(Reason.CLASS_IN_FLIGHT, retryAfterMs(0));
         }
-        TokenBucket ofTenant = tenantBucket(nowMs, tenant);
-        if (ofTenant != null && !taken(ofTenant, nowMs, share == null ? null : tenantKey(tenant))) {
-            return new Refused(Reason.TENANT_RATE, ofTenant.waitMs(nowMs));
+        TokenBucket tenantBucket = tenantBucket(nowMs, tenant);
+        if (tenantBucket != null && !tryTake(tenantBucket, nowMs, share == null ? null : tenantKey(tenant))) {
+            return new Refused(Reason.TENANT_RATE, tenantBucket.waitMs(nowMs));
         }
-        TokenBucket ofClass = classBucket(nowMs, service);
-        if (ofClass != null && !taken(ofClass, nowMs, share == null ? null : new Shared(Shared.Kind.CLASS_RATE, service))) {
-            giveBack(ofTenant, nowMs);
-            return new Refused(Reason.CLASS_RATE, ofClass.waitMs(nowMs));
+        TokenBucket classBucket = classBucket(nowMs, service);
+        if (classBucket != null && !tryTake(classBucket, nowMs,
+                share == null ? null : new LimitKey(LimitKey.Kind.CLASS_RATE, service))) {
+            giveBack(tenantBucket, nowMs);
+            return new Refused(Reason.CLASS_RATE, classBucket.waitMs(nowMs));
         }
-        if (retries != null && retry && !retries.tryRetry(nowMs)) {
-            giveBack(ofTenant, nowMs);
-            giveBack(ofClass, nowMs);
-            return new Refused(Reason.RETRY_BUDGET, Math.max(1, retries.waitMs(nowMs)));
+        if (retryBudget != null && retry && !retryBudget.tryRetry(nowMs)) {
+            giveBack(tenantBucket, nowMs);
+            giveBack(classBucket, nowMs);
+            return new Refused(Reason.RETRY_BUDGET, Math.max(1, retryBudget.waitMs(nowMs)));
         }
-        if (full && line.offer(id, tenant == null ? "" : tenant, places()) == FairQueue.Place.FULL) {
-            giveBack(ofTenant, nowMs);
-            giveBack(ofClass, nowMs);
-            lacked(Shared.ALL_IN_FLIGHT);
-            return new Refused(Reason.QUEUE_FULL, roomMs(line.size()));
+        if (full && queue.offer(id, tenant == null ? "" : tenant, queueCapacity()) == FairQueue.OfferResult.FULL) {
+            giveBack(tenantBucket, nowMs);
+            giveBack(classBucket, nowMs);
+            recordRefusal(LimitKey.ALL_IN_FLIGHT);
+            return new Refused(Reason.QUEUE_FULL, retryAfterMs(queue.size()));
         }
-        if (retries != null && !retry) {
-            retries.firstTry(nowMs);
+        if (retryBudget != null && !retry) {
+            retryBudget.recordFirstTry(nowMs);
         }
         classInFlight.merge(service, 1, Integer::sum);
         if (full) {
-            String displaced = line.displaced();
+            String displaced = queue.displaced();
             if (displaced != null) {
-                leaveLine(nowMs, displaced);
+                removeQueued(nowMs, displaced);
             }
-            standing.put(id, new Standing(service, ofTenant, ofClass));
-            return new Queued(limits.queue().waitMs(), displaced);
+            queued.put(id, new QueuedRequest(service, tenantBucket, classBucket));
+            return new Queued(limits.queue().maxWaitMs(), displaced);
         }
         inFlight++;
         return ADMITTED;
     }
 
-    /** A request of this class that was admitted has its final answer. */
+    /** An admitted request of this class has its final response. */
     public void ended(double nowMs, String service) {
-        if (!Double.isNaN(lastEndMs)) {
-            gapMs += GAP_PART * (Math.min(MOST_ROOM_MS, nowMs - lastEndMs) - gapMs);
+        if (!Double.isNaN(lastReleaseMs)) {
+            releaseIntervalMs += RELEASE_INTERVAL_WEIGHT
+                    * (Math.min(MAX_RETRY_AFTER_MS, nowMs - lastReleaseMs) - releaseIntervalMs);
         }
-        lastEndMs = nowMs;
+        lastReleaseMs = nowMs;
         inFlight--;
-        left(service);
+        classRequestLeft(service);
     }
 
-    /** Names one in line whose turn it is, which is admitted with that; null where none has it. To be asked till then. */
-    public String next() {
-        if (line.isEmpty() || isFull()) {
+    /**
+     * Admits the next queued request if there is room, and returns its id; null if there is none. Call it until it
+     * returns null.
+     */
+    public String admitNext() {
+        if (queue.isEmpty() || isFull()) {
             return null;
         }
-        String id = line.poll();
-        standing.remove(id);
+        String id = queue.poll();
+        queued.remove(id);
         inFlight++;
         return id;
     }
 
     /**
-     * One in line leaves it without its turn: its client has gone, or it has waited for long enough. Its tokens go back.
+     * Removes a queued request before its turn, because its client disconnected or it has waited too long. Its tokens
+     * are given back.
      *
-     * @return when one like it may come back, in milliseconds
+     * @return when a similar request may be retried, in milliseconds
      */
-    public double withdrawn(double nowMs, String id) {
-        if (line.remove(id)) {
-            leaveLine(nowMs, id);
+    public double withdraw(double nowMs, String id) {
+        if (queue.remove(id)) {
+            removeQueued(nowMs, id);
         }
-        return roomMs(line.size());
+        return retryAfterMs(queue.size());
     }
 
-    private void leaveLine(double nowMs, String id) {
-        Standing gone = standing.remove(id);
-        giveBack(gone.ofTenant(), nowMs);
-        giveBack(gone.ofClass(), nowMs);
-        left(gone.service());
+    private void removeQueued(double nowMs, String id) {
+        QueuedRequest removed = queued.remove(id);
+        giveBack(removed.tenantBucket(), nowMs);
+        giveBack(removed.classBucket(), nowMs);
+        classRequestLeft(removed.service());
     }
 
-    private void left(String service) {
+    private void classRequestLeft(String service) {
         classInFlight.computeIfPresent(service, (s, n) -> n > 1 ? n - 1 : null);
     }
 
-    /** When there may be room for one behind so many others, by how fast answers have made room of late. */
-    private double roomMs(int before) {
-        return Math.max(1, Math.min(MOST_ROOM_MS, (before + 1) * gapMs));
+    /** When there may be room behind this many others, estimated from the recent release rate. */
+    private double retryAfterMs(int ahead) {
+        return Math.max(1, Math.min(MAX_RETRY_AFTER_MS, (ahead + 1) * releaseIntervalMs));
     }
 
     /**
-     * Goes on under other limits. Requests in flight go on counting; a bucket whose rate stays keeps what it holds, one
-     * whose rate changes keeps it up to the new burst, and one that is new is full.
+     * Applies other limits. Requests in flight keep counting. A bucket whose rate is unchanged keeps its tokens, one
+     * whose rate changes keeps them up to the new burst, and a new one is full.
      */
     public void changeTo(Limits next, double nowMs) {
         if (share != null) {
-            share.changed(limits, next);
+            share.limitsChanged(limits, next);
         }
         limits = next;
-        change(classBuckets, Shared.Kind.CLASS_RATE, next.classRate(), nowMs);
-        change(tenantBuckets, Shared.Kind.TENANT_RATE, next.tenantRate(), nowMs);
-        unknown.changeTo(next.unknownTenant(), nowMs, (name, whole) -> shareOf(Shared.Kind.UNKNOWN_TENANT, name, whole));
-        if (next.retries() == null) {
-            retries = null;
-        } else if (retries == null) {
-            retries = new RetryBudget(retryTerms(next), nowMs);
-        } else if (!retries.terms().equals(retryTerms(next))) {
-            retries.changeTo(retryTerms(next), nowMs);
+        updateBuckets(classBuckets, LimitKey.Kind.CLASS_RATE, next.classRate(), nowMs);
+        updateBuckets(tenantBuckets, LimitKey.Kind.TENANT_RATE, next.tenantRate(), nowMs);
+        unknownTenantBuckets.changeTo(next.unknownTenantRate(), nowMs,
+                (name, whole) -> shareOf(LimitKey.Kind.UNKNOWN_TENANT, name, whole));
+        if (next.retryBudget() == null) {
+            retryBudget = null;
+        } else if (retryBudget == null) {
+            retryBudget = new RetryBudget(retryConfig(next), nowMs);
+        } else if (!retryBudget.config().equals(retryConfig(next))) {
+            retryBudget.changeTo(retryConfig(next), nowMs);
         }
     }
 
-    private RetryBudget.Terms retryTerms(Limits of) {
-        return share == null ? of.retries() : share.retries(of.retries());
+    private RetryBudget.Config retryConfig(Limits from) {
+        return share == null ? from.retryBudget() : share.retryBudget(from.retryBudget());
     }
 
-    // What is shared with other loops.
+    // Limits shared with other loops.
 
     private boolean isFull() {
-        return inFlight >= (share == null ? limits.inFlight() : share.count(Shared.ALL_IN_FLIGHT, limits.inFlight()));
+        return inFlight >= (share == null
+                ? limits.inFlight() : share.inFlightLimit(LimitKey.ALL_IN_FLIGHT, limits.inFlight()));
     }
 
     private boolean isFull(String service, int whole) {
-        int there = classInFlight.getOrDefault(service, 0);
+        int count = classInFlight.getOrDefault(service, 0);
         if (share == null) {
-            return there >= whole;
+            return count >= whole;
         }
-        Shared key = new Shared(Shared.Kind.CLASS_IN_FLIGHT, service);
-        boolean full = there >= share.count(key, whole);
+        LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, service);
+        boolean full = count >= share.inFlightLimit(key, whole);
         if (full) {
-            lacked(key);
+            recordRefusal(key);
         }
         return full;
     }
 
-    private int places() {
-        return share == null ? limits.queue().places() : share.places(limits.queue().places());
+    private int queueCapacity() {
+        return share == null ? limits.queue().capacity() : share.queueCapacity(limits.queue().capacity());
     }
 
-    private Rate shareOf(Shared.Kind kind, String name, Rate whole) {
-        return share == null ? whole : share.rate(new Shared(kind, name), whole);
+    private Rate shareOf(LimitKey.Kind kind, String name, Rate whole) {
+        return share == null ? whole : share.rate(new LimitKey(kind, name), whole);
     }
 
-    private void lacked(Shared key) {
+    private void recordRefusal(LimitKey key) {
         if (share != null) {
-            share.counted(key).refused++;
+            share.counters(key).refused++;
         }
     }
 
-    private boolean taken(TokenBucket bucket, double nowMs, Shared key) {
-        boolean there = bucket.tryTake(nowMs);
+    private boolean tryTake(TokenBucket bucket, double nowMs, LimitKey key) {
+        boolean taken = bucket.tryTake(nowMs);
         if (key != null) {
-            LoopShare.Counted c = share.counted(key);
-            c.asked++;
-            c.refused += there ? 0 : 1;
+            LoopShare.UsageCounters c = share.counters(key);
+            c.requested++;
+            c.refused += taken ? 0 : 1;
         }
-        return there;
+        return taken;
     }
 
-    private Shared tenantKey(String tenant) {
-        return tenant != null && limits.tenantRate().containsKey(tenant) ? new Shared(Shared.Kind.TENANT_RATE, tenant)
-                : new Shared(Shared.Kind.UNKNOWN_TENANT, tenant == null ? "" : tenant);
+    private LimitKey tenantKey(String tenant) {
+        return tenant != null && limits.tenantRate().containsKey(tenant)
+                ? new LimitKey(LimitKey.Kind.TENANT_RATE, tenant)
+                : new LimitKey(LimitKey.Kind.UNKNOWN_TENANT, tenant == null ? "" : tenant);
     }
 
-    /** The bucket of a rate that is shared, if there is one. */
-    private TokenBucket bucket(Shared key) {
+    /** The bucket of a shared rate, if it exists. */
+    private TokenBucket bucket(LimitKey key) {
         return switch (key.kind()) {
             case CLASS_RATE -> classBuckets.get(key.name());
             case TENANT_RATE -> tenantBuckets.get(key.name());
-            case UNKNOWN_TENANT -> unknown.own(key.name());
+            case UNKNOWN_TENANT -> unknownTenantBuckets.ownBucket(key.name());
             default -> null;
         };
     }
 
-    private void made(Shared key, double nowMs) {
+    private void ensureBucket(LimitKey key, double nowMs) {
         switch (key.kind()) {
             case CLASS_RATE -> classBucket(nowMs, key.name());
             case TENANT_RATE, UNKNOWN_TENANT -> tenantBucket(nowMs, key.name());
@@ -261,77 +271,80 @@
         }
     }
 
-    /** Tells what this loop used since it last told. */
-    public LoopShare.Report report(double nowMs) {
-        Map<Shared, LoopShare.Use> uses = new HashMap<>();
-        Map<Shared, LoopShare.Counted> counted = share.drain();
+    /** Reports this loop's usage since its last report. */
+    public LoopShare.UsageReport report(double nowMs) {
+        Map<LimitKey, LoopShare.Usage> uses = new HashMap<>();
+        Map<LimitKey, LoopShare.UsageCounters> counted = share.drainCounters();
         counted.forEach((key, c) -> {
             if (key.kind().isCount()) {
-                uses.put(key, new LoopShare.Use(c.asked, c.refused, held(key), 0));
+                uses.put(key, new LoopShare.Usage(c.requested, c.refused, inFlightOf(key), 0));
             } else {
                 TokenBucket b = bucket(key);
-                uses.put(key, new LoopShare.Use(c.asked, c.refused, b == null ? 0 : b.tokens(nowMs), c.spare));
+                uses.put(key, new LoopShare.Usage(c.requested, c.refused, b == null ? 0 : b.tokens(nowMs), c.spare));
             }
         });
-        // What is in flight counts whether or not anybody asked since.
+        // Requests in flight are reported even if no request has arrived since the last report.
         if (limits.inFlight() < Integer.MAX_VALUE) {
-            uses.putIfAbsent(Shared.ALL_IN_FLIGHT, new LoopShare.Use(0, 0, inFlight, 0));
+            uses.putIfAbsent(LimitKey.ALL_IN_FLIGHT, new LoopShare.Usage(0, 0, inFlight, 0));
         }
-        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(new Shared(Shared.Kind.CLASS_IN_FLIGHT, name),
-                key -> new LoopShare.Use(0, 0, held(key), 0)));
-        return new LoopShare.Report(share.taken(), nowMs, uses);
+        limits.classInFlight().keySet().forEach(name -> uses.computeIfAbsent(
+                new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name),
+                key -> new LoopShare.Usage(0, 0, inFlightOf(key), 0)));
+        return new LoopShare.UsageReport(share.lastGrant(), nowMs, uses);
     }
 
-    /** Tells what this loop has in flight, between two reports. */
-    public LoopShare.Held held() {
-        Map<Shared, Integer> there = new HashMap<>();
-        there.put(Shared.ALL_IN_FLIGHT, inFlight);
+    /** Reports this loop's requests in flight, between two usage reports. */
+    public LoopShare.InFlightReport inFlightReport() {
+        Map<LimitKey, Integer> inFlightByLimit = new HashMap<>();
+        inFlightByLimit.put(LimitKey.ALL_IN_FLIGHT, inFlight);
         limits.classInFlight().keySet().forEach(name -> {
-            Shared key = new Shared(Shared.Kind.CLASS_IN_FLIGHT, name);
-            there.put(key, held(key));
+            LimitKey key = new LimitKey(LimitKey.Kind.CLASS_IN_FLIGHT, name);
+            inFlightByLimit.put(key, inFlightOf(key));
         });
-        return new LoopShare.Held(share.taken(), there);
+        return new LoopShare.InFlightReport(share.lastGrant(), inFlightByLimit);
     }
 
-    private int held(Shared key) {
-        return key.kind() == Shared.Kind.IN_FLIGHT ? inFlight : classInFlight.getOrDefault(key.name(), 0);
+    private int inFlightOf(LimitKey key) {
+        return key.kind() == LimitKey.Kind.IN_FLIGHT ? inFlight : classInFlight.getOrDefault(key.name(), 0);
     }
 
-    /** May use another share from now on; those in line may have room with it. */
-    public void take(LoopShare.Grant grant, double nowMs) {
-        // One that nobody has asked for yet is full, and what a smaller part cuts off it is for others too.
-        grant.parts().keySet().forEach(key -> made(key, nowMs));
-        share.take(grant);
-        grant.parts().keySet().forEach(key -> {
-            Rate whole = Shared.rate(limits, key);
+    /** Applies another share; queued requests may have room under it. */
+    public void apply(LoopShare.Grant grant, double nowMs) {
+        // A bucket that was not used yet is full, and the tokens that a smaller share cuts off must be reported as
+        // spare.
+        grant.rateFractions().keySet().forEach(key -> ensureBucket(key, nowMs));
+        share.apply(grant);
+        grant.rateFractions().keySet().forEach(key -> {
+            Rate whole = LimitKey.rate(limits, key);
             TokenBucket bucket = whole == null ? null : bucket(key);
             if (bucket != null) {
                 double cut = bucket.changeTo(share.rate(key, whole), nowMs);
                 if (cut > 0) {
-                    share.counted(key).spare += cut;
+                    share.counters(key).spare += cut;
                 }
             }
         });
         grant.tokens().forEach((key, tokens) -> {
-            TokenBucket bucket = Shared.rate(limits, key) == null ? null : bucket(key);
-            double back = bucket == null ? tokens : bucket.add(tokens, nowMs);
-            if (back > 0) {
-                share.counted(key).spare += back;
+            TokenBucket bucket = LimitKey.rate(limits, key) == null ? null : bucket(key);
+            double excess = bucket == null ? tokens : bucket.add(tokens, nowMs);
+            if (excess > 0) {
+                share.counters(key).spare += excess;
             }
         });
     }
 
-    /** How many stand in line. */
-    public int inLine() {
-        return line.size();
+    /** The number of queued requests. */
+    public int queueLength() {
+        return queue.size();
     }
 
-    /** Requests that were admitted and have no final answer yet. */
+    /** The number of admitted requests without a final response. */
     public int inFlight() {
         return inFlight;
     }
 
-    private void change(Map<String, TokenBucket> buckets, Shared.Kind kind, Map<String, Rate> rates, double nowMs) {
+    private void updateBuckets(Map<String, TokenBucket> buckets, LimitKey.Kind kind, Map<String, Rate> rates,
+            double nowMs) {
         buckets.keySet().retainAll(rates.keySet());
         buckets.forEach((name, bucket) -> {
             Rate next = shareOf(kind, name, rates.get(name));
@@ -341,28 +354,28 @@
         });
     }
 
-    private TokenBucket fresh(Shared.Kind kind, String name, Rate whole, double nowMs) {
+    private TokenBucket newBucket(LimitKey.Kind kind, String name, Rate whole, double nowMs) {
         if (share == null) {
             return new TokenBucket(whole, nowMs);
         }
-        Shared key = new Shared(kind, name);
-        return new TokenBucket(share.rate(key, whole), share.firstTokens(key, whole), nowMs);
+        LimitKey key = new LimitKey(kind, name);
+        return new TokenBucket(share.rate(key, whole), share.initialTokens(key, whole), nowMs);
     }
 
     private TokenBucket classBucket(double nowMs, String service) {
         Rate rate = limits.classRate().get(service);
         return rate == null ? null : classBuckets.computeIfAbsent(service,
-                s -> fresh(Shared.Kind.CLASS_RATE, s, rate, nowMs));
+                s -> newBucket(LimitKey.Kind.CLASS_RATE, s, rate, nowMs));
     }
 
     private TokenBucket tenantBucket(double nowMs, String tenant) {
         Rate rate = tenant == null ? null : limits.tenantRate().get(tenant);
         if (rate != null) {
-            return tenantBuckets.computeIfAbsent(tenant, t -> fresh(Shared.Kind.TENANT_RATE, t, rate, nowMs));
+            return tenantBuckets.computeIfAbsent(tenant, t -> newBucket(LimitKey.Kind.TENANT_RATE, t, rate, nowMs));
         }
-        return limits.unknownTenant() == null ? null
-                : unknown.of(tenant == null ? "" : tenant, nowMs,
-                        name -> fresh(Shared.Kind.UNKNOWN_TENANT, name, limits.unknownTenant(), nowMs));
+        return limits.unknownTenantRate() == null ? null
+                : unknownTenantBuckets.bucketFor(tenant == null ? "" : tenant, nowMs,
+                        name -> newBucket(LimitKey.Kind.UNKNOWN_TENANT, name, limits.unknownTenantRate(), nowMs));
     }
 
     private static void giveBack(TokenBucket bucket, double nowMs) {
--- a/core/src/main/java/ridgemill/version/FleetView.java
+++ b/core/src/main/java/ridgemill/version/FleetView.java
@@ -13,286 +13,322 @@
 import java.util.stream.IntStream;
 
 /**
- * What one proxy knows of which versions the others act under. Each second it tells two others, by chance, of itself, of one more, first of
- * whom something is new, and of some that they live: so what changes reaches all in a few rounds, however many there are, and what a
- * process that was killed said last is known to some. Decides nothing for anybody; says of each who lags, by how much and why. Times are milliseconds.
+ * One proxy's view of the versions in effect at the other members, kept up to date by gossip. Every second the proxy
+ * sends two random members a summary of itself and of one other member, preferring members with changes, and heartbeats
+ * of several more. So a change reaches all members within a few rounds, however many there are, and the last state of a
+ * killed process is known to some. The view decides nothing; for each member it reports whether it lags, by how much,
+ * and why. Times are milliseconds.
  */
 public final class FleetView {
 
-    /** From one round of telling to the next. */
-    public static final double EVERY_MS = 1000;
-    private static final int TOLD = 2;
-    /** Who has not been heard of for so long is called silent. */
+    /** Interval of the gossip rounds. */
+    public static final double ROUND_INTERVAL_MS = 1000;
+    /** Number of members that are sent messages in each round. */
+    private static final int FANOUT = 2;
+    /** A member that has not been heard of for this long is silent. */
     public static final double SILENT_MS = 8000;
-    /** So often news of another version goes before what is only newer: enough for all to have it, at two a round. */
-    private static final int PASSED_ON = 8;
-    /** The same for one that was not known: all are new to a fleet that starts. */
-    private static final int FIRST_PASSED_ON = 2;
-    /** Who has just been seen behind may be on its way. */
+    /**
+     * How often a changed version is forwarded before summaries that are only newer; with two sends a round it reaches
+     * all members.
+     */
+    private static final int CHANGE_FORWARDS = 8;
+    /** The same for a member that was not known: in a fleet that starts, all members are new. */
+    private static final int NEW_MEMBER_FORWARDS = 2;
+    /** A member that has been behind for less than this may still be catching up. */
     private static final double ON_ITS_WAY_MS = 5000;
-    /** Who has not come to itself for so long was stopped: what waits for it then is of any age. */
-    private static final double STOP_MS = 2500;
-    /** For so long after a stop nothing is taken for news: what waited has been read by then. */
+    /** A proxy that was inactive for this long was suspended, so its queued messages may be of any age. */
+    private static final double STALL_MS = 2500;
+    /** Received messages are ignored for this long after a suspension, by when the queued ones have been read. */
     private static final double CATCH_UP_MS = 500;
-    /** Whoever gives host lists is asked again and again; for so long that is nothing to tell. */
+    /** The source of host lists is polled all the time; a failure for less than this is not reported. */
     private static final int LIST_LATE_S = 5;
-    /** So many of a member's past processes are known as such. */
-    private static final int MOST_PAST = 8;
+    /** Number of past processes of a member that are remembered. */
+    private static final int MAX_PAST_PROCESSES = 8;
     private static final double MS_PER_S = 1000;
 
-    /** Why one does not act as the others do. */
-    public enum Why {
-        /** It does. */
+    /** Why a member's version differs from the others'. */
+    public enum StatusReason {
+        /** It does not differ. */
         UP_TO_DATE,
-        /** Nothing was ever heard of it. */
+        /** It was never heard of. */
         NEVER_HEARD,
-        /** Nothing new is heard of it: it is stopped, gone or cut off. */
+        /** It has not been heard of lately: it is suspended, has ended or is cut off. */
         SILENT,
-        /** It was given the file and does not take it. */
+        /** It was given a newer file and has refused it. */
         REFUSED,
-        /** It acts under an older file since a moment ago. */
+        /** It has had an older file in effect for a short time. */
         ON_ITS_WAY,
-        /** It acts under an older file and says nothing of a newer one: nobody gave it one. */
+        /** It has an older file in effect and has refused no newer one: it was given none. */
         BEHIND,
-        /** It acts under the same number, and another text than more of the others. */
+        /** It has the highest number with another text than most of the others. */
         OTHER_TEXT,
-        /** Its build is another. */
+        /** It has another build than this proxy. */
         OTHER_BUILD,
-        /** Its platform's configuration is another. */
+        /** It has another platform configuration than this proxy. */
         OTHER_PLATFORM,
-        /** It has stepped aside. */
+        /** It is out of service. */
         OUT,
-        /** It acts as the others do, and can't ask whoever gives the host list. */
+        /** It has the same version as the others, but can't reach the source of the host list. */
         LIST_LATE
     }
 
     /**
-     * How one proxy is, as far as is known here.
+     * The state of one member as far as this proxy knows.
      *
-     * @param summary the last of it; null if none was heard
-     * @param heardMs how long ago that was new here
-     * @param behind how many numbers its file is below the highest
+     * @param summary its last summary; null if there is none
+     * @param heardAgoMs time since the last new information
+     * @param behind by how much its file number is below the highest
      * @param behindMs for how long that has been known here
-     * @param isCurrent whether its last sign of life is of the file that the summary tells of
-     * @param restarts how many of its processes have been heard of, but for the first
+     * @param isCurrent whether its last heartbeat is about the file of the summary
+     * @param restarts number of its known processes after the first
      */
-    public record Standing(int member, Summary summary, double heardMs, Why why, long behind, double behindMs, boolean isCurrent, int restarts) {
+    public record MemberStatus(int member, Summary summary, double heardAgoMs, StatusReason reason, long behind,
+            double behindMs, boolean isCurrent, int restarts) {
 
-        /** In words. */
-        public String words() {
+        /** Describes the state; operators are shown this text. */
+        public String describe() {
             if (summary == null) {
                 return "never heard";
             }
-            String words = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(summary.file(),
-                    summary.digest() >>> Integer.SIZE, (summary.underMs() + heardMs) / MS_PER_S, summary.build(), summary.entries(),
-                    summary.begun(), heardMs / MS_PER_S) + (restarts > 0 ? ", started again " + restarts + " times" : "");
-            return switch (why) {
-                case UP_TO_DATE -> words;
-                case REFUSED -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S) + ": refused file "
-                        + summary.refusedFile() + ", see its own audit";
-                case BEHIND, ON_ITS_WAY -> words + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
-                        + (why == Why.BEHIND ? ": nobody gave it a newer file" : "");
-                case SILENT -> words + "; SILENT: stopped, gone or cut off" + (behind > 0 ? ", and behind by " + behind : "");
-                case OTHER_TEXT -> words + "; OTHER TEXT under one number";
-                case OTHER_BUILD -> words + "; OTHER BUILD than here";
-                case OTHER_PLATFORM -> words + "; OTHER PLATFORM configuration than here";
-                case LIST_LATE -> words + "; LIST LATE: it has not reached who gives the host list for " + summary.lateS() + " s, and goes by number "
-                        + Integer.toUnsignedString(summary.list());
-                case OUT -> words + "; OUT: it has stepped aside" + (behind > 0 ? ", behind by " + behind : "");
+            String text = "file %d.%08x for %.1f s, build %08x, %d entries, %d requests, heard %.1f s ago".formatted(
+                    summary.fileNumber(), summary.fileDigest() >>> Integer.SIZE,
+                    (summary.inEffectMs() + heardAgoMs) / MS_PER_S, summary.build(), summary.entries(),
+                    summary.begun(), heardAgoMs / MS_PER_S)
+                    + (restarts > 0 ? ", started again " + restarts + " times" : "");
+            return switch (reason) {
+                case UP_TO_DATE -> text;
+                case REFUSED -> text + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
+                        + ": refused file " + summary.refusedFile() + ", see its own audit";
+                case BEHIND, ON_ITS_WAY -> text + "; BEHIND by " + behind + " for %.1f s".formatted(behindMs / MS_PER_S)
+                        + (reason == StatusReason.BEHIND ? ": nobody gave it a newer file" : "");
+                case SILENT -> text + "; SILENT: stopped, gone or cut off"
+                        + (behind > 0 ? ", and behind by " + behind : "");
+                case OTHER_TEXT -> text + "; OTHER TEXT under one number";
+                case OTHER_BUILD -> text + "; OTHER BUILD than here";
+                case OTHER_PLATFORM -> text + "; OTHER PLATFORM configuration than here";
+                case LIST_LATE -> text + "; LIST LATE: it has not reached who gives the host list for "
+                        + summary.hostListLateS()
+                        + " s, and goes by number " + Integer.toUnsignedString(summary.hostListNumber());
+                case OUT -> text + "; OUT: it has stepped aside" + (behind > 0 ? ", behind by " + behind : "");
                 case NEVER_HEARD -> "never heard";
             };
         }
     }
 
-    /** What is known of one. */
-    private static final class Known {
+    /** What is known of one member. */
+    private static final class MemberState {
         Summary summary;
         double heardAt;
         double behindSince = Double.NaN;
-        /** The latest sign of life: a summary's number. */
-        int aliveNumber;
-        /** What it acted under then. */
-        short sign;
-        /** How often yet it goes before others, as it says that something is other. */
-        int hot;
+        /** Sequence of the latest summary or heartbeat. */
+        int lastSequence;
+        /** Checksum of the file in effect at that time. */
+        short fileChecksum;
+        /** How often it is still to be forwarded before others, because of a change. */
+        int forwardsLeft;
         int processes;
-        /** Its processes that were followed by others: nothing that was said of them counts any more. */
-        final Deque<Integer> past = new ArrayDeque<>();
+        /** Past processes of the member, whose messages no longer count. */
+        final Deque<Integer> pastIncarnations = new ArrayDeque<>();
 
         /**
-         * Whether a summary is of a process that follows. Mostly that is the one that started later; but a clock may have been set back
-         * between the two, so one that says it started earlier follows as well, once the one that is known has been silent.
+         * Returns whether a summary is of a process that follows the known one. Usually that process has started later.
+         * But the clock may have been set back between the two, so a process with an earlier start follows too once the
+         * known one is silent.
          */
-        boolean isFollowedBy(double nowMs, Summary s) {
-            return s.incarnation() != summary.incarnation() && !past.contains(s.incarnation())
-                    && (s.startedMs() > summary.startedMs() || nowMs - heardAt > SILENT_MS);
+        boolean isFollowedBy(double nowMs, Summary other) {
+            return other.incarnation() != summary.incarnation() && !pastIncarnations.contains(other.incarnation())
+                    && (other.startedMs() > summary.startedMs() || nowMs - heardAt > SILENT_MS);
         }
     }
 
     private final int self;
     private final int members;
     private final SplittableRandom random;
-    private final Map<Integer, Known> known = new TreeMap<>();
-    /** Who is yet to be told in this pass over all: so each hears from each, however unlucky both are. */
-    private final List<Integer> next = new ArrayList<>();
-    private double awakeAt = Double.NaN;
-    private double deafUntil = Double.NEGATIVE_INFINITY;
+    private final Map<Integer, MemberState> memberStates = new TreeMap<>();
+    /**
+     * Members that have not been sent a message in the current pass over all of them; so every member hears from every
+     * other.
+     */
+    private final List<Integer> pendingTargets = new ArrayList<>();
+    private double lastActiveAt = Double.NaN;
+    private double ignoreUntil = Double.NEGATIVE_INFINITY;
 
-    /** {@code self} is this proxy's place among so many members. */
+    /** Creates the view of the proxy that is number {@code self} of the members. */
     public FleetView(int self, int members, long seed) {
         this.self = self;
         this.members = members;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Whom to tell what in this round: two others, or all there are, each of itself and of those that were told of least. */
-    public Map<Integer, Gossip> round(double nowMs, Summary own) {
-        own(nowMs, own);
-        Map<Integer, Gossip> telling = new TreeMap<>();
-        for (int i = 0; i < Math.min(TOLD, members - 1); i++) {
-            if (next.isEmpty()) {
-                next.addAll(IntStream.range(0, members).filter(m -> m != self).boxed().toList());
+    /**
+     * Returns the messages of one round by receiver: to two other members, or to all there are, each with the summary
+     * of this proxy and of the members that are still to be forwarded most often.
+     */
+    public Map<Integer, Gossip> gossipRound(double nowMs, Summary own) {
+        updateOwn(nowMs, own);
+        Map<Integer, Gossip> messages = new TreeMap<>();
+        for (int i = 0; i < Math.min(FANOUT, members - 1); i++) {
+            if (pendingTargets.isEmpty()) {
+                pendingTargets.addAll(IntStream.range(0, members).filter(m -> m != self).boxed().toList());
             }
-            int to = next.remove(random.nextInt(next.size()));
-            List<Summary> words = new ArrayList<>(List.of(own));
-            List<Known> rest = new ArrayList<>();
-            known.forEach((member, k) -> {
+            int to = pendingTargets.remove(random.nextInt(pendingTargets.size()));
+            List<Summary> summaries = new ArrayList<>(List.of(own));
+            List<MemberState> rest = new ArrayList<>();
+            memberStates.forEach((member, state) -> {
                 if (member != self && member != to) {
-                    rest.add(k);
+                    rest.add(state);
                 }
             });
             shuffle(rest);
-            rest.sort(Comparator.comparingInt(k -> -k.hot));
-            while (words.size() < SummaryWire.MOST && !rest.isEmpty()) {
-                Known k = rest.remove(0);
-                k.hot = Math.max(0, k.hot - 1);
-                words.add(k.summary);
+            rest.sort(Comparator.comparingInt(state -> -state.forwardsLeft));
+            while (summaries.size() < SummaryWire.MAX_SUMMARIES && !rest.isEmpty()) {
+                MemberState state = rest.remove(0);
+                state.forwardsLeft = Math.max(0, state.forwardsLeft - 1);
+                summaries.add(state.summary);
             }
             shuffle(rest);
-            // A silent one's last sign of life says nothing to anybody.
-            telling.put(to, new Gossip(words, rest.stream().filter(k -> nowMs - k.heardAt < SILENT_MS).limit(SummaryWire.MOST_ALIVE)
-                    .map(k -> new Gossip.Alive(k.summary.member(), (short) k.summary.incarnation(), k.aliveNumber, k.sign)).toList()));
+            // The last heartbeat of a silent member is of no use.
+            messages.put(to, new Gossip(summaries, rest.stream().filter(state -> nowMs - state.heardAt < SILENT_MS)
+                    .limit(SummaryWire.MAX_HEARTBEATS).map(state -> new Gossip.Heartbeat(state.summary.member(),
+                            (short) state.summary.incarnation(), state.lastSequence, state.fileChecksum)).toList()));
         }
-        return telling;
+        return messages;
     }
 
-    private void shuffle(List<Known> all) {
+    private void shuffle(List<MemberState> all) {
         for (int i = all.size() - 1; i > 0; i--) {
             Collections.swap(all, i, random.nextInt(i + 1));
         }
     }
 
-    /** What this proxy says of itself now. */
-    public void own(double nowMs, Summary own) {
-        awake(nowMs);
-        take(nowMs, own);
+    /** Updates the state of this proxy. */
+    public void updateOwn(double nowMs, Summary own) {
+        detectStall(nowMs);
+        merge(nowMs, own);
     }
 
-    private void awake(double nowMs) {
-        if (nowMs - awakeAt > STOP_MS) {
-            deafUntil = nowMs + CATCH_UP_MS;
+
+    /** Ignores received messages for a while if this proxy was suspended, since queued ones may be of any age. */
+    private void detectStall(double nowMs) {
+        if (nowMs - lastActiveAt > STALL_MS) {
+            ignoreUntil = nowMs + CATCH_UP_MS;
         }
-        awakeAt = nowMs;
+        lastActiveAt = nowMs;
     }
 
-    /** Another proxy says what it knows. */
-    public void heard(double nowMs, Gossip gossip) {
-        awake(nowMs);
-        if (nowMs < deafUntil) {
+    /** Receives another proxy's message. */
+    public void receive(double nowMs, Gossip gossip) {
+        detectStall(nowMs);
+        if (nowMs < ignoreUntil) {
             return;
         }
-        gossip.summaries().stream().filter(s -> s.member() >= 0 && s.member() < members && s.member() != self).forEach(s -> take(nowMs, s));
-        for (Gossip.Alive a : gossip.alive()) {
-            Known k = known.get(a.member());
-            if (k != null && a.member() != self && (short) k.summary.incarnation() == a.incarnation() && a.number() > k.aliveNumber) {
-                k.aliveNumber = a.number();
-                k.sign = a.sign();
-                k.heardAt = nowMs;
+        gossip.summaries().stream()
+                .filter(summary -> summary.member() >= 0 && summary.member() < members && summary.member() != self)
+                .forEach(summary -> merge(nowMs, summary));
+        for (Gossip.Heartbeat heartbeat : gossip.heartbeats()) {
+            MemberState state = memberStates.get(heartbeat.member());
+            if (state != null && heartbeat.member() != self
+                    && (short) state.summary.incarnation() == heartbeat.incarnation()
+                    && heartbeat.sequence() > state.lastSequence) {
+                state.lastSequence = heartbeat.sequence();
+                state.fileChecksum = heartbeat.fileChecksum();
+                state.heardAt = nowMs;
             }
         }
     }
 
-    private void take(double nowMs, Summary s) {
-        Known k = known.get(s.member());
-        boolean follows = k != null && k.isFollowedBy(nowMs, s);
-        if (k == null || follows || s.isLaterThan(k.summary)) {
-            Known next = k == null ? new Known() : k;
+    private void merge(double nowMs, Summary received) {
+        MemberState state = memberStates.get(received.member());
+        boolean follows = state != null && state.isFollowedBy(nowMs, received);
+        if (state == null || follows || received.isLaterThan(state.summary)) {
+            MemberState updated = state == null ? new MemberState() : state;
             if (follows) {
-                next.past.addLast(k.summary.incarnation());
-                if (next.past.size() > MOST_PAST) {
-                    next.past.removeFirst();
+                updated.pastIncarnations.addLast(state.summary.incarnation());
+                if (updated.pastIncarnations.size() > MAX_PAST_PROCESSES) {
+                    updated.pastIncarnations.removeFirst();
                 }
             }
-            next.hot = k == null ? FIRST_PASSED_ON : k.summary.differsFrom(s) ? PASSED_ON : next.hot;
-            next.processes += k == null || follows ? 1 : 0;
-            if (k == null || follows || s.number() > k.aliveNumber) {
-                next.aliveNumber = s.number();
-                next.sign = s.sign();
-                next.heardAt = nowMs;
+            updated.forwardsLeft = state == null ? NEW_MEMBER_FORWARDS : state.summary.differsFrom(received)
+                    ? CHANGE_FORWARDS : updated.forwardsLeft;
+            updated.processes += state == null || follows ? 1 : 0;
+            if (state == null || follows || received.sequence() > state.lastSequence) {
+                updated.lastSequence = received.sequence();
+                updated.fileChecksum = received.fileChecksum();
+                updated.heardAt = nowMs;
             }
-            next.summary = s;
-            known.put(s.member(), next);
+            updated.summary = received;
+            memberStates.put(received.member(), updated);
         }
-        long head = head();
-        known.values().forEach(o -> o.behindSince = o.summary.file() >= head ? Double.NaN : Double.isNaN(o.behindSince) ? nowMs : o.behindSince);
+        long highest = highestFileNumber();
+        memberStates.values().forEach(other -> other.behindSince = other.summary.fileNumber() >= highest ? Double.NaN
+                : Double.isNaN(other.behindSince) ? nowMs : other.behindSince);
     }
 
-    /** The highest number that anybody is known to act under; 0 where nobody is known. */
-    public long head() {
-        return known.values().stream().mapToLong(k -> k.summary.file()).max().orElse(0);
+    /** Returns the highest file number known to be in effect at a member; 0 if no member is known. */
+    public long highestFileNumber() {
+        return memberStates.values().stream().mapToLong(state -> state.summary.fileNumber()).max().orElse(0);
     }
 
-    /** The text that most act under of those at the highest number; of two that as many do, the lower digest. */
-    private long text() {
-        long head = head();
+    /**
+     * Returns the digest that is most common among the files with the highest number; of two equally common ones the
+     * lower.
+     */
+    private long mostCommonDigest() {
+        long highest = highestFileNumber();
         Map<Long, Integer> counts = new HashMap<>();
-        known.values().stream().filter(k -> k.summary.file() == head).forEach(k -> counts.merge(k.summary.digest(), 1, Integer::sum));
-        return counts.entrySet().stream().min(Comparator.comparing((Map.Entry<Long, Integer> e) -> -e.getValue()).thenComparing(Map.Entry::getKey))
-                .map(Map.Entry::getKey).orElse(0L);
+        memberStates.values().stream().filter(state -> state.summary.fileNumber() == highest)
+                .forEach(state -> counts.merge(state.summary.fileDigest(), 1, Integer::sum));
+        return counts.entrySet().stream().min(Comparator.comparing((Map.Entry<Long, Integer> e) -> -e.getValue())
+                .thenComparing(Map.Entry::getKey)).map(Map.Entry::getKey).orElse(0L);
     }
 
-    /** Whether the last that is known of a member is that it has stepped aside. */
-    public boolean isOut(int member) {
-        Known k = known.get(member);
-        return k != null && k.summary.out();
+    /** Returns whether a member was out of service by the last that is known of it. */
+    public boolean isOutOfService(int member) {
+        MemberState state = memberStates.get(member);
+        return state != null && state.summary.outOfService();
     }
 
-    /** Whether this was heard of lately: a process of which nothing is heard for longer may be gone. */
-    public static boolean isAlive(Standing s) {
-        return s.summary() != null && s.heardMs() <= SILENT_MS;
+    /** Returns whether a member was heard of lately; otherwise its process may have ended. */
+    public static boolean isAlive(MemberStatus status) {
+        return status.summary() != null && status.heardAgoMs() <= SILENT_MS;
     }
 
-    /** How each member is, in their order. */
-    public List<Standing> standings(double nowMs) {
-        List<Standing> all = new ArrayList<>();
-        long head = head();
-        long text = text();
+    /** Returns the state of each member, in their order. */
+    public List<MemberStatus> statuses(double nowMs) {
+        List<MemberStatus> all = new ArrayList<>();
+        long highest = highestFileNumber();
+        long commonDigest = mostCommonDigest();
         for (int i = 0; i < members; i++) {
-            Known k = known.get(i);
-            if (k == null) {
-                all.add(new Standing(i, null, 0, Why.NEVER_HEARD, 0, 0, false, 0));
+            MemberState state = memberStates.get(i);
+            if (state == null) {
+                all.add(new MemberStatus(i, null, 0, StatusReason.NEVER_HEARD, 0, 0, false, 0));
                 continue;
             }
-            long behind = head - k.summary.file();
-            double behindMs = Double.isNaN(k.behindSince) ? 0 : nowMs - k.behindSince;
-            all.add(new Standing(i, k.summary, nowMs - k.heardAt, why(nowMs, i, k, behind, behindMs, text), behind, behindMs,
-                    k.sign == k.summary.sign(), k.processes - 1));
+            long behind = highest - state.summary.fileNumber();
+            double behindMs = Double.isNaN(state.behindSince) ? 0 : nowMs - state.behindSince;
+            all.add(new MemberStatus(i, state.summary, nowMs - state.heardAt,
+                    determineReason(nowMs, i, state, behind, behindMs, commonDigest),
+                    behind, behindMs, state.fileChecksum == state.summary.fileChecksum(), state.processes - 1));
         }
         return all;
     }
 
-    private Why why(double nowMs, int member, Known k, long behind, double behindMs, long text) {
-        Summary own = known.containsKey(self) ? known.get(self).summary : k.summary;
-        if (member != self && nowMs - k.heardAt > SILENT_MS) {
-            return Why.SILENT;
+    private StatusReason determineReason(double nowMs, int member, MemberState state, long behind, double behindMs,
+            long commonDigest) {
+        Summary own = memberStates.containsKey(self) ? memberStates.get(self).summary : state.summary;
+        if (member != self && nowMs - state.heardAt > SILENT_MS) {
+            return StatusReason.SILENT;
         }
-        if (k.summary.out()) {
-            return Why.OUT;
+        if (state.summary.outOfService()) {
+            return StatusReason.OUT;
         }
         if (behind > 0) {
-            return k.summary.refusedFile() > k.summary.file() ? Why.REFUSED : behindMs < ON_ITS_WAY_MS ? Why.ON_ITS_WAY : Why.BEHIND;
+            return state.summary.refusedFile() > state.summary.fileNumber() ? StatusReason.REFUSED
+                    : behindMs < ON_ITS_WAY_MS ? StatusReason.ON_ITS_WAY : StatusReason.BEHIND;
         }
-        return k.summary.digest() != text ? Why.OTHER_TEXT : k.summary.build() != own.build() ? Why.OTHER_BUILD
-                : k.summary.platform() != own.platform() ? Why.OTHER_PLATFORM : k.summary.lateS() >= LIST_LATE_S ? Why.LIST_LATE : Why.UP_TO_DATE;
+        return state.summary.fileDigest() != commonDigest ? StatusReason.OTHER_TEXT
+                : state.summary.build() != own.build() ? StatusReason.OTHER_BUILD
+                : state.summary.platform() != own.platform() ? StatusReason.OTHER_PLATFORM
+                : state.summary.hostListLateS() >= LIST_LATE_S ? StatusReason.LIST_LATE : StatusReason.UP_TO_DATE;
     }
 }
--- a/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
+++ b/core/src/test/java/ridgemill/policy/ManyProxiesTest.java
@@ -9,168 +9,169 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
 
-/** What changes when one router is one of hundreds, each with a few requests a second. */
+/** Behavior of a router that is one of hundreds, each with a few requests per second. */
 class ManyProxiesTest {
 
     private static final int PROXIES = 600;
 
-    private static Settings settings(boolean peers, Router.Connections connections) {
-        var limits = new Router.Limits(6, true, false, peers, true, 500, false, 150);
-        return new Settings(0, PROXIES, "z", 5, Bench.services(), List.of(), 1, false, limits, Bench.RULES, false,
-                Router.Weights.NONE, "origin", connections);
+    private static Settings settings(boolean peerMessages, Router.ConnectionCosts costs) {
+        var limits = new Router.PlatformLimits(6, true, false, peerMessages, true, 500, false, 150);
+        return new Settings(0, PROXIES, "z", 5, RouterHarness.serviceClasses(), List.of(), 1, false, limits,
+                RouterHarness.RULES, false, Router.WeightMode.NONE, "origin", costs);
     }
 
-    private static Bench bench(boolean peers, int caches) {
-        Bench b = new Bench(settings(peers, Router.Connections.FREE));
-        b.list(caches);
-        return b;
+    private static RouterHarness withCacheNodes(boolean peerMessages, int count) {
+        RouterHarness harness = new RouterHarness(settings(peerMessages, Router.ConnectionCosts.FREE));
+        harness.listNodes(count);
+        return harness;
     }
 
     @Test
-    void anIdleConnectionIsClosedWhereOneFromEachWouldCostMoreThanOpeningThem() {
-        Bench b = new Bench(settings(false, new Router.Connections(60_000, 0.03, 0.03)));
-        b.list(4);
-        String id = b.ask("dear", 1);
-        b.end(id, Outcome.OK);
-        assertEquals(List.of(b.nodeOf(id)), b.out.closed);
+    void idleConnectionIsClosedIfHoldingCostsMoreThanOpening() {
+        RouterHarness harness = new RouterHarness(settings(false, new Router.ConnectionCosts(60_000, 0.03, 0.03)));
+        harness.listNodes(4);
+        String id = harness.request("premium", 1);
+        harness.endAttempt(id, Outcome.OK);
+        assertEquals(List.of(harness.nodeOf(id)), harness.actions.closedNodes);
     }
 
     @Test
-    void connectionsStayOpenWhereTheyHaveNoPrice() {
-        Bench b = bench(false, 4);
-        b.end(b.ask("dear", 1), Outcome.OK);
-        b.advance(5000);
-        assertEquals(List.of(), b.out.closed);
+    void connectionsStayOpenIfTheyHaveNoCost() {
+        RouterHarness harness = withCacheNodes(false, 4);
+        harness.endAttempt(harness.request("premium", 1), Outcome.OK);
+        harness.advance(5000);
+        assertEquals(List.of(), harness.actions.closedNodes);
     }
 
     @Test
-    void aHotKeyIsSpreadOverMoreThanItsPairAndOthersAreNot() {
-        Bench b = bench(false, 40);
-        var hot = new TreeSet<String>();
+    void hotKeyIsSpreadOverMoreThanItsPair() {
+        RouterHarness harness = withCacheNodes(false, 40);
+        var nodesOfHotKey = new TreeSet<String>();
         for (int i = 0; i < 400; i++) {
-            String id = b.ask("dear", i % 4 == 0 ? 42 : 1000 + i);
+            String id = harness.request("premium", i % 4 == 0 ? 42 : 1000 + i);
             if (i % 4 == 0) {
-                hot.add(b.nodeOf(id));
+                nodesOfHotKey.add(harness.nodeOf(id));
             }
-            b.end(id, Outcome.OK);
-            b.advance(400);
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(400);
         }
-        assertTrue(hot.size() > 4, hot.toString());
+        assertTrue(nodesOfHotKey.size() > 4, nodesOfHotKey.toString());
     }
 
     @Test
-    void peersLearnOfAHotKeyFromEachOther() {
-        Bench told = bench(true, 40);
-        Bench alone = bench(true, 40);
-        Bench teller = bench(true, 40);
+    void proxiesLearnHotKeysFromPeers() {
+        RouterHarness informed = withCacheNodes(true, 40);
+        RouterHarness uninformed = withCacheNodes(true, 40);
+        RouterHarness sender = withCacheNodes(true, 40);
         for (int i = 0; i < 4000; i++) {
-            teller.end(teller.ask("dear", i % 4 == 0 ? 42 : 1000 + i), Outcome.OK);
-            teller.advance(100);
+            sender.endAttempt(sender.request("premium", i % 4 == 0 ? 42 : 1000 + i), Outcome.OK);
+            sender.advance(100);
         }
-        assertTrue(!teller.out.told.isEmpty() && teller.out.told.size() < 200, "a bounded sample");
+        assertTrue(!sender.actions.broadcasts.isEmpty() && sender.actions.broadcasts.size() < 200,
+                "broadcasts must be a bounded sample");
         for (int round = 0; round < 6; round++) {
-            for (byte[] news : teller.out.told) {
-                told.router.peerMessage(told.now, 5, news, told.out);
+            for (byte[] message : sender.actions.broadcasts) {
+                informed.router.onPeerMessage(informed.now, 5, message, informed.actions);
             }
         }
-        assertEquals(1, nodesOf42(alone, 3).size());
-        assertTrue(nodesOf42(told, 30).size() > 2);
+        assertEquals(1, nodesOfKey42(uninformed, 3).size());
+        assertTrue(nodesOfKey42(informed, 30).size() > 2);
     }
 
-    private static TreeSet<String> nodesOf42(Bench b, int times) {
+    private static TreeSet<String> nodesOfKey42(RouterHarness harness, int times) {
         var nodes = new TreeSet<String>();
         for (int i = 0; i < times; i++) {
-            String id = b.ask("dear", 42);
-            nodes.add(b.nodeOf(id));
-            b.end(id, Outcome.OK);
-            b.advance(2000);
+            String id = harness.request("premium", 42);
+            nodes.add(harness.nodeOf(id));
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(2000);
         }
         return nodes;
     }
 
     @Test
-    void requestsAreTurnedAwayByChanceOnceLittleOfWhatIsSentIsAnswered() {
-        Bench b = bench(false, 40);
+    void requestsAreRefusedAtRandomIfFewAttemptsAreAnswered() {
+        RouterHarness harness = withCacheNodes(false, 40);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            String id = b.ask("dear", i);
-            if (b.sendsOf(id) > 0) {
+            String id = harness.request("premium", i);
+            if (harness.sendCount(id) > 0) {
                 sent++;
-                b.end(id, Outcome.TIMEOUT, 300);
+                harness.endAttempt(id, Outcome.TIMEOUT, 300);
             }
-            b.advance(200);
+            harness.advance(200);
         }
-        assertTrue(sent < 100, sent + " of 200 sent to a fleet that answers nothing");
-        b.advance(20_000);
-        int again = 0;
+        assertTrue(sent < 100, sent + " of 200 sent to nodes that do not answer");
+        harness.advance(20_000);
+        int sentAgain = 0;
         for (int i = 0; i < 100; i++) {
-            String id = b.ask("dear", 5000 + i);
-            if (b.sendsOf(id) > 0) {
-                again++;
-                b.end(id, Outcome.OK);
+            String id = harness.request("premium", 5000 + i);
+            if (harness.sendCount(id) > 0) {
+                sentAgain++;
+                harness.endAttempt(id, Outcome.OK);
             }
-            b.advance(200);
+            harness.advance(200);
         }
-        assertTrue(again > 60, again + " of 100 sent once it answers");
+        assertTrue(sentAgain > 60, sentAgain + " of 100 sent once nodes answer");
     }
 
     @Test
-    void aBalancerWithFewRequestsRefusesNothingWhileItsAttemptsAreYoung() {
-        Bench b = bench(false, 40);
+    void proxyWithFewRequestsRefusesNothingWhileAttemptsAreRecent() {
+        RouterHarness harness = withCacheNodes(false, 40);
         for (int i = 0; i < 20; i++) {
-            String id = b.ask("dear", i);
-            assertEquals(1, b.sendsOf(id), "request " + i);
-            b.advance(100);
-            b.end(id, Outcome.OK);
-            b.advance(4850);
+            String id = harness.request("premium", i);
+            assertEquals(1, harness.sendCount(id), "request " + i);
+            harness.advance(100);
+            harness.endAttempt(id, Outcome.OK);
+            harness.advance(4850);
         }
     }
 
     @Test
-    void aFleetOfRoutersTogetherKeepsAColdNodesBudget() {
+    void proxiesTogetherKeepTheLoadLimitOfAColdNode() {
         int routers = 60;
-        double perRouterMs = 400;
-        var fleet = new ArrayList<Bench>();
+        double requestIntervalMs = 400;
+        var fleet = new ArrayList<RouterHarness>();
         for (int i = 0; i < routers; i++) {
-            fleet.add(bench(false, 10));
+            fleet.add(withCacheNodes(false, 10));
         }
         long next = 0;
-        int cold = 0;
-        for (double t = 0; t < 24_000; t += perRouterMs) {
+        int sentToCold = 0;
+        for (double t = 0; t < 24_000; t += requestIntervalMs) {
             boolean listed = t >= 20_000;
             for (int i = 0; i < routers; i++) {
-                Bench b = fleet.get(i);
+                RouterHarness harness = fleet.get(i);
                 if (t == 20_000) {
-                    b.change(new Node("c0", "cache", "z", 0, 1, b.now, Availability.UP));
+                    harness.updateNodes(new Node("c0", "cache", "z", 0, 1, harness.now, Availability.UP));
                 }
-                // Half of the traffic is one key; the rest is spread.
+                // Half of the requests have the same key; the others have distinct keys.
                 String id = "f" + i + "n" + next++;
-                b.router.request(b.now, new Router.Request(id, "dear", null, next % 2 == 0 ? 42 : next, 0,
-                        Bench.BUDGET, false, false), b.out);
-                if (b.sendsOf(id) > 0) {
-                    cold += listed && b.nodeOf(id).equals("c0") ? 1 : 0;
-                    b.end(id, Outcome.OK);
+                harness.router.onRequest(harness.now, new Router.Request(id, "premium", null,
+                        next % 2 == 0 ? 42 : next, 0, RouterHarness.BUDGET_MS, false, false), harness.actions);
+                if (harness.sendCount(id) > 0) {
+                    sentToCold += listed && harness.nodeOf(id).equals("c0") ? 1 : 0;
+                    harness.endAttempt(id, Outcome.OK);
                 }
-                b.advance(perRouterMs);
+                harness.advance(requestIntervalMs);
             }
         }
-        double usualPerS = routers * 1000 / perRouterMs / 10;
-        double most = Bench.RULES.fallMultiple() * Bench.RULES.coldFrom() * usualPerS * 4;
-        assertTrue(cold > 0 && cold < most, cold + " sends to the cold node, at most " + most);
+        double usualPerS = routers * 1000 / requestIntervalMs / 10;
+        double most = RouterHarness.RULES.overloadMultiple() * RouterHarness.RULES.coldStartShare() * usualPerS * 4;
+        assertTrue(sentToCold > 0 && sentToCold < most, sentToCold + " sends to the cold node, at most " + most);
     }
 
     @Test
-    void aMessageThatIsNoListOfKeysDoesNoHarm() {
-        Bench b = bench(true, 4);
-        b.router.peerMessage(b.now, 3, new byte[] {1, 2, 3}, b.out);
-        b.router.peerMessage(b.now, 3, new byte[0], b.out);
-        b.router.nodes(b.now, ListKind.CHANGES, 3, List.of(), b.out);
-        assertEquals(1, b.sendsOf(b.ask("dear", 1)));
-        b.router.probed(b.now, "c0", Outcome.OK, 1, Map.of(), b.out);
+    void malformedPeerMessageIsIgnored() {
+        RouterHarness harness = withCacheNodes(true, 4);
+        harness.router.onPeerMessage(harness.now, 3, new byte[] {1, 2, 3}, harness.actions);
+        harness.router.onPeerMessage(harness.now, 3, new byte[0], harness.actions);
+        harness.router.onNodeList(harness.now, ListUpdateKind.CHANGES, 3, List.of(), harness.actions);
+        assertEquals(1, harness.sendCount(harness.request("premium", 1)));
+        harness.router.onProbeResult(harness.now, "c0", Outcome.OK, 1, Map.of(), harness.actions);
     }
 }
--- a/core/src/test/java/ridgemill/policy/ReasonsTest.java
+++ b/core/src/test/java/ridgemill/policy/ReasonsTest.java
@@ -16,108 +16,111 @@
 import ridgemill.policy.Router.Availability;
 import ridgemill.policy.Router.Outcome;
 
-/** Each final answer that the decisions give says why, and says what it was. */
+/** Each final answer of the router comes with a reason, and with the right one. */
 class ReasonsTest {
 
     @Test
-    void namesAreStableWordsAndEachIsItsOwn() {
-        assertEquals(Reason.values().length, new HashSet<>(Arrays.stream(Reason.values()).map(Reason::word).toList()).size());
-        assertTrue(Arrays.stream(Reason.values()).allMatch(r -> r.word().matches("[a-z]+(-[a-z]+)*") && !r.text().isEmpty()));
+    void codesAreWellFormedAndUnique() {
+        assertEquals(Reason.values().length,
+                new HashSet<>(Arrays.stream(Reason.values()).map(Reason::code).toList()).size());
+        assertTrue(Arrays.stream(Reason.values())
+                .allMatch(r -> r.code().matches("[a-z]+(-[a-z]+)*") && !r.description().isEmpty()));
     }
 
-    /** A reason that operators can't look up is of no use to them. */
+    /** Operators must be able to look up each reason. */
     @Test
-    void thePageHasEachReasonWithItsMeaning() throws IOException {
+    void documentationListsEachReason() throws IOException {
         String page = Files.readString(Path.of("..", "docs", "reasons.md"));
         for (Reason r : Reason.values()) {
-            assertTrue(page.contains("| `" + r.word() + "` | " + r.text() + " |"), r.word());
+            assertTrue(page.contains("| `" + r.code() + "` | " + r.description() + " |"), r.code());
         }
     }
 
     @Test
-    void aCrowdedPairIsTheReasonOfWhatItCannotTake() {
-        Bench b = Bench.withCaches(2);
+    void overloadedNodesAreReportedAsReason() {
+        RouterHarness harness = RouterHarness.withCacheNodes(2);
         for (int i = 0; i < 60; i++) {
-            b.ask("dear", i);
+            harness.request("premium", i);
         }
-        b.advance(150);
-        assertTrue(b.out.refused.size() > 40);
-        b.out.refused.forEach(id -> assertEquals(Reason.CROWDED, b.out.reasons.get(id)));
+        harness.advance(150);
+        assertTrue(harness.actions.refusedRequests.size() > 40);
+        harness.actions.refusedRequests.forEach(id -> assertEquals(Reason.CROWDED, harness.actions.reasons.get(id)));
     }
 
     @Test
-    void aMissWithoutAStoreSaysSo() {
-        Bench b = Bench.withCaches(3);
-        b.change(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
-        String id = b.ask("dear", 5);
-        while (b.out.answers(id) == 0) {
-            b.end(id, Outcome.MISS);
+    void missWithoutOriginIsReported() {
+        RouterHarness harness = RouterHarness.withCacheNodes(3);
+        harness.updateNodes(new Router.Node("db", "origin", "z", 0, 1, 0, Availability.DRAINING));
+        String id = harness.request("premium", 5);
+        while (harness.actions.finalAnswers(id) == 0) {
+            harness.endAttempt(id, Outcome.MISS);
         }
-        assertEquals(Reason.NO_STORE, b.out.reasons.get(id));
+        assertEquals(Reason.NO_STORE, harness.actions.reasons.get(id));
     }
 
     @Test
-    void timeThatRunsOutAndAttemptsThatMayNotBeRepeatedAreToldApart() {
-        Bench b = Bench.withCaches(3);
-        String waits = b.ask("dear", 5);
-        b.advance(Bench.BUDGET);
-        assertEquals(Reason.OUT_OF_TIME, b.out.reasons.get(waits));
-        b = Bench.withCaches(3);
-        String unsafe = b.ask("unsafe", 6);
-        b.end(unsafe, Outcome.RESET);
-        assertEquals(Reason.NO_REPEAT, b.out.reasons.get(unsafe));
-        b = Bench.withCaches(3);
-        String store = b.ask("dear", 7);
-        while (!b.nodeOf(store).equals("db")) {
-            b.end(store, Outcome.MISS);
+    void expiredTimeAndForbiddenRetryAreDistinguished() {
+        RouterHarness harness = RouterHarness.withCacheNodes(3);
+        String expired = harness.request("premium", 5);
+        harness.advance(RouterHarness.BUDGET_MS);
+        assertEquals(Reason.OUT_OF_TIME, harness.actions.reasons.get(expired));
+        harness = RouterHarness.withCacheNodes(3);
+        String unsafe = harness.request("unsafe", 6);
+        harness.endAttempt(unsafe, Outcome.RESET);
+        assertEquals(Reason.NO_REPEAT, harness.actions.reasons.get(unsafe));
+        harness = RouterHarness.withCacheNodes(3);
+        String fetched = harness.request("premium", 7);
+        while (!harness.nodeOf(fetched).equals("db")) {
+            harness.endAttempt(fetched, Outcome.MISS);
         }
-        b.end(store, Outcome.TIMEOUT);
-        assertEquals(Reason.STORE_FAILED, b.out.reasons.get(store));
+        harness.endAttempt(fetched, Outcome.TIMEOUT);
+        assertEquals(Reason.STORE_FAILED, harness.actions.reasons.get(fetched));
     }
 
     @Test
-    void aThrottledStoreIsTheReasonOfWhatGotNoToken() {
-        Bench b = Bench.withCaches(4);
+    void missingTokenIsReportedWhileOriginIsThrottled() {
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
         for (int i = 0; i < 8; i++) {
-            b.interval(20, 0);
+            harness.runInterval(20, 0);
         }
         for (int i = 0; i < 4; i++) {
-            b.interval(2, 18);
+            harness.runInterval(2, 18);
         }
-        assertTrue(b.router.level() > 0);
-        assertTrue(b.out.reasons.containsValue(Reason.NO_TOKEN), b.out.reasons.values().toString());
+        assertTrue(harness.router.admissionLevel() > 0);
+        assertTrue(harness.actions.reasons.containsValue(Reason.NO_TOKEN), harness.actions.reasons.values().toString());
     }
 
-    /** Whatever happens, nobody is turned away without a reason. */
+    /** Random requests and outcomes: no request is refused or failed without a reason. */
     @Test
-    void noAnswerIsWithoutAReason() {
+    void everyRefusalAndFailureHasAReason() {
         long seed = System.nanoTime();
         System.out.println("ReasonsTest seed " + seed);
         SplittableRandom random = new SplittableRandom(seed);
-        Bench b = Bench.withCaches(4);
+        RouterHarness harness = RouterHarness.withCacheNodes(4);
         List<String> open = new ArrayList<>();
-        String[] classes = {"cheap", "dear", "keyed", "unsafe"};
-        Outcome[] outcomes = {Outcome.OK, Outcome.OK, Outcome.MISS, Outcome.MISS, Outcome.RESET, Outcome.TIMEOUT, Outcome.ERROR,
-            Outcome.REJECTED, Outcome.CONNECT_FAILED};
+        String[] classes = {"basic", "premium", "keyed", "unsafe"};
+        Outcome[] outcomes = {Outcome.OK, Outcome.OK, Outcome.MISS, Outcome.MISS, Outcome.RESET, Outcome.TIMEOUT,
+            Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED};
         for (int i = 0; i < 4000; i++) {
             String service = classes[random.nextInt(classes.length)];
-            open.add(b.ask(service, random.nextInt(50), service.equals("keyed")));
+            open.add(harness.request(service, random.nextInt(50), service.equals("keyed")));
             for (int n = random.nextInt(4); n > 0; n--) {
                 String id = open.get(random.nextInt(open.size()));
-                long sends = b.sendsOf(id);
-                if (b.out.answers(id) == 0 && sends > 0 && b.isOut(id)) {
-                    b.end(id, outcomes[random.nextInt(outcomes.length)]);
+                long sends = harness.sendCount(id);
+                if (harness.actions.finalAnswers(id) == 0 && sends > 0 && harness.isInFlight(id)) {
+                    harness.endAttempt(id, outcomes[random.nextInt(outcomes.length)]);
                 }
             }
             if (open.size() > 40) {
                 open.remove(0);
             }
-            b.advance(random.nextInt(12));
+            harness.advance(random.nextInt(12));
         }
-        b.advance(Bench.BUDGET);
-        assertTrue(b.out.refused.size() + b.out.failed.size() > 100);
-        for (List<String> answered : List.of(b.out.refused, b.out.failed)) {
-            answered.forEach(id -> assertNotEquals(Reason.UNSAID, b.out.reasons.getOrDefault(id, Reason.UNSAID), id + ", seed " + seed));
+        harness.advance(RouterHarness.BUDGET_MS);
+        assertTrue(harness.actions.refusedRequests.size() + harness.actions.failedRequests.size() > 100);
+        for (List<String> answered : List.of(harness.actions.refusedRequests, harness.actions.failedRequests)) {
+            answered.forEach(id -> assertNotEquals(Reason.UNSAID,
+                    harness.actions.reasons.getOrDefault(id, Reason.UNSAID), id + ", seed " + seed));
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/cli/Commands.java
+++ b/gateway/src/main/java/ridgemill/cli/Commands.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine;
 import ridgemill.Main;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.serviceclass.PlatformConstraints;
 import ridgemill.gateway.Config;
 import ridgemill.gateway.ConfigException;
 import ridgemill.gateway.Service;
@@ -33,8 +33,8 @@
 import ridgemill.gateway.operator.OperatorConfig;
 import ridgemill.gateway.operator.OperatorFile;
 import ridgemill.gateway.operator.OperatorFileException;
-import ridgemill.policy.Decide;
-import ridgemill.route.Query;
+import ridgemill.policy.BalancingRouter;
+import ridgemill.route.RouteQuery;
 
 /**
  * The command line beyond the bare starts that a deployment makes. Those never come here: on part of a core, loading
@@ -54,7 +54,7 @@
         CommandLine line = new CommandLine(new Root());
         line.setParameterExceptionHandler(Commands::misused);
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            String.valueOf(e.getMessage()).lines().forEach(Main::complain);
+            String.valueOf(e.getMessage()).lines().forEach(Main::printError);
             return Main.EXIT_CONFIG;
         });
         return line.execute(args);
@@ -76,7 +76,7 @@
 
     private static int misused(ParameterException e, String[] args) {
         String command = e.getCommandLine().getCommandSpec().qualifiedName(" ");
-        Main.complain(String.valueOf(e.getMessage()).lines().findFirst().orElse("bad command line") + " (see '" + command
+        Main.printError(String.valueOf(e.getMessage()).lines().findFirst().orElse("bad command line") + " (see '" + command
                 + " --help')");
         return Main.EXIT_CONFIG;
     }
@@ -123,12 +123,12 @@
             return 0;
         }
 
-        private Main.Started operated(Config config) throws ConfigException, IOException, InterruptedException {
+        private Main.StartedProxy operated(Config config) throws ConfigException, IOException, InterruptedException {
             try {
                 Service.warmUp(config);
-                Operated operated = Operated.start(config, operatorFile, settings -> new Decide(settings, config.seed() + settings.index()));
+                Operated operated = Operated.start(config, operatorFile, settings -> new BalancingRouter(settings, config.seed() + settings.proxyIndex()));
                 Runtime.getRuntime().addShutdownHook(new Thread(operated::closeControl, "control"));
-                return new Main.Started(operated::awaitEnd, () -> {
+                return new Main.StartedProxy(operated::awaitEnd, () -> {
                     operated.reloadConfiguration(System.getenv());
                     operated.reload();
                 }, operated::drain);
@@ -140,8 +140,8 @@
     }
 
     /** What the platform says, from the configuration that was named; what the program can do, if none was. */
-    private static PlatformFacts platform(String config) throws ConfigException {
-        return config == null ? PlatformFacts.UNKNOWN : PlatformFacts.of(Config.read(config, Map.of()).settings());
+    private static PlatformConstraints platform(String config) throws ConfigException {
+        return config == null ? PlatformConstraints.UNKNOWN : PlatformConstraints.of(Config.read(config, Map.of()).settings());
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true, description = {
@@ -163,7 +163,7 @@
             }
             Config config = Config.read(file, Map.of());
             String summary = config.settings().classes().size() + " classes, "
-                    + (config.known() == null ? 0 : config.known().hosts().size()) + " known hosts, listens on "
+                    + (config.knownHosts() == null ? 0 : config.knownHosts().hosts().size()) + " known hosts, listens on "
                     + Addresses.text(config.listen());
             good(summary);
             return 0;
@@ -182,7 +182,7 @@
                     System.out.println(report);
                 } else {
                     e.problems().forEach(p -> System.err.println(p));
-                    Main.complain(file + ": " + e.problems().size() + " problems, nothing of it takes effect");
+                    Main.printError(file + ": " + e.problems().size() + " problems, nothing of it takes effect");
                 }
                 return Main.EXIT_CONFIG;
             }
@@ -222,8 +222,8 @@
             }
             Map<String, String> lower = new HashMap<>();
             headers.forEach((n, v) -> lower.put(n.toLowerCase(Locale.ROOT), v));
-            OperatorConfig config = OperatorFile.read(file, PlatformFacts.UNKNOWN);
-            Explanation.of(config, new Query(words[0], Targets.path(words[1]), tenant, lower::get), service).forEach(System.out::println);
+            OperatorConfig config = OperatorFile.read(file, PlatformConstraints.UNKNOWN);
+            Explanation.of(config, new RouteQuery(words[0], Targets.path(words[1]), tenant, lower::get), service).forEach(System.out::println);
             return 0;
         }
     }
@@ -264,13 +264,13 @@
         private int ask() {
             JsonObject answer;
             try {
-                String text = ControlClient.ask(socket, command());
+                String text = ControlClient.send(socket, command());
                 if (json) {
                     System.out.print(text);
                 }
                 answer = JsonParser.parseString(text).getAsJsonObject();
             } catch (IOException | JsonParseException | IllegalStateException e) {
-                Main.complain(String.valueOf(e.getMessage()));
+                Main.printError(String.valueOf(e.getMessage()));
                 return EXIT_UNANSWERED;
             }
             if (!json) {
@@ -300,14 +300,14 @@
             if (reload.taken()) {
                 System.out.println("taken: " + reload.summary());
             } else {
-                Main.complain(reload.problems().size() + " problems; " + reload.summary());
+                Main.printError(reload.problems().size() + " problems; " + reload.summary());
             }
         }
 
         @Override
         int code(JsonObject answer) {
             if (!answer.has("taken")) {
-                Main.complain(answer.toString());
+                Main.printError(answer.toString());
                 return EXIT_UNANSWERED;
             }
             return answer.get("taken").getAsBoolean() ? 0 : Main.EXIT_CONFIG;
