--- a/gateway/src/main/java/ridgemill/gateway/Config.java
+++ b/gateway/src/main/java/ridgemill/gateway/Config.java
@@ -17,45 +17,60 @@
 import ridgemill.benchlink.SettingsReader;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Addresses;
-import ridgemill.policy.Router.Limits;
+import ridgemill.policy.Router.PlatformLimits;
 import ridgemill.policy.Router.Settings;
 
 /**
- * What the deployment tells a proxy. {@code peerListen} and {@code peersAll} are null and {@code peers} empty where
- * proxies may not talk to one another; {@code known} is null where the proxy has never had a list;
- * {@code console} is null where operators have no address of their own.
+ * Configuration of a proxy by its deployment.
+ *
+ * @param name name of the proxy, or null
+ * @param listen address for clients
+ * @param discovery address of discovery
+ * @param seed seed of the random numbers
+ * @param sockets limit of file descriptors
+ * @param peerListen address for messages from other proxies; null if proxies may not exchange messages
+ * @param peers addresses of all proxies by index; empty if proxies may not exchange messages
+ * @param peerBroadcastAddress address that reaches all proxies; null if there is none
+ * @param knownHosts the host list that the proxy remembers; null if it has never received one
+ * @param settings settings of the routing policy
+ * @param maxPendingRequests limit of requests without a final response, per group of nodes
+ * @param console address of the console for operators; null if there is none
  */
 public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-                     InetSocketAddress peerListen, List<InetSocketAddress> peers, InetSocketAddress peersAll,
-                     HostList known, Settings settings, int maxOpen, InetSocketAddress console) {
+                     InetSocketAddress peerListen, List<InetSocketAddress> peers,
+                     InetSocketAddress peerBroadcastAddress, HostList knownHosts, Settings settings,
+                     int maxPendingRequests, InetSocketAddress console) {
 
-    private static final int DEFAULT_SOCKETS = 1024;
-    private static final int HEX = 16;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int SEED_RADIX = 16;
 
     public Config {
         peers = List.copyOf(peers);
     }
 
     /**
-     * What one of several loops of this process is told: to the decisions each is a proxy of a tier that is as many times
-     * larger, so that what they divide among proxies (quotas, care with cold nodes) they divide among loops too. Descriptors
-     * are divided; those that the process holds whatever it serves are not.
+     * The configuration of one of several event loops of this process. Its routing policy sees each loop as one proxy
+     * of a tier that has {@code loops} times as many proxies, so values that are divided among proxies (quotas, cold
+     * node protection) are divided among loops too. File descriptors are divided as well, except for those that the
+     * process holds regardless of load.
      *
-     * @param reserved descriptors that are not divided
+     * @param reserved file descriptors that are not divided
      */
-    Config part(int loop, int loops, int reserved) {
-        Limits l = settings.limits();
-        Limits heard = new Limits(l.maxAttempts(), l.cancel(), l.probes(), true, l.retryAfter(), l.maxRetryAfterMs(),
-                l.secondCopies(), l.connectTimeoutMs());
-        Settings part = new Settings(settings.index() * loops + loop, settings.proxies() * loops, settings.zone(),
-                settings.tickMs(), settings.classes(), settings.tenants(), settings.overShareWorth(), settings.worthByWork(),
-                heard, settings.rules(), settings.mustSubscribe(), settings.weights(), settings.originModel(),
-                settings.connections());
-        return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved, peerListen,
-                peers, peersAll, known, part, Math.max(1, maxOpen / loops), console);
-    }
-
-    /** Reads the file that BALANCER_CONFIG names; the other variables override what it says. */
+    Config forLoop(int loop, int loops, int reserved) {
+        PlatformLimits limits = settings.limits();
+        PlatformLimits loopLimits = new PlatformLimits(limits.maxAttempts(), limits.cancelAllowed(),
+                limits.probesAllowed(), true, limits.retryAfterAllowed(), limits.maxRetryAfterMs(),
+                limits.hedgingAllowed(), limits.connectTimeoutMs());
+        Settings loopSettings = new Settings(settings.proxyIndex() * loops + loop, settings.proxyCount() * loops,
+                settings.zone(), settings.tickMs(), settings.classes(), settings.tenants(), settings.overQuotaFactor(),
+                settings.valueByWork(), loopLimits, settings.rules(), settings.mustSubscribe(), settings.weightMode(),
+                settings.originModel(), settings.connectionCosts());
+        return new Config(name, listen, discovery, seed + loop, Math.max(2, (sockets - reserved) / loops) + reserved,
+                peerListen, peers, peerBroadcastAddress, knownHosts, loopSettings,
+                Math.max(1, maxPendingRequests / loops), console);
+    }
+
+    /** Reads the file that BALANCER_CONFIG names. The other BALANCER_ variables override its values. */
     public static Config fromEnvironment(Map<String, String> environment) throws ConfigException {
         String file = environment.get("BALANCER_CONFIG");
         if (file == null) {
@@ -64,7 +79,7 @@
         return read(file, environment);
     }
 
-    /** Reads a file; what is wrong with it is told in one line that names the file and the place in it. */
+    /** Reads a file. An error is reported in one line that names the file and the location in it. */
     public static Config read(String file, Map<String, String> environment) throws ConfigException {
         String json;
         try {
@@ -79,35 +94,35 @@
         }
     }
 
-    /** Reads the file again: what it says of discovery now is newer than the variable that the start was given. */
+    /** Reads the file again. Its discovery address now overrides BALANCER_DISCOVERY, which dates from the start. */
     static Config reread(Map<String, String> environment) throws ConfigException {
-        Map<String, String> others = new HashMap<>(environment);
-        others.remove("BALANCER_DISCOVERY");
-        return fromEnvironment(others);
+        Map<String, String> remaining = new HashMap<>(environment);
+        remaining.remove("BALANCER_DISCOVERY");
+        return fromEnvironment(remaining);
     }
 
-    /** Reads a configuration's text; the environment's BALANCER_ variables override what it says. */
+    /** Parses a configuration. The BALANCER_ variables of the environment override its values. */
     public static Config parse(String json, Map<String, String> environment) throws ConfigException {
         try {
-            JsonObject o = JsonParser.parseString(json).getAsJsonObject();
-            if (!o.has("settings")) {
+            JsonObject root = JsonParser.parseString(json).getAsJsonObject();
+            if (!root.has("settings")) {
                 throw new ConfigException("settings: missing");
             }
-            return new Config(at("name", () -> text(o, "name", environment.get("BALANCER_NAME"))),
-                    at("listen", () -> required(o, "listen", environment.get("BALANCER_LISTEN"))),
-                    at("discovery", () -> required(o, "discovery", environment.get("BALANCER_DISCOVERY"))),
-                    at("seed", () -> seed(o)), at("limits", () -> sockets(o)),
-                    at("peer_listen", () -> optional(o, "peer_listen", null)), at("peers", () -> peers(o)),
-                    at("peers_all", () -> optional(o, "peers_all", null)), at("known", () -> known(o)),
-                    SettingsReader.read(o.get("settings")),
-                    at("settings: limits: max_open", () -> maxOpen(o.getAsJsonObject("settings"))),
-                    at("console", () -> optional(o, "console", environment.get("BALANCER_CONSOLE"))));
+            return new Config(at("name", () -> text(root, "name", environment.get("BALANCER_NAME"))),
+                    at("listen", () -> required(root, "listen", environment.get("BALANCER_LISTEN"))),
+                    at("discovery", () -> required(root, "discovery", environment.get("BALANCER_DISCOVERY"))),
+                    at("seed", () -> seed(root)), at("limits", () -> sockets(root)),
+                    at("peer_listen", () -> optional(root, "peer_listen", null)), at("peers", () -> peers(root)),
+                    at("peers_all", () -> optional(root, "peers_all", null)), at("known", () -> known(root)),
+                    SettingsReader.read(root.get("settings")),
+                    at("settings: limits: max_open", () -> maxOpen(root.getAsJsonObject("settings"))),
+                    at("console", () -> optional(root, "console", environment.get("BALANCER_CONSOLE"))));
         } catch (RuntimeException e) {
             throw new ConfigException(reason(e));
         }
     }
 
-    /** Reads one field; what is wrong with it is told with its name. */
+    /** Reads one field and adds its name to an error. */
     private static <T> T at(String field, Supplier<T> read) {
         try {
             return read.get();
@@ -116,57 +131,57 @@
         }
     }
 
-    /** Gson and the settings' own checks report what is wrong by several unchecked types; this is one line of it. */
+    /** Describes an error in one line. Gson and the checks of the settings throw several unchecked exception types. */
     private static String reason(RuntimeException e) {
-        boolean shape = e instanceof ClassCastException || e instanceof IllegalStateException
+        boolean wrongType = e instanceof ClassCastException || e instanceof IllegalStateException
                 || e instanceof UnsupportedOperationException;
-        Throwable said = e instanceof JsonParseException && e.getCause() != null ? e.getCause() : e;
-        return shape ? "not the kind of value that is wanted here"
-                : String.valueOf(said.getMessage()).lines().findFirst().orElse("malformed");
+        Throwable source = e instanceof JsonParseException && e.getCause() != null ? e.getCause() : e;
+        return wrongType ? "not the kind of value that is wanted here"
+                : String.valueOf(source.getMessage()).lines().findFirst().orElse("malformed");
     }
 
-    private static String text(JsonObject o, String field, String override) {
+    private static String text(JsonObject root, String field, String override) {
         if (override != null) {
             return override;
         }
-        JsonElement value = o.get(field);
+        JsonElement value = root.get(field);
         return value == null || value.isJsonNull() ? null : value.getAsString();
     }
 
-    private static InetSocketAddress required(JsonObject o, String field, String override) {
-        String value = text(o, field, override);
+    private static InetSocketAddress required(JsonObject root, String field, String override) {
+        String value = text(root, field, override);
         if (value == null) {
             throw new IllegalArgumentException("missing");
         }
         return Addresses.parse(value);
     }
 
-    private static InetSocketAddress optional(JsonObject o, String field, String override) {
-        String value = text(o, field, override);
+    private static InetSocketAddress optional(JsonObject root, String field, String override) {
+        String value = text(root, field, override);
         return value == null || value.isEmpty() ? null : Addresses.parse(value);
     }
 
-    private static List<InetSocketAddress> peers(JsonObject o) {
+    private static List<InetSocketAddress> peers(JsonObject root) {
         List<InetSocketAddress> peers = new ArrayList<>();
-        if (o.has("peers") && !o.get("peers").isJsonNull()) {
-            o.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
+        if (root.has("peers") && !root.get("peers").isJsonNull()) {
+            root.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
         }
         return peers;
     }
 
-    private static HostList known(JsonObject o) {
-        JsonElement known = o.get("known");
+    private static HostList known(JsonObject root) {
+        JsonElement known = root.get("known");
         return known == null || known.isJsonNull() ? null : HostList.parse(known.getAsJsonObject());
     }
 
-    private static long seed(JsonObject o) {
-        String seed = text(o, "seed", null);
-        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, HEX);
+    private static long seed(JsonObject root) {
+        String seed = text(root, "seed", null);
+        return seed == null ? System.nanoTime() : Long.parseUnsignedLong(seed, SEED_RADIX);
     }
 
-    private static int sockets(JsonObject o) {
-        JsonObject limits = o.getAsJsonObject("limits");
-        return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_SOCKETS;
+    private static int sockets(JsonObject root) {
+        JsonObject limits = root.getAsJsonObject("limits");
+        return limits != null && limits.has("sockets") ? limits.get("sockets").getAsInt() : DEFAULT_DESCRIPTORS;
     }
 
     private static int maxOpen(JsonObject settings) {
--- a/gateway/src/main/java/ridgemill/gateway/PeerEar.java
+++ b/gateway/src/main/java/ridgemill/gateway/PeerDetector.java
@@ -9,34 +9,34 @@
 import ridgemill.gateway.net.Log;
 
 /**
- * Listens where peers' messages arrive before the proxy itself does. Peers speak only while they serve clients, so
- * hearing one during a start tells a restart in a fleet at work from the first start of all. Without peers, or where the
- * address can't be had yet, nothing is heard; the proxy's own attempt to listen reports why.
+ * Listens for messages from peers during a start, before the proxy itself does. Peers send messages only while they
+ * serve clients, so a message tells a restart within a running fleet from the first start of a fleet. Without peers, or
+ * if the address cannot be bound yet, no message is detected; the proxy's own attempt to listen reports the reason.
  */
-final class PeerEar implements Closeable {
+final class PeerDetector implements Closeable {
 
     private final Selector selector;
     private final DatagramChannel channel;
 
-    PeerEar(InetSocketAddress address) throws IOException {
+    PeerDetector(InetSocketAddress address) throws IOException {
         selector = Selector.open();
         channel = DatagramChannel.open();
         if (address != null) {
             try {
                 channel.bind(address).configureBlocking(false).register(selector, SelectionKey.OP_READ);
             } catch (IOException e) {
-                Log.info("no peers are heard before the start: " + e.getMessage());
+                Log.info("cannot detect peers during the start: " + e.getMessage());
             }
         }
     }
 
-    /** Where it listens; null where it does not. */
+    /** The address it listens at; null if it does not listen. */
     InetSocketAddress address() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 
-    /** Whether a message has come, or comes within so long; it is left unread. */
-    boolean heard(long waitMs) throws IOException {
+    /** Whether a message has arrived or arrives within {@code waitMs} milliseconds. The message is not read. */
+    boolean hasMessage(long waitMs) throws IOException {
         return (waitMs <= 0 ? selector.selectNow() : selector.select(waitMs)) > 0 || !selector.selectedKeys().isEmpty();
     }
 
--- a/gateway/src/main/java/ridgemill/gateway/Upstream.java
+++ b/gateway/src/main/java/ridgemill/gateway/Upstream.java
@@ -1,18 +1,18 @@
 package ridgemill.gateway;
 
 import ridgemill.core.Dispatcher;
-import ridgemill.gateway.back.NodeBack;
+import ridgemill.gateway.back.NodeBackend;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.net.Content;
-import ridgemill.policy.Router.ListKind;
+import ridgemill.policy.Router.ListUpdateKind;
 import ridgemill.policy.Router;
 
-/** One group of nodes: the decisions about it, and the connections to it. */
-record Upstream(Router router, NodeBack back, Dispatcher<Content> dispatcher) {
+/** A group of nodes with its routing policy, its connections and its dispatcher. */
+record Upstream(Router router, NodeBackend backend, Dispatcher<Content> dispatcher) {
 
-    /** The back first: it must know a node before the module may choose it. */
-    void hosts(ListKind kind, HostList list) {
-        back.list(list);
-        dispatcher.nodes(kind, list.version(), list.nodes());
+    /** Updates the backend first, because the routing policy may only choose nodes that the backend can reach. */
+    void applyHostList(ListUpdateKind kind, HostList list) {
+        backend.applyHostList(list);
+        dispatcher.updateNodes(kind, list.version(), list.nodes());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeConnection.java
@@ -4,46 +4,49 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.Outcome;
 
 /**
- * One connection to a node, which carries one exchange at a time: what all protocols have in common. A protocol's own
- * class reads and writes its messages and tells from here how the exchange ended.
+ * A connection to a node that carries one exchange at a time: the part that does not depend on the protocol. Subclasses
+ * read and write the messages of their protocol and call the methods of this class to end the exchange.
  */
 public abstract class NodeConnection extends ChannelInboundHandlerAdapter {
 
-    private NodePool pool;
-    NodePool.Target target;
+    private NodeConnectionPool pool;
+    NodeConnectionPool.Target target;
     private ChannelHandlerContext context;
     private NodeExchange current;
-    long idleSince;
+    long idleSinceNanos;
     private boolean used;
 
-    /** Adds the protocol's codec and this handler, the last, to a new connection. */
+    /** Adds the protocol's codec, and this handler last, to the pipeline of a new connection. */
     protected abstract void install(ChannelPipeline pipeline);
 
-    /** The message to write for an exchange; called when the connection is there to write it to. */
-    protected abstract Object message(NodeExchange exchange);
+    /** Builds the message to write for an exchange; called when the connection is ready to write it. */
+    protected abstract Object buildMessage(NodeExchange exchange);
 
-    /** Writes a message; the future tells when the last byte of it is with the system. */
+    /** Writes a message; the future completes when its last byte has been passed to the operating system. */
     protected ChannelFuture send(Object message) {
         return context.writeAndFlush(message);
     }
 
-    /** What was kept of the last exchange is of no use any more. */
-    protected void begin() { }
+    /** Discards the state of the previous exchange. */
+    protected void resetExchangeState() { }
 
-    /** The connection has ended; a whole answer that waits may still be given by {@link #finish}. */
-    protected abstract void ended();
+    /**
+     * The connection has closed. A complete response that has not been passed on yet may still end the exchange by
+     * {@link #finish}.
+     */
+    protected abstract void connectionClosed();
 
-    void join(NodePool pool, NodePool.Target target) {
+    void attach(NodeConnectionPool pool, NodeConnectionPool.Target target) {
         this.pool = pool;
         this.target = target;
     }
 
-    /** The exchange that waits for its answer; null between two. */
+    /** The exchange that is waiting for its response; null between exchanges. */
     protected final NodeExchange current() {
         return current;
     }
@@ -52,62 +55,65 @@
         return context;
     }
 
-    /** Ends the exchange with an answer; the connection is kept if {@code clean}. */
-    protected final void finish(Outcome outcome, Answer<Content> answer, boolean clean) {
+    /** Ends the exchange with a response; the connection is kept for reuse if {@code reusable}. */
+    protected final void finish(Outcome outcome, NodeResponse<Content> response, boolean reusable) {
         NodeExchange exchange = current;
         current = null;
-        exchange.leftEnded();
-        boolean noPlace = outcome == Outcome.REJECTED && exchange.isFirst();
-        if (noPlace) {
-            pool.noPlace(target);
+        exchange.cancelDetachedTimeout();
+        boolean connectionRejected = outcome == Outcome.REJECTED && exchange.isOnNewConnection();
+        if (connectionRejected) {
+            pool.connectionRejected(target);
         }
-        if (clean && target.isCurrent()) {
-            pool.rest(this);
+        if (reusable && target.isCurrent()) {
+            pool.startCooldown(this);
         } else {
             context.close();
         }
-        exchange.end(noPlace ? Outcome.NO_PLACE : outcome, answer);
+        exchange.end(connectionRejected ? Outcome.NO_PLACE : outcome, response);
     }
 
-    /** Ends the exchange, if there is one, as the connection's own end. */
-    protected final void broken() {
+    /** Ends the exchange, if there is one, because the connection was lost. */
+    protected final void connectionLost() {
         if (current != null) {
-            current.broken();
+            current.connectionLost();
         }
     }
 
-    /** What came makes no sense: the request may have run, and the connection is of no further use. */
-    protected final void spoilt() {
+    /**
+     * Closes the connection after input that violates the protocol. The exchange ends as an error, as the request may
+     * have been executed, or as a lost connection if its request was not fully written.
+     */
+    protected final void protocolError() {
         if (current != null && current.isWritten()) {
             current.end(Outcome.ERROR, null);
         } else {
-            broken();
+            connectionLost();
         }
         context.close();
     }
 
     final void write(NodeExchange exchange) {
         current = exchange;
-        begin();
-        exchange.idleMs = used ? idleMs(pool.nanos()) : 0;
+        resetExchangeState();
+        exchange.connectionIdleMs = used ? idleMs(pool.nowNanos()) : 0;
         if (exchange.attempt() != null) {
-            exchange.attempt().begun(!used);
+            exchange.attempt().writeStarted(!used);
         }
         used = true;
         exchange.channel = context.channel();
-        // The promise covers the whole message: it fails if the connection breaks before the last byte is written.
-        send(message(exchange)).addListener(f -> {
+        // The future covers the whole message: it fails if the connection breaks before the last byte is written.
+        send(buildMessage(exchange)).addListener(f -> {
             if (f.isSuccess()) {
-                exchange.wrote();
+                exchange.markWritten();
             } else {
                 context.close();
-                exchange.broken();
+                exchange.connectionLost();
             }
         });
     }
 
     final double idleMs(long nowNanos) {
-        return Math.max(1, nowNanos - idleSince) / 1e6;
+        return Math.max(1, nowNanos - idleSinceNanos) / 1e6;
     }
 
     final boolean isActive() {
@@ -125,10 +131,10 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        pool.forget(this);
+        pool.remove(this);
         if (current != null) {
-            current.leftEnded();
+            current.cancelDetachedTimeout();
         }
-        ended();
+        connectionClosed();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/NodeExchange.java
@@ -3,33 +3,34 @@
 import io.netty.channel.Channel;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Attempt;
-import ridgemill.core.Back;
+import ridgemill.core.Backend;
 import ridgemill.gateway.net.Content;
 import ridgemill.policy.Router.Outcome;
 
-/** One attempt or probe on its way to a node, and its one outcome. */
-public final class NodeExchange implements Back.Exchange {
+/** One attempt or probe that is sent to a node, and its single outcome. */
+public final class NodeExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Back.Done<Content> done;
-    private final NodePool pool;
+    private final Backend.Listener<Content> listener;
+    private final NodeConnectionPool pool;
     Channel channel;
-    Future<?> timer;
+    Future<?> timeout;
     boolean written;
-    private boolean over;
-    private boolean left;
-    private boolean begun;
-    private Future<?> timeUp;
-    /** How long its connection had been idle, 0 for a new one; and whether bytes of an answer have come. */
-    double idleMs;
-    private boolean answering;
-
-    NodeExchange(NodePool pool, Attempt<Content> attempt, Back.Done<Content> done) {
+    private boolean ended;
+    private boolean detached;
+    private boolean streaming;
+    private Future<?> detachedTimeout;
+    /** How long its connection had been idle before it, in milliseconds; 0 for a new connection. */
+    double connectionIdleMs;
+    /** Whether bytes of a response have arrived. */
+    private boolean responseStarted;
+
+    NodeExchange(NodeConnectionPool pool, Attempt<Content> attempt, Backend.Listener<Content> listener) {
         this.pool = pool;
         this.attempt = attempt;
-        this.done = done;
+        this.listener = listener;
     }
 
     /** The attempt to write; null for a probe. */
@@ -37,99 +38,109 @@
         return attempt;
     }
 
-    /** Whether it has its outcome. */
-    public boolean isOver() {
-        return over;
+    /** Whether the exchange has its outcome. */
+    public boolean isEnded() {
+        return ended;
     }
 
-    /** Whether its last byte is written, from when on the node may run it. */
+    /** Whether the last byte of the request has been written. From then on the node may execute it. */
     public boolean isWritten() {
         return written;
     }
 
-    void wrote() {
+    void markWritten() {
         written = true;
         if (attempt != null) {
             attempt.written();
         }
     }
 
-    /** Whether its connection had carried none before it. */
-    boolean isFirst() {
-        return idleMs <= 0;
+    /** Whether this is the first exchange on its connection. */
+    boolean isOnNewConnection() {
+        return connectionIdleMs <= 0;
     }
 
-    /** The first bytes of an answer have come: a break from here on is not one of an old connection. */
-    public void answering() {
-        answering = true;
+    /** Records that the first bytes of a response have arrived: a later break is not due to a stale connection. */
+    public void markResponseStarted() {
+        responseStarted = true;
     }
 
-    /** A connection was opened for it, which took so long; whether it may still be written there. */
-    boolean reached(double ms) {
+    /**
+     * A connection was opened for this exchange.
+     *
+     * @param connectMs how long connecting took, in milliseconds
+     * @return whether the request may still be written
+     */
+    boolean connected(double connectMs) {
         if (attempt == null) {
             return true;
         }
-        attempt.connected(ms);
+        attempt.connected(connectMs);
         return attempt.mayBeWritten();
     }
 
     /**
-     * A good answer has begun that goes on by parts: its time was the time to here. Returns whether anybody takes it.
+     * Passes on a successful response whose body follows in parts. The timeout of the exchange covers the time until
+     * here only and is cancelled. Returns whether the listener accepts the response.
      */
-    public boolean begin(Answer<Content> answer) {
-        if (over || attempt == null || !attempt.takesParts()) {
+    public boolean startStreaming(NodeResponse<Content> response) {
+        if (ended || attempt == null || !attempt.supportsStreaming()) {
             return false;
         }
-        timer.cancel(false);
-        begun = true;
-        return done.begun(answer);
+        timeout.cancel(false);
+        streaming = true;
+        return listener.responseStarted(response);
     }
 
-    /** Whether nobody waits for it any more, but its connection waits for its answer. */
-    public boolean isLeft() {
-        return left;
+    /** Whether the caller no longer waits for the response while the connection still does. */
+    public boolean isDetached() {
+        return detached;
     }
 
-    /** Its answer may still come, and is dropped then; where it does not come in its time the connection goes. */
+    /**
+     * Ends the exchange as cancelled but keeps its connection open for the response, which is dropped. If the response
+     * does not arrive in the remaining time of the attempt, the connection is closed. An exchange that is streaming or
+     * not fully written, and a probe, are cancelled instead.
+     */
     @Override
-    public void leave() {
-        double leftMs = attempt == null ? 0 : attempt.remainingMs();
-        if (over || begun || !written || channel == null || leftMs <= 0) {
+    public void detach() {
+        double remainingMs = attempt == null ? 0 : attempt.remainingMs();
+        if (ended || streaming || !written || channel == null || remainingMs <= 0) {
             cancel();
             return;
         }
-        left = true;
-        Channel waits = channel;
-        timeUp = waits.eventLoop().schedule(() -> {
-            waits.close();
-        }, (long) (leftMs * 1e6), TimeUnit.NANOSECONDS);
+        detached = true;
+        Channel waitingChannel = channel;
+        detachedTimeout = waitingChannel.eventLoop().schedule(() -> {
+            waitingChannel.close();
+        }, (long) (remainingMs * 1e6), TimeUnit.NANOSECONDS);
         end(Outcome.CANCELLED, null);
     }
 
-    /** The answer that it was left for has come, or its connection has ended. */
-    void leftEnded() {
-        if (timeUp != null) {
-            timeUp.cancel(false);
+    /** The response of a detached exchange has arrived, or its connection has closed. */
+    void cancelDetachedTimeout() {
+        if (detachedTimeout != null) {
+            detachedTimeout.cancel(false);
         }
     }
 
-    /** Gives it up. The connection goes too: its answer may still come and would be taken for another's. */
+    /** Cancels the exchange and closes its connection: a late response would be taken for that of the next request. */
     @Override
     public void cancel() {
         abandon(Outcome.CANCELLED);
     }
 
     void timedOut() {
-        // Before its last byte was written the node cannot have begun it.
+        // The node cannot have started it before the last byte was written.
         abandon(written ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    void broken() {
+    void connectionLost() {
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
     private void abandon(Outcome outcome) {
-        if (!over) {
+        if (!ended) {
             end(outcome, null);
             if (channel != null) {
                 channel.close();
@@ -137,12 +148,12 @@
         }
     }
 
-    void end(Outcome outcome, Answer<Content> answer) {
-        if (!over) {
-            over = true;
-            timer.cancel(false);
-            pool.used(idleMs, outcome, answering);
-            done.ended(outcome, answer);
+    void end(Outcome outcome, NodeResponse<Content> response) {
+        if (!ended) {
+            ended = true;
+            timeout.cancel(false);
+            pool.recordUse(connectionIdleMs, outcome, responseStarted);
+            listener.ended(outcome, response);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
+++ b/gateway/src/main/java/ridgemill/gateway/back/resp/RespExchange.java
@@ -1,57 +1,57 @@
 package ridgemill.gateway.back.resp;
 
 import io.netty.util.concurrent.Future;
-import ridgemill.core.Answer;
+import ridgemill.core.NodeResponse;
 import ridgemill.core.Attempt;
-import ridgemill.core.Back;
+import ridgemill.core.Backend;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.resp.Resp;
 import ridgemill.policy.Router.Outcome;
 
-/** One attempt or probe on a connection that it shares, and its one outcome. */
-final class RespExchange implements Back.Exchange {
+/** One attempt or probe on a shared connection, and its single outcome. */
+final class RespExchange implements Backend.Exchange {
 
     private final Attempt<Content> attempt;
-    private final Back.Done<Content> done;
+    private final Backend.Listener<Content> listener;
     RespConnection connection;
-    Future<?> timer;
-    /** Its bytes are with the connection, from when on nobody can hold them back. */
-    boolean handed;
-    /** Its last byte is with the network, from when on the node may run it. */
+    Future<?> timeout;
+    /** The message has been passed to the connection and can no longer be held back. */
+    boolean queuedForWrite;
+    /** The last byte has been written to the network. From then on the node may execute the command. */
     boolean written;
-    /** The store has taken its key: the write itself may go out. */
-    boolean guarded;
-    /** What is to be written where there is no attempt: a copy that is stored or dropped. */
-    private final Resp note;
-    private boolean over;
+    /** The origin has recorded the idempotency key of the write, so the write itself may be sent. */
+    boolean keyClaimed;
+    /** The command to write if there is no attempt: it stores or deletes a copy. Null for an attempt or a probe. */
+    private final Resp internalCommand;
+    private boolean ended;
 
-    /** Something of the gateway's own, whose answer nobody needs. */
-    static RespExchange ofOwn(Resp note) {
-        return new RespExchange(null, (outcome, answer) -> { }, note);
+    /** Creates an exchange for a command of the gateway itself, whose result is ignored. */
+    static RespExchange internal(Resp internalCommand) {
+        return new RespExchange(null, (outcome, response) -> { }, internalCommand);
     }
 
-    RespExchange(Attempt<Content> attempt, Back.Done<Content> done) {
-        this(attempt, done, null);
+    RespExchange(Attempt<Content> attempt, Backend.Listener<Content> listener) {
+        this(attempt, listener, null);
     }
 
-    private RespExchange(Attempt<Content> attempt, Back.Done<Content> done, Resp note) {
+    private RespExchange(Attempt<Content> attempt, Backend.Listener<Content> listener, Resp internalCommand) {
         this.attempt = attempt;
-        this.done = done;
-        this.note = note;
+        this.listener = listener;
+        this.internalCommand = internalCommand;
     }
 
-    /** What is to be written where there is no attempt; null for a probe. */
-    Resp note() {
-        return note;
+    /** The command to write if there is no attempt; null for an attempt or a probe. */
+    Resp internalCommand() {
+        return internalCommand;
     }
 
-    /** The attempt to write; null for a probe. */
+    /** The attempt to write; null for a probe or an internal command. */
     Attempt<Content> attempt() {
         return attempt;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
     @Override
@@ -60,34 +60,37 @@
     }
 
     void timedOut() {
-        // What is with the connection may still go out, so only one that is not has certainly not run.
-        abandon(handed ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
+        // A command that has been passed to the connection may still be sent; before that, it cannot have run.
+        abandon(queuedForWrite ? Outcome.TIMEOUT : Outcome.CONNECT_FAILED);
     }
 
-    /** The connection first: what follows from the end must not be sent on one that this one holds up. */
+    /**
+     * Notifies the connection before the listener: attempts that the listener starts must not be sent on a connection
+     * that this exchange blocks.
+     */
     private void abandon(Outcome outcome) {
-        if (!over) {
-            over = true;
-            timer.cancel(false);
+        if (!ended) {
+            ended = true;
+            timeout.cancel(false);
             if (connection != null) {
                 connection.abandoned(this, outcome == Outcome.TIMEOUT);
             }
-            done.ended(outcome, null);
+            listener.ended(outcome, null);
         }
     }
 
-    /** The connection ended under it: a command of which not every byte went out can't be read by the node. */
-    void broken() {
+    /** The connection was lost. A node cannot execute a command of which it did not receive every byte. */
+    void connectionLost() {
         end(written ? Outcome.RESET : Outcome.CONNECT_FAILED, null);
     }
 
-    void end(Outcome outcome, Answer<Content> answer) {
-        if (!over) {
-            over = true;
-            if (timer != null) {
-                timer.cancel(false);
+    void end(Outcome outcome, NodeResponse<Content> response) {
+        if (!ended) {
+            ended = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            done.ended(outcome, answer);
+            listener.ended(outcome, response);
         }
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/console/Console.java
+++ b/gateway/src/main/java/ridgemill/gateway/console/Console.java
@@ -7,47 +7,47 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 import ridgemill.gateway.net.Transport;
-import ridgemill.watch.Callers;
-import ridgemill.watch.Figures;
-import ridgemill.watch.Readiness;
+import ridgemill.monitoring.BoundedConnections;
+import ridgemill.monitoring.ProxyMetrics;
+import ridgemill.monitoring.Readiness;
 
 /**
- * The address for operators alone: HTTP/1.1, one call to a connection. It answers from the loop's own state, from before the
- * first list has come until the loop ends. Used on the loop.
+ * The operators' HTTP/1.1 endpoint, with one request per connection. It responds from the state of the event loop, from
+ * before the first host list has arrived until the loop ends. Used on the event loop.
  */
 public final class Console {
 
-    /** Callers that may be there at a time; their descriptors are among those that clients can't take. */
-    public static final int PLACES = 16;
+    /** Maximum concurrent callers. Their file descriptors are reserved: clients cannot use them. */
+    public static final int MAX_CALLERS = 16;
 
     private final EventLoop loop;
-    private final Callers<Channel> callers = new Callers<>(PLACES);
+    private final BoundedConnections<Channel> callers = new BoundedConnections<>(MAX_CALLERS);
     private final Supplier<Readiness> readiness;
-    private final Supplier<Figures> figures;
+    private final Supplier<ProxyMetrics> metrics;
 
-    /** A console that reads what it tells when it is asked. */
-    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<Figures> figures) {
+    /** Creates a console that reads the readiness and the metrics anew for each request. */
+    public Console(EventLoop loop, Supplier<Readiness> readiness, Supplier<ProxyMetrics> metrics) {
         this.loop = loop;
         this.readiness = readiness;
-        this.figures = figures;
+        this.metrics = metrics;
     }
 
-    /** Starts to listen; the future fails where the address can't be had. From any thread. */
+    /** Starts listening; the future fails if the address cannot be bound. May be called from any thread. */
     public ChannelFuture listen(InetSocketAddress address) {
         return Transport.TCP.server(loop).childHandler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                take(channel);
+                accept(channel);
             }
         }).bind(address);
     }
 
-    private void take(Channel channel) {
-        ConsoleCall.install(channel, this);
-        Channel goes = callers.come(channel);
-        channel.closeFuture().addListener(f -> callers.gone(channel));
-        if (goes != null) {
-            goes.close();
+    private void accept(Channel channel) {
+        ConsoleRequestHandler.install(channel, this);
+        Channel evicted = callers.add(channel);
+        channel.closeFuture().addListener(f -> callers.remove(channel));
+        if (evicted != null) {
+            evicted.close();
         }
     }
 
@@ -55,7 +55,7 @@
         return readiness.get();
     }
 
-    Figures figures() {
-        return figures.get();
+    ProxyMetrics metrics() {
+        return metrics.get();
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
+++ b/gateway/src/main/java/ridgemill/gateway/control/ControlServer.java
@@ -28,14 +28,15 @@
 import ridgemill.gateway.net.SocketKind;
 
 /**
- * Answers commands at a Unix socket. A client sends one line and reads until the end; only the proxy's own user may
- * connect. It runs on the proxy's loop, and a command that takes time is carried out elsewhere.
+ * Accepts commands on a Unix domain socket. A client sends one line and reads the response until the connection closes.
+ * Only the user that runs the proxy may connect. Runs on the proxy's event loop; long-running commands are executed
+ * elsewhere.
  */
 public final class ControlServer {
 
-    private static final int MOST_LINE = 256;
-    private static final int MOST_CLIENTS = 8;
-    private static final long READ_S = 5;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final int MAX_CLIENTS = 8;
+    private static final long TIMEOUT_SECONDS = 5;
 
     private final Path path;
     private final Channel listener;
@@ -48,15 +49,15 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (clients >= MOST_CLIENTS) {
+                        if (clients >= MAX_CLIENTS) {
                             channel.close();
                             return;
                         }
                         clients++;
                         channel.closeFuture().addListener(f -> clients--);
-                        channel.pipeline().addLast(new ReadTimeoutHandler(READ_S, TimeUnit.SECONDS),
-                                new LineBasedFrameDecoder(MOST_LINE), new StringDecoder(StandardCharsets.UTF_8),
-                                new Command(commands));
+                        channel.pipeline().addLast(new ReadTimeoutHandler(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                                new LineBasedFrameDecoder(MAX_LINE_BYTES), new StringDecoder(StandardCharsets.UTF_8),
+                                new CommandHandler(commands));
                     }
                 }).bind(SocketKind.of(loop).localAddress(path)).await();
         if (!bound.isSuccess()) {
@@ -67,10 +68,11 @@
     }
 
     /**
-     * Starts to listen. A socket that a proxy left behind which is gone is taken over; one that is answered, and a file
-     * that is no socket, is left alone.
+     * Starts listening. A socket file that a terminated proxy left behind is replaced.
      *
-     * @param commands says what a command's answer is; a stage that fails is told as a fault
+     * @param commands executes a command line and returns its response; if the stage fails, an error response is sent
+     * @throws IOException if another process accepts connections on the socket, if the file is not a socket, or if the
+     *     socket cannot be bound
      */
     public static ControlServer listen(Path path, EventLoop loop, Function<String, CompletionStage<String>> commands)
             throws IOException, InterruptedException {
@@ -78,7 +80,7 @@
             if (!Files.readAttributes(path, BasicFileAttributes.class, LinkOption.NOFOLLOW_LINKS).isOther()) {
                 throw new IOException("cannot listen on " + path + ": it is there and is no socket");
             }
-            if (isAnswered(path)) {
+            if (acceptsConnections(path)) {
                 throw new IOException("cannot listen on " + path + ": another proxy does");
             }
             Files.delete(path);
@@ -86,17 +88,17 @@
         return new ControlServer(path, loop, commands);
     }
 
-    private static boolean isAnswered(Path path) {
-        try (SocketChannel there = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
-            return there.isConnected();
+    private static boolean acceptsConnections(Path path) {
+        try (SocketChannel channel = SocketChannel.open(UnixDomainSocketAddress.of(path))) {
+            return channel.isConnected();
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Listens no more, and takes the socket away. */
+    /** Stops listening and deletes the socket file. */
     public void close() {
-        listener.close().awaitUninterruptibly(READ_S, TimeUnit.SECONDS);
+        listener.close().awaitUninterruptibly(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
@@ -104,26 +106,26 @@
         }
     }
 
-    /** One connection's one command. */
-    private static final class Command extends SimpleChannelInboundHandler<String> {
+    /** Handles the single command of a connection. */
+    private static final class CommandHandler extends SimpleChannelInboundHandler<String> {
         private final Function<String, CompletionStage<String>> commands;
-        private boolean taken;
+        private boolean received;
 
-        Command(Function<String, CompletionStage<String>> commands) {
+        CommandHandler(Function<String, CompletionStage<String>> commands) {
             this.commands = commands;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, String line) {
-            if (taken) {
+            if (received) {
                 return;
             }
-            taken = true;
+            received = true;
             ctx.pipeline().remove(ReadTimeoutHandler.class);
             commands.apply(line.trim()).exceptionally(e -> {
                 Log.error("a control command failed", e);
                 return "{\"done\":false,\"reason\":\"the proxy failed over it; its log says why\"}";
-            }).thenAccept(answer -> ctx.writeAndFlush(Unpooled.copiedBuffer(answer + "\n", StandardCharsets.UTF_8))
+            }).thenAccept(response -> ctx.writeAndFlush(Unpooled.copiedBuffer(response + "\n", StandardCharsets.UTF_8))
                     .addListener(ChannelFutureListener.CLOSE));
         }
 
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/CallOptions.java
@@ -2,62 +2,70 @@
 
 import java.util.List;
 import java.util.Locale;
-import ridgemill.deadline.TimeSaid;
+import ridgemill.deadline.ClientTimeout;
 
 /**
- * What a client says of its calls beside the command itself: for a connection by its name ({@code CLIENT SETNAME},
- * {@code HELLO ... SETNAME}), for one command by {@code RIDGE.WITH}. What is not said is null or 0.
+ * Options that a client sets for its calls: for a connection by its name ({@code CLIENT SETNAME},
+ * {@code HELLO ... SETNAME}), for one command by {@code RIDGE.WITH}. Options that are not set are null or 0.
  *
- * @param service the class that the call names
- * @param deadlineMs how long its client waits, in milliseconds; 0 for as long as the class says
- * @param id the call's own id; not for a connection
- * @param idempotencyKey by which nodes drop its repeats; not for a connection
- * @param again whether it is a client's retry; not for a connection
+ * @param requestedClass the class that the call names
+ * @param timeoutMs how long the client waits, in milliseconds; 0 for the deadline of the class
+ * @param id the id of the call; not valid for a connection
+ * @param idempotencyKey the key by which nodes drop duplicates of the call; not valid for a connection
+ * @param retry whether the call is a retry of the client; not valid for a connection
  */
-record CallOptions(String service, double deadlineMs, String id, String idempotencyKey, boolean again) {
+record CallOptions(String requestedClass, double timeoutMs, String id, String idempotencyKey, boolean retry) {
 
     static final CallOptions NONE = new CallOptions(null, 0, null, null, false);
-    private static final int MOST_ID = 64;
-    private static final int MOST_KEY = 128;
+    private static final int MAX_ID_LENGTH = 64;
+    private static final int MAX_KEY_LENGTH = 128;
 
-    /** The options with one more said; throws where it makes no sense, with a message for the client. */
-    CallOptions with(String field, String value, boolean ofOneCall) {
+    /**
+     * Returns these options with one more set.
+     *
+     * @param singleCall whether the options are for one call rather than for a connection
+     * @throws IllegalArgumentException if the option is invalid, with a message for the client
+     */
+    CallOptions with(String field, String value, boolean singleCall) {
         return switch (field.toLowerCase(Locale.ROOT)) {
-            case "class" -> new CallOptions(value, deadlineMs, id, idempotencyKey, again);
-            case "deadline" -> new CallOptions(service, deadline(value), id, idempotencyKey, again);
-            case "id" -> new CallOptions(service, deadlineMs, own(ofOneCall, field, word(field, value, MOST_ID)),
-                    idempotencyKey, again);
-            case "idempotency-key" -> new CallOptions(service, deadlineMs, id, own(ofOneCall, field, word(field, value,
-                    MOST_KEY)), again);
-            case "again" -> new CallOptions(service, deadlineMs, id, idempotencyKey,
-                    own(ofOneCall, field, value).equals("1"));
+            case "class" -> new CallOptions(value, timeoutMs, id, idempotencyKey, retry);
+            case "deadline" -> new CallOptions(requestedClass, parseTimeoutMs(value), id, idempotencyKey, retry);
+            case "id" -> new CallOptions(requestedClass, timeoutMs, requireSingleCall(singleCall, field,
+                    requirePrintable(field, value, MAX_ID_LENGTH)), idempotencyKey, retry);
+            case "idempotency-key" -> new CallOptions(requestedClass, timeoutMs, id, requireSingleCall(singleCall,
+                    field, requirePrintable(field, value, MAX_KEY_LENGTH)), retry);
+            case "again" -> new CallOptions(requestedClass, timeoutMs, id, idempotencyKey,
+                    requireSingleCall(singleCall, field, value).equals("1"));
             default -> throw new IllegalArgumentException("no such option: " + field
                     + "; class, deadline, id, idempotency-key and again are");
         };
     }
 
-    private static String own(boolean ofOneCall, String field, String value) {
-        if (!ofOneCall) {
+    private static String requireSingleCall(boolean singleCall, String field, String value) {
+        if (!singleCall) {
             throw new IllegalArgumentException(field + " is of one call alone: say it by RIDGE.WITH");
         }
         return value;
     }
 
-    /** Texts that go into other protocols' headers: what could end a line there is refused here. */
-    private static String word(String field, String value, int most) {
-        if (value.isEmpty() || value.length() > most || !value.chars().allMatch(c -> c > ' ' && c <= '~')) {
-            throw new IllegalArgumentException(field + " is 1 to " + most + " printable characters without blanks");
+    /**
+     * Checks a text that is sent in headers of other protocols. Characters that could end a line there are rejected.
+     */
+    private static String requirePrintable(String field, String value, int maxLength) {
+        if (value.isEmpty() || value.length() > maxLength || !value.chars().allMatch(c -> c > ' ' && c <= '~')) {
+            throw new IllegalArgumentException(
+                    field + " is 1 to " + maxLength + " printable characters without blanks");
         }
         return value;
     }
 
-    private static double deadline(String value) {
+    private static double parseTimeoutMs(String value) {
         boolean millis = value.endsWith("ms");
-        int unit = millis ? 2 : value.endsWith("s") ? 1 : 0;
-        if (unit > 0 && TimeSaid.read(List.of(new TimeSaid.Claim(TimeSaid.Form.SECONDS, value.substring(0, value.length() - unit))), 0)
-                instanceof TimeSaid.Left said) {
-            // Read as seconds, a number of milliseconds has an hour as its bound too.
-            double ms = millis ? said.ms() / 1000 : said.ms();
+        int unitLength = millis ? 2 : value.endsWith("s") ? 1 : 0;
+        if (unitLength > 0 && ClientTimeout.parse(List.of(new ClientTimeout.RawValue(ClientTimeout.Format.SECONDS,
+                value.substring(0, value.length() - unitLength))), 0) instanceof ClientTimeout.Remaining parsed) {
+            // Both units are parsed as seconds, so a number of milliseconds is limited to 3600 too.
+            double ms = millis ? parsed.ms() / 1000 : parsed.ms();
             if (ms > 0) {
                 return ms;
             }
@@ -65,8 +73,12 @@
         throw new IllegalArgumentException("deadline is a time such as 250ms or 2s");
     }
 
-    /** Reads a connection's name: one that holds {@code =} says options, such as {@code class=balance;deadline=1s}. */
-    static CallOptions ofName(String name) {
+    /**
+     * Parses a connection's name. A name that contains {@code =} sets options, as in {@code class=balance;deadline=1s}.
+     *
+     * @throws IllegalArgumentException if the options are invalid, with a message for the client
+     */
+    static CallOptions fromConnectionName(String name) {
         CallOptions options = NONE;
         if (name.indexOf('=') < 0) {
             return options;
--- a/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
+++ b/gateway/src/main/java/ridgemill/gateway/front/resp/RespClientConnection.java
@@ -21,13 +21,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import ridgemill.core.Client;
+import ridgemill.core.ResponseHandler;
 import ridgemill.core.Command;
-import ridgemill.core.Gate;
+import ridgemill.core.AdmissionController;
 import ridgemill.core.Intake;
 import ridgemill.deadline.Deadlines;
 import ridgemill.gateway.front.ClientConnection;
-import ridgemill.gateway.front.OrderWatch;
+import ridgemill.gateway.front.PipelineTimer;
 import ridgemill.gateway.net.Content;
 import ridgemill.gateway.net.Log;
 import ridgemill.gateway.net.Targets;
@@ -36,100 +36,110 @@
 import ridgemill.gateway.net.resp.RespException;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Request;
-import ridgemill.route.Query;
+import ridgemill.route.RouteQuery;
 
 /**
- * One client's RESP connection. Commands are carried out side by side and answered in their order; one that names a key
- * which an earlier one changes, or changes one that an earlier one reads, waits for it, as it would for Redis.
+ * One client's RESP connection. Commands are processed concurrently and answered in order. A command that names a key
+ * which an earlier command changes, or changes a key that an earlier command reads, waits for that command, so that
+ * results are those of Redis.
  *
- * <p>Bounded: so many commands, and so many bytes of replies that wait for an earlier one. Past either, or while the client
- * reads none of what it was sent, nothing more is read from it.
+ * <p>The number of open commands and the bytes of replies that wait for an earlier reply are limited. At either limit,
+ * or while the client does not read its replies, nothing more is read from the connection.
  */
 final class RespClientConnection extends ClientConnection {
 
-    /** Commands without a reply on one connection. */
-    static final int MOST_OPEN = 64;
-    /** Bytes of replies that wait for an earlier one; those of commands that are out already may come on top. */
-    static final int MOST_HELD = 256 * 1024;
-    /** Keys of one command. */
-    static final int MOST_KEYS = 128;
-    private static final int MOST_KEY_BYTES = 512;
-    private static final int BUFFER = 64;
-
-    /** A command, when it came, and how old it may have been by then. */
-    private record Waiting(Resp.Array command, long arrived, double stalledMs) {
-
-        /** How long it has been here, with what may have passed before that. */
+    /** Limit of commands without a reply on one connection. */
+    static final int MAX_OPEN_COMMANDS = 64;
+    /** Limit of reply bytes that wait for an earlier reply. Replies of commands that already run may exceed it. */
+    static final int MAX_BUFFERED_BYTES = 256 * 1024;
+    /** Limit of keys in one command. */
+    static final int MAX_KEYS = 128;
+    private static final int MAX_KEY_BYTES = 512;
+    private static final int REPLY_BUFFER_BYTES = 64;
+
+    /**
+     * A command that has not started.
+     *
+     * @param arrivedNanos when it was read
+     * @param stalledMs how long it may have waited before that because the event loop was stalled
+     */
+    private record QueuedCommand(Resp.Array command, long arrivedNanos, double stalledMs) {
+
+        /** Returns the time since the command arrived, including the time before it was read, in milliseconds. */
         double passedMs() {
-            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrived) / 1e3 + stalledMs;
+            return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - arrivedNanos) / 1e3 + stalledMs;
         }
     }
 
-    private final RespFront front;
+    private final RespFrontend frontend;
     private final RespDecoder decoder;
     private final Session session;
-    private final Queue<Waiting> backlog = new ArrayDeque<>();
-    private final Deque<Slot> slots = new ArrayDeque<>();
-    private final OrderWatch<Slot> order;
-    private final Set<String> calls = new LinkedHashSet<>();
-    private final String prefix;
-    private long sent;
-    private int held;
-    private boolean pumping;
+    private final Queue<QueuedCommand> backlog = new ArrayDeque<>();
+    private final Deque<PendingReply> pendingReplies = new ArrayDeque<>();
+    private final PipelineTimer<PendingReply> pipelineTimer;
+    private final Set<String> openCallIds = new LinkedHashSet<>();
+    private final String idPrefix;
+    private long nextId;
+    private int bufferedBytes;
+    private boolean processing;
     private boolean flushing;
     private long writtenNanos;
-    private boolean last;
+    /** Set if no further command is started. The connection closes after the last reply. */
+    private boolean closing;
+    /** Set if the client has closed its sending side and still reads. */
     private boolean inputEnded;
 
-    RespClientConnection(Channel channel, RespFront front, RespDecoder decoder, long number) {
-        super(channel, front.table());
-        this.front = front;
+    RespClientConnection(Channel channel, RespFrontend frontend, RespDecoder decoder, long connectionId) {
+        super(channel, frontend.table());
+        this.frontend = frontend;
         this.decoder = decoder;
-        this.session = new Session(front, number);
-        this.order = new OrderWatch<>(channel.eventLoop(), front.intake()::now, slot -> {
-            if (!slot.isWhole()) {
-                slot.openCalls().forEach(front.intake()::giveUp);
+        this.session = new Session(frontend, connectionId);
+        this.pipelineTimer = new PipelineTimer<>(channel.eventLoop(), frontend.intake()::now, pending -> {
+            if (!pending.isComplete()) {
+                pending.openCallIds().forEach(frontend.intake()::answerNow);
             }
         });
-        if (front.halfCloseStays() && channel.config() instanceof SocketChannelConfig config) {
+        if (frontend.allowsHalfClose() && channel.config() instanceof SocketChannelConfig config) {
             config.setAllowHalfClosure(true);
         }
-        this.prefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + number + "-";
+        this.idPrefix = "r" + Long.toString(System.nanoTime() & 0xffffffffL, Character.MAX_RADIX) + "-" + connectionId
+                + "-";
     }
 
     @Override
-    protected boolean staysIdle() {
+    protected boolean isLongLived() {
         return true;
     }
 
-    ByteBuf buffer() {
-        return channel().alloc().buffer(BUFFER);
+    ByteBuf allocateBuffer() {
+        return channel().alloc().buffer(REPLY_BUFFER_BYTES);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        if (phase() == Phase.CLOSING || last) {
+        if (phase() == Phase.CLOSING || closing) {
             ((Resp) message).release();
             return;
         }
-        if (isSurplus()) {
+        if (isOverLimit()) {
             ((Resp) message).release();
-            front.intake().turnedAway(null);
-            busy();
-            end(Replies.refused(Replies.Why.LIMIT, SURPLUS_BACK_MS));
+            frontend.intake().countRejected(null);
+            requestStarted();
+            replyAndClose(RespErrors.refused(RespErrors.RefusalReason.LIMIT, OVER_LIMIT_RETRY_AFTER_MS));
             return;
         }
-        Intake<Content> intake = front.intake();
-        backlog.add(new Waiting((Resp.Array) message, System.nanoTime(), intake.deadlines().loop().ageMs(intake.now())));
-        pump();
+        Intake<Content> intake = frontend.intake();
+        backlog.add(new QueuedCommand((Resp.Array) message, System.nanoTime(),
+                intake.deadlines().loopStalls().maxAgeMs(intake.now())));
+        processBacklog();
     }
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
         if (event instanceof ChannelInputShutdownEvent) {
-            // It sends nothing more, and reads on: its replies come first.
+            // The client has closed its sending side and still reads. Its replies are sent before closing.
             inputEnded = true;
-            if (slots.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
+            if (pendingReplies.isEmpty() && backlog.isEmpty() && !flushing && phase() != Phase.CLOSING) {
                 flush();
             }
         }
@@ -139,193 +149,213 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if ((phase() == Phase.SILENT || phase() == Phase.IDLE) && decoder.isWithin()) {
-            enter(Phase.READING);
+            enterPhase(Phase.READING);
         }
         ctx.fireChannelReadComplete();
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        pump();
+        processBacklog();
         ctx.fireChannelWritabilityChanged();
     }
 
-    /** Starts what may be started, and reads on where all was. */
-    private void pump() {
-        if (pumping || phase() == Phase.CLOSING) {
+    /** Starts the commands that can start, and reads further input if all have started. */
+    private void processBacklog() {
+        if (processing || phase() == Phase.CLOSING) {
             return;
         }
-        pumping = true;
+        processing = true;
         try {
-            while (!backlog.isEmpty() && !last && hasRoom() && start(backlog.peek())) {
+            while (!backlog.isEmpty() && !closing && hasCapacity() && start(backlog.peek())) {
                 backlog.poll().command().release();
             }
         } finally {
-            pumping = false;
+            processing = false;
         }
-        channel().config().setAutoRead(backlog.isEmpty() && hasRoom());
+        channel().config().setAutoRead(backlog.isEmpty() && hasCapacity());
     }
 
-    private boolean hasRoom() {
-        return slots.size() < MOST_OPEN && held < MOST_HELD && channel().isWritable();
+    private boolean hasCapacity() {
+        return pendingReplies.size() < MAX_OPEN_COMMANDS && bufferedBytes < MAX_BUFFERED_BYTES
+                && channel().isWritable();
     }
 
-    /** Carries a command out; false where it must wait for an earlier one. */
-    private boolean start(Waiting waiting) {
-        List<Resp> words = waiting.command().items();
+    /** Starts a command. Returns false if it must wait for an earlier one. */
+    private boolean start(QueuedCommand queued) {
+        List<Resp> words = queued.command().items();
         CallOptions options = session.options();
-        String name = word(words, 0);
-        int from = 0;
+        String name = upperCaseWord(words, 0);
+        int commandIndex = 0;
         try {
             if (name.equals("RIDGE.WITH")) {
-                int at = 1;
-                Set<String> said = new HashSet<>();
-                for (; at + 1 < words.size() && !word(words, at).equals("DO"); at += 2) {
-                    if (!said.add(word(words, at))) {
-                        throw new IllegalArgumentException(text(words, at) + " is said twice");
+                int index = 1;
+                Set<String> optionNames = new HashSet<>();
+                for (; index + 1 < words.size() && !upperCaseWord(words, index).equals("DO"); index += 2) {
+                    if (!optionNames.add(upperCaseWord(words, index))) {
+                        throw new IllegalArgumentException(text(words, index) + " is said twice");
                     }
-                    options = options.with(text(words, at), text(words, at + 1), true);
+                    options = options.with(text(words, index), text(words, index + 1), true);
                 }
-                from = at + 1;
-                if (from >= words.size()) {
-                    throw new IllegalArgumentException("RIDGE.WITH says options by name and value, then DO and a command");
+                commandIndex = index + 1;
+                if (commandIndex >= words.size()) {
+                    throw new IllegalArgumentException(
+                            "RIDGE.WITH says options by name and value, then DO and a command");
                 }
-                name = word(words, from);
+                name = upperCaseWord(words, commandIndex);
             }
-            return data(name, words.subList(from, words.size()), options, waiting);
+            return execute(name, words.subList(commandIndex, words.size()), options, queued);
         } catch (IllegalArgumentException e) {
-            answer(Replies.error(e.getMessage()));
+            reply(RespErrors.error(e.getMessage()));
             return true;
         }
     }
 
-    private boolean data(String name, List<Resp> words, CallOptions options, Waiting waiting) {
+    private boolean execute(String name, List<Resp> words, CallOptions options, QueuedCommand queued) {
         return switch (name) {
-            case "GET" -> calls(words, 2, 2, 1, Slot.Shape.VALUE, Command.Action.READ, options, waiting);
-            case "MGET" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.VALUES, Command.Action.READ, options, waiting);
-            case "EXISTS" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.PRESENT, Command.Action.READ, options, waiting);
-            case "DEL", "UNLINK" -> calls(words, 2, 1 + MOST_KEYS, 1, Slot.Shape.COUNT, Command.Action.DELETE, options, waiting);
-            case "SET" -> set(words, options, waiting);
-            case "MSET" -> calls(words, 3, 1 + 2 * MOST_KEYS, 2, Slot.Shape.STORED, Command.Action.WRITE, options, waiting);
-            case "RIDGE.OUTCOME" -> outcome(words);
+            case "GET" -> executeOnKeys(words, 2, 2, 1, PendingReply.ReplyKind.VALUE, Command.Action.READ, options,
+                    queued);
+            case "MGET" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.VALUES, Command.Action.READ,
+                    options, queued);
+            case "EXISTS" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.PRESENT,
+                    Command.Action.READ, options, queued);
+            case "DEL", "UNLINK" -> executeOnKeys(words, 2, 1 + MAX_KEYS, 1, PendingReply.ReplyKind.COUNT,
+                    Command.Action.DELETE, options, queued);
+            case "SET" -> set(words, options, queued);
+            case "MSET" -> executeOnKeys(words, 3, 1 + 2 * MAX_KEYS, 2, PendingReply.ReplyKind.STORED,
+                    Command.Action.WRITE, options, queued);
+            case "RIDGE.OUTCOME" -> queryOutcome(words);
             default -> {
-                Session.Said said = session.command(name, words);
-                answer(said.reply());
-                last = said.last();
+                Session.CommandReply result = session.execute(name, words);
+                reply(result.reply());
+                closing = result.last();
                 yield true;
             }
         };
     }
 
-    private boolean set(List<Resp> words, CallOptions options, Waiting waiting) {
+    private boolean set(List<Resp> words, CallOptions options, QueuedCommand queued) {
         if (words.size() > 3) {
-            throw new IllegalArgumentException("SET with " + word(words, 3) + " is not kept here: values belong to the store, "
+            throw new IllegalArgumentException("SET with " + upperCaseWord(words, 3)
+                    + " is not kept here: values belong to the store, "
                     + "which knows no conditions and no expiry; nothing ran");
         }
-        return calls(words, 3, 3, 2, Slot.Shape.STORED, Command.Action.WRITE, options, waiting);
+        return executeOnKeys(words, 3, 3, 2, PendingReply.ReplyKind.STORED, Command.Action.WRITE, options, queued);
     }
 
-    /** A command on keys, each with {@code step - 1} values behind it. */
-    private boolean calls(List<Resp> words, int least, int most, int step, Slot.Shape shape, Command.Action action,
-                          CallOptions options, Waiting waiting) {
-        if (words.size() < least || words.size() > most || (words.size() - 1) % step != 0) {
-            answer(words.size() > most && most > 3 ? Replies.error("over " + MOST_KEYS + " keys in one command")
-                    : Replies.arguments(text(words, 0)));
+    /** Executes a command on keys, each followed by {@code step - 1} values. Returns false if it must wait. */
+    private boolean executeOnKeys(List<Resp> words, int minWords, int maxWords, int step, PendingReply.ReplyKind kind,
+                                  Command.Action action, CallOptions options, QueuedCommand queued) {
+        if (words.size() < minWords || words.size() > maxWords || (words.size() - 1) % step != 0) {
+            reply(words.size() > maxWords && maxWords > 3
+                    ? RespErrors.error("over " + MAX_KEYS + " keys in one command")
+                    : RespErrors.wrongArity(text(words, 0)));
             return true;
         }
-        if (!session.mayAsk()) {
-            answer(Replies.NOAUTH);
+        if (!session.isAuthorized()) {
+            reply(RespErrors.NOAUTH);
             return true;
         }
         List<String> targets = new ArrayList<>();
         for (int i = 1; i < words.size(); i += step) {
             ByteBuf key = ((Resp.Blob) words.get(i)).bytes();
-            if (!key.isReadable() || key.readableBytes() > MOST_KEY_BYTES) {
-                throw new IllegalArgumentException("a key is 1 to " + MOST_KEY_BYTES + " bytes");
+            if (!key.isReadable() || key.readableBytes() > MAX_KEY_BYTES) {
+                throw new IllegalArgumentException("a key is 1 to " + MAX_KEY_BYTES + " bytes");
             }
             targets.add(Targets.of(key));
         }
         boolean writes = action != Command.Action.READ;
-        if (slots.stream().anyMatch(s -> s.holdsUp(writes, targets))) {
+        if (pendingReplies.stream().anyMatch(s -> s.blocks(writes, targets))) {
             return false;
         }
-        busy();
-        Slot slot = new Slot(this, session.version(), shape, action, targets);
-        slots.add(slot);
-        order.add(slot, Double.POSITIVE_INFINITY);
-        double passedMs = waiting.passedMs();
+        requestStarted();
+        PendingReply pending = new PendingReply(this, session.protocolVersion(), kind, action, targets);
+        pendingReplies.add(pending);
+        pipelineTimer.add(pending, Double.POSITIVE_INFINITY);
+        double passedMs = queued.passedMs();
         for (int i = 0; i < targets.size(); i++) {
             ByteBuf value = step == 1 ? Unpooled.EMPTY_BUFFER : ((Resp.Blob) words.get(2 + i * step)).bytes();
-            call(slot, i, targets.size(), targets.get(i), value, action, options, passedMs);
+            submitCall(pending, i, targets.size(), targets.get(i), value, action, options, passedMs);
         }
-        order.watch();
+        pipelineTimer.schedule();
         return true;
     }
 
-    private void call(Slot slot, int index, int parts, String target, ByteBuf value, Command.Action action,
-                      CallOptions options, double passedMs) {
-        String own = parts > 1 ? "-" + index : "";
-        String id = options.id() == null ? prefix + sent++ : options.id() + own;
-        Client<Content> client = slot.part(index, id);
-        if (front.intake().isOpen(id)) {
-            refuse(slot, "the id " + id + " is in use");
+    private void submitCall(PendingReply pending, int index, int callCount, String target, ByteBuf value,
+                            Command.Action action, CallOptions options, double passedMs) {
+        String suffix = callCount > 1 ? "-" + index : "";
+        String id = options.id() == null ? idPrefix + nextId++ : options.id() + suffix;
+        ResponseHandler<Content> handler = pending.responseHandler(index, id);
+        if (frontend.intake().isOpen(id)) {
+            rejectCall(pending, "the id " + id + " is in use");
             return;
         }
         boolean writes = action != Command.Action.READ;
-        Deadlines deadlines = front.intake().deadlines();
-        double budget = options.deadlineMs() > 0 ? deadlines.leftMs(options.deadlineMs(), passedMs, front.wayBack()) : Double.MAX_VALUE;
+        Deadlines deadlines = frontend.intake().deadlines();
+        double budgetMs = options.timeoutMs() > 0
+                ? deadlines.remainingMs(options.timeoutMs(), passedMs, frontend.returnDelay()) : Double.MAX_VALUE;
         String path = Targets.path(target);
-        Gate.Entry entry = front.intake().enter(new Gate.Arrival(id, new Query(method(action), path, session.tenant(),
-                NO_HEADERS), options.service(), options.again(), value.readableBytes(), budget));
-        if (entry instanceof Gate.Refuse refused) {
-            front.intake().turnedAway(options.service());
-            client.because(Reason.LIMIT);
-            client.limited(refused.retryAfterMs());
+        AdmissionController.Decision decision = frontend.intake().admit(new AdmissionController.AdmissionRequest(id,
+                new RouteQuery(method(action), path, session.tenant(), NO_HEADERS), options.requestedClass(),
+                options.retry(), value.readableBytes(), budgetMs));
+        if (decision instanceof AdmissionController.Rejected rejected) {
+            frontend.intake().countRejected(options.requestedClass());
+            handler.reason(Reason.LIMIT);
+            handler.limited(rejected.retryAfterMs());
             return;
         }
-        if (!(entry instanceof Gate.Go go)) {
-            refuse(slot, entry instanceof Gate.Unfit unfit && unfit.reason() == Gate.Reason.TOO_LARGE
-                    ? "the value is larger than its class allows" : options.service() == null
-                    ? "no route names a class for " + target + ", and neither does the call: RIDGE.WITH class NAME DO ..."
-                    : "no class is called " + options.service());
+        if (!(decision instanceof AdmissionController.Admitted admitted)) {
+            rejectCall(pending, decision instanceof AdmissionController.Invalid invalid
+                    && invalid.reason() == AdmissionController.InvalidReason.TOO_LARGE
+                    ? "the value is larger than its class allows" : options.requestedClass() == null
+                    ? "no route names a class for " + target
+                    + ", and neither does the call: RIDGE.WITH class NAME DO ..."
+                    : "no class is called " + options.requestedClass());
             return;
         }
-        String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + own;
-        if (go.needsKey(writes) && idempotencyKey == null) {
-            front.intake().left(go, id);
-            refuse(slot, "class " + go.service().name() + " records each key once and none was given: RIDGE.WITH "
+        String idempotencyKey = options.idempotencyKey() == null ? null : options.idempotencyKey() + suffix;
+        if (admitted.requiresIdempotencyKey(writes) && idempotencyKey == null) {
+            frontend.intake().withdraw(admitted, id);
+            rejectCall(pending, "class " + admitted.serviceClass().name()
+                    + " records each key once and none was given: RIDGE.WITH "
                     + "idempotency-key KEY DO ...");
             return;
         }
-        calls.add(id);
-        Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null) : Content.EMPTY;
-        double left = Math.min(go.budgetMs(), deadlines.leftMs(go.service().deadlineMs(), passedMs, front.wayBack()));
-        slot.due(id, front.intake().now() + left);
-        order.due(slot, slot.dueMs());
-        Request request = new Request(id, go.service().name(), session.tenant(), Targets.hash(path), 0, left, writes, options.again());
-        front.intake().request(go, request, new Command<>(action, target, idempotencyKey, content), client);
+        openCallIds.add(id);
+        Content content = writes && value.isReadable() ? new Content(Unpooled.copiedBuffer(value), null)
+                : Content.EMPTY;
+        double remainingMs = Math.min(admitted.budgetMs(),
+                deadlines.remainingMs(admitted.serviceClass().deadlineMs(), passedMs, frontend.returnDelay()));
+        pending.addCall(id, frontend.intake().now() + remainingMs);
+        pipelineTimer.shortenDeadline(pending, pending.deadlineMs());
+        Request request = new Request(id, admitted.serviceClass().name(), session.tenant(), Targets.hash(path), 0,
+                remainingMs, writes, options.retry());
+        frontend.intake().submit(admitted, request, new Command<>(action, target, idempotencyKey, content), handler);
     }
 
-    /** What an idempotency key came to: how it stands, the call that it is of, and for how many milliseconds; nil for nothing. */
-    private boolean outcome(List<Resp> words) {
+    /**
+     * Replies with the outcome of an idempotency key: its state, the id of its call, and since how many milliseconds it
+     * has this state; nil for a key without a record.
+     */
+    private boolean queryOutcome(List<Resp> words) {
         if (words.size() != 2) {
-            answer(Replies.arguments("ridge.outcome"));
+            reply(RespErrors.wrongArity("ridge.outcome"));
             return true;
         }
-        if (!session.mayAsk()) {
-            answer(Replies.NOAUTH);
+        if (!session.isAuthorized()) {
+            reply(RespErrors.NOAUTH);
             return true;
         }
-        busy();
-        Slot slot = Slot.awaited(this, session.version());
-        slots.add(slot);
-        order.add(slot, Double.POSITIVE_INFINITY);
-        front.intake().findOutcome(text(words, 1), session.tenant(), known -> {
-            if (!slot.isWhole()) {
-                slot.fill(known == null ? Resp.NULL : Resp.blobs(known.isRunning() ? "running"
-                        : known.state().name().toLowerCase(Locale.ROOT), known.call(),
-                        Long.toString(Math.round(front.intake().now() - known.sinceMs()))));
-                whole(slot);
+        requestStarted();
+        PendingReply pending = PendingReply.pending(this, session.protocolVersion());
+        pendingReplies.add(pending);
+        pipelineTimer.add(pending, Double.POSITIVE_INFINITY);
+        frontend.intake().findOutcome(text(words, 1), session.tenant(), record -> {
+            if (!pending.isComplete()) {
+                pending.complete(record == null ? Resp.NULL : Resp.blobs(record.isRunning() ? "running"
+                        : record.state().name().toLowerCase(Locale.ROOT), record.callId(),
+                        Long.toString(Math.round(frontend.intake().now() - record.stateSinceMs()))));
+                commandCompleted(pending);
             }
         });
         return true;
@@ -341,52 +371,52 @@
         };
     }
 
-    /** A part makes no sense: the whole command is answered so, though other parts of it may go on. */
-    private void refuse(Slot slot, String why) {
-        if (!slot.isWhole()) {
-            slot.invalid(Replies.error(why + "; nothing of this key ran"));
-            whole(slot);
+    /** Replies to the whole command with an error because one call is invalid. Its other calls may still run. */
+    private void rejectCall(PendingReply pending, String message) {
+        if (!pending.isComplete()) {
+            pending.failInvalid(RespErrors.error(message + "; nothing of this key ran"));
+            commandCompleted(pending);
         }
     }
 
-    private void answer(Resp reply) {
-        busy();
-        slots.add(Slot.answered(this, session.version(), reply));
-        order.add(slots.peekLast(), Double.POSITIVE_INFINITY);
-        held += slots.peekLast().held();
+    private void reply(Resp reply) {
+        requestStarted();
+        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), reply));
+        pipelineTimer.add(pendingReplies.peekLast(), Double.POSITIVE_INFINITY);
+        bufferedBytes += pendingReplies.peekLast().size();
         write();
     }
 
-    boolean tellsWhy() {
-        return front.tellsWhy();
+    boolean sendsReasons() {
+        return frontend.sendsReasons();
     }
 
-    /** A call has its final answer. */
-    void settled(String id) {
-        calls.remove(id);
+    /** Called when a call has its final response. */
+    void callEnded(String id) {
+        openCallIds.remove(id);
     }
 
-    /** A command has its reply. */
-    void whole(Slot slot) {
-        held += slot.held();
+    /** Called when the reply of a command is complete. */
+    void commandCompleted(PendingReply pending) {
+        bufferedBytes += pending.size();
         write();
     }
 
-    /** Writes the replies that no earlier one holds up; flushed once for all that ends within one turn of the loop. */
+    /** Writes the complete replies that no earlier one blocks. Flushes once for all replies of one turn of the loop. */
     private void write() {
         if (phase() == Phase.CLOSING) {
             return;
         }
-        boolean any = false;
-        while (!slots.isEmpty() && slots.peek().isWhole()) {
-            Slot done = slots.poll();
-            order.left();
-            held -= done.held();
+        boolean anyWritten = false;
+        while (!pendingReplies.isEmpty() && pendingReplies.peek().isComplete()) {
+            PendingReply done = pendingReplies.poll();
+            pipelineTimer.removeFirst();
+            bufferedBytes -= done.size();
             ChannelFuture written = channel().write(done.take());
-            writing(written);
-            any = true;
+            trackWrite(written);
+            anyWritten = true;
         }
-        if (any && !flushing) {
+        if (anyWritten && !flushing) {
             flushing = true;
             writtenNanos = System.nanoTime();
             channel().eventLoop().execute(this::flush);
@@ -395,56 +425,56 @@
 
     private void flush() {
         flushing = false;
-        if (slots.isEmpty() && (last || (mustEnd() || inputEnded) && backlog.isEmpty())) {
-            enter(Phase.CLOSING);
+        if (pendingReplies.isEmpty() && (closing || (mustCloseIdle() || inputEnded) && backlog.isEmpty())) {
+            enterPhase(Phase.CLOSING);
             channel().writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel().flush();
-        front.wayBack().took((System.nanoTime() - writtenNanos) / 1e6);
-        if (slots.isEmpty() && phase() == Phase.BUSY) {
-            enter(decoder.isWithin() && backlog.isEmpty() ? Phase.READING : Phase.IDLE);
-            used();
+        frontend.returnDelay().record((System.nanoTime() - writtenNanos) / 1e6);
+        if (pendingReplies.isEmpty() && phase() == Phase.BUSY) {
+            enterPhase(decoder.isWithin() && backlog.isEmpty() ? Phase.READING : Phase.IDLE);
+            markUsed();
         }
-        pump();
+        processBacklog();
     }
 
-    /** The last that the client is told; what it sends further is not read. */
-    private void end(Resp.Err why) {
-        last = true;
-        slots.add(Slot.answered(this, session.version(), why));
-        order.add(slots.peekLast(), Double.POSITIVE_INFINITY);
+    /** Sends the connection's last reply. Further input is not processed. */
+    private void replyAndClose(Resp.Err error) {
+        closing = true;
+        pendingReplies.add(PendingReply.answered(this, session.protocolVersion(), error));
+        pipelineTimer.add(pendingReplies.peekLast(), Double.POSITIVE_INFINITY);
         drop(backlog);
         write();
     }
 
-    private static void drop(Queue<Waiting> commands) {
-        commands.forEach(w -> w.command().release());
+    private static void drop(Queue<QueuedCommand> commands) {
+        commands.forEach(c -> c.command().release());
         commands.clear();
     }
 
     @Override
-    protected void tooSlow() {
-        end(Replies.error("Protocol error: the command has not come in time"));
+    protected void requestTimedOut() {
+        replyAndClose(RespErrors.error("Protocol error: the command has not come in time"));
     }
 
     @Override
-    protected void left() {
+    protected void disconnected() {
         drop(backlog);
-        order.close();
-        List<String> open = List.copyOf(calls);
-        calls.clear();
-        slots.forEach(Slot::drop);
-        slots.clear();
-        open.forEach(front.intake()::clientGone);
+        pipelineTimer.cancel();
+        List<String> open = List.copyOf(openCallIds);
+        openCallIds.clear();
+        pendingReplies.forEach(PendingReply::drop);
+        pendingReplies.clear();
+        open.forEach(frontend.intake()::clientDisconnected);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (cause instanceof RespException && phase() != Phase.CLOSING && !last) {
-            // Commands before it have their replies first; this one is the last.
-            busy();
-            end(Replies.error("Protocol error: " + cause.getMessage()));
+        if (cause instanceof RespException && phase() != Phase.CLOSING && !closing) {
+            // The replies to earlier commands are sent first; this error is the last reply.
+            requestStarted();
+            replyAndClose(RespErrors.error("Protocol error: " + cause.getMessage()));
         } else if (!(cause instanceof RespException)) {
             if (!(cause instanceof IOException)) {
                 Log.error("a client's connection failed", cause);
@@ -457,8 +487,8 @@
         return ((Resp.Blob) words.get(at)).text();
     }
 
-    /** A command's own word, which is the same in capitals and not. */
-    private static String word(List<Resp> words, int at) {
+    /** Returns a word of a command in upper case (ASCII letters only), as commands and options are case-insensitive. */
+    private static String upperCaseWord(List<Resp> words, int at) {
         ByteBuf bytes = ((Resp.Blob) words.get(at)).bytes();
         StringBuilder word = new StringBuilder(bytes.readableBytes());
         String text = bytes.toString(StandardCharsets.ISO_8859_1);
--- a/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/DeadlinesSection.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Set;
 import ridgemill.deadline.DeadlinePolicy;
-import ridgemill.deadline.TimeSaid.Form;
-import ridgemill.gateway.front.http.HttpTerms;
+import ridgemill.deadline.ClientTimeout.Format;
+import ridgemill.gateway.front.http.HttpClientPolicy;
 
 /** {@code [deadlines]}: how clients say how long they wait, and what is made of it. */
 final class DeadlinesSection {
@@ -25,30 +25,30 @@
             DeadlinePolicy policy = new DeadlinePolicy(s.flag("drop").orElse(true), s.flag("unread").orElse(true),
                     s.flag("weigh-cancels").orElse(false), s.number("most-reserve", 0, MOST_RESERVE).orElse(0.1));
             boolean required = s.flag("required").orElse(true);
-            HttpTerms terms = new HttpTerms(forms(s), !required, s.word("half-close", HALF_CLOSE).orElse("leaves").equals("stays"),
+            HttpClientPolicy terms = new HttpClientPolicy(forms(s), !required, s.word("half-close", HALF_CLOSE).orElse("leaves").equals("stays"),
                     s.count("side-by-side", 1, MOST_SIDE_BY_SIDE).orElse(SIDE_BY_SIDE), tellsWhy);
             s.done();
             return new DeadlineSettings(policy, terms);
         }).orElseGet(() -> {
-            HttpTerms t = HttpTerms.PLATFORM;
-            return new DeadlineSettings(DeadlinePolicy.USUAL, new HttpTerms(t.forms(), t.unsaid(), t.halfCloseStays(), t.sideBySide(), tellsWhy));
+            HttpClientPolicy t = HttpClientPolicy.PLATFORM;
+            return new DeadlineSettings(DeadlinePolicy.DEFAULT, new HttpClientPolicy(t.timeoutFormats(), t.timeoutOptional(), t.allowsHalfClose(), t.maxConcurrentRequests(), tellsWhy));
         });
     }
 
-    private static Set<Form> forms(Section s) {
-        Set<Form> forms = EnumSet.noneOf(Form.class);
+    private static Set<Format> forms(Section s) {
+        Set<Format> forms = EnumSet.noneOf(Format.class);
         for (String name : s.texts("forms")) {
             int at = FORMS.indexOf(name);
             if (at < 0) {
                 s.problem("forms", "unknown-word", "\"" + name + "\" is none of " + String.join(", ", FORMS),
                         "did you mean \"" + Nearest.of(name, FORMS) + "\"?");
-            } else if (!forms.add(Form.values()[at])) {
+            } else if (!forms.add(Format.values()[at])) {
                 s.problem("forms", "duplicate", "\"" + name + "\" stands there twice", "leave one");
             }
         }
         if (s.has("forms") && forms.isEmpty()) {
             s.problem("forms", "missing", "names no form in which a time may be said", "name \"seconds\", or leave it out");
         }
-        return forms.isEmpty() ? EnumSet.of(Form.SECONDS) : forms;
+        return forms.isEmpty() ? EnumSet.of(Format.SECONDS) : forms;
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/LimitsSection.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import ridgemill.classes.ClassPolicy;
+import ridgemill.serviceclass.ServiceClassPolicy;
 import ridgemill.limit.Limits;
 import ridgemill.limit.Rate;
 import ridgemill.limit.RetryBudget;
@@ -24,11 +24,11 @@
 
     private LimitsSection() { }
 
-    static Limits read(Section root, Map<String, ClassPolicy> policies) {
+    static Limits read(Section root, Map<String, ServiceClassPolicy> policies) {
         return root.table("limits").map(s -> limits(s, policies)).orElse(Limits.NONE);
     }
 
-    private static Limits limits(Section s, Map<String, ClassPolicy> policies) {
+    private static Limits limits(Section s, Map<String, ServiceClassPolicy> policies) {
         Set<String> classes = policies.keySet();
         Optional<Integer> inFlight = s.count("in-flight", 1, MOST_IN_FLIGHT);
         Map<String, Integer> classInFlight = new HashMap<>();
@@ -67,7 +67,7 @@
             t.done();
             return rate;
         });
-        Optional<RetryBudget.Terms> retries = s.table("retries").map(LimitsSection::retries);
+        Optional<RetryBudget.Config> retries = s.table("retries").map(LimitsSection::retries);
         Optional<Limits.Queue> queue = s.table("queue").map(q -> queue(q, inFlight, policies));
         Optional<Integer> perClient = s.count("connections-per-client", 1, MOST_IN_FLIGHT);
         s.done();
@@ -75,15 +75,15 @@
                 retries.orElse(null), queue.orElse(null), perClient.orElse(Integer.MAX_VALUE));
     }
 
-    private static Limits.Queue queue(Section s, Optional<Integer> inFlight, Map<String, ClassPolicy> policies) {
+    private static Limits.Queue queue(Section s, Optional<Integer> inFlight, Map<String, ServiceClassPolicy> policies) {
         int places = s.count("places", 1, MOST_IN_FLIGHT).orElse(DEFAULT_PLACES);
         double wait = s.duration("wait").orElse(DEFAULT_WAIT_MS);
         if (inFlight.isEmpty()) {
             s.problem(null, "never-reached", "nobody ever waits: limits has no in-flight", "set in-flight, or leave it out");
         }
-        policies.values().stream().filter(p -> wait >= p.wantedMs()).findFirst().ifPresent(p -> s.problem("wait",
+        policies.values().stream().filter(p -> wait >= p.targetLatencyMs()).findFirst().ifPresent(p -> s.problem("wait",
                 "wait-too-long", "one of class " + p.name() + " that waited so long is past its wanted time",
-                "lower it to well below " + (long) p.wantedMs() + "ms"));
+                "lower it to well below " + (long) p.targetLatencyMs() + "ms"));
         s.done();
         return new Limits.Queue(places, wait);
     }
@@ -97,11 +97,11 @@
         return perS.map(r -> new Rate(r, burst.orElse(Math.max(1, r * DEFAULT_BURST_S))));
     }
 
-    private static RetryBudget.Terms retries(Section s) {
+    private static RetryBudget.Config retries(Section s) {
         double share = s.number("share", 0, 1).orElse(DEFAULT_SHARE);
         double least = s.rate("least").orElse(DEFAULT_LEAST);
         double window = s.duration("window").orElse(DEFAULT_WINDOW_MS);
         s.done();
-        return new RetryBudget.Terms(share, least, window);
+        return new RetryBudget.Config(share, least, window);
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/NodeGroups.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ridgemill.gateway.Service;
-import ridgemill.gateway.back.NodeBack;
-import ridgemill.gateway.back.NodePool;
+import ridgemill.gateway.back.NodeBackend;
+import ridgemill.gateway.back.NodeConnectionPool;
 import ridgemill.gateway.back.http.HttpNodeConnection;
-import ridgemill.gateway.back.resp.RespBack;
-import ridgemill.gateway.back.resp.RespNodes;
+import ridgemill.gateway.back.resp.RespBackend;
+import ridgemill.gateway.back.resp.RespNodeConfig;
 import ridgemill.gateway.lease.LeaseService;
-import ridgemill.gateway.lease.SharedReading;
+import ridgemill.gateway.lease.SharedRegistryReader;
 import ridgemill.gateway.membership.HostList;
 import ridgemill.gateway.membership.eureka.EurekaClient;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
@@ -32,13 +32,13 @@
 import ridgemill.membership.Membership;
 import ridgemill.membership.MembershipPolicy;
 import ridgemill.membership.Status;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router.Availability;
-import ridgemill.policy.Router.Limits;
+import ridgemill.policy.Router.PlatformLimits;
 import ridgemill.policy.Router.Node;
 import ridgemill.policy.Router.Outcome;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
 
 /**
  * The groups of nodes of the operator file that holds, each with decisions of its own. Who is in a group is decided by its
@@ -58,7 +58,7 @@
     /** A group that is there, what it was made from, and who is in it. */
     private static final class Live {
         final Service.Group group;
-        final Membership membership = new Membership(MembershipPolicy.USUAL);
+        final Membership membership = new Membership(MembershipPolicy.DEFAULT);
         /** Those that have said themselves that they take no new work. */
         final Set<String> draining = new HashSet<>();
         NodeGroup from;
@@ -67,9 +67,9 @@
         Live(NodeGroup from, Service.Group group) {
             this.from = from;
             this.group = group;
-            membership.trust(FILE);
+            membership.trustSource(FILE);
             // Its removals are a platform's word to be kept to within the drain's grace.
-            membership.trust(PLATFORM);
+            membership.trustSource(PLATFORM);
         }
     }
 
@@ -82,7 +82,7 @@
     private EurekaSettings asked;
     /** By whom one proxy may read for the fleet; null where there are no leases. */
     private final LeaseService leases;
-    private SharedReading reading;
+    private SharedRegistryReader reading;
     private long version;
 
     NodeGroups(Service service, Settings settings, long seed, Clock clock, LeaseService leases) {
@@ -100,35 +100,35 @@
             Live there = live.get(next.name());
             if (there != null && !alike(there.from, next)) {
                 // Another protocol, or a store where none was: what was learned does not hold.
-                there.group.drop(++version);
+                there.group.remove(++version);
                 there = null;
             }
             if (there == null) {
-                there = new Live(next, service.group(next.name(), settings(next), new Decide(settings(next), seed), back(next)));
+                there = new Live(next, service.addGroup(next.name(), settings(next), new BalancingRouter(settings(next), seed), back(next)));
                 live.put(next.name(), there);
             }
             if (next.eureka() == null || !next.eureka().equals(there.from.eureka())) {
-                there.membership.forget(clock.now(), EUREKA);
+                there.membership.removeSource(clock.now(), EUREKA);
             }
             if (!next.platform()) {
-                there.membership.forget(clock.now(), PLATFORM);
+                there.membership.removeSource(clock.now(), PLATFORM);
             }
             there.from = next;
-            there.membership.told(clock.now(), FILE, next.members().stream().map(m -> new Instance(m.name(), Addresses.text(m.address()),
+            there.membership.applySnapshot(clock.now(), FILE, next.members().stream().map(m -> new Instance(m.name(), Addresses.text(m.address()),
                     Status.UP, "", 1, 0, 0)).toList());
             if (next.platform()) {
-                there.membership.told(clock.now(), PLATFORM, listed());
+                there.membership.applySnapshot(clock.now(), PLATFORM, listed());
             }
             apply(there);
         }
         registry(groups, registry);
-        service.onHosts(groups.values().stream().anyMatch(NodeGroup::platform) ? this::platformTold : () -> { });
+        service.onHostListChange(groups.values().stream().anyMatch(NodeGroup::platform) ? this::platformTold : () -> { });
     }
 
     private void platformTold() {
         List<Instance> listed = listed();
         live.values().stream().filter(l -> l.from.platform())
-                .forEach(l -> report(l, l.membership.told(clock.now(), PLATFORM, listed)));
+                .forEach(l -> report(l, l.membership.applySnapshot(clock.now(), PLATFORM, listed)));
     }
 
     /** The platform's cache nodes as its own list has them. */
@@ -153,17 +153,17 @@
             EurekaClient.Listener members = new EurekaClient.Listener() {
                 @Override
                 public void told(String app, List<Instance> instances) {
-                    each(app, l -> report(l, l.membership.told(clock.now(), EUREKA, instances)));
+                    each(app, l -> report(l, l.membership.applySnapshot(clock.now(), EUREKA, instances)));
                 }
 
                 @Override
                 public void failed(String why) {
                     live.values().stream().filter(l -> l.from.eureka() != null)
-                            .forEach(l -> l.membership.failed(clock.now(), EUREKA, why));
+                            .forEach(l -> l.membership.sourceFailed(clock.now(), EUREKA, why));
                 }
             };
             reading = wanted.oneReader() == null || leases == null ? null
-                    : new SharedReading(leases, wanted.oneReader(), apps, seed, members, () -> eureka.askNow());
+                    : new SharedRegistryReader(leases, wanted.oneReader(), apps, seed, members, () -> eureka.askNow());
             eureka = new EurekaClient(service.loop(), wanted, seed, reading == null ? members : reading);
             eureka.start();
         }
@@ -199,7 +199,7 @@
 
     private void report(Live l, List<Member> changes) {
         changes.forEach(m -> Log.info("group " + l.from.name() + ": " + m.id() + " at " + m.address() + " is " + m.state() + " by "
-                + m.by() + ": " + m.why()));
+                + m.source() + ": " + m.reason()));
         if (!changes.isEmpty()) {
             apply(l);
         }
@@ -218,7 +218,7 @@
         }
         if (l.told == null || !l.told.hosts().equals(hosts)) {
             l.told = new HostList(++version, true, hosts);
-            l.group.nodes(l.told);
+            l.group.setNodes(l.told);
         }
     }
 
@@ -230,7 +230,7 @@
     void drop(Map<String, NodeGroup> groups) {
         for (String name : List.copyOf(live.keySet())) {
             if (!groups.containsKey(name)) {
-                live.remove(name).group.drop(++version);
+                live.remove(name).group.remove(++version);
             }
         }
     }
@@ -242,9 +242,9 @@
         live.values().stream().sorted(Comparator.comparing(l -> l.from.name())).forEach(l -> {
             l.membership.members().forEach(m -> lines.add(String.format(Locale.ROOT, "%s %s %s %s since %.1f s by %s: %s",
                     l.from.name(), m.id(), m.address(), l.draining.contains(m.id()) ? "DRAINING" : m.state(),
-                    (now - m.sinceMs()) / 1000, l.draining.contains(m.id()) ? "itself" : m.by(),
-                    l.draining.contains(m.id()) ? "it says that it drains" : m.why())));
-            l.membership.sources(now).forEach((s, how) -> lines.add(l.from.name() + " source " + s + ": " + how));
+                    (now - m.stateSinceMs()) / 1000, l.draining.contains(m.id()) ? "itself" : m.source(),
+                    l.draining.contains(m.id()) ? "it says that it drains" : m.reason())));
+            l.membership.describeSources(now).forEach((s, how) -> lines.add(l.from.name() + " source " + s + ": " + how));
         });
         if (reading != null) {
             lines.addAll(reading.explain());
@@ -252,17 +252,17 @@
         return lines;
     }
 
-    private NodeBack back(NodeGroup g) {
+    private NodeBackend back(NodeGroup g) {
         double connectMs = settings.limits().connectTimeoutMs();
-        double idleMs = settings.connections().idleMs();
+        double idleMs = settings.connectionCosts().idleTimeoutMs();
         boolean missIsAnswer = g.store() == null;
         if (g.resp() == null) {
-            return new NodePool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
-                    service.nodeSockets());
+            return new NodeConnectionPool(service.loop(), Transport.TCP, () -> new HttpNodeConnection(missIsAnswer), connectMs, idleMs,
+                    service.nodeConnectionLimit());
         }
-        return new RespBack(service.loop(), Transport.TCP, new RespNodes(g.resp().plain() ? RespNodes.Dialect.PLAIN
-                : RespNodes.Dialect.FLEET, g.resp().user(), g.resp().password(), missIsAnswer, g.store() == null ? null : STORE,
-                g.resp().fillMs(), g.resp().guardMs(), g.resp().cancels()), connectMs, idleMs, service.nodeSockets(),
+        return new RespBackend(service.loop(), Transport.TCP, new RespNodeConfig(g.resp().plain() ? RespNodeConfig.Dialect.PLAIN
+                : RespNodeConfig.Dialect.FLEET, g.resp().user(), g.resp().password(), missIsAnswer, g.store() == null ? null : STORE,
+                g.resp().fillMs(), g.resp().guardMs(), g.resp().cancels()), connectMs, idleMs, service.nodeConnectionLimit(),
                 node -> drains(g.name(), node));
     }
 
@@ -299,10 +299,10 @@
 
     /** The platform's settings for nodes that are all listed, of one size, and about which no peer tells. */
     private Settings settings(NodeGroup g) {
-        Limits l = settings.limits();
-        return new Settings(settings.index(), settings.proxies(), settings.zone(), settings.tickMs(), settings.classes(),
-                settings.tenants(), settings.overShareWorth(), settings.worthByWork(), new Limits(l.maxAttempts(), l.cancel(),
-                l.probes(), false, l.retryAfter(), l.maxRetryAfterMs(), l.secondCopies(), l.connectTimeoutMs()),
-                settings.rules(), false, Weights.NONE, g.store() == null ? null : STORE, settings.connections());
+        PlatformLimits l = settings.limits();
+        return new Settings(settings.proxyIndex(), settings.proxyCount(), settings.zone(), settings.tickMs(), settings.classes(),
+                settings.tenants(), settings.overQuotaFactor(), settings.valueByWork(), new PlatformLimits(l.maxAttempts(), l.cancelAllowed(),
+                l.probesAllowed(), false, l.retryAfterAllowed(), l.maxRetryAfterMs(), l.hedgingAllowed(), l.connectTimeoutMs()),
+                settings.rules(), false, WeightMode.NONE, g.store() == null ? null : STORE, settings.connectionCosts());
     }
 }
--- a/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/Operated.java
@@ -17,17 +17,16 @@
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
-import ridgemill.classes.PlatformFacts;
 import ridgemill.gateway.Config;
-import ridgemill.gateway.Crew;
+import ridgemill.gateway.MultiLoopService;
 import ridgemill.gateway.Service;
 import ridgemill.gateway.audit.AuditService;
 import ridgemill.gateway.control.ControlServer;
-import ridgemill.gateway.front.resp.RespFront;
-import ridgemill.gateway.halls.HallCrossings;
+import ridgemill.gateway.front.resp.RespFrontend;
+import ridgemill.gateway.datacenter.DatacenterForwarder;
 import ridgemill.gateway.lease.LeaseService;
 import ridgemill.gateway.lease.LeaseSettings;
-import ridgemill.gateway.lease.SharedProbing;
+import ridgemill.gateway.lease.SharedProber;
 import ridgemill.gateway.membership.eureka.EurekaRegistration;
 import ridgemill.gateway.net.Clock;
 import ridgemill.gateway.net.Log;
@@ -35,13 +34,14 @@
 import ridgemill.gateway.net.Transport;
 import ridgemill.gateway.operator.OperatorConfig.Listener;
 import ridgemill.gateway.rollout.RolloutService;
-import ridgemill.gateway.succession.ServingMark;
+import ridgemill.gateway.succession.ServingProcessFile;
+import ridgemill.idempotency.IdempotencyRecords;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
 import ridgemill.limit.LoopShare;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
 import ridgemill.policy.Router.Settings;
 import ridgemill.policy.Router;
-import ridgemill.version.Acting;
+import ridgemill.serviceclass.PlatformConstraints;
+import ridgemill.version.EffectiveVersion;
 
 /** A proxy that runs under an operator file, which may be read again while it serves. */
 public final class Operated {
@@ -61,7 +61,7 @@
     public record Reload(boolean taken, String summary, List<Problem> problems, List<String> notes) { }
 
     private final String file;
-    private final PlatformFacts platform;
+    private final PlatformConstraints platform;
     private final Clock clock = new Clock();
     private final Config config;
     /** One for each loop; a single one where the file asks for no more. */
@@ -73,15 +73,15 @@
         return thread;
     });
     private OperatorConfig holds;
-    private Crew crew;
+    private MultiLoopService crew;
     private SharedLimits shared;
     private ControlServer control;
     private EurekaRegistration registration;
-    private HallCrossings halls;
+    private DatacenterForwarder halls;
     private LeaseService leases;
     private AuditService audit;
     private String build;
-    private SharedProbing probing;
+    private SharedProber probing;
     private RolloutService rollout;
     private final RolledFile rolled;
     private long reloads;
@@ -91,8 +91,8 @@
         final Service service;
         final OperatorGate gate;
         NodeGroups groups;
-        RespFront resp;
-        Outcomes outcomes;
+        RespFrontend resp;
+        IdempotencyRecords outcomes;
 
         Seat(Service service, OperatorGate gate) {
             this.service = service;
@@ -101,26 +101,26 @@
 
         /** Runs a task between two of the loop's requests; not to be called on it. */
         void between(Runnable task) {
-            service.between(task);
+            service.runOnLoop(task);
         }
 
         /** On the loop, as what follows. */
         void deadlines(DeadlineSettings next) {
-            service.intake().deadlines().changeTo(next.policy());
-            service.terms(next.terms());
+            service.intake().deadlines().setPolicy(next.policy());
+            service.setHttpClientPolicy(next.terms());
             if (resp != null) {
-                resp.halfCloseStays(next.terms().halfCloseStays());
-                resp.tellsWhy(next.terms().tellsWhy());
+                resp.allowsHalfClose(next.terms().allowsHalfClose());
+                resp.sendsReasons(next.terms().sendsReasons());
             }
         }
 
         /** A record that was begun goes on, whatever a later file says of its size: what it knows would be lost else. */
         void outcomes(OutcomeSettings next) {
             if (next != null && outcomes == null) {
-                outcomes = new Outcomes(new MemoryOutcomes(next.most()), next.keepMs());
-                service.record(outcomes);
+                outcomes = new IdempotencyRecords(new InMemoryIdempotencyStore(next.most()), next.keepMs());
+                service.enableIdempotencyRecords(outcomes);
             } else if (next != null) {
-                outcomes.keep(next.keepMs());
+                outcomes.setRetentionMs(next.keepMs());
             }
         }
 
@@ -135,7 +135,7 @@
         this.file = file;
         this.config = config;
         this.holds = operator;
-        this.platform = PlatformFacts.of(config.settings());
+        this.platform = PlatformConstraints.of(config.settings());
         this.rolled = new RolledFile(file, platform, turns, this::take);
     }
 
@@ -153,11 +153,11 @@
      */
     public static Operated start(Config config, String file, Function<Settings, Router> routers)
             throws OperatorFileException, IOException, InterruptedException {
-        OperatorConfig operator = OperatorFile.read(file, PlatformFacts.of(config.settings()));
+        OperatorConfig operator = OperatorFile.read(file, PlatformConstraints.of(config.settings()));
         Operated operated = new Operated(file, config, operator);
         if (operator.audit() != null) {
             // Before anything listens, as it takes a while.
-            operated.build = AuditService.build();
+            operated.build = AuditService.buildId();
         }
         if (operator.process().loops() > 1) {
             operated.startCrew(routers);
@@ -185,11 +185,11 @@
         for (int i = 0; i < loops; i++) {
             gates.add(new OperatorGate(config.settings(), holds, clock.now(), new LoopShare(i, loops)));
         }
-        crew = Crew.start(config, loops, routers, gates::get);
+        crew = MultiLoopService.start(config, loops, routers, gates::get);
         for (int i = 0; i < loops; i++) {
             seats.add(new Seat(crew.members().get(i), gates.get(i)));
         }
-        shared = new SharedLimits(crew.door(), clock, holds.limits(), seats.stream()
+        shared = new SharedLimits(crew.acceptorLoop(), clock, holds.limits(), seats.stream()
                 .map(s -> new SharedLimits.Loop(s.service, s.gate)).toList());
         shared.start();
     }
@@ -205,8 +205,8 @@
             seat.between(() -> {
                 seat.groups = new NodeGroups(seat.service, config.settings(), config.seed(), clock, leases);
                 seat.groups.take(holds.groups(), holds.eureka());
-                seat.service.intake().classes(seat.gate.classes());
-                seat.service.clients().keepIdle(holds.process().idleMs());
+                seat.service.intake().updateClasses(seat.gate.classes());
+                seat.service.clients().setIdleTimeoutMs(holds.process().idleMs());
                 seat.deadlines(holds.deadlines());
                 seat.outcomes(holds.outcomes());
             });
@@ -216,9 +216,9 @@
         }
         if (leases != null) {
             String shared = holds.rollout() == null ? null : rolled.shared();
-            service().between(() -> {
-                service().onFleet(leases::heard);
-                service().moreFigures(leases::figures);
+            service().runOnLoop(() -> {
+                service().onFleetMessage(leases::datagramReceived);
+                service().addMetrics(leases::metrics);
                 probing(holds.leases());
                 if (shared != null) {
                     beginRollout(shared);
@@ -240,18 +240,18 @@
 
     /** The loop of what the process has once. */
     private EventLoop loop() {
-        return crew == null ? service().loop() : crew.door();
+        return crew == null ? service().loop() : crew.acceptorLoop();
     }
 
     private void beginHalls() throws IOException, InterruptedException {
         // The file's checks let no halls through beside several loops.
         Service service = service();
         IOException[] failed = {null};
-        service.between(() -> {
+        service.runOnLoop(() -> {
             try {
-                halls = new HallCrossings(service.loop(), new LoopTimers(service.loop(), clock), service.intake(), holds.halls(),
-                        service::level, config.seed());
-                service.onStop(halls::stop);
+                halls = new DatacenterForwarder(service.loop(), new LoopTimers(service.loop(), clock), service.intake(), holds.halls(),
+                        service::throttleLevel, config.seed());
+                service.onStopListening(halls::stop);
             } catch (IOException e) {
                 failed[0] = e;
             }
@@ -261,7 +261,7 @@
         }
         ChannelFuture bound = halls.listen();
         if (bound != null) {
-            Service.bound(bound, holds.halls().listen());
+            Service.awaitBound(bound, holds.halls().listen());
         }
     }
 
@@ -269,16 +269,16 @@
     private void beginAudit() {
         // The file's checks let no record through beside several loops.
         Service service = service();
-        service.between(() -> {
+        service.runOnLoop(() -> {
             audit = new AuditService(service.loop(), new LoopTimers(service.loop(), clock), config, build, holds.version(), holds.digest(),
-                    holds.audit().tellVersion(), service::tellPeer);
-            audit.keepRequests(holds.audit().requests());
+                    holds.audit().tellVersion(), service::sendToPeer);
+            audit.keepTraces(holds.audit().requests());
             if (holds.audit().directory() != null) {
-                audit.keepIn(holds.audit().directory(), holds.audit().fileBytes());
+                audit.writeTo(holds.audit().directory(), holds.audit().fileBytes());
             }
-            service.intake().acts(audit.record());
-            service.onFleet(audit::heard);
-            service.moreFigures(audit::figures);
+            service.intake().setVersionTracker(audit.history());
+            service.onFleetMessage(audit::datagramReceived);
+            service.addMetrics(audit::metrics);
         });
     }
 
@@ -290,34 +290,34 @@
         // The file's checks let no leases through beside several loops.
         Service service = service();
         leases = new LeaseService(service.loop(), new LoopTimers(service.loop(), clock), config.name(), config.peers(),
-                config.settings().index(), config.seed(), ServingMark.directory(), holds.leases(), service::tellPeer);
+                config.settings().proxyIndex(), config.seed(), ServingProcessFile.sharedDirectory(), holds.leases(), service::sendToPeer);
         if (audit != null) {
-            leases.tells(audit::lease);
+            leases.setStatusListener(audit::leaseChanged);
         }
     }
 
     /** On the loop: takes part in rolls, and steps aside where it lags. */
     private void beginRollout(String shared) {
         Service service = service();
-        rollout = new RolloutService(service.loop(), leases, audit, service.intake()::tally, holds.rollout(),
-                config.peers().stream().map(LeaseSettings::number).toList(), config.settings().index(), rolled);
-        rollout.actsUnder(RolledFile.stamp(holds, shared), shared);
-        seats.get(0).gate.aside(rollout::isOut);
-        service.clients().aside(rollout::isOut);
-        service.mutes(audit::isOut);
-        leases.mutes(audit::isOut);
-        service.moreFigures(rollout::figures);
+        rollout = new RolloutService(service.loop(), leases, audit, service.intake()::counters, holds.rollout(),
+                config.peers().stream().map(LeaseSettings::memberId).toList(), config.settings().proxyIndex(), rolled);
+        rollout.setInEffect(RolledFile.stamp(holds, shared), shared);
+        seats.get(0).gate.aside(rollout::isOutOfService);
+        service.clients().outOfServiceWhile(rollout::isOutOfService);
+        service.ignorePeers(audit::isOutOfService);
+        leases.ignoreLeaseMessagesFrom(audit::isOutOfService);
+        service.addMetrics(rollout::metrics);
     }
 
     /** Begins to have one proxy ask spared nodes for all, or ends it; on the loop. */
     private void probing(LeaseSettings settings) {
-        if (settings.probes() && probing == null) {
-            probing = new SharedProbing(leases, () -> {
+        if (settings.sharedProbing() && probing == null) {
+            probing = new SharedProber(leases, () -> {
                 Map<String, Service.Group> groups = seats.get(0).groups.groups();
                 groups.put("", service().platform());
                 return groups;
             });
-        } else if (!settings.probes() && probing != null) {
+        } else if (!settings.sharedProbing() && probing != null) {
             probing.close();
             probing = null;
         }
@@ -330,7 +330,7 @@
 
     /** Where clients connect. */
     public InetSocketAddress listening() {
-        return crew == null ? service().listening() : crew.listening();
+        return crew == null ? service().listenAddress() : crew.listenAddress();
     }
 
     /** What the process says of itself, over all loops; not to be called on a loop. */
@@ -354,7 +354,7 @@
 
     /** How each of several loops is, a line each; empty where one serves. Not to be called on a loop. */
     public List<String> loops() {
-        return crew == null ? List.of() : crew.explain();
+        return crew == null ? List.of() : crew.describeLoops();
     }
 
     /** Waits until the proxy has ended. */
@@ -397,16 +397,16 @@
         for (Seat seat : seats) {
             seat.between(() -> {
                 if (seat.resp == null) {
-                    seat.resp = new RespFront(seat.service.loop(), seat.service.intake(), seat.service.clients());
-                    seat.service.onStop(seat.resp::stop);
-                    seat.resp.halfCloseStays(config.deadlines().terms().halfCloseStays());
-                    seat.resp.tellsWhy(config.deadlines().terms().tellsWhy());
+                    seat.resp = new RespFrontend(seat.service.loop(), seat.service.intake(), seat.service.clients());
+                    seat.service.onStopListening(seat.resp::stopListening);
+                    seat.resp.allowsHalfClose(config.deadlines().terms().allowsHalfClose());
+                    seat.resp.sendsReasons(config.deadlines().terms().sendsReasons());
                     seat.passwords(config);
                 }
             });
         }
         if (crew == null) {
-            Service.bound(seats.get(0).resp.listen(Transport.TCP, l.address()), l.address());
+            Service.awaitBound(seats.get(0).resp.listen(Transport.TCP, l.address()), l.address());
         } else {
             crew.listen(l.address(), member -> seatOf(member).resp.listeners());
         }
@@ -418,11 +418,11 @@
 
     private void unlisten(Listener l) {
         if (crew != null) {
-            crew.unlisten(l.address());
+            crew.stopListeningAt(l.address());
         } else if (l.protocol().equals("http")) {
-            service().unlisten(l.address());
+            service().stopListeningAt(l.address());
         } else {
-            loop().execute(() -> seats.get(0).resp.unlisten(l.address()));
+            loop().execute(() -> seats.get(0).resp.stopListening(l.address()));
         }
     }
 
@@ -435,10 +435,10 @@
             registration.outOfService();
         }
         if (halls != null) {
-            loop().execute(halls::leave);
+            loop().execute(halls::announceLeaving);
         }
         if (leases != null) {
-            loop().execute(leases::leave);
+            loop().execute(leases::releaseAll);
         }
         Runnable last = () -> {
             if (registration != null) {
@@ -457,7 +457,7 @@
     private void endAudit() {
         try {
             if (audit != null) {
-                loop().submit(audit::keepCounts).sync();
+                loop().submit(audit::writeCounts).sync();
                 audit.close();
             }
         } catch (InterruptedException e) {
@@ -500,7 +500,7 @@
             result = new Reload(false, "the file that held goes on holding", e.problems(), List.of());
             if (audit != null) {
                 long version = OperatorFile.versionOf(file);
-                seats.get(0).between(() -> audit.refused(version, String.valueOf(e.problems().get(0))));
+                seats.get(0).between(() -> audit.fileRefused(version, String.valueOf(e.problems().get(0))));
             }
             e.problems().forEach(p -> Log.info("operator file not taken, the old one stays: " + p));
         }
@@ -510,10 +510,10 @@
 
     /** Numbers only grow, and one number is one text: an old file that comes back, or a fork, is not taken. */
     private void checkVersion(OperatorConfig next) throws OperatorFileException {
-        Acting.Step step = new Acting("", "", holds.version(), holds.digest()).next(next.version(), next.digest());
-        if (step != Acting.Step.TAKEN) {
-            throw new OperatorFileException(List.of(new Problem(file, 0, 0, step == Acting.Step.OLDER ? "older-version" : "forked-version",
-                    step == Acting.Step.OLDER ? "version " + next.version() + " is older than " + holds.version() + ", which holds"
+        EffectiveVersion.Acceptance step = new EffectiveVersion("", "", holds.version(), holds.digest()).checkSuccessor(next.version(), next.digest());
+        if (step != EffectiveVersion.Acceptance.ACCEPTED) {
+            throw new OperatorFileException(List.of(new Problem(file, 0, 0, step == EffectiveVersion.Acceptance.OLDER ? "older-version" : "forked-version",
+                    step == EffectiveVersion.Acceptance.OLDER ? "version " + next.version() + " is older than " + holds.version() + ", which holds"
                     : "version " + next.version() + " holds already, with another text", "go back, too, by a higher version")));
         }
     }
@@ -556,7 +556,7 @@
         if (!Objects.equals(holds.register(), next.register())) {
             notes.add("eureka.register holds from the next start on");
         }
-        if (!Objects.equals(holds.halls(), next.halls()) && (halls == null || !halls.isFixedIn(next.halls()))) {
+        if (!Objects.equals(holds.halls(), next.halls()) && (halls == null || !halls.hasSameFixedSettings(next.halls()))) {
             notes.add("halls: its name, listen and security hold from the next start on, and so does the section as a whole");
         }
         if (!Objects.equals(holds.audit(), next.audit())) {
@@ -582,7 +582,7 @@
             return null;
         }
         try {
-            leases.changeTo(next);
+            leases.applySettings(next);
             probing(next);
             return null;
         } catch (IllegalArgumentException e) {
@@ -592,20 +592,20 @@
 
     private void take(Seat seat, OperatorConfig next, String cause) {
         if (audit != null) {
-            audit.changed(next.version(), next.digest(), cause);
+            audit.fileChanged(next.version(), next.digest(), cause);
         }
         seat.groups.take(next.groups(), next.eureka());
         seat.gate.changeTo(next, clock.now());
-        seat.service.intake().classes(seat.gate.classes());
+        seat.service.intake().updateClasses(seat.gate.classes());
         // Those in line came under the old file and would be decided under the new one.
-        seat.service.intake().turnAwayIf(seat.gate::isOutdated);
+        seat.service.intake().rejectQueuedIf(seat.gate::isOutdated);
         seat.groups.drop(next.groups());
         seat.passwords(next);
-        seat.service.clients().keepIdle(next.process().idleMs());
+        seat.service.clients().setIdleTimeoutMs(next.process().idleMs());
         seat.deadlines(next.deadlines());
         seat.outcomes(next.outcomes());
-        if (halls != null && halls.isFixedIn(next.halls())) {
-            halls.changeTo(next.halls());
+        if (halls != null && halls.hasSameFixedSettings(next.halls())) {
+            halls.applySettings(next.halls());
         }
         seat.service.intake().limitsChanged();
     }
@@ -647,10 +647,10 @@
             case "nodes" -> CompletableFuture.supplyAsync(() -> linesJson("nodes", nodes()), turns);
             case "status" -> CompletableFuture.supplyAsync(this::statusJson, turns);
             case "audit" -> CompletableFuture.completedFuture(auditJson(null));
-            case "versions" -> CompletableFuture.completedFuture(linesJson("versions", audit == null ? List.of(NO_AUDIT) : audit.versions()));
+            case "versions" -> CompletableFuture.completedFuture(linesJson("versions", audit == null ? List.of(NO_AUDIT) : audit.describeFleet()));
             case "leases" -> CompletableFuture.completedFuture(leasesJson());
-            case "rolls" -> CompletableFuture.completedFuture(linesJson("rolls", rollout == null ? List.of(NO_ROLLS) : rollout.lines()));
-            case "roll-back" -> CompletableFuture.completedFuture(said(rollout == null ? NO_ROLLS : rollout.goBack()));
+            case "rolls" -> CompletableFuture.completedFuture(linesJson("rolls", rollout == null ? List.of(NO_ROLLS) : rollout.describe()));
+            case "roll-back" -> CompletableFuture.completedFuture(said(rollout == null ? NO_ROLLS : rollout.rollBack()));
             default -> line.startsWith("roll ") ? CompletableFuture.supplyAsync(() -> roll(line.substring("roll ".length())), turns)
                     : CompletableFuture.completedFuture(line.startsWith("lease ") ? leaseCommand(line)
                     : line.startsWith("audit ") ? auditJson(line.substring("audit ".length()))
@@ -671,9 +671,9 @@
         List<String> lines = new ArrayList<>();
         for (Seat seat : seats) {
             seat.between(() -> {
-                seat.service.intake().deadlines().explain().forEach((name, value) -> lines.add(name + "=" + value));
+                seat.service.intake().deadlines().metrics().forEach((name, value) -> lines.add(name + "=" + value));
                 if (seat.outcomes != null) {
-                    lines.add(seat.outcomes.explain());
+                    lines.add(seat.outcomes.summary());
                 }
             });
         }
@@ -683,7 +683,7 @@
     /** Of one request, or of all that is kept where that is null; on the loop. */
     private String auditJson(String request) {
         if (audit != null) {
-            return JSON.toJson(request == null ? audit.audit() : audit.request(request));
+            return JSON.toJson(request == null ? audit.auditJson() : audit.requestJson(request));
         }
         JsonObject o = new JsonObject();
         o.addProperty("reason", NO_AUDIT);
@@ -693,12 +693,12 @@
     /** On the loop. */
     private String leasesJson() {
         JsonObject o = new JsonObject();
-        List<String> lines = new ArrayList<>(leases == null ? List.of("there are no leases here: see [leases]") : leases.lines());
+        List<String> lines = new ArrayList<>(leases == null ? List.of("there are no leases here: see [leases]") : leases.describe());
         if (probing != null) {
             lines.addAll(probing.explain());
         }
         o.add("leases", JSON.toJsonTree(lines));
-        o.add("standing", JSON.toJsonTree(leases == null ? List.of() : leases.explain()));
+        o.add("standing", JSON.toJsonTree(leases == null ? List.of() : leases.statuses()));
         return JSON.toJson(o);
     }
 
@@ -720,7 +720,7 @@
         }
         try {
             String[] words = {null};
-            seats.get(0).between(() -> words[0] = rollout.actingText());
+            seats.get(0).between(() -> words[0] = rollout.textInEffect());
             RolledFile.Wanted wanted = rolled.wanted(path, words[0]);
             seats.get(0).between(() -> words[0] = rollout.begin(wanted.target(), wanted.targetText(), wanted.back(), wanted.backText()));
             return said(words[0]);
--- a/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
+++ b/gateway/src/main/java/ridgemill/gateway/operator/OperatorFile.java
@@ -16,9 +16,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlParseResult;
-import ridgemill.classes.ClassPolicy;
-import ridgemill.classes.PlatformFacts;
-import ridgemill.gateway.halls.HallSettings;
+import ridgemill.gateway.datacenter.DatacenterSettings;
 import ridgemill.gateway.lease.LeaseSettings;
 import ridgemill.gateway.membership.eureka.EurekaSettings;
 import ridgemill.gateway.operator.OperatorConfig.Listener;
@@ -26,8 +24,10 @@
 import ridgemill.gateway.rollout.RolloutSettings;
 import ridgemill.limit.Limits;
 import ridgemill.route.RouteTable;
-import ridgemill.version.Acting;
-import ridgemill.version.Entry;
+import ridgemill.serviceclass.PlatformConstraints;
+import ridgemill.serviceclass.ServiceClassPolicy;
+import ridgemill.version.AuditEntry;
+import ridgemill.version.EffectiveVersion;
 
 /**
  * Reads an operator file, in TOML 1.0, and checks all of it. Each section is read by a class of its own; a section that
@@ -38,7 +38,7 @@
     private OperatorFile() { }
 
     /** Reads a file; throws with every problem that it has. */
-    public static OperatorConfig read(String file, PlatformFacts platform) throws OperatorFileException {
+    public static OperatorConfig read(String file, PlatformConstraints platform) throws OperatorFileException {
         try {
             return parse(file, Files.readString(Path.of(file)), platform);
         } catch (IOException | InvalidPathException e) {
@@ -48,7 +48,7 @@
     }
 
     /** Reads a file's text; throws with every problem that it has. */
-    public static OperatorConfig parse(String file, String text, PlatformFacts platform) throws OperatorFileException {
+    public static OperatorConfig parse(String file, String text, PlatformConstraints platform) throws OperatorFileException {
         TomlParseResult parsed = Toml.parse(text);
         List<Problem> problems = new ArrayList<>();
         parsed.errors().forEach(e -> problems.add(new Problem(file, e.position().line(), e.position().column(), "syntax",
@@ -68,12 +68,12 @@
     private static String digest(TomlParseResult parsed) {
         StringBuilder text = new StringBuilder();
         said(parsed).forEach((key, value) -> text.append(key).append('=').append(value).append('\n'));
-        return Entry.hash(text.toString());
+        return AuditEntry.hash(text.toString());
     }
 
     private static SortedMap<String, String> said(TomlParseResult parsed) {
         SortedMap<String, String> said = new TreeMap<>();
-        parsed.dottedKeySet().stream().filter(k -> Acting.OWN_SECTIONS.stream().noneMatch(s -> k.startsWith(s + "."))).forEach(k -> {
+        parsed.dottedKeySet().stream().filter(k -> EffectiveVersion.LOCAL_SECTIONS.stream().noneMatch(s -> k.startsWith(s + "."))).forEach(k -> {
             Object value = parsed.get(k);
             said.put(k, String.valueOf(value instanceof TomlArray a ? a.toJson() : value).strip());
         });
@@ -132,8 +132,8 @@
         return String.valueOf(message).lines().findFirst().orElse("can't be read").replaceAll(" \\(line \\d+, column \\d+\\)", "");
     }
 
-    private static OperatorConfig sections(Section root, PlatformFacts platform, String digest) {
-        Map<String, ClassPolicy> classes = ClassesSection.read(root, platform);
+    private static OperatorConfig sections(Section root, PlatformConstraints platform, String digest) {
+        Map<String, ServiceClassPolicy> classes = ClassesSection.read(root, platform);
         EurekaSettings eureka = EurekaSection.read(root);
         Map<String, NodeGroup> groups = GroupsSection.read(root, eureka);
         RouteTable<Target> routes = RoutesSection.read(root, classes, groups);
@@ -141,7 +141,7 @@
         List<Listener> listeners = ListenersSection.read(root);
         Map<String, String> passwords = RespSection.read(root);
         Path control = ControlSection.read(root);
-        HallSettings halls = HallsSection.read(root, classes, platform);
+        DatacenterSettings halls = HallsSection.read(root, classes, platform);
         ProcessSettings process = ProcessSection.read(root, halls != null);
         DeadlineSettings deadlines = DeadlinesSection.read(root);
         OutcomeSettings outcomes = OutcomesSection.read(root, classes, process.loops());
--- a/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/DeadlinesTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ridgemill.deadline.TimeSaid.Form;
-import ridgemill.gateway.front.http.HttpTerms;
-import ridgemill.outcome.MemoryOutcomes;
-import ridgemill.outcome.Outcomes;
+import ridgemill.deadline.ClientTimeout.Format;
+import ridgemill.gateway.front.http.HttpClientPolicy;
+import ridgemill.idempotency.InMemoryIdempotencyStore;
+import ridgemill.idempotency.IdempotencyRecords;
 import ridgemill.policy.Reason;
 import ridgemill.policy.Router.Outcome;
 
@@ -27,16 +27,16 @@
     private Site site;
     private Peer.Wire client;
 
-    private void start(HttpTerms terms) throws Exception {
+    private void start(HttpClientPolicy terms) throws Exception {
         site = new Site();
         site.maxOpen = 64;
         site.start("automatic", "60000", "");
-        site.service.between(() -> site.service.terms(terms));
+        site.service.runOnLoop(() -> site.service.setHttpClientPolicy(terms));
         client = site.client();
     }
 
-    private static HttpTerms sideBySide(boolean halfCloseStays) {
-        return new HttpTerms(Set.of(Form.SECONDS, Form.GRPC), false, halfCloseStays, 4);
+    private static HttpClientPolicy sideBySide(boolean halfCloseStays) {
+        return new HttpClientPolicy(Set.of(Format.SECONDS, Format.GRPC), false, halfCloseStays, 4);
     }
 
     @AfterEach
@@ -140,7 +140,7 @@
 
     @Test
     void whereTheFileSaysNothingOneThatClosesItsHalfHasLeft() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         site.router.onGone = (end, out) -> out.cancel(end.request(), 0);
         client.write(site.get(Site.LONG_S));
         site.node.next();
@@ -152,7 +152,7 @@
     /** Its request is over before the connection to the node has come up: nothing is written there. */
     @Test
     void whatIsOverWhenItsConnectionComesUpIsNotWritten() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         site.router.onRequest = (request, out) -> {
             out.send(request.id(), "c0", 0);
             out.fail(request.id());
@@ -161,7 +161,7 @@
         assertEquals(502, Site.status(client.read()));
         var end = Scripted.next(site.router.ends);
         assertEquals(Outcome.NEVER_SENT, end.outcome());
-        assertTrue(end.finished());
+        assertTrue(end.requestFinished());
         site.router.onRequest = (request, out) -> out.send(request.id(), "c0", 0);
         client.write(site.get(Site.LONG_S));
         Peer.Message next = site.node.next();
@@ -173,7 +173,7 @@
     /** The proxy itself stands still for 3 s: what was asked meanwhile may be as old, and has no time left. */
     @Test
     void whatCameDuringAStallIsNotSentOn() throws Exception {
-        start(HttpTerms.PLATFORM);
+        start(HttpClientPolicy.PLATFORM);
         client.write(site.get(Site.LONG_S));
         site.node.next().wire().answer(200, "v");
         client.read();
@@ -226,7 +226,7 @@
     }
 
     private void record() {
-        site.service.between(() -> site.service.record(new Outcomes(new MemoryOutcomes(100), 60_000)));
+        site.service.runOnLoop(() -> site.service.enableIdempotencyRecords(new IdempotencyRecords(new InMemoryIdempotencyStore(100), 60_000)));
     }
 
     private static String outcome(Peer.Wire wire, String key) throws Exception {
@@ -260,15 +260,15 @@
 
     @Test
     void anAnswerSaysWhyWhereTheFileSaysSo() throws Exception {
-        start(new HttpTerms(Set.of(Form.SECONDS), false, false, 1, true));
+        start(new HttpClientPolicy(Set.of(Format.SECONDS), false, false, 1, true));
         site.router.onRequest = (request, out) -> {
-            out.because(request.id(), Reason.CROWDED);
+            out.reportReason(request.id(), Reason.CROWDED);
             out.refuse(request.id(), 0);
         };
         client.write(site.get(Site.LONG_S));
         assertTrue(client.read().contains("x-reason: crowded"));
         assertEquals(1L, site.service.status().reasons().get("read").get("crowded"));
-        site.service.between(() -> site.service.terms(HttpTerms.PLATFORM));
+        site.service.runOnLoop(() -> site.service.setHttpClientPolicy(HttpClientPolicy.PLATFORM));
         client.write(site.get(Site.LONG_S));
         assertTrue(!client.read().contains("x-reason"), "the platform's clients are told what they were told before");
     }
--- a/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/OperatedTest.java
@@ -31,7 +31,7 @@
 import ridgemill.gateway.control.ControlClient;
 import ridgemill.gateway.operator.Operated;
 import ridgemill.gateway.operator.OperatorFileException;
-import ridgemill.policy.Decide;
+import ridgemill.policy.BalancingRouter;
 import ridgemill.policy.Router;
 
 /** A proxy under an operator file, asked over its sockets: the control socket, groups, listeners and what is refused. */
@@ -69,7 +69,7 @@
         site = site == null ? new Site() : site;
         Files.writeString(file(), text);
         Config config = site.config("automatic", "60000", "");
-        operated = Operated.start(config, file().toString(), router == null ? new Decide(config.settings(), 7) : router);
+        operated = Operated.start(config, file().toString(), router == null ? new BalancingRouter(config.settings(), 7) : router);
         site.service = operated.service();
     }
 
@@ -116,7 +116,7 @@
     }
 
     private JsonObject command(String command) throws IOException {
-        return JsonParser.parseString(ControlClient.ask(socket(), command)).getAsJsonObject();
+        return JsonParser.parseString(ControlClient.send(socket(), command)).getAsJsonObject();
     }
 
     @AfterEach
@@ -165,7 +165,7 @@
         assertNotNull(command("status"));
         operated.closeControl();
         assertFalse(Files.exists(socket()));
-        assertThrows(IOException.class, () -> ControlClient.ask(socket(), "status"));
+        assertThrows(IOException.class, () -> ControlClient.send(socket(), "status"));
     }
 
     @Test
@@ -228,7 +228,7 @@
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
         String listener = "[[listener]]\nname = \"tills\"\naddress = \"127.0.0.1:%d\"\n";
         start(READ + control());
-        Files.writeString(file(), READ + control() + listener.formatted(site.service.listening().getPort()));
+        Files.writeString(file(), READ + control() + listener.formatted(site.service.listenAddress().getPort()));
         JsonObject taken = command("reload");
         assertFalse(taken.get("taken").getAsBoolean(), "the address is the platform's");
         assertTrue(taken.toString().contains("address-taken"), taken.toString());
--- a/gateway/src/test/java/ridgemill/gateway/RoomTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/RoomTest.java
@@ -8,7 +8,7 @@
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import org.junit.jupiter.api.Test;
-import ridgemill.connections.RoomCalls;
+import ridgemill.connections.ConnectionReleaseRequests;
 import ridgemill.policy.Router.Outcome;
 
 /** A node that takes no more connections: who is turned away says so, and who keeps an idle one there gives it up. */
@@ -18,33 +18,33 @@
 
     private static Site site(DatagramSocket peer) throws Exception {
         Site site = new Site();
-        PeersTest.startWithPeer(site, peer);
+        PeerMessengerTest.startWithPeer(site, peer);
         return site;
     }
 
     @Test
     void oneThatIsTurnedAwayOnANewConnectionCallsForRoom() throws Exception {
-        try (DatagramSocket peer = PeersTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
+        try (DatagramSocket peer = PeerMessengerTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(503, "", "X-Rejected: 1");
             assertEquals(Outcome.NO_PLACE, Scripted.next(site.router.ends).outcome());
-            assertTrue(RoomCalls.isFor(PeersTest.receive(peer), "c0"));
+            assertTrue(ConnectionReleaseRequests.isForNode(PeerMessengerTest.receive(peer), "c0"));
         }
     }
 
     @Test
     void anIdleConnectionIsGivenUpForOneWhoCalls() throws Exception {
-        try (DatagramSocket peer = PeersTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
+        try (DatagramSocket peer = PeerMessengerTest.socket(); Site site = site(peer); Peer.Wire client = site.client()) {
             client.write(site.get(Site.LONG_S));
             site.node.await().wire().answer(200, "v");
             assertEquals(Outcome.OK, Scripted.next(site.router.ends).outcome());
-            byte[] call = new RoomCalls().noPlace("c0", 0);
+            byte[] call = new ConnectionReleaseRequests().connectionRejected("c0", 0);
             // Called for until it has been idle for long enough; nothing else would close it for 45 s.
             Thread calls = new Thread(() -> {
                 try {
                     while (!Thread.currentThread().isInterrupted()) {
                         peer.send(new DatagramPacket(call, call.length, InetAddress.getLoopbackAddress(),
-                                site.service.peerListening().getPort()));
+                                site.service.peerListenAddress().getPort()));
                         Thread.sleep(CALL_EACH_MS);
                     }
                 } catch (Exception e) {
--- a/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/UpgradeTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ridgemill.gateway.succession.ServingMark;
-import ridgemill.succession.LeavePlan;
+import ridgemill.gateway.succession.ServingProcessFile;
+import ridgemill.succession.ShutdownPlan;
 
 /** A successor listens beside the process that serves, and no connection notices. */
 @Timeout(Peer.PATIENCE_S)
 class UpgradeTest {
 
     private static final int CONNECTIONS = 60;
-    private static final LeavePlan SUCCEEDED = new LeavePlan(true, 0, 400, 1500);
+    private static final ShutdownPlan SUCCEEDED = new ShutdownPlan(true, 0, 400, 1500);
 
     private Site old;
     private Site next;
@@ -31,16 +31,16 @@
     @BeforeEach
     void start() throws Exception {
         old = shared("127.0.0.1:0");
-        next = shared("127.0.0.1:" + old.service.listening().getPort());
+        next = shared("127.0.0.1:" + old.service.listenAddress().getPort());
     }
 
     private static Site shared(String listen) throws Exception {
         Site site = new Site();
         site.maxOpen = 4 * CONNECTIONS;
-        site.sockets = Service.RESERVED_SOCKETS + 8 * CONNECTIONS;
+        site.sockets = Service.RESERVED_DESCRIPTORS + 8 * CONNECTIONS;
         site.listen = listen;
         site.start("automatic", "60000", "\"console\":\"127.0.0.1:0\",");
-        site.service.between(site.service::ready);
+        site.service.runOnLoop(site.service::ready);
         return site;
     }
 
@@ -63,10 +63,10 @@
                 Thread.currentThread().interrupt();
             }
         });
-        old.service.leave(SUCCEEDED);
+        old.service.shutDown(SUCCEEDED);
         List<Peer.Wire> clients = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
-            clients.add(Peer.connect(old.service.listening()));
+            clients.add(Peer.connect(old.service.listenAddress()));
             clients.get(i).write("GET /up HTTP/1.1\r\nHost: s\r\n\r\n");
         }
         come.countDown();
@@ -90,12 +90,12 @@
                 client.read();
             }
             long began = System.nanoTime();
-            old.service.leave(SUCCEEDED);
+            old.service.shutDown(SUCCEEDED);
             // The plan holds from the loop's next turn on; the request must not overtake it.
-            old.service.between(() -> { });
+            old.service.runOnLoop(() -> { });
             kept.write(old.get(Site.LONG_S));
             Peer.Message message = old.node.next();
-            assertTrue(Double.parseDouble(message.header("X-Budget")) <= SUCCEEDED.answerMs() / 1000, "it ends before its client's time");
+            assertTrue(Double.parseDouble(message.header("X-Budget")) <= SUCCEEDED.responseMs() / 1000, "it ends before its client's time");
             message.wire().answer(200, "v");
             assertEquals("close", new Peer.Message(kept.read(), kept).header("Connection"));
             assertNull(idle.read(), "closed in the end");
@@ -107,10 +107,10 @@
     @Test
     void theMarkTellsOfAnotherProcessThatLives(@TempDir Path directory) throws Exception {
         InetSocketAddress address = new InetSocketAddress("127.0.0.1", 9000);
-        ServingMark mark = ServingMark.in(directory, address);
-        assertTrue(mark.another().isEmpty(), "nobody yet");
-        mark.set();
-        assertTrue(mark.another().isEmpty(), "oneself");
+        ServingProcessFile mark = ServingProcessFile.in(directory, address);
+        assertTrue(mark.otherProcess().isEmpty(), "nobody yet");
+        mark.recordThisProcess();
+        assertTrue(mark.otherProcess().isEmpty(), "oneself");
         Path file = directory.resolve("ridgemill-127.0.0.1-9000.serving");
         assertEquals(ProcessHandle.current().pid() + "\n", Files.readString(file));
         try (var files = Files.list(directory)) {
@@ -118,14 +118,14 @@
         }
         long parent = ProcessHandle.current().parent().orElseThrow().pid();
         Files.writeString(file, parent + "\n");
-        assertEquals(parent, mark.another().orElseThrow().pid());
+        assertEquals(parent, mark.otherProcess().orElseThrow().pid());
         for (String spoilt : List.of("", "x", "-1", "99999999999999999999", Long.MAX_VALUE + "", "1 2", "\0".repeat(5000))) {
             Files.writeString(file, spoilt);
-            assertTrue(mark.another().isEmpty(), spoilt);
+            assertTrue(mark.otherProcess().isEmpty(), spoilt);
         }
-        assertFalse(ServingMark.in(directory, new InetSocketAddress("127.0.0.1", 9001)).another().isPresent(), "another proxy");
-        ServingMark nowhere = ServingMark.in(directory.resolve("missing"), address);
-        nowhere.set();
-        assertTrue(nowhere.another().isEmpty());
+        assertFalse(ServingProcessFile.in(directory, new InetSocketAddress("127.0.0.1", 9001)).otherProcess().isPresent(), "another proxy");
+        ServingProcessFile nowhere = ServingProcessFile.in(directory.resolve("missing"), address);
+        nowhere.recordThisProcess();
+        assertTrue(nowhere.otherProcess().isEmpty());
     }
 }
--- a/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
+++ b/gateway/src/test/java/ridgemill/gateway/operator/RolledFileTest.java
@@ -9,21 +9,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ridgemill.classes.PlatformFacts;
+import ridgemill.policy.Router.DeduplicationScope;
 import ridgemill.policy.Router.Effect;
-import ridgemill.policy.Router.Group;
-import ridgemill.policy.Router.Limits;
-import ridgemill.policy.Router.Rules;
+import ridgemill.policy.Router.PlatformLimits;
+import ridgemill.policy.Router.PlatformRules;
 import ridgemill.policy.Router.ServiceClass;
 import ridgemill.policy.Router.Settings;
-import ridgemill.policy.Router.Weights;
+import ridgemill.policy.Router.WeightMode;
+import ridgemill.serviceclass.PlatformConstraints;
 
 /** What operators want rolled, and the way back. */
 class RolledFileTest {
 
-    private static final PlatformFacts PLATFORM = PlatformFacts.of(new Settings(0, 1, "a", 1,
-            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, Group.ALL, 0, false)), List.of(), 1, false,
-            new Limits(4, true, true, false, true, 1000, false, 100), new Rules(0, 1, 0, 1, 1000, 0, 0), false, Weights.NONE, null));
+    private static final PlatformConstraints PLATFORM = PlatformConstraints.of(new Settings(0, 1, "a", 1,
+            List.of(new ServiceClass("read", 500, 0, 1500, 1, 0.25, Effect.SAFE, DeduplicationScope.ALL, 0, false)), List.of(), 1, false,
+            new PlatformLimits(4, true, true, false, true, 1000, false, 100), new PlatformRules(0, 1, 0, 1, 1000, 0, 0), false, WeightMode.NONE, null));
     private static final String OWN = "[control]\nsocket = \"/run/p0.sock\"\n";
 
     @TempDir
@@ -41,9 +41,9 @@
         RolledFile file = rolled(next + OWN);
         RolledFile.Wanted wanted = file.wanted(directory.resolve("p0.toml").toString(), "version = 2\n[process]\nidle = \"7s\"\n");
         assertEquals(next, wanted.targetText());
-        assertEquals(4, wanted.target().file());
+        assertEquals(4, wanted.target().number());
         assertEquals("version = 5\n[process]\nidle = \"7s\"\n", wanted.backText());
-        assertEquals(5, wanted.back().file());
+        assertEquals(5, wanted.back().number());
     }
 
     @Test
@@ -67,7 +67,7 @@
     @Test
     void whatIsTakenIsInTheFileForARestartBesideWhatIsItsOwn() throws Exception {
         RolledFile file = rolled("version = 2\n" + OWN);
-        assertEquals("", file.take("version = 4\n", () -> true, "roll").toCompletableFuture().join());
+        assertEquals("", file.apply("version = 4\n", () -> true, "roll").toCompletableFuture().join());
         assertEquals("version = 4\n\n" + OWN, Files.readString(directory.resolve("p0.toml")));
     }
 }
